--- a/internal/forward/access.go
+++ b/internal/forward/access.go
@@ -12,17 +12,16 @@
 	errKeyUnknown = errors.New("forward: no tenant has the request's key")
 )
 
-// Access is what the table in force says of a request before anything else is decided.
+// Access holds the route and tenant that the current table assigns to a request.
 type Access struct {
 	Route   *route.Route // nil: no route matches
 	Tenant  string       // empty: the caller is anonymous
 	Refused bool         // the key is missing, or no tenant has it
 }
 
-// Access returns a request's route and tenant, under the lease; known is false when there is no configuration to tell by, or
-// no lease.
+// Access returns a request's route and tenant while the lease holds. known is false without a configuration or a lease.
 func (f *Forwarder) Access(host, path, key string) (access Access, known bool) {
-	plan := f.current()
+	plan := f.currentPlan()
 	if plan == nil {
 		return Access{}, false
 	}
@@ -35,20 +34,21 @@
 	return access, true
 }
 
-// Match returns the route of a request, under the lease; known is false when there is no configuration to tell by, or no
-// lease.
+// Match returns the route of a request while the lease holds, or nil if none matches. known is false without a
+// configuration or a lease.
 func (f *Forwarder) Match(host, path string) (matched *route.Route, known bool) {
-	plan := f.current()
+	plan := f.currentPlan()
 	if plan == nil {
 		return nil, false
 	}
 	return plan.routes.Match(host, path), true
 }
 
-// HostAccess returns the tenant of a call that concerns a host and no route of it, under the lease. It may be anonymous where
-// one of the host's routes is.
+// HostAccess returns the tenant of a call that concerns a host rather than one of its routes, while the lease holds.
+// The caller may be anonymous if one of the host's routes permits that. known is false without a configuration or a
+// lease.
 func (f *Forwarder) HostAccess(host, key string) (access Access, known bool) {
-	plan := f.current()
+	plan := f.currentPlan()
 	if plan == nil {
 		return Access{}, false
 	}
@@ -63,10 +63,11 @@
 	return found.Name
 }
 
-// authenticate finds out who the request is from, by the plan that it is decided on; an error if it may not run.
+// authenticate determines the request's tenant from the given plan. It returns an error if the request is not
+// permitted.
 func (x *exchange) authenticate(plan *plan, matched *route.Route) error {
 	if name := x.request.Tenant; name != "" {
-		x.caller, x.tenant = plan.tenants.Named(name), name
+		x.callerTenant, x.tenantName = plan.tenants.Named(name), name
 		return nil
 	}
 	found, refused := plan.tenants.Authenticate(x.request.Key, matched.Anonymous)
@@ -76,14 +77,14 @@
 	case refused:
 		return errKeyUnknown
 	}
-	x.caller, x.tenant = found, nameOf(found)
+	x.callerTenant, x.tenantName = found, nameOf(found)
 	return nil
 }
 
-// priority is the rank of the request: its tenant's, where that has one, or its route's.
+// priority returns the priority of the request's tenant if that has one, else the route's.
 func (x *exchange) priority() uint32 {
-	if x.caller != nil && x.caller.Ranked {
-		return x.caller.Priority
+	if x.callerTenant != nil && x.callerTenant.Ranked {
+		return x.callerTenant.Priority
 	}
 	return x.route.Priority
 }
--- a/internal/forward/access_test.go
+++ b/internal/forward/access_test.go
@@ -15,10 +15,10 @@
 
 // serveWithKey serves a request that shows a key, or that was authenticated before.
 func (f *fixture) serveWithKey(key, known string) *Failure {
-	return f.Serve(context.Background(), &Request{AttemptID: "id", Method: "POST", Path: "/x", Host: "h", Key: key, Tenant: known, Received: time.Now()}, &kept{})
+	return f.Serve(context.Background(), &Request{AttemptID: "id", Method: "POST", Path: "/x", Host: "h", Key: key, Tenant: known, Received: time.Now()}, &recordedReply{})
 }
 
-func TestBackEndsAreToldTheTenant(t *testing.T) {
+func TestTenantIsSentToBackEnds(t *testing.T) {
 	f := newFixture(t, tenantRows, good)
 	for _, test := range []struct {
 		key, known, want string
@@ -40,7 +40,7 @@
 
 // TestKeyThatIsDroppedMeanwhile: a request that was not sent is refused once its key has gone, and one that may have run is
 // not sent again.
-func TestKeyThatIsDroppedMeanwhile(t *testing.T) {
+func TestKeyRemovedBetweenAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
 		first step
 		want  Reason
@@ -61,10 +61,10 @@
 }
 
 // TestTenantsRankGoesFirst, before that of the route.
-func TestTenantsRankGoesFirst(t *testing.T) {
+func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	f := newFixture(t, tenantRows+";r priority 7", good)
 	for known, want := range map[string]uint32{"One": 7, "Two": 3, "Gone": 7} {
-		x := f.newExchange(&Request{Tenant: known, Host: "h", Path: "/"}, &kept{})
+		x := f.newExchange(&Request{Tenant: known, Host: "h", Path: "/"}, &recordedReply{})
 		plan := f.plan.Load()
 		x.route = plan.routes.Match("h", "/")
 		if err := x.authenticate(plan, x.route); err != nil || x.priority() != want {
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -7,30 +7,34 @@
 	"github.com/tamarindring/tamarindring/internal/replica"
 )
 
-// answer is the sink of one attempt. It holds an answer back until it is whole, or too large to hold, or a
-// series of events; from then on it passes on what comes, unless another attempt's answer is passed on already.
-// What it holds is given back by finish once the answer is whole, and by whoever drops the attempt otherwise.
+// answer receives the answer of one attempt as a replica.Sink. It buffers an answer until it is whole or exceeds the
+// buffer, and then forwards data as it arrives. Event streams are not buffered, but a resumable stream is forwarded only
+// up to its last whole event. Nothing is forwarded while another attempt's answer is being forwarded.
+//
+// finish releases the buffer of a whole answer; whoever drops the attempt releases it otherwise.
 type answer struct {
-	owner       *atomic.Pointer[answer] // the answer that is passed on to the caller
+	owner       *atomic.Pointer[answer] // the answer being forwarded to the caller; nil: none yet
 	reply       Reply
-	replaceable bool        // another attempt may replace the answer before its first byte, or run beside it
-	resuming    bool        // it goes on where another attempt's stream broke off
-	resumable   bool        // as a stream it may be resumed
-	mayReplace  func() bool // asks for another attempt when there is none beside it; nil: there may be one
-	beside      atomic.Bool // another attempt runs beside it
-	asked       bool        // mayReplace has permitted one
-	began       atomic.Bool
-	onHead      func(stream bool)
-	head        replica.Head
-	held        heldBytes
-	passing     bool // it is passed on as it comes
-	events      *eventSplitter
-	last        int64 // id of the last event passed on; -1: none
+	replaceable bool // another attempt may run concurrently, or replace the answer before its first byte
+	resuming    bool // continues a stream that another attempt left incomplete
+	resumable   bool // a stream can be continued by another attempt
+	// mayReplace asks for permission to send a replacement when no other attempt runs concurrently. nil: always
+	// permitted.
+	mayReplace           func() bool
+	hedged               atomic.Bool // another attempt runs concurrently
+	replacementPermitted bool        // mayReplace permitted a replacement
+	headReceived         atomic.Bool
+	onHead               func(stream bool)
+	head                 replica.Head
+	buffer               answerBuffer
+	forwarding           bool // data is forwarded as it arrives
+	splitter             *eventSplitter
+	lastEventID          int64 // of the last event forwarded; -1: none
 }
 
 // Head implements replica.Sink.
 func (a *answer) Head(head replica.Head) error {
-	a.began.Store(true)
+	a.headReceived.Store(true)
 	a.head = head
 	stream := head.Stream && head.Status == http.StatusOK
 	if a.onHead != nil {
@@ -41,83 +45,83 @@
 		return errNotResumed
 	case a.resuming:
 		if !a.owner.CompareAndSwap(nil, a) {
-			return errOutrun
+			return errOtherAttemptWon
 		}
-		a.passing = true
+		a.forwarding = true
 	case a.replaceable && head.Status >= http.StatusInternalServerError && a.replace():
 		return errReplaced
 	}
 	if stream && a.resumable {
-		a.events = &eventSplitter{}
+		a.splitter = &eventSplitter{}
 	}
 	return nil
 }
 
-// replace tells whether another attempt takes the place of this one, which has failed; otherwise the failure is the caller's answer.
+// replace reports whether another attempt replaces this failed one. Otherwise the failure becomes the caller's answer.
 func (a *answer) replace() bool {
-	if a.mayReplace == nil || a.beside.Load() {
+	if a.mayReplace == nil || a.hedged.Load() {
 		return true
 	}
-	a.asked = a.mayReplace()
-	return a.asked
+	a.replacementPermitted = a.mayReplace()
+	return a.replacementPermitted
 }
 
 // Body implements replica.Sink.
 func (a *answer) Body(chunk []byte) error {
 	switch {
-	case a.events != nil:
-		whole := a.events.feed(chunk)
-		if len(whole) == 0 {
+	case a.splitter != nil:
+		events := a.splitter.feed(chunk)
+		if len(events) == 0 {
 			return nil
 		}
-		if err := a.pass(whole); err != nil {
+		if err := a.pass(events); err != nil {
 			return err
 		}
-		if id := a.events.last; id >= 0 {
-			a.last = id
+		if id := a.splitter.lastID; id >= 0 {
+			a.lastEventID = id
 		}
 		return nil
-	case a.passing || a.head.Stream:
+	case a.forwarding || a.head.Stream:
 		return a.pass(chunk)
 	}
-	if a.held.add(chunk, a.head.Length) {
+	if a.buffer.add(chunk, a.head.Length) {
 		return nil
 	}
-	if err := a.pass(a.held.bytes); err != nil {
+	if err := a.pass(a.buffer.bytes); err != nil {
 		return err
 	}
-	a.held.release()
+	a.buffer.release()
 	return a.pass(chunk)
 }
 
-// pass passes bytes on to the caller, with the head before the first.
+// pass forwards data to the caller, preceded by the head if that was not sent yet.
 func (a *answer) pass(data []byte) error {
-	if !a.passing {
+	if !a.forwarding {
 		if !a.owner.CompareAndSwap(nil, a) {
-			return errOutrun
+			return errOtherAttemptWon
 		}
-		a.passing = true
+		a.forwarding = true
 		if err := a.reply.Head(a.head); err != nil {
-			return errPassedOn
+			return errCallerGone
 		}
 	}
 	if len(data) == 0 {
 		return nil
 	}
 	if err := a.reply.Body(data); err != nil {
-		return errPassedOn
+		return errCallerGone
 	}
 	return nil
 }
 
-// finish passes on what was held back of an answer that is whole.
+// finish forwards the buffered rest of a whole answer.
 func (a *answer) finish() error {
-	defer a.held.release()
-	if a.events != nil {
-		return a.pass(a.events.rest())
+	defer a.buffer.release()
+	if a.splitter != nil {
+		return a.pass(a.splitter.rest())
 	}
-	if !a.passing && a.head.Length < 0 {
-		a.head.Length = int64(len(a.held.bytes))
+	if !a.forwarding && a.head.Length < 0 {
+		a.head.Length = int64(len(a.buffer.bytes))
 	}
-	return a.pass(a.held.bytes)
+	return a.pass(a.buffer.bytes)
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -16,67 +16,67 @@
 )
 
 const (
-	// hedgeNumerator and hedgeDenominator are the part of the target latency after which a request that may be
-	// repeated is sent to a second back end, when the first has not begun to answer.
+	// hedgeNumerator / hedgeDenominator is the fraction of the target latency after which a repeatable request is
+	// hedged, if the first back end has not begun to answer.
 	hedgeNumerator   = 2
 	hedgeDenominator = 5
 	minHedgeDelay    = 20 * time.Millisecond
 )
 
-// attempt is one send to one back end. It touches nothing of its exchange that changes, because another
-// attempt may run beside it.
+// attempt is one send of a request to one back end. It must not access mutable fields of its exchange, because another
+// attempt of the same exchange may run concurrently.
 type attempt struct {
-	forwarder *Forwarder
-	pool      *pool
-	target    replica.Target
-	chosen    choice
-	number    int // of the sends of its request, from 1
-	started   time.Time
-	sentAt    time.Time // directly before the first byte; zero: nothing was sent
-	told      bool      // Config.Began was told
-	said      health    // of its back end, once it has ended
-	work      routing.Request
-	call      *replica.Call
-	answer    *answer
-	outcome   replica.Outcome
-	owned     bool             // its answer was the one passed on when it broke off
-	bySum     bool             // its back end crashed by the sum of the large bodies that it held
-	mayFail   bool             // the request may itself be why it fails
-	permitted *poisonguard.Run // nil: nobody permits runs
+	forwarder       *Forwarder
+	pool            *pool
+	target          replica.Target
+	chosen          choice
+	sendNumber      int // among the sends of its request, from 1
+	started         time.Time
+	sentAt          time.Time // immediately before the first byte; zero: nothing was sent
+	startReported   bool      // Config.Began was called
+	reportedHealth  health    // what the finished attempt indicates about its back end
+	routingRequest  routing.Request
+	call            *replica.Call
+	answer          *answer
+	outcome         replica.Outcome
+	answerForwarded bool             // its answer was being forwarded when it ended early
+	crashedBySum    bool             // its back end crashed because of the total size of its large bodies
+	requestMayFail  bool             // the request itself may cause the failure
+	permittedRun    *poisonguard.Run // nil: there is no guard
 }
 
-// newAttempt makes an attempt; owner is shared by those that run beside each other.
+// newAttempt creates an attempt. Concurrent attempts of a request share owner.
 func (x *exchange) newAttempt(chosen choice, owner *atomic.Pointer[answer], replaceable bool) *attempt {
 	config := &x.forwarder.config
-	held := &answer{owner: owner, reply: x.reply, held: heldBytes{budget: config.Budget, most: config.MaxBufferedAnswer}, replaceable: replaceable,
-		resuming: x.passing, resumable: x.route.Resumable && x.route.Kind == table.Stream, last: x.passed}
-	x.begun++
-	made := &attempt{forwarder: x.forwarder, pool: x.pool, target: chosen.target, chosen: chosen, number: x.begun, work: x.work,
-		started: x.forwarder.config.Now(), call: x.call(chosen), answer: held, mayFail: x.request.Failed != nil, permitted: x.run}
-	if x.run = nil; made.permitted != nil {
-		made.permitted.At(chosen.target.Instance, chosen.target.Address)
+	sink := &answer{owner: owner, reply: x.reply, buffer: answerBuffer{budget: config.Budget, maxBytes: config.MaxBufferedAnswer}, replaceable: replaceable,
+		resuming: x.partForwarded, resumable: x.route.Resumable && x.route.Kind == table.Stream, lastEventID: x.lastEventID}
+	x.sends++
+	created := &attempt{forwarder: x.forwarder, pool: x.pool, target: chosen.target, chosen: chosen, sendNumber: x.sends, routingRequest: x.routingRequest,
+		started: x.forwarder.config.Now(), call: x.newCall(chosen), answer: sink, requestMayFail: x.request.Failed != nil, permittedRun: x.permittedRun}
+	if x.permittedRun = nil; created.permittedRun != nil {
+		created.permittedRun.At(chosen.target.Instance, chosen.target.Address)
 	}
-	held.mayReplace = func() bool { return made.mayFollow(kindRetry) }
-	made.watchBegin()
-	made.watchAccept()
-	return made
+	sink.mayReplace = func() bool { return created.mayFollowUp(kindRetry) }
+	created.watchStart()
+	created.watchBodyAccept()
+	return created
 }
 
-// send sends the request to the chosen back end, to a second one when that is slow, and judges how that ended.
+// send sends the request to the chosen back end, hedges it if the route permits that, and evaluates the outcome.
 func (x *exchange) send(ctx context.Context, chosen choice) (*Failure, bool) {
-	first := x.newAttempt(chosen, new(atomic.Pointer[answer]), x.repeatable() && chosen.spare && x.sent+1 < int(x.route.MaxAttempts))
-	if !first.answer.replaceable || x.passing || x.route.TargetLatency <= 0 {
+	first := x.newAttempt(chosen, new(atomic.Pointer[answer]), x.canRepeat() && chosen.hasSpare && x.attemptsUsed+1 < int(x.route.MaxAttempts))
+	if !first.answer.replaceable || x.partForwarded || x.route.TargetLatency <= 0 {
 		first.run(ctx)
 		return x.conclude(ctx, first)
 	}
 	return x.hedge(ctx, first)
 }
 
-// hedge runs an attempt and, when it does not begin to answer for a while, a second one beside it. The first
-// whole answer wins and the other attempt is cancelled.
+// hedge runs an attempt, and a second one concurrently if the first has not begun to answer within the hedge delay. The
+// first whole answer wins and the other attempt is cancelled.
 func (x *exchange) hedge(ctx context.Context, first *attempt) (failure *Failure, done bool) {
 	raced, cancel := context.WithCancelCause(ctx)
-	defer cancel(errOutrun)
+	defer cancel(errOtherAttemptWon)
 	ended := make(chan *attempt, 2)
 	start := func(a *attempt) {
 		go func() { a.run(raced); ended <- a }()
@@ -85,11 +85,11 @@
 	running := 1
 	timer := time.NewTimer(max(x.route.TargetLatency*hedgeNumerator/hedgeDenominator, minHedgeDelay))
 	defer timer.Stop()
-	defer func() { dropAnswers(ended, running) }()
+	defer func() { releaseAnswers(ended, running) }()
 	for {
 		select {
 		case <-timer.C:
-			if second := x.second(first); second != nil {
+			if second := x.chooseHedge(first); second != nil {
 				x.logHedge(first, second)
 				start(second)
 				running++
@@ -97,47 +97,48 @@
 		case a := <-ended:
 			running--
 			failure, done = x.conclude(ctx, a)
-			if done && (failure == nil || a.owned) || running == 0 {
+			if done && (failure == nil || a.answerForwarded) || running == 0 {
 				return failure, done
 			}
 		}
 	}
 }
 
-// dropAnswers releases what is held of the answers of attempts that are still running, once they have ended.
-func dropAnswers(ended <-chan *attempt, running int) {
+// releaseAnswers releases the answer buffers of the attempts that are still running, once they have ended.
+func releaseAnswers(ended <-chan *attempt, running int) {
 	if running == 0 {
 		return
 	}
 	go func() {
 		for range running {
-			(<-ended).answer.held.release()
+			(<-ended).answer.buffer.release()
 		}
 	}()
 }
 
-// second chooses a second back end for a request whose first has not begun to answer; nil when there is none, and for a suspect, which
-// runs at one back end at a time.
-func (x *exchange) second(first *attempt) *attempt {
-	if first.answer.began.Load() || !x.permitSecond() {
+// chooseHedge returns an attempt at a second back end for a request whose first back end has not begun to answer, or
+// nil if there is none. A suspect is not hedged, because it may run at only one back end at a time.
+func (x *exchange) chooseHedge(first *attempt) *attempt {
+	if first.answer.headReceived.Load() || !x.permitHedge() {
 		x.returnRun(context.Background())
 		return nil
 	}
-	excluded := append(append([]string(nil), x.tried...), first.target.Instance)
-	chosen, ok := x.draw(excluded)
+	excluded := append(append([]string(nil), x.triedBackends...), first.target.Instance)
+	chosen, ok := x.drawBackend(excluded)
 	if !ok {
 		return nil
 	}
-	if !first.mayFollow(kindHedge) {
-		x.drop(chosen)
+	if !first.mayFollowUp(kindHedge) {
+		x.releaseChoice(chosen)
 		return nil
 	}
-	first.answer.beside.Store(true)
+	first.answer.hedged.Store(true)
 	return x.newAttempt(chosen, first.answer.owner, false)
 }
 
-// watchBegin has Config.Began told as soon as an answer shows that the request runs: a long stream ends much later.
-func (a *attempt) watchBegin() {
+// watchStart calls Config.Began as soon as the answer's head shows that the request runs. A long stream ends much
+// later.
+func (a *attempt) watchStart() {
 	if a.forwarder.config.Began == nil {
 		return
 	}
@@ -148,47 +149,47 @@
 	}
 	a.answer.onHead = func(stream bool) {
 		if stream {
-			a.tellBegan(a.forwarder.config.Now())
+			a.reportStart(a.forwarder.config.Now())
 			return
 		}
-		a.tellBegan(a.sentAt)
+		a.reportStart(a.sentAt)
 	}
 }
 
-// tellBegan tells Config.Began, once.
-func (a *attempt) tellBegan(at time.Time) {
-	if a.told || a.forwarder.config.Began == nil {
+// reportStart calls Config.Began unless that was done already.
+func (a *attempt) reportStart(at time.Time) {
+	if a.startReported || a.forwarder.config.Began == nil {
 		return
 	}
-	a.told = true
+	a.startReported = true
 	a.forwarder.config.Began(a.call.Tenant, at)
 }
 
-// run sends the request and takes the answer.
+// run sends the request and receives the answer.
 func (a *attempt) run(ctx context.Context) {
-	ctx, over := a.pool.began(ctx, a)
-	defer over()
+	ctx, stop := a.pool.trackSend(ctx, a)
+	defer stop()
 	a.outcome = a.forwarder.config.Caller.Do(ctx, a.call, a.answer)
 	if !a.outcome.Whole {
-		a.answer.held.release() // a part of an answer is of no use
+		a.answer.buffer.release() // a partial answer is useless
 	}
 	if a.outcome.Err != nil && errors.Is(context.Cause(ctx), errRestarted) {
 		a.outcome.Err = errRestarted
 	}
 	if a.outcome.Verdict != verdict.DidNotRun {
-		a.tellBegan(a.sentAt)
+		a.reportStart(a.sentAt)
 	}
-	a.bySum = a.noteCrash()
-	a.noteRun(ctx)
-	a.said = a.health(ctx)
-	a.pool.endBody(a.forwarder.now(), a.chosen.body, a.outcome.Whole)
-	changed := a.pool.ended(a.forwarder.now(), a.target.Instance, &a.work, a.said, a.reported())
-	a.forwarder.counts.countSend(a, a.forwarder.config.Now().Sub(a.started))
-	a.logBelief(changed)
+	a.crashedBySum = a.recordCrash()
+	a.endRun(ctx)
+	a.reportedHealth = a.assessHealth(ctx)
+	a.pool.endBody(a.forwarder.now(), a.chosen.largeBody, a.outcome.Whole)
+	changed := a.pool.endSend(a.forwarder.now(), a.target.Instance, &a.routingRequest, a.reportedHealth, a.loadObservation())
+	a.forwarder.metrics.countSend(a, a.forwarder.config.Now().Sub(a.started))
+	a.logHealthChange(changed)
 }
 
-// reported is what the back end said of its own load; nil if it said nothing.
-func (a *attempt) reported() *loadreport.Observation {
+// loadObservation returns the load that the back end reported with its answer, or nil if it reported none.
+func (a *attempt) loadObservation() *loadreport.Observation {
 	if a.outcome.Load == nil {
 		return nil
 	}
@@ -199,22 +200,22 @@
 	return observed
 }
 
-// health is what the attempt says about its back end.
-func (a *attempt) health(ctx context.Context) health {
+// assessHealth derives the back end's health from the outcome of the attempt.
+func (a *attempt) assessHealth(ctx context.Context) health {
 	outcome := &a.outcome
 	switch {
 	case outcome.Whole && outcome.Status < 500:
 		return healthGood
-	case a.mayFail && a.failed():
+	case a.requestMayFail && a.isServerFailure():
 		return healthDoubtful
 	case outcome.Refused == replica.RefusedWrongTarget:
 		return healthLeaving
-	case outcome.Refused == replica.RefusedFull, errors.Is(outcome.Err, errStale), errors.Is(outcome.Err, errNoLease),
-		errors.Is(outcome.Err, errPassedOn), errors.Is(outcome.Err, errOutrun):
+	case outcome.Refused == replica.RefusedFull, errors.Is(outcome.Err, errTableChanged), errors.Is(outcome.Err, errNoLease),
+		errors.Is(outcome.Err, errCallerGone), errors.Is(outcome.Err, errOtherAttemptWon):
 		return healthNeutral
-	case errors.Is(context.Cause(ctx), errOutrun):
-		if a.answer.replaceable && !a.answer.began.Load() {
-			return healthSlow // it was the first, and the second was faster
+	case errors.Is(context.Cause(ctx), errOtherAttemptWon):
+		if a.answer.replaceable && !a.answer.headReceived.Load() {
+			return healthSlow // the first attempt lost to its hedge
 		}
 		return healthNeutral
 	case ctx.Err() != nil:
@@ -223,69 +224,70 @@
 	return healthBad
 }
 
-// failed tells whether the back end ran the request and says that it failed.
-func (a *attempt) failed() bool {
+// isServerFailure reports whether the back end ran the request and answered status 500.
+func (a *attempt) isServerFailure() bool {
 	return a.outcome.Status == http.StatusInternalServerError && a.outcome.Refused == replica.RefusedNone
 }
 
-func (x *exchange) call(chosen choice) *replica.Call {
+func (x *exchange) newCall(chosen choice) *replica.Call {
 	return &replica.Call{Target: chosen.target, AttemptID: x.request.AttemptID, Method: x.request.Method,
 		Path: x.request.Path, Host: x.request.Host, Header: x.request.Header, Body: x.request.Body,
-		Tenant:   x.tenant,
-		Deadline: max(x.left(), time.Millisecond), Urgency: -1, ResumeAfter: x.passed,
+		Tenant:   x.tenantName,
+		Deadline: max(x.remaining(), time.Millisecond), Urgency: -1, ResumeAfter: x.lastEventID,
 		MaxConnections: chosen.maxConnections,
-		Admit:          func() error { return x.admit(chosen.version) }}
+		Admit:          func() error { return x.checkLease(chosen.version) }}
 }
 
-// conclude passes a whole answer on, or decides what follows an attempt that brought none.
+// conclude forwards a whole answer, or decides how to continue without one.
 func (x *exchange) conclude(ctx context.Context, a *attempt) (*Failure, bool) {
-	if x.request.Failed != nil && a.failed() {
+	if x.request.Failed != nil && a.isServerFailure() {
 		x.request.Failed(a.target.Instance)
 	}
 	if !a.outcome.Whole {
 		x.logAttempt(a)
-		return x.judge(ctx, a)
+		return x.decideNext(ctx, a)
 	}
 	err := a.answer.finish()
 	switch {
-	case errors.Is(err, errOutrun):
-		return nil, false // the other attempt's answer is being passed on
+	case errors.Is(err, errOtherAttemptWon):
+		return nil, false // the other attempt's answer is being forwarded
 	case err != nil:
-		x.mayRan, a.owned = true, true
-		return x.failure(ctx, Broken, err), true
+		x.mayHaveRun, a.answerForwarded = true, true
+		return x.newFailure(ctx, Broken, err), true
 	}
 	x.answeredBy, x.status = a, a.outcome.Status
 	return nil, true
 }
 
-// judge decides what follows an attempt that brought no whole answer.
-func (x *exchange) judge(ctx context.Context, a *attempt) (*Failure, bool) {
+// decideNext decides how to continue after an attempt that returned no whole answer. done is false if another attempt
+// may follow.
+func (x *exchange) decideNext(ctx context.Context, a *attempt) (*Failure, bool) {
 	outcome := &a.outcome
-	if a.unsent() {
-		x.keepRun(a)
-		return x.again(ctx, outcome.Err)
+	if a.isUnsent() {
+		x.reclaimRun(a)
+		return x.retryOnNewTable(ctx, outcome.Err)
 	}
 	x.lastErr = outcome.Err
-	x.tried = append(x.tried, a.target.Instance)
+	x.triedBackends = append(x.triedBackends, a.target.Instance)
 	if outcome.Verdict == verdict.DidNotRun {
 		if outcome.Refused == replica.RefusedFull && !errors.Is(outcome.Err, replica.ErrConnections) {
-			x.sent++
+			x.attemptsUsed++
 		}
 		return nil, false
 	}
-	x.sent++
-	x.mayRan = true
-	if !a.answer.asked {
-		x.unfollowed = a
+	x.attemptsUsed++
+	x.mayHaveRun = true
+	if !a.answer.replacementPermitted {
+		x.retryPending = a
 	}
-	if a.owned = a.answer.owner.Load() == a.answer; a.owned {
-		x.passing, x.passed = true, a.answer.last
+	if a.answerForwarded = a.answer.owner.Load() == a.answer; a.answerForwarded {
+		x.partForwarded, x.lastEventID = true, a.answer.lastEventID
 	}
 	switch {
-	case errors.Is(outcome.Err, errPassedOn), !x.repeatable():
-		return x.failure(ctx, Broken, outcome.Err), true
-	case a.owned && (!a.answer.resumable || a.answer.last < 0):
-		return x.failure(ctx, Cut, outcome.Err), true
+	case errors.Is(outcome.Err, errCallerGone), !x.canRepeat():
+		return x.newFailure(ctx, Broken, outcome.Err), true
+	case a.answerForwarded && (!a.answer.resumable || a.answer.lastEventID < 0):
+		return x.newFailure(ctx, Cut, outcome.Err), true
 	}
 	return nil, false
 }
--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -14,7 +14,7 @@
 
 // TestWhatBeganIsToldOnce for each back end that ran a request or may have, at the time at which it began there: with the first
 // event of a stream and otherwise with the send, also when the answer comes much later or never.
-func TestWhatBeganIsToldOnce(t *testing.T) {
+func TestBeganIsReportedOncePerRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		script []step
 		want   []time.Duration
@@ -47,7 +47,7 @@
 }
 
 // TestWhatIsHeldBackAtTheSendDidNotBegin: a request whose lease lapses directly before the send is nobody's use.
-func TestWhatIsHeldBackAtTheSendDidNotBegin(t *testing.T) {
+func TestBeganIsNotReportedWithoutLease(t *testing.T) {
 	f := newFixture(t, tenantRows, func(_ context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease}
 	})
--- a/internal/forward/clock_test.go
+++ b/internal/forward/clock_test.go
@@ -11,17 +11,17 @@
 )
 
 // bubbleClock is a clock that follows the test's time, virtual or not.
-func bubbleClock() func() time.Duration {
+func testClock() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
 
 // The machine was suspended while a request was under way. Its caller went on waiting, but the steady clock stood still: the next back end
 // was named a deadline that the caller no longer had, and a request whose caller was long gone was still sent.
-func TestDeadlinesCountSuspensions(t *testing.T) {
+func TestDeadlineIncludesMachineSuspension(t *testing.T) {
 	for suspended, sends := range map[time.Duration]int{0: 2, time.Second: 2, 5 * time.Second: 1} {
 		synctest.Test(t, func(t *testing.T) {
-			asleep, steady := time.Duration(0), bubbleClock()
+			asleep, steady := time.Duration(0), testClock()
 			var named time.Duration
 			f := newFixture(t, baseRows+"r route_kind repeatable;r timeout_millis 4000",
 				func(context.Context, *replica.Call, replica.Sink) replica.Outcome {
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -5,18 +5,18 @@
 	"strconv"
 )
 
-// eventSplitter cuts a series of server-sent events after whole events and notes the last one's id.
+// eventSplitter splits a stream of server-sent events after whole events and records the id of the last one.
 type eventSplitter struct {
-	pending []byte // begins at the start of an event
-	ready   []byte // returned by feed, valid until the next call
-	last    int64
-	any     bool
+	pending     []byte // starts at the beginning of an event
+	ready       []byte // result of feed, valid until its next call
+	lastID      int64
+	initialized bool
 }
 
-// feed takes the next bytes and returns the events that are whole now; the result is valid until the next call.
+// feed appends a chunk and returns the events that are now whole. The result is valid until the next call.
 func (s *eventSplitter) feed(chunk []byte) []byte {
-	if !s.any {
-		s.last, s.any = -1, true
+	if !s.initialized {
+		s.lastID, s.initialized = -1, true
 	}
 	s.pending = append(s.pending, chunk...)
 	end := wholeEvents(s.pending)
@@ -24,7 +24,7 @@
 		return nil
 	}
 	if id, ok := lastEventID(s.pending[:end]); ok {
-		s.last = id
+		s.lastID = id
 	}
 	s.ready = append(s.ready[:0], s.pending[:end]...)
 	s.pending = append(s.pending[:0], s.pending[end:]...)
@@ -34,7 +34,7 @@
 // rest returns the bytes after the last whole event.
 func (s *eventSplitter) rest() []byte { return s.pending }
 
-// wholeEvents returns the length of data up to the end of its last whole event: an empty line.
+// wholeEvents returns the length of data up to and including the empty line that ends its last whole event.
 func wholeEvents(data []byte) int {
 	end := 0
 	if at := bytes.LastIndex(data, []byte("\n\n")); at >= 0 {
@@ -46,7 +46,7 @@
 	return end
 }
 
-// lastEventID returns the last numeric id among whole events.
+// lastEventID returns the last numeric id in a sequence of whole events.
 func lastEventID(events []byte) (int64, bool) {
 	last, found := int64(0), false
 	for line := range bytes.Lines(events) {
--- a/internal/forward/fair_test.go
+++ b/internal/forward/fair_test.go
@@ -17,7 +17,7 @@
 	"r path_prefix /;r pools p:1;t kind tenant;t tenant_name heavy;u kind tenant;u tenant_name light"
 
 // held is a fixture whose back end answers one request at each receive from turns.
-func newHeld(t *testing.T, places int) (f *fixture, turns chan struct{}) {
+func newGatedFixture(t *testing.T, places int) (f *fixture, turns chan struct{}) {
 	turns = make(chan struct{})
 	f = newFixture(t, fmt.Sprintf(oneSlotRows, places), func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		<-turns
@@ -27,21 +27,21 @@
 }
 
 // begin serves a request in the background and returns once it waits.
-func (f *fixture) begin(tenant, path string) <-chan *Failure {
+func (f *fixture) serveInBackground(tenant, path string) <-chan *Failure {
 	ended := make(chan *Failure, 1)
 	request := &Request{AttemptID: "id", Method: "POST", Path: path, Host: "h", Tenant: tenant, Received: time.Now()}
-	go func() { ended <- f.Serve(context.Background(), request, &kept{}) }()
+	go func() { ended <- f.Serve(context.Background(), request, &recordedReply{}) }()
 	synctest.Wait()
 	return ended
 }
 
 // TestTenantsTakeTurnsAtTheSlots: a tenant's first call goes before the later ones of another that came earlier.
-func TestTenantsTakeTurnsAtTheSlots(t *testing.T) {
+func TestSlotsAlternateBetweenTenants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, turns := newHeld(t, 100)
+		f, turns := newGatedFixture(t, 100)
 		var ends []<-chan *Failure
 		for _, tenant := range []string{"heavy", "heavy", "heavy", "heavy", "light"} {
-			ends = append(ends, f.begin(tenant, "/x"))
+			ends = append(ends, f.serveInBackground(tenant, "/x"))
 		}
 		for range ends {
 			turns <- struct{}{}
@@ -61,17 +61,17 @@
 }
 
 // TestRefusedRequestThatReturnsGoesFirst: before the new requests of its tenant, once.
-func TestRefusedRequestThatReturnsGoesFirst(t *testing.T) {
+func TestRejectedRequestGoesFirstOnReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, turns := newHeld(t, 2)
-		ends := []<-chan *Failure{f.begin("heavy", "/1"), f.begin("heavy", "/2"), f.begin("heavy", "/3")}
-		failure := <-f.begin("heavy", "/refused")
+		f, turns := newGatedFixture(t, 2)
+		ends := []<-chan *Failure{f.serveInBackground("heavy", "/1"), f.serveInBackground("heavy", "/2"), f.serveInBackground("heavy", "/3")}
+		failure := <-f.serveInBackground("heavy", "/refused")
 		if failure == nil || failure.Reason != Overloaded || failure.Verdict != verdict.DidNotRun {
 			t.Fatal(failure)
 		}
 		turns <- struct{}{}
 		synctest.Wait()
-		ends = append(ends, f.begin("heavy", "/refused"))
+		ends = append(ends, f.serveInBackground("heavy", "/refused"))
 		for range ends[1:] {
 			turns <- struct{}{}
 			synctest.Wait()
@@ -90,39 +90,39 @@
 }
 
 // TestReturnersAreBounded and forgotten once they are not expected any more.
-func TestReturnersAreBounded(t *testing.T) {
-	var held returners
-	for number := range uint64(2 * maxReturners) {
+func TestRejectedRequestsAreBounded(t *testing.T) {
+	var rejected rejectedRequests
+	for number := range uint64(2 * maxRejectedRequests) {
 		digest := (&poison.Identity{Tenant: fmt.Sprint(number)}).Digest()
-		held.expect(time.Duration(number), digest, 0)
+		rejected.add(time.Duration(number), digest, 0)
 	}
-	if len(held.until) != maxReturners {
-		t.Errorf("%d are remembered", len(held.until))
+	if len(rejected.expiry) != maxRejectedRequests {
+		t.Errorf("%d are remembered", len(rejected.expiry))
 	}
 	known := (&poison.Identity{Tenant: "1"}).Digest()
-	if !held.returned(0, known) || held.returned(0, known) {
+	if !rejected.take(0, known) || rejected.take(0, known) {
 		t.Error("a request that returns is not known once")
 	}
-	if late := (&poison.Identity{Tenant: "2"}).Digest(); held.returned(time.Hour, late) {
+	if late := (&poison.Identity{Tenant: "2"}).Digest(); rejected.take(time.Hour, late) {
 		t.Error("a request is known an hour later")
 	}
-	held.forget(time.Hour)
-	if len(held.until) != 0 {
-		t.Errorf("%d are remembered after an hour", len(held.until))
+	rejected.dropExpired(time.Hour)
+	if len(rejected.expiry) != 0 {
+		t.Errorf("%d are remembered after an hour", len(rejected.expiry))
 	}
 }
 
 // TestCallerThatLeavesTheQueueFreesItsPlace before anything else happens.
-func TestCallerThatLeavesTheQueueFreesItsPlace(t *testing.T) {
+func TestDisconnectedCallerFreesItsQueuePlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, turns := newHeld(t, 1)
-		first := f.begin("heavy", "/1")
+		f, turns := newGatedFixture(t, 1)
+		first := f.serveInBackground("heavy", "/1")
 		ctx, leave := context.WithCancel(context.Background())
-		go f.Serve(ctx, &Request{AttemptID: "id", Method: "POST", Path: "/2", Host: "h", Received: time.Now()}, &kept{})
+		go f.Serve(ctx, &Request{AttemptID: "id", Method: "POST", Path: "/2", Host: "h", Received: time.Now()}, &recordedReply{})
 		synctest.Wait()
 		leave()
 		synctest.Wait()
-		second := f.begin("light", "/3")
+		second := f.serveInBackground("light", "/3")
 		if waiting := f.pools["p"].queue.Waiting(); waiting != 1 {
 			t.Errorf("%d wait", waiting)
 		}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,7 +1,9 @@
-// Package forward answers callers' requests by sending them to back ends: the route says where a request may
-// go and how often, routing chooses the back end, admission bounds what is in flight, and the lease of the
-// control group is asked directly before each send. An answer reaches its caller whole and unchanged, is
-// replaced by another attempt's before its first byte, or is visibly broken off.
+// Package forward answers callers' requests by sending them to back ends. The route determines the pools that a request
+// may use and how often it may be sent. Package routing selects the back end, and package admission bounds the requests
+// in flight. The lease of the control group is checked immediately before each send.
+//
+// A caller receives one back end's answer whole and unchanged. Until its first byte has been forwarded, an answer can
+// be replaced by the answer of another attempt. An answer that ends early after that is visibly cut off.
 package forward
 
 import (
@@ -26,9 +28,9 @@
 	"github.com/tamarindring/tamarindring/internal/tenant"
 )
 
-// Control is the lease on a table view.
+// Control checks the lease under which the process uses its table view.
 type Control interface {
-	// Admit says whether the lease holds at this instant and for which table version.
+	// Admit reports whether the lease holds now, and the table version that it covers.
 	Admit() (version uint64, ok bool)
 }
 
@@ -39,75 +41,79 @@
 	DefaultSlotShare         = 1
 )
 
-// Config of a Forwarder. Zero fields take the defaults.
+// Config configures a Forwarder. Zero fields take their defaults.
 type Config struct {
 	Control Control
 	Caller  replica.Caller
-	Zone    string // of this process
+	Zone    string // zone of this process
 	Log     *logrus.Entry
-	// MaxBufferedAnswer is the size up to which an answer is held back until it is whole, so that another
-	// attempt can replace one that breaks off. Series of events are never held back.
+	// MaxBufferedAnswer is the size in bytes up to which an answer is buffered until it is whole, so that another
+	// attempt can replace an answer that ends early. Event streams are never buffered.
 	MaxBufferedAnswer int
-	// Budget bounds the answers that are held back; one that does not fit is passed on as it comes. nil: one of its own.
+	// Budget bounds the memory of all buffered answers. An answer that does not fit is forwarded as it arrives. nil:
+	// the forwarder creates its own budget.
 	Budget bytebudget.Reserver
-	// ConnectionShare is the part of a pool's max_connections that this process may use, as a divisor.
+	// ConnectionShare divides a pool's max_connections: this process opens at most max_connections/ConnectionShare
+	// connections.
 	ConnectionShare int
-	// SlotShare is the part of a pool's slots that this process may fill, above 0 and at most 1, so that the pool's
-	// other callers find room.
+	// SlotShare is the fraction of a pool's slots that this process may fill, above 0 and at most 1. The rest is left
+	// to the pool's other callers.
 	SlotShare float64
 	Routing   routing.Settings
-	// StartWait is how long after the start requests may wait for the first lease, see AwaitStart. Default 0:
-	// they are refused at once.
+	// StartWait is how long after the process start requests may wait for the first lease, see AwaitStart. 0: requests
+	// are rejected at once.
 	StartWait time.Duration
-	// Began is told of each send that began to run at a back end, or may have, with the time of its first event or, where
-	// an answer has none, of the send. nil: nobody is.
+	// Began is called for each send that ran or may have run at a back end, with the name of the tenant and the time at
+	// which the run began: the first event of a stream, or the send for all other answers. May be nil.
 	Began func(tenant string, at time.Time)
-	// Guard permits the runs of requests and is told how they ended; nil: all are permitted.
+	// Guard permits the runs of requests and receives their results. nil: all runs are permitted.
 	Guard *poisonguard.Guard
-	// Now is the clock; nil: time.Now.
+	// Now is the wall clock. nil: time.Now.
 	Now func() time.Time
-	// Clock counts the time that the machine is suspended, which a request's caller waits as well: after a suspension of 5 s replicas
-	// were named deadlines 5 s beyond their callers'. nil: monotonic.Now.
+	// Clock is a monotonic clock that includes the time during which the machine is suspended, because a request's
+	// caller waits during that time too. A clock that stops made replicas receive deadlines 5 s later than their
+	// callers' after a suspension of 5 s. nil: monotonic.Now.
 	Clock monotonic.Clock
-	// Shares says what this process may use of what the fleet divides: the slots of pools whose rows ask for it, and tenants' rates. nil:
-	// this process uses pools as if it were alone.
+	// Shares tells this process its share of the resources that the fleet divides: the slots of pools with shared_slots
+	// set, the quotas of tenants, and the limits and turns of large bodies. nil: this process uses pools as if it were
+	// alone.
 	Shares share.Source
-	// Retries bounds what each pool sends again, by retries and by second sends. nil: only routes do.
+	// Retries bounds the retries and hedges of each pool. nil: only the routes bound them.
 	Retries *retrybudget.Limits
-	// SpreadBytes has each pool bound the bytes of large bodies at its back ends and spread them by size, see package replicabytes. false:
-	// large bodies go where small ones would go.
+	// SpreadBytes makes each pool bound the bytes of large bodies in flight at its back ends and spread them by size,
+	// see package replicabytes. false: large bodies are routed like small ones.
 	SpreadBytes bool
-	// Seed of the random choices; 0: any.
+	// Seed seeds the random choices. 0: a random seed.
 	Seed uint64
 }
 
-// Forwarder forwards requests. It is safe for concurrent use.
+// Forwarder forwards requests to back ends. It is safe for concurrent use.
 type Forwarder struct {
-	config  Config
-	start   time.Time
-	started atomic.Bool // there was a lease on a configuration
-	nextID  atomic.Uint64
-	plan    atomic.Pointer[plan]
-	counts  *counts
-	quotas  *quotas
-	// sharesUsed has capacity 1: something that is divided between processes is used here.
-	sharesUsed chan struct{}
+	config   Config
+	start    time.Time
+	hadLease atomic.Bool // the process has held a lease on a configuration
+	nextID   atomic.Uint64
+	plan     atomic.Pointer[plan]
+	metrics  *forwarderMetrics
+	quotas   *quotas
+	// shareWakeup has capacity 1. An entry wakes FollowShares because a shared resource is in use.
+	shareWakeup chan struct{}
 
 	mu     sync.Mutex
 	pools  map[string]*pool // guarded by mu
 	random *rand.Rand       // guarded by mu
 }
 
-// plan is what one table version says. It is immutable, but for the pools' own state.
+// plan is the configuration derived from one table version. It is immutable except for the state of its pools.
 type plan struct {
-	version uint64
-	known   bool // the table holds a configuration
-	routes  *route.Table
-	tenants *tenant.Index
-	pools   map[string]*pool
+	version    uint64
+	configured bool // the table holds a configuration
+	routes     *route.Table
+	tenants    *tenant.Index
+	pools      map[string]*pool
 }
 
-// New returns a forwarder without a plan: it refuses everything until Update is called.
+// New returns a forwarder that rejects all requests until Update is called. It fails if Control or Caller is missing.
 func New(config Config) (*Forwarder, error) {
 	if config.Control == nil || config.Caller == nil {
 		return nil, trace.BadParameter("forward: Control and Caller are required")
@@ -136,66 +142,67 @@
 	if config.Log == nil {
 		config.Log = logging.Discard()
 	}
-	return &Forwarder{config: config, counts: newCounts(), quotas: newQuotas(config.Shares, config.Seed), sharesUsed: make(chan struct{}, 1), start: config.Now(), pools: map[string]*pool{},
+	return &Forwarder{config: config, metrics: newForwarderMetrics(), quotas: newQuotas(config.Shares, config.Seed),
+		shareWakeup: make(chan struct{}, 1), start: config.Now(), pools: map[string]*pool{},
 		random: rand.New(rand.NewPCG(config.Seed, config.Seed))}, nil
 }
 
-// Update takes over a table view. It is a listener of the control session: from its return on, everything is
-// decided on the new view.
+// Update applies a table view; older views than the current one are ignored. It is a listener of the control session:
+// once it returns, all decisions use the new view.
 func (f *Forwarder) Update(view *table.View) {
 	next := &plan{version: view.Version(), routes: route.NewTable(view), pools: map[string]*pool{}}
-	next.known = len(next.routes.Routes()) > 0
+	next.configured = len(next.routes.Routes()) > 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var heldTenants *tenant.Index
-	if held := f.plan.Load(); held != nil {
-		if held.version > next.version {
+	var previousTenants *tenant.Index
+	if previous := f.plan.Load(); previous != nil {
+		if previous.version > next.version {
 			return
 		}
-		heldTenants = held.tenants
+		previousTenants = previous.tenants
 	}
-	next.tenants = tenant.NewIndex(view, heldTenants)
+	next.tenants = tenant.NewIndex(view, previousTenants)
 	for _, row := range view.Rows() {
 		switch row.Kind {
 		case table.Document:
-			next.known = true
+			next.configured = true
 		case table.Pool:
-			held := f.pools[row.Name]
-			if held == nil {
-				held = newPool(row.Name, &f.config, f.random.Uint64(), f.counts)
+			existing := f.pools[row.Name]
+			if existing == nil {
+				existing = newPool(row.Name, &f.config, f.random.Uint64(), f.metrics)
 			}
-			held.onUse = f.useShares
-			held.boundRetries(f.now(), f.config.Retries)
-			held.update(f.now(), view, row, &f.config)
-			next.pools[row.Name] = held
+			existing.onShareUse = f.wakeShareFollower
+			existing.ensureRetryBudget(f.now(), f.config.Retries)
+			existing.update(f.now(), view, row, &f.config)
+			next.pools[row.Name] = existing
 		}
 	}
 	f.logTable(view, next)
-	for name, gone := range f.pools {
+	for name, removed := range f.pools {
 		if next.pools[name] == nil {
-			gone.withdraw(f.now())
+			removed.withdraw(f.now())
 		}
 	}
 	f.pools = next.pools
 	f.quotas.update(f.now(), next.tenants)
 	f.plan.Store(next)
-	f.useShares() // one look, so that what has ceased to be divided is told
+	f.wakeShareFollower() // polls at least once, so that demands for resources that are no longer shared are withdrawn
 }
 
-// Ready tells whether requests can be served: there is a configuration, and the lease holds on it.
+// Ready reports whether requests can be served: a configuration is known and the lease on it holds.
 func (f *Forwarder) Ready() bool {
 	plan := f.plan.Load()
-	if plan == nil || !plan.known {
+	if plan == nil || !plan.configured {
 		return false
 	}
 	_, ok := f.config.Control.Admit()
-	if ok && !f.started.Load() {
-		f.started.Store(true)
+	if ok && !f.hadLease.Load() {
+		f.hadLease.Store(true)
 	}
 	return ok
 }
 
-// TableVersion is that of the table in use; 0 before the first one.
+// TableVersion returns the version of the table in use, or 0 before the first one.
 func (f *Forwarder) TableVersion() uint64 {
 	if plan := f.plan.Load(); plan != nil {
 		return plan.version
@@ -203,11 +210,12 @@
 	return 0
 }
 
-// current is the plan in force, under the lease; nil when there is no configuration to decide by, or no lease.
-func (f *Forwarder) current() *plan {
-	for range maxStale {
+// currentPlan returns the plan whose table version the lease covers. It returns nil without a configuration or a lease,
+// or if the plan has not caught up with the lease after maxTableRetries checks.
+func (f *Forwarder) currentPlan() *plan {
+	for range maxTableRetries {
 		plan := f.plan.Load()
-		if plan == nil || !plan.known {
+		if plan == nil || !plan.configured {
 			return nil
 		}
 		version, ok := f.config.Control.Admit()
@@ -217,23 +225,23 @@
 		if version == plan.version {
 			return plan
 		}
-		time.Sleep(staleWait)
+		time.Sleep(tableRetryDelay)
 	}
 	return nil
 }
 
 const (
-	// maxStale bounds how often a decision is made again because the table changed meanwhile.
-	maxStale = 50
-	// staleWait is the pause before that.
-	staleWait = time.Millisecond
+	// maxTableRetries bounds how often a decision is repeated because the table changed in the meantime.
+	maxTableRetries = 50
+	// tableRetryDelay is the pause before a decision is repeated.
+	tableRetryDelay = time.Millisecond
 )
 
-// now is the time since the start, as routing and admission count it.
+// now returns the time since the process start, the time base of routing and admission.
 func (f *Forwarder) now() time.Duration { return f.config.Now().Sub(f.start) }
 
-// draw returns a random number below n.
-func (f *Forwarder) draw(n uint32) uint32 {
+// randomBelow returns a random number in [0, n).
+func (f *Forwarder) randomBelow(n uint32) uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.Uint32N(n)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -36,7 +36,7 @@
 }
 
 // scripted is a Caller whose attempts end as the script says, in order; the last entry holds for all later ones.
-type scripted struct {
+type scriptedCaller struct {
 	mu     sync.Mutex
 	script []step
 	calls  []*replica.Call
@@ -44,7 +44,7 @@
 
 type step func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome
 
-func (s *scripted) Do(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+func (s *scriptedCaller) Do(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 	if err := call.Admit(); err != nil {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: err}
 	}
@@ -55,7 +55,7 @@
 	return next(ctx, call, sink)
 }
 
-func (s *scripted) instances() map[string]int {
+func (s *scriptedCaller) instances() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := map[string]int{}
@@ -89,14 +89,14 @@
 	}
 }
 
-func ends(outcome replica.Outcome) step {
+func endsWith(outcome replica.Outcome) step {
 	return func(context.Context, *replica.Call, replica.Sink) replica.Outcome { return outcome }
 }
 
 var (
-	full        = ends(replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedFull, Status: 503, Err: replica.ErrRefused})
-	unreachable = ends(replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedUnreachable, Err: errReset})
-	lost        = ends(replica.Outcome{Verdict: verdict.MayHaveRun, Err: errReset})
+	full        = endsWith(replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedFull, Status: 503, Err: replica.ErrRefused})
+	unreachable = endsWith(replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedUnreachable, Err: errReset})
+	lost        = endsWith(replica.Outcome{Verdict: verdict.MayHaveRun, Err: errReset})
 	good        = answers(200, false, true, "good")
 )
 
@@ -106,13 +106,13 @@
 }
 
 // kept is a Reply that keeps what it gets.
-type kept struct {
+type recordedReply struct {
 	heads []replica.Head
 	body  strings.Builder
 }
 
-func (k *kept) Head(head replica.Head) error { k.heads = append(k.heads, head); return nil }
-func (k *kept) Body(chunk []byte) error      { k.body.Write(chunk); return nil }
+func (k *recordedReply) Head(head replica.Head) error { k.heads = append(k.heads, head); return nil }
+func (k *recordedReply) Body(chunk []byte) error      { k.body.Write(chunk); return nil }
 
 const baseRows = "p kind pool;q kind pool;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;p2 kind backend;p2 pool p;p2 address 127.0.0.1:2;" +
 	"p3 kind backend;p3 pool p;p3 address 127.0.0.1:3;r kind route;r host h;r path_prefix /;r pools p:1;r max_attempts 2;"
@@ -142,13 +142,13 @@
 type fixture struct {
 	*Forwarder
 	lease  *testLease
-	caller *scripted
+	caller *scriptedCaller
 }
 
 func newFixture(t *testing.T, rows string, script ...step) *fixture {
 	t.Helper()
-	lease, caller := &testLease{}, &scripted{script: script}
-	forwarder, err := New(Config{Control: lease, Caller: caller, Seed: 1, Clock: bubbleClock()})
+	lease, caller := &testLease{}, &scriptedCaller{script: script}
+	forwarder, err := New(Config{Control: lease, Caller: caller, Seed: 1, Clock: testClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,13 +158,13 @@
 	return &fixture{Forwarder: forwarder, lease: lease, caller: caller}
 }
 
-func (f *fixture) serve(ctx context.Context) (*kept, *Failure) {
-	reply := &kept{}
+func (f *fixture) serve(ctx context.Context) (*recordedReply, *Failure) {
+	reply := &recordedReply{}
 	return reply, f.Serve(ctx, &Request{AttemptID: "id", Method: "POST", Path: "/x?y", Host: "h", Received: time.Now()}, reply)
 }
 
 // TestAttempts: which endings permit another attempt, and what the caller gets.
-func TestAttempts(t *testing.T) {
+func TestRetryByOutcome(t *testing.T) {
 	for _, test := range []struct {
 		name, kind string
 		script     []step
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestStreamsGoOnAtAnotherBackEnd(t *testing.T) {
+func TestBrokenStreamResumesAtAnotherBackEnd(t *testing.T) {
 	rows := strings.Replace(baseRows, "max_attempts 2", "max_attempts 3", 1) + "r route_kind stream;r resumable true"
 	f := newFixture(t, rows, answers(200, true, false, "id: 1\ndata: a\n\nid: 2\nda", "ta: b\n\nid: 3\nda"), full,
 		answers(200, true, true, "id: 3\ndata: c\n\n"))
@@ -230,7 +230,7 @@
 }
 
 // TestLargeAnswersAreNotHeldBack: an answer over the bound is passed on as it comes and cut when it breaks off.
-func TestLargeAnswersAreNotHeldBack(t *testing.T) {
+func TestLargeAnswersAreNotBuffered(t *testing.T) {
 	large := strings.Repeat("x", DefaultMaxBufferedAnswer)
 	f := newFixture(t, baseRows+"r route_kind repeatable", answers(200, false, true, large, "yz"))
 	if reply, failure := f.serve(context.Background()); failure != nil || reply.body.String() != large+"yz" || reply.heads[0].Length != -1 {
@@ -242,16 +242,16 @@
 	}
 }
 
-func TestLeaseAndRoutes(t *testing.T) {
+func TestMissingLeaseOrRouteIsRejected(t *testing.T) {
 	f := newFixture(t, baseRows+"r route_kind once", good)
 	request := &Request{Method: "GET", Host: "other", Path: "/", Received: time.Now()}
-	if failure := f.Serve(context.Background(), request, &kept{}); failure == nil || failure.Reason != NoRoute {
+	if failure := f.Serve(context.Background(), request, &recordedReply{}); failure == nil || failure.Reason != NoRoute {
 		t.Errorf("%v", failure)
 	}
 	f.lease.set(f.plan.Load().version, true)
 	for _, host := range []string{"h", "other"} {
 		request.Host = host
-		if failure := f.Serve(context.Background(), request, &kept{}); failure == nil || failure.Reason != NoConfiguration || failure.RetryAfter < time.Second || f.Ready() {
+		if failure := f.Serve(context.Background(), request, &recordedReply{}); failure == nil || failure.Reason != NoConfiguration || failure.RetryAfter < time.Second || f.Ready() {
 			t.Errorf("without a lease: %v", failure)
 		}
 	}
@@ -260,13 +260,13 @@
 		t.Fatal(err)
 	}
 	f.lease.set(0, false)
-	if failure := empty.Serve(context.Background(), request, &kept{}); failure == nil || failure.Reason != NoConfiguration || empty.Ready() {
+	if failure := empty.Serve(context.Background(), request, &recordedReply{}); failure == nil || failure.Reason != NoConfiguration || empty.Ready() {
 		t.Errorf("without a configuration: %v", failure)
 	}
 }
 
 // TestDecisionsAreMadeAnew: the table changes between the choice and the send; the request follows it.
-func TestDecisionsAreMadeAnew(t *testing.T) {
+func TestTableChangeBeforeSendReroutesRequest(t *testing.T) {
 	views := viewsOf(t, baseRows+"r route_kind once", "r pools q:1;q1 kind backend;q1 pool q;q1 address 127.0.0.1:4")
 	f := newFixture(t, baseRows+"r route_kind once", good)
 	asked := 0
@@ -287,7 +287,7 @@
 }
 
 // TestLeaseThatLapsesBeforeTheSend: a request whose lease ended since the choice is not sent, and is told so.
-func TestLeaseThatLapsesBeforeTheSend(t *testing.T) {
+func TestLeaseLapsedBeforeSendDoesNotRun(t *testing.T) {
 	f := newFixture(t, baseRows+"r route_kind once", good)
 	asked := 0
 	f.config.Control = admitFunc(func() (uint64, bool) {
@@ -305,7 +305,7 @@
 func (a admitFunc) Admit() (uint64, bool) { return a() }
 
 // TestTimeAndCallers runs in virtual time.
-func TestTimeAndCallers(t *testing.T) {
+func TestTimeoutAndCallerDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, baseRows+"r route_kind once;r timeout_millis 300", silent)
 		started := time.Now()
@@ -352,7 +352,7 @@
 		"first faster after all":  {after(delay+5, good), after(10, answers(200, false, true, "second")), 2, "good", delay + 5},
 		"first fails":             {after(delay+5, lost), after(10, good), 2, "good", delay + 10},
 		"second fails":            {after(delay+15, good), after(10, lost), 2, "good", delay + 15},
-		"second has no lease":     {after(delay+15, good), after(10, ends(replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease})), 2, "good", delay + 15},
+		"second has no lease":     {after(delay+15, good), after(10, endsWith(replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease})), 2, "good", delay + 15},
 		"second is refused":       {after(delay+15, good), full, 2, "good", delay + 15},
 		"both answer at one time": {after(delay+10, good), after(10, good), 2, "good", delay + 10},
 		"first fails early":       {lost, good, 2, "good", 0},
@@ -381,7 +381,7 @@
 }
 
 // TestSlots: a request waits for a slot a part of its target and is then refused as not run.
-func TestSlots(t *testing.T) {
+func TestSlotWaitEndsInRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := "p kind pool;p max_in_flight 1;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;r kind route;r host h;r path_prefix /;r pools p:1;r target_latency_millis 40"
 		release := make(chan struct{})
@@ -413,13 +413,13 @@
 }
 
 // TestRequestsThatMayFailThemselves: their failures are told, and no back end is shut out for a single one.
-func TestRequestsThatMayFailThemselves(t *testing.T) {
+func TestRequestFailuresAreReportedWithoutQuarantine(t *testing.T) {
 	f := newFixture(t, baseRows+"r route_kind repeatable", answers(500, false, true, "no"))
 	for number, quarantined := range []int{0, 2} { // the second request fails at the same back ends
 		var failed []string
 		request := &Request{AttemptID: "id", Method: "POST", Path: "/x", Host: "h", Received: time.Now(),
 			Failed: func(replica string) { failed = append(failed, replica) }}
-		if failure := f.Serve(t.Context(), request, &kept{}); failure != nil {
+		if failure := f.Serve(t.Context(), request, &recordedReply{}); failure != nil {
 			t.Fatal(failure)
 		}
 		if len(failed) != 2 || failed[0] == failed[1] {
@@ -441,7 +441,7 @@
 // TestSlotShare: a process that may fill half of a pool's slots has no more requests there at once.
 func TestSlotShare(t *testing.T) {
 	lease := &testLease{}
-	forwarder, err := New(Config{Control: lease, Caller: &scripted{script: []step{silent}}, SlotShare: 0.5, Seed: 1, Clock: bubbleClock()})
+	forwarder, err := New(Config{Control: lease, Caller: &scriptedCaller{script: []step{silent}}, SlotShare: 0.5, Seed: 1, Clock: testClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forward/held.go
+++ b/internal/forward/held.go
@@ -2,40 +2,42 @@
 
 import "github.com/tamarindring/tamarindring/internal/bytebudget"
 
-// firstHeld is the room, in bytes, that an answer of unknown length begins with.
-const firstHeld = 8 << 10
+// initialBufferBytes is the initial capacity of the buffer for an answer of unknown length.
+const initialBufferBytes = 8 << 10
 
-// heldBytes is what is held back of one answer, within the process's budget.
-type heldBytes struct {
+// answerBuffer buffers one answer within the process's memory budget.
+type answerBuffer struct {
 	budget   bytebudget.Reserver
-	most     int // bytes of one answer
+	maxBytes int // of one answer
 	bytes    []byte
 	reserved int64
 }
 
-// add holds a chunk of an answer of a length, -1: not known; false when it may not be held, and then it is not.
-func (h *heldBytes) add(chunk []byte, length int64) bool {
+// add appends a chunk of an answer with the given length (-1: unknown). It returns false, and appends nothing, if the
+// answer exceeds maxBytes or the budget.
+func (h *answerBuffer) add(chunk []byte, length int64) bool {
 	needed := len(h.bytes) + len(chunk)
-	if needed > h.most {
+	if needed > h.maxBytes {
 		return false
 	}
-	if needed > cap(h.bytes) && !h.grow(h.roomFor(needed, length)) {
+	if needed > cap(h.bytes) && !h.grow(h.capacityFor(needed, length)) {
 		return false
 	}
 	h.bytes = append(h.bytes, chunk...)
 	return true
 }
 
-// roomFor is the room for so many bytes of an answer of a length: all of it where the length is known.
-func (h *heldBytes) roomFor(needed int, length int64) int {
+// capacityFor returns the capacity for needed bytes of an answer with the given length. If the length is known, it is
+// the whole answer's.
+func (h *answerBuffer) capacityFor(needed int, length int64) int {
 	if length >= int64(needed) {
-		return int(min(length, int64(h.most)))
+		return int(min(length, int64(h.maxBytes)))
 	}
-	return max(needed, min(2*cap(h.bytes), h.most), firstHeld)
+	return max(needed, min(2*cap(h.bytes), h.maxBytes), initialBufferBytes)
 }
 
-// grow makes room for so many bytes in all; false when the budget has none.
-func (h *heldBytes) grow(room int) bool {
+// grow grows the buffer to a capacity of room bytes. It returns false if the budget does not permit it.
+func (h *answerBuffer) grow(room int) bool {
 	more := int64(room) - h.reserved
 	if !h.budget.Reserve(bytebudget.Answer, more) {
 		return false
@@ -45,8 +47,8 @@
 	return true
 }
 
-// release drops what is held and gives its room back.
-func (h *heldBytes) release() {
+// release drops the buffered data and returns its bytes to the budget.
+func (h *answerBuffer) release() {
 	h.bytes = nil
 	if h.reserved > 0 {
 		h.budget.Release(bytebudget.Answer, h.reserved)
--- a/internal/forward/held_test.go
+++ b/internal/forward/held_test.go
@@ -14,7 +14,7 @@
 
 // TestAnswersAreHeldWithinTheBudget: an answer that does not fit is passed on as it comes, whole and unchanged; one that breaks off
 // then is cut, and may not be replaced by another.
-func TestAnswersAreHeldWithinTheBudget(t *testing.T) {
+func TestAnswerBuffersStayWithinTheBudget(t *testing.T) {
 	part := strings.Repeat("x", 10<<10)
 	for _, test := range []struct {
 		name   string
@@ -48,7 +48,7 @@
 }
 
 // TestLosersGiveTheirAnswersBack: the slower of two attempts beside each other holds nothing once it has ended, whole or not.
-func TestLosersGiveTheirAnswersBack(t *testing.T) {
+func TestLosingAttemptReleasesItsBuffer(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			slow := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -18,92 +18,92 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// largeBodies are the large bodies at a pool's back ends and those that wait for room there.
+// largeBodies holds the large bodies at a pool's back ends and the queue of those that wait for free space there.
 type largeBodies struct {
 	ledger  *replicabytes.Ledger
 	sharing largeSharing
-	queue   []*bodyWait // that wait, first in first out
+	queue   []*largeBodyWait // first in, first out
 }
 
 func newLargeBodies(source share.Source) largeBodies {
 	return largeBodies{ledger: replicabytes.New(), sharing: largeSharing{source: source, turns: replicabytes.NewTurns(), seed: maphash.MakeSeed()}}
 }
 
-// large tells whether the request's body is counted at back ends.
-func (x *exchange) large() bool {
+// isLarge reports whether the request's body counts against the byte limits of back ends.
+func (x *exchange) isLarge() bool {
 	return x.forwarder.config.SpreadBytes && replicabytes.Large(int64(len(x.request.Body)))
 }
 
-// draw chooses a back end, for a large body one that has room for it.
-func (x *exchange) draw(excluded []string) (choice, bool) {
-	if !x.large() {
-		return x.pool.choose(x.forwarder.now(), &x.work, excluded)
+// drawBackend chooses a back end, with free space if the body is large.
+func (x *exchange) drawBackend(excluded []string) (choice, bool) {
+	if !x.isLarge() {
+		return x.pool.choose(x.forwarder.now(), &x.routingRequest, excluded)
 	}
-	chosen, found := x.pool.chooseLarge(x.forwarder.now(), &x.work, int64(len(x.request.Body)), excluded, x.room)
-	x.noRoom = found == foundNoRoom
-	if found == foundOne {
-		x.stopWaiting()
+	chosen, found := x.pool.chooseLarge(x.forwarder.now(), &x.routingRequest, int64(len(x.request.Body)), excluded, x.spaceWait)
+	x.noSpace = found == choseNoSpace
+	if found == choseOne {
+		x.stopSpaceWait()
 	}
-	return chosen, found == foundOne
+	return chosen, found == choseOne
 }
 
-// found is what the choice of a back end for a large body came to.
-type found uint8
+// choiceOutcome is the result of choosing a back end for a large body.
+type choiceOutcome uint8
 
 const (
-	foundNone found = iota // no back end may take it, now or soon
-	foundOne
-	foundNoRoom // back ends that could take it have no room yet
+	choseNone choiceOutcome = iota // no back end can take the body now or soon
+	choseOne
+	choseNoSpace // suitable back ends lack free space
 )
 
-// chooseLarge chooses, among the back ends with room for a body, one that holds the least bytes, and counts the body there. Bodies
-// that wait go before those that come.
-func (p *pool) chooseLarge(now time.Duration, request *routing.Request, bytes int64, excluded []string, waiting *bodyWait) (choice, found) {
+// chooseLarge chooses, among the back ends with free space for a body, one that holds the fewest bytes, and counts the
+// body there. Queued bodies go before new ones.
+func (p *pool) chooseLarge(now time.Duration, request *routing.Request, bytes int64, excluded []string, waiting *largeBodyWait) (choice, choiceOutcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.useLarge(now)
-	p.exclude(request, excluded)
+	p.startLargeSharing(now)
+	p.setExcluded(request, excluded)
 	usable := func(i int) bool { return p.replicas.Usable(i, request, now) }
-	least, full := p.room(now, request, bytes, waiting, usable)
+	least, full := p.leastHeld(now, request, bytes, waiting, usable)
 	if full {
-		return choice{version: p.version}, foundNoRoom
+		return choice{version: p.version}, choseNoSpace
 	}
 	for i := range p.replicas.Len() {
 		if name := p.replicas.Name(i); !p.fits(now, name, bytes) || p.large.ledger.Held(name) > least {
 			request.Excluded = append(request.Excluded, i)
 		}
 	}
-	chosen, ok := p.draw(now, request, len(excluded))
+	chosen, ok := p.chooseLocked(now, request, len(excluded))
 	if !ok {
-		return chosen, foundNone
+		return chosen, choseNone
 	}
-	chosen.body = p.large.ledger.Add(now, chosen.target.Instance, bytes)
+	chosen.largeBody = p.large.ledger.Add(now, chosen.target.Instance, bytes)
 	p.notifyLarge(now)
-	return chosen, foundOne
+	return chosen, choseOne
 }
 
-// lookForRoom tells whether a body finds no room at back ends that could take it. If so it is queued behind those that came
-// before; waiting is its entry if it is queued already.
-func (p *pool) lookForRoom(
-	now time.Duration, request *routing.Request, bytes int64, excluded []string, waiting *bodyWait,
-) (place *bodyWait, full bool) {
+// enqueueIfFull reports whether no suitable back end has free space for a body. In that case the body is appended to
+// the queue, unless waiting is its existing entry.
+func (p *pool) enqueueIfFull(
+	now time.Duration, request *routing.Request, bytes int64, excluded []string, waiting *largeBodyWait,
+) (place *largeBodyWait, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.useLarge(now)
-	p.exclude(request, excluded)
+	p.startLargeSharing(now)
+	p.setExcluded(request, excluded)
 	usable := func(i int) bool {
-		_, serves := p.slots[p.replicas.Name(i)] // one whose slots are taken is waited for with all others
+		_, serves := p.slots[p.replicas.Name(i)] // a back end with all slots taken counts: requests wait for its slots in the admission queue
 		return serves && !p.replicas.Quarantined(i, now)
 	}
-	if _, full = p.room(now, request, bytes, waiting, usable); !full || waiting != nil {
+	if _, full = p.leastHeld(now, request, bytes, waiting, usable); !full || waiting != nil {
 		return waiting, full
 	}
 	return p.enqueueLocked(now, bytes), true
 }
 
-// room is the least that a usable back end with room for a body holds; full tells that there is none, but back ends that could take the
-// body later. The caller holds the mutex.
-func (p *pool) room(now time.Duration, request *routing.Request, bytes int64, waiting *bodyWait, usable func(i int) bool) (least int64, full bool) {
+// leastHeld returns the fewest bytes held by a usable back end with free space for the body. full reports that no such
+// back end exists, but that there are back ends that can take the body later. The caller holds the mutex.
+func (p *pool) leastHeld(now time.Duration, request *routing.Request, bytes int64, waiting *largeBodyWait, usable func(i int) bool) (least int64, full bool) {
 	if len(p.large.queue) > 0 && p.large.queue[0] != waiting {
 		return 0, true
 	}
@@ -123,27 +123,28 @@
 	return least, full && least == math.MaxInt64
 }
 
-// notifyLarge updates the metrics and wakes the first body in the queue: there may be room. The caller holds the mutex.
+// notifyLarge updates the metrics and wakes the first body in the queue, because space may have become free. The caller
+// holds the mutex.
 func (p *pool) notifyLarge(now time.Duration) {
 	p.updateLargeMetrics(now)
 	if len(p.large.queue) == 0 {
 		return
 	}
 	select {
-	case p.large.queue[0].moved <- struct{}{}:
+	case p.large.queue[0].wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// updateLargeMetrics sets the gauges. The caller holds the mutex.
+// updateLargeMetrics sets the gauges of large bodies. The caller holds the mutex.
 func (p *pool) updateLargeMetrics(now time.Duration) {
-	p.counts.largeBytes.WithLabelValues(p.name).Set(float64(p.large.ledger.Bytes()))
-	p.counts.largeLimit.WithLabelValues(p.name).Set(float64(p.large.ledger.Limit(now)))
-	p.counts.largeWaiting.WithLabelValues(p.name).Set(float64(len(p.large.queue)))
+	p.metrics.largeBytes.WithLabelValues(p.name).Set(float64(p.large.ledger.Bytes()))
+	p.metrics.largeLimit.WithLabelValues(p.name).Set(float64(p.large.ledger.Limit(now)))
+	p.metrics.largeWaiting.WithLabelValues(p.name).Set(float64(len(p.large.queue)))
 }
 
-// accept notes that a back end has a body, or answers it.
-func (p *pool) accept(now time.Duration, body *replicabytes.Body) {
+// acceptBody records that a back end has received a body completely, or has begun to answer it.
+func (p *pool) acceptBody(now time.Duration, body *replicabytes.Body) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.large.ledger.Accept(body) {
@@ -151,7 +152,8 @@
 	}
 }
 
-// endBody takes a body off its back end; answered tells that the back end answered it whole. Without a body it does nothing.
+// endBody removes a body from its back end. answered reports that the back end answered it whole. A nil body is
+// ignored.
 func (p *pool) endBody(now time.Duration, body *replicabytes.Body, answered bool) {
 	if body == nil {
 		return
@@ -162,15 +164,16 @@
 	p.notifyLarge(now)
 }
 
-// ignoreCrash notes that a back end crashes under a suspect: no limit is learned from its large bodies.
+// ignoreCrash records that a back end crashes under a suspect, so that no limit is learned from its large bodies.
 func (p *pool) ignoreCrash(now time.Duration, instance string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.large.ledger.IgnoreCrash(now, instance)
 }
 
-// crashed notes that a back end crashed while it held large bodies of this process. One that leaves by plan has not crashed.
-func (p *pool) crashed(now time.Duration, instance string) replicabytes.Crash {
+// recordCrash records that a back end crashed while it held large bodies of this process. A back end that is leaving by
+// plan does not count as crashed.
+func (p *pool) recordCrash(now time.Duration, instance string) replicabytes.Crash {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view != nil {
@@ -179,7 +182,7 @@
 		}
 	}
 	crash := p.large.ledger.Crashed(now, instance)
-	if crash.New && p.large.sharing.used {
+	if crash.New && p.large.sharing.active {
 		p.publishLimit(now)
 		p.large.sharing.source.RenewSoon()
 	}
@@ -187,12 +190,12 @@
 	return crash
 }
 
-// watchAccept notes as soon as the back end has the attempt's large body.
-func (a *attempt) watchAccept() {
-	if a.chosen.body == nil {
+// watchBodyAccept records as soon as the back end has received the attempt's large body.
+func (a *attempt) watchBodyAccept() {
+	if a.chosen.largeBody == nil {
 		return
 	}
-	accept := func() { a.pool.accept(a.forwarder.now(), a.chosen.body) }
+	accept := func() { a.pool.acceptBody(a.forwarder.now(), a.chosen.largeBody) }
 	a.call.Taken = accept
 	before := a.answer.onHead
 	a.answer.onHead = func(stream bool) {
@@ -203,37 +206,38 @@
 	}
 }
 
-// noteCrash tells whether the attempt's back end crashed by the sum of the large bodies that it held, and has the pool learn from it.
-func (a *attempt) noteCrash() (bySum bool) {
+// recordCrash lets the pool learn from a crash of the attempt's back end. It reports whether the total size of the
+// large bodies there caused the crash.
+func (a *attempt) recordCrash() (bySum bool) {
 	if a.outcome.Whole || a.outcome.Peer != replica.PeerGone && !errors.Is(a.outcome.Err, errRestarted) {
 		return false
 	}
-	if a.suspectAtReplica() {
+	if a.hasSuspectAtReplica() {
 		a.pool.ignoreCrash(a.forwarder.now(), a.target.Instance)
 	}
-	if a.chosen.body == nil {
+	if a.chosen.largeBody == nil {
 		return false
 	}
-	crash := a.pool.crashed(a.forwarder.now(), a.target.Instance)
+	crash := a.pool.recordCrash(a.forwarder.now(), a.target.Instance)
 	if crash.New {
-		a.forwarder.counts.countCrash(crash)
+		a.forwarder.metrics.countCrash(crash)
 		logging.Emit(a.forwarder.config.Log, &events.LargeBodyCrash{Pool: a.pool.name, Replica: a.target.Instance, Request: a.call.AttemptID,
 			HeldBytes: crash.Bytes, Bodies: crash.Bodies, AnsweredBytes: crash.MaxAnswered, LimitBytes: crash.Limit, BySum: crash.BySum})
 	}
 	return crash.BySum
 }
 
-// suspectAtReplica tells whether a suspect of this process runs at the attempt's back end.
-func (a *attempt) suspectAtReplica() bool {
+// hasSuspectAtReplica reports whether a suspect of this process runs at the attempt's back end.
+func (a *attempt) hasSuspectAtReplica() bool {
 	guard := a.forwarder.config.Guard
 	return guard != nil && slices.Contains(guard.Occupied(), a.target.Instance)
 }
 
-// ending is how the attempt's run ended for the guard of suspects.
-func (a *attempt) ending(ctx context.Context) poisonguard.Ending {
+// runEnding classifies the end of the attempt's run for the guard.
+func (a *attempt) runEnding(ctx context.Context) poisonguard.Ending {
 	ending := poisonguard.EndingOf(a.outcome)
 	switch {
-	case a.bySum:
+	case a.crashedBySum:
 		return poisonguard.CrashedBySum
 	case errors.Is(a.outcome.Err, errRestarted):
 		return poisonguard.Crashed
--- a/internal/forward/largebodies_test.go
+++ b/internal/forward/largebodies_test.go
@@ -20,27 +20,27 @@
 // memoryReplicas are back ends that read bodies and answer after a while; one that holds more than its memory crashes, with all that it
 // runs, and is there again at once.
 type memoryReplicas struct {
-	memory int64
-	reads  time.Duration
-	works  time.Duration
-
-	mu      sync.Mutex
-	held    map[string]int64
-	most    map[string]int64
-	crashed map[string]chan struct{} // closed when the present start crashes
-	crashes int
-	served  map[string]int
-	reading map[string]int // large bodies that are on their way
-	beside  int            // the most of these at one back end
+	memory   int64
+	readTime time.Duration
+	workTime time.Duration
+
+	mu         sync.Mutex
+	held       map[string]int64
+	maxHeld    map[string]int64
+	crashed    map[string]chan struct{} // closed when the present start crashes
+	crashes    int
+	served     map[string]int
+	reading    map[string]int // large bodies that are on their way
+	maxReading int            // the most of these at one back end
 }
 
-func newMemoryReplicas(memory int64, reads, works time.Duration) *memoryReplicas {
-	return &memoryReplicas{memory: memory, reads: reads, works: works, held: map[string]int64{}, most: map[string]int64{},
+func newMemoryReplicas(memory int64, readTime, workTime time.Duration) *memoryReplicas {
+	return &memoryReplicas{memory: memory, readTime: readTime, workTime: workTime, held: map[string]int64{}, maxHeld: map[string]int64{},
 		crashed: map[string]chan struct{}{}, served: map[string]int{}, reading: map[string]int{}}
 }
 
 // take holds a body; the channel is closed when the back end crashes.
-func (m *memoryReplicas) take(instance string, bytes int64) <-chan struct{} {
+func (m *memoryReplicas) holdBody(instance string, bytes int64) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.crashed[instance] == nil {
@@ -48,10 +48,10 @@
 	}
 	over := m.crashed[instance]
 	m.held[instance] += bytes
-	m.most[instance] = max(m.most[instance], m.held[instance])
+	m.maxHeld[instance] = max(m.maxHeld[instance], m.held[instance])
 	if replicabytes.Large(bytes) {
 		m.reading[instance]++
-		m.beside = max(m.beside, m.reading[instance])
+		m.maxReading = max(m.maxReading, m.reading[instance])
 	}
 	if m.held[instance] > m.memory {
 		m.crashes++
@@ -61,7 +61,7 @@
 	return over
 }
 
-func (m *memoryReplicas) read(instance string, bytes int64) {
+func (m *memoryReplicas) finishReading(instance string, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if replicabytes.Large(bytes) {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (m *memoryReplicas) give(instance string, bytes int64) {
+func (m *memoryReplicas) releaseBody(instance string, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.held[instance] -= bytes
@@ -77,21 +77,21 @@
 }
 
 // step runs one call at a back end.
-func (m *memoryReplicas) step(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+func (m *memoryReplicas) serveCall(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 	bytes := int64(len(call.Body))
-	over := m.take(call.Instance, bytes)
+	over := m.holdBody(call.Instance, bytes)
 	gone := replica.Outcome{Verdict: verdict.MayHaveRun, Peer: replica.PeerGone, Err: errReset}
-	for _, phase := range []time.Duration{m.reads, m.works} {
+	for _, phase := range []time.Duration{m.readTime, m.workTime} {
 		select {
 		case <-over:
 			return gone
 		case <-ctx.Done():
-			m.give(call.Instance, bytes)
+			m.releaseBody(call.Instance, bytes)
 			return replica.Outcome{Verdict: verdict.MayHaveRun, Err: ctx.Err()}
 		case <-time.After(phase):
 		}
-		if phase == m.reads {
-			m.read(call.Instance, bytes)
+		if phase == m.readTime {
+			m.finishReading(call.Instance, bytes)
 			if call.Taken != nil {
 				call.Taken()
 			}
@@ -102,19 +102,19 @@
 		return gone
 	default:
 	}
-	m.give(call.Instance, bytes)
+	m.releaseBody(call.Instance, bytes)
 	return good(ctx, call, sink)
 }
 
 // sends has requests with bodies of a size served at once, and returns how they ended.
-func (f *fixture) sends(ctx context.Context, count, size int, deadline time.Duration) []*Failure {
+func (f *fixture) serveConcurrently(ctx context.Context, count, size int, deadline time.Duration) []*Failure {
 	failures := make([]*Failure, count)
 	body := []byte(strings.Repeat("x", size))
 	var calls sync.WaitGroup
 	for i := range count {
 		calls.Go(func() {
 			request := &Request{AttemptID: fmt.Sprint("id-", size, "-", i), Method: "POST", Path: "/", Host: "h", Body: body, Received: time.Now(), Deadline: deadline}
-			failures[i] = f.Serve(ctx, request, &kept{})
+			failures[i] = f.Serve(ctx, request, &recordedReply{})
 		})
 	}
 	calls.Wait()
@@ -122,21 +122,21 @@
 }
 
 // spreading has the fixture handle large bodies apart.
-func (f *fixture) spreading() *fixture {
+func (f *fixture) withSpreadBytes() *fixture {
 	f.config.SpreadBytes = true
 	return f
 }
 
 // TestLargeBodiesAreAsOthersWhereNotAskedFor: they go where small ones would go, several at once, and the fleet is told nothing.
-func TestLargeBodiesAreAsOthersWhereNotAskedFor(t *testing.T) {
+func TestLargeBodiesAreNotSpreadByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(3*largeTestBody-1, 100*time.Millisecond, time.Second)
-		f, shares := sharingFixture(t, replicas.step)
+		f, shares := sharingFixture(t, replicas.serveCall)
 		f.config.SpreadBytes = false
-		f.sends(t.Context(), 9, largeTestBody, time.Minute)
+		f.serveConcurrently(t.Context(), 9, largeTestBody, time.Minute)
 		pool := f.plan.Load().pools["p"]
-		if replicas.beside < 2 || replicas.crashes == 0 || pool.large.ledger.Limit(f.now()) != 0 || len(shares.wants) != 0 || f.usesShares() {
-			t.Errorf("%d bodies beside each other, %d crashes, a limit of %d, told %v", replicas.beside, replicas.crashes, pool.large.ledger.Limit(f.now()), shares.wants)
+		if replicas.maxReading < 2 || replicas.crashes == 0 || pool.large.ledger.Limit(f.now()) != 0 || len(shares.demands) != 0 || f.usesShares() {
+			t.Errorf("%d bodies beside each other, %d crashes, a limit of %d, told %v", replicas.maxReading, replicas.crashes, pool.large.ledger.Limit(f.now()), shares.demands)
 		}
 	})
 }
@@ -145,32 +145,32 @@
 func TestLargeBodiesAreSpreadByBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 100*time.Millisecond, 10*time.Second)
-		f := newFixture(t, baseRows+"r route_kind once;r timeout_millis 60000", replicas.step).spreading()
-		for _, failure := range f.sends(t.Context(), 30, 1<<20, time.Minute) {
+		f := newFixture(t, baseRows+"r route_kind once;r timeout_millis 60000", replicas.serveCall).withSpreadBytes()
+		for _, failure := range f.serveConcurrently(t.Context(), 30, 1<<20, time.Minute) {
 			if failure != nil {
 				t.Error(failure)
 			}
 		}
-		for instance, most := range replicas.most {
+		for instance, most := range replicas.maxHeld {
 			if most != 10<<20 {
 				t.Errorf("%s held %d bytes", instance, most)
 			}
 		}
-		if len(replicas.most) != 3 || replicas.beside != 1 {
-			t.Errorf("%d back ends, %d bodies beside each other on their way", len(replicas.most), replicas.beside)
+		if len(replicas.maxHeld) != 3 || replicas.maxReading != 1 {
+			t.Errorf("%d back ends, %d bodies beside each other on their way", len(replicas.maxHeld), replicas.maxReading)
 		}
 	})
 }
 
 // TestOneCrashTeachesTheSum: after the first back end that a sum of bodies brought down no other follows, all bodies are served, and
 // small requests see nothing of it.
-func TestOneCrashTeachesTheSum(t *testing.T) {
+func TestOneCrashLearnsByteLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(3*largeTestBody-1, 50*time.Millisecond, time.Second)
 		rows := baseRows + "r route_kind repeatable;r max_attempts 3;r timeout_millis 60000"
-		f, guard := guarded(t, strings.Replace(rows, "r max_attempts 2;", "", 1), replicas.step)
-		f.spreading()
-		for _, failure := range f.sends(t.Context(), 18, largeTestBody, time.Minute) {
+		f, guard := newGuarded(t, strings.Replace(rows, "r max_attempts 2;", "", 1), replicas.serveCall)
+		f.withSpreadBytes()
+		for _, failure := range f.serveConcurrently(t.Context(), 18, largeTestBody, time.Minute) {
 			if failure != nil {
 				t.Error(failure)
 			}
@@ -184,7 +184,7 @@
 		}
 		began := time.Now()
 		for range 3 {
-			for _, failure := range append(f.sends(t.Context(), 6, largeTestBody, time.Minute), f.sends(t.Context(), 30, 300, time.Minute)...) {
+			for _, failure := range append(f.serveConcurrently(t.Context(), 6, largeTestBody, time.Minute), f.serveConcurrently(t.Context(), 30, 300, time.Minute)...) {
 				if failure != nil {
 					t.Error(failure)
 				}
@@ -198,25 +198,25 @@
 
 // TestBodiesWithoutRoomAreRefusedInTime: when a limit is in force and it is known that no back end will have room in time; the time to come again is that at
 // which there is some.
-func TestBodiesWithoutRoomAreRefusedInTime(t *testing.T) {
+func TestLargeBodyIsRejectedWhenSpaceComesTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := strings.NewReplacer("p2 kind backend;p2 pool p;p2 address 127.0.0.1:2;", "", "p3 kind backend;p3 pool p;p3 address 127.0.0.1:3;", "").Replace(baseRows)
 		replicas := newMemoryReplicas(1<<40, 1500*time.Millisecond, time.Second)
-		f := newFixture(t, rows+"r route_kind once;r timeout_millis 60000", replicas.step).spreading()
-		f.sends(t.Context(), 1, largeTestBody, time.Minute) // tells how long one takes
+		f := newFixture(t, rows+"r route_kind once;r timeout_millis 60000", replicas.serveCall).withSpreadBytes()
+		f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute) // tells how long one takes
 		f.plan.Load().pools["p"].large.ledger.SetFleetLimit(f.now(), largeTestBody)
 		var background sync.WaitGroup
-		background.Go(func() { f.sends(t.Context(), 1, largeTestBody, time.Minute) })
+		background.Go(func() { f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute) })
 		time.Sleep(time.Second)
 		began := time.Now()
-		failure := f.sends(t.Context(), 1, largeTestBody, 2*time.Second)[0]
+		failure := f.serveConcurrently(t.Context(), 1, largeTestBody, 2*time.Second)[0]
 		if failure == nil || failure.Reason != Overloaded || failure.Verdict != verdict.DidNotRun || time.Since(began) > 10*time.Millisecond {
 			t.Fatalf("%+v after %v", failure, time.Since(began))
 		}
 		if failure.RetryAfter != 1500*time.Millisecond {
 			t.Errorf("to come again after %v", failure.RetryAfter)
 		}
-		if failure := f.sends(t.Context(), 1, 300, 5*time.Second)[0]; failure != nil {
+		if failure := f.serveConcurrently(t.Context(), 1, 300, 5*time.Second)[0]; failure != nil {
 			t.Errorf("a small request: %v", failure)
 		}
 		background.Wait()
@@ -224,17 +224,17 @@
 }
 
 // TestBodiesWaitInOrder: a large body isn't passed by smaller ones that came later, and one whose caller goes makes way.
-func TestBodiesWaitInOrder(t *testing.T) {
+func TestLargeBodiesWaitInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := strings.NewReplacer("p2 kind backend;p2 pool p;p2 address 127.0.0.1:2;", "", "p3 kind backend;p3 pool p;p3 address 127.0.0.1:3;", "").Replace(baseRows)
 		replicas := newMemoryReplicas(1<<40, time.Second, time.Second)
-		f := newFixture(t, rows+"r route_kind once;r timeout_millis 60000", replicas.step).spreading()
+		f := newFixture(t, rows+"r route_kind once;r timeout_millis 60000", replicas.serveCall).withSpreadBytes()
 		var calls sync.WaitGroup
 		var mu sync.Mutex
 		var ends []string
 		start := func(ctx context.Context, name string, size int) {
 			calls.Go(func() {
-				failure := f.sends(ctx, 1, size, time.Minute)[0]
+				failure := f.serveConcurrently(ctx, 1, size, time.Minute)[0]
 				mu.Lock()
 				defer mu.Unlock()
 				ends = append(ends, fmt.Sprint(name, failure == nil))
--- a/internal/forward/largeclient_test.go
+++ b/internal/forward/largeclient_test.go
@@ -61,7 +61,7 @@
 
 // TestReplicasOnConnectionsCrashOnce: with connections of the system, one crash by the sum of large bodies teaches the limit; each body is
 // served, and every small request beside them.
-func TestReplicasOnConnectionsCrashOnce(t *testing.T) {
+func TestReplicasOverTCPCrashOnce(t *testing.T) {
 	if testing.Short() {
 		t.Skip("sends some hundred megabytes")
 	}
@@ -71,7 +71,7 @@
 	for i := range 2 {
 		rows += fmt.Sprintf(";p%d kind backend;p%d pool p;p%d address %s", i, i, i, startMemoryServer(t, "127.0.0.1:0", 40<<20, &crashes).address)
 	}
-	f := newFixture(t, rows, good).spreading()
+	f := newFixture(t, rows, good).withSpreadBytes()
 	client := replica.NewClient(replica.Options{Names: replica.Names{AttemptID: "X-Attempt-Id"}})
 	t.Cleanup(client.Close)
 	f.config.Caller = client
@@ -87,14 +87,14 @@
 			case <-time.After(20 * time.Millisecond):
 			}
 			request := &Request{AttemptID: fmt.Sprint("small-", serial), Method: "POST", Path: "/", Host: "h", Body: []byte(strings.Repeat("x", 300)), Received: time.Now(), Deadline: 10 * time.Second}
-			if failure := f.Serve(t.Context(), request, &kept{}); failure != nil {
+			if failure := f.Serve(t.Context(), request, &recordedReply{}); failure != nil {
 				t.Errorf("a small request: %v", failure)
 			}
 			small.Add(1)
 		}
 	})
 	for round := range 2 {
-		for _, failure := range f.sends(t.Context(), 8, body, 50*time.Second) {
+		for _, failure := range f.serveConcurrently(t.Context(), 8, body, 50*time.Second) {
 			if failure != nil {
 				t.Errorf("round %d: %v", round, failure)
 			}
--- a/internal/forward/largeroom.go
+++ b/internal/forward/largeroom.go
@@ -7,126 +7,131 @@
 	"time"
 )
 
-var errNoRoomAtReplicas = errors.New("forward: no back end has room for so large a body in time")
+var errNoSpaceAtReplicas = errors.New("forward: no back end has room for so large a body in time")
 
-// roomPoll is how often a large body that waits looks for room that no notification announces: a new back end, an expired
-// limit, the end of a quarantine.
-const roomPoll = 100 * time.Millisecond
+// spacePollInterval is how often a waiting large body looks for free space that is not announced by a wakeup: a new
+// back end, an expired limit or the end of a quarantine.
+const spacePollInterval = 100 * time.Millisecond
 
-// bodyWait is a request whose large body waits for room at a back end of one pool.
-type bodyWait struct {
-	pool  *pool
-	bytes int64
-	began time.Duration
-	moved chan struct{} // holds one entry when there may be room
+// largeBodyWait is the queue entry of a request whose large body waits for free space at a back end of one pool.
+type largeBodyWait struct {
+	pool   *pool
+	bytes  int64
+	since  time.Duration
+	wakeup chan struct{} // receives an entry when space may be free
 }
 
-// findRoom looks for a back end with room for a large body and waits once where there is none: before the request may run and takes a
-// slot, so that it keeps out no small one and is judged and admitted once. waited: it is to look again.
-func (x *exchange) findRoom(ctx context.Context, plan *plan) (failure *Failure, waited bool) {
-	if !x.large() || x.keepsPool(plan) {
+// ensureSpace looks for a back end with free space for a large body and, if there is none, waits once. It runs before
+// the request is permitted to run and acquires a slot, so that a waiting body blocks no small request and is checked
+// and admitted only once. waited reports that the caller has to try again.
+func (x *exchange) ensureSpace(ctx context.Context, plan *plan) (failure *Failure, waited bool) {
+	if !x.isLarge() || x.holdsSlot(plan) {
 		return nil, false
 	}
-	if x.room == nil || plan.pools[x.room.pool.name] != x.room.pool || !serves(x.route, x.room.pool.name) {
-		x.stopWaiting()
-		x.heading = x.drawPool(plan)
+	if x.spaceWait == nil || plan.pools[x.spaceWait.pool.name] != x.spaceWait.pool || !routeServesPool(x.route, x.spaceWait.pool.name) {
+		x.stopSpaceWait()
+		x.largeBodyPool = x.pickPool(plan)
 	}
-	pool := plan.pools[x.heading]
+	pool := plan.pools[x.largeBodyPool]
 	if pool == nil {
 		return nil, false
 	}
-	x.leavePool()
-	x.headFor(pool)
-	if !x.lookForRoom(pool) {
+	x.releaseSlot()
+	x.resetTriedFor(pool)
+	if !x.lacksSpace(pool) {
 		return nil, false
 	}
-	return x.awaitRoom(ctx), true
+	return x.awaitSpace(ctx), true
 }
 
-// lookForRoom tells whether a pool has no room for the request's body yet; if so, the request is in its queue.
-func (x *exchange) lookForRoom(pool *pool) (full bool) {
-	_, needed := x.avoided()
-	x.room, full = pool.lookForRoom(x.forwarder.now(), &x.work, int64(len(x.request.Body)), needed, x.room)
+// lacksSpace reports whether a pool has no free space for the request's body yet. In that case the request is in its
+// queue.
+func (x *exchange) lacksSpace(pool *pool) (full bool) {
+	_, needed := x.excludedBackends()
+	x.spaceWait, full = pool.enqueueIfFull(x.forwarder.now(), &x.routingRequest, int64(len(x.request.Body)), needed, x.spaceWait)
 	return full
 }
 
-// lostRoom is the end of a request's stay in a pool where others took the room that it had found, or whose free slots are where there is
-// none.
-func (x *exchange) lostRoom(ctx context.Context) *Failure {
-	if x.room == nil {
-		x.room = x.pool.enqueueLarge(x.forwarder.now(), int64(len(x.request.Body)))
+// requeueForSpace releases the request's slot and waits for free space again. Either other requests took the space that
+// it had found, or the only back ends with free slots lack the space.
+func (x *exchange) requeueForSpace(ctx context.Context) *Failure {
+	if x.spaceWait == nil {
+		x.spaceWait = x.pool.enqueueLargeBody(x.forwarder.now(), int64(len(x.request.Body)))
 	}
-	x.leavePool()
-	return x.awaitRoom(ctx)
+	x.releaseSlot()
+	return x.awaitSpace(ctx)
 }
 
-// awaitRoom waits until there may be room for a large body. Its permission to run is given back meanwhile: what is known of the request
-// may change. It is refused as soon as it is known that it would be answered too late.
-func (x *exchange) awaitRoom(ctx context.Context) *Failure {
+// awaitSpace waits until space may be free for a large body. It returns the permission to run during the wait, because
+// the verdict on the request may change. It rejects the request as soon as the estimate shows that its answer would
+// come too late.
+func (x *exchange) awaitSpace(ctx context.Context) *Failure {
 	x.returnRun(ctx)
 	now := x.forwarder.now()
-	_, needed := x.avoided()
-	wait, took := x.room.pool.expectRoom(now, x.room, needed)
-	if wait > 0 && x.left() < wait+took {
-		return x.refuseRoom(ctx, now, wait)
+	_, needed := x.excludedBackends()
+	wait, took := x.spaceWait.pool.estimateSpaceWait(now, x.spaceWait, needed)
+	if wait > 0 && x.remaining() < wait+took {
+		return x.rejectForSpace(ctx, now, wait)
 	}
-	timer := time.NewTimer(min(roomPoll, x.left()))
+	timer := time.NewTimer(min(spacePollInterval, x.remaining()))
 	defer timer.Stop()
 	select {
-	case <-x.room.moved:
+	case <-x.spaceWait.wakeup:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-// refuseRoom ends a request that no back end has room for in time.
-func (x *exchange) refuseRoom(ctx context.Context, now, wait time.Duration) *Failure {
-	failure := x.failure(ctx, Overloaded, errors.Join(errNoRoomAtReplicas, x.lastErr))
-	if !x.mayRan {
+// rejectForSpace rejects a request for which no back end will have free space in time.
+func (x *exchange) rejectForSpace(ctx context.Context, now, wait time.Duration) *Failure {
+	failure := x.newFailure(ctx, Overloaded, errors.Join(errNoSpaceAtReplicas, x.lastErr))
+	if !x.mayHaveRun {
 		failure.RetryAfter = min(max(wait, minRetryAfter), maxRetryAfter)
 	}
-	x.forwarder.counts.largeWaits.WithLabelValues(largeRefused).Observe((now - x.room.began).Seconds())
-	x.room.pool.dequeueLarge(now, x.room)
-	x.room = nil
+	x.forwarder.metrics.largeWaits.WithLabelValues(largeRefused).Observe((now - x.spaceWait.since).Seconds())
+	x.spaceWait.pool.dequeueLargeBody(now, x.spaceWait)
+	x.spaceWait = nil
 	return failure
 }
 
-// stopWaiting ends the request's wait for room, if it waits.
-func (x *exchange) stopWaiting() {
-	if x.room == nil {
+// stopSpaceWait ends the request's wait for free space, if there is one.
+func (x *exchange) stopSpaceWait() {
+	if x.spaceWait == nil {
 		return
 	}
 	now := x.forwarder.now()
-	x.forwarder.counts.largeWaits.WithLabelValues(largeEnded).Observe((now - x.room.began).Seconds())
-	x.room.pool.dequeueLarge(now, x.room)
-	x.room = nil
+	x.forwarder.metrics.largeWaits.WithLabelValues(largeEnded).Observe((now - x.spaceWait.since).Seconds())
+	x.spaceWait.pool.dequeueLargeBody(now, x.spaceWait)
+	x.spaceWait = nil
 }
 
-// enqueueLocked adds a body to the end of the queue. It looked for room just now, so it is not woken. The caller holds the mutex.
-func (p *pool) enqueueLocked(now time.Duration, bytes int64) *bodyWait {
-	joined := &bodyWait{pool: p, bytes: bytes, began: now, moved: make(chan struct{}, 1)}
-	p.large.queue = append(p.large.queue, joined)
+// enqueueLocked appends a body to the queue. It does not wake the body, which has just looked for free space. The
+// caller holds the mutex.
+func (p *pool) enqueueLocked(now time.Duration, bytes int64) *largeBodyWait {
+	entry := &largeBodyWait{pool: p, bytes: bytes, since: now, wakeup: make(chan struct{}, 1)}
+	p.large.queue = append(p.large.queue, entry)
 	p.updateLargeMetrics(now)
-	return joined
+	return entry
 }
 
-func (p *pool) enqueueLarge(now time.Duration, bytes int64) *bodyWait {
+func (p *pool) enqueueLargeBody(now time.Duration, bytes int64) *largeBodyWait {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.enqueueLocked(now, bytes)
 }
 
-func (p *pool) dequeueLarge(now time.Duration, leaving *bodyWait) {
+func (p *pool) dequeueLargeBody(now time.Duration, leaving *largeBodyWait) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.large.queue = slices.DeleteFunc(p.large.queue, func(one *bodyWait) bool { return one == leaving })
+	p.large.queue = slices.DeleteFunc(p.large.queue, func(queued *largeBodyWait) bool { return queued == leaving })
 	p.notifyLarge(now)
 }
 
-// expectRoom estimates when a body that waits finds room, and how long it takes then. 0: that is not known, or there may be room at any
-// time. Only a limit makes it known: without one, bodies are kept out by what is on its way.
-func (p *pool) expectRoom(now time.Duration, waiting *bodyWait, excluded []string) (wait, took time.Duration) {
+// estimateSpaceWait estimates how long a queued body waits for free space, and how long a body is then held. It returns
+// 0 if the wait is unknown or space may be free at any time. The wait is known only under a limit: without one, bodies
+// wait only for other bodies that are being transferred.
+func (p *pool) estimateSpaceWait(now time.Duration, waiting *largeBodyWait, excluded []string) (wait, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := p.large.ledger.Limit(now)
@@ -148,12 +153,12 @@
 		return 0, 0
 	}
 	took = p.large.ledger.Took()
-	return soonest + took*time.Duration(p.bytesBefore(waiting, limit)/(limit*replicas)), took
+	return soonest + took*time.Duration(p.queuedBytesBefore(waiting, limit)/(limit*replicas)), took
 }
 
-// bytesBefore is the bytes queued before a body; one that is larger than the limit counts as the limit, since it has a back end alone. The caller
-// holds the mutex.
-func (p *pool) bytesBefore(waiting *bodyWait, limit int64) (sum int64) {
+// queuedBytesBefore returns the bytes queued before a body. A body larger than the limit counts as the limit, because
+// it gets a back end to itself. The caller holds the mutex.
+func (p *pool) queuedBytesBefore(waiting *largeBodyWait, limit int64) (sum int64) {
 	for _, before := range p.large.queue {
 		if before == waiting {
 			break
--- a/internal/forward/largeshares.go
+++ b/internal/forward/largeshares.go
@@ -9,52 +9,55 @@
 	"github.com/tamarindring/tamarindring/internal/share"
 )
 
-// largeSharing is what the processes of a fleet share, through the leader, about large bodies at one pool's back ends: the learned
-// limits and, while there is one, whose turn each back end is. Its zero value shares nothing.
+// largeSharing is the state that the processes of a fleet share through the leader about large bodies at one pool's
+// back ends: the learned limits and, while a limit exists, which process has its turn at each back end. The zero value
+// shares nothing.
 type largeSharing struct {
-	source share.Source
-	turns  *replicabytes.Turns
-	seed   maphash.Seed // has each process prefer other back ends
-	used   bool         // a large body came
-	limit  int64        // in force when shares were last looked at
-	open   []string     // back ends that large bodies might go to then
+	source    share.Source
+	turns     *replicabytes.Turns
+	seed      maphash.Seed // makes each process prefer different back ends
+	active    bool         // a large body has arrived
+	lastLimit int64        // at the last check of the shares
+	usable    []string     // back ends open to large bodies at the last check
 }
 
-// useLarge starts sharing limits and turns for the pool, with its first large body. The caller holds the mutex.
-func (p *pool) useLarge(now time.Duration) {
+// startLargeSharing applies the fleet's limit and wakes the polling of shares. With the pool's first large body it starts
+// to share limits and turns. The caller holds the mutex.
+func (p *pool) startLargeSharing(now time.Duration) {
 	if p.large.sharing.source == nil {
 		return
 	}
-	p.readFleetLimit(now) // the shares may not have been looked at for long
-	p.onUse()
-	if p.large.sharing.used {
+	p.readFleetLimit(now) // shares may not have been polled for a long time
+	p.onShareUse()
+	if p.large.sharing.active {
 		return
 	}
-	p.large.sharing.used = true
+	p.large.sharing.active = true
 	p.publishLimit(now)
 	p.large.sharing.source.RenewSoon()
 }
 
-// inUse tells whether limits or turns are still to be shared: some large bodies are here, or a limit or a turn has not ended.
-func (l *largeBodies) inUse(now time.Duration) bool {
-	return l.sharing.used && (l.ledger.Bytes() > 0 || len(l.queue) > 0 || len(l.sharing.turns.Instances()) > 0 || l.ledger.Learned(now) > 0 ||
+// isInUse reports whether limits or turns must still be shared, because large bodies are present or a limit or a turn
+// has not ended.
+func (l *largeBodies) isInUse(now time.Duration) bool {
+	return l.sharing.active && (l.ledger.Bytes() > 0 || len(l.queue) > 0 || len(l.sharing.turns.Instances()) > 0 || l.ledger.Learned(now) > 0 ||
 		l.ledger.LoneCrash(now) > 0)
 }
 
-// withdrawLarge ends the demands of a pool that has left the table. The caller holds the mutex.
+// withdrawLarge withdraws the demands of a pool that was removed from the table. The caller holds the mutex.
 func (p *pool) withdrawLarge() {
 	sharing := &p.large.sharing
-	if !sharing.used {
+	if !sharing.active {
 		return
 	}
 	for _, instance := range sharing.turns.Instances() {
 		sharing.source.Want(share.Turn(instance), share.Demand{})
 	}
 	sharing.source.Want(share.Bytes(p.name), share.Demand{})
-	sharing.used, sharing.turns = false, replicabytes.NewTurns()
+	sharing.active, sharing.turns = false, replicabytes.NewTurns()
 }
 
-// readFleetLimit gives the ledger the fleet's limit. The caller holds the mutex.
+// readFleetLimit passes the fleet's limit to the ledger. The caller holds the mutex.
 func (p *pool) readFleetLimit(now time.Duration) {
 	limit, _ := p.large.sharing.source.Share(share.Bytes(p.name))
 	p.large.ledger.SetFleetLimit(now, int64(limit)*share.BytesUnit)
@@ -67,7 +70,7 @@
 	p.large.sharing.source.Want(share.Bytes(p.name), share.Demand{InUse: byteUnits(limit), Waiting: 1 + byteUnits(lone)})
 }
 
-// byteUnits is a number of bytes in the unit of share.Bytes.
+// byteUnits converts bytes to units of share.BytesUnit, rounded up.
 func byteUnits(bytes int64) uint32 {
 	return uint32((bytes + share.BytesUnit - 1) / share.BytesUnit)
 }
@@ -77,33 +80,35 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sharing := &p.large.sharing
-	if !sharing.used {
+	if !sharing.active {
 		return
 	}
 	p.publishLimit(now)
 	p.readFleetLimit(now)
 	waiting := len(p.large.queue)
 	if p.large.ledger.Limit(now) == 0 {
-		waiting = 0 // turns that are left end
+		waiting = 0 // without a limit the remaining turns end
 	}
 	before := sharing.turns.Instances()
-	sharing.turns.Step(now, &replicabytes.Situation{Replicas: p.preferred(), Waiting: waiting, Granted: p.granted,
+	sharing.turns.Step(now, &replicabytes.Situation{Replicas: p.eligibleBackends(), Waiting: waiting, Granted: p.isGranted,
 		Held: func(instance string) bool { return p.large.ledger.Held(instance) > 0 }})
 	p.publishTurns(before)
-	p.notifyOnChange(now)
+	p.notifyOnShareChange(now)
 }
 
-// notifyOnChange wakes the first body in the queue when the limit or this process's turns have changed. The caller holds the mutex.
-func (p *pool) notifyOnChange(now time.Duration) {
-	sharing, open, limit := &p.large.sharing, p.preferred(), p.large.ledger.Limit(now)
-	open = slices.DeleteFunc(open, func(instance string) bool { return !p.mayUse(now, instance) })
-	if limit != sharing.limit || !slices.Equal(open, sharing.open) {
-		sharing.limit, sharing.open = limit, open
+// notifyOnShareChange wakes the first body in the queue if the limit or this process's turns have changed. The caller
+// holds the mutex.
+func (p *pool) notifyOnShareChange(now time.Duration) {
+	sharing, open, limit := &p.large.sharing, p.eligibleBackends(), p.large.ledger.Limit(now)
+	open = slices.DeleteFunc(open, func(instance string) bool { return !p.mayUseTurn(now, instance) })
+	if limit != sharing.lastLimit || !slices.Equal(open, sharing.usable) {
+		sharing.lastLimit, sharing.usable = limit, open
 		p.notifyLarge(now)
 	}
 }
 
-// publishTurns reports the demands for turns to the leader, and withdraws those that the last step ended. The caller holds the mutex.
+// publishTurns reports the demands for turns to the leader, and withdraws those that the last step ended. The caller
+// holds the mutex.
 func (p *pool) publishTurns(before []string) {
 	sharing := &p.large.sharing
 	for _, instance := range before {
@@ -120,14 +125,15 @@
 	}
 }
 
-// granted tells whether a back end is this process's by the leader's last answer.
-func (p *pool) granted(instance string) bool {
+// isGranted reports whether the leader's last answer assigns a back end to this process.
+func (p *pool) isGranted(instance string) bool {
 	amount, _ := p.large.sharing.source.Share(share.Turn(instance))
 	return amount > 0
 }
 
-// preferred are the back ends that take work, in an order of this process's own. The caller holds the mutex.
-func (p *pool) preferred() []string {
+// eligibleBackends returns the back ends that accept work, in an order that differs between processes. The caller holds
+// the mutex.
+func (p *pool) eligibleBackends() []string {
 	var instances []string
 	for i := range p.replicas.Len() {
 		if !p.replicas.Leaving(i) {
@@ -144,9 +150,9 @@
 	return instances
 }
 
-// mayUse tells whether a large body may go to a back end by the fleet's turns. Where the leader divides none, because it is of an older
-// build, this process goes by what it knows itself. The caller holds the mutex.
-func (p *pool) mayUse(now time.Duration, instance string) bool {
+// mayUseTurn reports whether the fleet's turns permit a large body at a back end. If the leader runs an older build and
+// divides no turns, this process relies on its own knowledge alone. The caller holds the mutex.
+func (p *pool) mayUseTurn(now time.Duration, instance string) bool {
 	sharing := &p.large.sharing
 	if sharing.source == nil || p.large.ledger.Limit(now) == 0 {
 		return true
@@ -157,7 +163,7 @@
 	return sharing.turns.May(now, instance)
 }
 
-// fits tells whether a back end has room for a large body. The caller holds the mutex.
+// fits reports whether a back end has free space for a large body. The caller holds the mutex.
 func (p *pool) fits(now time.Duration, instance string, bytes int64) bool {
-	return p.large.ledger.Fits(now, instance, bytes) && p.mayUse(now, instance)
+	return p.large.ledger.Fits(now, instance, bytes) && p.mayUseTurn(now, instance)
 }
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -9,20 +9,20 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// logEnd tells how a request ended.
-func (x *exchange) logEnd(failure *Failure) {
+// logResult logs how a request ended.
+func (x *exchange) logResult(failure *Failure) {
 	if failure == nil {
 		x.logAnswered()
 		return
 	}
-	version, held := x.forwarder.config.Control.Admit()
+	version, leaseHeld := x.forwarder.config.Control.Admit()
 	event := &events.RequestFailed{
 		Request: x.request.AttemptID, Method: x.request.Method, Host: x.request.Host, Path: x.request.Path,
 		Reason: failure.Reason.String(), Verdict: failure.Verdict.String(), RetryAfterMs: events.Millis(failure.RetryAfter),
-		Cause: events.ErrorText(failure.Cause), TableVersion: version, LeaseHeld: held, Sends: x.begun, Pool: x.poolName,
+		Cause: events.ErrorText(failure.Cause), TableVersion: version, LeaseHeld: leaseHeld, Sends: x.sends, Pool: x.poolName,
 		DeadlineMs: events.Millis(x.request.Deadline), TookMs: x.tookMs(),
 	}
-	if x.mayRan || x.rests {
+	if x.mayHaveRun || x.runRefused {
 		event.Digest = x.digest().String()
 	}
 	if x.route != nil {
@@ -36,15 +36,15 @@
 	answered := x.answeredBy
 	logging.Emit(x.forwarder.config.Log, &events.RequestAnswered{
 		Request: x.request.AttemptID, Route: x.route.Name, RouteKind: string(x.route.Kind), Pool: x.poolName,
-		Replica: answered.target.Instance, Status: x.status, TableVersion: answered.chosen.version, Sends: x.begun, TookMs: x.tookMs(),
+		Replica: answered.target.Instance, Status: x.status, TableVersion: answered.chosen.version, Sends: x.sends, TookMs: x.tookMs(),
 	})
 }
 
-// logTurnedAway tells what the refusal of a request by its pool's queue was decided by.
-func (x *exchange) logTurnedAway(pool *pool, request *admission.Request, refusal *admission.Refusal, failure *Failure) {
+// logAdmissionRefused logs the figures by which a pool's queue rejected a request.
+func (x *exchange) logAdmissionRefused(pool *pool, request *admission.Request, refusal *admission.Refusal, failure *Failure) {
 	figures := &refusal.Figures
 	logging.Emit(x.forwarder.config.Log, &events.AdmissionRefused{
-		Request: x.request.AttemptID, Tenant: x.tenant, Weight: request.Weight, Class: request.Class, Pool: pool.name,
+		Request: x.request.AttemptID, Tenant: x.tenantName, Weight: request.Weight, Class: request.Class, Pool: pool.name,
 		Reason: refusal.Reason.Name(), Returned: request.Returned, Slots: figures.Slots, Reach: figures.Reach, InFlight: figures.InFlight,
 		Waiting: figures.Waiting, Ahead: figures.Ahead, ServiceMs: events.Millis(figures.Service),
 		ExpectedWaitMs: events.Millis(figures.ExpectedWait), AllowedMs: events.Millis(figures.Allowed),
@@ -56,18 +56,18 @@
 	return events.Millis(x.forwarder.config.Now().Sub(x.request.Received))
 }
 
-// refusalNames name in logs why a call did not run at a back end.
+// refusalNames are the names in logs and metrics of the reasons why a call did not run at a back end.
 var refusalNames = [...]string{replica.RefusedNone: "", replica.RefusedFull: "full", replica.RefusedWrongTarget: "wrong_target",
 	replica.RefusedUnreachable: "unreachable"}
 
-// logAttempt tells of a send that brought no whole answer.
+// logAttempt logs a send that returned no whole answer.
 func (x *exchange) logAttempt(a *attempt) {
 	now := x.forwarder.config.Now()
 	event := &events.AttemptFailed{
-		Request: x.request.AttemptID, Attempt: a.number, Pool: x.poolName, Replica: a.target.Instance, TableVersion: a.chosen.version,
-		Refused: refusalNames[a.outcome.Refused], Status: a.outcome.Status, Verdict: a.outcome.Verdict.String(), Health: a.said.String(),
-		Cause: events.ErrorText(a.outcome.Err), Running: a.chosen.running, PassedOn: a.answer.owner.Load() == a.answer,
-		TookMs: events.Millis(now.Sub(a.started)), RequestLeftMs: events.Millis(x.left()), MostSends: int(x.route.MaxAttempts),
+		Request: x.request.AttemptID, Attempt: a.sendNumber, Pool: x.poolName, Replica: a.target.Instance, TableVersion: a.chosen.version,
+		Refused: refusalNames[a.outcome.Refused], Status: a.outcome.Status, Verdict: a.outcome.Verdict.String(), Health: a.reportedHealth.String(),
+		Cause: events.ErrorText(a.outcome.Err), Running: a.chosen.inFlight, PassedOn: a.answer.owner.Load() == a.answer,
+		TookMs: events.Millis(now.Sub(a.started)), RequestLeftMs: events.Millis(x.remaining()), MostSends: int(x.route.MaxAttempts),
 	}
 	if a.outcome.Verdict != verdict.DidNotRun {
 		event.Digest, event.Peer = x.digest().String(), a.outcome.Peer.String()
@@ -79,31 +79,31 @@
 }
 
 func (x *exchange) logHedge(first, second *attempt) {
-	x.forwarder.counts.hedges.WithLabelValues().Inc()
+	x.forwarder.metrics.hedges.WithLabelValues().Inc()
 	logging.Emit(x.forwarder.config.Log, &events.AttemptHedged{Request: x.request.AttemptID, First: first.target.Instance,
 		Second: second.target.Instance, AfterMs: events.Millis(x.forwarder.config.Now().Sub(first.started))})
 }
 
-// logBelief tells when a send has changed what is held of its back end.
-func (a *attempt) logBelief(changed belief) {
+// logHealthChange logs that a send put its back end into quarantine or restored it.
+func (a *attempt) logHealthChange(changed healthChange) {
 	switch {
 	case changed.quarantined:
-		a.forwarder.counts.quarantines.WithLabelValues(a.said.String()).Inc()
+		a.forwarder.metrics.quarantines.WithLabelValues(a.reportedHealth.String()).Inc()
 		logging.Emit(a.forwarder.config.Log, &events.ReplicaQuarantined{Pool: a.pool.name, Replica: a.target.Instance,
-			Request: a.call.AttemptID, Health: a.said.String(), LengthMs: events.Millis(changed.left), InRow: changed.inRow})
+			Request: a.call.AttemptID, Health: a.reportedHealth.String(), LengthMs: events.Millis(changed.quarantineLeft), InRow: changed.failuresInRow})
 	case changed.restored:
 		logging.Emit(a.forwarder.config.Log, &events.ReplicaRestored{Pool: a.pool.name, Replica: a.target.Instance})
 	}
 }
 
-// logTable tells of a new table version. The caller holds the mutex.
+// logTable logs a new table version. The caller holds the mutex.
 func (f *Forwarder) logTable(view *table.View, next *plan) {
 	if !logging.Wanted(f.config.Log, (&events.TableAdopted{}).Kind()) {
 		return
 	}
 	event := &events.TableAdopted{TableVersion: next.version, Routes: len(next.routes.Routes())}
-	if held := f.plan.Load(); held != nil {
-		event.BeforeVersion = held.version
+	if previous := f.plan.Load(); previous != nil {
+		event.BeforeVersion = previous.version
 	}
 	for name := range next.pools {
 		for _, backend := range view.Backends(name) {
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -13,17 +13,18 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// outcomeAnswered is the outcome of a request that got a back end's whole answer; others are named by Reason.
+// outcomeAnswered is the outcome of a request that received a back end's whole answer. All others are named by their
+// Reason.
 const outcomeAnswered = "answered"
 
-// Outcomes of sends beside the names of refusals.
+// Outcomes of sends in addition to refusalNames.
 const (
 	sendWhole  = "whole"
 	sendFailed = "failed"
 )
 
-// counts are the forwarder's metrics.
-type counts struct {
+// forwarderMetrics holds the forwarder's metrics.
+type forwarderMetrics struct {
 	metrics.Set
 	requests    *prometheus.CounterVec
 	inFlight    prometheus.Gauge
@@ -43,9 +44,9 @@
 	crashes      *prometheus.CounterVec
 }
 
-func newCounts() *counts {
+func newForwarderMetrics() *forwarderMetrics {
 	part := metrics.Part("forward")
-	c := &counts{
+	c := &forwarderMetrics{
 		requests:    part.Counter("requests_total", "Requests by kind of route (empty: no route) and outcome: answered, or the reason why not.", "kind", "outcome"),
 		inFlight:    part.Gauge("requests_in_flight", "Requests that are being answered."),
 		latency:     part.Latency("request_duration_seconds", "Time from a request's arrival to its end.", "kind"),
@@ -68,8 +69,9 @@
 	return c
 }
 
-// count records a request that is over. Routes come and go with configurations, so their names are no labels.
-func (c *counts) count(kind table.RouteKind, failure *Failure, took time.Duration) {
+// countRequest records a finished request. Route names are not used as labels because routes come and go with
+// configurations.
+func (c *forwarderMetrics) countRequest(kind table.RouteKind, failure *Failure, took time.Duration) {
 	outcome := outcomeAnswered
 	if failure != nil {
 		outcome = failure.Reason.String()
@@ -78,14 +80,14 @@
 	c.latency.WithLabelValues(string(kind)).Observe(took.Seconds())
 }
 
-// Outcomes of admission beside the reasons of refusals.
+// Outcomes of admission in addition to the reasons of refusals.
 const (
 	admissionGranted = "granted"
 	admissionGone    = "caller_gone"
 )
 
 // countAdmission records how a request's wait for a slot ended.
-func (c *counts) countAdmission(refused admission.Reason, err error, waited time.Duration) {
+func (c *forwarderMetrics) countAdmission(refused admission.Reason, err error, waited time.Duration) {
 	outcome := admissionGranted
 	switch {
 	case err != nil:
@@ -96,14 +98,14 @@
 	c.admissions.WithLabelValues(outcome).Observe(waited.Seconds())
 }
 
-// Outcomes of a large body's wait for room.
+// Outcomes of a large body's wait for free space.
 const (
-	largeEnded   = "ended" // it was sent, or its caller is gone
+	largeEnded   = "ended" // the body was sent, or its caller is gone
 	largeRefused = "refused"
 )
 
 // countCrash records a back end that crashed while it held large bodies.
-func (c *counts) countCrash(crash replicabytes.Crash) {
+func (c *forwarderMetrics) countCrash(crash replicabytes.Crash) {
 	cause := "request"
 	if crash.BySum {
 		cause = "sum"
@@ -111,8 +113,8 @@
 	c.crashes.WithLabelValues(cause).Inc()
 }
 
-// countSend records a send that is over.
-func (c *counts) countSend(a *attempt, took time.Duration) {
+// countSend records a finished send.
+func (c *forwarderMetrics) countSend(a *attempt, took time.Duration) {
 	outcome := refusalNames[a.outcome.Refused]
 	switch {
 	case a.outcome.Whole:
@@ -124,7 +126,7 @@
 	c.sendLatency.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// Process returns the forwarder as operators see it.
+// Process returns the forwarder's readiness and metrics for the operators' listener.
 func (f *Forwarder) Process() metrics.Process { return process{f} }
 
 type process struct{ forwarder *Forwarder }
@@ -140,4 +142,4 @@
 }
 
 // Collector implements metrics.Process.
-func (p process) Collector() prometheus.Collector { return p.forwarder.counts }
+func (p process) Collector() prometheus.Collector { return p.forwarder.metrics }
--- a/internal/forward/metrics_test.go
+++ b/internal/forward/metrics_test.go
@@ -36,7 +36,7 @@
 	if _, failure := f.serve(context.Background()); failure != nil {
 		t.Fatal(failure)
 	}
-	_ = f.Serve(context.Background(), &Request{Method: "GET", Host: "other", Path: "/", Received: time.Now()}, &kept{})
+	_ = f.Serve(context.Background(), &Request{Method: "GET", Host: "other", Path: "/", Received: time.Now()}, &recordedReply{})
 	got := f.gather(t)
 	const name = "tamarindring_forward_request"
 	want := map[string]float64{name + "s_total once answered": 1, name + "s_total  " + NoRoute.String(): 1, name + "s_in_flight": 0,
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -30,7 +30,7 @@
 
 // TestPoolsGetTheirShares: the pools of a route get requests by their weights; one that takes none leaves its share to the
 // others, and comes back to it.
-func TestPoolsGetTheirShares(t *testing.T) {
+func TestPoolsReceiveRequestsByWeight(t *testing.T) {
 	const requests = 2000
 	f := newFixture(t, twoPools, good)
 	for range requests {
@@ -53,7 +53,7 @@
 }
 
 // TestSecondSendsCount: where a route allows one send, a slow back end gets no second one beside it.
-func TestSecondSendsCount(t *testing.T) {
+func TestHedgeCountsAsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := strings.Replace(baseRows, "r max_attempts 2", "r max_attempts 1", 1)
 		f := newFixture(t, rows+"r route_kind repeatable;r target_latency_millis 100", after(80*time.Millisecond, good))
@@ -68,11 +68,11 @@
 
 // TestRoutesTimeoutEndsARequestThatMayTakeLonger: a caller that would wait longer than the route allows gets its answer
 // when the route's time is over.
-func TestRoutesTimeoutEndsARequestThatMayTakeLonger(t *testing.T) {
+func TestRouteTimeoutBoundsCallerDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, baseRows+"r route_kind once;r timeout_millis 1000", silent)
 		started := time.Now()
-		failure := f.Serve(t.Context(), &Request{AttemptID: "id", Method: "POST", Path: "/", Host: "h", Received: started, Deadline: 5 * time.Second}, &kept{})
+		failure := f.Serve(t.Context(), &Request{AttemptID: "id", Method: "POST", Path: "/", Host: "h", Received: started, Deadline: 5 * time.Second}, &recordedReply{})
 		if failure == nil || failure.Reason != TimedOut || time.Since(started) != time.Second {
 			t.Errorf("%v after %v", failure, time.Since(started))
 		}
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -19,30 +19,30 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// pool is one pool of back ends at this process.
+// pool holds this process's state of one pool of back ends.
 type pool struct {
 	name           string
-	mu             sync.Mutex  // guards what follows
-	version        uint64      // of the table that the replicas come from
-	view           *table.View // that table; nil before the first
+	mu             sync.Mutex  // guards the fields below
+	version        uint64      // of the table that defines the replicas
+	view           *table.View // of that version; nil before the first update
 	replicas       *routing.Pool
 	queue          *admission.Queue
-	targets        map[string]replica.Target // by instance, as are the replicas
-	slots          map[string]int            // of the back ends that take new work
+	targets        map[string]replica.Target // by instance, like the replicas
+	slots          map[string]int            // by instance, of the back ends that accept new work
 	sends          map[*attempt]context.CancelCauseFunc
 	waiting        map[uint64]chan admission.Refusal
-	returners      returners
-	budget         *retrybudget.Budget // nil: none
+	rejected       rejectedRequests
+	budget         *retrybudget.Budget // nil: retries are not bounded
 	random         *rand.PCG
 	maxConnections int
-	sharing        sharing
+	sharing        slotSharing
 	large          largeBodies
-	onUse          func() // a request has come to a pool whose slots are divided
-	counts         *counts
+	onShareUse     func() // called when a request arrives at a pool with shared slots
+	metrics        *forwarderMetrics
 	log            *logrus.Entry
 }
 
-// classOrder is the admission classes by a route's priority; lower ranks share the last.
+// classOrder lists the admission classes by route priority. Priorities beyond the last class share it.
 var classOrder = func() []string {
 	order := make([]string, maxClasses)
 	for rank := range order {
@@ -53,18 +53,18 @@
 
 const maxClasses = 10
 
-// className is the admission class of a priority.
+// className returns the admission class of a priority.
 func className(priority uint32) string { return classOrder[min(priority, maxClasses-1)] }
 
-// Settings of routing that differ from its defaults: with few requests a failure must count at once, and a
-// replica that comes back must be found soon. Being slower than another one is half a failure.
+// Routing settings that differ from the defaults of package routing. With few requests a failure must take effect at
+// once, and a replica that recovers must be noticed soon. Losing to a hedge counts as half a failure.
 const (
 	failureLimit    = 2
 	quarantineLimit = 8 * time.Second
 	returnRamp      = 2 * time.Second
 )
 
-func newPool(name string, config *Config, seed uint64, counts *counts) *pool {
+func newPool(name string, config *Config, seed uint64, metrics *forwarderMetrics) *pool {
 	settings := config.Routing
 	if settings.FailureLimit == 0 {
 		settings.FailureLimit = failureLimit
@@ -77,10 +77,10 @@
 	}
 	return &pool{name: name, replicas: routing.NewPool(settings), queue: admission.New(admission.Limits{}),
 		targets: map[string]replica.Target{}, sends: map[*attempt]context.CancelCauseFunc{}, waiting: map[uint64]chan admission.Refusal{},
-		random: rand.NewPCG(seed, seed+1), large: newLargeBodies(config.Shares), counts: counts, log: config.Log}
+		random: rand.NewPCG(seed, seed+1), large: newLargeBodies(config.Shares), metrics: metrics, log: config.Log}
 }
 
-// update takes over the table's rows of the pool.
+// update applies the table's rows of the pool.
 func (p *pool) update(now time.Duration, view *table.View, row *table.Row, config *Config) {
 	backends := view.Backends(row.Name)
 	configs := make([]routing.ReplicaConfig, 0, len(backends))
@@ -109,20 +109,20 @@
 		p.maxConnections = max(1, int(row.MaxConnections)/config.ConnectionShare)
 	}
 	p.replicas.SetReplicas(configs)
-	p.endSends()
+	p.cancelRestartedSends()
 	if row.SharedSlots {
-		p.divide(now, limits, config.Shares)
+		p.setSharedLimits(now, limits, config.Shares)
 	} else {
-		p.divide(now, limits, nil)
+		p.setSharedLimits(now, limits, nil)
 	}
 }
 
-// errRestarted ends a send to a back end that has started again since: the start that it was sent to runs nothing any more, which
-// no connection tells behind a cut.
+// errRestarted cancels a send to a back end that has restarted since. The start that received the request no longer
+// runs anything, but behind a network partition the connection does not show that.
 var errRestarted = errors.New("forward: the back end has started again")
 
-// endSends ends the sends to starts of back ends that are over. The caller holds the mutex.
-func (p *pool) endSends() {
+// cancelRestartedSends cancels the sends to back ends that have restarted since. The caller holds the mutex.
+func (p *pool) cancelRestartedSends() {
 	for sending, cancel := range p.sends {
 		if p.view.StartedAgain(sending.target.Instance) {
 			cancel(errRestarted)
@@ -130,14 +130,14 @@
 	}
 }
 
-// began notes a send until over is called; the context that it returns ends with the start of the back end.
-func (p *pool) began(ctx context.Context, sending *attempt) (limited context.Context, over func()) {
+// trackSend registers a send until over is called. The returned context is cancelled when the back end restarts.
+func (p *pool) trackSend(ctx context.Context, sending *attempt) (limited context.Context, stop func()) {
 	limited, cancel := context.WithCancelCause(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sends[sending] = cancel
 	if p.view != nil && p.view.StartedAgain(sending.target.Instance) {
-		cancel(errRestarted) // the table changed since the choice
+		cancel(errRestarted) // the table changed after the choice
 	}
 	return limited, func() {
 		p.mu.Lock()
@@ -147,36 +147,36 @@
 	}
 }
 
-// apply passes the queue's decisions on. The caller holds the mutex.
-func (p *pool) apply(effects *admission.Effects) {
+// deliverDecisions passes the queue's decisions to the waiting requests. The caller holds the mutex.
+func (p *pool) deliverDecisions(effects *admission.Effects) {
 	for _, id := range effects.Granted {
-		p.decide(id, admission.Refusal{})
+		p.deliverDecision(id, admission.Refusal{})
 	}
 	for _, refusal := range effects.Refused {
-		p.decide(refusal.ID, refusal)
+		p.deliverDecision(refusal.ID, refusal)
 	}
 }
 
-func (p *pool) decide(id uint64, refusal admission.Refusal) {
+func (p *pool) deliverDecision(id uint64, refusal admission.Refusal) {
 	if decision := p.waiting[id]; decision != nil {
 		delete(p.waiting, id)
 		decision <- refusal
 	}
 }
 
-// enter waits for a slot, until at most wait from now. A refusal has a reason other than zero.
-func (p *pool) enter(ctx context.Context, clock func() time.Duration, request admission.Request, wait time.Duration) (admission.Refusal, error) {
+// acquireSlot waits for a slot, at most for the given time. A rejection has a Reason other than zero.
+func (p *pool) acquireSlot(ctx context.Context, clock func() time.Duration, request admission.Request, wait time.Duration) (admission.Refusal, error) {
 	decision := make(chan admission.Refusal, 1)
 	now := clock()
 	p.mu.Lock()
 	p.waiting[request.ID] = decision
 	effects, until := p.queue.Arrive(now, request)
-	p.apply(effects)
+	p.deliverDecisions(effects)
 	if p.sharing.source != nil {
-		p.onUse()
+		p.onShareUse()
 	}
 	if p.sharing.source != nil && p.queue.Waiting() > 0 {
-		p.share(now)
+		p.updateShareLocked(now)
 	}
 	p.mu.Unlock()
 	select {
@@ -201,113 +201,114 @@
 func (p *pool) expire(now time.Duration, id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.apply(p.queue.Expire(now, id))
+	p.deliverDecisions(p.queue.Expire(now, id))
 }
 
-// abandon takes a request out, whether it waits or was granted meanwhile.
+// abandon removes a request that waits or was granted a slot in the meantime.
 func (p *pool) abandon(now time.Duration, id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, id)
-	p.apply(p.queue.Leave(now, id))
-	p.apply(p.queue.Done(now, id))
+	p.deliverDecisions(p.queue.Leave(now, id))
+	p.deliverDecisions(p.queue.Done(now, id))
 }
 
-// leave gives a slot back.
-func (p *pool) leave(now time.Duration, id uint64) {
+// releaseSlot returns a request's slot.
+func (p *pool) releaseSlot(now time.Duration, id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.budget != nil {
 		p.budget.Ended()
 	}
-	p.apply(p.queue.Done(now, id))
+	p.deliverDecisions(p.queue.Done(now, id))
 }
 
-// choice is a chosen back end and the table version that the choice was made on.
+// choice is a chosen back end, with the table version on which the choice is based.
 type choice struct {
 	target         replica.Target
 	version        uint64
 	maxConnections int
-	spare          bool               // another back end could take the request too
-	running        int                // requests of this process there, with this one
-	body           *replicabytes.Body // of a large request; nil for others
+	hasSpare       bool               // another back end could take the request too
+	inFlight       int                // requests of this process at the back end, including this one
+	largeBody      *replicabytes.Body // nil unless the request's body is large
 }
 
-// choose chooses a back end and counts the request there; ok is false when none may take it.
+// choose chooses a back end and counts the request there. ok is false if no back end can take it.
 func (p *pool) choose(now time.Duration, request *routing.Request, excluded []string) (chosen choice, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.exclude(request, excluded)
-	return p.draw(now, request, len(excluded))
+	p.setExcluded(request, excluded)
+	return p.chooseLocked(now, request, len(excluded))
 }
 
-// exclude has a request's choice pass over back ends.
-func (p *pool) exclude(request *routing.Request, excluded []string) {
+// setExcluded sets the back ends that the choice for a request must not use.
+func (p *pool) setExcluded(request *routing.Request, excluded []string) {
 	request.Excluded = request.Excluded[:0]
 	for _, name := range excluded {
 		request.Excluded = append(request.Excluded, p.replicas.Index(name))
 	}
 }
 
-// draw chooses among the back ends that the request does not exclude, so many of which were tried. The caller holds the mutex.
-func (p *pool) draw(now time.Duration, request *routing.Request, tried int) (chosen choice, ok bool) {
+// chooseLocked chooses among the back ends that the request does not exclude. tried is the number of back ends already
+// tried. The caller holds the mutex.
+func (p *pool) chooseLocked(now time.Duration, request *routing.Request, tried int) (chosen choice, ok bool) {
 	i := routing.Balanced{}.Choose(p.replicas, request, now, p.random)
 	if i == routing.None {
 		return choice{version: p.version}, false
 	}
 	name := p.replicas.Name(i)
 	p.replicas.Sent(i, request, now)
-	spare := p.replicas.Len()-tried > 1 && p.replicas.Spare(name, now)
-	return choice{target: p.targets[name], version: p.version, maxConnections: p.maxConnections, spare: spare,
-		running: p.replicas.InFlight(i)}, true
+	hasSpare := p.replicas.Len()-tried > 1 && p.replicas.Spare(name, now)
+	return choice{target: p.targets[name], version: p.version, maxConnections: p.maxConnections, hasSpare: hasSpare,
+		inFlight: p.replicas.InFlight(i)}, true
 }
 
-// serves tells whether some back end of the pool takes new work.
-func (p *pool) serves() bool {
+// hasSlots reports whether some back end of the pool accepts new work.
+func (p *pool) hasSlots() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Slots() > 0
 }
 
-// health is what a send said about its back end.
+// health is the indication that one send gives about its back end.
 type health uint8
 
 const (
 	healthNeutral health = iota
 	healthGood
 	healthSlow
-	healthDoubtful // it failed a request that may fail anywhere
+	healthDoubtful // failed a request that may fail anywhere
 	healthBad
 	healthLeaving
 )
 
-// String names what a send said in logs.
+// String returns the name used in logs and metrics.
 func (h health) String() string {
 	return [...]string{healthNeutral: "neutral", healthGood: "good", healthSlow: "slow", healthDoubtful: "doubtful", healthBad: "bad", healthLeaving: "leaving"}[h]
 }
 
-// belief is what a pool holds of a back end after a send: whether that has changed, and its quarantine.
-type belief struct {
-	quarantined bool // with this send
-	restored    bool // with this send
-	left        time.Duration
-	inRow       int
+// healthChange is the effect of a send on the health state of its back end.
+type healthChange struct {
+	quarantined    bool // by this send
+	restored       bool // by this send
+	quarantineLeft time.Duration
+	failuresInRow  int
 }
 
-// ended takes a request off its back end and returns what that changed.
-func (p *pool) ended(now time.Duration, name string, request *routing.Request, how health, load *loadreport.Observation) belief {
+// endSend removes a request from its back end, applies its outcome and returns the resulting change.
+func (p *pool) endSend(now time.Duration, name string, request *routing.Request, indication health, load *loadreport.Observation) healthChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leftBefore, inRowBefore := p.replicas.Quarantine(name, now)
-	p.judge(now, name, request, how, load)
+	p.recordOutcome(now, name, request, indication, load)
 	left, inRow := p.replicas.Quarantine(name, now)
-	return belief{quarantined: left > 0 && leftBefore == 0, restored: inRow == 0 && inRowBefore > 0, left: left, inRow: inRow}
+	return healthChange{quarantined: left > 0 && leftBefore == 0, restored: inRow == 0 && inRowBefore > 0, quarantineLeft: left, failuresInRow: inRow}
 }
 
-// judge notes the end of a send. The caller holds the mutex.
-func (p *pool) judge(now time.Duration, name string, request *routing.Request, how health, load *loadreport.Observation) {
+// recordOutcome applies the outcome of a send to the routing state of its back end. The caller holds the mutex.
+func (p *pool) recordOutcome(now time.Duration, name string, request *routing.Request, indication health, load *loadreport.Observation) {
 	p.replicas.Ended(name, request, now)
-	switch how {
+	switch indication {
 	case healthGood:
 		p.replicas.Succeeded(name, now)
 	case healthSlow, healthDoubtful:
--- a/internal/forward/quota.go
+++ b/internal/forward/quota.go
@@ -13,36 +13,39 @@
 )
 
 const (
-	// quotaIdle is how long after a tenant's last request its demand is told on: longer than demand is measured.
-	quotaIdle = 2 * time.Second
-	// concurrencyWait is how long a request waits for a share of its tenant's concurrency: some renewals out of turn. Of so small a
-	// number nothing is lent, so a gateway that the tenant comes to first has none.
+	// quotaIdleTimeout is how long after a tenant's last request its demand is still published. It is longer than the
+	// window over which demand is measured.
+	quotaIdleTimeout = 2 * time.Second
+	// concurrencyWait is how long a request waits for a share of its tenant's concurrency: long enough for some early
+	// renewals. A number this small is not lent in advance, so a gateway has no share when a tenant's first request
+	// reaches it.
 	concurrencyWait = 100 * time.Millisecond
 	concurrencyPoll = 5 * time.Millisecond
 )
 
-// quotas keeps the tenants within their quotas. Without a source, or without a tenant that has a quota, it does nothing.
+// quotas enforces the tenants' quotas at this process. It does nothing without a source of shares or without a tenant
+// that has a quota.
 type quotas struct {
-	source share.Source
-	mu     sync.Mutex
-	random *rand.Rand              // guarded by mu
-	held   map[string]*tenantQuota // by the tenant's name; guarded by mu
+	source  share.Source
+	mu      sync.Mutex
+	random  *rand.Rand              // guarded by mu
+	tenants map[string]*tenantQuota // by name; guarded by mu
 }
 
-// tenantQuota is one tenant's at this process.
+// tenantQuota is the state of one tenant's quota at this process.
 type tenantQuota struct {
-	name    string
-	quota   tenant.Quota
-	limiter *quota.Limiter
-	used    time.Duration // last
-	waiting int           // for a share of the concurrency
-	wanted  bool          // the demand told last was not zero
+	name      string
+	quota     tenant.Quota
+	limiter   *quota.Limiter
+	lastUsed  time.Duration // time of the last request
+	waiting   int           // requests waiting for a share of the concurrency
+	hasDemand bool          // the demand published last was not zero
 }
 
-// quotaError says by which figures a request was refused.
+// quotaError holds the figures by which a request was rejected.
 type quotaError struct {
 	tenant         string
-	rate, share    float64 // requests a second
+	rate, share    float64 // requests per second
 	inFlight, most int     // at this process
 }
 
@@ -55,10 +58,10 @@
 }
 
 func newQuotas(source share.Source, seed uint64) *quotas {
-	return &quotas{source: source, random: rand.New(rand.NewPCG(seed, seed+2)), held: map[string]*tenantQuota{}}
+	return &quotas{source: source, random: rand.New(rand.NewPCG(seed, seed+2)), tenants: map[string]*tenantQuota{}}
 }
 
-// update takes over the quotas of a table view.
+// update applies the quotas of a table view.
 func (q *quotas) update(now time.Duration, tenants *tenant.Index) {
 	if q.source == nil {
 		return
@@ -67,116 +70,117 @@
 	defer q.mu.Unlock()
 	next := make(map[string]*tenantQuota, len(tenants.Limited()))
 	for _, limited := range tenants.Limited() {
-		kept := q.held[limited.Name]
-		if kept == nil {
-			kept = &tenantQuota{name: limited.Name, limiter: quota.NewLimiter(now, q.random.Float64()), used: now}
+		entry := q.tenants[limited.Name]
+		if entry == nil {
+			entry = &tenantQuota{name: limited.Name, limiter: quota.NewLimiter(now, q.random.Float64()), lastUsed: now}
 		}
-		kept.quota = limited.Quota
-		next[limited.Name] = kept
-		q.tell(now, kept)
+		entry.quota = limited.Quota
+		next[limited.Name] = entry
+		q.publishDemand(now, entry)
 	}
-	for name := range q.held {
+	for name := range q.tenants {
 		if next[name] == nil {
 			q.source.Want(share.Rate(name), share.Demand{})
 			q.source.Want(share.Calls(name), share.Demand{})
 		}
 	}
-	q.held = next
+	q.tenants = next
 }
 
-// inUse tells whether some tenant with a quota was served lately.
-func (q *quotas) inUse(now time.Duration) bool {
+// isInUse reports whether some tenant with a quota was served recently.
+func (q *quotas) isInUse(now time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, held := range q.held {
-		if held.inUse(now) {
+	for _, entry := range q.tenants {
+		if entry.isInUse(now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *tenantQuota) inUse(now time.Duration) bool {
-	return t.wanted || now-t.used < quotaIdle || t.limiter.InFlight() > 0
+func (t *tenantQuota) isInUse(now time.Duration) bool {
+	return t.hasDemand || now-t.lastUsed < quotaIdleTimeout || t.limiter.InFlight() > 0
 }
 
-// follow tells the demand of the tenants that were served lately.
-func (q *quotas) follow(now time.Duration) {
+// publishDemands publishes the demand of the tenants that were served recently.
+func (q *quotas) publishDemands(now time.Duration) {
 	if q.source == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, held := range q.held {
-		if held.inUse(now) {
-			q.tell(now, held)
+	for _, entry := range q.tenants {
+		if entry.isInUse(now) {
+			q.publishDemand(now, entry)
 		}
 	}
 }
 
-// tell notes a tenant's demand; none where a quota was taken away. The caller holds the mutex.
-func (q *quotas) tell(now time.Duration, held *tenantQuota) {
+// publishDemand publishes a tenant's demand, which is zero where a quota was removed. The caller holds the mutex.
+func (q *quotas) publishDemand(now time.Duration, entry *tenantQuota) {
 	var rate, calls share.Demand
-	if held.quota.Rate > 0 {
-		rate = quota.Demand(held.limiter.Asked(now))
+	if entry.quota.Rate > 0 {
+		rate = quota.Demand(entry.limiter.Asked(now))
 	}
-	if held.quota.Concurrency > 0 {
-		calls = share.Demand{InUse: uint32(held.limiter.InFlight()), Waiting: uint32(held.waiting)}
+	if entry.quota.Concurrency > 0 {
+		calls = share.Demand{InUse: uint32(entry.limiter.InFlight()), Waiting: uint32(entry.waiting)}
 	}
-	q.source.Want(share.Rate(held.name), rate)
-	q.source.Want(share.Calls(held.name), calls)
-	held.wanted = rate != share.Demand{} || calls != share.Demand{}
+	q.source.Want(share.Rate(entry.name), rate)
+	q.source.Want(share.Calls(entry.name), calls)
+	entry.hasDemand = rate != share.Demand{} || calls != share.Demand{}
 }
 
-// enterQuota takes the request's part of its tenant's quota, until ctx ends; a failure when there is none.
+// enterQuota charges the request to its tenant's quota until ctx ends. It returns a failure if the quota is used up.
 func (x *exchange) enterQuota(ctx context.Context) *Failure {
-	if x.caller == nil || !x.caller.Quota.Limited() || x.forwarder.quotas.source == nil {
+	if x.callerTenant == nil || !x.callerTenant.Quota.Limited() || x.forwarder.quotas.source == nil {
 		return nil
 	}
-	x.forwarder.useShares()       // while it waits for a share
-	defer x.forwarder.useShares() // now that its tenant counts as served lately
-	return x.forwarder.quotas.enter(ctx, x.forwarder.now, x.caller.Name)
+	x.forwarder.wakeShareFollower()       // polls shares while the request waits for one
+	defer x.forwarder.wakeShareFollower() // the tenant now counts as recently served
+	return x.forwarder.quotas.acquire(ctx, x.forwarder.now, x.callerTenant.Name)
 }
 
-func (q *quotas) enter(ctx context.Context, clock func() time.Duration, name string) *Failure {
+func (q *quotas) acquire(ctx context.Context, clock func() time.Duration, name string) *Failure {
 	if failure := q.takeRate(clock(), name); failure != nil {
 		return failure
 	}
-	return q.begin(ctx, clock, name)
+	return q.acquireConcurrency(ctx, clock, name)
 }
 
-// takeRate takes a request out of this process's share of the tenant's rate. Where nobody divides it there is no
-// bound.
+// takeRate charges a request to this process's share of the tenant's rate. The rate is unlimited while nobody divides
+// it.
 func (q *quotas) takeRate(now time.Duration, name string) *Failure {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	held := q.held[name]
-	if held == nil || held.quota.Rate == 0 {
+	entry := q.tenants[name]
+	if entry == nil || entry.quota.Rate == 0 {
 		return nil
 	}
-	held.used = now
+	entry.lastUsed = now
 	amount, divided := q.source.Share(share.Rate(name))
 	if !divided {
-		q.tell(now, held)
+		q.publishDemand(now, entry)
 		q.source.RenewSoon()
 		return nil
 	}
-	part := float64(amount) / share.RateUnit
-	held.limiter.SetRate(now, part, part*held.quota.BurstSeconds())
-	ok, wait := held.limiter.Take(now)
+	rate := float64(amount) / share.RateUnit
+	entry.limiter.SetRate(now, rate, rate*entry.quota.BurstSeconds())
+	ok, wait := entry.limiter.Take(now)
 	if ok {
 		return nil
 	}
-	q.tell(now, held)
+	q.publishDemand(now, entry)
 	q.source.RenewSoon()
-	return notRun(QuotaExceeded, wait, &quotaError{tenant: name, rate: float64(held.quota.Rate), share: part})
+	return notRun(QuotaExceeded, wait, &quotaError{tenant: name, rate: float64(entry.quota.Rate), share: rate})
 }
 
-// begin counts the request in flight, until ctx ends. It waits a little for a share of the tenant's concurrency.
-func (q *quotas) begin(ctx context.Context, clock func() time.Duration, name string) *Failure {
-	q.addWaiting(name, 1) // before the first try, which tells the demand
+// acquireConcurrency counts the request as in flight until ctx ends. It waits up to concurrencyWait for a share of the
+// tenant's concurrency.
+func (q *quotas) acquireConcurrency(ctx context.Context, clock func() time.Duration, name string) *Failure {
+	q.addWaiting(name, 1) // before the first try, which publishes the demand
 	defer q.addWaiting(name, -1)
-	failure := q.tryBegin(ctx, clock(), name)
+	failure := q.tryAcquireConcurrency(ctx, clock(), name)
 	if failure == nil {
 		return nil
 	}
@@ -188,7 +192,7 @@
 			return notRun(TimedOut, 0, ctx.Err())
 		case <-ticker.C:
 		}
-		failure = q.tryBegin(ctx, clock(), name)
+		failure = q.tryAcquireConcurrency(ctx, clock(), name)
 	}
 	return failure
 }
@@ -196,35 +200,35 @@
 func (q *quotas) addWaiting(name string, change int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if held := q.held[name]; held != nil {
-		held.waiting = max(held.waiting+change, 0) // the tenant may have gone and come back meanwhile
+	if entry := q.tenants[name]; entry != nil {
+		entry.waiting = max(entry.waiting+change, 0) // the tenant may have been removed and added again in the meantime
 	}
 }
 
-// tryBegin counts the request in flight where this process's share of the tenant's concurrency has room for it.
-func (q *quotas) tryBegin(ctx context.Context, now time.Duration, name string) *Failure {
+// tryAcquireConcurrency counts the request as in flight if this process's share of the tenant's concurrency permits it.
+func (q *quotas) tryAcquireConcurrency(ctx context.Context, now time.Duration, name string) *Failure {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	held := q.held[name]
-	if held == nil {
+	entry := q.tenants[name]
+	if entry == nil {
 		return nil
 	}
-	held.used = now
-	if held.quota.Concurrency > 0 {
+	entry.lastUsed = now
+	if entry.quota.Concurrency > 0 {
 		amount, divided := q.source.Share(share.Calls(name))
-		if divided && held.limiter.InFlight() >= int(amount) {
-			q.tell(now, held)
+		if divided && entry.limiter.InFlight() >= int(amount) {
+			q.publishDemand(now, entry)
 			q.source.RenewSoon()
-			return notRun(QuotaExceeded, concurrencyWait, &quotaError{tenant: name, inFlight: held.limiter.InFlight(), most: int(amount)})
+			return notRun(QuotaExceeded, concurrencyWait, &quotaError{tenant: name, inFlight: entry.limiter.InFlight(), most: int(amount)})
 		}
 	}
-	held.limiter.Begin()
-	context.AfterFunc(ctx, func() { q.end(held) })
+	entry.limiter.Begin()
+	context.AfterFunc(ctx, func() { q.releaseConcurrency(entry) })
 	return nil
 }
 
-func (q *quotas) end(held *tenantQuota) {
+func (q *quotas) releaseConcurrency(entry *tenantQuota) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	held.limiter.End()
+	entry.limiter.End()
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -8,50 +8,51 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// Request is a caller's request, read whole.
+// Request is a caller's request, including its whole body.
 type Request struct {
 	AttemptID string
 	Method    string
-	Path      string // with its query, unaltered
+	Path      string // including the query, unmodified
 	Host      string
-	Header    []replica.Header // end-to-end fields, without the key
-	Key       string           // that the caller shows; empty: none
-	// Tenant is set where the caller was authenticated before, and goes before Key.
+	Header    []replica.Header // end-to-end header fields, without the key
+	Key       string           // presented by the caller; empty: none
+	// Tenant is the name of the tenant if the caller was authenticated before. It takes precedence over Key.
 	Tenant   string
 	Body     []byte // must not change until Serve has returned and its context has ended
 	Received time.Time
-	// Deadline is how long the caller waits, from Received on; 0: it does not say.
+	// Deadline is how long the caller waits, counted from Received. 0: unknown.
 	Deadline time.Duration
-	// Work is the expected work in tokens; 0: not known.
+	// Work is the expected work in tokens. 0: unknown.
 	Work float64
-	// Failed is told of each back end that answered status 500, before Serve returns; nil: nobody is. A request that
-	// has it may itself be why it fails: such an answer counts as half a failure of the back end, not as a whole one.
+	// Failed is called before Serve returns with each back end that answered status 500. May be nil. Set it for
+	// requests that may fail through their own fault: such an answer then counts as half a failure of the back end
+	// instead of a whole one.
 	Failed func(replica string)
 }
 
-// Reply takes the answer for the caller. An error says that the caller is gone.
+// Reply receives the answer for the caller. Its methods return an error if the caller is gone.
 type Reply interface {
 	// Head is called once, before any Body.
 	Head(head replica.Head) error
-	// Body passes bytes on at once; they are valid during the call only.
+	// Body forwards a chunk at once. The chunk is valid only during the call.
 	Body(chunk []byte) error
 }
 
-// Reason says why a request got no whole answer.
+// Reason classifies why a request received no whole answer.
 type Reason uint8
 
-// The reasons.
+// Reasons of a Failure.
 const (
 	NoConfiguration Reason = iota + 1 // no configuration is known, or the lease on it does not hold
-	NoRoute                           // the configuration has no such route
+	NoRoute                           // no route of the configuration matches
 	Unauthenticated                   // the key is missing, or no tenant of the configuration has it
-	Overloaded                        // no place and no time to wait for one
-	Unavailable                       // no back end took the request
-	Broken                            // a back end took it and its answer was lost
-	TimedOut                          // the deadline or the route's timeout passed
+	Overloaded                        // no slot or free space is available soon enough
+	Unavailable                       // no back end accepted the request
+	Broken                            // a back end accepted the request and its answer was lost
+	TimedOut                          // the caller's deadline or the route's timeout passed
 	CallerGone                        // the caller closed its connection
-	Cut                               // part of an answer was passed on: the connection must not look complete
-	Suspected                         // back ends crashed under the request, and it must not run now
+	Cut                               // part of an answer was forwarded; the connection must not look complete
+	Suspected                         // back ends crashed while running the request, and it must not run now
 	QuotaExceeded                     // the caller's tenant has used up its quota
 )
 
@@ -61,7 +62,7 @@
 	TimedOut: "no answer in time", CallerGone: "the caller is gone", Cut: "the answer broke off",
 	Suspected: "back ends crashed under the request", QuotaExceeded: "the tenant's quota is used up"}
 
-// String returns the reason for a person.
+// String returns the reason as text.
 func (r Reason) String() string {
 	if int(r) < len(reasonTexts) && r > 0 {
 		return reasonTexts[r]
@@ -69,13 +70,13 @@
 	return fmt.Sprintf("reason %d", uint8(r))
 }
 
-// Failure is the end of a request without a whole answer.
+// Failure describes why a request ended without a whole answer. It implements error.
 type Failure struct {
 	Reason  Reason
 	Verdict verdict.Verdict
-	// RetryAfter is when coming back is useful; 0 when the request may have run.
+	// RetryAfter is when a retry becomes useful, from now. 0 if the request may have run.
 	RetryAfter time.Duration
-	// Condemned is set with Suspected: the request counts as the cause of crashes and rests for long.
+	// Condemned is set with Suspected if the request is considered the cause of crashes and is blocked for long.
 	Condemned bool
 	Cause     error
 }
@@ -91,16 +92,16 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Bounds of the pause asked of a caller whose request did not run.
+// Bounds of RetryAfter for requests that did not run.
 const (
 	minRetryAfter = 50 * time.Millisecond
-	// maxRetryAfter is how far ahead the moment at which there will be room is worth telling: replicas come and go within seconds.
+	// maxRetryAfter limits how far ahead free capacity is predicted, because replicas come and go within seconds.
 	maxRetryAfter = 2 * time.Second
-	// noLeaseRetryAfter is asked for while nothing may be sent from here: a lease comes back after an election.
+	// noLeaseRetryAfter is used while this process holds no lease. A lease returns after an election.
 	noLeaseRetryAfter = time.Second
 )
 
-// notRun is a failure of a request that was not sent, or that every back end refused.
+// notRun returns the failure of a request that was not sent, or that every back end rejected without running it.
 func notRun(reason Reason, retryAfter time.Duration, cause error) *Failure {
 	if reason == NoConfiguration {
 		retryAfter = noLeaseRetryAfter
@@ -108,8 +109,9 @@
 	return &Failure{Reason: reason, Verdict: verdict.DidNotRun, RetryAfter: max(retryAfter, minRetryAfter), Cause: cause}
 }
 
-// prefillPerToken is how many prompt tokens cost as much as one generated.
+// prefillPerToken is the number of prompt tokens that cost as much as one generated token.
 const prefillPerToken = 16
 
-// Work is the expected work of a generation, from its prompt tokens and the most that it may generate.
+// Work returns the expected work of a generation in tokens, from its prompt tokens and the most tokens that it may
+// generate.
 func Work(prompt, generated float64) float64 { return prompt/prefillPerToken + generated }
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -10,14 +10,14 @@
 	"github.com/tamarindring/tamarindring/internal/routing"
 )
 
-var routingRequest routing.Request
+var emptyRoutingRequest routing.Request
 
 const restartRows = "p1 start_unix_millis 1000;p2 start_unix_millis 1000;p3 start_unix_millis 1000;"
 
 // TestAttemptsEndWithTheirStart: a back end takes a request, crashes behind a cut and starts again under its name. The attempt is
 // over once the table knows the new start, without a wait for an answer: a request that may run more than once goes on at
 // another back end, any other one may have run.
-func TestAttemptsEndWithTheirStart(t *testing.T) {
+func TestAttemptEndsWhenBackEndRestarts(t *testing.T) {
 	for kind, want := range map[string]Reason{"repeatable": 0, "once": Broken} {
 		t.Run(kind, func(t *testing.T) {
 			taken := make(chan string, 1)
@@ -49,23 +49,23 @@
 
 // TestRestartedBackEndBeginsWithNothing: a back end that was put into quarantine starts again. The new start is chosen like
 // one that was never tried; a late end of a request at the former one says nothing of it.
-func TestRestartedBackEndBeginsWithNothing(t *testing.T) {
+func TestRestartedBackEndHasNoFailureHistory(t *testing.T) {
 	rows := "p kind pool;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;p1 start_unix_millis 1000;r kind route;r host h;r path_prefix /;r pools p:1;"
 	f := newFixture(t, rows, good)
 	held := f.plan.Load().pools["p"]
-	chosen, ok := held.choose(f.now(), &routingRequest, nil)
+	chosen, ok := held.choose(f.now(), &emptyRoutingRequest, nil)
 	if !ok || chosen.target.Instance != "p1@1000" {
 		t.Fatalf("chose %+v", chosen)
 	}
-	if changed := held.ended(f.now(), chosen.target.Instance, &routingRequest, healthBad, nil); !changed.quarantined {
+	if changed := held.endSend(f.now(), chosen.target.Instance, &emptyRoutingRequest, healthBad, nil); !changed.quarantined {
 		t.Fatalf("a failed send left %+v", changed)
 	}
 	f.Update(viewsOf(t, rows, "p1 start_unix_millis 2000")[1])
-	again, ok := held.choose(f.now(), &routingRequest, nil)
-	if !ok || again.target.Instance != "p1@2000" || again.running != 1 {
+	again, ok := held.choose(f.now(), &emptyRoutingRequest, nil)
+	if !ok || again.target.Instance != "p1@2000" || again.inFlight != 1 {
 		t.Fatalf("chose %+v", again)
 	}
-	held.ended(f.now()+time.Millisecond, chosen.target.Instance, &routingRequest, healthBad, nil)
+	held.endSend(f.now()+time.Millisecond, chosen.target.Instance, &emptyRoutingRequest, healthBad, nil)
 	if left, _ := held.replicas.Quarantine(again.target.Instance, f.now()); left > 0 {
 		t.Fatal("the end of a request at the former start was held against the new one")
 	}
@@ -73,7 +73,7 @@
 
 // TestAttemptsOutliveTheRecordOfTheirStart: starts are recorded from the step of an upgrade on. An attempt that began before it, at
 // a back end whose start was not recorded, is not over for that.
-func TestAttemptsOutliveTheRecordOfTheirStart(t *testing.T) {
+func TestAttemptSurvivesFirstRecordedStart(t *testing.T) {
 	taken, let := make(chan string, 1), make(chan struct{})
 	waits := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		taken <- call.Instance
--- a/internal/forward/retries.go
+++ b/internal/forward/retries.go
@@ -10,10 +10,10 @@
 	"github.com/tamarindring/tamarindring/internal/retrybudget"
 )
 
-// errRetryBudget is why a request is not sent again although its route would permit it.
+// errRetryBudget reports that the pool's retry budget does not permit another send that the route would permit.
 var errRetryBudget = errors.New("forward: too much of the pool is sent again already")
 
-// Kinds of sends that follow a first one, in metrics and logs, and what became of them.
+// Kinds of sends after the first one of a request, and their outcomes, in metrics and logs.
 const (
 	kindRetry  = "retry"
 	kindHedge  = "hedge"
@@ -23,8 +23,8 @@
 	retryOverBudget = "over_budget"
 )
 
-// boundRetries gives the pool a budget of sends that follow first ones, unless it has one. nil: there is no bound.
-func (p *pool) boundRetries(now time.Duration, limits *retrybudget.Limits) {
+// ensureRetryBudget creates the pool's retry budget if it has none. nil limits leave the pool without a budget.
+func (p *pool) ensureRetryBudget(now time.Duration, limits *retrybudget.Limits) {
 	if limits == nil {
 		return
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// requestBegan counts a request that has got a slot; leave counts its end.
-func (p *pool) requestBegan(now time.Duration) {
+// countRequest counts a request that has acquired a slot in the retry budget. releaseSlot counts its end.
+func (p *pool) countRequest(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.budget != nil {
@@ -44,8 +44,9 @@
 	}
 }
 
-// permitRetry asks the budget for a send of a kind that follows one to a back end.
-func (p *pool) permitRetry(now time.Duration, kind, backEnd string) (permitted bool, figures retrybudget.Figures) {
+// permitFollowUp asks the retry budget for another send of the given kind, after a send to backEnd. Resumptions are
+// counted but always permitted.
+func (p *pool) permitFollowUp(now time.Duration, kind, backEnd string) (permitted bool, figures retrybudget.Figures) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.budget == nil {
@@ -62,32 +63,33 @@
 	return p.budget.Retry(now, backEnd), figures
 }
 
-// mayFollow tells whether the pool's budget permits a send that follows this attempt, and notes the decision. It may be called while
-// the attempt runs.
-func (a *attempt) mayFollow(kind string) bool {
-	permitted, figures := a.pool.permitRetry(a.forwarder.now(), kind, a.target.Instance)
+// mayFollowUp reports whether the pool's retry budget permits another send after this attempt, and records the
+// decision. It may be called while the attempt runs.
+func (a *attempt) mayFollowUp(kind string) bool {
+	permitted, figures := a.pool.permitFollowUp(a.forwarder.now(), kind, a.target.Instance)
 	outcome := retrySent
 	if !permitted {
 		outcome = retryOverBudget
 		logging.Emit(a.forwarder.config.Log, &events.RetryRefused{Request: a.call.AttemptID, Send: kind, Pool: a.pool.name,
 			Replica: a.target.Instance, InFlight: figures.InFlight, Permitted: figures.Permitted, Most: figures.Most})
 	}
-	a.forwarder.counts.retries.WithLabelValues(kind, outcome).Inc()
+	a.forwarder.metrics.retries.WithLabelValues(kind, outcome).Inc()
 	return permitted
 }
 
-// follow asks for the send that follows one which may have run and brought no answer; a failure when there is none.
-func (x *exchange) follow(ctx context.Context) *Failure {
-	before := x.unfollowed
-	if x.unfollowed = nil; before == nil {
+// permitPendingRetry asks the retry budget for the send that follows the attempt in retryPending, if any. It returns a
+// failure if the budget rejects it.
+func (x *exchange) permitPendingRetry(ctx context.Context) *Failure {
+	before := x.retryPending
+	if x.retryPending = nil; before == nil {
 		return nil
 	}
 	kind := kindRetry
-	if x.passing {
+	if x.partForwarded {
 		kind = kindResume
 	}
-	if before.mayFollow(kind) {
+	if before.mayFollowUp(kind) {
 		return nil
 	}
-	return x.failure(ctx, Broken, errors.Join(errRetryBudget, x.lastErr))
+	return x.newFailure(ctx, Broken, errors.Join(errRetryBudget, x.lastErr))
 }
--- a/internal/forward/retries_test.go
+++ b/internal/forward/retries_test.go
@@ -69,7 +69,7 @@
 
 // TestSecondSendsStayWithinTheBudget: without room in it the first back end is waited for; where one runs, a failure of the first asks
 // for nothing more.
-func TestSecondSendsStayWithinTheBudget(t *testing.T) {
+func TestHedgesStayWithinTheBudget(t *testing.T) {
 	const rows = "r route_kind repeatable;r target_latency_millis 100"
 	slow := after(60*time.Millisecond, good)
 	for name, test := range map[string]struct {
@@ -99,7 +99,7 @@
 }
 
 // TestCrashOfOneBackEndCostsNoCaller: each request that was there is sent again, in a pool that may send nothing again otherwise.
-func TestCrashOfOneBackEndCostsNoCaller(t *testing.T) {
+func TestBackEndCrashRetriesEveryRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		crash := make(chan struct{})
 		f := newFixture(t, baseRows+"p max_in_flight 100;r route_kind repeatable", func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
@@ -142,10 +142,10 @@
 }
 
 // TestBudgetsAreMadeWhereTheyAreAskedFor and are kept when the table changes.
-func TestBudgetsAreMadeWhereTheyAreAskedFor(t *testing.T) {
+func TestRetryBudgetIsOptionalAndKept(t *testing.T) {
 	views := viewsOf(t, baseRows+"r route_kind once", "p max_in_flight 7")
 	for _, limits := range []*retrybudget.Limits{nil, {Burst: 5}} {
-		forwarder, err := New(Config{Control: &testLease{}, Caller: &scripted{}, Retries: limits, Clock: bubbleClock()})
+		forwarder, err := New(Config{Control: &testLease{}, Caller: &scriptedCaller{}, Retries: limits, Clock: testClock()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/forward/returners.go
+++ b/internal/forward/returners.go
@@ -7,77 +7,79 @@
 )
 
 const (
-	// maxReturners bounds the refused requests of a pool that are remembered.
-	maxReturners = 4096
-	// returnGrace is how much later than it was asked to a refused request may come again and still be known: callers come on a new
-	// connection, which may take a second to open.
-	returnGrace = time.Second
+	// maxRejectedRequests bounds the number of rejected requests that a pool remembers.
+	maxRejectedRequests = 4096
+	// rejectedRetryGrace is how late, after the time that it was told, a rejected request may return and still be
+	// recognized. Callers return on a new connection, which may take a second to open.
+	rejectedRetryGrace = time.Second
 )
 
-// returners remembers the requests of a pool that were refused at this process and may come again, so that they are let in before new
-// ones. A request that comes again carries another id; what it consists of stays the same. Each is known once: one that is refused
-// again waits behind the others of its tenant the next time.
-type returners struct {
-	until map[poison.Digest]time.Duration
+// rejectedRequests remembers the requests that a pool's queue rejected at this process, so that they are admitted
+// before new ones when they return. A returning request has another id, so it is recognized by the digest of its
+// content. Each rejection is used once: a request that is rejected again waits behind the others of its tenant the next
+// time.
+type rejectedRequests struct {
+	expiry map[poison.Digest]time.Duration
 }
 
-// expect notes a refused request that may come again within a time.
-func (r *returners) expect(now time.Duration, digest poison.Digest, within time.Duration) {
-	if len(r.until) >= maxReturners {
-		r.forget(now)
+// add records a rejected request that may return within the given time.
+func (r *rejectedRequests) add(now time.Duration, digest poison.Digest, within time.Duration) {
+	if len(r.expiry) >= maxRejectedRequests {
+		r.dropExpired(now)
 	}
-	if len(r.until) >= maxReturners {
+	if len(r.expiry) >= maxRejectedRequests {
 		return
 	}
-	if r.until == nil {
-		r.until = map[poison.Digest]time.Duration{}
+	if r.expiry == nil {
+		r.expiry = map[poison.Digest]time.Duration{}
 	}
-	r.until[digest] = now + within + returnGrace
+	r.expiry[digest] = now + within + rejectedRetryGrace
 }
 
-// forget drops those that are not expected any more.
-func (r *returners) forget(now time.Duration) {
-	for digest, until := range r.until {
+// dropExpired removes the requests that are no longer expected to return.
+func (r *rejectedRequests) dropExpired(now time.Duration) {
+	for digest, until := range r.expiry {
 		if until < now {
-			delete(r.until, digest)
+			delete(r.expiry, digest)
 		}
 	}
 }
 
-// returned tells whether a request was refused before, once.
-func (r *returners) returned(now time.Duration, digest poison.Digest) bool {
-	until, known := r.until[digest]
-	delete(r.until, digest)
+// take reports whether the request was rejected before, and removes it.
+func (r *rejectedRequests) take(now time.Duration, digest poison.Digest) bool {
+	until, known := r.expiry[digest]
+	delete(r.expiry, digest)
 	return known && now <= until
 }
 
-// expect notes a request that the pool's queue has refused.
-func (p *pool) expect(now time.Duration, digest poison.Digest, within time.Duration) {
+// noteRejected records a request that the pool's queue rejected.
+func (p *pool) noteRejected(now time.Duration, digest poison.Digest, within time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.returners.expect(now, digest, within)
+	p.rejected.add(now, digest, within)
 }
 
-// returned tells whether the pool's queue has refused a request before. The digest is asked for only where some were refused.
-func (p *pool) returned(now time.Duration, digest func() poison.Digest) bool {
-	if !p.expectsReturns(now) {
+// takeRejected reports whether the pool's queue rejected the request before, and removes it. It computes the digest
+// only if the pool remembers any rejected requests.
+func (p *pool) takeRejected(now time.Duration, digest func() poison.Digest) bool {
+	if !p.hasRejected(now) {
 		return false
 	}
 	known := digest()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.returners.returned(now, known)
+	return p.rejected.take(now, known)
 }
 
-// expectsReturns tells whether refused requests may come again.
-func (p *pool) expectsReturns(now time.Duration) bool {
+// hasRejected reports whether the pool remembers rejected requests that may return.
+func (p *pool) hasRejected(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.returners.until) == 0 {
+	if len(p.rejected.expiry) == 0 {
 		return false
 	}
 	if p.queue.Waiting() == 0 {
-		p.returners.forget(now) // load has passed
+		p.rejected.dropExpired(now) // the overload has passed
 	}
-	return len(p.returners.until) > 0
+	return len(p.rejected.expiry) > 0
 }
--- a/internal/forward/shares.go
+++ b/internal/forward/shares.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// sharePoll is how often demands are noted, for the renewal that comes next, and shares looked at that have ended by themselves.
-	sharePoll = 20 * time.Millisecond
+	// sharePollInterval is how often demands are published, for the next renewal, and shares are checked for expiry.
+	sharePollInterval = 20 * time.Millisecond
 	// shareLogInterval bounds the log lines of a pool whose requests wait for a larger share.
 	shareLogInterval = 10 * time.Second
 )
 
-// sharing is a pool's part in the division of its slots between processes. Its zero value divides nothing.
-type sharing struct {
-	source share.Source     // nil where this pool isn't divided
-	growth share.Growth     // of this process's share
-	whole  admission.Limits // as if this process were alone
-	logged time.Duration    // when requests were last told to wait for a larger share
+// slotSharing is the state of a pool whose slots are divided between processes. The zero value divides nothing.
+type slotSharing struct {
+	source     share.Source     // nil: the pool is not divided
+	growth     share.Growth     // of this process's share
+	undivided  admission.Limits // limits as if this process were alone
+	lastLogged time.Duration    // when the last log line about a short share was written
 }
 
-// FollowShares keeps the pools' limits at this process's shares, until ctx ends. It rests while nothing that is divided is in use: looking
-// each time would be the most frequent thing that an idle gateway does.
+// FollowShares adjusts the pools' limits to this process's shares until ctx ends. It does not poll while no shared
+// resource is in use, because polling would be the most frequent activity of an idle gateway.
 func (f *Forwarder) FollowShares(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.sharesUsed:
+		case <-f.shareWakeup:
 			f.pollShares(ctx)
 		}
 	}
 }
 
-// pollShares looks at the shares until ctx ends or nothing that is divided is in use any more, and once more to tell that.
+// pollShares polls the shares until ctx ends or no shared resource is in use, and once more to publish that.
 func (f *Forwarder) pollShares(ctx context.Context) {
-	ticker := time.NewTicker(sharePoll)
+	ticker := time.NewTicker(sharePollInterval)
 	defer ticker.Stop()
 	for used := true; used; used = f.usesShares() {
 		f.SharesChanged()
@@ -54,94 +54,95 @@
 	f.SharesChanged()
 }
 
-// useShares has FollowShares look until they are out of use.
-func (f *Forwarder) useShares() {
+// wakeShareFollower makes FollowShares poll until no shared resource is in use.
+func (f *Forwarder) wakeShareFollower() {
 	select {
-	case f.sharesUsed <- struct{}{}:
+	case f.shareWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// usesShares tells whether this process uses slots of a pool, turns of large bodies or the quota of a tenant that are divided between
-// processes.
+// usesShares reports whether this process uses shared resources: slots of a pool, turns of large bodies or the quota of
+// a tenant.
 func (f *Forwarder) usesShares() bool {
 	plan := f.plan.Load()
 	if plan == nil || f.config.Shares == nil {
 		return false
 	}
-	for _, one := range plan.pools {
-		if one.usesShare(f.now()) {
+	for _, pool := range plan.pools {
+		if pool.usesShare(f.now()) {
 			return true
 		}
 	}
-	return f.quotas.inUse(f.now())
+	return f.quotas.isInUse(f.now())
 }
 
-// usesShare tells whether the pool's slots are divided between processes, and some are taken or waited for here, or there is something to
-// tell or hear of its large bodies.
+// usesShare reports whether shared slots of the pool are taken or waited for at this process, or whether limits and
+// turns of its large bodies must be exchanged.
 func (p *pool) usesShare(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sharing.source != nil && p.queue.InFlight()+p.queue.Waiting() > 0 || p.large.inUse(now)
+	return p.sharing.source != nil && p.queue.InFlight()+p.queue.Waiting() > 0 || p.large.isInUse(now)
 }
 
-// SharesChanged brings the shares as they are now into force.
+// SharesChanged applies the current shares and publishes the demands.
 func (f *Forwarder) SharesChanged() {
 	plan := f.plan.Load()
 	if plan == nil {
 		return
 	}
-	for _, one := range plan.pools {
-		one.followShare(f.now())
-		one.syncLarge(f.now())
+	for _, pool := range plan.pools {
+		pool.updateShare(f.now())
+		pool.syncLarge(f.now())
 	}
-	f.quotas.follow(f.now())
+	f.quotas.publishDemands(f.now())
 }
 
-// withdraw ends the demand of a pool that has left the table.
+// withdraw withdraws the demands of a pool that was removed from the table.
 func (p *pool) withdraw(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.divide(now, p.sharing.whole, nil)
+	p.setSharedLimits(now, p.sharing.undivided, nil)
 	p.withdrawLarge()
 }
 
-// divide takes over the limits of a table view. The caller holds the mutex.
-func (p *pool) divide(now time.Duration, limits admission.Limits, source share.Source) {
+// setSharedLimits sets the limits of a table view. A nil source leaves the pool undivided. The caller holds the mutex.
+func (p *pool) setSharedLimits(now time.Duration, limits admission.Limits, source share.Source) {
 	if p.sharing.source != nil && source == nil {
 		p.sharing.source.Want(share.Slots(p.name), share.Demand{})
 	}
-	p.sharing.source, p.sharing.whole = source, limits
-	p.apply(p.queue.SetLimits(now, p.limits(now)))
+	p.sharing.source, p.sharing.undivided = source, limits
+	p.deliverDecisions(p.queue.SetLimits(now, p.currentLimits(now)))
 }
 
-// followShare notes the pool's demand and takes over its share.
-func (p *pool) followShare(now time.Duration) {
+// updateShare publishes the pool's demand and applies its share.
+func (p *pool) updateShare(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.sharing.source != nil {
-		p.share(now)
+		p.updateShareLocked(now)
 	}
 }
 
-// share is followShare for a caller that holds the mutex.
-func (p *pool) share(now time.Duration) {
+// updateShareLocked does the work of updateShare. The caller holds the mutex.
+func (p *pool) updateShareLocked(now time.Duration) {
 	waiting := p.queue.Waiting()
 	p.sharing.source.Want(share.Slots(p.name), share.Demand{InUse: uint32(p.queue.InFlight()), Waiting: uint32(waiting)})
-	limits := p.limits(now)
+	limits := p.currentLimits(now)
 	if limits.Slots != p.queue.Slots() || limits.Reach != p.queue.Reach() {
-		p.apply(p.queue.SetLimits(now, limits))
+		p.deliverDecisions(p.queue.SetLimits(now, limits))
 	}
-	p.counts.share.WithLabelValues(p.name).Set(float64(limits.Slots))
-	if waiting > 0 && limits.Slots < p.sharing.whole.Slots {
+	p.metrics.share.WithLabelValues(p.name).Set(float64(limits.Slots))
+	if waiting > 0 && limits.Slots < p.sharing.undivided.Slots {
 		p.sharing.source.RenewSoon()
 		p.logShare(now, limits.Slots, waiting)
 	}
 }
 
-// limits are those of the table or, where the pool is divided, of this process's share. The caller holds the mutex.
-func (p *pool) limits(now time.Duration) admission.Limits {
-	limits := p.sharing.whole
+// currentLimits returns the table's limits, reduced to this process's share if the pool is divided. The caller holds
+// the mutex.
+func (p *pool) currentLimits(now time.Duration) admission.Limits {
+	limits := p.sharing.undivided
 	if p.sharing.source == nil || limits.Slots == 0 {
 		return limits
 	}
@@ -150,34 +151,34 @@
 		return limits
 	}
 	if p.sharing.growth.Observe(now, int(amount), p.queue.Waiting() > 0); p.sharing.growth.Expected(now) {
-		limits.Reach = max(p.usable(now, limits.Slots), 1)
+		limits.Reach = max(p.usableSlots(now, limits.Slots), 1)
 	}
-	limits.Slots = min(max(p.usable(now, int(amount)), 1), limits.Slots)
+	limits.Slots = min(max(p.usableSlots(now, int(amount)), 1), limits.Slots)
 	limits.RolloutSlots = limits.Slots
 	return limits
 }
 
-// usable is the part of a share that the back ends in use here have room for: slots of back ends in quarantine are lost to the pool
-// before the table says so, and requests sent in their place would crowd the others.
-func (p *pool) usable(now time.Duration, amount int) int {
-	all, shut := 0, 0
+// usableSlots returns how much of a share the back ends in use here have slots for. The slots of back ends in
+// quarantine are lost to the pool before the table says so, and requests sent in their place would overload the others.
+func (p *pool) usableSlots(now time.Duration, amount int) int {
+	total, quarantined := 0, 0
 	for instance, slots := range p.slots {
-		all += slots
-		if left, _ := p.replicas.Quarantine(instance, now); left > 0 {
-			shut += slots
+		total += slots
+		if remaining, _ := p.replicas.Quarantine(instance, now); remaining > 0 {
+			quarantined += slots
 		}
 	}
-	if shut == 0 || shut == all {
+	if quarantined == 0 || quarantined == total {
 		return amount
 	}
-	return int(math.Ceil(float64(amount) * float64(all-shut) / float64(all)))
+	return int(math.Ceil(float64(amount) * float64(total-quarantined) / float64(total)))
 }
 
-// logShare tells, now and then, that requests wait for a larger share. The caller holds the mutex.
+// logShare logs that requests wait for a larger share, at most once per shareLogInterval. The caller holds the mutex.
 func (p *pool) logShare(now time.Duration, slots, waiting int) {
-	if p.sharing.logged > 0 && now-p.sharing.logged < shareLogInterval {
+	if p.sharing.lastLogged > 0 && now-p.sharing.lastLogged < shareLogInterval {
 		return
 	}
-	p.sharing.logged = now
-	logging.Emit(p.log, &events.ShareShort{Pool: p.name, Share: slots, PoolSlots: p.sharing.whole.Slots, InFlight: p.queue.InFlight(), Waiting: waiting})
+	p.sharing.lastLogged = now
+	logging.Emit(p.log, &events.ShareShort{Pool: p.name, Share: slots, PoolSlots: p.sharing.undivided.Slots, InFlight: p.queue.InFlight(), Waiting: waiting})
 }
--- a/internal/forward/shares_test.go
+++ b/internal/forward/shares_test.go
@@ -16,15 +16,15 @@
 
 // fakeShares is a share.Source whose answers a test sets.
 type fakeShares struct {
-	mu      sync.Mutex
-	shares  map[string]uint32
-	wants   map[string]share.Demand
-	hurries int
-	hurried map[string]share.Demand // what was told before the first hurry
+	mu                    sync.Mutex
+	shares                map[string]uint32
+	demands               map[string]share.Demand
+	renewals              int
+	demandsAtFirstRenewal map[string]share.Demand // what was told before the first hurry
 }
 
 func newFakeShares() *fakeShares {
-	return &fakeShares{shares: map[string]uint32{}, wants: map[string]share.Demand{}}
+	return &fakeShares{shares: map[string]uint32{}, demands: map[string]share.Demand{}}
 }
 
 func (f *fakeShares) Share(resource string) (uint32, bool) {
@@ -37,23 +37,23 @@
 func (f *fakeShares) Want(resource string, demand share.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.wants[resource] = demand
+	f.demands[resource] = demand
 }
 
 // wanted is the demand that was told last.
-func (f *fakeShares) wanted(resource string) share.Demand {
+func (f *fakeShares) demand(resource string) share.Demand {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.wants[resource]
+	return f.demands[resource]
 }
 
 func (f *fakeShares) RenewSoon() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.hurries == 0 {
-		f.hurried = maps.Clone(f.wants)
+	if f.renewals == 0 {
+		f.demandsAtFirstRenewal = maps.Clone(f.demands)
 	}
-	f.hurries++
+	f.renewals++
 }
 
 func (f *fakeShares) set(resource string, amount uint32) {
@@ -67,7 +67,7 @@
 func sharedForwarder(t *testing.T, rows string) (*Forwarder, *fakeShares) {
 	t.Helper()
 	source := newFakeShares()
-	forwarder, err := New(Config{Control: &testLease{}, Caller: &scripted{script: []step{silent}}, Shares: source, Seed: 1, Clock: bubbleClock()})
+	forwarder, err := New(Config{Control: &testLease{}, Caller: &scriptedCaller{script: []step{silent}}, Shares: source, Seed: 1, Clock: testClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 }
 
 // TestPoolKeepsToItsShare: a request above the share waits, the demand is told and the renewal hurried; a larger share lets it go on.
-func TestPoolKeepsToItsShare(t *testing.T) {
+func TestPoolStaysWithinItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder, source := sharedForwarder(t, sharedRows)
 		pool := forwarder.plan.Load().pools["p"]
@@ -92,14 +92,14 @@
 		for id := range uint64(2) {
 			entered.Go(func() {
 				request := admission.Request{ID: id, Class: className(0), Deadline: time.Hour}
-				if refusal, err := pool.enter(context.Background(), forwarder.now, request, time.Hour); err != nil || refusal.Reason != 0 {
+				if refusal, err := pool.acquireSlot(context.Background(), forwarder.now, request, time.Hour); err != nil || refusal.Reason != 0 {
 					t.Error(refusal, err)
 				}
 			})
 		}
 		synctest.Wait()
-		if got := source.wants[share.Slots("p")]; got != (share.Demand{InUse: 1, Waiting: 1}) || source.hurries == 0 {
-			t.Fatalf("told %+v, hurried %d times", got, source.hurries)
+		if got := source.demands[share.Slots("p")]; got != (share.Demand{InUse: 1, Waiting: 1}) || source.renewals == 0 {
+			t.Fatalf("told %+v, hurried %d times", got, source.renewals)
 		}
 		source.set(share.Slots("p"), 2)
 		forwarder.SharesChanged()
@@ -120,13 +120,13 @@
 			enter := func(refused *atomic.Int32) {
 				id++
 				request := admission.Request{ID: id, Class: className(0), Deadline: forwarder.now() + 500*time.Millisecond}
-				refusal, err := pool.enter(context.Background(), forwarder.now, request, 250*time.Millisecond)
+				refusal, err := pool.acquireSlot(context.Background(), forwarder.now, request, 250*time.Millisecond)
 				if err != nil || refusal.Reason != 0 {
 					refused.Add(1)
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
-				pool.leave(forwarder.now(), request.ID)
+				pool.releaseSlot(forwarder.now(), request.ID)
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			go forwarder.FollowShares(ctx)
@@ -159,11 +159,11 @@
 }
 
 // TestShareLeavesWithBackEndsInQuarantine: before the table says that they are lost.
-func TestShareLeavesWithBackEndsInQuarantine(t *testing.T) {
+func TestQuarantineReducesUsableShare(t *testing.T) {
 	forwarder, source := sharedForwarder(t, sharedRows)
 	pool := forwarder.plan.Load().pools["p"]
 	source.set(share.Slots("p"), 9)
-	pool.ended(forwarder.now(), pool.targets["p1"].Instance, &routing.Request{}, healthBad, nil)
+	pool.endSend(forwarder.now(), pool.targets["p1"].Instance, &routing.Request{}, healthBad, nil)
 	forwarder.SharesChanged()
 	if slots := pool.queue.Slots(); slots != 6 {
 		t.Fatalf("%d slots of a share of 9 with one back end of three shut out", slots)
@@ -172,12 +172,12 @@
 
 // TestBackEndsThatDrainAreNotUsable: they have no part in the pool's slots, so neither their quarantine takes any away nor do they make up
 // for that of others.
-func TestBackEndsThatDrainAreNotUsable(t *testing.T) {
+func TestDrainingBackEndsDoNotAffectUsableShare(t *testing.T) {
 	for shut, want := range map[string]int{"p1": 3, "p2": 6, "p3": 8} {
 		forwarder, source := sharedForwarder(t, sharedRows+";p1 max_in_flight 6;p2 max_in_flight 3;p3 state draining")
 		pool := forwarder.plan.Load().pools["p"]
 		source.set(share.Slots("p"), 8)
-		pool.ended(forwarder.now(), pool.targets[shut].Instance, &routing.Request{}, healthBad, nil)
+		pool.endSend(forwarder.now(), pool.targets[shut].Instance, &routing.Request{}, healthBad, nil)
 		forwarder.SharesChanged()
 		if slots := pool.queue.Slots(); slots != want {
 			t.Errorf("%d slots of a share of 8 without %s, want %d", slots, shut, want)
@@ -196,7 +196,7 @@
 		var entered sync.WaitGroup
 		for id := range uint64(20) {
 			entered.Go(func() {
-				_, _ = pool.enter(ctx, forwarder.now, admission.Request{ID: id, Class: className(0), Deadline: time.Hour}, time.Hour)
+				_, _ = pool.acquireSlot(ctx, forwarder.now, admission.Request{ID: id, Class: className(0), Deadline: time.Hour}, time.Hour)
 			})
 		}
 		synctest.Wait()
@@ -211,17 +211,17 @@
 }
 
 // TestOnlyPoolsWhoseRowsAskAreDivided: nothing is told of others, whatever the source says.
-func TestOnlyPoolsWhoseRowsAskAreDivided(t *testing.T) {
+func TestPoolWithoutSharedSlotsIsNotDivided(t *testing.T) {
 	forwarder, source := sharedForwarder(t, baseRows+"r route_kind repeatable;p max_in_flight 4")
 	source.set(share.Slots("p"), 1)
 	forwarder.SharesChanged()
-	if slots := forwarder.plan.Load().pools["p"].queue.Slots(); slots != 12 || len(source.wants) != 0 || source.hurries != 0 {
-		t.Fatalf("%d slots, told %v", slots, source.wants)
+	if slots := forwarder.plan.Load().pools["p"].queue.Slots(); slots != 12 || len(source.demands) != 0 || source.renewals != 0 {
+		t.Fatalf("%d slots, told %v", slots, source.demands)
 	}
 }
 
 // TestSharesAreFollowedOnlyWhileTheyAreUsed: an idle gateway was woken fifty times a second, whether anything was divided or not.
-func TestSharesAreFollowedOnlyWhileTheyAreUsed(t *testing.T) {
+func TestSharesArePolledOnlyWhileUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		views := viewsOf(t, baseRows+"r route_kind repeatable;p max_in_flight 4", "p shared_slots true")
 		source := newFakeShares()
@@ -230,7 +230,7 @@
 			read.Add(1)
 			return time.Now()
 		}
-		forwarder, err := New(Config{Control: &testLease{}, Caller: &scripted{script: []step{silent}}, Shares: source, Seed: 1, Clock: bubbleClock(),
+		forwarder, err := New(Config{Control: &testLease{}, Caller: &scriptedCaller{script: []step{silent}}, Shares: source, Seed: 1, Clock: testClock(),
 			Now: counted})
 		if err != nil {
 			t.Fatal(err)
@@ -239,9 +239,9 @@
 		defer cancel()
 		go forwarder.FollowShares(ctx)
 		looks := func() int64 {
-			time.Sleep(2 * sharePoll) // what was under way has ended
+			time.Sleep(2 * sharePollInterval) // what was under way has ended
 			before := read.Load()
-			time.Sleep(10 * sharePoll)
+			time.Sleep(10 * sharePollInterval)
 			return read.Load() - before
 		}
 		forwarder.Update(views[0])
@@ -253,15 +253,15 @@
 			t.Errorf("%d looks at the share of an idle pool", got)
 		}
 		pool := forwarder.plan.Load().pools["p"]
-		if refusal, err := pool.enter(ctx, forwarder.now, admission.Request{ID: 1, Class: className(0), Deadline: time.Hour}, time.Hour); err != nil || refusal.Reason != 0 {
+		if refusal, err := pool.acquireSlot(ctx, forwarder.now, admission.Request{ID: 1, Class: className(0), Deadline: time.Hour}, time.Hour); err != nil || refusal.Reason != 0 {
 			t.Fatal(refusal, err)
 		}
-		if got := looks(); got == 0 || source.wanted(share.Slots("p")) != (share.Demand{InUse: 1}) {
-			t.Errorf("%d looks while a slot is taken, told %+v", got, source.wanted(share.Slots("p")))
+		if got := looks(); got == 0 || source.demand(share.Slots("p")) != (share.Demand{InUse: 1}) {
+			t.Errorf("%d looks while a slot is taken, told %+v", got, source.demand(share.Slots("p")))
 		}
-		pool.leave(forwarder.now(), 1)
-		if got := looks(); got != 0 || source.wanted(share.Slots("p")) != (share.Demand{}) {
-			t.Errorf("%d looks once it is free, told %+v", got, source.wanted(share.Slots("p")))
+		pool.releaseSlot(forwarder.now(), 1)
+		if got := looks(); got != 0 || source.demand(share.Slots("p")) != (share.Demand{}) {
+			t.Errorf("%d looks once it is free, told %+v", got, source.demand(share.Slots("p")))
 		}
 	})
 }
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// startPoll is how often a request that waits for the first lease looks for it.
-	startPoll = 10 * time.Millisecond
-	// startShare is the part of a request's time that it may wait for the first lease, as a divisor.
-	startShare = 2
+	// startPollInterval is how often a request that waits for the first lease checks for it.
+	startPollInterval = 10 * time.Millisecond
+	// startWaitDivisor bounds the wait for the first lease to this fraction of the time that the caller allows.
+	startWaitDivisor = 2
 )
 
-// AwaitStart lets a request that came right after this process's start wait for the first lease, until
-// Config.StartWait after the start and for a part of patience, the time that its caller gives it (0: not known),
-// at most. Whoever reaches a process that is not ready mostly found no other one: after a loss of power all start
-// together. Once there was a lease it never waits: while one has lapsed, other processes may hold theirs.
+// AwaitStart makes a request that arrives right after the process start wait for the first lease. It waits at most
+// until Config.StartWait after the start, and at most patience/startWaitDivisor, where patience is the time that the
+// caller allows (0: unknown). A caller that reaches a process that is not ready has usually found no other one, because
+// all processes start together after a power loss. AwaitStart never waits once a lease was held: while the lease of
+// this process has lapsed, other processes may hold theirs.
 func (f *Forwarder) AwaitStart(ctx context.Context, patience time.Duration) {
-	if f.started.Load() {
+	if f.hadLease.Load() {
 		return
 	}
-	until := f.config.StartWait
+	limit := f.config.StartWait
 	if patience > 0 {
-		until = min(until, f.now()+patience/startShare)
+		limit = min(limit, f.now()+patience/startWaitDivisor)
 	}
-	ticker := time.NewTicker(startPoll)
+	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
 	for !f.Ready() {
-		if f.now() >= until || f.started.Load() {
+		if f.now() >= limit || f.hadLease.Load() {
 			return
 		}
 		select {
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -26,7 +26,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				lease := &testLease{lost: true}
-				f, err := New(Config{Control: lease, Caller: &scripted{}, StartWait: startWait})
+				f, err := New(Config{Control: lease, Caller: &scriptedCaller{}, StartWait: startWait})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -38,11 +38,11 @@
 				time.Sleep(test.came)
 				asked := time.Now()
 				f.AwaitStart(context.Background(), test.patience)
-				if waited := time.Since(asked); waited < test.want || waited > test.want+startPoll {
+				if waited := time.Since(asked); waited < test.want || waited > test.want+startPollInterval {
 					t.Errorf("waited %s, want %s", waited, test.want)
 				}
 				lease.set(view.Version(), true)
-				if f.AwaitStart(context.Background(), test.patience); test.leased > 0 && time.Since(asked) > test.want+startPoll {
+				if f.AwaitStart(context.Background(), test.patience); test.leased > 0 && time.Since(asked) > test.want+startPollInterval {
 					t.Error("waited for a lease that lapsed")
 				}
 			})
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindring/tamarindring/internal/poisonguard"
 )
 
-// identityOf is what stays the same when a request comes again.
+// identityOf returns the parts of a request that stay the same when it is sent again.
 func identityOf(request *Request, tenant string) poison.Identity {
 	identity := poison.Identity{Tenant: tenant, Method: request.Method, Host: request.Host, Path: request.Path, Body: request.Body}
 	for _, field := range request.Header {
@@ -18,95 +18,97 @@
 	return identity
 }
 
-// digest names the request's identity.
+// digest returns the digest of the request's identity.
 func (x *exchange) digest() poison.Digest {
-	identity := identityOf(x.request, x.tenant)
+	identity := identityOf(x.request, x.tenantName)
 	return identity.Digest()
 }
 
-// permit asks for one more run of the request; a failure when there may be none now. Each send is one run: between two of them the
-// back end of the first may have crashed.
-func (x *exchange) permit(ctx context.Context) *Failure {
+// permitRun asks the guard for one more run of the request, and returns a failure if none is permitted now. Each send
+// is a separate run, because the back end of the previous one may have crashed since.
+func (x *exchange) permitRun(ctx context.Context) *Failure {
 	guard := x.forwarder.config.Guard
-	if guard == nil || x.run != nil {
+	if guard == nil || x.permittedRun != nil {
 		return nil
 	}
-	run, judged := guard.Begin(ctx, x.identify())
+	run, judged := guard.Begin(ctx, x.identityFunc())
 	if run != nil {
-		x.run = run
+		x.permittedRun = run
 		return nil
 	}
-	x.rests = true
-	failure := x.failure(ctx, Suspected, errors.Join(fmt.Errorf("forward: %d back ends crashed under the request", judged.Crashes), x.lastErr))
+	x.runRefused = true
+	failure := x.newFailure(ctx, Suspected, errors.Join(fmt.Errorf("forward: %d back ends crashed under the request", judged.Crashes), x.lastErr))
 	failure.Condemned = judged.Condemned()
-	if !x.mayRan {
+	if !x.mayHaveRun {
 		failure.RetryAfter = judged.Left
 	}
 	return failure
 }
 
-// identify names the request as it is now: later attempts set the tenant anew.
-func (x *exchange) identify() func() poison.Identity {
-	tenant := x.tenant
+// identityFunc returns a function that computes the request's identity with its present tenant. Later attempts may
+// change the tenant.
+func (x *exchange) identityFunc() func() poison.Identity {
+	tenant := x.tenantName
 	return func() poison.Identity { return identityOf(x.request, tenant) }
 }
 
-// permitSecond asks for a run beside another one, which waits for nothing; false: there may be none, or only one by itself.
-func (x *exchange) permitSecond() bool {
+// permitHedge asks the guard for a concurrent run without waiting. It returns false if no run is permitted, or only one
+// at a time.
+func (x *exchange) permitHedge() bool {
 	guard := x.forwarder.config.Guard
 	if guard == nil {
 		return true
 	}
-	if x.run == nil {
-		x.run, _ = guard.TryBegin(context.Background(), x.identify())
+	if x.permittedRun == nil {
+		x.permittedRun, _ = guard.TryBegin(context.Background(), x.identityFunc())
 	}
-	return x.run != nil && !x.run.Suspected()
+	return x.permittedRun != nil && !x.permittedRun.Suspected()
 }
 
-// askAnew has a run permitted anew that is not sent yet: what the newer table says of the request may forbid it. The claim of a run
-// changes the table itself, and stays.
-func (x *exchange) askAnew() {
-	if x.run != nil && !x.run.Claimed() {
+// returnUnclaimedRun returns a permitted run that is not sent yet, so that permission is asked again: a newer table may
+// forbid the run. A claimed run is kept, because the claim itself changes the table.
+func (x *exchange) returnUnclaimedRun() {
+	if x.permittedRun != nil && !x.permittedRun.Claimed() {
 		x.returnRun(context.Background())
 	}
 }
 
-// returnRun gives a permitted run back that was not used.
+// returnRun returns a permitted run that was not used.
 func (x *exchange) returnRun(ctx context.Context) {
-	if x.run != nil {
-		x.run.End(ctx, poisonguard.NotRun)
-		x.run = nil
+	if x.permittedRun != nil {
+		x.permittedRun.End(ctx, poisonguard.NotRun)
+		x.permittedRun = nil
 	}
 }
 
-// avoided are the back ends that the request is better not sent to: those that it was tried at, and for a suspect those that run
-// another one, unless no other is left.
-func (x *exchange) avoided() (preferred, needed []string) {
-	if x.run == nil || !x.run.Suspected() {
-		return x.tried, x.tried
+// excludedBackends returns the back ends that the next choice excludes. needed holds those already tried. preferred
+// also holds, for a suspect, the back ends that run another suspect; it applies as long as it leaves a back end.
+func (x *exchange) excludedBackends() (preferred, needed []string) {
+	if x.permittedRun == nil || !x.permittedRun.Suspected() {
+		return x.triedBackends, x.triedBackends
 	}
-	return append(x.forwarder.config.Guard.Occupied(), x.tried...), x.tried
+	return append(x.forwarder.config.Guard.Occupied(), x.triedBackends...), x.triedBackends
 }
 
-// unsent tells whether the table or the lease forbade the attempt before it was sent; its run may still be used.
-func (a *attempt) unsent() bool {
-	return errors.Is(a.outcome.Err, errStale) || errors.Is(a.outcome.Err, errNoLease)
+// isUnsent reports whether the table or the lease stopped the attempt before it was sent. Its run can still be used.
+func (a *attempt) isUnsent() bool {
+	return errors.Is(a.outcome.Err, errTableChanged) || errors.Is(a.outcome.Err, errNoLease)
 }
 
-// keepRun takes the run of an attempt back that was not sent.
-func (x *exchange) keepRun(a *attempt) {
-	if a.permitted == nil {
+// reclaimRun takes back the run of an attempt that was not sent.
+func (x *exchange) reclaimRun(a *attempt) {
+	if a.permittedRun == nil {
 		return
 	}
-	a.permitted.Leave()
+	a.permittedRun.Leave()
 	x.returnRun(context.Background())
-	x.run = a.permitted
+	x.permittedRun = a.permittedRun
 }
 
-// noteRun tells the guard how the attempt's run ended, before anything else is decided on it.
-func (a *attempt) noteRun(ctx context.Context) {
-	if a.permitted == nil || a.unsent() {
+// endRun reports to the guard how the attempt's run ended. It is called before any other decision on the attempt.
+func (a *attempt) endRun(ctx context.Context) {
+	if a.permittedRun == nil || a.isUnsent() {
 		return
 	}
-	a.permitted.End(ctx, a.ending(ctx))
+	a.permittedRun.End(ctx, a.runEnding(ctx))
 }
