--- a/internal/forward/suspects_test.go
+++ b/internal/forward/suspects_test.go
@@ -18,13 +18,13 @@
 )
 
 // guarded is a fixture whose runs a guard permits; suspects are rows of the table.
-func guarded(t *testing.T, rows string, script ...step) (*fixture, *poisonguard.Guard) {
+func newGuarded(t *testing.T, rows string, script ...step) (*fixture, *poisonguard.Guard) {
 	t.Helper()
-	return guardedBy(t, poisonguard.Config{Control: poisonguardtest.NoControl{}}, rows, script...)
+	return newGuardedWith(t, poisonguard.Config{Control: poisonguardtest.NoControl{}}, rows, script...)
 }
 
 // guardedBy is guarded with settings of the guard.
-func guardedBy(t *testing.T, config poisonguard.Config, rows string, script ...step) (*fixture, *poisonguard.Guard) {
+func newGuardedWith(t *testing.T, config poisonguard.Config, rows string, script ...step) (*fixture, *poisonguard.Guard) {
 	t.Helper()
 	start := time.Now()
 	config.Clock = func() time.Duration { return time.Since(start) }
@@ -39,7 +39,7 @@
 }
 
 // crashes is a back end that crashes under the request.
-func crashes(ctx context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
+func crashesUnderRequest(ctx context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 	select {
 	case <-time.After(50 * time.Millisecond):
 		return replica.Outcome{Verdict: verdict.MayHaveRun, Peer: replica.PeerGone, Err: errReset}
@@ -50,16 +50,16 @@
 
 // TestCrashesEndARequest: where no record is kept yet, one call takes two back ends at most, whatever its route allows, and the next one is
 // refused at once as not run, whatever its attempt id. Requests that crash nothing go on as if it were not there.
-func TestCrashesEndARequest(t *testing.T) {
+func TestCrashingRequestIsRejected(t *testing.T) {
 	for _, kind := range []string{"repeatable", "once", "stream"} {
 		t.Run(kind, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rows := strings.Replace(baseRows, "max_attempts 2", "max_attempts 5", 1) + "r route_kind " + kind + ";r resumable true"
 				noRecord := poisonguard.Config{Control: poisonguardtest.NoControl{}, Recorded: poisonguardtest.NotRecorded}
-				f, _ := guardedBy(t, noRecord, rows, crashes)
+				f, _ := newGuardedWith(t, noRecord, rows, crashesUnderRequest)
 				ask := func(id, body string) *Failure {
 					request := &Request{AttemptID: id, Method: "POST", Path: "/x", Host: "h", Body: []byte(body), Received: time.Now()}
-					return f.Serve(t.Context(), request, &kept{})
+					return f.Serve(t.Context(), request, &recordedReply{})
 				}
 				most := poison.TrialCrashes
 				for _, id := range []string{"one", "two"} {
@@ -90,12 +90,12 @@
 
 // TestCallsTakeOneBackEndWithoutTheRecord: without a leader the crash that a call has caused is known to this process alone; no attempt
 // follows until it is on record, and the next call of the same request is refused as not run. Others are served meanwhile.
-func TestCallsTakeOneBackEndWithoutTheRecord(t *testing.T) {
+func TestCrashingRequestRunsOnceWithoutLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := guarded(t, strings.Replace(baseRows, "max_attempts 2", "max_attempts 5", 1)+"r route_kind repeatable", crashes)
+		f, _ := newGuarded(t, strings.Replace(baseRows, "max_attempts 2", "max_attempts 5", 1)+"r route_kind repeatable", crashesUnderRequest)
 		ask := func(id, body string) *Failure {
 			request := &Request{AttemptID: id, Method: "POST", Path: "/x", Host: "h", Body: []byte(body), Received: time.Now()}
-			return f.Serve(t.Context(), request, &kept{})
+			return f.Serve(t.Context(), request, &recordedReply{})
 		}
 		if failure := ask("one", "bad"); failure == nil || failure.Verdict != verdict.MayHaveRun || len(f.caller.calls) != 1 {
 			t.Fatalf("%v after %d sends, want 1", failure, len(f.caller.calls))
@@ -122,7 +122,7 @@
 }
 
 // TestSuspectsRunWithoutASecondSend: a hedge would take a second back end before the first one's crash is known.
-func TestSuspectsRunWithoutASecondSend(t *testing.T) {
+func TestSuspectsAreNotHedged(t *testing.T) {
 	for crashed, want := range map[string]int{"": 2, "1": 1} {
 		synctest.Test(t, func(t *testing.T) {
 			rows := baseRows + "r route_kind repeatable;r target_latency_millis 100"
@@ -133,7 +133,7 @@
 				time.Sleep(300 * time.Millisecond)
 				return good(ctx, call, sink)
 			}
-			f, _ := guarded(t, rows, slow)
+			f, _ := newGuarded(t, rows, slow)
 			if _, failure := f.serve(t.Context()); failure != nil || len(f.caller.instances()) != want {
 				t.Errorf("with %q crashes: %v, sends %v, want %d", crashed, failure, f.caller.instances(), want)
 			}
@@ -144,10 +144,10 @@
 }
 
 // TestSuspectsKeepApart: two suspects run at different back ends while there are enough.
-func TestSuspectsKeepApart(t *testing.T) {
+func TestSuspectsRunAtDifferentBackEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := baseRows + "r route_kind repeatable;p1 weight 1000;p2 weight 1;p3 weight 0" + suspectRow("1") // p1 is chosen by itself
-		f, guard := guarded(t, rows, silent)
+		f, guard := newGuarded(t, rows, silent)
 		for number := range 2 {
 			go func() { _, _ = f.serve(t.Context()) }()
 			synctest.Wait()
@@ -159,9 +159,9 @@
 }
 
 // TestCondemnedRequestsTellWhenToComeBack.
-func TestCondemnedRequestsTellWhenToComeBack(t *testing.T) {
+func TestCondemnedRequestGetsRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := guarded(t, baseRows+"r route_kind repeatable"+suspectRow("3"), good)
+		f, _ := newGuarded(t, baseRows+"r route_kind repeatable"+suspectRow("3"), good)
 		_, failure := f.serve(t.Context())
 		if failure == nil || !failure.Condemned || failure.RetryAfter != poison.DefaultCondemnedRest || len(f.caller.calls) != 0 {
 			t.Errorf("%+v", failure)
@@ -170,27 +170,27 @@
 }
 
 // condemnedMeanwhile is a Caller to which a newer table comes while it opens a connection.
-type condemnedMeanwhile struct {
-	scripted
-	newer func()
+type updatingCaller struct {
+	scriptedCaller
+	beforeCall func()
 }
 
-func (c *condemnedMeanwhile) Do(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-	if c.newer != nil {
-		c.newer()
-		c.newer = nil
+func (c *updatingCaller) Do(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+	if c.beforeCall != nil {
+		c.beforeCall()
+		c.beforeCall = nil
 	}
-	return c.scripted.Do(ctx, call, sink)
+	return c.scriptedCaller.Do(ctx, call, sink)
 }
 
 // TestPermissionEndsWithItsTable: between the permission and the send another process has condemned the request. It is not sent.
-func TestPermissionEndsWithItsTable(t *testing.T) {
+func TestPermissionEndsWhenRequestIsCondemned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := baseRows + "r route_kind repeatable"
-		f, guard := guarded(t, rows, good)
-		caller := &condemnedMeanwhile{scripted: scripted{script: []step{good}}}
+		f, guard := newGuarded(t, rows, good)
+		caller := &updatingCaller{scriptedCaller: scriptedCaller{script: []step{good}}}
 		f.config.Caller = caller
-		caller.newer = func() {
+		caller.beforeCall = func() {
 			next := viewsOf(t, rows, suspectRow("3"))[1]
 			guard.Follow(next)
 			f.Update(next)
@@ -204,12 +204,12 @@
 
 // TestTrialIsSentAlthoughItsClaimChangedTheTable: the claim of a run makes a new version of the table, under which the send is decided
 // again; the claim stays.
-func TestTrialIsSentAlthoughItsClaimChangedTheTable(t *testing.T) {
+func TestTrialIsSentAfterItsClaimChangesTheTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := baseRows + "r route_kind repeatable" + suspectRow("2")
-		group := &oneTable{}
+		group := &recordingControl{}
 		views := viewsOf(t, rows)
-		f, _ := guarded(t, rows, good)
+		f, _ := newGuarded(t, rows, good)
 		start := time.Now()
 		guard, err := poisonguard.New(poisonguard.Config{Control: group, Clock: func() time.Duration { return time.Since(start) }})
 		if err != nil {
@@ -217,7 +217,7 @@
 		}
 		f.config.Guard = guard
 		guard.Follow(views[0])
-		group.taken = func() { // the change reaches this process before its answer does
+		group.onFirstChange = func() { // the change reaches this process before its answer does
 			next := viewsOf(t, rows, "p queue_limit 9")[1]
 			guard.Follow(next)
 			f.Update(next)
@@ -228,34 +228,34 @@
 			t.Errorf("the trial: %v after %d sends", failure, len(f.caller.calls))
 		}
 		synctest.Wait()
-		if steps := group.steps; len(steps) != 2 {
+		if steps := group.changes; len(steps) != 2 {
 			t.Errorf("%d changes of the record, want the claim and the clearing", len(steps))
 		}
 	})
 }
 
 // oneTable takes every change and tells when the first one is taken.
-type oneTable struct {
+type recordingControl struct {
 	poisonguardtest.NoControl
-	taken func()
+	onFirstChange func()
 
-	mu    sync.Mutex
-	steps []*wire.TableChange
+	mu      sync.Mutex
+	changes []*wire.TableChange
 }
 
-func (o *oneTable) count() int {
+func (o *recordingControl) changeCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.steps)
+	return len(o.changes)
 }
 
 // ChangeTable implements configure.Control.
-func (o *oneTable) ChangeTable(_ context.Context, change *wire.TableChange, _ bool) (*wire.TableResult, uint64, error) {
+func (o *recordingControl) ChangeTable(_ context.Context, change *wire.TableChange, _ bool) (*wire.TableResult, uint64, error) {
 	o.mu.Lock()
-	o.steps = append(o.steps, change)
+	o.changes = append(o.changes, change)
 	o.mu.Unlock()
-	if o.count() == 1 {
-		o.taken()
+	if o.changeCount() == 1 {
+		o.onFirstChange()
 	}
 	return &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED}, 0, nil
 }
