--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -12,8 +12,9 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestWhatBeganIsToldOnce for each back end that ran a request or may have, at the time at which it began there: with the first
-// event of a stream and otherwise with the send, also when the answer comes much later or never.
+// TestBeganIsReportedOncePerRun checks that Config.Began is called once for each back end that ran or may have run a
+// request, with the time at which the run began: the first event of a stream and otherwise the send, even if the answer
+// comes much later or never.
 func TestBeganIsReportedOncePerRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		script []step
@@ -29,30 +30,31 @@
 			f := newFixture(t, tenantRows, test.script...)
 			start := time.Now()
 			var mutex sync.Mutex
-			var told []time.Duration
+			var reported []time.Duration
 			f.config.Began = func(tenant string, at time.Time) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				if tenant != "One" {
-					t.Errorf("%s: told of tenant %q", name, tenant)
+					t.Errorf("%s: Began was called for tenant %q, want \"One\"", name, tenant)
 				}
-				told = append(told, at.Sub(start))
+				reported = append(reported, at.Sub(start))
 			}
 			f.serveWithKey("k1", "")
-			if !slices.Equal(told, test.want) {
-				t.Errorf("%s: told %v, want %v", name, told, test.want)
+			if !slices.Equal(reported, test.want) {
+				t.Errorf("%s: Began was called at %v, want %v", name, reported, test.want)
 			}
 		})
 	}
 }
 
-// TestWhatIsHeldBackAtTheSendDidNotBegin: a request whose lease lapses directly before the send is nobody's use.
+// TestBeganIsNotReportedWithoutLease checks that a request whose lease lapses immediately before the send does not
+// count as usage of its tenant.
 func TestBeganIsNotReportedWithoutLease(t *testing.T) {
 	f := newFixture(t, tenantRows, func(_ context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease}
 	})
-	f.config.Began = func(string, time.Time) { t.Error("told") }
+	f.config.Began = func(string, time.Time) { t.Error("Began was called for a request that was not sent") }
 	if failure := f.serveWithKey("k1", ""); failure == nil {
-		t.Error("answered")
+		t.Error("the request was answered, want a failure")
 	}
 }
--- a/internal/forward/clock_test.go
+++ b/internal/forward/clock_test.go
@@ -10,14 +10,15 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// bubbleClock is a clock that follows the test's time, virtual or not.
+// testClock returns a clock that follows the time of the test, virtual or real.
 func testClock() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
 
-// The machine was suspended while a request was under way. Its caller went on waiting, but the steady clock stood still: the next back end
-// was named a deadline that the caller no longer had, and a request whose caller was long gone was still sent.
+// TestDeadlineIncludesMachineSuspension checks a request during which the machine is suspended. Its caller keeps
+// waiting while an ordinary monotonic clock stops. With such a clock the next back end received a deadline that the
+// caller no longer had, and a request was still sent after its caller had given up.
 func TestDeadlineIncludesMachineSuspension(t *testing.T) {
 	for suspended, sends := range map[time.Duration]int{0: 2, time.Second: 2, 5 * time.Second: 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -35,10 +36,10 @@
 			f.config.Clock = func() time.Duration { return steady() + asleep }
 			_, failure := f.serve(t.Context())
 			if len(f.caller.calls) != sends || (failure == nil) != (sends == 2) {
-				t.Fatalf("after %s of suspension %d sends, %v", suspended, len(f.caller.calls), failure)
+				t.Fatalf("after %s of suspension: got %d sends and failure %v, want a second send only before the caller's deadline", suspended, len(f.caller.calls), failure)
 			}
 			if failure == nil && named != 4*time.Second-suspended {
-				t.Errorf("after %s of suspension the deadline is %s away", suspended, named)
+				t.Errorf("after %s of suspension the back end received a deadline of %s, want the caller's remaining time", suspended, named)
 			}
 		})
 	}
--- a/internal/forward/fair_test.go
+++ b/internal/forward/fair_test.go
@@ -12,11 +12,11 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// oneSlotRows are a pool with one slot and a queue of some places.
+// oneSlotRows configures a pool with one slot and a queue with the given number of places.
 const oneSlotRows = "p kind pool;p max_in_flight 1;p queue_limit %d;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;r kind route;r host h;" +
 	"r path_prefix /;r pools p:1;t kind tenant;t tenant_name heavy;u kind tenant;u tenant_name light"
 
-// held is a fixture whose back end answers one request at each receive from turns.
+// newGatedFixture returns a fixture whose back end answers one request for each value sent on turns.
 func newGatedFixture(t *testing.T, places int) (f *fixture, turns chan struct{}) {
 	turns = make(chan struct{})
 	f = newFixture(t, fmt.Sprintf(oneSlotRows, places), func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
@@ -26,7 +26,7 @@
 	return f, turns
 }
 
-// begin serves a request in the background and returns once it waits.
+// serveInBackground serves a request in the background and returns once it is waiting.
 func (f *fixture) serveInBackground(tenant, path string) <-chan *Failure {
 	ended := make(chan *Failure, 1)
 	request := &Request{AttemptID: "id", Method: "POST", Path: path, Host: "h", Tenant: tenant, Received: time.Now()}
@@ -35,7 +35,8 @@
 	return ended
 }
 
-// TestTenantsTakeTurnsAtTheSlots: a tenant's first call goes before the later ones of another that came earlier.
+// TestSlotsAlternateBetweenTenants checks that a tenant's first request gets a slot before the later requests of
+// another tenant that arrived earlier.
 func TestSlotsAlternateBetweenTenants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, turns := newGatedFixture(t, 100)
@@ -60,7 +61,8 @@
 	})
 }
 
-// TestRefusedRequestThatReturnsGoesFirst: before the new requests of its tenant, once.
+// TestRejectedRequestGoesFirstOnReturn checks that a rejected request that returns goes once before the new requests of
+// its tenant.
 func TestRejectedRequestGoesFirstOnReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, turns := newGatedFixture(t, 2)
@@ -89,7 +91,8 @@
 	})
 }
 
-// TestReturnersAreBounded and forgotten once they are not expected any more.
+// TestRejectedRequestsAreBounded checks that the number of remembered rejected requests is bounded and that they are
+// dropped once they are no longer expected.
 func TestRejectedRequestsAreBounded(t *testing.T) {
 	var rejected rejectedRequests
 	for number := range uint64(2 * maxRejectedRequests) {
@@ -97,22 +100,23 @@
 		rejected.add(time.Duration(number), digest, 0)
 	}
 	if len(rejected.expiry) != maxRejectedRequests {
-		t.Errorf("%d are remembered", len(rejected.expiry))
+		t.Errorf("%d rejected requests are remembered, want maxRejectedRequests", len(rejected.expiry))
 	}
 	known := (&poison.Identity{Tenant: "1"}).Digest()
 	if !rejected.take(0, known) || rejected.take(0, known) {
-		t.Error("a request that returns is not known once")
+		t.Error("a rejected request is not recognized exactly once on its return")
 	}
 	if late := (&poison.Identity{Tenant: "2"}).Digest(); rejected.take(time.Hour, late) {
-		t.Error("a request is known an hour later")
+		t.Error("a rejected request is still recognized an hour later")
 	}
 	rejected.dropExpired(time.Hour)
 	if len(rejected.expiry) != 0 {
-		t.Errorf("%d are remembered after an hour", len(rejected.expiry))
+		t.Errorf("%d rejected requests are remembered after an hour, want 0", len(rejected.expiry))
 	}
 }
 
-// TestCallerThatLeavesTheQueueFreesItsPlace before anything else happens.
+// TestDisconnectedCallerFreesItsQueuePlace checks that a caller that disconnects while its request is queued frees its
+// place in the queue at once.
 func TestDisconnectedCallerFreesItsQueuePlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, turns := newGatedFixture(t, 1)
@@ -124,11 +128,11 @@
 		synctest.Wait()
 		second := f.serveInBackground("light", "/3")
 		if waiting := f.pools["p"].queue.Waiting(); waiting != 1 {
-			t.Errorf("%d wait", waiting)
+			t.Errorf("%d requests wait, want 1", waiting)
 		}
 		close(turns)
 		if one, two := <-first, <-second; one != nil || two != nil {
-			t.Errorf("%v, %v", one, two)
+			t.Errorf("got failures %v and %v, want two answers", one, two)
 		}
 	})
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -16,7 +16,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// testLease is a Control that admits the version that the test names.
+// testLease is a Control that admits the version set by the test.
 type testLease struct {
 	mu      sync.Mutex
 	version uint64
@@ -35,7 +35,8 @@
 	l.version, l.lost = version, lost
 }
 
-// scripted is a Caller whose attempts end as the script says, in order; the last entry holds for all later ones.
+// scriptedCaller is a Caller whose attempts run the steps of a script in order. The last step is repeated for all later
+// attempts.
 type scriptedCaller struct {
 	mu     sync.Mutex
 	script []step
@@ -67,7 +68,8 @@
 
 var errReset = errors.New("reset")
 
-// answers passes an answer on; pieces are its body, and whole says whether it ends as it should.
+// answers returns a step that answers with the given pieces as its body. whole reports whether the answer ends
+// regularly.
 func answers(status int, stream, whole bool, pieces ...string) step {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		outcome := replica.Outcome{Verdict: verdict.Ran, Status: status, Err: errReset}
@@ -105,7 +107,7 @@
 	return replica.Outcome{Verdict: verdict.MayHaveRun, Err: ctx.Err()}
 }
 
-// kept is a Reply that keeps what it gets.
+// recordedReply is a Reply that records what it receives.
 type recordedReply struct {
 	heads []replica.Head
 	body  strings.Builder
@@ -117,7 +119,7 @@
 const baseRows = "p kind pool;q kind pool;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;p2 kind backend;p2 pool p;p2 address 127.0.0.1:2;" +
 	"p3 kind backend;p3 pool p;p3 address 127.0.0.1:3;r kind route;r host h;r path_prefix /;r pools p:1;r max_attempts 2;"
 
-// viewsOf returns the views after each of a series of changes.
+// viewsOf returns the table view after each of a series of changes.
 func viewsOf(t *testing.T, changes ...string) (views []*table.View) {
 	t.Helper()
 	made := table.New()
@@ -163,13 +165,13 @@
 	return reply, f.Serve(ctx, &Request{AttemptID: "id", Method: "POST", Path: "/x?y", Host: "h", Received: time.Now()}, reply)
 }
 
-// TestAttempts: which endings permit another attempt, and what the caller gets.
+// TestRetryByOutcome checks which outcomes of an attempt permit another one, and what the caller receives.
 func TestRetryByOutcome(t *testing.T) {
 	for _, test := range []struct {
 		name, kind string
 		script     []step
 		calls      int
-		body       string // of a whole answer
+		body       string // for a whole answer
 		reason     Reason
 		verdict    verdict.Verdict
 	}{
@@ -191,19 +193,19 @@
 			f := newFixture(t, baseRows+"r route_kind "+test.kind, test.script...)
 			reply, failure := f.serve(context.Background())
 			if counts := f.caller.instances(); len(counts) != test.calls || len(f.caller.calls) != test.calls {
-				t.Errorf("calls %v, want %d to different back ends", counts, test.calls)
+				t.Errorf("sends by back end: got %v, want %d, each to a different one", counts, test.calls)
 			}
 			if test.reason == 0 {
 				if failure != nil || len(reply.heads) != 1 || reply.body.String() != test.body || reply.heads[0].Length != int64(len(test.body)) {
-					t.Fatalf("%v %+v %q", failure, reply.heads, reply.body.String())
+					t.Fatalf("got failure %v, heads %+v and body %q, want one head and the whole body", failure, reply.heads, reply.body.String())
 				}
 				return
 			}
 			if failure == nil || failure.Reason != test.reason || failure.Verdict != test.verdict || (failure.RetryAfter > 0) != (test.verdict == verdict.DidNotRun) {
-				t.Fatalf("%+v", failure)
+				t.Fatalf("got failure %+v, want the listed reason and verdict, and RetryAfter only if the request did not run", failure)
 			}
 			if test.reason != Cut && len(reply.heads) != 0 {
-				t.Error("a part was passed on")
+				t.Error("part of an answer was forwarded")
 			}
 		})
 	}
@@ -215,30 +217,31 @@
 		answers(200, true, true, "id: 3\ndata: c\n\n"))
 	reply, failure := f.serve(context.Background())
 	if failure != nil || len(reply.heads) != 1 || reply.body.String() != "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n" {
-		t.Fatalf("%v %q", failure, reply.body.String())
+		t.Fatalf("got failure %v and body %q, want the events of both streams without a gap", failure, reply.body.String())
 	}
 	if first := f.caller.calls[0]; first.ResumeAfter != -1 || reply.heads[0].Header[0].Value != first.Instance {
-		t.Errorf("the head is not the first back end's: %+v", reply.heads[0])
+		t.Errorf("the forwarded head is not that of the first back end: %+v", reply.heads[0])
 	}
 	if f.caller.calls[2].ResumeAfter != 2 {
-		t.Errorf("resumed after %d", f.caller.calls[2].ResumeAfter)
+		t.Errorf("the stream was resumed after event %d, want 2", f.caller.calls[2].ResumeAfter)
 	}
 	f = newFixture(t, rows, answers(200, true, false, "id: 1\n\n"), answers(500, false, true, "no"), answers(200, false, true, "all"))
 	if reply, failure := f.serve(context.Background()); failure == nil || failure.Reason != Cut || reply.body.String() != "id: 1\n\n" {
-		t.Errorf("%v %q", failure, reply.body.String())
+		t.Errorf("got failure %v and body %q, want reason Cut and the first event only", failure, reply.body.String())
 	}
 }
 
-// TestLargeAnswersAreNotHeldBack: an answer over the bound is passed on as it comes and cut when it breaks off.
+// TestLargeAnswersAreNotBuffered checks that an answer larger than the buffer is forwarded as it arrives, and reported
+// as cut if it ends early.
 func TestLargeAnswersAreNotBuffered(t *testing.T) {
 	large := strings.Repeat("x", DefaultMaxBufferedAnswer)
 	f := newFixture(t, baseRows+"r route_kind repeatable", answers(200, false, true, large, "yz"))
 	if reply, failure := f.serve(context.Background()); failure != nil || reply.body.String() != large+"yz" || reply.heads[0].Length != -1 {
-		t.Errorf("%v, %d bytes", failure, reply.body.Len())
+		t.Errorf("got failure %v and %d bytes, want the whole answer of unknown length", failure, reply.body.Len())
 	}
 	f = newFixture(t, baseRows+"r route_kind repeatable", answers(200, false, false, large, "yz"))
 	if _, failure := f.serve(context.Background()); failure == nil || failure.Reason != Cut {
-		t.Errorf("%v", failure)
+		t.Errorf("got failure %v, want reason Cut", failure)
 	}
 }
 
@@ -246,13 +249,13 @@
 	f := newFixture(t, baseRows+"r route_kind once", good)
 	request := &Request{Method: "GET", Host: "other", Path: "/", Received: time.Now()}
 	if failure := f.Serve(context.Background(), request, &recordedReply{}); failure == nil || failure.Reason != NoRoute {
-		t.Errorf("%v", failure)
+		t.Errorf("got failure %v, want reason NoRoute", failure)
 	}
 	f.lease.set(f.plan.Load().version, true)
 	for _, host := range []string{"h", "other"} {
 		request.Host = host
 		if failure := f.Serve(context.Background(), request, &recordedReply{}); failure == nil || failure.Reason != NoConfiguration || failure.RetryAfter < time.Second || f.Ready() {
-			t.Errorf("without a lease: %v", failure)
+			t.Errorf("without a lease: got failure %v, want reason NoConfiguration with RetryAfter of at least 1 s, and not ready", failure)
 		}
 	}
 	empty, err := New(Config{Control: f.lease, Caller: f.caller})
@@ -261,32 +264,34 @@
 	}
 	f.lease.set(0, false)
 	if failure := empty.Serve(context.Background(), request, &recordedReply{}); failure == nil || failure.Reason != NoConfiguration || empty.Ready() {
-		t.Errorf("without a configuration: %v", failure)
+		t.Errorf("without a configuration: got failure %v, want reason NoConfiguration, and not ready", failure)
 	}
 }
 
-// TestDecisionsAreMadeAnew: the table changes between the choice and the send; the request follows it.
+// TestTableChangeBeforeSendReroutesRequest checks that a request follows a table that changes between the choice of a
+// back end and the send.
 func TestTableChangeBeforeSendReroutesRequest(t *testing.T) {
 	views := viewsOf(t, baseRows+"r route_kind once", "r pools q:1;q1 kind backend;q1 pool q;q1 address 127.0.0.1:4")
 	f := newFixture(t, baseRows+"r route_kind once", good)
 	asked := 0
 	f.config.Control = admitFunc(func() (uint64, bool) {
-		if asked++; asked == 2 { // the first time is for the route, the second for the send
+		if asked++; asked == 2 { // the first check is for the route, the second for the send
 			f.Update(views[1])
 		}
 		return f.plan.Load().version, true
 	})
 	reply, failure := f.serve(context.Background())
 	if failure != nil || reply.body.String() != "good" || fmt.Sprint(f.caller.instances()) != "map[q1:1]" || asked < 3 {
-		t.Errorf("%v %v", failure, f.caller.instances())
+		t.Errorf("got failure %v and sends %v, want one send to q1 of the new table", failure, f.caller.instances())
 	}
 	f.Update(views[0])
 	if f.plan.Load().version != views[1].Version() {
-		t.Error("an older view was taken over")
+		t.Error("an older view replaced the current one")
 	}
 }
 
-// TestLeaseThatLapsesBeforeTheSend: a request whose lease ended since the choice is not sent, and is told so.
+// TestLeaseLapsedBeforeSendDoesNotRun checks that a request is not sent, and is reported as not run, if the lease
+// lapses after the choice of a back end.
 func TestLeaseLapsedBeforeSendDoesNotRun(t *testing.T) {
 	f := newFixture(t, baseRows+"r route_kind once", good)
 	asked := 0
@@ -296,7 +301,7 @@
 	})
 	_, failure := f.serve(context.Background())
 	if failure == nil || failure.Verdict != verdict.DidNotRun || len(f.caller.instances()) > 0 {
-		t.Errorf("%v %v", failure, f.caller.instances())
+		t.Errorf("got failure %v and sends %v, want a request that did not run and no sends", failure, f.caller.instances())
 	}
 }
 
@@ -304,28 +309,29 @@
 
 func (a admitFunc) Admit() (uint64, bool) { return a() }
 
-// TestTimeAndCallers runs in virtual time.
+// TestTimeoutAndCallerDisconnect checks that an unanswered request ends at the route's timeout or as soon as its caller
+// disconnects. It runs in virtual time.
 func TestTimeoutAndCallerDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, baseRows+"r route_kind once;r timeout_millis 300", silent)
 		started := time.Now()
 		if _, failure := f.serve(context.Background()); failure == nil || failure.Reason != TimedOut || failure.Verdict != verdict.MayHaveRun {
-			t.Errorf("%v", failure)
+			t.Errorf("got failure %v, want reason TimedOut and a request that may have run", failure)
 		}
 		if held, left := time.Since(started), f.caller.calls[0].Deadline; left != 300*time.Millisecond || held != left {
-			t.Errorf("the back end was given %v, the caller was held %v", left, held)
+			t.Errorf("the back end received a deadline of %v and the caller was held for %v, want 300 ms for both", left, held)
 		}
 		f = newFixture(t, baseRows+"r route_kind repeatable", silent)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(10*time.Millisecond, cancel)
 		started = time.Now()
 		if _, failure := f.serve(ctx); failure == nil || failure.Reason != CallerGone || len(f.caller.calls) != 1 || time.Since(started) > 10*time.Millisecond {
-			t.Errorf("%v", failure)
+			t.Errorf("got failure %v, want reason CallerGone after 1 send within 10 ms", failure)
 		}
 	})
 }
 
-// after answers after a while in virtual time, unless it is cancelled.
+// after delays a step in virtual time unless it is cancelled.
 func after(wait time.Duration, then step) step {
 	return func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		select {
@@ -337,10 +343,10 @@
 	}
 }
 
-// TestHedging: a request that may be repeated goes to a second back end when the first is slow to begin; one of
-// the two answers is passed on, whole, and the other attempt is cancelled.
+// TestHedging checks that a repeatable request goes to a second back end if the first is slow to answer, that exactly
+// one of the two answers is forwarded, whole, and that the other attempt is cancelled.
 func TestHedging(t *testing.T) {
-	const delay = 40 * time.Millisecond // two fifths of the target
+	const delay = 40 * time.Millisecond // hedgeNumerator / hedgeDenominator of the target latency
 	for name, test := range map[string]struct {
 		first, second step
 		calls         int
@@ -363,11 +369,11 @@
 				started := time.Now()
 				reply, failure := f.serve(context.Background())
 				if failure != nil || reply.body.String() != test.body || len(reply.heads) != 1 || time.Since(started) != test.took {
-					t.Errorf("%v %q after %v", failure, reply.body.String(), time.Since(started))
+					t.Errorf("got failure %v and body %q after %v, want the listed body and time, and one head", failure, reply.body.String(), time.Since(started))
 				}
-				synctest.Wait() // the other attempt has ended
+				synctest.Wait() // until the other attempt has ended
 				if counts := f.caller.instances(); len(counts) != test.calls || len(f.caller.calls) != test.calls {
-					t.Errorf("calls %v", counts)
+					t.Errorf("got sends %v, want the listed number, each to a different back end", counts)
 				}
 			})
 		})
@@ -375,12 +381,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, baseRows+"r route_kind repeatable;r target_latency_millis 100", after(60*time.Millisecond, lost), after(10, lost))
 		if _, failure := f.serve(context.Background()); failure == nil || failure.Reason != Broken || len(f.caller.calls) != 2 {
-			t.Errorf("both lost: %v", failure)
+			t.Errorf("both attempts lost: got failure %v, want reason Broken after 2 sends", failure)
 		}
 	})
 }
 
-// TestSlots: a request waits for a slot a part of its target and is then refused as not run.
+// TestSlotWaitEndsInRejection checks that a request waits for a slot for a fraction of the target latency and is then
+// rejected as not run.
 func TestSlotWaitEndsInRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := "p kind pool;p max_in_flight 1;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;r kind route;r host h;r path_prefix /;r pools p:1;r target_latency_millis 40"
@@ -394,25 +401,26 @@
 		synctest.Wait()
 		started := time.Now()
 		if _, failure := f.serve(context.Background()); failure == nil || failure.Reason != Overloaded || failure.Verdict != verdict.DidNotRun || failure.RetryAfter == 0 {
-			t.Errorf("%v", failure)
+			t.Errorf("got failure %v, want reason Overloaded and RetryAfter for a request that did not run", failure)
 		}
-		if held := time.Since(started); held > 10*time.Millisecond {
-			t.Errorf("refused after %v", held)
+		if waited := time.Since(started); waited > 10*time.Millisecond {
+			t.Errorf("rejected after %v, want at most 10 ms", waited)
 		}
 		second := make(chan *Failure)
 		go func() { _, failure := f.serve(context.Background()); second <- failure }()
 		synctest.Wait()
 		close(release)
 		if one, two := <-first, <-second; one != nil || two != nil {
-			t.Errorf("%v, %v", one, two)
+			t.Errorf("got failures %v and %v, want two answers", one, two)
 		}
 		if _, failure := f.serve(context.Background()); failure != nil || f.pools["p"].queue.InFlight() != 0 {
-			t.Errorf("the slots were not given back: %v", failure)
+			t.Errorf("slots were not released: failure %v", failure)
 		}
 	})
 }
 
-// TestRequestsThatMayFailThemselves: their failures are told, and no back end is shut out for a single one.
+// TestRequestFailuresAreReportedWithoutQuarantine checks requests that may fail through their own fault: their failures
+// are reported, and a single one quarantines no back end.
 func TestRequestFailuresAreReportedWithoutQuarantine(t *testing.T) {
 	f := newFixture(t, baseRows+"r route_kind repeatable", answers(500, false, true, "no"))
 	for number, quarantined := range []int{0, 2} { // the second request fails at the same back ends
@@ -423,22 +431,22 @@
 			t.Fatal(failure)
 		}
 		if len(failed) != 2 || failed[0] == failed[1] {
-			t.Fatalf("request %d failed at %v, want two back ends", number, failed)
+			t.Fatalf("request %d failed at %v, want two different back ends", number, failed)
 		}
-		left := 0
-		held := f.plan.Load().pools["p"]
+		inQuarantine := 0
+		pool := f.plan.Load().pools["p"]
 		for _, name := range []string{"p1", "p2", "p3"} {
-			if length, _ := held.replicas.Quarantine(name, f.now()); length > 0 {
-				left++
+			if length, _ := pool.replicas.Quarantine(name, f.now()); length > 0 {
+				inQuarantine++
 			}
 		}
-		if left > quarantined {
-			t.Fatalf("%d back ends are shut out after %d such requests", left, number+1)
+		if inQuarantine > quarantined {
+			t.Fatalf("%d back ends are in quarantine after %d such requests", inQuarantine, number+1)
 		}
 	}
 }
 
-// TestSlotShare: a process that may fill half of a pool's slots has no more requests there at once.
+// TestSlotShare checks that a process with a SlotShare of one half has half of a pool's slots.
 func TestSlotShare(t *testing.T) {
 	lease := &testLease{}
 	forwarder, err := New(Config{Control: lease, Caller: &scriptedCaller{script: []step{silent}}, SlotShare: 0.5, Seed: 1, Clock: testClock()})
@@ -448,6 +456,6 @@
 	view := viewsOf(t, baseRows+"r route_kind repeatable;p max_in_flight 4")[0]
 	forwarder.Update(view)
 	if slots := forwarder.plan.Load().pools["p"].queue.Slots(); slots != 6 {
-		t.Fatalf("%d slots of three back ends with 4 each", slots)
+		t.Fatalf("got %d slots with half of three back ends with 4 slots each, want 6", slots)
 	}
 }
--- a/internal/forward/largebodies_test.go
+++ b/internal/forward/largebodies_test.go
@@ -17,8 +17,8 @@
 
 const largeTestBody = 32 << 20
 
-// memoryReplicas are back ends that read bodies and answer after a while; one that holds more than its memory crashes, with all that it
-// runs, and is there again at once.
+// memoryReplicas simulates back ends that read a request body and answer after a while. A back end that holds more
+// bytes than its memory crashes, together with all its requests, and is available again at once.
 type memoryReplicas struct {
 	memory   int64
 	readTime time.Duration
@@ -30,7 +30,7 @@
 	crashed    map[string]chan struct{} // closed when the present start crashes
 	crashes    int
 	served     map[string]int
-	reading    map[string]int // large bodies that are on their way
+	reading    map[string]int // large bodies being transferred
 	maxReading int            // the most of these at one back end
 }
 
@@ -39,7 +39,7 @@
 		crashed: map[string]chan struct{}{}, served: map[string]int{}, reading: map[string]int{}}
 }
 
-// take holds a body; the channel is closed when the back end crashes.
+// holdBody adds a body to a back end. The returned channel is closed when the back end crashes.
 func (m *memoryReplicas) holdBody(instance string, bytes int64) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,7 +76,7 @@
 	m.served[instance]++
 }
 
-// step runs one call at a back end.
+// serveCall runs one call at a back end.
 func (m *memoryReplicas) serveCall(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 	bytes := int64(len(call.Body))
 	over := m.holdBody(call.Instance, bytes)
@@ -106,7 +106,7 @@
 	return good(ctx, call, sink)
 }
 
-// sends has requests with bodies of a size served at once, and returns how they ended.
+// serveConcurrently serves requests with bodies of the given size concurrently and returns their failures.
 func (f *fixture) serveConcurrently(ctx context.Context, count, size int, deadline time.Duration) []*Failure {
 	failures := make([]*Failure, count)
 	body := []byte(strings.Repeat("x", size))
@@ -121,13 +121,14 @@
 	return failures
 }
 
-// spreading has the fixture handle large bodies apart.
+// withSpreadBytes enables Config.SpreadBytes.
 func (f *fixture) withSpreadBytes() *fixture {
 	f.config.SpreadBytes = true
 	return f
 }
 
-// TestLargeBodiesAreAsOthersWhereNotAskedFor: they go where small ones would go, several at once, and the fleet is told nothing.
+// TestLargeBodiesAreNotSpreadByDefault checks that without SpreadBytes several large bodies go to one back end at once,
+// like small ones, and that no demand is published to the fleet.
 func TestLargeBodiesAreNotSpreadByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(3*largeTestBody-1, 100*time.Millisecond, time.Second)
@@ -136,12 +137,13 @@
 		f.serveConcurrently(t.Context(), 9, largeTestBody, time.Minute)
 		pool := f.plan.Load().pools["p"]
 		if replicas.maxReading < 2 || replicas.crashes == 0 || pool.large.ledger.Limit(f.now()) != 0 || len(shares.demands) != 0 || f.usesShares() {
-			t.Errorf("%d bodies beside each other, %d crashes, a limit of %d, told %v", replicas.maxReading, replicas.crashes, pool.large.ledger.Limit(f.now()), shares.demands)
+			t.Errorf("got %d concurrent transfers to a back end, %d crashes, a limit of %d and demands %v, want concurrent transfers, crashes, no limit and no demands", replicas.maxReading, replicas.crashes, pool.large.ledger.Limit(f.now()), shares.demands)
 		}
 	})
 }
 
-// TestLargeBodiesAreSpreadByBytes: over all back ends alike, one on its way to each at a time.
+// TestLargeBodiesAreSpreadByBytes checks that large bodies are spread evenly over all back ends and transferred to each
+// of them one at a time.
 func TestLargeBodiesAreSpreadByBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 100*time.Millisecond, 10*time.Second)
@@ -153,17 +155,17 @@
 		}
 		for instance, most := range replicas.maxHeld {
 			if most != 10<<20 {
-				t.Errorf("%s held %d bytes", instance, most)
+				t.Errorf("%s held up to %d bytes, want 10 MiB", instance, most)
 			}
 		}
 		if len(replicas.maxHeld) != 3 || replicas.maxReading != 1 {
-			t.Errorf("%d back ends, %d bodies beside each other on their way", len(replicas.maxHeld), replicas.maxReading)
+			t.Errorf("got %d back ends used and up to %d concurrent transfers to one, want 3 and 1", len(replicas.maxHeld), replicas.maxReading)
 		}
 	})
 }
 
-// TestOneCrashTeachesTheSum: after the first back end that a sum of bodies brought down no other follows, all bodies are served, and
-// small requests see nothing of it.
+// TestOneCrashLearnsByteLimit checks that after the first back end has crashed because of the total size of its bodies
+// no other crashes, that all bodies are served, and that small requests are not affected.
 func TestOneCrashLearnsByteLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(3*largeTestBody-1, 50*time.Millisecond, time.Second)
@@ -176,11 +178,11 @@
 			}
 		}
 		if replicas.crashes != 1 {
-			t.Errorf("%d back ends crashed", replicas.crashes)
+			t.Errorf("%d back ends crashed, want 1", replicas.crashes)
 		}
 		request := &Request{Method: "POST", Path: "/", Host: "h", Body: []byte(strings.Repeat("x", largeTestBody))}
 		if run, judged := guard.Begin(t.Context(), func() poison.Identity { return identityOf(request, "") }); run == nil || run.Suspected() {
-			t.Errorf("a request is suspected of what the sum did: %+v", judged)
+			t.Errorf("a request is suspected of a crash that the sum of the bodies caused: %+v", judged)
 		}
 		began := time.Now()
 		for range 3 {
@@ -191,19 +193,19 @@
 			}
 		}
 		if replicas.crashes != 1 || time.Since(began) > 20*time.Second {
-			t.Errorf("%d crashes, %v", replicas.crashes, time.Since(began))
+			t.Errorf("got %d crashes in %v, want 1 crash and at most 20 s", replicas.crashes, time.Since(began))
 		}
 	})
 }
 
-// TestBodiesWithoutRoomAreRefusedInTime: when a limit is in force and it is known that no back end will have room in time; the time to come again is that at
-// which there is some.
+// TestLargeBodyIsRejectedWhenSpaceComesTooLate checks that under a limit a body is rejected at once if no back end will
+// have free space before its deadline, with a RetryAfter that is the time until space is free.
 func TestLargeBodyIsRejectedWhenSpaceComesTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := strings.NewReplacer("p2 kind backend;p2 pool p;p2 address 127.0.0.1:2;", "", "p3 kind backend;p3 pool p;p3 address 127.0.0.1:3;", "").Replace(baseRows)
 		replicas := newMemoryReplicas(1<<40, 1500*time.Millisecond, time.Second)
 		f := newFixture(t, rows+"r route_kind once;r timeout_millis 60000", replicas.serveCall).withSpreadBytes()
-		f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute) // tells how long one takes
+		f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute) // teaches the ledger how long a body takes
 		f.plan.Load().pools["p"].large.ledger.SetFleetLimit(f.now(), largeTestBody)
 		var background sync.WaitGroup
 		background.Go(func() { f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute) })
@@ -211,19 +213,20 @@
 		began := time.Now()
 		failure := f.serveConcurrently(t.Context(), 1, largeTestBody, 2*time.Second)[0]
 		if failure == nil || failure.Reason != Overloaded || failure.Verdict != verdict.DidNotRun || time.Since(began) > 10*time.Millisecond {
-			t.Fatalf("%+v after %v", failure, time.Since(began))
+			t.Fatalf("got failure %+v after %v, want reason Overloaded for a request that did not run, within 10 ms", failure, time.Since(began))
 		}
 		if failure.RetryAfter != 1500*time.Millisecond {
-			t.Errorf("to come again after %v", failure.RetryAfter)
+			t.Errorf("got RetryAfter %v, want 1.5 s", failure.RetryAfter)
 		}
 		if failure := f.serveConcurrently(t.Context(), 1, 300, 5*time.Second)[0]; failure != nil {
-			t.Errorf("a small request: %v", failure)
+			t.Errorf("a small request failed: %v", failure)
 		}
 		background.Wait()
 	})
 }
 
-// TestBodiesWaitInOrder: a large body isn't passed by smaller ones that came later, and one whose caller goes makes way.
+// TestLargeBodiesWaitInOrder checks that smaller bodies that arrive later do not overtake a large one, and that a body
+// whose caller disconnects leaves the queue.
 func TestLargeBodiesWaitInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := strings.NewReplacer("p2 kind backend;p2 pool p;p2 address 127.0.0.1:2;", "", "p3 kind backend;p3 pool p;p3 address 127.0.0.1:3;", "").Replace(baseRows)
--- a/internal/forward/largeclient_test.go
+++ b/internal/forward/largeclient_test.go
@@ -15,8 +15,8 @@
 	"github.com/tamarindring/tamarindring/internal/replica"
 )
 
-// memoryServer is a replica on a connection of the system that bears so many bytes of requests. When it ends, another one takes its
-// address after a while.
+// memoryServer is a replica on a TCP connection that crashes when its requests exceed a number of bytes. Another one
+// takes over its address after one second.
 type memoryServer struct {
 	memory  int64
 	address string
@@ -59,8 +59,8 @@
 	return made
 }
 
-// TestReplicasOnConnectionsCrashOnce: with connections of the system, one crash by the sum of large bodies teaches the limit; each body is
-// served, and every small request beside them.
+// TestReplicasOverTCPCrashOnce checks over real TCP connections that one crash caused by the total size of large bodies
+// suffices to learn the limit, that every body is served, and that no concurrent small request fails.
 func TestReplicasOverTCPCrashOnce(t *testing.T) {
 	if testing.Short() {
 		t.Skip("sends some hundred megabytes")
@@ -88,7 +88,7 @@
 			}
 			request := &Request{AttemptID: fmt.Sprint("small-", serial), Method: "POST", Path: "/", Host: "h", Body: []byte(strings.Repeat("x", 300)), Received: time.Now(), Deadline: 10 * time.Second}
 			if failure := f.Serve(t.Context(), request, &recordedReply{}); failure != nil {
-				t.Errorf("a small request: %v", failure)
+				t.Errorf("a small request failed: %v", failure)
 			}
 			small.Add(1)
 		}
@@ -96,7 +96,7 @@
 	for round := range 2 {
 		for _, failure := range f.serveConcurrently(t.Context(), 8, body, 50*time.Second) {
 			if failure != nil {
-				t.Errorf("round %d: %v", round, failure)
+				t.Errorf("round %d: a large request failed: %v", round, failure)
 			}
 		}
 	}
@@ -104,6 +104,6 @@
 	beside.Wait()
 	t.Logf("%d crashes, %d small requests", crashes.Load(), small.Load())
 	if crashes.Load() != 1 {
-		t.Errorf("%d crashes", crashes.Load())
+		t.Errorf("got %d crashes, want 1", crashes.Load())
 	}
 }
--- a/internal/forward/largeroom_test.go
+++ b/internal/forward/largeroom_test.go
@@ -17,7 +17,7 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// rowsWithout are the usual rows with a long route of a kind, without some back ends.
+// rowsWithoutBackEnds returns baseRows with a route of the given kind and a long timeout, without some back ends.
 func rowsWithoutBackEnds(kind string, gone ...int) string {
 	rows := baseRows + "r route_kind " + kind + ";r timeout_millis 60000"
 	for _, i := range gone {
@@ -26,8 +26,8 @@
 	return rows
 }
 
-// TestRefusingBackEndsAreTriedOnce: while the other one is busy with a body on its way, a back end that refuses a large body as not run is
-// not tried again and again.
+// TestLargeBodyTriesRefusingBackEndOnce checks that a back end that refuses a large body as not run is not tried over
+// and over while a transfer keeps the other back end busy.
 func TestLargeBodyTriesRefusingBackEndOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 2*time.Second, time.Second)
@@ -57,13 +57,13 @@
 			}
 		}
 		if refusals != 1 || replicas.served[busy] != 2 {
-			t.Errorf("%d refusals, %v served", refusals, replicas.served)
+			t.Errorf("got %d refusals and served counts %v, want 1 refusal and both bodies served by the busy back end", refusals, replicas.served)
 		}
 	})
 }
 
-// TestBodiesOnTheirWayRefuseNothing: a back end that is kept from a body only by one on its way is free when it has that, long before the
-// answer.
+// TestBodyInTransferRejectsNoOthers checks that a back end that is unavailable only because of a body in transfer is
+// expected to be free at the end of the transfer, long before the answer.
 func TestBodyInTransferRejectsNoOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 10*time.Millisecond, 10*time.Second)
@@ -71,14 +71,15 @@
 		for count := 1; count <= 4; count++ {
 			for _, failure := range f.serveConcurrently(t.Context(), count, 300<<10, 15*time.Second) {
 				if failure != nil {
-					t.Errorf("%d at once: %v", count, failure)
+					t.Errorf("%d concurrent bodies: a request failed: %v", count, failure)
 				}
 			}
 		}
 	})
 }
 
-// TestWaitingBodiesAreAdmittedOnce: those that wait for room pass the pool's queue when there is some, and are charged there then.
+// TestWaitingLargeBodiesAreAdmittedOnce checks that bodies that wait for free space pass the pool's admission queue,
+// and are charged there, only once space is free.
 func TestWaitingLargeBodiesAreAdmittedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 5*time.Second, time.Second)
@@ -94,12 +95,13 @@
 		}
 		calls.Wait()
 		if admitted := f.gather(t)["tamarindring_forward_admission_wait_seconds granted"]; admitted != 4 {
-			t.Errorf("%v admissions of 4 requests", admitted)
+			t.Errorf("got %v admissions of 4 requests, want 4", admitted)
 		}
 	})
 }
 
-// TestSharesWakeOnlyByChanges: who waits looks again when the limit or the turns have changed, not at each look at the shares.
+// TestOnlyShareChangesWakeWaitingBodies checks that a waiting body looks again when the limit or the turns have
+// changed, but not at each poll of the shares.
 func TestOnlyShareChangesWakeWaitingBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, shares := sharingFixture(t, newMemoryReplicas(1<<40, 50*time.Millisecond, time.Second).serveCall)
@@ -120,34 +122,35 @@
 		}
 		woken()
 		if times := woken(); times != 0 {
-			t.Errorf("woken %d times by nothing", times)
+			t.Errorf("woken %d times without a change, want 0", times)
 		}
 		shares.set(share.Bytes("p"), 40<<20/share.BytesUnit)
 		if times := woken(); times != 1 {
-			t.Errorf("woken %d times by a limit", times)
+			t.Errorf("woken %d times by a new limit, want 1", times)
 		}
 		for _, instance := range []string{"p1", "p2", "p3"} {
 			shares.set(share.Turn(instance), 1)
 		}
 		if times := woken(); times != 1 {
-			t.Errorf("woken %d times by a turn", times)
+			t.Errorf("woken %d times by new turns, want 1", times)
 		}
 	})
 }
 
-// largeRequest is a request of its own for a path.
+// largeRequest returns a request that its path distinguishes from others.
 func largeRequest(path string, size int) *Request {
 	return &Request{AttemptID: "id" + path, Method: "POST", Path: path, Host: "h", Body: []byte(strings.Repeat("x", size)), Received: time.Now(), Deadline: time.Minute}
 }
 
-// rowOf is a request on record with so many crashes.
+// suspectRowFor returns the table row that records a request with the given number of crashes.
 func suspectRowFor(suspect *Request, crashes string) string {
 	identity := identityOf(suspect, "")
 	name := poison.RowName(identity.Digest())
 	return ";" + name + " kind " + string(table.Suspect) + ";" + name + " crashes " + crashes
 }
 
-// TestWaitingBodiesAreJudgedAnew: what becomes known of a request while it waits for room forbids its run.
+// TestCondemnedWhileWaitingForSpaceIsRejected checks that a request that is condemned while it waits for free space
+// does not run.
 func TestCondemnedWhileWaitingForSpaceIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 5*time.Second, time.Second)
@@ -164,12 +167,13 @@
 		guard.Follow(viewsOf(t, rows, suspectRowFor(condemned, "3"))[1])
 		calls.Wait()
 		if failure == nil || failure.Reason != Suspected || failure.Verdict != verdict.DidNotRun || len(f.caller.calls) != 1 {
-			t.Errorf("%+v after %d sends", failure, len(f.caller.calls))
+			t.Errorf("got failure %+v after %d sends, want reason Suspected for a request that did not run, after 1 send", failure, len(f.caller.calls))
 		}
 	})
 }
 
-// TestWaitingBodiesClaimNoRun: the one run of a suspect isn't kept by a body that waits for room.
+// TestWaitingForSpaceClaimsNoRun checks that a body that waits for free space does not claim the only permitted run of
+// a suspect.
 func TestWaitingForSpaceClaimsNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, 5*time.Second, time.Second)
@@ -178,14 +182,14 @@
 		f, _ := newGuarded(t, rows, replicas.serveCall)
 		f.withSpreadBytes()
 		views := viewsOf(t, rows, suspectRowFor(suspect, "3"))
-		group, start := &recordingControl{}, time.Now()
-		guard, err := poisonguard.New(poisonguard.Config{Control: group, Clock: func() time.Duration { return time.Since(start) }})
+		control, start := &recordingControl{}, time.Now()
+		guard, err := poisonguard.New(poisonguard.Config{Control: control, Clock: func() time.Duration { return time.Since(start) }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.config.Guard = guard
 		guard.Follow(views[0])
-		group.onFirstChange = func() { guard.Follow(views[1]) }
+		control.onFirstChange = func() { guard.Follow(views[1]) }
 		time.Sleep(poison.DefaultTrialRest)
 		var calls sync.WaitGroup
 		calls.Go(func() { f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute) })
@@ -198,18 +202,19 @@
 		})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if steps := group.changeCount(); steps != 0 {
-			t.Errorf("%d changes of the record while it waits", steps)
+		if steps := control.changeCount(); steps != 0 {
+			t.Errorf("%d changes of the record while the body waits, want 0", steps)
 		}
 		calls.Wait()
 		synctest.Wait()
-		if steps := group.changeCount(); steps != 2 {
-			t.Errorf("%d changes of the record, want the claim and the clearing", steps)
+		if steps := control.changeCount(); steps != 2 {
+			t.Errorf("got %d changes of the record, want 2: the claim and the clearing", steps)
 		}
 	})
 }
 
-// TestSuspectsTeachNoLimit: the end of a back end that runs a suspect is no word on the bodies beside it.
+// TestSuspectCrashLearnsNoByteLimit checks that the crash of a back end that runs a suspect is not attributed to the
+// large bodies there.
 func TestSuspectCrashLearnsNoByteLimit(t *testing.T) {
 	for _, size := range []int{300, largeTestBody} {
 		synctest.Test(t, func(t *testing.T) {
@@ -232,20 +237,21 @@
 			pool := f.plan.Load().pools["p"]
 			pool.mu.Lock()
 			if held := pool.large.ledger.Held("p1"); held < 2*largeTestBody {
-				t.Errorf("the back end holds %d bytes", held)
+				t.Errorf("the back end holds %d bytes, want two large bodies", held)
 			}
 			pool.mu.Unlock()
 			close(gone)
 			calls.Wait()
 			ledger := pool.large.ledger
 			if ledger.Limit(f.now()) != 0 || ledger.LoneCrash(f.now()) != 0 {
-				t.Errorf("a suspect of %d bytes teaches a limit of %d", size, ledger.Limit(f.now()))
+				t.Errorf("the crash under a suspect of %d bytes led to a limit of %d, want none", size, ledger.Limit(f.now()))
 			}
 		})
 	}
 }
 
-// TestLargeBodiesAreFollowed: shares are looked at from the first large body on, in a pool of which nothing else is divided.
+// TestSharesArePolledForLargeBodies checks that shares are polled from the first large body on, in a pool of which
+// nothing else is divided.
 func TestSharesArePolledForLargeBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, shares := sharingFixture(t, newMemoryReplicas(1<<40, 50*time.Millisecond, time.Second).serveCall)
@@ -254,7 +260,7 @@
 		follower.Go(func() { f.FollowShares(following) })
 		time.Sleep(time.Second)
 		if f.usesShares() {
-			t.Error("shares are looked at for nothing")
+			t.Error("shares are polled although none is used")
 		}
 		limit := func() int64 {
 			pool := f.plan.Load().pools["p"]
@@ -267,46 +273,47 @@
 		shares.set(share.Bytes("p"), 7)
 		time.Sleep(2 * sharePollInterval)
 		if limit() != 7*share.BytesUnit || !f.usesShares() {
-			t.Errorf("a limit of %d while a body is there", limit())
+			t.Errorf("got a limit of %d while a body is present, want 7 units, and polled shares", limit())
 		}
 		time.Sleep(time.Second)
-		if told := shares.demand(share.Bytes("p")); told != (share.Demand{Waiting: 1}) || f.usesShares() {
-			t.Errorf("%+v is told and shares are looked at while there is no body", told)
+		if demand := shares.demand(share.Bytes("p")); demand != (share.Demand{Waiting: 1}) || f.usesShares() {
+			t.Errorf("got demand %+v without a body, want only the pool's own, and no polling of shares", demand)
 		}
 		shares.set(share.Bytes("p"), 5)
 		for _, instance := range []string{"p1", "p2", "p3"} {
 			shares.set(share.Turn(instance), 1)
 		}
 		if failure := f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute)[0]; failure != nil || limit() != 5*share.BytesUnit {
-			t.Errorf("%v, a limit of %d, told after a rest", failure, limit())
+			t.Errorf("got failure %v and a limit of %d after an idle period, want an answer and 5 units", failure, limit())
 		}
 		stop()
 		follower.Wait()
 	})
 }
 
-// TestChoicesGivenUpHoldNothing: where the retry budget permits no further send, the body chosen for it is no longer at its back end.
+// TestUnsentChoiceReleasesItsBody checks that a body is removed from a chosen back end if the retry budget does not
+// permit the send.
 func TestUnsentChoiceReleasesItsBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for name, first := range map[string]step{"a retry": lost, "a second send": after(time.Second, good)} {
 			f := newBudgeted(t, 0, "r route_kind repeatable;r timeout_millis 60000;r target_latency_millis 100", first, good).withSpreadBytes()
 			f.serveConcurrently(t.Context(), 1, largeTestBody, time.Minute)
 			if held := f.plan.Load().pools["p"].large.ledger.Bytes(); held != 0 || len(f.caller.instances()) != 1 {
-				t.Errorf("%s: %d bytes are held after sends to %v", name, held, f.caller.instances())
+				t.Errorf("%s: %d bytes are held after sends to %v, want 0 bytes after sends to one back end", name, held, f.caller.instances())
 			}
 		}
 	})
 }
 
-// TestLargeBodiesQueueWhereBackEndsAreFull: a back end whose slots are taken has room for a body all the same, which waits for a slot with
-// all others and not behind them.
+// TestLargeBodyQueuesForSlotWithOtherRequests checks that a large body waits in the admission queue for a back end that
+// has free space but no free slot. Otherwise it would get a slot only after all small requests.
 func TestLargeBodyQueuesForSlotWithOtherRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newMemoryReplicas(1<<40, time.Second, time.Second)
 		rows := rowsWithoutBackEnds("once", 3) + ";p max_in_flight 1;p queue_limit 9;p queue_wait_millis 30000"
 		f := newFixture(t, rows, func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 			if call.Path == "/first" {
-				time.Sleep(20 * time.Second) // on its way all the time
+				time.Sleep(20 * time.Second) // in transfer throughout the test
 			}
 			return replicas.serveCall(ctx, call, sink)
 		}).withSpreadBytes()
@@ -316,7 +323,7 @@
 			calls.Go(func() {
 				began := time.Now()
 				if failure := f.Serve(t.Context(), largeRequest(path, size), &recordedReply{}); failure != nil {
-					t.Errorf("%s: %v", path, failure)
+					t.Errorf("%s: the request failed: %v", path, failure)
 				}
 				if took != nil {
 					*took = time.Since(began)
@@ -332,13 +339,13 @@
 		}
 		calls.Wait()
 		if took > 4*time.Second {
-			t.Errorf("the second body took %v, although a slot was free after 2 s", took)
+			t.Errorf("the second body took %v, want at most 4 s: a slot was free after 2 s", took)
 		}
 	})
 }
 
-// TestExpectedRoom: no wait is expected without a limit, while a back end is empty, and of bodies that are overdue; under a limit the wait is
-// that for the bodies that must end first, and for those before it in the line.
+// TestEstimateSpaceWait checks that no wait is expected without a limit, while a back end is empty, or while bodies are
+// overdue. Under a limit the wait is the time until enough bodies end, plus that for the bodies queued before.
 func TestEstimateSpaceWait(t *testing.T) {
 	const took = 10 * time.Second
 	f := newFixture(t, rowsWithoutBackEnds("once", 3), good)
@@ -351,7 +358,7 @@
 	expect := func(what string, now time.Duration, waiting *largeBodyWait, want time.Duration) {
 		t.Helper()
 		if wait, _ := pool.estimateSpaceWait(now, waiting, nil); wait != want {
-			t.Errorf("%s: a wait of %v, want %v", what, wait, want)
+			t.Errorf("%s: got a wait of %v, want %v", what, wait, want)
 		}
 	}
 	ledger.Accept(ledger.Add(now, "p1", largeTestBody))
@@ -364,6 +371,6 @@
 	expect("two before it", now+2*time.Second, third, 18*time.Second)
 	expect("an overdue body", now+took, third, 0)
 	if wait, _ := pool.estimateSpaceWait(now+2*time.Second, first, []string{"p1"}); wait != 9*time.Second {
-		t.Errorf("the one that was not tried: a wait of %v", wait)
+		t.Errorf("one back end excluded: got a wait of %v, want 9 s", wait)
 	}
 }
--- a/internal/forward/metrics_test.go
+++ b/internal/forward/metrics_test.go
@@ -44,9 +44,9 @@
 		"tamarindring_forward_sends_total whole": 1, "tamarindring_forward_send_duration_seconds whole": 1,
 		"tamarindring_forward_admission_wait_seconds granted": 1}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v, not %v", got, want)
+		t.Errorf("got metrics %v, want %v", got, want)
 	}
 	if f.Process().Ready(context.Background()) == nil != f.Ready() {
-		t.Error("the listener does not say what the forwarder says")
+		t.Error("Process().Ready and Ready disagree")
 	}
 }
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestDrainingBackEndsGetNothing: requests go to the back ends that stay, and when none stays they are refused as not run.
+// TestDrainingBackEndsGetNothing checks that requests go only to the back ends that are not draining, and are rejected
+// as not run if there is none.
 func TestDrainingBackEndsGetNothing(t *testing.T) {
 	f := newFixture(t, baseRows+"r route_kind repeatable;p1 state draining;p3 state removed", good)
 	for range 30 {
@@ -18,18 +19,18 @@
 		}
 	}
 	if got := fmt.Sprint(f.caller.instances()); got != "map[p2:30]" {
-		t.Errorf("the requests went to %s", got)
+		t.Errorf("got sends %s, want all 30 to p2", got)
 	}
 	f = newFixture(t, baseRows+"r route_kind repeatable;p1 state draining;p2 state draining;p3 state draining", good)
 	if _, failure := f.serve(context.Background()); failure == nil || failure.Reason != Unavailable && failure.Reason != Overloaded || len(f.caller.instances()) > 0 {
-		t.Errorf("%v %v", failure, f.caller.instances())
+		t.Errorf("got failure %v and sends %v, want reason Unavailable or Overloaded and no sends", failure, f.caller.instances())
 	}
 }
 
 var twoPools = strings.Replace(baseRows, "r pools p:1", "r pools p:70,q:30", 1) + "q1 kind backend;q1 pool q;q1 address 127.0.0.1:4;r route_kind repeatable;"
 
-// TestPoolsGetTheirShares: the pools of a route get requests by their weights; one that takes none leaves its share to the
-// others, and comes back to it.
+// TestPoolsReceiveRequestsByWeight checks that the pools of a route receive requests by weight. A pool that accepts
+// none leaves its share to the others.
 func TestPoolsReceiveRequestsByWeight(t *testing.T) {
 	const requests = 2000
 	f := newFixture(t, twoPools, good)
@@ -39,7 +40,7 @@
 		}
 	}
 	if share := float64(f.caller.instances()["q1"]) / requests; share < 0.26 || share > 0.34 {
-		t.Errorf("a pool with 30%% of the weight got %.1f%%", 100*share)
+		t.Errorf("a pool with 30%% of the weight got %.1f%% of the requests, want 26%% to 34%%", 100*share)
 	}
 	f = newFixture(t, twoPools+"q1 state draining", good)
 	for range 100 {
@@ -48,11 +49,11 @@
 		}
 	}
 	if got := f.caller.instances()["q1"]; got > 0 {
-		t.Errorf("a pool that takes no work got %d requests", got)
+		t.Errorf("a pool without serving back ends got %d requests, want 0", got)
 	}
 }
 
-// TestSecondSendsCount: where a route allows one send, a slow back end gets no second one beside it.
+// TestHedgeCountsAsAttempt checks that a slow back end gets no hedge if the route permits only one send.
 func TestHedgeCountsAsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := strings.Replace(baseRows, "r max_attempts 2", "r max_attempts 1", 1)
@@ -61,20 +62,20 @@
 			t.Error(failure)
 		}
 		if calls := len(f.caller.calls); calls != 1 {
-			t.Errorf("%d sends where one is allowed", calls)
+			t.Errorf("got %d sends, want 1", calls)
 		}
 	})
 }
 
-// TestRoutesTimeoutEndsARequestThatMayTakeLonger: a caller that would wait longer than the route allows gets its answer
-// when the route's time is over.
+// TestRouteTimeoutBoundsCallerDeadline checks that a caller whose deadline is longer than the route's timeout gets its
+// answer at the timeout.
 func TestRouteTimeoutBoundsCallerDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, baseRows+"r route_kind once;r timeout_millis 1000", silent)
 		started := time.Now()
 		failure := f.Serve(t.Context(), &Request{AttemptID: "id", Method: "POST", Path: "/", Host: "h", Received: started, Deadline: 5 * time.Second}, &recordedReply{})
 		if failure == nil || failure.Reason != TimedOut || time.Since(started) != time.Second {
-			t.Errorf("%v after %v", failure, time.Since(started))
+			t.Errorf("got failure %v after %v, want reason TimedOut after 1 s", failure, time.Since(started))
 		}
 	})
 }
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -14,19 +14,19 @@
 
 const restartRows = "p1 start_unix_millis 1000;p2 start_unix_millis 1000;p3 start_unix_millis 1000;"
 
-// TestAttemptsEndWithTheirStart: a back end takes a request, crashes behind a cut and starts again under its name. The attempt is
-// over once the table knows the new start, without a wait for an answer: a request that may run more than once goes on at
-// another back end, any other one may have run.
+// TestAttemptEndsWhenBackEndRestarts covers a back end that takes a request, crashes behind a network partition and
+// restarts under its name. The attempt must end as soon as the table shows the new start, without waiting for an
+// answer. A repeatable request continues at another back end; any other may have run.
 func TestAttemptEndsWhenBackEndRestarts(t *testing.T) {
 	for kind, want := range map[string]Reason{"repeatable": 0, "once": Broken} {
 		t.Run(kind, func(t *testing.T) {
 			taken := make(chan string, 1)
-			holds := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+			takeAndHold := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 				taken <- call.Instance
 				return silent(ctx, call, sink)
 			}
 			rows := baseRows + restartRows + "r route_kind " + kind + ";"
-			f := newFixture(t, rows, holds, good)
+			f := newFixture(t, rows, takeAndHold, good)
 			go func() {
 				at := incarnation.Parse(<-taken)
 				view := viewsOf(t, rows, at.ID+" start_unix_millis 2000")[1]
@@ -36,64 +36,64 @@
 			reply, failure := f.serve(t.Context())
 			if want != 0 {
 				if failure == nil || failure.Reason != want {
-					t.Fatalf("ended with %+v", failure)
+					t.Fatalf("got failure %+v, want the listed reason", failure)
 				}
 				return
 			}
 			if failure != nil || reply.body.String() != "good" || len(f.caller.calls) != 2 {
-				t.Fatalf("ended with %+v and %q after %d calls", failure, reply.body.String(), len(f.caller.calls))
+				t.Fatalf("got failure %+v and body %q after %d calls, want an answer after 2 calls", failure, reply.body.String(), len(f.caller.calls))
 			}
 		})
 	}
 }
 
-// TestRestartedBackEndBeginsWithNothing: a back end that was put into quarantine starts again. The new start is chosen like
-// one that was never tried; a late end of a request at the former one says nothing of it.
+// TestRestartedBackEndHasNoFailureHistory checks that a back end in quarantine is chosen like an untried one after a
+// restart, and that the late end of a request at its previous start does not count against it.
 func TestRestartedBackEndHasNoFailureHistory(t *testing.T) {
 	rows := "p kind pool;p1 kind backend;p1 pool p;p1 address 127.0.0.1:1;p1 start_unix_millis 1000;r kind route;r host h;r path_prefix /;r pools p:1;"
 	f := newFixture(t, rows, good)
-	held := f.plan.Load().pools["p"]
-	chosen, ok := held.choose(f.now(), &emptyRoutingRequest, nil)
+	pool := f.plan.Load().pools["p"]
+	chosen, ok := pool.choose(f.now(), &emptyRoutingRequest, nil)
 	if !ok || chosen.target.Instance != "p1@1000" {
-		t.Fatalf("chose %+v", chosen)
+		t.Fatalf("got choice %+v, want p1@1000", chosen)
 	}
-	if changed := held.endSend(f.now(), chosen.target.Instance, &emptyRoutingRequest, healthBad, nil); !changed.quarantined {
-		t.Fatalf("a failed send left %+v", changed)
+	if changed := pool.endSend(f.now(), chosen.target.Instance, &emptyRoutingRequest, healthBad, nil); !changed.quarantined {
+		t.Fatalf("got change %+v after a failed send, want quarantine", changed)
 	}
 	f.Update(viewsOf(t, rows, "p1 start_unix_millis 2000")[1])
-	again, ok := held.choose(f.now(), &emptyRoutingRequest, nil)
+	again, ok := pool.choose(f.now(), &emptyRoutingRequest, nil)
 	if !ok || again.target.Instance != "p1@2000" || again.inFlight != 1 {
-		t.Fatalf("chose %+v", again)
+		t.Fatalf("got choice %+v, want p1@2000 with 1 request in flight", again)
 	}
-	held.endSend(f.now()+time.Millisecond, chosen.target.Instance, &emptyRoutingRequest, healthBad, nil)
-	if left, _ := held.replicas.Quarantine(again.target.Instance, f.now()); left > 0 {
-		t.Fatal("the end of a request at the former start was held against the new one")
+	pool.endSend(f.now()+time.Millisecond, chosen.target.Instance, &emptyRoutingRequest, healthBad, nil)
+	if left, _ := pool.replicas.Quarantine(again.target.Instance, f.now()); left > 0 {
+		t.Fatal("the end of a request at the previous start put the new start into quarantine")
 	}
 }
 
-// TestAttemptsOutliveTheRecordOfTheirStart: starts are recorded from the step of an upgrade on. An attempt that began before it, at
-// a back end whose start was not recorded, is not over for that.
+// TestAttemptSurvivesFirstRecordedStart covers an upgrade, from a certain step of which on starts are recorded. An
+// attempt that began before that step, at a back end without a recorded start, must not end when its start is recorded.
 func TestAttemptSurvivesFirstRecordedStart(t *testing.T) {
-	taken, let := make(chan string, 1), make(chan struct{})
-	waits := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+	taken, release := make(chan string, 1), make(chan struct{})
+	takeAndWait := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		taken <- call.Instance
-		<-let
+		<-release
 		if err := ctx.Err(); err != nil {
 			return silent(ctx, call, sink)
 		}
 		return good(ctx, call, sink)
 	}
 	rows := baseRows + "r route_kind once;"
-	f := newFixture(t, rows, waits)
+	f := newFixture(t, rows, takeAndWait)
 	go func() {
 		at := <-taken
 		view := viewsOf(t, rows, at+" start_unix_millis 1000")[1]
 		f.Update(view)
 		f.lease.set(view.Version(), false)
-		close(let)
+		close(release)
 	}()
 	reply, failure := f.serve(t.Context())
 	if failure != nil || reply.body.String() != "good" || len(f.caller.calls) != 1 {
-		t.Fatalf("ended with %+v after %d calls", failure, len(f.caller.calls))
+		t.Fatalf("got failure %+v after %d calls, want an answer after 1 call", failure, len(f.caller.calls))
 	}
 }
--- a/internal/forward/retries_test.go
+++ b/internal/forward/retries_test.go
@@ -12,7 +12,8 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// newBudgeted is a fixture whose pool may send so many requests again, and where another back end has lost more than any of the test's.
+// newBudgeted returns a fixture whose pool permits the given number of retries. Retries after losses at the back end with
+// the most losses do not use up the budget, so "another" back end outside the test has lost more than any other.
 func newBudgeted(t *testing.T, permitted float64, rows string, script ...step) *fixture {
 	t.Helper()
 	f := newFixture(t, strings.Replace(baseRows, "max_attempts 2", "max_attempts 3", 1)+rows, script...)
@@ -25,14 +26,14 @@
 	return f
 }
 
-// TestRetriesStayWithinTheBudget: what is permitted is sent again, and nothing beyond.
+// TestRetriesStayWithinTheBudget checks that requests are sent again as far as the budget permits, and no further.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	for _, test := range []struct {
 		name, rows string
 		permitted  float64
 		script     []step
 		calls      int
-		body       string // of a whole answer
+		body       string // for a whole answer
 		reason     Reason
 		verdict    verdict.Verdict
 	}{
@@ -52,23 +53,23 @@
 			f := newBudgeted(t, test.permitted, test.rows, test.script...)
 			reply, failure := f.serve(context.Background())
 			if len(f.caller.calls) != test.calls {
-				t.Errorf("%d calls, want %d", len(f.caller.calls), test.calls)
+				t.Errorf("got %d calls, want %d", len(f.caller.calls), test.calls)
 			}
 			if test.reason == 0 && (failure != nil || reply.body.String() != test.body) {
-				t.Errorf("%v %q", failure, reply.body.String())
+				t.Errorf("got failure %v and body %q, want the listed body", failure, reply.body.String())
 			}
 			if test.reason != 0 && (failure == nil || failure.Reason != test.reason || failure.Verdict != test.verdict) {
-				t.Errorf("%+v", failure)
+				t.Errorf("got failure %+v, want the listed reason and verdict", failure)
 			}
 			if inFlight := f.pools["p"].budget.Figures(0).InFlight; inFlight != 0 {
-				t.Errorf("%d are counted in flight", inFlight)
+				t.Errorf("the budget counts %d requests in flight, want 0", inFlight)
 			}
 		})
 	}
 }
 
-// TestSecondSendsStayWithinTheBudget: without room in it the first back end is waited for; where one runs, a failure of the first asks
-// for nothing more.
+// TestHedgesStayWithinTheBudget checks that a request waits for its first back end if the budget permits no hedge, and
+// that a failure of the first attempt asks for no retry while a hedge runs.
 func TestHedgesStayWithinTheBudget(t *testing.T) {
 	const rows = "r route_kind repeatable;r target_latency_millis 100"
 	slow := after(60*time.Millisecond, good)
@@ -80,7 +81,7 @@
 	}{
 		"none permitted": {0, slow, 1, 60 * time.Millisecond},
 		"one permitted":  {1, slow, 2, 41 * time.Millisecond},
-		// The second send is there already when the first fails: nothing more is asked for.
+		// The hedge already runs when the first attempt fails, so no retry is asked for.
 		"the first fails": {1, after(40*time.Millisecond+1, answers(500, false, true, "no")), 2, 41 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -88,17 +89,18 @@
 			started := time.Now()
 			reply, failure := f.serve(context.Background())
 			if failure != nil || reply.body.String() != "good" || time.Since(started) != test.took {
-				t.Errorf("%s: %v %q after %v", name, failure, reply.body.String(), time.Since(started))
+				t.Errorf("%s: got failure %v and body %q after %v, want an answer after the listed time", name, failure, reply.body.String(), time.Since(started))
 			}
 			synctest.Wait()
 			if len(f.caller.calls) != test.calls {
-				t.Errorf("%s: %d calls", name, len(f.caller.calls))
+				t.Errorf("%s: got %d calls, want the listed number", name, len(f.caller.calls))
 			}
 		})
 	}
 }
 
-// TestCrashOfOneBackEndCostsNoCaller: each request that was there is sent again, in a pool that may send nothing again otherwise.
+// TestBackEndCrashRetriesEveryRequest checks that each request at a crashed back end is sent again, even if the budget
+// permits no other retries.
 func TestBackEndCrashRetriesEveryRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		crash := make(chan struct{})
@@ -123,25 +125,26 @@
 			}
 		}
 		if atCrash < 10 || len(f.caller.calls) != 60+atCrash {
-			t.Errorf("%d of %d calls were lost", atCrash, len(f.caller.calls))
+			t.Errorf("%d requests were lost in %d calls, want each lost request sent once more", atCrash, len(f.caller.calls))
 		}
 	})
 }
 
-// TestRetriesAreCounted by kind, and by whether they were sent.
+// TestRetriesAreCounted checks that retries are counted by kind and by whether the budget permitted them.
 func TestRetriesAreCounted(t *testing.T) {
 	f := newBudgeted(t, 1, "r route_kind repeatable", lost)
 	if _, failure := f.serve(context.Background()); failure == nil {
-		t.Error("answered")
+		t.Error("the request was answered, want a failure")
 	}
 	for outcome, want := range map[string]float64{retrySent: 1, retryOverBudget: 1} {
 		if got := f.gather(t)["tamarindring_forward_retries_total "+kindRetry+" "+outcome]; got != want {
-			t.Errorf("%v %s, want %v", got, outcome, want)
+			t.Errorf("got %v retries with outcome %s, want %v", got, outcome, want)
 		}
 	}
 }
 
-// TestBudgetsAreMadeWhereTheyAreAskedFor and are kept when the table changes.
+// TestRetryBudgetIsOptionalAndKept checks that pools have a retry budget only if limits are configured, and keep it
+// when the table changes.
 func TestRetryBudgetIsOptionalAndKept(t *testing.T) {
 	views := viewsOf(t, baseRows+"r route_kind once", "p max_in_flight 7")
 	for _, limits := range []*retrybudget.Limits{nil, {Burst: 5}} {
@@ -150,9 +153,9 @@
 			t.Fatal(err)
 		}
 		forwarder.Update(views[0])
-		held := forwarder.pools["p"].budget
-		if forwarder.Update(views[1]); (held != nil) != (limits != nil) || forwarder.pools["p"].budget != held {
-			t.Errorf("limits %v: %v, then %v", limits, held, forwarder.pools["p"].budget)
+		budget := forwarder.pools["p"].budget
+		if forwarder.Update(views[1]); (budget != nil) != (limits != nil) || forwarder.pools["p"].budget != budget {
+			t.Errorf("limits %v: got budget %v, then %v, want one only with limits, and the same after an update", limits, budget, forwarder.pools["p"].budget)
 		}
 	}
 }
--- a/internal/forward/shares_test.go
+++ b/internal/forward/shares_test.go
@@ -14,13 +14,13 @@
 	"github.com/tamarindring/tamarindring/internal/share"
 )
 
-// fakeShares is a share.Source whose answers a test sets.
+// fakeShares is a share.Source whose answers are set by the test.
 type fakeShares struct {
 	mu                    sync.Mutex
 	shares                map[string]uint32
 	demands               map[string]share.Demand
 	renewals              int
-	demandsAtFirstRenewal map[string]share.Demand // what was told before the first hurry
+	demandsAtFirstRenewal map[string]share.Demand // published before the first early renewal
 }
 
 func newFakeShares() *fakeShares {
@@ -40,7 +40,7 @@
 	f.demands[resource] = demand
 }
 
-// wanted is the demand that was told last.
+// demand returns the demand published last.
 func (f *fakeShares) demand(resource string) share.Demand {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,18 +75,19 @@
 	return forwarder, source
 }
 
-// TestPoolKeepsToItsShare: a request above the share waits, the demand is told and the renewal hurried; a larger share lets it go on.
+// TestPoolStaysWithinItsShare checks that a request above the share waits, that the demand is published with an early
+// renewal, and that a larger share admits the request.
 func TestPoolStaysWithinItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder, source := sharedForwarder(t, sharedRows)
 		pool := forwarder.plan.Load().pools["p"]
 		if pool.queue.Slots() != 12 {
-			t.Fatalf("%d slots before anybody divides them", pool.queue.Slots())
+			t.Fatalf("got %d slots before anybody divides them, want 12", pool.queue.Slots())
 		}
 		source.set(share.Slots("p"), 1)
 		forwarder.SharesChanged()
 		if pool.queue.Slots() != 1 {
-			t.Fatalf("%d slots with a share of 1", pool.queue.Slots())
+			t.Fatalf("got %d slots with a share of 1, want 1", pool.queue.Slots())
 		}
 		var entered sync.WaitGroup
 		for id := range uint64(2) {
@@ -99,7 +100,7 @@
 		}
 		synctest.Wait()
 		if got := source.demands[share.Slots("p")]; got != (share.Demand{InUse: 1, Waiting: 1}) || source.renewals == 0 {
-			t.Fatalf("told %+v, hurried %d times", got, source.renewals)
+			t.Fatalf("got demand %+v and %d early renewals, want InUse 1, Waiting 1 and some renewals", got, source.renewals)
 		}
 		source.set(share.Slots("p"), 2)
 		forwarder.SharesChanged()
@@ -107,8 +108,8 @@
 	})
 }
 
-// TestBurstWaitsForALargerShare: requests that the pool has room for are not refused by a small share before the leader has heard of them.
-// If it does not grow, those that come later are.
+// TestBurstWaitsForALargerShare checks that a small share rejects no requests for which the pool has slots before the
+// leader knows of the burst. If the share does not grow, later requests are rejected.
 func TestBurstWaitsForALargerShare(t *testing.T) {
 	for name, grown := range map[string]uint32{"it grows": 12, "it does not": 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -141,7 +142,7 @@
 				synctest.Wait()
 			}
 			if first.Load() > 0 || calm.Load() > 0 {
-				t.Errorf("%s: %d of the burst are refused before the leader has heard of it, %d before", name, first.Load(), calm.Load())
+				t.Errorf("%s: %d requests of the burst were rejected before the share could grow, and %d before the burst, want none", name, first.Load(), calm.Load())
 			}
 			time.Sleep(50 * time.Millisecond)
 			source.set(share.Slots("p"), grown)
@@ -151,14 +152,15 @@
 				synctest.Wait()
 			}
 			if refused := later.Load(); (refused > 0) != (grown == 1) {
-				t.Errorf("%s: %d of those that come later are refused at once", name, refused)
+				t.Errorf("%s: %d later requests were rejected, want some only if the share does not grow", name, refused)
 			}
 			entered.Wait()
 		})
 	}
 }
 
-// TestShareLeavesWithBackEndsInQuarantine: before the table says that they are lost.
+// TestQuarantineReducesUsableShare checks that the slots of a back end in quarantine are deducted from the share before
+// the table shows the back end as lost.
 func TestQuarantineReducesUsableShare(t *testing.T) {
 	forwarder, source := sharedForwarder(t, sharedRows)
 	pool := forwarder.plan.Load().pools["p"]
@@ -166,26 +168,27 @@
 	pool.endSend(forwarder.now(), pool.targets["p1"].Instance, &routing.Request{}, healthBad, nil)
 	forwarder.SharesChanged()
 	if slots := pool.queue.Slots(); slots != 6 {
-		t.Fatalf("%d slots of a share of 9 with one back end of three shut out", slots)
+		t.Fatalf("got %d slots of a share of 9 with one of three back ends in quarantine, want 6", slots)
 	}
 }
 
-// TestBackEndsThatDrainAreNotUsable: they have no part in the pool's slots, so neither their quarantine takes any away nor do they make up
-// for that of others.
+// TestDrainingBackEndsDoNotAffectUsableShare checks that draining back ends have no part in the pool's slots: their
+// quarantine deducts nothing, and they do not compensate for the quarantine of others.
 func TestDrainingBackEndsDoNotAffectUsableShare(t *testing.T) {
-	for shut, want := range map[string]int{"p1": 3, "p2": 6, "p3": 8} {
+	for quarantined, want := range map[string]int{"p1": 3, "p2": 6, "p3": 8} {
 		forwarder, source := sharedForwarder(t, sharedRows+";p1 max_in_flight 6;p2 max_in_flight 3;p3 state draining")
 		pool := forwarder.plan.Load().pools["p"]
 		source.set(share.Slots("p"), 8)
-		pool.endSend(forwarder.now(), pool.targets[shut].Instance, &routing.Request{}, healthBad, nil)
+		pool.endSend(forwarder.now(), pool.targets[quarantined].Instance, &routing.Request{}, healthBad, nil)
 		forwarder.SharesChanged()
 		if slots := pool.queue.Slots(); slots != want {
-			t.Errorf("%d slots of a share of 8 without %s, want %d", slots, shut, want)
+			t.Errorf("got %d slots of a share of 8 with %s in quarantine, want %d", slots, quarantined, want)
 		}
 	}
 }
 
-// TestHalvedPoolWithAFullQueue: what runs goes on, what waits stays, and nothing more goes out than the smaller pool has room for.
+// TestHalvedPoolWithAFullQueue checks that running requests continue and waiting ones stay queued when a pool's slots
+// are halved, and that no more are sent than the smaller pool has slots for.
 func TestHalvedPoolWithAFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder, source := sharedForwarder(t, sharedRows)
@@ -203,31 +206,33 @@
 		halved := viewsOf(t, sharedRows, "p max_in_flight 2")[1]
 		forwarder.Update(halved)
 		if slots, running, waiting := pool.queue.Slots(), pool.queue.InFlight(), pool.queue.Waiting(); slots != 6 || running != 12 || waiting != 8 {
-			t.Fatalf("%d slots, %d run and %d wait", slots, running, waiting)
+			t.Fatalf("got %d slots, %d running and %d waiting requests, want 6, 12 and 8", slots, running, waiting)
 		}
 		cancel()
 		entered.Wait()
 	})
 }
 
-// TestOnlyPoolsWhoseRowsAskAreDivided: nothing is told of others, whatever the source says.
+// TestPoolWithoutSharedSlotsIsNotDivided checks that a pool without shared_slots publishes no demand and ignores the
+// source's shares.
 func TestPoolWithoutSharedSlotsIsNotDivided(t *testing.T) {
 	forwarder, source := sharedForwarder(t, baseRows+"r route_kind repeatable;p max_in_flight 4")
 	source.set(share.Slots("p"), 1)
 	forwarder.SharesChanged()
 	if slots := forwarder.plan.Load().pools["p"].queue.Slots(); slots != 12 || len(source.demands) != 0 || source.renewals != 0 {
-		t.Fatalf("%d slots, told %v", slots, source.demands)
+		t.Fatalf("got %d slots and demands %v, want 12 slots and no demands", slots, source.demands)
 	}
 }
 
-// TestSharesAreFollowedOnlyWhileTheyAreUsed: an idle gateway was woken fifty times a second, whether anything was divided or not.
+// TestSharesArePolledOnlyWhileUsed guards against an idle gateway that is woken fifty times a second, whether anything
+// is divided or not.
 func TestSharesArePolledOnlyWhileUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		views := viewsOf(t, baseRows+"r route_kind repeatable;p max_in_flight 4", "p shared_slots true")
 		source := newFakeShares()
-		var read atomic.Int64 // times that the clock was read: each look reads it
+		var clockReads atomic.Int64 // reads of the clock; each poll reads it
 		counted := func() time.Time {
-			read.Add(1)
+			clockReads.Add(1)
 			return time.Now()
 		}
 		forwarder, err := New(Config{Control: &testLease{}, Caller: &scriptedCaller{script: []step{silent}}, Shares: source, Seed: 1, Clock: testClock(),
@@ -238,30 +243,30 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go forwarder.FollowShares(ctx)
-		looks := func() int64 {
-			time.Sleep(2 * sharePollInterval) // what was under way has ended
-			before := read.Load()
+		countPolls := func() int64 {
+			time.Sleep(2 * sharePollInterval) // until the current poll has ended
+			before := clockReads.Load()
 			time.Sleep(10 * sharePollInterval)
-			return read.Load() - before
+			return clockReads.Load() - before
 		}
 		forwarder.Update(views[0])
-		if got := looks(); got != 0 {
-			t.Errorf("%d looks at shares where nothing is divided", got)
+		if got := countPolls(); got != 0 {
+			t.Errorf("got %d polls of shares although nothing is divided, want 0", got)
 		}
 		forwarder.Update(views[1])
-		if got := looks(); got != 0 {
-			t.Errorf("%d looks at the share of an idle pool", got)
+		if got := countPolls(); got != 0 {
+			t.Errorf("got %d polls of the share of an idle pool, want 0", got)
 		}
 		pool := forwarder.plan.Load().pools["p"]
 		if refusal, err := pool.acquireSlot(ctx, forwarder.now, admission.Request{ID: 1, Class: className(0), Deadline: time.Hour}, time.Hour); err != nil || refusal.Reason != 0 {
 			t.Fatal(refusal, err)
 		}
-		if got := looks(); got == 0 || source.demand(share.Slots("p")) != (share.Demand{InUse: 1}) {
-			t.Errorf("%d looks while a slot is taken, told %+v", got, source.demand(share.Slots("p")))
+		if got := countPolls(); got == 0 || source.demand(share.Slots("p")) != (share.Demand{InUse: 1}) {
+			t.Errorf("got %d polls while a slot is in use and demand %+v, want some polls and InUse 1", got, source.demand(share.Slots("p")))
 		}
 		pool.releaseSlot(forwarder.now(), 1)
-		if got := looks(); got != 0 || source.demand(share.Slots("p")) != (share.Demand{}) {
-			t.Errorf("%d looks once it is free, told %+v", got, source.demand(share.Slots("p")))
+		if got := countPolls(); got != 0 || source.demand(share.Slots("p")) != (share.Demand{}) {
+			t.Errorf("got %d polls after the slot was released and demand %+v, want none", got, source.demand(share.Slots("p")))
 		}
 	})
 }
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestRequestsAwaitTheFirstLease measures how long requests wait that come right after the start.
+// TestRequestsAwaitTheFirstLease checks how long requests that arrive right after the process start wait for the first
+// lease.
 func TestRequestsAwaitTheFirstLease(t *testing.T) {
 	const startWait, deadline = time.Second, 2 * time.Second
 	for _, test := range []struct {
@@ -43,7 +44,7 @@
 				}
 				lease.set(view.Version(), true)
 				if f.AwaitStart(context.Background(), test.patience); test.leased > 0 && time.Since(asked) > test.want+startPollInterval {
-					t.Error("waited for a lease that lapsed")
+					t.Error("waited although the lease had been held before it lapsed")
 				}
 			})
 		})
--- a/internal/forward/suspects_test.go
+++ b/internal/forward/suspects_test.go
@@ -17,13 +17,13 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// guarded is a fixture whose runs a guard permits; suspects are rows of the table.
+// newGuarded returns a fixture with a guard that follows the suspects in rows.
 func newGuarded(t *testing.T, rows string, script ...step) (*fixture, *poisonguard.Guard) {
 	t.Helper()
 	return newGuardedWith(t, poisonguard.Config{Control: poisonguardtest.NoControl{}}, rows, script...)
 }
 
-// guardedBy is guarded with settings of the guard.
+// newGuardedWith is newGuarded with settings of the guard.
 func newGuardedWith(t *testing.T, config poisonguard.Config, rows string, script ...step) (*fixture, *poisonguard.Guard) {
 	t.Helper()
 	start := time.Now()
@@ -38,7 +38,7 @@
 	return f, guard
 }
 
-// crashes is a back end that crashes under the request.
+// crashesUnderRequest is a step in which the back end crashes while running the request.
 func crashesUnderRequest(ctx context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 	select {
 	case <-time.After(50 * time.Millisecond):
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestCrashesEndARequest: where no record is kept yet, one call takes two back ends at most, whatever its route allows, and the next one is
-// refused at once as not run, whatever its attempt id. Requests that crash nothing go on as if it were not there.
+// TestCrashingRequestIsRejected checks that, while crashes are not recorded in the table, one call crashes at most two
+// back ends whatever its route permits, and the next call is rejected at once as not run whatever its attempt id.
+// Harmless requests are still served.
 func TestCrashingRequestIsRejected(t *testing.T) {
 	for _, kind := range []string{"repeatable", "once", "stream"} {
 		t.Run(kind, func(t *testing.T) {
@@ -65,31 +66,32 @@
 				for _, id := range []string{"one", "two"} {
 					if kind == "once" || id == "one" {
 						if failure := ask(id, "bad"); failure == nil || failure.Verdict != verdict.MayHaveRun {
-							t.Fatalf("%s: %v", id, failure)
+							t.Fatalf("%s: got failure %v, want a request that may have run", id, failure)
 						}
 					}
 				}
 				if len(f.caller.calls) != most {
-					t.Fatalf("%d sends, want %d", len(f.caller.calls), most)
+					t.Fatalf("got %d sends, want %d", len(f.caller.calls), most)
 				}
 				failure := ask("three", "bad")
 				if failure == nil || failure.Reason != Suspected || failure.Verdict != verdict.DidNotRun || failure.RetryAfter <= 0 || len(f.caller.calls) != most {
-					t.Errorf("%+v after %d sends", failure, len(f.caller.calls))
+					t.Errorf("got failure %+v after %d sends, want reason Suspected with RetryAfter, without another send", failure, len(f.caller.calls))
 				}
 				f.caller.mu.Lock()
 				f.caller.script, f.caller.calls = []step{good}, nil
 				f.caller.mu.Unlock()
 				time.Sleep(quarantineLimit)
 				if failure = ask("four", "good"); failure != nil {
-					t.Errorf("a harmless request: %v", failure)
+					t.Errorf("a harmless request failed: %v", failure)
 				}
 			})
 		})
 	}
 }
 
-// TestCallsTakeOneBackEndWithoutTheRecord: without a leader the crash that a call has caused is known to this process alone; no attempt
-// follows until it is on record, and the next call of the same request is refused as not run. Others are served meanwhile.
+// TestCrashingRequestRunsOnceWithoutLeader checks that a crash that cannot be recorded for lack of a leader ends the
+// request: no further attempt follows, and the next call of the same request is rejected as not run. Other requests are
+// still served.
 func TestCrashingRequestRunsOnceWithoutLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := newGuarded(t, strings.Replace(baseRows, "max_attempts 2", "max_attempts 5", 1)+"r route_kind repeatable", crashesUnderRequest)
@@ -98,30 +100,31 @@
 			return f.Serve(t.Context(), request, &recordedReply{})
 		}
 		if failure := ask("one", "bad"); failure == nil || failure.Verdict != verdict.MayHaveRun || len(f.caller.calls) != 1 {
-			t.Fatalf("%v after %d sends, want 1", failure, len(f.caller.calls))
+			t.Fatalf("got failure %v after %d sends, want a request that may have run, after 1 send", failure, len(f.caller.calls))
 		}
 		failure := ask("two", "bad")
 		if failure == nil || failure.Reason != Suspected || failure.Verdict != verdict.DidNotRun || failure.RetryAfter <= 0 || len(f.caller.calls) != 1 {
-			t.Errorf("%+v after %d sends", failure, len(f.caller.calls))
+			t.Errorf("got failure %+v after %d sends, want reason Suspected with RetryAfter, without another send", failure, len(f.caller.calls))
 		}
 		f.caller.mu.Lock()
 		f.caller.script, f.caller.calls = []step{good}, nil
 		f.caller.mu.Unlock()
 		began := time.Now()
 		if failure = ask("three", "good"); failure != nil || time.Since(began) > 100*time.Millisecond {
-			t.Errorf("a harmless request: %v after %s", failure, time.Since(began))
+			t.Errorf("got failure %v after %s for a harmless request, want an answer within 100 ms", failure, time.Since(began))
 		}
 	})
 }
 
-// suspectRow is the request of the fixture on record with so many crashes.
+// suspectRow returns the table row that records the fixture's request with the given number of crashes.
 func suspectRow(crashes string) string {
 	identity := poison.Identity{Method: "POST", Host: "h", Path: "/x?y"}
 	name := poison.RowName(identity.Digest())
 	return ";" + name + " kind " + string(table.Suspect) + ";" + name + " crashes " + crashes
 }
 
-// TestSuspectsRunWithoutASecondSend: a hedge would take a second back end before the first one's crash is known.
+// TestSuspectsAreNotHedged checks that a suspect is sent to one back end at a time. A hedge would crash a second back
+// end before the crash of the first is known.
 func TestSuspectsAreNotHedged(t *testing.T) {
 	for crashed, want := range map[string]int{"": 2, "1": 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -135,41 +138,42 @@
 			}
 			f, _ := newGuarded(t, rows, slow)
 			if _, failure := f.serve(t.Context()); failure != nil || len(f.caller.instances()) != want {
-				t.Errorf("with %q crashes: %v, sends %v, want %d", crashed, failure, f.caller.instances(), want)
+				t.Errorf("with %q crashes: got failure %v and sends %v, want an answer from %d back ends", crashed, failure, f.caller.instances(), want)
 			}
 			synctest.Wait()
-			time.Sleep(time.Second) // the answer clears the suspect, in vain without a leader
+			time.Sleep(time.Second) // the answer clears the suspect, which fails without a leader
 		})
 	}
 }
 
-// TestSuspectsKeepApart: two suspects run at different back ends while there are enough.
+// TestSuspectsRunAtDifferentBackEnds checks that two suspects run at different back ends while there are enough.
 func TestSuspectsRunAtDifferentBackEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rows := baseRows + "r route_kind repeatable;p1 weight 1000;p2 weight 1;p3 weight 0" + suspectRow("1") // p1 is chosen by itself
+		rows := baseRows + "r route_kind repeatable;p1 weight 1000;p2 weight 1;p3 weight 0" + suspectRow("1") // the weights prefer p1
 		f, guard := newGuarded(t, rows, silent)
 		for number := range 2 {
 			go func() { _, _ = f.serve(t.Context()) }()
 			synctest.Wait()
 			if occupied := guard.Occupied(); len(occupied) != number+1 {
-				t.Errorf("%d suspects run at %v", number+1, occupied)
+				t.Errorf("%d suspects run at %v, want one back end each", number+1, occupied)
 			}
 		}
 	})
 }
 
-// TestCondemnedRequestsTellWhenToComeBack.
+// TestCondemnedRequestGetsRetryAfter checks that a condemned request is rejected with the time until it may run again.
 func TestCondemnedRequestGetsRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := newGuarded(t, baseRows+"r route_kind repeatable"+suspectRow("3"), good)
 		_, failure := f.serve(t.Context())
 		if failure == nil || !failure.Condemned || failure.RetryAfter != poison.DefaultCondemnedRest || len(f.caller.calls) != 0 {
-			t.Errorf("%+v", failure)
+			t.Errorf("got failure %+v, want a condemned request that is not sent and RetryAfter of the condemned rest", failure)
 		}
 	})
 }
 
-// condemnedMeanwhile is a Caller to which a newer table comes while it opens a connection.
+// updatingCaller is a scriptedCaller that calls beforeCall before its first call, as if a newer table arrived while a
+// connection is opened.
 type updatingCaller struct {
 	scriptedCaller
 	beforeCall func()
@@ -183,7 +187,8 @@
 	return c.scriptedCaller.Do(ctx, call, sink)
 }
 
-// TestPermissionEndsWithItsTable: between the permission and the send another process has condemned the request. It is not sent.
+// TestPermissionEndsWhenRequestIsCondemned checks that a request is not sent if another process condemns it between its
+// permission and the send.
 func TestPermissionEndsWhenRequestIsCondemned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := baseRows + "r route_kind repeatable"
@@ -197,27 +202,27 @@
 			f.lease.set(next.Version(), false)
 		}
 		if _, failure := f.serve(t.Context()); failure == nil || !failure.Condemned || len(caller.calls) != 0 {
-			t.Errorf("%+v after %d sends", failure, len(caller.calls))
+			t.Errorf("got failure %+v after %d sends, want a condemned request that is not sent", failure, len(caller.calls))
 		}
 	})
 }
 
-// TestTrialIsSentAlthoughItsClaimChangedTheTable: the claim of a run makes a new version of the table, under which the send is decided
-// again; the claim stays.
+// TestTrialIsSentAfterItsClaimChangesTheTable checks that a trial run is sent although claiming it creates a new table
+// version, under which the send is decided again. The claim must be kept.
 func TestTrialIsSentAfterItsClaimChangesTheTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := baseRows + "r route_kind repeatable" + suspectRow("2")
-		group := &recordingControl{}
+		control := &recordingControl{}
 		views := viewsOf(t, rows)
 		f, _ := newGuarded(t, rows, good)
 		start := time.Now()
-		guard, err := poisonguard.New(poisonguard.Config{Control: group, Clock: func() time.Duration { return time.Since(start) }})
+		guard, err := poisonguard.New(poisonguard.Config{Control: control, Clock: func() time.Duration { return time.Since(start) }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.config.Guard = guard
 		guard.Follow(views[0])
-		group.onFirstChange = func() { // the change reaches this process before its answer does
+		control.onFirstChange = func() { // the change reaches this process before its answer does
 			next := viewsOf(t, rows, "p queue_limit 9")[1]
 			guard.Follow(next)
 			f.Update(next)
@@ -225,16 +230,16 @@
 		}
 		time.Sleep(poison.DefaultTrialRest)
 		if _, failure := f.serve(t.Context()); failure != nil || len(f.caller.calls) != 1 {
-			t.Errorf("the trial: %v after %d sends", failure, len(f.caller.calls))
+			t.Errorf("got failure %v of the trial after %d sends, want an answer after 1 send", failure, len(f.caller.calls))
 		}
 		synctest.Wait()
-		if steps := group.changes; len(steps) != 2 {
-			t.Errorf("%d changes of the record, want the claim and the clearing", len(steps))
+		if steps := control.changes; len(steps) != 2 {
+			t.Errorf("got %d changes of the record, want 2: the claim and the clearing", len(steps))
 		}
 	})
 }
 
-// oneTable takes every change and tells when the first one is taken.
+// recordingControl accepts and records every table change and calls onFirstChange after the first one.
 type recordingControl struct {
 	poisonguardtest.NoControl
 	onFirstChange func()
