--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -11,7 +11,7 @@
 // buffer, and then forwards data as it arrives. Event streams are not buffered, but a resumable stream is forwarded only
 // up to its last whole event. Nothing is forwarded while another attempt's answer is being forwarded.
 //
-// finish releases the buffer of a whole answer; whoever drops the attempt releases it otherwise.
+// finish releases the buffer of a whole answer. The code that discards an attempt releases the buffer otherwise.
 type answer struct {
 	owner       *atomic.Pointer[answer] // the answer being forwarded to the caller; nil: none yet
 	reply       Reply
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -43,10 +43,10 @@
 
 // Config configures a Forwarder. Zero fields take their defaults.
 type Config struct {
-	Control Control
-	Caller  replica.Caller
-	Zone    string // zone of this process
-	Log     *logrus.Entry
+	Control Control        // required
+	Caller  replica.Caller // sends the requests; required
+	Zone    string         // zone of this process
+	Log     *logrus.Entry  // nil: no logging
 	// MaxBufferedAnswer is the size in bytes up to which an answer is buffered until it is whole, so that another
 	// attempt can replace an answer that ends early. Event streams are never buffered.
 	MaxBufferedAnswer int
--- a/internal/forward/held.go
+++ b/internal/forward/held.go
@@ -36,14 +36,14 @@
 	return max(needed, min(2*cap(h.bytes), h.maxBytes), initialBufferBytes)
 }
 
-// grow grows the buffer to a capacity of room bytes. It returns false if the budget does not permit it.
-func (h *answerBuffer) grow(room int) bool {
-	more := int64(room) - h.reserved
+// grow grows the buffer to the given capacity in bytes. It returns false if the budget does not permit it.
+func (h *answerBuffer) grow(capacity int) bool {
+	more := int64(capacity) - h.reserved
 	if !h.budget.Reserve(bytebudget.Answer, more) {
 		return false
 	}
 	h.reserved += more
-	h.bytes = append(make([]byte, 0, room), h.bytes...)
+	h.bytes = append(make([]byte, 0, capacity), h.bytes...)
 	return true
 }
 
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -86,13 +86,15 @@
 // the queue, unless waiting is its existing entry.
 func (p *pool) enqueueIfFull(
 	now time.Duration, request *routing.Request, bytes int64, excluded []string, waiting *largeBodyWait,
-) (place *largeBodyWait, full bool) {
+) (entry *largeBodyWait, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.startLargeSharing(now)
 	p.setExcluded(request, excluded)
 	usable := func(i int) bool {
-		_, serves := p.slots[p.replicas.Name(i)] // a back end with all slots taken counts: requests wait for its slots in the admission queue
+		// A back end whose slots are all taken counts as usable. Large bodies wait for its slots in the admission queue
+		// like all other requests.
+		_, serves := p.slots[p.replicas.Name(i)]
 		return serves && !p.replicas.Quarantined(i, now)
 	}
 	if _, full = p.leastHeld(now, request, bytes, waiting, usable); !full || waiting != nil {
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -27,10 +27,10 @@
 	view           *table.View // of that version; nil before the first update
 	replicas       *routing.Pool
 	queue          *admission.Queue
-	targets        map[string]replica.Target // by instance, like the replicas
-	slots          map[string]int            // by instance, of the back ends that accept new work
-	sends          map[*attempt]context.CancelCauseFunc
-	waiting        map[uint64]chan admission.Refusal
+	targets        map[string]replica.Target            // by instance, like the replicas
+	slots          map[string]int                       // by instance, of the back ends that accept new work
+	sends          map[*attempt]context.CancelCauseFunc // in flight
+	waiting        map[uint64]chan admission.Refusal    // by request id, of requests without a decision of the queue
 	rejected       rejectedRequests
 	budget         *retrybudget.Budget // nil: retries are not bounded
 	random         *rand.PCG
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -78,7 +78,7 @@
 	RetryAfter time.Duration
 	// Condemned is set with Suspected if the request is considered the cause of crashes and is blocked for long.
 	Condemned bool
-	Cause     error
+	Cause     error // may be nil
 }
 
 // Error implements error.
--- a/internal/forward/returners.go
+++ b/internal/forward/returners.go
@@ -9,7 +9,7 @@
 const (
 	// maxRejectedRequests bounds the number of rejected requests that a pool remembers.
 	maxRejectedRequests = 4096
-	// rejectedRetryGrace is how late, after the time that it was told, a rejected request may return and still be
+	// rejectedRetryGrace is how long after its RetryAfter a rejected request may return and still be
 	// recognized. Callers return on a new connection, which may take a second to open.
 	rejectedRetryGrace = time.Second
 )
