--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// trackSend registers a send until over is called. The returned context is cancelled when the back end restarts.
+// trackSend registers a send until stop is called. The returned context is cancelled when the back end restarts.
 func (p *pool) trackSend(ctx context.Context, sending *attempt) (limited context.Context, stop func()) {
 	limited, cancel := context.WithCancelCause(ctx)
 	p.mu.Lock()
