--- a/internal/forward/largeclient_test.go
+++ b/internal/forward/largeclient_test.go
@@ -15,8 +15,8 @@
 	"github.com/tamarindring/tamarindring/internal/replica"
 )
 
-// memoryServer is a replica on a connection of the system that bears so many bytes of requests. When it ends, another one takes its
-// address after a while.
+// memoryServer is a replica on a TCP connection that crashes when its requests exceed a number of bytes. Another one
+// takes over its address after one second.
 type memoryServer struct {
 	memory  int64
 	address string
@@ -59,9 +59,9 @@
 	return made
 }
 
-// TestReplicasOnConnectionsCrashOnce: with connections of the system, one crash by the sum of large bodies teaches the limit; each body is
-// served, and every small request beside them.
-func TestReplicasOnConnectionsCrashOnce(t *testing.T) {
+// TestReplicasOverTCPCrashOnce checks over real TCP connections that one crash caused by the total size of large bodies
+// suffices to learn the limit, that every body is served, and that no concurrent small request fails.
+func TestReplicasOverTCPCrashOnce(t *testing.T) {
 	if testing.Short() {
 		t.Skip("sends some hundred megabytes")
 	}
@@ -71,7 +71,7 @@
 	for i := range 2 {
 		rows += fmt.Sprintf(";p%d kind backend;p%d pool p;p%d address %s", i, i, i, startMemoryServer(t, "127.0.0.1:0", 40<<20, &crashes).address)
 	}
-	f := newFixture(t, rows, good).spreading()
+	f := newFixture(t, rows, good).withSpreadBytes()
 	client := replica.NewClient(replica.Options{Names: replica.Names{AttemptID: "X-Attempt-Id"}})
 	t.Cleanup(client.Close)
 	f.config.Caller = client
@@ -87,16 +87,16 @@
 			case <-time.After(20 * time.Millisecond):
 			}
 			request := &Request{AttemptID: fmt.Sprint("small-", serial), Method: "POST", Path: "/", Host: "h", Body: []byte(strings.Repeat("x", 300)), Received: time.Now(), Deadline: 10 * time.Second}
-			if failure := f.Serve(t.Context(), request, &kept{}); failure != nil {
-				t.Errorf("a small request: %v", failure)
+			if failure := f.Serve(t.Context(), request, &recordedReply{}); failure != nil {
+				t.Errorf("a small request failed: %v", failure)
 			}
 			small.Add(1)
 		}
 	})
 	for round := range 2 {
-		for _, failure := range f.sends(t.Context(), 8, body, 50*time.Second) {
+		for _, failure := range f.serveConcurrently(t.Context(), 8, body, 50*time.Second) {
 			if failure != nil {
-				t.Errorf("round %d: %v", round, failure)
+				t.Errorf("round %d: a large request failed: %v", round, failure)
 			}
 		}
 	}
@@ -104,6 +104,6 @@
 	beside.Wait()
 	t.Logf("%d crashes, %d small requests", crashes.Load(), small.Load())
 	if crashes.Load() != 1 {
-		t.Errorf("%d crashes", crashes.Load())
+		t.Errorf("got %d crashes, want 1", crashes.Load())
 	}
 }
--- a/internal/forward/metrics_test.go
+++ b/internal/forward/metrics_test.go
@@ -36,7 +36,7 @@
 	if _, failure := f.serve(context.Background()); failure != nil {
 		t.Fatal(failure)
 	}
-	_ = f.Serve(context.Background(), &Request{Method: "GET", Host: "other", Path: "/", Received: time.Now()}, &kept{})
+	_ = f.Serve(context.Background(), &Request{Method: "GET", Host: "other", Path: "/", Received: time.Now()}, &recordedReply{})
 	got := f.gather(t)
 	const name = "tamarindring_forward_request"
 	want := map[string]float64{name + "s_total once answered": 1, name + "s_total  " + NoRoute.String(): 1, name + "s_in_flight": 0,
@@ -44,9 +44,9 @@
 		"tamarindring_forward_sends_total whole": 1, "tamarindring_forward_send_duration_seconds whole": 1,
 		"tamarindring_forward_admission_wait_seconds granted": 1}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v, not %v", got, want)
+		t.Errorf("got metrics %v, want %v", got, want)
 	}
 	if f.Process().Ready(context.Background()) == nil != f.Ready() {
-		t.Error("the listener does not say what the forwarder says")
+		t.Error("Process().Ready and Ready disagree")
 	}
 }
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestRequestsAwaitTheFirstLease measures how long requests wait that come right after the start.
+// TestRequestsAwaitTheFirstLease checks how long requests that arrive right after the process start wait for the first
+// lease.
 func TestRequestsAwaitTheFirstLease(t *testing.T) {
 	const startWait, deadline = time.Second, 2 * time.Second
 	for _, test := range []struct {
@@ -26,7 +27,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				lease := &testLease{lost: true}
-				f, err := New(Config{Control: lease, Caller: &scripted{}, StartWait: startWait})
+				f, err := New(Config{Control: lease, Caller: &scriptedCaller{}, StartWait: startWait})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -38,12 +39,12 @@
 				time.Sleep(test.came)
 				asked := time.Now()
 				f.AwaitStart(context.Background(), test.patience)
-				if waited := time.Since(asked); waited < test.want || waited > test.want+startPoll {
+				if waited := time.Since(asked); waited < test.want || waited > test.want+startPollInterval {
 					t.Errorf("waited %s, want %s", waited, test.want)
 				}
 				lease.set(view.Version(), true)
-				if f.AwaitStart(context.Background(), test.patience); test.leased > 0 && time.Since(asked) > test.want+startPoll {
-					t.Error("waited for a lease that lapsed")
+				if f.AwaitStart(context.Background(), test.patience); test.leased > 0 && time.Since(asked) > test.want+startPollInterval {
+					t.Error("waited although the lease had been held before it lapsed")
 				}
 			})
 		})
