--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -6,90 +6,94 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// Told is a demand for a named resource.
+// Told is a demand that a process reports for a named resource.
 type Told struct {
 	Resource string
 	Demand   Demand
 }
 
-// Grant is the part of a named resource that a process may use until its lease ends.
+// Grant is the amount of a named resource that a process may use until its lease ends.
 type Grant struct {
 	Resource string
 	Amount   uint32
 }
 
-// Renewal is what a process tells the leader when it renews its lease.
+// Renewal is the report of a process that renews its lease.
 type Renewal struct {
 	Holder lease.HolderID
-	// Number of the answer to this renewal; it rises from renewal to renewal of all holders.
+	// Number identifies the answer to this renewal. It increases with each renewal, across all holders.
 	Number uint64
-	// Acted is the number of the newest answer that the holder acts on; 0: none that this leader gave.
+	// Acted is the number of the newest answer that the holder has applied. 0 means that it has applied none of this
+	// leader's answers.
 	Acted   uint64
-	Ends    time.Duration // of the lease, as the leader counts it
+	Ends    time.Duration // end of the lease by the leader's clock
 	Demands []Told
 }
 
-// Allocator is the leader's side: it divides each resource between the processes that want some of it, and calls no part free that an
-// answer of its own may still leave in use. A node makes a new one each time it becomes leader. It answers a burst at few of many
-// gateways, whose rooms the others leave idle. Not safe for concurrent use.
+// Allocator is the leader's side of the division. It divides each resource between the processes that want some of it,
+// and does not give out an amount that one of its earlier answers may still leave in use. Unused amounts of most
+// gateways can thus serve a burst at a few of them. A node creates a new Allocator each time it becomes leader. An
+// Allocator is not safe for concurrent use.
 type Allocator struct {
-	settled   time.Duration
+	settledAt time.Duration
 	divisions map[string]*division
 }
 
-// NewAllocator returns the Allocator of a new leader; settled is when the leases of earlier leaders have ended. Until then each
-// process keeps what it has in use: anything more may be in use elsewhere, by a share that an earlier leader gave.
-func NewAllocator(settled time.Duration) *Allocator {
-	return &Allocator{settled: settled, divisions: map[string]*division{}}
+// NewAllocator returns the Allocator of a new leader. settledAt is the time by which the leases granted by earlier
+// leaders have ended. Until then each process keeps what it has in use, because the rest may be in use elsewhere under
+// a share from an earlier leader.
+func NewAllocator(settledAt time.Duration) *Allocator {
+	return &Allocator{settledAt: settledAt, divisions: map[string]*division{}}
 }
 
-// SetLimit brings a resource's limit into force: the next answers are made by it.
+// SetLimit sets the limit of a resource for subsequent answers, and starts dividing the resource if it was not
+// divided.
 func (a *Allocator) SetLimit(resource string, limit uint32) {
-	held := a.divisions[resource]
-	if held == nil {
-		held = newDivision(kindOf(resource))
-		a.divisions[resource] = held
+	existing := a.divisions[resource]
+	if existing == nil {
+		existing = newDivision(kindOf(resource))
+		a.divisions[resource] = existing
 	}
-	held.limit = int64(limit)
+	existing.limit = int64(limit)
 }
 
-// Forget ends the division of a resource.
+// Forget stops dividing a resource.
 func (a *Allocator) Forget(resource string) { delete(a.divisions, resource) }
 
-// Renew takes a holder's demands and answers with its shares of those resources that have a limit.
+// Renew records a holder's demands and returns its shares of the resources that have a limit.
 func (a *Allocator) Renew(now time.Duration, renewal *Renewal) []Grant {
 	var grants []Grant
 	for _, told := range renewal.Demands {
-		if divided := a.divisions[told.Resource]; divided != nil {
-			amount := divided.renew(now, now < a.settled, renewal, told.Demand)
+		if existing := a.divisions[told.Resource]; existing != nil {
+			amount := existing.renew(now, now < a.settledAt, renewal, told.Demand)
 			grants = append(grants, Grant{Resource: told.Resource, Amount: amount})
 		}
 	}
 	return grants
 }
 
-// Release gives back all shares of a holder that has promised to use nothing any more.
+// Release frees all shares of a holder that has promised to use nothing any more.
 func (a *Allocator) Release(holder lease.HolderID) {
-	for _, divided := range a.divisions {
-		divided.release(holder)
+	for _, existing := range a.divisions {
+		existing.release(holder)
 	}
 }
 
-// Usage is what is known of a resource's division.
+// Usage is the state of the division of one resource.
 type Usage struct {
 	Resource string
 	Limit    uint32
-	Entitled uint32 // in force, without what is lent
-	InUse    uint32 // as told
-	Waiting  uint32 // as told
-	Holders  int    // that told a demand in a lease that goes on
+	Entitled uint32 // sum of the shares in force, without lent amounts
+	InUse    uint32 // as reported by the holders
+	Waiting  uint32 // as reported by the holders
+	Holders  int    // number of holders with a demand and a lease that has not ended
 }
 
-// Usages lists the divided resources, in no order.
+// Usages returns the state of all divided resources, in no particular order.
 func (a *Allocator) Usages(now time.Duration) []Usage {
 	usages := make([]Usage, 0, len(a.divisions))
-	for resource, divided := range a.divisions {
-		usages = append(usages, divided.usage(now, resource))
+	for resource, existing := range a.divisions {
+		usages = append(usages, existing.usage(now, resource))
 	}
 	return usages
 }
--- a/internal/share/division.go
+++ b/internal/share/division.go
@@ -7,87 +7,93 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// division is one resource and those who want some of it.
+// division is the division of one resource between its holders.
 type division struct {
-	kind   kind
-	limit  int64
-	claims []claim
-	places map[lease.HolderID]int // in claims
-}
-
-// claim is one holder's demand and what it may be using.
-type claim struct {
-	holder lease.HolderID
-	demand Demand
-	ends   time.Duration // of the lease in which it was told
-	// answers that may be in force, oldest first: the one that the holder acts on and those that it has not confirmed.
+	kind    kind
+	limit   int64
+	holders []holderState
+	indexes map[lease.HolderID]int // index in holders
+}
+
+// holderState is one holder's demand and the amounts that it may be using.
+type holderState struct {
+	holder    lease.HolderID
+	demand    Demand
+	leaseEnds time.Duration // end of the lease in which the demand was reported
+	// answers holds the answers that may be in force, oldest first: the one that the holder has applied and those that
+	// it has not confirmed.
 	answers []answer
 }
 
+// answer is a share that was sent to a holder, without lent amounts.
 type answer struct {
 	number   uint64
 	entitled int64
 }
 
-// maximumAnswers bounds the answers that are kept apart; two are usual, the one acted on and the one under way.
-const maximumAnswers = 4
+// maxUnconfirmedAnswers bounds the answers that are tracked separately for a holder. Two are usual: the applied one
+// and the one in transit.
+const maxUnconfirmedAnswers = 4
 
 func newDivision(kind kind) *division {
-	return &division{kind: kind, places: map[lease.HolderID]int{}}
+	return &division{kind: kind, indexes: map[lease.HolderID]int{}}
 }
 
+// renew records a holder's demand and returns its share. settling is set while leases of earlier leaders may be in
+// force.
 func (d *division) renew(now time.Duration, settling bool, renewal *Renewal, demand Demand) uint32 {
 	d.prune(now)
-	place, known := d.places[renewal.Holder]
+	index, known := d.indexes[renewal.Holder]
 	if !known {
-		place = len(d.claims)
-		d.claims = append(d.claims, claim{holder: renewal.Holder})
-		d.places[renewal.Holder] = place
+		index = len(d.holders)
+		d.holders = append(d.holders, holderState{holder: renewal.Holder})
+		d.indexes[renewal.Holder] = index
 	}
-	own := &d.claims[place]
-	own.demand, own.ends = demand, max(own.ends, renewal.Ends)
+	own := &d.holders[index]
+	own.demand, own.leaseEnds = demand, max(own.leaseEnds, renewal.Ends)
 	own.confirm(renewal.Acted)
-	wanted := d.wanted()
-	if d.kind.lowest {
-		return d.lowestTold()
+	totalDemand := d.totalDemand()
+	if d.kind.reportsLowest {
+		return d.lowestReported()
 	}
 	var entitled int64
 	if settling {
-		entitled = d.kept(demand)
+		entitled = d.settlingShare(demand)
 	} else {
-		entitled = max(min(d.target(demand.total(), wanted), d.limit-d.inForceBeside(place)), 0)
+		entitled = max(min(d.targetShare(demand.total(), totalDemand), d.limit-d.inForceOfOthers(index)), 0)
 	}
-	if !own.answer(renewal.Number, entitled) {
-		return bounded(d.kind.least)
+	if !own.recordAnswer(renewal.Number, entitled) {
+		return clampToUint32(d.kind.minimum)
 	}
-	switch lending := wanted <= d.limit*lendingUpTo; {
+	switch lending := totalDemand <= d.limit*maxLendingDemand; {
 	case !lending:
-		return bounded(max(entitled, d.kind.least))
+		return clampToUint32(max(entitled, d.kind.minimum))
 	case settling:
-		return bounded(max(entitled, d.kind.lent)) // what is in use may be lent already
+		return clampToUint32(max(entitled, d.kind.lent)) // the amount in use may include lent amounts already
 	}
-	return bounded(entitled + d.kind.lent)
+	return clampToUint32(entitled + d.kind.lent)
 }
 
-// lowestTold is the lowest of what holders tell, without those that tell none; 0: all tell none.
-func (d *division) lowestTold() (lowest uint32) {
-	for i := range d.claims {
-		if told := d.claims[i].demand.InUse; told > 0 && (lowest == 0 || told < lowest) {
+// lowestReported returns the lowest limit of the holders that report one and of limitFromCrashes, or 0 if there is
+// none.
+func (d *division) lowestReported() (lowest uint32) {
+	for i := range d.holders {
+		if told := d.holders[i].demand.InUse; told > 0 && (lowest == 0 || told < lowest) {
 			lowest = told
 		}
 	}
-	if together := d.crashedTogether(); together > 0 && (lowest == 0 || together < lowest) {
+	if together := d.limitFromCrashes(); together > 0 && (lowest == 0 || together < lowest) {
 		return together
 	}
 	return lowest
 }
 
-// crashedTogether is the limit that follows from crashes with one body each of several holders; 0: none. Each of them alone knows only
-// of a body that is its own cause.
-func (d *division) crashedTogether() (limit uint32) {
+// limitFromCrashes returns the limit that follows from crashes at which several holders had one body each at the
+// replica, or 0 if there is none. Each of these holders alone only knows of its own body as the cause.
+func (d *division) limitFromCrashes() (limit uint32) {
 	var holders, sum int64
-	for i := range d.claims {
-		if waiting := int64(d.claims[i].demand.Waiting); waiting > 1 {
+	for i := range d.holders {
+		if waiting := int64(d.holders[i].demand.Waiting); waiting > 1 {
 			holders++
 			sum += waiting - 1
 		}
@@ -95,18 +101,20 @@
 	if holders < 2 || sum <= SafeBytes/BytesUnit {
 		return 0
 	}
-	return bounded(sum / 2)
+	return clampToUint32(sum / 2)
 }
 
-// lendingUpTo is how often the limit may be wanted for lending to go on. One request behind each that runs keeps the back ends busy
-// while shares lag behind; what is more would only wait longer there, where nothing chooses between callers.
-const lendingUpTo = 2
+// maxLendingDemand is the total demand, as a multiple of the limit, up to which amounts are lent. One waiting request
+// behind each running one keeps the back ends busy while shares lag behind. More would only wait longer at the back
+// ends, where requests are not scheduled by caller.
+const maxLendingDemand = 2
 
-// kept is the part of what a holder has in use that it keeps while earlier leases may go on.
-func (d *division) kept(demand Demand) int64 {
+// settlingShare returns the share of a holder while leases of earlier leaders may be in force: the amount that it has
+// in use, scaled down if all holders together have more than the limit in use.
+func (d *division) settlingShare(demand Demand) int64 {
 	var inUse int64
-	for i := range d.claims {
-		inUse += int64(d.claims[i].demand.InUse)
+	for i := range d.holders {
+		inUse += int64(d.holders[i].demand.InUse)
 	}
 	if inUse <= d.limit {
 		return int64(demand.InUse)
@@ -114,139 +122,147 @@
 	return int64(demand.InUse) * d.limit / inUse
 }
 
-// wanted is what all want together.
-func (d *division) wanted() int64 {
+// totalDemand returns the sum of the demands of all holders.
+func (d *division) totalDemand() int64 {
 	var sum int64
-	for i := range d.claims {
-		sum += d.claims[i].demand.total()
+	for i := range d.holders {
+		sum += d.holders[i].demand.total()
 	}
 	return sum
 }
 
-// spareDivisor is the part of the spare rooms that is shared out in advance, as a divisor. The other half stays with the leader, so
-// that a burst at one holder finds rooms with its first renewal and needs not wait for what others give back.
+// spareDivisor is the divisor of the spare amount that gives the part granted in advance. The rest stays with the
+// leader, so that a burst at one holder gets a larger share with its first renewal and need not wait for others to
+// give back theirs.
 const spareDivisor = 2
 
-// target is what a holder that wants so much should have: all of it and a part of what is spare, or its max-min fair share.
-func (d *division) target(want, wanted int64) int64 {
-	if wanted <= d.limit {
-		return want + (d.limit-wanted)/spareDivisor/int64(len(d.claims))
+// targetShare returns the share that a holder with a given demand should have: all of its demand and a part of what is
+// spare, or its max-min fair share if the total demand exceeds the limit.
+func (d *division) targetShare(want, totalDemand int64) int64 {
+	if totalDemand <= d.limit {
+		return want + (d.limit-totalDemand)/spareDivisor/int64(len(d.holders))
 	}
-	level, rest := d.level()
+	level, rest := d.maxMinShare()
 	if want > level && rest > 0 {
-		level++ // of the rest, the first who ask get one each
+		level++ // the first holders that renew get one unit each of the remainder
 	}
 	return min(want, level)
 }
 
-// level returns the largest share such that the limit suffices if nobody gets more, and what is left over then.
-func (d *division) level() (level, rest int64) {
+// maxMinShare returns the largest share per holder with which all holders together stay within the limit, and the
+// remainder that is left then.
+func (d *division) maxMinShare() (level, rest int64) {
 	low, high := int64(0), d.limit
 	for low < high {
 		middle := (low + high + 1) / 2
-		if d.sumUpTo(middle) <= d.limit {
+		if d.sumCapped(middle) <= d.limit {
 			low = middle
 		} else {
 			high = middle - 1
 		}
 	}
-	return low, d.limit - d.sumUpTo(low)
+	return low, d.limit - d.sumCapped(low)
 }
 
-func (d *division) sumUpTo(level int64) int64 {
+// sumCapped returns the sum of all demands, each of them limited to level.
+func (d *division) sumCapped(level int64) int64 {
 	var sum int64
-	for i := range d.claims {
-		sum += min(d.claims[i].demand.total(), level)
+	for i := range d.holders {
+		sum += min(d.holders[i].demand.total(), level)
 	}
 	return sum
 }
 
-// inForceBeside is what all holders but one may be using.
-func (d *division) inForceBeside(place int) int64 {
+// inForceOfOthers returns the sum of what all holders except one may be using.
+func (d *division) inForceOfOthers(index int) int64 {
 	var sum int64
-	for i := range d.claims {
-		if i != place {
-			sum += d.claims[i].inForce(d.kind)
+	for i := range d.holders {
+		if i != index {
+			sum += d.holders[i].inForce(d.kind)
 		}
 	}
 	return sum
 }
 
-// prune forgets the claims whose lease has ended.
+// prune removes the holders whose lease has ended.
 func (d *division) prune(now time.Duration) {
-	for i := len(d.claims) - 1; i >= 0; i-- {
-		if now >= d.claims[i].ends {
+	for i := len(d.holders) - 1; i >= 0; i-- {
+		if now >= d.holders[i].leaseEnds {
 			d.remove(i)
 		}
 	}
 }
 
 func (d *division) release(holder lease.HolderID) {
-	if place, known := d.places[holder]; known {
-		d.remove(place)
+	if index, known := d.indexes[holder]; known {
+		d.remove(index)
 	}
 }
 
-func (d *division) remove(place int) {
-	last := len(d.claims) - 1
-	delete(d.places, d.claims[place].holder)
-	if place != last {
-		d.claims[place] = d.claims[last]
-		d.places[d.claims[place].holder] = place
+// remove removes the holder at an index and moves the last one there.
+func (d *division) remove(index int) {
+	last := len(d.holders) - 1
+	delete(d.indexes, d.holders[index].holder)
+	if index != last {
+		d.holders[index] = d.holders[last]
+		d.indexes[d.holders[index].holder] = index
 	}
-	d.claims[last] = claim{}
-	d.claims = d.claims[:last]
+	d.holders[last] = holderState{}
+	d.holders = d.holders[:last]
 }
 
 func (d *division) usage(now time.Duration, resource string) Usage {
-	usage := Usage{Resource: resource, Limit: bounded(d.limit)}
+	usage := Usage{Resource: resource, Limit: clampToUint32(d.limit)}
 	var entitled, inUse, waiting int64
-	for i := range d.claims {
-		if now >= d.claims[i].ends {
+	for i := range d.holders {
+		if now >= d.holders[i].leaseEnds {
 			continue
 		}
 		usage.Holders++
-		entitled += d.claims[i].inForce(d.kind)
-		inUse += int64(d.claims[i].demand.InUse)
-		waiting += int64(d.claims[i].demand.Waiting)
+		entitled += d.holders[i].inForce(d.kind)
+		inUse += int64(d.holders[i].demand.InUse)
+		waiting += int64(d.holders[i].demand.Waiting)
 	}
-	usage.Entitled, usage.InUse, usage.Waiting = bounded(entitled), bounded(inUse), bounded(waiting)
+	usage.Entitled, usage.InUse, usage.Waiting = clampToUint32(entitled), clampToUint32(inUse), clampToUint32(waiting)
 	return usage
 }
 
-// confirm drops the answers before the one that the holder acts on.
-func (c *claim) confirm(acted uint64) {
+// confirm drops the answers before the one that the holder has applied.
+func (c *holderState) confirm(acted uint64) {
 	for len(c.answers) > 1 && c.answers[1].number <= acted {
 		c.answers = c.answers[1:]
 	}
 }
 
-// answer notes an answer. false: a later one was given, on a newer stream of the holder, which reads this one no more.
-func (c *claim) answer(number uint64, entitled int64) bool {
+// recordAnswer records an answer. It returns false if a later answer was given already, on a newer stream of the
+// holder, because the holder no longer reads this one. Above maxUnconfirmedAnswers it merges the two oldest answers
+// into one with the larger share.
+func (c *holderState) recordAnswer(number uint64, entitled int64) bool {
 	if last := len(c.answers) - 1; last >= 0 && number <= c.answers[last].number {
 		return false
 	}
 	c.answers = append(c.answers, answer{number: number, entitled: entitled})
-	if len(c.answers) > maximumAnswers {
+	if len(c.answers) > maxUnconfirmedAnswers {
 		c.answers[1].entitled = max(c.answers[0].entitled, c.answers[1].entitled)
 		c.answers = append([]answer(nil), c.answers[1:]...)
 	}
 	return true
 }
 
-// inForce is the most that the holder may be using. What runs goes on when a share falls, so it counts as well.
-func (c *claim) inForce(kind kind) int64 {
+// inForce returns the most that the holder may be using. Work in progress continues when a share falls, so for
+// resources with staysInUse the amount in use counts as well.
+func (c *holderState) inForce(kind kind) int64 {
 	var most int64
 	for _, answered := range c.answers {
 		most = max(most, answered.entitled)
 	}
-	if kind.occupied {
+	if kind.staysInUse {
 		most = max(most, int64(c.demand.InUse))
 	}
 	return most
 }
 
-// total is all that a process wants.
+// total returns the whole demand: the amount in use and the amount that work waits for.
 func (d Demand) total() int64 { return int64(d.InUse) + int64(d.Waiting) }
 
-func bounded(amount int64) uint32 { return uint32(min(max(amount, 0), math.MaxUint32)) }
+func clampToUint32(amount int64) uint32 { return uint32(min(max(amount, 0), math.MaxUint32)) }
--- a/internal/share/holding.go
+++ b/internal/share/holding.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// Holding is a holder's side: its shares and how long they hold. The zero value is not ready, see NewHolding. Not safe for
-// concurrent use.
+// Holding is the holder's side of the division: its shares and the ends of the leases that they came with. Use
+// NewHolding to create one. It is not safe for concurrent use.
 type Holding struct {
-	shares map[string]held
+	shares map[string]heldShare
 }
 
-type held struct {
+// heldShare is a share of one resource.
+type heldShare struct {
 	amount uint32
-	ends   time.Duration // of the lease with which it came
+	ends   time.Duration // end of the lease that it came with
 }
 
 // NewHolding returns a Holding without shares.
-func NewHolding() *Holding { return &Holding{shares: map[string]held{}} }
+func NewHolding() *Holding { return &Holding{shares: map[string]heldShare{}} }
 
-// Granted takes over the answer to a renewal in which the told resources were named; the lease that it brings ends then. A told
-// resource without a share in it is not divided by this leader; one with a share was told shortly before. lowered tells that some
-// share is less than before, which the leader waits to hear.
+// Granted applies the answer to a renewal that reported the told demands. The shares are valid until ends. A resource
+// in told that has no grant is not divided by this leader. A granted resource that is not in told was reported shortly
+// before, and its share is applied as well. lowered reports whether a share is less than before; the leader waits for
+// a renewal that confirms it.
 func (h *Holding) Granted(told []Told, grants []Grant, ends time.Duration) (lowered bool) {
 	divided := make(map[string]bool, len(grants))
 	for _, grant := range grants {
@@ -26,7 +28,7 @@
 		if before, known := h.shares[grant.Resource]; known && grant.Amount < before.amount {
 			lowered = true
 		}
-		h.shares[grant.Resource] = held{amount: grant.Amount, ends: ends}
+		h.shares[grant.Resource] = heldShare{amount: grant.Amount, ends: ends}
 	}
 	for _, one := range told {
 		if !divided[one.Resource] {
@@ -36,9 +38,9 @@
 	return lowered
 }
 
-// Share returns the part of a resource that may be used at now. A share that has ended leaves the small one that every process may
-// use unasked, so that its first requests need not wait for an answer. divided is false where the leader divides the resource for
-// nobody.
+// Share returns the amount of a resource that may be used at now. After a share has ended, it returns the small amount
+// that every process may use without asking, so that the process's first requests need not wait for an answer. divided
+// is false if the leader does not divide the resource.
 func (h *Holding) Share(now time.Duration, resource string) (amount uint32, divided bool) {
 	found, known := h.shares[resource]
 	if !known {
--- a/internal/share/replay_test.go
+++ b/internal/share/replay_test.go
@@ -10,75 +10,76 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// The replay puts one table of loads before four ways to divide a pool's slots. Time is virtual and goes in steps.
+// The replay compares four ways to divide a pool's slots on the same loads. Time is virtual and advances in steps of
+// replayStep.
 const (
-	replayStep     = time.Millisecond
-	replayLength   = 6 * time.Second
-	replayAim      = 150 * time.Millisecond // of callers
-	replayPatience = replayAim / 4          // of a request that waits at its gateway, as package forward bounds it
-	replayService  = 60 * time.Millisecond
-	replayLease    = 1200 * time.Millisecond
-	replayRenewal  = replayLease / 6
-	replayHurry    = replayLease / 12
-	replayTrip     = 10 * time.Millisecond // of a renewal and its answer
-	replayGateways = 62
-	replayReplicas = 6
-	replaySlots    = 3 // of a replica
+	replayStep          = time.Millisecond
+	replayDuration      = 6 * time.Second
+	replayLatencyTarget = 150 * time.Millisecond  // within which callers need an answer
+	replayQueueWait     = replayLatencyTarget / 4 // queue wait at a gateway, which package forward bounds in the same way
+	replayService       = 60 * time.Millisecond
+	replayLease         = 1200 * time.Millisecond
+	replayRenewal       = replayLease / 6
+	replayMinRenewalGap = replayLease / 12
+	replayRoundTrip     = 10 * time.Millisecond // round trip of a renewal and its answer
+	replayGateways      = 62
+	replayReplicas      = 6
+	replaySlots         = 3 // slots of a replica
 )
 
-// span is a part of the replay.
+// span is a period of the replay.
 type span struct{ from, to time.Duration }
 
-func (s span) holds(now time.Duration) bool { return now >= s.from && now < s.to }
+func (s span) contains(now time.Duration) bool { return now >= s.from && now < s.to }
 
-// load is one row of the table: arrivals a second at all gateways, more of them at the first few for a while.
+// load describes arrivals at all gateways, with more of them at the first few gateways for some time.
 type load struct {
-	name      string
-	calm      float64
-	surge     float64 // arrivals a second at the first gateways, beside the calm ones
-	surging   int     // gateways
-	during    span
-	withdrawn span // a third of the replicas takes nothing new
-	frozen    span // gateway 0 does nothing
+	name          string
+	baseRate      float64 // arrivals per second at all gateways
+	surgeRate     float64 // additional arrivals per second at the first surgeGateways gateways, during surgeSpan
+	surgeGateways int     // number of gateways with additional arrivals
+	surgeSpan     span
+	withdrawn     span // a third of the replicas takes no new requests
+	frozen        span // gateway 0 does not run
 }
 
 var loads = []load{
-	{name: "calm", calm: 60},
-	{name: "one zone, 12 times", calm: 60, surge: 660, surging: 20, during: span{2 * time.Second, 4 * time.Second}},
-	{name: "few gateways", calm: 5, surge: 195, surging: 3, during: span{2 * time.Second, 4 * time.Second}},
-	{name: "a third withdrawn", calm: 180, withdrawn: span{2 * time.Second, 4500 * time.Millisecond}},
-	{name: "gateway frozen", calm: 60, surge: 150, surging: 2, during: span{time.Second, 5 * time.Second}, frozen: span{2 * time.Second, 4 * time.Second}},
+	{name: "calm", baseRate: 60},
+	{name: "one zone, 12 times", baseRate: 60, surgeRate: 660, surgeGateways: 20, surgeSpan: span{2 * time.Second, 4 * time.Second}},
+	{name: "few gateways", baseRate: 5, surgeRate: 195, surgeGateways: 3, surgeSpan: span{2 * time.Second, 4 * time.Second}},
+	{name: "a third withdrawn", baseRate: 180, withdrawn: span{2 * time.Second, 4500 * time.Millisecond}},
+	{name: "gateway frozen", baseRate: 60, surgeRate: 150, surgeGateways: 2, surgeSpan: span{time.Second, 5 * time.Second}, frozen: span{2 * time.Second, 4 * time.Second}},
 }
 
-// divider says how many requests a gateway may have in flight.
+// divider decides how many requests a gateway may have in flight.
 type divider interface {
 	slots(gateway int) int
 	step(now time.Duration, r *replay)
 }
 
-// undivided gives every gateway all slots; refuse says whether full replicas refuse.
+// undivided gives all slots to every gateway.
 type undivided struct{ r *replay }
 
 func (u undivided) slots(int) int                   { return u.r.limit }
 func (u undivided) step(_ time.Duration, _ *replay) {}
 
-// byRank is admission.Share.
+// byRank divides the slots with admission.Share, without regard to demand.
 type byRank struct{ r *replay }
 
 func (b byRank) slots(gateway int) int           { return admission.Share(b.r.limit, replayGateways, gateway, 0) }
 func (b byRank) step(_ time.Duration, _ *replay) {}
 
-// byDemand is the Allocator with a Holding for each gateway.
+// byDemand divides the slots with an Allocator and a Holding for each gateway.
 type byDemand struct {
-	now       time.Duration
-	allocator *Allocator
-	holdings  [replayGateways]*Holding
-	next      [replayGateways]time.Duration // renewal
-	hurried   [replayGateways]time.Duration // when the last renewal was
-	answers   []replayAnswer
-	acted     [replayGateways]uint64
-	told      [replayGateways]Demand
-	number    uint64
+	now         time.Duration
+	allocator   *Allocator
+	holdings    [replayGateways]*Holding
+	nextRenewal [replayGateways]time.Duration
+	lastRenewal [replayGateways]time.Duration
+	answers     []replayAnswer
+	acted       [replayGateways]uint64
+	told        [replayGateways]Demand
+	number      uint64
 }
 
 type replayAnswer struct {
@@ -92,7 +93,7 @@
 func newByDemand() *byDemand {
 	d := &byDemand{allocator: NewAllocator(0)}
 	for g := range d.holdings {
-		d.holdings[g], d.next[g] = NewHolding(), replayRenewal*time.Duration(g)/replayGateways
+		d.holdings[g], d.nextRenewal[g] = NewHolding(), replayRenewal*time.Duration(g)/replayGateways
 		d.holdings[g].Granted([]Told{{Resource: "slots/p"}}, []Grant{{Resource: "slots/p", Amount: lentSlots}}, 0)
 	}
 	return d
@@ -111,11 +112,11 @@
 		d.answers = d.answers[1:]
 	}
 	for g := range replayGateways {
-		hurry := len(r.queues[g]) > 0 && now >= d.hurried[g]+replayHurry
-		if now < d.next[g] && !hurry || r.isFrozen(g, now) {
+		renewEarly := len(r.queues[g]) > 0 && now >= d.lastRenewal[g]+replayMinRenewalGap
+		if now < d.nextRenewal[g] && !renewEarly || r.isFrozen(g, now) {
 			continue
 		}
-		d.next[g], d.hurried[g] = now+replayRenewal, now
+		d.nextRenewal[g], d.lastRenewal[g] = now+replayRenewal, now
 		d.number++
 		demand := Demand{InUse: uint32(r.inFlight[g]), Waiting: uint32(len(r.queues[g]))}
 		if demand == (Demand{}) && d.told[g] == demand {
@@ -124,7 +125,7 @@
 		d.told[g] = demand
 		told := []Told{{Resource: "slots/p", Demand: demand}}
 		renewal := &Renewal{Holder: lease.HolderID{Name: fmt.Sprint(g)}, Number: d.number, Acted: d.acted[g], Ends: now + replayLease, Demands: told}
-		d.answers = append(d.answers, replayAnswer{at: now + replayTrip, ends: now + replayLease, gateway: g, number: d.number, told: told, grants: d.allocator.Renew(now, renewal)})
+		d.answers = append(d.answers, replayAnswer{at: now + replayRoundTrip, ends: now + replayLease, gateway: g, number: d.number, told: told, grants: d.allocator.Renew(now, renewal)})
 	}
 }
 
@@ -134,7 +135,7 @@
 	}
 	d.acted[a.gateway] = a.number
 	if d.holdings[a.gateway].Granted(a.told, a.grants, a.ends) {
-		d.next[a.gateway] = min(d.next[a.gateway], max(now, d.hurried[a.gateway]+replayHurry))
+		d.nextRenewal[a.gateway] = min(d.nextRenewal[a.gateway], max(now, d.lastRenewal[a.gateway]+replayMinRenewalGap))
 	}
 }
 
@@ -142,37 +143,37 @@
 type job struct {
 	gateway int
 	arrived time.Duration
-	left    time.Duration // of its service
+	left    time.Duration // remaining service time
 }
 
-// replay is one load under one divider.
+// replay is one run of a load under a divider.
 type replay struct {
 	load     load
 	limit    int
-	refusing bool // replicas refuse what finds no slot
+	refusing bool // a replica without a free slot refuses requests
 	queues   [replayGateways][]job
 	inFlight [replayGateways]int
-	replicas [replayReplicas][]job // the first replaySlots of each run
+	replicas [replayReplicas][]job // queue of each replica; the first replaySlots jobs run
 	random   *rand.Rand
 
-	arrived, inAim, inVain, refused, over int
-	idleFound                             time.Duration // after the surge began, until all slots ran
+	arrived, inTime, timedOut, refused, maxOverLimit int
+	burstServedAfter                                 time.Duration // time until two thirds of the slots are in use
 }
 
 func (r *replay) isFrozen(gateway int, now time.Duration) bool {
-	return gateway == 0 && r.load.frozen.holds(now)
+	return gateway == 0 && r.load.frozen.contains(now)
 }
 
-func (r *replay) usable(now time.Duration) int {
-	if r.load.withdrawn.holds(now) {
+func (r *replay) usableReplicas(now time.Duration) int {
+	if r.load.withdrawn.contains(now) {
 		return replayReplicas * 2 / 3
 	}
 	return replayReplicas
 }
 
 func (r *replay) run(d divider) {
-	for now := time.Duration(0); now < replayLength; now += replayStep {
-		r.limit = r.usable(now) * replaySlots
+	for now := time.Duration(0); now < replayDuration; now += replayStep {
+		r.limit = r.usableReplicas(now) * replaySlots
 		r.arrive(now)
 		r.serve(now)
 		d.step(now, r)
@@ -194,38 +195,39 @@
 			}
 		}
 	}
-	add(r.load.calm, replayGateways)
-	if r.load.during.holds(now) {
-		add(r.load.surge, r.load.surging)
+	add(r.load.baseRate, replayGateways)
+	if r.load.surgeSpan.contains(now) {
+		add(r.load.surgeRate, r.load.surgeGateways)
 	}
 }
 
 func (r *replay) serve(now time.Duration) {
 	for i := range r.replicas {
-		kept := r.replicas[i][:0]
-		for place, one := range r.replicas[i] {
-			if place < replaySlots {
+		remaining := r.replicas[i][:0]
+		for index, one := range r.replicas[i] {
+			if index < replaySlots {
 				one.left -= replayStep
 			}
 			if one.left > 0 {
-				kept = append(kept, one)
+				remaining = append(remaining, one)
 				continue
 			}
 			r.inFlight[one.gateway]--
-			if now-one.arrived <= replayAim && !r.isFrozen(one.gateway, now) {
-				r.inAim++
+			if now-one.arrived <= replayLatencyTarget && !r.isFrozen(one.gateway, now) {
+				r.inTime++
 			}
 		}
-		r.replicas[i] = kept
+		r.replicas[i] = remaining
 	}
 }
 
-// dispatch sends what may be in flight, to the better of two replicas, and gives up what waited too long.
+// dispatch sends requests up to the gateway's slots, each to the less loaded one of two random replicas, and drops
+// those that have waited for replayQueueWait.
 func (r *replay) dispatch(now time.Duration, g, slots int) {
 	for !r.isFrozen(g, now) && len(r.queues[g]) > 0 {
 		head := r.queues[g][0]
-		if now-head.arrived >= replayPatience {
-			r.inVain++
+		if now-head.arrived >= replayQueueWait {
+			r.timedOut++
 			r.queues[g] = r.queues[g][1:]
 			continue
 		}
@@ -238,7 +240,7 @@
 }
 
 func (r *replay) send(one job, now time.Duration) {
-	first, second := r.random.IntN(r.usable(now)), r.random.IntN(r.usable(now))
+	first, second := r.random.IntN(r.usableReplicas(now)), r.random.IntN(r.usableReplicas(now))
 	if len(r.replicas[second]) < len(r.replicas[first]) {
 		first = second
 	}
@@ -252,26 +254,26 @@
 
 func (r *replay) measure(now time.Duration) {
 	inFlight := 0
-	for i := range r.usable(now) {
+	for i := range r.usableReplicas(now) {
 		inFlight += len(r.replicas[i])
 	}
-	r.over = max(r.over, inFlight-r.limit)
-	if since := now - r.load.during.from; r.load.surge > 0 && since >= 0 && r.idleFound == 0 && inFlight >= r.limit*2/3 {
-		r.idleFound = max(since, replayStep)
+	r.maxOverLimit = max(r.maxOverLimit, inFlight-r.limit)
+	if since := now - r.load.surgeSpan.from; r.load.surgeRate > 0 && since >= 0 && r.burstServedAfter == 0 && inFlight >= r.limit*2/3 {
+		r.burstServedAfter = max(since, replayStep)
 	}
 }
 
-// served is the part of the requests that were answered in their callers' aim.
-func (r *replay) served() float64 { return float64(r.inAim) / float64(max(r.arrived, 1)) }
+// served returns the part of the requests that were answered within the latency target.
+func (r *replay) served() float64 { return float64(r.inTime) / float64(max(r.arrived, 1)) }
 
-func (r *replay) figures() string {
+func (r *replay) summary() string {
 	part := func(count int) float64 { return float64(count) / float64(max(r.arrived, 1)) }
 	return fmt.Sprintf("in aim %.3f, in vain %.3f, refused %.3f, over the limit %3d, two thirds in use after %v",
-		r.served(), part(r.inVain), part(r.refused), r.over, r.idleFound)
+		r.served(), part(r.timedOut), part(r.refused), r.maxOverLimit, r.burstServedAfter)
 }
 
-// replayed runs each way on a load, with the same seed.
-func replayed(one load) map[string]*replay {
+// runDividers runs all ways of division on a load, with the same random seed.
+func runDividers(one load) map[string]*replay {
 	results := map[string]*replay{}
 	for _, way := range []string{"undivided", "by rank", "by demand", "refusing"} {
 		r := &replay{load: one, limit: replayReplicas * replaySlots, refusing: way == "refusing", random: rand.New(rand.NewPCG(1, 2))}
@@ -288,29 +290,30 @@
 	return results
 }
 
-// TestDivisionByDemandServesCallersBest: where little waits, division by demand costs callers nothing against no division at all, and
-// unlike the other ways of keeping the limit; where far too much waits, several times as many are served in time as without.
-func TestDivisionByDemandServesCallersBest(t *testing.T) {
+// TestDivisionByDemandServesMostCallers checks that division by demand serves more callers in time than equal shares.
+// Under moderate load it must serve as many as no division at all and refusing replicas do, within the slack. Under
+// heavy overload it must serve several times as many as no division.
+func TestDivisionByDemandServesMostCallers(t *testing.T) {
 	const slack = 0.01
-	burstAim := 200 * time.Millisecond // until a burst finds the rooms that others leave idle
+	burstTarget := 200 * time.Millisecond // time for a burst to get the slots that others leave idle
 	for _, one := range loads {
-		results := replayed(one)
+		results := runDividers(one)
 		for way, r := range results {
-			t.Logf("%-20s %-10s %s", one.name, way, r.figures())
+			t.Logf("%-20s %-10s %s", one.name, way, r.summary())
 		}
 		demand, undivided := results["by demand"], results["undivided"]
-		if one.surge > 0 && (demand.idleFound == 0 || demand.idleFound > burstAim) {
-			t.Errorf("%s: a burst found the idle rooms after %v", one.name, demand.idleFound)
+		if one.surgeRate > 0 && (demand.burstServedAfter == 0 || demand.burstServedAfter > burstTarget) {
+			t.Errorf("%s: a burst got two thirds of the slots after %v, want at most 200ms", one.name, demand.burstServedAfter)
 		}
 		if demand.served() < results["by rank"].served()+slack {
-			t.Errorf("%s: no better than equal shares", one.name)
+			t.Errorf("%s: division by demand serves no more callers than equal shares", one.name)
 		}
-		if undivided.over > undivided.limit {
-			if demand.served() < 3*undivided.served() || demand.over > replayGateways {
-				t.Errorf("%s: %s", one.name, demand.figures())
+		if undivided.maxOverLimit > undivided.limit {
+			if demand.served() < 3*undivided.served() || demand.maxOverLimit > replayGateways {
+				t.Errorf("%s: %s", one.name, demand.summary())
 			}
 		} else if demand.served() < undivided.served()-3*slack || demand.served() < results["refusing"].served()-slack {
-			t.Errorf("%s: %s", one.name, demand.figures())
+			t.Errorf("%s: %s", one.name, demand.summary())
 		}
 	}
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -10,17 +10,19 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// fleet is holders with clocks of their own and one leader after another. Answers come in order on a holder's stream, as late as the
-// test wants; a change of leader or a new stream loses those under way.
+// fleet is a set of holders, each with its own clock, and a succession of leaders. Answers arrive in order on a
+// holder's stream, with any delay that the test chooses. A change of leader or a new stream loses the answers in
+// transit.
 type fleet struct {
 	now       time.Duration
 	resource  string
-	limits    []timedLimit // recent ones, newest last
+	limits    []timedLimit // newest last
 	allocator *Allocator
 	number    uint64
 	holders   []*testHolder
 }
 
+// timedLimit is a limit and the time until which it was set.
 type timedLimit struct {
 	until time.Duration // 0: in force
 	limit uint32
@@ -28,7 +30,7 @@
 
 type testHolder struct {
 	holding *Holding
-	fast    float64 // speed of its clock
+	speed   float64 // speed of its clock relative to real time
 	demand  Demand
 	acted   uint64
 	pending []testAnswer
@@ -40,7 +42,7 @@
 	number uint64
 	grants []Grant
 	told   []Told
-	ends   time.Duration // on the holder's clock
+	ends   time.Duration // by the holder's clock
 }
 
 const (
@@ -48,10 +50,11 @@
 	testDrift = 0.05
 )
 
-// counted is a lease as a leader counts it: no clock is slower than the drift allows.
-const counted = time.Duration(float64(testLease) * (1 + testDrift))
+// leaderLease is the duration of a lease by the leader's clock. It allows for the slowest holder clock within the
+// drift bound.
+const leaderLease = time.Duration(float64(testLease) * (1 + testDrift))
 
-func (f *fleet) clock(h *testHolder) time.Duration { return time.Duration(float64(f.now) * h.fast) }
+func (f *fleet) clock(h *testHolder) time.Duration { return time.Duration(float64(f.now) * h.speed) }
 
 func (f *fleet) setLimit(limit uint32) {
 	if last := len(f.limits) - 1; last >= 0 {
@@ -61,11 +64,11 @@
 	f.allocator.SetLimit(f.resource, limit)
 }
 
-// largest is the largest limit of which answers may still be in force. What runs goes on until its holder tells that it has ended, so
-// that shares kept by holders with work in hand count from their last renewal.
-func (f *fleet) largest() (most uint32) {
+// largestLimit returns the largest limit under which answers may still be in force. Work in progress continues until
+// its holder reports its end, so shares kept by holders with work in progress count from their last renewal.
+func (f *fleet) largestLimit() (most uint32) {
 	for _, one := range f.limits {
-		if one.until == 0 || f.now < one.until+2*counted {
+		if one.until == 0 || f.now < one.until+2*leaderLease {
 			most = max(most, one.limit)
 		}
 	}
@@ -73,7 +76,7 @@
 }
 
 func (f *fleet) newLeader() {
-	f.allocator = NewAllocator(f.now + counted)
+	f.allocator = NewAllocator(f.now + leaderLease)
 	f.allocator.SetLimit(f.resource, f.limits[len(f.limits)-1].limit)
 	for _, h := range f.holders {
 		h.pending, h.acted = nil, 0
@@ -86,7 +89,7 @@
 	}
 	f.number++
 	told := []Told{{Resource: f.resource, Demand: h.demand}}
-	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, Acted: h.acted, Ends: f.now + counted, Demands: told})
+	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, Acted: h.acted, Ends: f.now + leaderLease, Demands: told})
 	h.pending = append(h.pending, testAnswer{number: f.number, grants: grants, told: told, ends: f.clock(h) + testLease})
 }
 
@@ -105,7 +108,8 @@
 	return amount
 }
 
-// use has a holder take as much as it wants and may, or end some of what it has in use.
+// use makes a holder use as much as it wants and its share allows, or less than before if it wants less. The rest
+// waits.
 func (f *fleet) use(h *testHolder, want uint32) {
 	if h.frozen {
 		return
@@ -119,14 +123,15 @@
 	h.demand.Waiting = want - min(want, h.demand.InUse)
 }
 
-func (f *fleet) inForce() (sum uint32) {
+func (f *fleet) sumInForce() (sum uint32) {
 	for _, h := range f.holders {
 		sum += f.share(h)
 	}
 	return sum
 }
 
-// TestSharesInForceStayWithinTheLimit: whatever is delayed, frozen, lost or restarted, and whoever leads.
+// TestSharesInForceStayWithinTheLimit checks that the shares in force never exceed the limit and the lent amounts,
+// with random delays, frozen and restarted holders, lost answers and changes of leader.
 func TestSharesInForceStayWithinTheLimit(t *testing.T) {
 	for _, resource := range []string{Slots("p"), Rate("t"), Calls("t")} {
 		t.Run(resource, func(t *testing.T) {
@@ -141,7 +146,7 @@
 	count := rapid.IntRange(1, 6).Draw(t, "holders")
 	for i := range count {
 		speed := 1 + rapid.SampledFrom([]float64{-testDrift / 2, 0, testDrift}).Draw(t, "clock")
-		f.holders = append(f.holders, &testHolder{holding: NewHolding(), fast: max(speed, 1/(1+testDrift)), id: lease.HolderID{Name: fmt.Sprint(i)}})
+		f.holders = append(f.holders, &testHolder{holding: NewHolding(), speed: max(speed, 1/(1+testDrift)), id: lease.HolderID{Name: fmt.Sprint(i)}})
 	}
 	lent := uint32(kindOf(resource).lent) * uint32(count)
 	for range 80 {
@@ -167,18 +172,19 @@
 				f.setLimit(uint32(rapid.IntRange(0, 40).Draw(t, "limit")))
 			}
 		}
-		if sum, most := f.inForce(), f.largest(); sum > most+lent {
-			t.Fatalf("%d in force, limit %d and %d lent", sum, most, lent)
+		if sum, most := f.sumInForce(), f.largestLimit(); sum > most+lent {
+			t.Fatalf("shares in force add up to %d, want at most the limit %d and the lent %d", sum, most, lent)
 		}
 	}
 }
 
-// TestBurstGetsWhatOthersLeave: half of what is idle at once, the rest when the others have heard and confirmed.
-func TestBurstGetsWhatOthersLeave(t *testing.T) {
+// TestBurstGetsIdleShares checks that a burst at one holder gets half of the idle amount with its first renewal, and
+// the rest when the other holders have confirmed their smaller shares.
+func TestBurstGetsIdleShares(t *testing.T) {
 	f := &fleet{resource: Slots("p"), allocator: NewAllocator(0)}
 	f.setLimit(40)
 	for i := range 4 {
-		f.holders = append(f.holders, &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: fmt.Sprint(i)}})
+		f.holders = append(f.holders, &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: fmt.Sprint(i)}})
 	}
 	round := func() {
 		for _, h := range f.holders {
@@ -195,34 +201,35 @@
 	f.renew(busy)
 	f.deliver(busy)
 	if at := f.share(busy); at < 20 {
-		t.Fatalf("with the first renewal %d of 40", at)
+		t.Fatalf("share after the first renewal is %d of 40, want at least 20", at)
 	}
 	for range 4 {
 		f.use(busy, 40)
 		round()
 	}
 	if at := f.share(busy); at < 40 {
-		t.Fatalf("after four renewals %d of 40", at)
+		t.Fatalf("share after four renewals is %d, want 40", at)
 	}
 }
 
-// TestShareOfAFrozenHolderComesBack: at the end of its lease, and not before.
-func TestShareOfAFrozenHolderComesBack(t *testing.T) {
+// TestShareOfFrozenHolderIsFreedAtLeaseEnd checks that the share of a holder that does not renew goes to others at the
+// end of its lease, and not before.
+func TestShareOfFrozenHolderIsFreedAtLeaseEnd(t *testing.T) {
 	f := &fleet{resource: Rate("t"), allocator: NewAllocator(0)}
 	f.setLimit(100)
-	frozen, other := &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: "a"}}, &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: "b"}}
+	frozen, other := &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: "a"}}, &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: "b"}}
 	f.holders = []*testHolder{frozen, other}
 	frozen.demand, other.demand = Demand{Waiting: 100}, Demand{Waiting: 100}
 	f.renew(frozen)
 	f.deliver(frozen)
 	if f.share(frozen) != 100 {
-		t.Fatal("the first holder got", f.share(frozen))
+		t.Fatal("share of the first holder, want 100:", f.share(frozen))
 	}
-	for f.now < counted {
+	for f.now < leaderLease {
 		f.renew(other)
 		f.deliver(other)
 		if f.share(other) != 0 {
-			t.Fatalf("%d at %v, while the lease of the other goes on", f.share(other), f.now)
+			t.Fatalf("share %d at %v before the lease of the frozen holder has ended, want 0", f.share(other), f.now)
 		}
 		f.now += testLease / 6
 	}
@@ -233,11 +240,12 @@
 	}
 }
 
-// TestNewLeaderLendsWhileItSettles: what is in use stays, and a gateway of a calm pool goes on taking the few requests that come to it.
-func TestNewLeaderLendsWhileItSettles(t *testing.T) {
+// TestNewLeaderLendsBeforeOldLeasesEnd checks that under a new leader, work in progress keeps its share, and a gateway
+// without load still gets lent slots for the few requests that arrive.
+func TestNewLeaderLendsBeforeOldLeasesEnd(t *testing.T) {
 	f := &fleet{resource: Slots("p"), allocator: NewAllocator(0)}
 	f.setLimit(40)
-	idle, busy := &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: "a"}}, &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: "b"}}
+	idle, busy := &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: "a"}}, &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: "b"}}
 	f.holders = []*testHolder{idle, busy}
 	busy.demand = Demand{InUse: 12, Waiting: 6}
 	f.newLeader()
@@ -248,64 +256,66 @@
 	if f.share(idle) != lentSlots || f.share(busy) != 12 {
 		t.Fatal(f.share(idle), f.share(busy))
 	}
-	f.now += counted
+	f.now += leaderLease
 	f.renew(busy)
 	f.deliver(busy)
 	if f.share(busy) < 18 {
-		t.Fatal(f.share(busy), "when earlier leases have ended")
+		t.Fatal(f.share(busy), "slots after earlier leases have ended, want at least 18")
 	}
 }
 
-// TestFrozenHolderWakesWithWorkInHand: what it has in hand counts from its next renewal on, so that others make room for it, and it takes
-// no more than is lent meanwhile.
-func TestFrozenHolderWakesWithWorkInHand(t *testing.T) {
+// TestRequestsOfResumedHolderCountAsInUse checks that the requests in flight of a holder that was frozen beyond its
+// lease count from its next renewal on, so that others give back slots for them. Until then it has only lent slots.
+func TestRequestsOfResumedHolderCountAsInUse(t *testing.T) {
 	f := &fleet{resource: Slots("p"), allocator: NewAllocator(0)}
 	f.setLimit(20)
-	frozen, other := &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: "a"}}, &testHolder{holding: NewHolding(), fast: 1, id: lease.HolderID{Name: "b"}}
+	frozen, other := &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: "a"}}, &testHolder{holding: NewHolding(), speed: 1, id: lease.HolderID{Name: "b"}}
 	f.holders = []*testHolder{frozen, other}
 	frozen.demand, other.demand = Demand{InUse: 12}, Demand{Waiting: 40}
 	f.renew(frozen)
 	f.deliver(frozen)
-	f.now += counted
+	f.now += leaderLease
 	f.renew(other)
 	f.deliver(other)
 	if f.share(frozen) != lentSlots || f.share(other) < 20 {
-		t.Fatal("awake and not renewed:", f.share(frozen), f.share(other))
+		t.Fatal("shares of the resumed holder, want lentSlots, and of the other one, want at least 20:", f.share(frozen), f.share(other))
 	}
 	f.use(other, 40)
 	f.renew(frozen)
 	f.deliver(frozen)
 	if f.share(frozen) > leastSlots {
-		t.Fatal("while the other's share goes on it gets", f.share(frozen))
+		t.Fatal("share of the resumed holder while the other's is in force, want at most leastSlots:", f.share(frozen))
 	}
 	f.renew(other)
 	f.deliver(other)
 	if f.share(other) > 8+lentSlots {
-		t.Fatal("beside 12 requests in hand the other has", f.share(other))
+		t.Fatal("share of the other holder beside 12 requests in flight, want at most 8 and lentSlots:", f.share(other))
 	}
 }
 
-// TestLeadersThatDivideNothing: without a share in the answer the resource is not divided, and the process serves as if alone.
-func TestLeadersThatDivideNothing(t *testing.T) {
+// TestResourceWithoutGrantIsNotDivided checks that a resource is not divided before the first answer and after an
+// answer without a grant, so that the process serves as if it were alone. After the end of a lease only lent slots are
+// left.
+func TestResourceWithoutGrantIsNotDivided(t *testing.T) {
 	told := []Told{{Resource: Slots("p")}}
 	holding := NewHolding()
 	if _, divided := holding.Share(0, Slots("p")); divided {
-		t.Fatal("divided before the first answer")
+		t.Fatal("resource is divided before the first answer")
 	}
 	holding.Granted(told, []Grant{{Resource: Slots("p"), Amount: 7}}, time.Second)
 	if amount, divided := holding.Share(0, Slots("p")); !divided || amount != 7 {
 		t.Fatal(amount, divided)
 	}
 	if amount, divided := holding.Share(time.Second, Slots("p")); !divided || amount != lentSlots {
-		t.Fatal("after the lease", amount, divided)
+		t.Fatal("share after the end of the lease, want lentSlots and divided:", amount, divided)
 	}
 	holding.Granted(told, nil, 2*time.Second)
 	if _, divided := holding.Share(0, Slots("p")); divided {
-		t.Fatal("divided by a leader that does not divide")
+		t.Fatal("resource is divided after an answer without a grant")
 	}
 }
 
-// BenchmarkRenewal is one renewal among 300 gateways, all of which want slots of a full pool.
+// BenchmarkRenewal measures one renewal among 300 gateways that all want slots of a full pool.
 func BenchmarkRenewal(b *testing.B) {
 	const gateways = 300
 	allocator := NewAllocator(0)
--- a/internal/share/turns_test.go
+++ b/internal/share/turns_test.go
@@ -7,7 +7,8 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// renewOne is one renewal of a holder in a test's allocator, which acts on the answer before.
+// renewOne renews the lease of a holder that has applied the preceding answer, and returns its share of the told
+// resource.
 func renewOne(a *Allocator, now time.Duration, holder lease.HolderID, number uint64, told Told) uint32 {
 	grants := a.Renew(now, &Renewal{Holder: holder, Number: number, Acted: number - 1, Ends: now + time.Second, Demands: []Told{told}})
 	if len(grants) != 1 {
@@ -16,54 +17,55 @@
 	return grants[0].Amount
 }
 
-// TestTurnsAreOneProcesss: however many ask, one has the turn, until it has heard that it hasn't any more or its lease has ended; nothing
-// is lent.
-func TestTurnsAreOneProcesss(t *testing.T) {
+// TestTurnHasOneHolder checks that only one of several holders has the turn, until it has confirmed that it lost the
+// turn or its lease has ended, and that a turn is never lent.
+func TestTurnHasOneHolder(t *testing.T) {
 	resource := Turn("r")
 	a := NewAllocator(0)
 	a.SetLimit(resource, 1)
 	wants, uses := Told{resource, Demand{Waiting: 1}}, Told{resource, Demand{InUse: 1}}
 	one, two, three := lease.HolderID{Name: "1"}, lease.HolderID{Name: "2"}, lease.HolderID{Name: "3"}
 	if renewOne(a, 0, one, 1, wants) != 1 || renewOne(a, 0, two, 2, wants) != 0 || renewOne(a, 0, three, 3, wants) != 0 || renewOne(a, 0, one, 4, uses) != 1 {
-		t.Fatal("not exactly the first has the turn")
+		t.Fatal("the first holder does not have the turn, or another one has it too")
 	}
 	if renewOne(a, 0, one, 5, Told{Resource: resource}) != 0 || renewOne(a, 0, one, 6, Told{Resource: resource}) != 0 {
-		t.Error("a turn is lent")
+		t.Error("a holder that gave the turn back was granted it without asking")
 	}
 	if renewOne(a, 0, three, 7, wants) != 1 || renewOne(a, 0, two, 8, wants) != 0 {
-		t.Error("a turn that was given back isn't given on")
+		t.Error("a turn that was given back is not granted to exactly the next holder")
 	}
 	if renewOne(a, 2*time.Second, two, 9, wants) != 1 {
-		t.Error("a lease that ended keeps its turn")
+		t.Error("the turn of an ended lease is not granted to another holder")
 	}
 	holding := NewHolding()
 	holding.Granted([]Told{wants}, []Grant{{resource, 1}}, time.Second)
 	if amount, divided := holding.Share(2*time.Second, resource); amount != 0 || !divided {
-		t.Errorf("after its lease a holder has %d", amount)
+		t.Errorf("after the end of its lease a holder has %d turns, want 0 and divided", amount)
 	}
 }
 
-// TestTheLowestLimitIsTold: of those that are told in leases that go on.
-func TestTheLowestLimitIsTold(t *testing.T) {
+// TestLowestReportedLimitIsShared checks that all holders get the lowest limit that is reported in leases that have
+// not ended.
+func TestLowestReportedLimitIsShared(t *testing.T) {
 	resource := Bytes("p")
 	a := NewAllocator(0)
 	a.SetLimit(resource, 0)
 	tell := func(limit uint32) Told { return Told{resource, Demand{InUse: limit, Waiting: 1}} }
 	one, two, three := lease.HolderID{Name: "1"}, lease.HolderID{Name: "2"}, lease.HolderID{Name: "3"}
 	if renewOne(a, 0, one, 1, tell(0)) != 0 || renewOne(a, 0, two, 2, tell(700)) != 700 || renewOne(a, 0, three, 3, tell(500)) != 500 {
-		t.Error("not the lowest that was told")
+		t.Error("a share is not the lowest limit reported so far")
 	}
 	if renewOne(a, 0, one, 4, tell(0)) != 500 {
-		t.Error("who knows none isn't told")
+		t.Error("a holder without a limit does not get the lowest reported one, 500")
 	}
 	if renewOne(a, 1500*time.Millisecond, one, 5, tell(0)) != 0 {
-		t.Error("what was told in a lease that ended still counts")
+		t.Error("a limit reported in an ended lease still counts")
 	}
 }
 
-// TestLoneCrashesOfSeveralTeachALimit: half of what holders had at a replica that crashed, where it is more than each must bear and more
-// than one had some.
-func TestLoneCrashesOfSeveralTeachALimit(t *testing.T) {
+// TestCrashesOfSeveralHoldersSetLimit checks that half of the bodies that several holders had at a crashed replica
+// becomes a limit, if the sum is more than every replica is assumed to hold and more than one holder had some.
+func TestCrashesOfSeveralHoldersSetLimit(t *testing.T) {
 	const sure = SafeBytes / BytesUnit
 	for _, one := range []struct {
 		demands []Demand
@@ -82,7 +84,7 @@
 			last = d.renew(0, false, renewal, demand)
 		}
 		if last != one.want {
-			t.Errorf("%+v: told %d, want %d", one.demands, last, one.want)
+			t.Errorf("%+v: limit %d, want %d", one.demands, last, one.want)
 		}
 	}
 }
