--- a/internal/batching/queue.go
+++ b/internal/batching/queue.go
@@ -1,5 +1,6 @@
-// Package batching turns what many callers want at the same time into few operations: while one operation is under
-// way, what arrives waits, and goes into the next one together. Nothing is delayed when nothing is under way.
+// Package batching combines concurrent requests for the same kind of operation into few operations. Calls that arrive
+// while an operation is running wait and are combined into the next one. A call is not delayed if no operation is
+// running.
 package batching
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Call is one caller's part of an operation.
+// Call is one caller's part of a batch.
 type Call[T any] struct {
 	Value T
 
@@ -19,18 +20,21 @@
 	err  error
 }
 
-// Finish answers the caller. Every call of a batch is finished once, or postponed.
+// Finish returns err to the caller. Each call of a batch must be finished exactly once or be returned by Run as
+// postponed.
 func (c *Call[T]) Finish(err error) {
 	c.err = err
 	close(c.done)
 }
 
-// Queue collects calls. The zero value with Take and Run set is ready. It is safe for concurrent use.
+// Queue collects calls into batches. The zero value with Take and Run set is ready to use. It is safe for concurrent
+// use.
 type Queue[T any] struct {
-	// Take returns how many of the waiting calls go into the next batch, from the first on: at least one.
+	// Take returns the number of waiting calls, from the first on, that form the next batch. It must be at least 1.
 	Take func(waiting []*Call[T]) int
-	// Run is the operation; it runs once at a time, and must end by itself soon after its callers' patience. It
-	// finishes the calls of its batch but those that it returns, which go first into the next one.
+	// Run executes a batch. Only one batch runs at a time. Run must return by itself soon after its callers have given
+	// up waiting. It finishes the calls of the batch, except for those that it returns; these go first into the next
+	// batch.
 	Run func(batch []*Call[T]) (postponed []*Call[T])
 
 	mutex   sync.Mutex
@@ -38,8 +42,8 @@
 	running bool
 }
 
-// Do puts a call into the queue and returns its error. When ctx ends first, the call may still be part of an operation:
-// its outcome is not known.
+// Do adds a call to the queue and returns the error that the call is finished with. If ctx ends first, Do returns its
+// error, and the outcome of the call is unknown because it may still be part of an operation.
 func (q *Queue[T]) Do(ctx context.Context, value T) error {
 	call := &Call[T]{Value: value, ctx: ctx, done: make(chan struct{})}
 	q.mutex.Lock()
@@ -48,7 +52,7 @@
 	q.running = true
 	q.mutex.Unlock()
 	if start {
-		go q.run()
+		go q.runBatches()
 	}
 	select {
 	case <-call.done:
@@ -58,17 +62,17 @@
 	}
 }
 
-// Waiting returns how many calls are not part of an operation yet.
+// Waiting returns the number of calls that are not part of an operation yet.
 func (q *Queue[T]) Waiting() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return len(q.waiting)
 }
 
-// run makes batches until nothing waits.
-func (q *Queue[T]) run() {
+// runBatches runs batches until no call waits.
+func (q *Queue[T]) runBatches() {
 	for {
-		batch := q.next()
+		batch := q.takeBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -79,9 +83,9 @@
 	}
 }
 
-// next takes the next batch; an empty one ends the run. Callers that are gone were told that the outcome is not known,
-// and get no operation.
-func (q *Queue[T]) next() []*Call[T] {
+// takeBatch removes the next batch from the waiting calls. It returns an empty batch, and ends the run, if no call
+// waits. Calls whose context has ended are dropped: their callers were told that the outcome is unknown.
+func (q *Queue[T]) takeBatch() []*Call[T] {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.waiting = slices.DeleteFunc(q.waiting, func(call *Call[T]) bool { return call.ctx.Err() != nil })
@@ -95,7 +99,7 @@
 	return batch
 }
 
-// AtMost returns a Take that bounds the size of a batch only.
+// AtMost returns a Take function that only limits the size of a batch.
 func AtMost[T any](most int) func(waiting []*Call[T]) int {
 	return func(waiting []*Call[T]) int { return min(len(waiting), most) }
 }
--- a/internal/batching/queue_test.go
+++ b/internal/batching/queue_test.go
@@ -15,9 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestEveryCallIsAnsweredOnceInOrder: whatever is postponed, each call ends up in one finished operation, in the order
-// of arrival.
-func TestEveryCallIsAnsweredOnceInOrder(t *testing.T) {
+// TestEachCallIsFinishedOnceInOrder checks that each call is finished by one operation, in the order of arrival,
+// whatever calls are postponed.
+func TestEachCallIsFinishedOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
 		count := rapid.IntRange(1, 30).Draw(t, "count")
@@ -41,15 +41,16 @@
 		for number := range count {
 			q.waiting = append(q.waiting, &Call[int]{Value: number, ctx: context.Background(), done: make(chan struct{})})
 		}
-		q.run()
+		q.runBatches()
 		if len(ran) != count || !slices.IsSorted(ran) {
-			t.Fatalf("%d calls ran as %v", count, ran)
+			t.Fatalf("%d calls were finished as %v, want each once in order", count, ran)
 		}
 	})
 }
 
-// TestCallsThatWaitShareAnOperation: a hundred calls that come while one operation is under way take one more.
-func TestCallsThatWaitShareAnOperation(t *testing.T) {
+// TestWaitingCallsShareOneOperation checks that a hundred calls that arrive while an operation is running take one
+// more operation.
+func TestWaitingCallsShareOneOperation(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	var batches [][]int
 	q := Queue[int]{Take: AtMost[int](1000)}
@@ -72,7 +73,7 @@
 	do := func(number int) {
 		callers.Go(func() {
 			if err := q.Do(t.Context(), number); err == nil || err.Error() != fmt.Sprint("answer ", number) {
-				t.Errorf("call %d got %v", number, err)
+				t.Errorf("call %d got %v, want its own answer", number, err)
 			}
 		})
 	}
@@ -87,12 +88,13 @@
 	close(release)
 	callers.Wait()
 	if len(batches) != 2 || len(batches[1]) != 100 {
-		t.Fatalf("batches of %v", batches)
+		t.Fatalf("batches of %v, want one call and then 100", batches)
 	}
 }
 
-// TestCallerThatLeftGetsNoOperation: a caller whose context ended before its operation began was told so.
-func TestCallerThatLeftGetsNoOperation(t *testing.T) {
+// TestCallWithEndedContextIsNotRun checks that no operation runs for a caller whose context ended before, because Do
+// has already returned to it.
+func TestCallWithEndedContextIsNotRun(t *testing.T) {
 	ran := false
 	q := Queue[int]{Take: AtMost[int](1), Run: func(batch []*Call[int]) []*Call[int] {
 		ran = true
@@ -102,9 +104,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	q.waiting = []*Call[int]{{ctx: ctx, done: make(chan struct{})}}
-	q.run()
+	q.runBatches()
 	if ran {
-		t.Fatal("an operation ran for a caller that had left")
+		t.Fatal("an operation ran for a call whose context had ended")
 	}
 	if err := q.Do(ctx, 1); err != nil && !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
--- a/internal/bytebudget/budget.go
+++ b/internal/bytebudget/budget.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// ErrFull is why bytes were not reserved in time.
+// ErrFull is returned by Acquire when bytes could not be reserved in time.
 var ErrFull = errors.New("bytebudget: the process holds as many bytes as it may")
 
-// Budget is the bytes of one process. It is safe for concurrent use.
+// Budget counts the bytes that one process holds. It is safe for concurrent use.
 type Budget struct {
 	limit   int64
 	mu      sync.Mutex
-	held    [classes]int64     // guarded by mu
-	total   int64              // guarded by mu
-	peak    int64              // of total; guarded by mu
-	refused [classes]uint64    // guarded by mu
-	waiting [classes]list.List // of *waiter, the first to come first; guarded by mu
+	held    [classCount]int64     // guarded by mu
+	total   int64                 // guarded by mu
+	peak    int64                 // maximum of total; guarded by mu
+	refused [classCount]uint64    // guarded by mu
+	waiting [classCount]list.List // of *waiter, oldest first; guarded by mu
 }
 
-// waiter is a reservation that did not fit yet.
+// waiter is a reservation that does not fit yet.
 type waiter struct {
 	bytes   int64
 	granted chan struct{} // closed once the bytes are reserved
 }
 
-// New returns an empty budget of so many bytes.
+// New returns an empty budget of limit bytes.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
-// Limit is how many bytes may be held.
+// Limit returns the maximum number of bytes that may be held.
 func (b *Budget) Limit() int64 { return b.limit }
 
-// ClassLimit is the class's part of the limit. One larger reservation is still granted while nothing else is held.
-func (b *Budget) ClassLimit(class Class) int64 { return percent(b.limit, shares[class].own) }
+// ClassLimit returns the maximum number of bytes of a class. A larger reservation is still granted while no bytes are
+// held at all.
+func (b *Budget) ClassLimit(class Class) int64 { return percentOf(b.limit, shares[class].ownPercent) }
 
 // Reserve implements Reserver.
 func (b *Budget) Reserve(class Class, bytes int64) bool {
@@ -49,8 +50,9 @@
 	return true
 }
 
-// Acquire reserves bytes, and waits for them for a while if they do not fit. Those of a class that wait get theirs in the order in
-// which they came, so that a large reservation is not passed by smaller ones for ever.
+// Acquire reserves bytes and waits for up to the given time if they do not fit. It returns ErrFull when the time is
+// over and ctx's error when ctx ends first. Reservations of a class are granted in the order of arrival, so that
+// smaller ones cannot starve a large one.
 func (b *Budget) Acquire(ctx context.Context, class Class, bytes int64, wait time.Duration) error {
 	if bytes <= 0 {
 		return nil
@@ -63,7 +65,7 @@
 		return nil
 	}
 	waiting := &waiter{bytes: bytes, granted: make(chan struct{})}
-	place := queue.PushBack(waiting)
+	element := queue.PushBack(waiting)
 	b.mu.Unlock()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -72,16 +74,17 @@
 		return nil
 	case <-timer.C:
 	case <-ctx.Done():
-		if err := b.leave(class, waiting, place); err != nil {
+		if err := b.cancelWait(class, waiting, element); err != nil {
 			return ctx.Err()
 		}
 		return nil
 	}
-	return b.leave(class, waiting, place)
+	return b.cancelWait(class, waiting, element)
 }
 
-// leave takes a reservation out that has waited for long enough, unless it was granted meanwhile.
-func (b *Budget) leave(class Class, waiting *waiter, place *list.Element) error {
+// cancelWait removes a waiting reservation and returns ErrFull, or returns nil if the reservation was granted in the
+// meantime.
+func (b *Budget) cancelWait(class Class, waiting *waiter, element *list.Element) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -89,9 +92,9 @@
 		return nil
 	default:
 	}
-	b.waiting[class].Remove(place)
+	b.waiting[class].Remove(element)
 	b.refused[class]++
-	b.grant()
+	b.grantWaiting()
 	return ErrFull
 }
 
@@ -101,28 +104,29 @@
 	defer b.mu.Unlock()
 	b.held[class] -= bytes
 	b.total -= bytes
-	b.grant()
+	b.grantWaiting()
 }
 
-// fits tells whether bytes of a class may be added. What is larger than all that the class may fill is held alone: refusing it would
-// refuse it for ever. The caller holds the mutex.
+// fits reports whether bytes of a class can be added. A reservation above the limits is granted while nothing else is
+// held, because it could never be granted otherwise. The caller holds the mutex.
 func (b *Budget) fits(class Class, bytes int64) bool {
 	if b.total == 0 {
 		return true
 	}
 	part := shares[class]
-	return b.total+bytes <= percent(b.limit, part.together) && b.held[class]+bytes <= percent(b.limit, part.own)
+	return b.total+bytes <= percentOf(b.limit, part.totalPercent) && b.held[class]+bytes <= percentOf(b.limit, part.ownPercent)
 }
 
+// add counts bytes as held. The caller holds the mutex.
 func (b *Budget) add(class Class, bytes int64) {
 	b.held[class] += bytes
 	b.total += bytes
 	b.peak = max(b.peak, b.total)
 }
 
-// grant reserves for those that wait, as far as there is room. The caller holds the mutex.
-func (b *Budget) grant() {
-	for class := range classes {
+// grantWaiting grants waiting reservations that fit now. The caller holds the mutex.
+func (b *Budget) grantWaiting() {
+	for class := range classCount {
 		queue := &b.waiting[class]
 		for first := queue.Front(); first != nil; first = queue.Front() {
 			waiting := first.Value.(*waiter)
@@ -136,26 +140,26 @@
 	}
 }
 
-// Held is how many bytes of a class are held.
+// Held returns the number of bytes that are held for a class.
 func (b *Budget) Held(class Class) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held[class]
 }
 
-// usage is a budget at one moment.
+// usage is a snapshot of a budget.
 type usage struct {
-	held    [classes]int64
-	refused [classes]uint64
+	held    [classCount]int64
+	refused [classCount]uint64
 	peak    int64
-	waiting [classes]int
+	waiting [classCount]int
 }
 
 func (b *Budget) usage() usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := usage{held: b.held, refused: b.refused, peak: b.peak}
-	for class := range classes {
+	for class := range classCount {
 		now.waiting[class] = b.waiting[class].Len()
 	}
 	return now
--- a/internal/bytebudget/budget_test.go
+++ b/internal/bytebudget/budget_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestClassesGiveWayInOrder fills a budget step by step: large bodies are refused first, parts of streams last.
-func TestClassesGiveWayInOrder(t *testing.T) {
+// TestClassesAreRefusedInOrder fills a budget step by step and checks that large bodies are refused first and parts of
+// streams last.
+func TestClassesAreRefusedInOrder(t *testing.T) {
 	budget := New(1000)
 	budget.Reserve(LargeBody, 800)
 	for _, step := range []struct {
@@ -25,37 +26,39 @@
 		{Stream, nil, Stream},
 	} {
 		if budget.Reserve(LargeBody, 1) {
-			t.Error("a large body fits still")
+			t.Error("a large body still fits, want refused")
 		}
 		if !budget.Reserve(step.fill, 50) {
-			t.Fatalf("no more of %s fits", step.fill)
+			t.Fatalf("50 bytes of %s do not fit", step.fill)
 		}
 		if budget.Reserve(step.stops, 1) {
-			t.Errorf("a %s fits still", step.stops)
+			t.Errorf("a %s still fits, want refused", step.stops)
 		}
 		for _, class := range step.fits {
 			if !budget.Reserve(class, 1) {
-				t.Errorf("no %s fits when %s gives way", class, step.stops)
+				t.Errorf("%s does not fit while only %s is refused", class, step.stops)
 			}
 			budget.Release(class, 1)
 		}
 	}
 }
 
-// TestUnreadAnswersLeaveRoom: however much callers leave unread and replicas are slow to finish, small bodies are read.
-func TestUnreadAnswersLeaveRoom(t *testing.T) {
+// TestUnreadAnswersLeaveSpaceForSmallBodies guards against unread and unfinished answers that fill the budget, so that
+// not even small request bodies are read.
+func TestUnreadAnswersLeaveSpaceForSmallBodies(t *testing.T) {
 	budget := New(1000)
 	for _, class := range []Class{Stream, Answer} {
 		for budget.Reserve(class, 10) {
 		}
 	}
 	if !budget.Reserve(Body, 10) {
-		t.Errorf("%d bytes of streams and %d of answers leave no room", budget.Held(Stream), budget.Held(Answer))
+		t.Errorf("%d bytes of streams and %d of answers leave no space for a small body", budget.Held(Stream), budget.Held(Answer))
 	}
 }
 
-// TestSmallBodiesAreNotBehindLargeOnes: what waits for much room holds nobody up who needs little.
-func TestSmallBodiesAreNotBehindLargeOnes(t *testing.T) {
+// TestSmallBodiesDoNotWaitBehindLargeOnes checks that a waiting reservation for a large body does not block small
+// ones.
+func TestSmallBodiesDoNotWaitBehindLargeOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := New(1000)
 		budget.Reserve(LargeBody, 800)
@@ -67,20 +70,22 @@
 	})
 }
 
-// TestLargerThanTheBoundIsHeldAlone: a body that the configuration permits is served on a small machine too.
-func TestLargerThanTheBoundIsHeldAlone(t *testing.T) {
+// TestOversizedReservationIsGrantedAlone checks that a body that the configuration permits is accepted on a small
+// machine too, while nothing else is held.
+func TestOversizedReservationIsGrantedAlone(t *testing.T) {
 	budget := New(1000)
 	if !budget.Reserve(LargeBody, 5000) || budget.Reserve(LargeBody, 1) {
-		t.Error("it is not held, or not alone")
+		t.Error("an oversized reservation was refused, or another one was granted beside it")
 	}
 	budget.Release(LargeBody, 5000)
 	if !budget.Reserve(LargeBody, 1) || budget.Reserve(LargeBody, 5000) {
-		t.Error("it is held beside another")
+		t.Error("an oversized reservation was granted beside another one")
 	}
 }
 
-// TestWaitingIsInOrder: what waits is reserved when there is room, the first to come first, and not after its time.
-func TestWaitingIsInOrder(t *testing.T) {
+// TestWaitersAreGrantedInOrder checks that waiting reservations of a class are granted in the order of arrival, and
+// that Acquire returns ErrFull when its time is over.
+func TestWaitersAreGrantedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := New(1000)
 		budget.Reserve(LargeBody, 800)
@@ -103,19 +108,19 @@
 		budget.Release(LargeBody, 100)
 		synctest.Wait()
 		if len(order) != 0 {
-			t.Errorf("%v passed the one before", order)
+			t.Errorf("reservations of %v bytes were granted before the first waiter", order)
 		}
 		budget.Release(LargeBody, 700)
 		synctest.Wait()
 		if len(order) != 2 || budget.Held(LargeBody) != 710 {
-			t.Errorf("%v, %d held", order, budget.Held(LargeBody))
+			t.Errorf("granted %v with %d bytes held, want both granted and 710 bytes held", order, budget.Held(LargeBody))
 		}
 	})
 }
 
-// TestAccountIsNeverOverdrawn: whatever comes and goes, no class is beyond its bound, but for one that is alone, and all that
-// was reserved is given back.
-func TestAccountIsNeverOverdrawn(t *testing.T) {
+// TestBudgetIsNeverExceeded applies random reservations and releases. No class may exceed its bound, except for a
+// reservation that is alone, and after all releases nothing may be counted as held.
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := New(rapid.Int64Range(100, 10_000).Draw(t, "limit"))
 		type reservation struct {
@@ -132,26 +137,26 @@
 				total -= one.bytes
 				continue
 			}
-			one := reservation{Class(rapid.IntRange(0, int(classes)-1).Draw(t, "class")), rapid.Int64Range(0, 2000).Draw(t, "bytes")}
+			one := reservation{Class(rapid.IntRange(0, int(classCount)-1).Draw(t, "class")), rapid.Int64Range(0, 2000).Draw(t, "bytes")}
 			if !budget.Reserve(one.class, one.bytes) {
 				continue
 			}
 			reserved = append(reserved, one)
 			total += one.bytes
-			if total > percent(budget.limit, shares[one.class].together) && total != one.bytes {
-				t.Fatalf("%d of %d are held with a %s", total, budget.limit, one.class)
+			if total > percentOf(budget.limit, shares[one.class].totalPercent) && total != one.bytes {
+				t.Fatalf("%d bytes are held beside a %[3]s, more than its class allows of a limit of %[2]d", total, budget.limit, one.class)
 			}
 		}
 		for _, one := range reserved {
 			budget.Release(one.class, one.bytes)
 		}
-		if now := budget.usage(); now.held != [classes]int64{} || budget.total != 0 {
-			t.Fatalf("%+v is left", now)
+		if now := budget.usage(); now.held != [classCount]int64{} || budget.total != 0 {
+			t.Fatalf("%+v is left after all releases, want nothing held", now)
 		}
 	})
 }
 
-func TestLimitOfAProcess(t *testing.T) {
+func TestLimitFor(t *testing.T) {
 	if LimitFor(144<<20) != 48<<20 || LimitFor(0) != unknownMemoryLimit {
 		t.Error(LimitFor(144<<20), LimitFor(0))
 	}
--- a/internal/bytebudget/bytebudget.go
+++ b/internal/bytebudget/bytebudget.go
@@ -1,26 +1,28 @@
-// Package bytebudget bounds the bytes that a process holds for its callers and replicas. It answers many large bodies at once and
-// answers that are read slowly: each alone is harmless, together they outgrow the process's memory. Whoever is about to hold bytes
-// reserves them first and gives them back in one place; what does not fit is refused before it is read.
+// Package bytebudget limits the bytes that a process holds in memory for its callers and replicas. Many large bodies
+// at once, or many answers that are read slowly, are harmless one by one but together exceed the process's memory.
+// Code that is about to hold bytes reserves them first and releases them in one place. A body that does not fit is
+// refused before it is read.
 package bytebudget
 
-// Class is what bytes are held for. Under pressure the classes give way in this order, the last first.
+// Class is the purpose that bytes are held for. When the budget runs short, reservations of the last class in this
+// order are refused first.
 type Class uint8
 
-// The classes.
+// Classes of held bytes.
 const (
-	Stream    Class = iota // parts of answers on their way to callers that read slower than the replica sends
-	Answer                 // whole answers that are held back
-	Body                   // small bodies of requests
-	Listing                // results of batch jobs on their way to readers
-	LargeBody              // bodies of requests above smallBody
-	classes
+	Stream    Class = iota // parts of answers that wait for callers that read more slowly than the replica sends
+	Answer                 // answers that are buffered whole
+	Body                   // request bodies of up to smallBody bytes
+	Listing                // results of batch jobs that are being sent to readers
+	LargeBody              // request bodies of more than smallBody bytes
+	classCount
 )
 
-// smallBody is the size, in bytes, up to which a body is small: no number of callers that a gateway serves at once fills the budget
-// with such bodies.
+// smallBody is the largest size, in bytes, of a small body. Bodies of this size cannot fill the budget, whatever
+// number of callers a gateway serves at once.
 const smallBody = 64 << 10
 
-// BodyClass is the class of a request's body.
+// BodyClass returns the class for a request body of the given size in bytes.
 func BodyClass(bytes int64) Class {
 	if bytes > smallBody {
 		return LargeBody
@@ -28,45 +30,49 @@
 	return Body
 }
 
-// String names the class in metrics.
+// String returns the name of the class in metrics.
 func (c Class) String() string {
 	return [...]string{Stream: "stream", Answer: "answer", Body: "body", Listing: "listing", LargeBody: "large_body"}[c]
 }
 
-// Reserver reserves bytes before they are held.
+// Reserver reserves bytes before they are held in memory.
 type Reserver interface {
-	// Reserve counts bytes as held; false when they do not fit, and nothing is counted then.
+	// Reserve counts bytes as held. It returns false, and counts nothing, if they do not fit.
 	Reserve(class Class, bytes int64) bool
-	// Release gives reserved bytes back.
+	// Release returns reserved bytes.
 	Release(class Class, bytes int64)
 }
 
 // Limits of a budget.
 const (
-	// memoryShare is the part of a process's memory, as a divisor, that may be held for callers and replicas. With what the
-	// process needs for itself it stays below the collector's limit, see package memlimit.
-	memoryShare = 3
-	// unknownMemoryLimit is the limit, in bytes, of a process that is not told its memory: a machine of its own.
+	// memoryDivisor is the divisor of a process's memory that gives the limit for bytes held for callers and replicas.
+	// Together with the process's own needs the limit stays below the garbage collector's memory limit, see package
+	// memlimit.
+	memoryDivisor = 3
+	// unknownMemoryLimit is the limit, in bytes, of a process whose memory is not configured because it has a machine
+	// of its own.
 	unknownMemoryLimit = 1 << 30
 )
 
-// LimitFor returns the limit of a process that may use so many bytes; 0: it is not told.
+// LimitFor returns the limit, in bytes, for a process that may use memoryBytes of memory. 0 means that the memory is
+// not known.
 func LimitFor(memoryBytes int64) int64 {
 	if memoryBytes <= 0 {
 		return unknownMemoryLimit
 	}
-	return memoryBytes / memoryShare
+	return memoryBytes / memoryDivisor
 }
 
-// share is what a class may fill of the limit, in per cent.
-type share struct {
-	together int64 // all classes, once bytes of this one are reserved
-	own      int64 // this class
+// classShare bounds the reservations of a class, in percent of the limit.
+type classShare struct {
+	totalPercent int64 // of all classes together, including the new reservation
+	ownPercent   int64 // of this class
 }
 
-// shares: new work stops well before what is under way, since it can go elsewhere while an answer that was made is lost with its work.
-// What callers leave unread does not keep small bodies out.
-var shares = [classes]share{Stream: {100, 40}, Answer: {95, 40}, Body: {90, 90}, Listing: {85, 40}, LargeBody: {80, 80}}
+// shares refuses new work well before work in progress: new work can be sent elsewhere, while an answer that is lost
+// takes its work with it. The classes for answers that callers have not read yet are bounded so that small bodies
+// still fit.
+var shares = [classCount]classShare{Stream: {100, 40}, Answer: {95, 40}, Body: {90, 90}, Listing: {85, 40}, LargeBody: {80, 80}}
 
-// percent is a part of a limit.
-func percent(limit, part int64) int64 { return limit * part / 100 }
+// percentOf returns a percentage of a limit.
+func percentOf(limit, part int64) int64 { return limit * part / 100 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or for a context's end, whichever comes first.
+// Package pause waits for a duration or until a context ends, whichever comes first.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for the duration. It returns ctx's error when ctx ended first, and nil at once for a duration of 0
-// or less on a live context.
+// For waits for the duration. It returns ctx's error if ctx ends first. For a duration of 0 or less it does not wait,
+// and returns nil unless ctx has ended.
 func For(ctx context.Context, duration time.Duration) error {
 	if duration <= 0 {
 		return ctx.Err()
@@ -22,8 +22,8 @@
 	}
 }
 
-// Every calls work once in each interval, the first time after one, until ctx ends. A call that takes longer than the
-// interval delays the next one.
+// Every calls work once per interval until ctx ends, for the first time after one interval. A call that takes longer
+// than the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestEveryEndsWithItsContext counts calls until one of them ends the context.
-func TestEveryEndsWithItsContext(t *testing.T) {
+// TestEveryStopsWhenContextEnds checks that no call follows the one in which the context ends.
+func TestEveryStopsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	calls := 0
 	Every(ctx, time.Millisecond, func(context.Context) {
@@ -16,11 +16,12 @@
 		}
 	})
 	if calls != 3 {
-		t.Fatalf("%d calls", calls)
+		t.Fatalf("%d calls, want 3", calls)
 	}
 }
 
-func TestForReturnsTheContextsError(t *testing.T) {
+// TestForReturnsContextError checks that For reports an ended context for a zero and for a long wait.
+func TestForReturnsContextError(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	if err := For(ctx, time.Microsecond); err != nil {
 		t.Fatal(err)
@@ -28,7 +29,7 @@
 	cancel()
 	for _, duration := range []time.Duration{0, time.Hour} {
 		if For(ctx, duration) == nil {
-			t.Fatalf("a wait of %v does not tell that its context has ended", duration)
+			t.Fatalf("a wait of %v returns nil, want the error of its ended context", duration)
 		}
 	}
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -1,8 +1,8 @@
-// Package quota keeps one tenant's requests at one process within its share of the tenant's quota: a token bucket for the rate and a
-// count of what is in flight. It answers a tenant that sends many times its quota, at one gateway or at all, which would take the
-// room of the others.
+// Package quota keeps one tenant's requests at one process within the process's share of the tenant's quota. It uses a
+// token bucket for the request rate and counts the requests in flight. It protects other tenants' capacity from a
+// tenant that sends many times its quota, at one gateway or at all of them.
 //
-// The package is pure: times are durations since an arbitrary start. A Limiter is not safe for concurrent use.
+// The package has no clock: times are durations since an arbitrary start. A Limiter is not safe for concurrent use.
 package quota
 
 import (
@@ -11,103 +11,106 @@
 )
 
 const (
-	// leastDepth is what a bucket holds at least, in requests, however small the process's share is: a caller's first request and the
-	// one after it need not wait until the share has grown.
-	leastDepth = 2
-	// measureSpan is the time over which demand is measured, in two halves. Shorter, a caller that sends once a second would seem
-	// gone between two requests; longer, a burst would be told late.
-	measureSpan = time.Second
-	// LongestWait bounds what a refused caller is told: by then the shares have changed.
-	LongestWait = 5 * time.Second
+	// minBucketDepth is the least capacity of a bucket, in requests, however small the process's share is. It lets a
+	// caller's first two requests pass without waiting for the share to grow.
+	minBucketDepth = 2
+	// measurementWindow is the time over which the demand is measured, in two halves. With a shorter window, a caller
+	// that sends once a second would seem to have left between two requests. With a longer one, a burst would be
+	// reported late.
+	measurementWindow = time.Second
+	// MaxWait bounds the wait that a refused caller is told. By then the shares have changed.
+	MaxWait = 5 * time.Second
 )
 
-// Limiter is one tenant's limits at one process.
+// Limiter enforces one tenant's limits at one process.
 type Limiter struct {
-	rate     float64 // requests a second, as shared
-	depth    float64 // requests that the bucket holds
-	tokens   float64
-	filled   time.Duration
-	promised time.Duration // when the last refused caller may come back
+	rate        float64 // the process's share, in requests per second
+	depth       float64 // capacity of the bucket, in requests
+	tokens      float64
+	refilledAt  time.Duration
+	lastRetryAt time.Duration // latest retry time that a refused caller was given
 
 	inFlight int
 
-	halfBegan       time.Duration
-	current, before counts // of the running and the last half of the measured span
+	halfStart                 time.Duration
+	currentHalf, previousHalf requestCounts // accepted and refused requests of the current and the previous half window
 }
 
-// counts are requests in a span.
-type counts struct{ taken, refused float64 }
+// requestCounts counts requests in a half window.
+type requestCounts struct{ taken, refused float64 }
 
-// NewLimiter returns a limiter of a tenant without a share yet. phase, from 0 to below 1, differs between processes: their buckets
-// would give out their tokens at the same moments otherwise.
+// NewLimiter returns a Limiter without a share of the rate yet. phase is in [0, 1) and must differ between processes,
+// because their buckets would otherwise refill at the same moments.
 func NewLimiter(now time.Duration, phase float64) *Limiter {
-	return &Limiter{depth: leastDepth, tokens: leastDepth - 1 + phase, filled: now, halfBegan: now}
+	return &Limiter{depth: minBucketDepth, tokens: minBucketDepth - 1 + phase, refilledAt: now, halfStart: now}
 }
 
-// SetRate brings a share of the rate and of the burst into force.
+// SetRate applies the process's share of the rate, in requests per second, and of the burst, in requests.
 func (l *Limiter) SetRate(now time.Duration, rate, burst float64) {
-	l.fill(now)
-	l.rate, l.depth = rate, max(burst, leastDepth)
+	l.refill(now)
+	l.rate, l.depth = rate, max(burst, minBucketDepth)
 	l.tokens = min(l.tokens, l.depth)
 }
 
-func (l *Limiter) fill(now time.Duration) {
-	if now > l.filled {
-		l.tokens = min(l.tokens+l.rate*(now-l.filled).Seconds(), l.depth)
-		l.filled = now
+// refill adds the tokens since the last refill.
+func (l *Limiter) refill(now time.Duration) {
+	if now > l.refilledAt {
+		l.tokens = min(l.tokens+l.rate*(now-l.refilledAt).Seconds(), l.depth)
+		l.refilledAt = now
 	}
 }
 
-// Take lets a request through, or returns when it would be: after the callers that were refused before it.
+// Take accepts a request if a token is available. Otherwise it returns the wait after which a retry finds a token,
+// later than those of the callers that were refused before.
 func (l *Limiter) Take(now time.Duration) (ok bool, wait time.Duration) {
-	l.fill(now)
-	l.roll(now)
+	l.refill(now)
+	l.rollWindow(now)
 	if l.tokens >= 1 {
 		l.tokens--
-		l.current.taken++
+		l.currentHalf.taken++
 		return true, 0
 	}
-	l.current.refused++
-	return false, l.promise(now)
+	l.currentHalf.refused++
+	return false, l.scheduleRetry(now)
 }
 
-// promise returns when the next token that no refused caller has been told of is there.
-func (l *Limiter) promise(now time.Duration) time.Duration {
+// scheduleRetry returns the wait until the next token that no refused caller was told of, at most MaxWait.
+func (l *Limiter) scheduleRetry(now time.Duration) time.Duration {
 	if l.rate <= 0 {
-		return measureSpan // by then the demand has been told and answered
+		return measurementWindow // by then the demand has been reported and the share granted
 	}
-	between := seconds(1 / l.rate)
-	next := max(now+seconds((1-l.tokens)/l.rate), l.promised+between)
-	l.promised = min(next, now+LongestWait)
-	return l.promised - now
+	between := toDuration(1 / l.rate)
+	next := max(now+toDuration((1-l.tokens)/l.rate), l.lastRetryAt+between)
+	l.lastRetryAt = min(next, now+MaxWait)
+	return l.lastRetryAt - now
 }
 
-func seconds(amount float64) time.Duration {
+func toDuration(amount float64) time.Duration {
 	return time.Duration(min(amount, math.MaxInt32) * float64(time.Second))
 }
 
-// roll begins a new half of the measured span when the running one is over.
-func (l *Limiter) roll(now time.Duration) {
-	const half = measureSpan / 2
-	if now-l.halfBegan >= measureSpan {
-		l.before, l.current, l.halfBegan = counts{}, counts{}, now
-	} else if now-l.halfBegan >= half {
-		l.before, l.current, l.halfBegan = l.current, counts{}, l.halfBegan+half
+// rollWindow starts a new half window when the current one is over.
+func (l *Limiter) rollWindow(now time.Duration) {
+	const half = measurementWindow / 2
+	if now-l.halfStart >= measurementWindow {
+		l.previousHalf, l.currentHalf, l.halfStart = requestCounts{}, requestCounts{}, now
+	} else if now-l.halfStart >= half {
+		l.previousHalf, l.currentHalf, l.halfStart = l.currentHalf, requestCounts{}, l.halfStart+half
 	}
 }
 
-// Asked returns the requests a second that were let through lately, and those that were refused.
+// Asked returns the requests per second that were recently accepted and refused.
 func (l *Limiter) Asked(now time.Duration) (taken, refused float64) {
-	l.roll(now)
-	span := (measureSpan/2 + now - l.halfBegan).Seconds()
-	return (l.before.taken + l.current.taken) / span, (l.before.refused + l.current.refused) / span
+	l.rollWindow(now)
+	span := (measurementWindow/2 + now - l.halfStart).Seconds()
+	return (l.previousHalf.taken + l.currentHalf.taken) / span, (l.previousHalf.refused + l.currentHalf.refused) / span
 }
 
-// Begin notes a request in flight.
+// Begin counts a request in flight.
 func (l *Limiter) Begin() { l.inFlight++ }
 
-// End notes the end of a request in flight.
+// End ends a request in flight.
 func (l *Limiter) End() { l.inFlight-- }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of requests in flight.
 func (l *Limiter) InFlight() int { return l.inFlight }
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -12,8 +12,9 @@
 	"github.com/tamarindring/tamarindring/internal/share"
 )
 
-// TestNeverMoreThanTheBucketHolds: in no window are more let through than the rate's and one full bucket.
-func TestNeverMoreThanTheBucketHolds(t *testing.T) {
+// TestAcceptedRequestsStayWithinBucket checks that no period has more accepted requests than the rate allows plus one
+// full bucket, and that refused callers get a positive wait of at most MaxWait.
+func TestAcceptedRequestsStayWithinBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := NewLimiter(0, rapid.Float64Range(0, 0.99).Draw(t, "phase"))
 		rate, burst := rapid.Float64Range(0, 50).Draw(t, "rate"), rapid.Float64Range(0, 20).Draw(t, "burst")
@@ -25,23 +26,24 @@
 			ok, wait := limiter.Take(now)
 			if ok {
 				taken = append(taken, now)
-			} else if wait <= 0 || wait > LongestWait {
-				t.Fatal("a refused caller is told", wait)
+			} else if wait <= 0 || wait > MaxWait {
+				t.Fatal("a refused caller got a wait outside (0, MaxWait]:", wait)
 			}
 		}
 		for first := range taken {
 			for last := first; last < len(taken); last++ {
-				most := rate*(taken[last]-taken[first]).Seconds() + max(burst, leastDepth) + 1e-6
-				if float64(last-first+1) > most {
-					t.Fatalf("%d in %v at %v a second", last-first+1, taken[last]-taken[first], rate)
+				maxAllowed := rate*(taken[last]-taken[first]).Seconds() + max(burst, minBucketDepth) + 1e-6
+				if float64(last-first+1) > maxAllowed {
+					t.Fatalf("%d requests accepted in %v at a rate of %v per second, want no more than the rate and one full bucket", last-first+1, taken[last]-taken[first], rate)
 				}
 			}
 		}
 	})
 }
 
-// TestWhoComesBackWhenToldIsLetIn: with nobody beside them, all that were refused find their tokens when they were told to.
-func TestWhoComesBackWhenToldIsLetIn(t *testing.T) {
+// TestRetryAtGivenTimeIsAccepted checks that refused callers that retry at the times they were told are all accepted,
+// if there are no other callers.
+func TestRetryAtGivenTimeIsAccepted(t *testing.T) {
 	limiter := NewLimiter(0, 0)
 	limiter.SetRate(0, 10, 1)
 	for ok := true; ok; ok, _ = limiter.Take(0) {
@@ -53,28 +55,29 @@
 	}
 	for _, wait := range told {
 		if ok, _ := limiter.Take(wait + time.Microsecond); !ok {
-			t.Errorf("refused again after %v of %v", wait, told)
+			t.Errorf("refused again at the retry time %v of %v", wait, told)
 		}
 	}
 }
 
-// fleetRate is a fleet of gateways under one quota, with the leader's allocator, in steps of virtual time. Gateways renew in turn.
-type fleetRate struct {
+// testFleet is a fleet of gateways under one quota, with the leader's allocator, in virtual time. The gateways'
+// renewals are spread evenly over the renewal interval.
+type testFleet struct {
 	random    *rand.Rand
 	allocator *share.Allocator
 	rate      float64
-	gateways  []*rateGateway
+	gateways  []*testGateway
 	number    uint64
 	accepted  []time.Duration
 	now       time.Duration
 }
 
-type rateGateway struct {
+type testGateway struct {
 	limiter *Limiter
 	holding *share.Holding
 	acted   uint64
 	renews  time.Duration
-	load    float64 // requests a second
+	load    float64 // requests per second
 }
 
 const (
@@ -82,16 +85,16 @@
 	rateLease = 1200 * time.Millisecond
 )
 
-func newFleetRate(count int, rate, load float64) *fleetRate {
-	f := &fleetRate{random: rand.New(rand.NewPCG(1, 1)), allocator: share.NewAllocator(0), rate: rate}
+func newTestFleet(count int, rate, load float64) *testFleet {
+	f := &testFleet{random: rand.New(rand.NewPCG(1, 1)), allocator: share.NewAllocator(0), rate: rate}
 	for g := range count {
-		f.gateways = append(f.gateways, &rateGateway{limiter: NewLimiter(0, f.random.Float64()), holding: share.NewHolding(),
+		f.gateways = append(f.gateways, &testGateway{limiter: NewLimiter(0, f.random.Float64()), holding: share.NewHolding(),
 			renews: rateLease / 6 * time.Duration(g) / time.Duration(count), load: load / float64(count)})
 	}
 	return f
 }
 
-func (f *fleetRate) run(until time.Duration) {
+func (f *testFleet) run(until time.Duration) {
 	for ; f.now < until; f.now += rateStep {
 		f.allocator.SetLimit(share.Rate("t"), uint32(f.rate*share.RateUnit))
 		for position, g := range f.gateways {
@@ -111,7 +114,7 @@
 	}
 }
 
-func (f *fleetRate) renew(position int, g *rateGateway) {
+func (f *testFleet) renew(position int, g *testGateway) {
 	f.number++
 	taken, refused := g.limiter.Asked(f.now)
 	told := []share.Told{{Resource: share.Rate("t"), Demand: Demand(taken, refused)}}
@@ -121,8 +124,8 @@
 	g.acted = f.number
 }
 
-// most returns the most that were let through in a window between two times, relative to the rate.
-func (f *fleetRate) most(from, to, window time.Duration, rate float64) float64 {
+// maxRatio returns the most requests accepted in a window between two times, relative to what the rate allows.
+func (f *testFleet) maxRatio(from, to, window time.Duration, rate float64) float64 {
 	best, first := 0, 0
 	for last, at := range f.accepted {
 		for at-f.accepted[first] >= window || f.accepted[first] < from {
@@ -138,21 +141,22 @@
 	return float64(best) / (rate * window.Seconds())
 }
 
-// TestQuotaHoldsOverTheFleet: at thirty times the rate, on one gateway and on sixty, after the first second no more than 1.1 times the
-// rate is let through, and at least 0.8 of it; also after the quota was lowered and raised, and with a leader change in between.
+// TestQuotaHoldsOverTheFleet offers thirty times the rate to one gateway and to sixty. After the first second the
+// accepted rate must stay between 0.8 and 1.1 times the quota, also after the quota is lowered and raised, and across
+// a change of leader.
 func TestQuotaHoldsOverTheFleet(t *testing.T) {
 	for _, test := range []struct {
 		gateways int
 		rate     float64
-		window   time.Duration // long enough for some requests of each gateway
+		window   time.Duration // long enough for several requests at each gateway
 	}{{1, 20, time.Second}, {60, 600, time.Second}, {60, 20, 10 * time.Second}} {
 		t.Run(fmt.Sprint(test.gateways, " ", test.rate), func(t *testing.T) {
-			f := newFleetRate(test.gateways, test.rate, 30*test.rate)
-			check := func(what string, from time.Duration, rate float64) {
-				part := f.most(from, f.now, test.window, rate)
-				t.Logf("%s: %.3f of the rate", what, part)
+			f := newTestFleet(test.gateways, test.rate, 30*test.rate)
+			check := func(phase string, from time.Duration, rate float64) {
+				part := f.maxRatio(from, f.now, test.window, rate)
+				t.Logf("%s: %.3f of the rate accepted", phase, part)
 				if part > 1.1 || part < 0.8 {
-					t.Errorf("%s: %.3f of the rate", what, part)
+					t.Errorf("%s: %.3f of the rate accepted, want 0.8 to 1.1", phase, part)
 				}
 			}
 			const calm = 15 * time.Second
@@ -174,14 +178,15 @@
 	}
 }
 
-// TestTenantWithinItsQuotaIsHardlyRefused: at half of its rate, spread over sixty gateways.
-func TestTenantWithinItsQuotaIsHardlyRefused(t *testing.T) {
+// TestTenantWithinQuotaIsRarelyRefused checks that a tenant at half of its rate, spread over sixty gateways, is hardly
+// refused although each gateway has a small share.
+func TestTenantWithinQuotaIsRarelyRefused(t *testing.T) {
 	const rate, load, length = 50.0, 25.0, 30 * time.Second
-	f := newFleetRate(60, rate, load)
+	f := newTestFleet(60, rate, load)
 	f.run(length)
 	part := float64(len(f.accepted)) / (load * length.Seconds())
-	t.Logf("%.3f of what was asked", part)
+	t.Logf("%.3f of the requests accepted", part)
 	if part < 0.9 {
-		t.Errorf("%.3f of what was asked was let through", part)
+		t.Errorf("%.3f of the requests accepted, want at least 0.9", part)
 	}
 }
