--- a/internal/batching/queue_test.go
+++ b/internal/batching/queue_test.go
@@ -109,6 +109,6 @@
 		t.Fatal("an operation ran for a call whose context had ended")
 	}
 	if err := q.Do(ctx, 1); err != nil && !errors.Is(err, context.Canceled) {
-		t.Fatal(err)
+		t.Fatalf("Do returned %v, want nil or the error of its context", err)
 	}
 }
--- a/internal/bytebudget/budget_test.go
+++ b/internal/bytebudget/budget_test.go
@@ -65,7 +65,7 @@
 		go func() { _ = budget.Acquire(t.Context(), LargeBody, 100, time.Hour) }()
 		synctest.Wait()
 		if err := budget.Acquire(t.Context(), Body, 10, 0); err != nil {
-			t.Error(err)
+			t.Errorf("Acquire of a small body returned %v, want nil", err)
 		}
 	})
 }
@@ -90,14 +90,14 @@
 		budget := New(1000)
 		budget.Reserve(LargeBody, 800)
 		if err := budget.Acquire(t.Context(), LargeBody, 1, time.Second); !errors.Is(err, ErrFull) {
-			t.Fatal(err)
+			t.Fatalf("Acquire returned %v, want ErrFull", err)
 		}
 		var mu sync.Mutex
 		var order []int64 // guarded by mu
 		for _, bytes := range []int64{700, 10} {
 			go func() {
 				if err := budget.Acquire(t.Context(), LargeBody, bytes, time.Hour); err != nil {
-					t.Error(err)
+					t.Errorf("Acquire of %d bytes returned %v, want nil", bytes, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -158,6 +158,6 @@
 
 func TestLimitFor(t *testing.T) {
 	if LimitFor(144<<20) != 48<<20 || LimitFor(0) != unknownMemoryLimit {
-		t.Error(LimitFor(144<<20), LimitFor(0))
+		t.Errorf("limits %d and %d, want a third of the memory and %d", LimitFor(144<<20), LimitFor(0), unknownMemoryLimit)
 	}
 }
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -70,7 +70,7 @@
 // of the log and in which the owner waits throughout.
 func maxDeficit(owners []Owner, of int, log []startedWork) (most float64) {
 	competes := make([]bool, len(owners))
-	weights, total, had := 0.0, 0.0, 0.0
+	weights, total, received := 0.0, 0.0, 0.0
 	for _, one := range log {
 		if !one.waited[of] {
 			break
@@ -83,9 +83,9 @@
 		}
 		total += one.work
 		if one.owner == of {
-			had += one.work
+			received += one.work
 		}
-		most = max(most, total*owners[of].weight()/weights-had)
+		most = max(most, total*owners[of].weight()/weights-received)
 	}
 	return most
 }
@@ -193,7 +193,7 @@
 		order += next
 	}
 	if order[:3] != "bbb" || len(order) != 8 {
-		t.Error(order)
+		t.Errorf("served %q, want bbb first and 8 pieces", order)
 	}
 }
 
@@ -255,7 +255,7 @@
 		order += next + " "
 	}
 	if order != "a1 b1 a2 b2 a3 " {
-		t.Error(order)
+		t.Errorf("served %q, want a1 b1 a2 b2 a3", order)
 	}
 }
 
--- a/internal/fairqueue/loads_test.go
+++ b/internal/fairqueue/loads_test.go
@@ -187,7 +187,8 @@
 	return one
 }
 
-// policies are the compared scheduling policies. All except the first one and this package's use one queue per tenant.
+// policies are the compared scheduling policies. Except for the first one, which serves all calls in the order of
+// arrival, they choose between tenants.
 var policies = []struct {
 	name string
 	make func() policy
@@ -300,12 +301,12 @@
 		minServed = 0.95
 		minShare  = 0.95
 	)
-	for _, compared := range policies {
-		got := one.measure(compared.make)
+	for _, candidate := range policies {
+		got := one.measure(candidate.make)
 		ratio := got.latency.Seconds() / got.lightOnlyLatency.Seconds()
-		t.Logf("%s, %s: worst tenth %.2f, light tenants served %.3f, 99th percentile %v, %.2f times the one without heavy tenants", one.name, compared.name,
+		t.Logf("%s, %s: worst tenth %.2f, light tenants served %.3f, 99th percentile %v, %.2f times the one without heavy tenants", one.name, candidate.name,
 			got.worstTenth, got.served, got.latency.Round(time.Millisecond), ratio)
-		if compared.name == "this package" && (got.worstTenth < minShare || got.served < minServed || ratio > one.maxLatencyRatio) {
+		if candidate.name == "this package" && (got.worstTenth < minShare || got.served < minServed || ratio > one.maxLatencyRatio) {
 			t.Errorf("%s: result %+v is below the bounds for light tenants", one.name, got)
 		}
 	}
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -24,7 +24,7 @@
 func TestForReturnsContextError(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	if err := For(ctx, time.Microsecond); err != nil {
-		t.Fatal(err)
+		t.Fatalf("For returned %v, want nil", err)
 	}
 	cancel()
 	for _, duration := range []time.Duration{0, time.Hour} {
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -159,21 +159,21 @@
 					t.Errorf("%s: %.3f of the rate accepted, want 0.8 to 1.1", phase, part)
 				}
 			}
-			const calm = 15 * time.Second
-			f.run(calm)
+			const phaseLength = 15 * time.Second
+			f.run(phaseLength)
 			check("at first", time.Second, f.rate)
 			f.rate = test.rate / 2
-			f.run(2 * calm)
-			check("lowered", calm+time.Second, f.rate)
+			f.run(2 * phaseLength)
+			check("lowered", phaseLength+time.Second, f.rate)
 			f.rate = test.rate
-			f.run(3 * calm)
-			check("raised", 2*calm+time.Second, f.rate)
+			f.run(3 * phaseLength)
+			check("raised", 2*phaseLength+time.Second, f.rate)
 			f.allocator = share.NewAllocator(f.now + rateLease*21/20)
 			for _, g := range f.gateways {
 				g.acted = 0
 			}
-			f.run(4 * calm)
-			check("with another leader", 3*calm-time.Second, f.rate)
+			f.run(4 * phaseLength)
+			check("with another leader", 3*phaseLength-time.Second, f.rate)
 		})
 	}
 }
--- a/internal/share/replay_test.go
+++ b/internal/share/replay_test.go
@@ -268,7 +268,7 @@
 
 func (r *replay) summary() string {
 	part := func(count int) float64 { return float64(count) / float64(max(r.arrived, 1)) }
-	return fmt.Sprintf("in aim %.3f, in vain %.3f, refused %.3f, over the limit %3d, two thirds in use after %v",
+	return fmt.Sprintf("in time %.3f, timed out %.3f, refused %.3f, over the limit %3d, two thirds in use after %v",
 		r.served(), part(r.timedOut), part(r.refused), r.maxOverLimit, r.burstServedAfter)
 }
 
@@ -310,10 +310,10 @@
 		}
 		if undivided.maxOverLimit > undivided.limit {
 			if demand.served() < 3*undivided.served() || demand.maxOverLimit > replayGateways {
-				t.Errorf("%s: %s", one.name, demand.summary())
+				t.Errorf("%s: division by demand serves too few callers in time or exceeds the limit too far: %s", one.name, demand.summary())
 			}
 		} else if demand.served() < undivided.served()-3*slack || demand.served() < results["refusing"].served()-slack {
-			t.Errorf("%s: %s", one.name, demand.summary())
+			t.Errorf("%s: division by demand serves fewer callers in time than no division or refusing replicas: %s", one.name, demand.summary())
 		}
 	}
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -236,7 +236,7 @@
 	f.renew(other)
 	f.deliver(other)
 	if f.share(frozen) != 0 || f.share(other) != 100 {
-		t.Fatal(f.share(frozen), f.share(other))
+		t.Fatalf("shares after the lease of the frozen holder are %d and %d, want 0 and 100", f.share(frozen), f.share(other))
 	}
 }
 
@@ -254,7 +254,7 @@
 		f.deliver(h)
 	}
 	if f.share(idle) != lentSlots || f.share(busy) != 12 {
-		t.Fatal(f.share(idle), f.share(busy))
+		t.Fatalf("shares under a new leader are %d and %d, want %d lent and 12 in use", f.share(idle), f.share(busy), lentSlots)
 	}
 	f.now += leaderLease
 	f.renew(busy)
@@ -304,7 +304,7 @@
 	}
 	holding.Granted(told, []Grant{{Resource: Slots("p"), Amount: 7}}, time.Second)
 	if amount, divided := holding.Share(0, Slots("p")); !divided || amount != 7 {
-		t.Fatal(amount, divided)
+		t.Fatalf("share %d, divided %v, want 7 and divided", amount, divided)
 	}
 	if amount, divided := holding.Share(time.Second, Slots("p")); !divided || amount != lentSlots {
 		t.Fatal("share after the end of the lease, want lentSlots and divided:", amount, divided)
--- a/internal/share/turns_test.go
+++ b/internal/share/turns_test.go
@@ -66,16 +66,16 @@
 // TestCrashesOfSeveralHoldersSetLimit checks that half of the bodies that several holders had at a crashed replica
 // becomes a limit, if the sum is more than every replica is assumed to hold and more than one holder had some.
 func TestCrashesOfSeveralHoldersSetLimit(t *testing.T) {
-	const sure = SafeBytes / BytesUnit
+	const safeUnits = SafeBytes / BytesUnit
 	for _, one := range []struct {
 		demands []Demand
 		want    uint32
 	}{
-		{[]Demand{{Waiting: 1 + 2*sure}, {Waiting: 1}}, 0},
-		{[]Demand{{Waiting: 1 + sure/2}, {Waiting: 1 + sure/2}}, 0},
-		{[]Demand{{Waiting: 1 + sure}, {Waiting: 1 + sure}}, sure},
-		{[]Demand{{InUse: sure + 9, Waiting: 1 + sure}, {Waiting: 1 + sure}}, sure},
-		{[]Demand{{InUse: sure - 9, Waiting: 1 + sure}, {Waiting: 1 + sure}}, sure - 9},
+		{[]Demand{{Waiting: 1 + 2*safeUnits}, {Waiting: 1}}, 0},
+		{[]Demand{{Waiting: 1 + safeUnits/2}, {Waiting: 1 + safeUnits/2}}, 0},
+		{[]Demand{{Waiting: 1 + safeUnits}, {Waiting: 1 + safeUnits}}, safeUnits},
+		{[]Demand{{InUse: safeUnits + 9, Waiting: 1 + safeUnits}, {Waiting: 1 + safeUnits}}, safeUnits},
+		{[]Demand{{InUse: safeUnits - 9, Waiting: 1 + safeUnits}, {Waiting: 1 + safeUnits}}, safeUnits - 9},
 	} {
 		d := newDivision(kindOf(Bytes("p")))
 		var last uint32
