--- a/internal/batchrun/admit_test.go
+++ b/internal/batchrun/admit_test.go
@@ -7,9 +7,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestTableIsAskedBeforeEachSend: between the choice of a replica and the send the replica leaves, or its address goes to
-// another one. Nothing is sent there, and the items run elsewhere.
-func TestTableIsAskedBeforeEachSend(t *testing.T) {
+// Between being chosen for an item and the send, a replica leaves or its address goes to another replica. Nothing must
+// be sent to it, and the items must run elsewhere.
+func TestTableIsCheckedBeforeEachSend(t *testing.T) {
 	for name, backends := range map[string][]string{
 		"the replica drains":        {"r1 draining", "r2 active"},
 		"the replica is gone":       {"r2 active"},
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			var once sync.Once
-			r.replicas.arrive = func() { once.Do(func() { r.session.set(t, 4, backends...) }) }
+			r.replicas.beforeAdmit = func() { once.Do(func() { r.session.set(t, 4, backends...) }) }
 			r.run(t)
 			r.submit(t, "a", 12, nil)
 			for _, result := range r.await(t, "a", 12) {
@@ -29,18 +29,18 @@
 				view, _ := r.session.AdmitView()
 				row := view.Row(call.Instance)
 				if row == nil || !row.Serving() || row.Address != call.Address {
-					t.Fatalf("an item was sent to %s at %s, of which the table says %+v", call.Instance, call.Address, row)
+					t.Fatalf("an item was sent to %s at %s, whose row in the table is %+v", call.Instance, call.Address, row)
 				}
 			}
 		})
 	}
 }
 
-// TestRouteIsAskedBeforeEachSend: a route that is taken out between the choice and the send gets no items any more.
-func TestRouteIsAskedBeforeEachSend(t *testing.T) {
+// A route is removed between the choice of a replica and the send. Its items must not be sent.
+func TestRouteIsCheckedBeforeEachSend(t *testing.T) {
 	r := newRig(t)
 	var once sync.Once
-	r.replicas.arrive = func() {
+	r.replicas.beforeAdmit = func() {
 		once.Do(func() {
 			r.mutex.Lock()
 			r.routed = false
@@ -52,10 +52,10 @@
 	r.submit(t, "a", 6, nil)
 	for _, result := range r.await(t, "a", 6) {
 		if result.GetState() != wire.JobItemState_JOB_ITEM_STATE_TERMINATED {
-			t.Fatalf("%v", result)
+			t.Fatalf("result %v, want a terminated item", result)
 		}
 	}
 	if calls := len(r.replicas.callsTo("")); calls != 0 {
-		t.Fatalf("%d calls on a route that is gone", calls)
+		t.Fatalf("%d calls on a route that was removed, want 0", calls)
 	}
 }
--- a/internal/batchrun/checkpoint.go
+++ b/internal/batchrun/checkpoint.go
@@ -10,26 +10,27 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// checkpoints commits the growing text of an item, so that another leader goes on from there. A run may be shorter than
-// the interval, which is counted over all runs of the text.
-type checkpoints struct {
+// checkpointer commits the partial text of a running item, so that the next leader can resume from it. The interval
+// runs on across the runs of a text, because a single run may be shorter than the interval.
+type checkpointer struct {
 	interval time.Duration
 	commit   func(*wire.JobPartial)
 }
 
-// reached is told after each event. A text that is whole before the first interval is over commits nothing but its result.
-func (c *checkpoints) reached(now time.Duration, item string, held *text) {
+// afterEvent commits a checkpoint if one is due. It must be called after each event. A text that is complete within the
+// first interval has no checkpoint; only its result is committed.
+func (c *checkpointer) afterEvent(now time.Duration, item string, current *text) {
 	switch {
-	case !held.growing:
-		held.growing, held.checkpointDue = true, now+c.interval
-	case now >= held.checkpointDue && len(held.data) > held.committed:
-		held.checkpointDue = now + c.interval
-		c.commit(held.checkpoint(item))
+	case !current.checkpointArmed:
+		current.checkpointArmed, current.checkpointDue = true, now+c.interval
+	case now >= current.checkpointDue && len(current.data) > current.committed:
+		current.checkpointDue = now + c.interval
+		c.commit(current.takeCheckpoint(item))
 	}
 }
 
-// checkpoint returns what the text has gained since the last one.
-func (t *text) checkpoint(item string) *wire.JobPartial {
+// takeCheckpoint returns the part of the text since the last checkpoint, and counts it as committed.
+func (t *text) takeCheckpoint(item string) *wire.JobPartial {
 	partial := &wire.JobPartial{
 		Item: item, Length: uint64(t.committed), Events: uint64(t.events), NextLastId: t.lastID, Dense: t.dense,
 		Versions: slices.Clone(t.versions), Sum: batch.TextSum(t.data),
@@ -42,8 +43,8 @@
 	return partial
 }
 
-// restoredText is the text that an earlier leader committed.
-func restoredText(partial *wire.JobPartial) (*text, error) {
+// restoreText returns the partial text that an earlier leader committed.
+func restoreText(partial *wire.JobPartial) (*text, error) {
 	data, err := batch.PartialText(partial)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/batchrun/checkpoint_test.go
+++ b/internal/batchrun/checkpoint_test.go
@@ -10,9 +10,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestCheckpointsOutliveRuns moves a text from run to run, each shorter than the interval: what a lost leader would lose of
-// it is bounded all the same.
-func TestCheckpointsOutliveRuns(t *testing.T) {
+// A text goes through several runs that are each shorter than the checkpoint interval. If the interval started anew
+// with each run, no checkpoint would ever be committed, and a lost leader would lose the whole text.
+func TestCheckpointIntervalSpansRuns(t *testing.T) {
 	const (
 		interval = 1000 * time.Millisecond
 		pause    = 40 * time.Millisecond // between events
@@ -21,42 +21,42 @@
 	)
 	held := newText()
 	var committed []*wire.JobPartial
-	var current *checkpoints
+	var current *checkpointer
 	for id := range total {
 		if id%perRun == 0 {
-			current = &checkpoints{interval: interval, commit: func(partial *wire.JobPartial) { committed = append(committed, partial) }}
+			current = &checkpointer{interval: interval, commit: func(partial *wire.JobPartial) { committed = append(committed, partial) }}
 		}
 		if err := held.add(eventstream.Event{ID: int64(id), Data: []byte(fmt.Sprint("event ", id))}, 3); err != nil {
 			t.Fatal(err)
 		}
 		now := 5*time.Second + time.Duration(id)*pause
-		current.reached(now, "i", held)
+		current.afterEvent(now, "i", held)
 		if lost := time.Duration(held.events-committedEvents(committed)) * pause; lost > interval+pause {
-			t.Fatalf("after event %d a lost leader loses %s of the text", id, lost)
+			t.Fatalf("after event %d, %s of the text are not committed, want at most %s", id, lost, interval+pause)
 		}
 	}
 	whole := ""
 	for _, partial := range committed {
 		text, err := batch.PartialText(partial)
 		if err != nil || int(partial.GetLength()) != len(whole) {
-			t.Fatalf("a part follows %d bytes after %d: %v", partial.GetLength(), len(whole), err)
+			t.Fatalf("a checkpoint starts at byte %d, want %d: %v", partial.GetLength(), len(whole), err)
 		}
 		whole += string(text)
 	}
 	if whole != string(held.data[:held.committed]) {
-		t.Fatalf("the parts make %q", whole)
+		t.Fatalf("the joined checkpoints are %q, which is not the committed part of the text", whole)
 	}
 }
 
-// TestShortTextsCommitNoPart: their result is all that the group holds of them.
-func TestShortTextsCommitNoPart(t *testing.T) {
+// A text that is complete within the first interval must not be committed twice, as a checkpoint and as a result.
+func TestShortTextsCommitNoCheckpoint(t *testing.T) {
 	held := newText()
-	current := &checkpoints{interval: time.Second, commit: func(*wire.JobPartial) { t.Error("a part of a short text was committed") }}
+	current := &checkpointer{interval: time.Second, commit: func(*wire.JobPartial) { t.Error("a checkpoint of a short text was committed, want none") }}
 	for id := range 20 {
 		if err := held.add(eventstream.Event{ID: int64(id), Data: []byte("x")}, 3); err != nil {
 			t.Fatal(err)
 		}
-		current.reached(time.Duration(id)*40*time.Millisecond, "i", held)
+		current.afterEvent(time.Duration(id)*40*time.Millisecond, "i", held)
 	}
 }
 
--- a/internal/batchrun/commits.go
+++ b/internal/batchrun/commits.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// commitLinger is how long a result waits for others to be committed together; commitPause is the wait
-	// after a commit that failed.
-	commitLinger = 10 * time.Millisecond
-	commitPause  = 50 * time.Millisecond
-	// maximumCommitTime bounds one attempt to commit. An attempt whose time is over may still be applied, so on a disk that takes
-	// longer than commitTimeout each one that follows at once adds the same results to the log again: the time doubles.
-	maximumCommitTime = 16 * time.Second
-	// commitBytes bounds the results of one command unless a single one is longer.
-	commitBytes = 256 << 10
-	// maximumAgain bounds how often an entry is committed again that was passed over: once is enough for a text, and a
-	// score comes right after its text.
-	maximumAgain = 3
+	// commitDelay is how long a result waits for others, so that they are committed in one command.
+	commitDelay = 10 * time.Millisecond
+	// commitRetryPause is the pause after a failed attempt to commit.
+	commitRetryPause = 50 * time.Millisecond
+	// maximumAttemptTimeout bounds the timeout of one attempt to commit, which doubles from commitTimeout with each
+	// attempt. A command may still be applied after its attempt has timed out. With a fixed timeout, a disk that takes
+	// longer than commitTimeout would get the same results appended to the log again and again.
+	maximumAttemptTimeout = 16 * time.Second
+	// maximumCommandBytes bounds the size of the entries in one command. A single larger entry is committed alone.
+	maximumCommandBytes = 256 << 10
+	// maximumResubmits bounds how often an unmatched entry is committed again. One is enough for a text, and a score
+	// directly follows its text.
+	maximumResubmits = 3
 )
 
-// commits writes results and partial texts to the group, many in one command, until they are there or the tenure
-// ends: a result that is not committed then is made anew by the next leader.
-type commits struct {
-	config *Config
-	counts *counts
-	wake   chan struct{} // capacity 1
+// committer commits results, partial texts and scores to the group, batching them into commands. It retries until they
+// are applied or the term ends. Results that are not committed by then are generated again by the next leader.
+type committer struct {
+	config  *Config
+	metrics *runnerMetrics
+	wake    chan struct{} // signals pending entries; capacity 1
 
 	mutex   sync.Mutex
 	pending []pendingEntry
 }
 
-// pendingEntry is one thing to commit for a job: exactly one of its messages is set.
+// pendingEntry is a message to commit for a job. Exactly one of result, partial, unscored and score is set.
 type pendingEntry struct {
-	// whole makes the result or the unscored text anew with its whole text, should the text that it follows not be
-	// held. nil: it follows none.
-	whole func() *wire.JobResult
-	again int // times that it was committed and passed over
+	// wholeResult returns the result or unscored text with its complete text, for the case that the group does not hold
+	// the checkpoint that the message refers to. nil: the message refers to none.
+	wholeResult func() *wire.JobResult
+	resubmits   int // times that the entry was committed again because it was unmatched
 
 	job      string
 	result   *wire.JobResult
 	partial  *wire.JobPartial
-	unscored *wire.JobResult
+	unscored *wire.JobResult // a complete text that waits for its score
 	score    *wire.JobScore
 }
 
@@ -63,8 +64,8 @@
 	return p.score
 }
 
-// item is the id of the entry's item.
-func (p *pendingEntry) item() string {
+// itemID returns the id of the entry's item.
+func (p *pendingEntry) itemID() string {
 	switch {
 	case p.result != nil:
 		return p.result.GetItem()
@@ -76,7 +77,7 @@
 	return p.score.GetItem()
 }
 
-// addTo adds the entry to its job's part of a command.
+// addTo appends the entry's message to its job's part of a command.
 func (p *pendingEntry) addTo(results *wire.JobResults) {
 	switch {
 	case p.result != nil:
@@ -90,12 +91,12 @@
 	}
 }
 
-func newCommits(config *Config, counts *counts) *commits {
-	return &commits{config: config, counts: counts, wake: make(chan struct{}, 1)}
+func newCommitter(config *Config, metrics *runnerMetrics) *committer {
+	return &committer{config: config, metrics: metrics, wake: make(chan struct{}, 1)}
 }
 
-// add takes what is to be committed. Entries are committed in their order, those of one call in one command if it holds them.
-func (c *commits) add(entries ...pendingEntry) {
+// add queues entries to be committed, in order. The entries of one call go into the same command if they fit.
+func (c *committer) add(entries ...pendingEntry) {
 	c.mutex.Lock()
 	c.pending = append(c.pending, entries...)
 	c.mutex.Unlock()
@@ -105,22 +106,22 @@
 	}
 }
 
-// run commits until ctx ends.
-func (c *commits) run(ctx context.Context) {
+// run commits queued entries until ctx ends.
+func (c *committer) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.wake:
 		}
-		pause(ctx, commitLinger)
+		sleep(ctx, commitDelay)
 		for command, entries := c.next(); command != nil && c.commit(ctx, command, entries); command, entries = c.next() {
 		}
 	}
 }
 
-// next takes the next command with its entries; nil if there are none.
-func (c *commits) next() (command *wire.JobStore, entries []pendingEntry) {
+// next removes the next entries from the queue and returns a command with them. command is nil if the queue is empty.
+func (c *committer) next() (command *wire.JobStore, entries []pendingEntry) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.pending) == 0 {
@@ -130,7 +131,7 @@
 	byJob := map[string]*wire.JobResults{}
 	size, taken := 0, 0
 	for _, entry := range c.pending {
-		if size += proto.Size(entry.message()); size > commitBytes && taken > 0 {
+		if size += proto.Size(entry.message()); size > maximumCommandBytes && taken > 0 {
 			break
 		}
 		taken++
@@ -145,57 +146,60 @@
 	return command, entries
 }
 
-// commit repeats a command, which is safe, until it is applied; false when ctx has ended.
-func (c *commits) commit(ctx context.Context, command *wire.JobStore, entries []pendingEntry) bool {
+// commit proposes a command until it is applied, which is safe because applying it twice has no further effect. It
+// returns false if ctx ends first.
+func (c *committer) commit(ctx context.Context, command *wire.JobStore, entries []pendingEntry) bool {
 	began := c.config.Clock()
 	for tries := 1; ctx.Err() == nil; tries++ {
-		attempt, cancel := context.WithTimeout(ctx, commitTime(tries))
+		attempt, cancel := context.WithTimeout(ctx, attemptTimeout(tries))
 		result, err := c.config.Group.Propose(attempt, &wire.Command{Kind: &wire.Command_JobStore{JobStore: command}})
 		cancel()
 		if err == nil {
 			c.logCommitted(command, tries, result, c.config.Clock()-began)
-			c.addAgain(entries, result.GetJob().GetUnmatched())
+			c.resubmit(entries, result.GetJob().GetUnmatched())
 			return true
 		}
-		c.config.Log.WithError(err).Debug("results of batch jobs are not committed yet")
-		pause(ctx, commitPause)
+		c.config.Log.WithError(err).Debug("failed to commit results of batch jobs; trying again")
+		sleep(ctx, commitRetryPause)
 	}
 	return false
 }
 
-// commitTime is how long an attempt may take.
-func commitTime(tries int) time.Duration {
+// attemptTimeout returns the timeout of an attempt to commit. The first attempt has number 1.
+func attemptTimeout(tries int) time.Duration {
 	const maximumDoublings = 8
-	return min(commitTimeout<<min(tries-1, maximumDoublings), maximumCommitTime)
+	return min(commitTimeout<<min(tries-1, maximumDoublings), maximumAttemptTimeout)
 }
 
-// addAgain adds the entries of items that were passed over again, with their whole text: the one that they follow is not
-// held. A score comes after its text.
-func (c *commits) addAgain(entries []pendingEntry, passedOver []*wire.JobItemRef) {
-	items := make(map[schedule.Key]bool, len(passedOver))
-	for _, reference := range passedOver {
+// resubmit queues the entries of unmatched items again. The group skipped them because it does not hold the checkpoint
+// that they refer to, so results and unscored texts are queued with their complete text. A score stays behind its text.
+func (c *committer) resubmit(entries []pendingEntry, unmatched []*wire.JobItemRef) {
+	items := make(map[schedule.Key]bool, len(unmatched))
+	for _, reference := range unmatched {
 		items[schedule.Key{Job: reference.GetJob(), Item: reference.GetItem()}] = true
 	}
 	for _, entry := range entries {
-		if !items[schedule.Key{Job: entry.job, Item: entry.item()}] {
+		if !items[schedule.Key{Job: entry.job, Item: entry.itemID()}] {
 			continue
 		}
-		if entry.again >= maximumAgain {
-			c.config.Log.Errorf("item %s of batch job %s stays without its result: the group passed it over %d times", entry.item(), entry.job, entry.again)
+		if entry.resubmits >= maximumResubmits {
+			c.config.Log.Errorf("the result of item %s of batch job %s was not committed: the group skipped it as unmatched, also after %d resubmissions",
+				entry.itemID(), entry.job, entry.resubmits)
 			continue
 		}
 		switch {
 		case entry.score != nil:
-			c.add(pendingEntry{job: entry.job, score: entry.score, again: entry.again + 1})
-		case entry.result != nil && entry.whole != nil:
-			c.add(pendingEntry{job: entry.job, result: entry.whole(), again: entry.again + 1})
-		case entry.unscored != nil && entry.whole != nil:
-			c.add(pendingEntry{job: entry.job, unscored: entry.whole(), again: entry.again + 1})
+			c.add(pendingEntry{job: entry.job, score: entry.score, resubmits: entry.resubmits + 1})
+		case entry.result != nil && entry.wholeResult != nil:
+			c.add(pendingEntry{job: entry.job, result: entry.wholeResult(), resubmits: entry.resubmits + 1})
+		case entry.unscored != nil && entry.wholeResult != nil:
+			c.add(pendingEntry{job: entry.job, unscored: entry.wholeResult(), resubmits: entry.resubmits + 1})
 		}
 	}
 }
 
-func pause(ctx context.Context, duration time.Duration) {
+// sleep waits for a duration or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/batchrun/config.go
+++ b/internal/batchrun/config.go
@@ -1,10 +1,12 @@
-// Package batchrun runs the items of batch jobs: on the node that leads their ledger group, it streams each item
-// from a replica of the route's pools and commits what is finished. Package schedule decides; this package
-// does. Nothing here must survive: a new leader finds the items without a result in the group's state, with the
-// texts of long runs as of their last checkpoint, and runs them on.
+// Package batchrun runs the items of batch jobs. On the node that leads the jobs' ledger group, it streams each item's
+// answer from a replica in one of the route's pools and commits finished results to the group. Package schedule makes
+// the scheduling decisions, and this package carries them out.
 //
-// An item may run more than once, but never at two replicas at a time under one leader: its call has ended
-// before the next one starts, and goes on after the last whole event that is held.
+// The state in this package need not survive a change of leader. The new leader reads the items without a result from
+// the group's state, together with the last committed checkpoint of each partial text, and continues from there.
+//
+// An item may run more than once, but under one leader never at two replicas at the same time: a run starts only after
+// the previous one has ended. It resumes after the last complete event that was received.
 package batchrun
 
 import (
@@ -30,74 +32,83 @@
 // Defaults of Config.
 const (
 	DefaultRetention = 10 * time.Minute
-	// DefaultCheckpoint bounds what a lost leader's runs lose: half of it on average, and the long answers that steps
-	// wait for are under way at any time.
+	// DefaultCheckpoint bounds the text that is lost with a leader. A run loses half of it on average, and the long
+	// answers that steps wait for are in progress at any time.
 	DefaultCheckpoint = 500 * time.Millisecond
 )
 
-// Group is the ledger group as the node sees it that leads it; *control.LedgerGroup is the usual one.
+// Group is the ledger group that a Runner reads jobs from and commits results to. *control.LedgerGroup implements it.
 type Group interface {
+	// Leads returns the current term and whether this node leads the group in it.
 	Leads() (term uint64, leading bool)
+	// Changed receives a value after jobs were submitted or ended. It has one receiver.
 	Changed() <-chan struct{}
+	// Query is linearizable.
 	Query(ctx context.Context, query *wire.Query) (*wire.View, error)
+	// LocalQuery answers from the state that this node has applied.
 	LocalQuery(ctx context.Context, query *wire.Query) (*wire.View, error)
 	Propose(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
 
-// Session is the lease on the table; *controlclient.Session is the usual one.
+// Session holds this node's lease on the table. *controlclient.Session implements it.
 type Session interface {
+	// AdmitView returns the table to act on. ok is false without a valid lease.
 	AdmitView() (view *table.View, ok bool)
 }
 
-// Route is where the table sends a request now.
+// Route lists the pools that the table sends a request to, with their weights.
 type Route struct {
 	Pools []schedule.Share
 }
 
-// RouteFunc finds the route of a request in a table; false when the table has none.
+// RouteFunc returns the route of a request in a table. It returns false if the table has no matching route.
 type RouteFunc func(view *table.View, host, path string) (Route, bool)
 
-// Config says what a Runner needs.
+// Config configures a Runner. Group, Session and Caller are required.
 type Config struct {
 	Group   Group
 	Session Session
 	Caller  replica.Caller
-	// Route finds the route of a request; false when the table has none. Default TableRoutes.
+	// Route finds the route of a request. Default TableRoutes().
 	Route RouteFunc
-	// ScoreHeader is the header of an answer to a reward call that holds the score.
+	// ScoreHeader names the header that holds the score in the answer to a reward call.
 	ScoreHeader string
-	// Zone is this process's, from which reward calls go out. May be empty.
+	// Zone is the zone of this process, from which reward calls are sent. It may be empty.
 	Zone string
-	// Reward says how reward calls are tried.
+	// Reward configures the retries of reward calls.
 	Reward reward.Settings
-	// Serving tells what the replicas serve, as whoever orders their loads knows it; nil: not known now. Optional.
+	// Serving returns the weight versions that the replicas serve, according to the component that orders their weight
+	// loads. It returns nil while they are unknown. Optional.
 	Serving func() *weights.Serving
-	// ServingWait is how long a new leader that could start items does not while Serving knows nothing; 0: it starts at once,
-	// and finds out at which replicas the weights are too old. Only with Serving.
+	// ServingWait is how long a new leader delays the first runs while Serving has no data. With 0 it starts items at
+	// once, and learns from rejected runs which replicas have too old weights. It is ignored without Serving.
 	ServingWait time.Duration
-	// VersionField is the name, in lower case, of the event field that names a weight version.
+	// VersionField is the lower-case name of the event field that holds a weight version.
 	VersionField string
-	// LengthHeader is the header of an item that estimates the tokens of its answer; may be empty.
+	// LengthHeader names the item header that holds the estimated answer length in tokens. It may be empty.
 	LengthHeader string
-	// UsageHeader is the header of an item whose first figure is the tokens of its prompt; may be empty.
+	// UsageHeader names the item header whose first comma-separated number is the prompt length in tokens. It may be
+	// empty.
 	UsageHeader string
-	// Retention is how long ended jobs are kept at least, from when they were taken. Default DefaultRetention.
+	// Retention is the minimum time that a job is retained, from when it was accepted. Jobs that are open are retained
+	// in any case. Default DefaultRetention.
 	Retention time.Duration
-	// Checkpoint is how often the text of a running item is committed. Default DefaultCheckpoint.
+	// Checkpoint is the interval between commits of a running item's partial text. Default DefaultCheckpoint.
 	Checkpoint time.Duration
-	// ListInterval is the shortest time between two listings of a job's results, see package listing. Default
-	// listing.DefaultInterval.
+	// ListInterval is the interval between listings of a job's results while the job's end is not near; see package
+	// listing. Default listing.DefaultInterval.
 	ListInterval time.Duration
 	Schedule     schedule.Settings
-	// Executors returns the processes that may drive runs near the replicas; nil: this node drives all runs itself.
+	// Executors returns the processes near the replicas that may drive runs. If nil, this node drives all runs itself.
 	Executors func() []executorclient.Peer
-	// Node names this node in the executors' logs.
+	// Node is the name of this node in the executors' logs.
 	Node string
-	// Guard permits the runs of items and reward calls and is told how they ended; nil: all are permitted.
+	// Guard decides whether items and reward calls that are suspected of crashing replicas may run, and is notified how
+	// runs ended. If nil, all are permitted.
 	Guard *poisonguard.Guard
-	// Clock measures pauses. Default monotonic.Now.
+	// Clock is the time source of deadlines, pauses and measured durations. Default monotonic.Now.
 	Clock monotonic.Clock
-	// Log receives short sentences. Default: nothing.
+	// Log receives events and messages. Default: discards them.
 	Log *logrus.Entry
 }
 
--- a/internal/batchrun/critical.go
+++ b/internal/batchrun/critical.go
@@ -8,95 +8,96 @@
 	"github.com/tamarindring/tamarindring/internal/batchrun/schedule"
 )
 
-// itemPath is what an item spent its time on under this leader.
-type itemPath struct {
-	began    bool
-	first    time.Duration // start of the first run
-	running  time.Duration // in runs, from start to end
-	runs     int
-	events   int           // that the runs brought
-	finished time.Duration // when its result was made; 0: not under this leader
+// itemTiming records how an item spent its time under this leader.
+type itemTiming struct {
+	hasRun      bool
+	firstRunAt  time.Duration // start of the first run
+	runningTime time.Duration // total duration of the runs
+	runs        int
+	events      int           // received by the runs
+	finishedAt  time.Duration // when its result was available; 0: not under this leader
 }
 
-// started notes the start of a run.
-func (p *itemPath) started(now time.Duration) {
-	if !p.began {
-		p.began, p.first = true, now
+// startRun records the start of a run.
+func (p *itemTiming) startRun(now time.Duration) {
+	if !p.hasRun {
+		p.hasRun, p.firstRunAt = true, now
 	}
 	p.runs++
 }
 
-// ended notes the end of a run that lasted for took and brought some events.
-func (p *itemPath) ended(took time.Duration, events int) {
-	p.running += took
+// endRun records the duration of a run that has ended, and the events that it received.
+func (p *itemTiming) endRun(took time.Duration, events int) {
+	p.runningTime += took
 	p.events += events
 }
 
-// criticalItem is the item with which a job had as many whole groups as its owner waits for: what it spent its time on is why
-// the job took as long as it did. nil: there were never as many under this leader.
+// criticalItem returns the item whose result completed as many groups as the job's owner waits for. The way that this
+// item spent its time explains the duration of the job. It returns nil if that many groups were never complete, or if
+// an earlier leader finished the item.
 func (j *job) criticalItem() *item {
-	last := map[string]*item{} // of each group, nil for one that is not whole
+	last := map[string]*item{} // the last item to finish, by group; nil for an incomplete group
 	for _, entry := range j.items {
-		name := entry.group()
+		name := entry.groupName()
 		latest, known := last[name]
 		switch {
 		case entry.open || known && latest == nil:
 			last[name] = nil
-		case !known || entry.path.finished > latest.path.finished:
+		case !known || entry.timing.finishedAt > latest.timing.finishedAt:
 			last[name] = entry
 		}
 	}
-	var closing []*item
+	var lastItems []*item // of the complete groups
 	for _, entry := range last {
 		if entry != nil {
-			closing = append(closing, entry)
+			lastItems = append(lastItems, entry)
 		}
 	}
 	wanted := int(j.submit.GetDesired())
 	if wanted <= 0 {
 		wanted = len(last)
 	}
-	if len(closing) < wanted {
+	if len(lastItems) < wanted {
 		return nil
 	}
-	slices.SortFunc(closing, func(a, b *item) int {
-		return cmp.Or(cmp.Compare(a.path.finished, b.path.finished), cmp.Compare(a.wire.GetId(), b.wire.GetId()))
+	slices.SortFunc(lastItems, func(a, b *item) int {
+		return cmp.Or(cmp.Compare(a.timing.finishedAt, b.timing.finishedAt), cmp.Compare(a.wire.GetId(), b.wire.GetId()))
 	})
-	critical := closing[wanted-1]
-	if critical.path.finished == 0 || !critical.path.began {
+	critical := lastItems[wanted-1]
+	if critical.timing.finishedAt == 0 || !critical.timing.hasRun {
 		return nil // an earlier leader finished it
 	}
 	return critical
 }
 
-// criticalPath is how the time from a job's opening to its end was spent, by its critical item.
+// criticalPath divides the time from a job's opening to its end by what its critical item was doing.
 type criticalPath struct {
-	item    string
-	wait    time.Duration // until its first run
-	running time.Duration
-	between time.Duration // neither running nor waiting for the first run: between runs, and for a score
-	after   time.Duration // from its result to the end of the job: commit, listing, the owner's own rhythm
+	item    string        // id of the critical item
+	wait    time.Duration // from the job's opening to the item's first run
+	running time.Duration // in runs
+	between time.Duration // between runs, and waiting for a score
+	after   time.Duration // from the item's result to the end of the job: commit, listing, and the owner's polling
 	runs    int
 	events  int
 }
 
-// criticalPath returns the critical path of a job that ends now; false if there is none.
+// criticalPath returns the critical path of a job that ends now. It returns false if the job has no critical item.
 func (j *job) criticalPath(now time.Duration) (criticalPath, bool) {
 	critical := j.criticalItem()
 	if critical == nil {
 		return criticalPath{}, false
 	}
-	path := &critical.path
+	timing := &critical.timing
 	return criticalPath{
-		item: critical.wire.GetId(), wait: path.first - j.opened, running: path.running,
-		between: path.finished - path.first - path.running, after: now - path.finished, runs: path.runs, events: path.events,
+		item: critical.wire.GetId(), wait: timing.firstRunAt - j.openedAt, running: timing.runningTime,
+		between: timing.finishedAt - timing.firstRunAt - timing.runningTime, after: now - timing.finishedAt, runs: timing.runs, events: timing.events,
 	}, true
 }
 
-// path is where an item's times are noted; one that nobody reads once its job has ended.
-func (t *tenure) path(key schedule.Key) *itemPath {
-	if held := t.jobs[key.Job]; held != nil && held.items[key.Item] != nil {
-		return &held.items[key.Item].path
+// timingOf returns the timing of an item. Once the item's job has ended, it returns a new one that is discarded.
+func (t *termRunner) timingOf(key schedule.Key) *itemTiming {
+	if openJob := t.jobs[key.Job]; openJob != nil && openJob.items[key.Item] != nil {
+		return &openJob.items[key.Item].timing
 	}
-	return &itemPath{}
+	return &itemTiming{}
 }
--- a/internal/batchrun/executors.go
+++ b/internal/batchrun/executors.go
@@ -16,29 +16,30 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// surveyWait is how long a new leader begins no runs while executors have not told what they hold: a run of an item that goes on
-// elsewhere would be made twice. A process that answers at all does so within it.
-const surveyWait = 250 * time.Millisecond
+// executorSurveyTimeout is how long a new leader delays starts until all executors have reported the runs that they
+// hold. Starting an item that is still running at an executor would run it twice. A healthy executor reports within
+// this time.
+const executorSurveyTimeout = 250 * time.Millisecond
 
-// Why a run that an earlier leader began is ended, in logs.
+// Reasons why a run that an earlier leader started is stopped instead of taken over, as logs name them.
 const (
 	whyJobEnded  = "job_ended"
-	whyFinished  = "finished"  // its item has a result
-	whyBrokeOff  = "broke_off" // its answer will not be whole
-	whyGap       = "gap"       // what came before it was never committed
-	whyWeights   = "old_weights"
+	whyFinished  = "finished"    // its item has a result
+	whyBrokeOff  = "broke_off"   // it has ended without a complete answer
+	whyGap       = "gap"         // it resumed after an event that was never committed
+	whyWeights   = "old_weights" // the partial text violates the job's version constraints
 	whyRestarted = "replica_restarted"
 	whyElsewhere = "runs_elsewhere"
 )
 
-// openFleet opens the streams to the executors, if there are any.
-func (t *tenure) openFleet(ctx context.Context) error {
+// startExecutorFleet connects to the executors, if any are configured.
+func (t *termRunner) startExecutorFleet(ctx context.Context) error {
 	if t.config.Executors == nil {
 		return nil
 	}
 	fleet, err := executorclient.New(executorclient.Config{
-		Term: t.term, Leader: t.config.Node, Peers: t.config.Executors, Numbers: &t.runner.orders,
-		Ignored: t.runner.counts.ignored.Inc, Clock: t.config.Clock, Log: t.config.Log,
+		Term: t.term, Leader: t.config.Node, Peers: t.config.Executors, Numbers: &t.runner.orderNumber,
+		Ignored: t.runner.metrics.ignoredReports.Inc, Clock: t.config.Clock, Log: t.config.Log,
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -48,13 +49,13 @@
 	return nil
 }
 
-// awaitsExecutors reports whether starts wait until the executors have told what they hold.
-func (t *tenure) awaitsExecutors(now time.Duration) bool {
-	return t.fleet != nil && now < t.ready+surveyWait && !t.fleet.Surveyed()
+// mustAwaitExecutors reports whether starts are delayed until the executors have reported the runs that they hold.
+func (t *termRunner) mustAwaitExecutors(now time.Duration) bool {
+	return t.fleet != nil && now < t.readyAt+executorSurveyTimeout && !t.fleet.Surveyed()
 }
 
-// zoneOf is the zone of a run's replica, if executors may drive the run; empty otherwise.
-func (t *tenure) zoneOf(start schedule.Start) string {
+// zoneOf returns the zone of a run's replica, or "" if no executor may drive the run.
+func (t *termRunner) zoneOf(start schedule.Start) string {
 	row := t.view.Backend(start.Instance)
 	if t.fleet == nil || row == nil {
 		return ""
@@ -62,18 +63,20 @@
 	return row.Zone
 }
 
-// commitBeforeRun commits what is held of a text before a run goes on from it: the next leader could not take the run over otherwise.
-func (t *tenure) commitBeforeRun(start schedule.Start, held *text) {
-	if t.fleet != nil && len(held.data) > held.committed {
-		t.commits.add(pendingEntry{job: start.Job, partial: held.checkpoint(start.Item)})
+// commitBeforeRun commits a partial text before a run resumes from it. Without the text, the next leader could not take
+// over the run.
+func (t *termRunner) commitBeforeRun(start schedule.Start, partial *text) {
+	if t.fleet != nil && len(partial.data) > partial.committed {
+		t.committer.add(pendingEntry{job: start.Job, partial: partial.takeCheckpoint(start.Item)})
 	}
 }
 
-// do carries a call out: where an earlier leader has it run, at an executor near its replica, or here, also where that one has no room.
-func (t *tenure) do(ctx context.Context, c *call, request *replica.Call) replica.Outcome {
-	if c.held != nil {
-		c.executor.Store(c.held.Executor())
-		return c.held.Do(ctx, c.stream)
+// driveRun carries out a call. A run that was taken over stays at its executor. Another one is driven by an executor
+// near its replica, or by this node if there is no such executor or it is full or shutting down.
+func (t *termRunner) driveRun(ctx context.Context, c *call, request *replica.Call) replica.Outcome {
+	if c.takenOver != nil {
+		c.executor.Store(c.takenOver.Executor())
+		return c.takenOver.Do(ctx, c.stream)
 	}
 	var chosen *executorclient.Executor
 	if c.zone != "" {
@@ -86,7 +89,7 @@
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: err}
 	}
 	c.executor.Store(chosen)
-	outcome := chosen.Do(ctx, c.order(request), c.stream)
+	outcome := chosen.Do(ctx, c.runStart(request), c.stream)
 	switch executor.RefusedAs(outcome.Err) {
 	case executor.Full, executor.Leaving:
 		c.executor.Store(nil)
@@ -95,7 +98,7 @@
 	return outcome
 }
 
-// executorName names the process that drives the run; empty for this one.
+// executorName returns the name of the executor that drives the run, or "" if this node drives it.
 func (c *call) executorName() string {
 	if driving := c.executor.Load(); driving != nil {
 		return driving.Name()
@@ -103,8 +106,8 @@
 	return ""
 }
 
-// order describes the call to an executor.
-func (c *call) order(request *replica.Call) *wire.RunStart {
+// runStart returns the order to an executor to drive the run.
+func (c *call) runStart(request *replica.Call) *wire.RunStart {
 	return &wire.RunStart{
 		Key:    &wire.RunKey{Job: c.Job, Item: c.Item},
 		Target: &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool},
@@ -114,21 +117,22 @@
 	}
 }
 
-// nextEvent is the id of the first event that is new: a run that is taken over repeats what is held.
-func (c *call) nextEvent() int64 {
-	if c.held == nil {
+// firstNewEvent returns the id of the first event that the text does not contain yet. A run that is taken over repeats
+// events that the text contains.
+func (c *call) firstNewEvent() int64 {
+	if c.takenOver == nil {
 		return 0
 	}
 	return c.text.lastID + 1
 }
 
-// takeOver goes on with the runs that earlier leaders have left at executors, and ends those of no use.
-func (t *tenure) takeOver(ctx context.Context) {
+// takeOverRuns takes over the runs that earlier leaders left at executors, and stops those that can't be used.
+func (t *termRunner) takeOverRuns(ctx context.Context) {
 	if t.fleet == nil {
 		return
 	}
 	for _, held := range t.fleet.TakeHeld() {
-		why := t.adoptRun(ctx, held)
+		why := t.takeOverRun(ctx, held)
 		if why != "" {
 			held.Stop()
 		}
@@ -139,8 +143,8 @@
 	}
 }
 
-// dropHeld ends the runs that earlier leaders have left: no job is open.
-func (t *tenure) dropHeld() {
+// stopLeftoverRuns stops all runs that earlier leaders left at executors. It is called while no job is open.
+func (t *termRunner) stopLeftoverRuns() {
 	if t.fleet == nil {
 		return
 	}
@@ -149,13 +153,13 @@
 	}
 }
 
-// adoptRun goes on with a run, or returns why it is of no use.
-func (t *tenure) adoptRun(ctx context.Context, held executorclient.Held) (why string) {
-	open := t.jobs[held.GetKey().GetJob()]
-	if open == nil {
+// takeOverRun takes over a run, or returns why it can't be used.
+func (t *termRunner) takeOverRun(ctx context.Context, held executorclient.Held) (why string) {
+	openJob := t.jobs[held.GetKey().GetJob()]
+	if openJob == nil {
 		return whyJobEnded
 	}
-	entry := open.items[held.GetKey().GetItem()]
+	entry := openJob.items[held.GetKey().GetItem()]
 	if entry == nil || !entry.open {
 		return whyFinished
 	}
@@ -168,7 +172,7 @@
 	switch {
 	case held.GetResumeAfter() > entry.text.lastID:
 		return whyGap
-	case !entry.text.fits(open.submit.GetMinVersion(), open.submit.GetSingleVersion()):
+	case !entry.text.fits(openJob.submit.GetMinVersion(), openJob.submit.GetSingleVersion()):
 		return whyWeights
 	case t.view.Ended(held.GetTarget().GetInstance()):
 		return whyRestarted
@@ -178,6 +182,6 @@
 	if !adopted {
 		return whyElsewhere
 	}
-	t.begin(ctx, &call{Start: start, item: entry.wire, tenant: open.submit.GetTenant(), text: entry.text, held: &held})
+	t.startCall(ctx, &call{Start: start, item: entry.wire, tenant: openJob.submit.GetTenant(), text: entry.text, takenOver: &held})
 	return ""
 }
--- a/internal/batchrun/executors_test.go
+++ b/internal/batchrun/executors_test.go
@@ -20,7 +20,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// startExecutor has the rig's runs driven by an executor in the zone of its replicas.
+// startExecutor starts an executor in the zone of the only replica, which drives the rig's runs.
 func (r *rig) startExecutor(t *testing.T, settings executor.Settings) *executor.Server {
 	t.Helper()
 	r.session.set(t, 4, "r1 active zone=a")
@@ -44,9 +44,9 @@
 	return server
 }
 
-// halt is a place in an answer where it stands still.
+// halt pauses an answer before an event until release is closed. reached is closed when the answer pauses.
 type halt struct {
-	before           int // event
+	before           int // number of the event
 	reached, release chan struct{}
 }
 
@@ -54,10 +54,10 @@
 	return &halt{before: event, reached: make(chan struct{}), release: make(chan struct{})}
 }
 
-// answering plays whole answers with the halt.
-func (h *halt) answering() behaviour {
+// answer is a behaviour that sends complete answers, with the pause.
+func (h *halt) answer() behaviour {
 	return func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-		return play(call, &haltingSink{Sink: sink, halt: h, over: ctx.Done()}, testEvents, 5)
+		return sendEvents(call, &haltingSink{Sink: sink, halt: h, over: ctx.Done()}, testEvents, 5)
 	}
 }
 
@@ -81,55 +81,57 @@
 	return s.Sink.Body(chunk)
 }
 
-// TestRunsGoOnUnderTheNextLeader changes the leader while an answer is being made: the replica is asked once, and the result is whole,
-// with each event once. Before, each change of the leader ended every run, and what had come since its last commit was made again.
-func TestRunsGoOnUnderTheNextLeader(t *testing.T) {
+// The leader changes while a replica generates an answer for a run at an executor. The next leader must take over the
+// run. If it did not, every change of leader would end all runs, and the events since their last checkpoints would be
+// generated again.
+func TestNextLeaderTakesOverRuns(t *testing.T) {
 	r := newRig(t)
 	server := r.startExecutor(t, executor.Settings{})
 	half := haltBefore(3)
-	let := sync.OnceFunc(func() { close(half.release) })
-	defer let()
-	r.replicas.set(half.answering(), nil)
+	releaseAnswers := sync.OnceFunc(func() { close(half.release) })
+	defer releaseAnswers()
+	r.replicas.set(half.answer(), nil)
 	r.run(t)
 	r.submit(t, "a", 1, nil)
 	<-half.reached
-	r.group.lead(2, true)
+	r.group.setLeader(2, true)
 	r.until(t, "a run that was taken over", func() bool {
 		taken := eventsOf[*events.RunTakenOver](r)
 		return len(taken) == 1 && taken[0].Why == "" && taken[0].Executor == "e1" && taken[0].Term == 1
 	})
-	let()
+	releaseAnswers()
 	wantWhole(t, r.await(t, "a", 1)["i0"], "[5]")
 	if calls := r.replicas.callsTo(""); len(calls) != 1 {
-		t.Errorf("%d calls to the replica", len(calls))
+		t.Errorf("%d calls to the replica, want 1", len(calls))
 	}
 	r.until(t, "the end of the run at the executor", func() bool { return server.Running() == 0 })
 }
 
-// TestRunsOfEndedJobsAreNotTakenOver: the job ends while nobody leads. The next leader ends its run at the executor.
+// A job ends while there is no leader. The next leader must stop the job's run at the executor.
 func TestRunsOfEndedJobsAreNotTakenOver(t *testing.T) {
 	r := newRig(t)
 	server := r.startExecutor(t, executor.Settings{})
 	half := haltBefore(3)
 	defer close(half.release)
-	r.replicas.set(half.answering(), nil)
+	r.replicas.set(half.answer(), nil)
 	r.run(t)
 	r.submit(t, "a", 1, nil)
 	<-half.reached
-	r.group.lead(1, false)
+	r.group.setLeader(1, false)
 	r.propose(t, &wire.Command{Kind: &wire.Command_JobEnd{JobEnd: &wire.JobEnd{Job: "a"}}})
 	if server.Running() != 1 {
-		t.Error("the run ended with its leader")
+		t.Error("the executor does not drive the run without a leader, want it to go on")
 	}
-	r.group.lead(2, true)
+	r.group.setLeader(2, true)
 	r.until(t, "the end of the run at the executor", func() bool { return server.Running() == 0 })
 	if calls := r.replicas.callsTo(""); len(calls) != 1 {
-		t.Errorf("%d calls to the replica", len(calls))
+		t.Errorf("%d calls to the replica, want 1", len(calls))
 	}
 }
 
-// TestLostLinksBlameNobody: neither the replica nor the item is the cause of a link's loss, nor of a run's that its executor has dropped.
-func TestLostLinksBlameNobody(t *testing.T) {
+// The loss of the connection to an executor, or of a run that the executor has dropped, must not count against the
+// replica or the item.
+func TestLostRunsAreNotBlamedOnReplicaOrItem(t *testing.T) {
 	lost := errors.Join(executorclient.ErrLost, io.EOF)
 	for _, outcome := range []replica.Outcome{
 		{Verdict: verdict.MayHaveRun, Err: lost}, {Verdict: verdict.DidNotRun, Err: lost},
@@ -137,48 +139,49 @@
 	} {
 		c := &call{stream: &stream{text: newText()}, outcome: outcome}
 		if c.ending = c.endingOf(outcome, false); c.ending != schedule.Lost {
-			t.Errorf("%v: ending %v", outcome.Verdict, c.ending)
+			t.Errorf("verdict %v: ending %v, want lost", outcome.Verdict, c.ending)
 		}
-		if ending := c.runEnding(); ending != poisonguard.Stopped {
-			t.Errorf("%v: the guard is told %v", outcome.Verdict, ending)
+		if ending := c.guardEnding(); ending != poisonguard.Stopped {
+			t.Errorf("verdict %v: ending for the guard %v, want stopped", outcome.Verdict, ending)
 		}
 	}
 }
 
-// TestOrdersThatAreNotCarriedOutBlameNobody: an executor whose table is behind, or that is full, refuses a run on its own account.
-func TestOrdersThatAreNotCarriedOutBlameNobody(t *testing.T) {
+// An executor rejects an order for a reason of its own, for example because its table is older. This must not count
+// against the replica or the item.
+func TestRejectedOrdersAreNotBlamedOnReplicaOrItem(t *testing.T) {
 	outcome := executor.OutcomeOf(&wire.RunEnded{Verdict: uint32(verdict.DidNotRun), NotAdmitted: true})
 	c := &call{stream: &stream{text: newText()}, outcome: outcome}
 	if c.ending = c.endingOf(outcome, false); c.ending != schedule.Stopped {
-		t.Errorf("ending %v", c.ending)
+		t.Errorf("ending %v, want stopped", c.ending)
 	}
 	for _, refusal := range []executor.Refusal{executor.Held, executor.Superseded, executor.NotPermitted + 1} {
 		outcome := executor.OutcomeOf(&wire.RunEnded{Verdict: uint32(verdict.DidNotRun), NotAdmitted: true, Refusal: uint32(refusal)})
 		if ending := c.endingOf(outcome, false); ending != schedule.Lost {
-			t.Errorf("refusal %d: ending %v, want lost, which has the item wait", refusal, ending)
+			t.Errorf("refusal %d: ending %v, want lost, after which the item waits", refusal, ending)
 		}
 	}
 }
 
-// TestWhatExecutorsHaveNoRoomForIsDrivenHere: an executor that drives as many runs as it may refuses the next one, which the leader drives
-// itself at once. The run that the executor drives goes on.
-func TestWhatExecutorsHaveNoRoomForIsDrivenHere(t *testing.T) {
+// An executor at its maximum number of runs rejects the next one. The leader must drive that run itself at once, while
+// the executor goes on with the other.
+func TestLeaderDrivesRunsThatFullExecutorRejects(t *testing.T) {
 	r := newRig(t)
 	r.startExecutor(t, executor.Settings{MaximumRuns: 1})
 	release := make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	defer let()
+	releaseAnswers := sync.OnceFunc(func() { close(release) })
+	defer releaseAnswers()
 	r.replicas.set(func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		select {
 		case <-release:
 		case <-ctx.Done():
 		}
-		return play(call, sink, testEvents, 5)
+		return sendEvents(call, sink, testEvents, 5)
 	}, nil)
 	r.run(t)
 	r.submit(t, "a", 2, nil)
 	r.until(t, "both runs at the replica", func() bool { return len(r.replicas.callsTo("r1")) == 2 })
-	let()
+	releaseAnswers()
 	results := r.await(t, "a", 2)
 	wantWhole(t, results["i0"], "[5]")
 	wantWhole(t, results["i1"], "[5]")
@@ -188,18 +191,18 @@
 		drivers[ended.Executor]++
 	}
 	if len(drivers) != 2 || drivers["e1"] != 1 || drivers[""] != 1 {
-		t.Errorf("runs by their drivers: %v, want one of the executor and one of the leader", drivers)
+		t.Errorf("runs by driver: %v, want one by the executor and one by the leader", drivers)
 	}
 }
 
-// TestLoadReportsAreAsOldAsTheyAre: one that an executor passed on was seen when it came there.
-func TestLoadReportsAreAsOldAsTheyAre(t *testing.T) {
+// A load report that an executor forwarded must be dated by its arrival at the executor.
+func TestForwardedLoadReportsKeepTheirArrivalTime(t *testing.T) {
 	s := &stream{text: newText(), clock: func() time.Duration { return 10 * time.Second }}
 	s.Came(9 * time.Second)
 	if err := s.Head(replica.Head{Status: 200, Stream: true, Load: &loadreport.Report{Pace: 2}}); err != nil {
 		t.Fatal(err)
 	}
-	if seen := s.report.Load(); seen == nil || seen.Seen != 9*time.Second || seen.Pace != 2 {
-		t.Errorf("seen %+v", seen)
+	if seen := s.loadReport.Load(); seen == nil || seen.Seen != 9*time.Second || seen.Pace != 2 {
+		t.Errorf("load report %+v, want one seen at 9 s with pace 2", seen)
 	}
 }
--- a/internal/batchrun/fixture_test.go
+++ b/internal/batchrun/fixture_test.go
@@ -28,19 +28,19 @@
 )
 
 const (
-	testEvents   = 6                // of every item's answer
-	testPatience = 30 * time.Second // until a test gives up; nothing is asserted on how long things take
+	testEvents  = 6                // events in each item's answer
+	testTimeout = 30 * time.Second // after which a test fails; tests don't assert any durations
 )
 
-// fakeGroup is a ledger group of one node.
+// fakeGroup is a ledger group of one node, with a real state machine.
 type fakeGroup struct {
-	mutex   sync.Mutex
-	machine *state.Machine
-	index   uint64
-	term    uint64
-	leading bool
-	changed chan struct{}
-	spoil   func(command *wire.Command) // before it is applied; may be nil
+	mutex       sync.Mutex
+	machine     *state.Machine
+	index       uint64
+	term        uint64
+	leading     bool
+	changed     chan struct{}
+	beforeApply func(command *wire.Command) // may change the command; may be nil
 }
 
 func newFakeGroup() *fakeGroup {
@@ -53,7 +53,8 @@
 	return g.term, g.leading
 }
 
-func (g *fakeGroup) lead(term uint64, leading bool) {
+// setLeader sets the term and whether the node leads in it.
+func (g *fakeGroup) setLeader(term uint64, leading bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.term, g.leading = term, leading
@@ -75,8 +76,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.index++
-	if g.spoil != nil {
-		g.spoil(command)
+	if g.beforeApply != nil {
+		g.beforeApply(command)
 	}
 	result := g.machine.Apply(g.index, command)
 	if command.GetJobSubmit() != nil || command.GetJobEnd() != nil {
@@ -88,22 +89,22 @@
 	return result, nil
 }
 
-// fakeSession is a lease that holds unless it is taken away.
+// fakeSession has a table and a lease on it, which is valid unless expired is set.
 type fakeSession struct {
 	mutex   sync.Mutex
 	view    *table.View
 	version uint64
-	lapsed  bool
-	extra   func(row func(name string, cells ...string)) // further rows of each table; may be nil
+	expired bool
+	addRows func(row func(name string, cells ...string)) // adds further rows to each table; may be nil
 }
 
 func (s *fakeSession) AdmitView() (*table.View, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.view, !s.lapsed
+	return s.view, !s.expired
 }
 
-// set replaces the back ends of pool p; each is given as "name state", and further cells.
+// set replaces the table with a new one. Each back end of pool p is given as "name state", followed by further cells.
 func (s *fakeSession) set(t *testing.T, slots int, backends ...string) {
 	t.Helper()
 	s.mutex.Lock()
@@ -123,8 +124,8 @@
 		words := strings.Fields(backend)
 		row(words[0], append([]string{"kind=backend", "pool=p", fmt.Sprint("address=10.0.0.1:", 1000+number), "state=" + words[1]}, words[2:]...)...)
 	}
-	if s.extra != nil {
-		s.extra(row)
+	if s.addRows != nil {
+		s.addRows(row)
 	}
 	view, err := table.NewView().Apply(update)
 	if err != nil {
@@ -133,22 +134,22 @@
 	s.view = view
 }
 
-// behaviour plays a call at a stand-in replica.
+// behaviour is how a fake replica answers a call.
 type behaviour func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome
 
 // fakeReplicas is a replica.Caller with a behaviour for each instance.
 type fakeReplicas struct {
-	mutex   sync.Mutex
-	play    map[string]behaviour
-	calls   []replica.Call
-	running map[string]int // by attempt
-	doubled bool
-	arrive  func() // before a call is admitted; may be nil
+	mutex       sync.Mutex
+	behaviours  map[string]behaviour // by instance; default answerWith(5)
+	calls       []replica.Call       // admitted calls
+	running     map[string]int       // running calls by attempt
+	overlapped  bool                 // an attempt had more than one running call
+	beforeAdmit func()               // called before a call is admitted; may be nil
 }
 
 func (f *fakeReplicas) Do(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-	if f.arrive != nil {
-		f.arrive()
+	if f.beforeAdmit != nil {
+		f.beforeAdmit()
 	}
 	if err := call.Admit(); err != nil {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: err}
@@ -156,8 +157,8 @@
 	f.mutex.Lock()
 	f.calls = append(f.calls, *call)
 	f.running[call.AttemptID]++
-	f.doubled = f.doubled || f.running[call.AttemptID] > 1
-	play := f.play[call.Instance]
+	f.overlapped = f.overlapped || f.running[call.AttemptID] > 1
+	play := f.behaviours[call.Instance]
 	f.mutex.Unlock()
 	defer func() {
 		f.mutex.Lock()
@@ -165,7 +166,7 @@
 		f.mutex.Unlock()
 	}()
 	if play == nil {
-		play = answering(5)
+		play = answerWith(5)
 	}
 	return play(ctx, call, sink)
 }
@@ -180,7 +181,7 @@
 func (f *fakeReplicas) set(first, second behaviour) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.play["r1"], f.play["r2"] = first, second
+	f.behaviours["r1"], f.behaviours["r2"] = first, second
 }
 
 func (f *fakeReplicas) callsTo(instance string) []replica.Call {
@@ -195,15 +196,15 @@
 	return calls
 }
 
-// answering answers whole items; versions are those of the first event and, at each further one, the next.
-func answering(versions ...uint64) behaviour {
+// answerWith sends complete answers. The events have the given weight versions, and the last version from there on.
+func answerWith(versions ...uint64) behaviour {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-		return play(call, sink, testEvents, versions...)
+		return sendEvents(call, sink, testEvents, versions...)
 	}
 }
 
-// play sends events up to a count. A count below testEvents ends the answer early, in the middle of an event.
-func play(call *replica.Call, sink replica.Sink, count int, versions ...uint64) replica.Outcome {
+// sendEvents sends the events up to a count. A count below testEvents ends the answer early, in the middle of an event.
+func sendEvents(call *replica.Call, sink replica.Sink, count int, versions ...uint64) replica.Outcome {
 	outcome := replica.Outcome{Status: 200, Verdict: verdict.Ran}
 	if outcome.Err = sink.Head(replica.Head{Status: 200, Stream: true, Length: -1, Versions: versions[0]}); outcome.Err != nil {
 		return outcome
@@ -238,19 +239,19 @@
 	}
 }
 
-// rig is a runner with everything around it.
+// rig is a runner with fakes of everything that it depends on. Fields without a comment are its configuration.
 type rig struct {
 	retention time.Duration
 	group     *fakeGroup
 	session   *fakeSession
 	replicas  *fakeReplicas
-	routed    bool
+	routed    bool // requests have a route; guarded by mutex
 	mutex     sync.Mutex
-	runner    *Runner // once it runs
+	runner    *Runner // set by run
 	serving   func() *weights.Serving
 	// listInterval is Config.ListInterval; 0: the default.
 	listInterval time.Duration
-	logged       *logrustest.Hook // what the runner has logged
+	logged       *logrustest.Hook // the runner's log
 	guard        *poisonguard.Guard
 	executors    func() []executorclient.Peer
 }
@@ -258,7 +259,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{group: newFakeGroup(), session: &fakeSession{}, routed: true, logged: new(logrustest.Hook),
-		replicas: &fakeReplicas{play: map[string]behaviour{}, running: map[string]int{}}}
+		replicas: &fakeReplicas{behaviours: map[string]behaviour{}, running: map[string]int{}}}
 	r.session.set(t, 4, "r1 active", "r2 active")
 	return r
 }
@@ -269,7 +270,7 @@
 	return Route{Pools: []schedule.Share{{Pool: "p", Weight: 1}}}, r.routed
 }
 
-// log is a log that only logged reads.
+// log returns a log whose only output is r.logged.
 func (r *rig) log() *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -277,7 +278,7 @@
 	return logrus.NewEntry(logger)
 }
 
-// eventsOf are the events of a type that the runner has logged.
+// eventsOf returns the events of a type that the runner has logged.
 func eventsOf[T logging.Event](r *rig) []T {
 	var found []T
 	for _, entry := range r.logged.AllEntries() {
@@ -290,12 +291,12 @@
 	return found
 }
 
-// run starts the runner, which is stopped with the test.
+// run starts the runner, and stops it at the end of the test.
 func (r *rig) run(t *testing.T) {
 	t.Helper()
 	firstEvent, stall := 100*time.Millisecond, time.Duration(0)
-	if r.executors != nil { // which report what has come some times a second
-		firstEvent, stall = testPatience, testPatience
+	if r.executors != nil { // they report progress only a few times a second
+		firstEvent, stall = testTimeout, testTimeout
 	}
 	runner, err := New(Config{
 		Group: r.group, Session: r.session, Caller: r.replicas, Route: r.route, VersionField: "x-version", ScoreHeader: "x-score", Checkpoint: 1, // after each event
@@ -317,12 +318,12 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		if r.replicas.doubled {
-			t.Error("an item ran at two replicas at a time")
+		if r.replicas.overlapped {
+			t.Error("an item ran at two replicas at the same time")
 		}
 	})
-	if r.executors != nil { // before that the leader drives runs itself
-		r.until(t, "a greeted executor", func() bool { return len(eventsOf[*events.ExecutorGreeted](r)) > 0 })
+	if r.executors != nil { // until it is connected, the leader drives runs itself
+		r.until(t, "the connection to an executor", func() bool { return len(eventsOf[*events.ExecutorGreeted](r)) > 0 })
 	}
 }
 
@@ -343,7 +344,7 @@
 	t.Helper()
 	result, err := r.group.Propose(t.Context(), command)
 	if err != nil || result.GetJob().GetOutcome() != wire.JobOutcome_JOB_OUTCOME_ACCEPTED {
-		t.Fatalf("%v %v", result, err)
+		t.Fatalf("result %v and error %v, want the command to be accepted", result, err)
 	}
 }
 
@@ -362,7 +363,7 @@
 	return events
 }
 
-// await returns a job's results by item once it has as many as wanted.
+// await waits until a job has at least count results, and returns them by item.
 func (r *rig) await(t *testing.T, job string, count int) map[string]*wire.JobResult {
 	t.Helper()
 	found := map[string]*wire.JobResult{}
@@ -380,16 +381,17 @@
 	return found
 }
 
+// until waits until a condition is true. The test fails if it is still false after testTimeout.
 func (r *rig) until(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(testPatience); !reached(); time.Sleep(2 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !reached(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// wantWhole checks that a result is its item's whole text.
+// wantWhole checks that a result has its item's complete text, generated by the given versions.
 func wantWhole(t *testing.T, result *wire.JobResult, versions string) {
 	t.Helper()
 	var lines []string
@@ -397,7 +399,7 @@
 		lines = append(lines, fmt.Sprintf("%s-%d", result.GetItem(), id))
 	}
 	if result.GetState() != wire.JobItemState_JOB_ITEM_STATE_COMPLETED || textOf(t, result) != strings.Join(lines, "\n") {
-		t.Fatalf("not the whole text: %v", result)
+		t.Fatalf("result %v, want a completed item with its complete text", result)
 	}
 	if got := fmt.Sprint(result.GetVersions()); got != versions {
 		t.Fatalf("versions %s, want %s", got, versions)
--- a/internal/batchrun/kept.go
+++ b/internal/batchrun/kept.go
@@ -8,63 +8,66 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of the texts that are kept of ended jobs: a count, and the bytes of the texts with their items' bodies.
-// Above either all are dropped.
+// Bounds of the textCache: the number of texts, and the bytes of the texts and of their items' request bodies. All
+// texts are dropped when either bound would be exceeded.
 const (
-	maximumKept      = 4096
-	maximumKeptBytes = 16 << 20
+	maximumCachedTexts = 4096
+	maximumCachedBytes = 16 << 20
 )
 
-// keptTexts holds what the items of ended jobs have brought, by item id, for a later job that carries the same
-// items again. Only the runner's loop touches it.
-type keptTexts struct {
-	texts map[string]keptText
+// textCache holds the partial texts of ended jobs by item id, for a later job that contains the same items. Only the
+// runner's loop accesses it.
+type textCache struct {
+	texts map[string]cachedText
 	bytes int
 }
 
-type keptText struct {
-	tenant string // whose job brought it: no other one gets it
+type cachedText struct {
+	tenant string // of the text's job; other tenants must not get the text
 	item   *wire.JobItem
 	text   *text
 }
 
-func (k *keptText) size() int { return len(k.item.GetBody()) + len(k.text.data) }
+// size returns the bytes that count against maximumCachedBytes.
+func (k *cachedText) size() int { return len(k.item.GetBody()) + len(k.text.data) }
 
-func newKeptTexts() *keptTexts { return &keptTexts{texts: map[string]keptText{}} }
+func newTextCache() *textCache { return &textCache{texts: map[string]cachedText{}} }
 
-func (k *keptTexts) keep(tenant string, item *wire.JobItem, held *text) {
-	if held == nil || held.events == 0 {
+// store adds the text of an item, replacing one with the same item id. It ignores a text without events.
+func (k *textCache) store(tenant string, item *wire.JobItem, stored *text) {
+	if stored == nil || stored.events == 0 {
 		return
 	}
-	entry := keptText{tenant: tenant, item: item, text: held}
-	k.drop(item.GetId())
-	if len(k.texts) >= maximumKept || k.bytes+entry.size() > maximumKeptBytes {
+	entry := cachedText{tenant: tenant, item: item, text: stored}
+	k.remove(item.GetId())
+	if len(k.texts) >= maximumCachedTexts || k.bytes+entry.size() > maximumCachedBytes {
 		clear(k.texts)
 		k.bytes = 0
 	}
-	held.committed, held.growing = 0, false // for its own job only
+	stored.committed, stored.checkpointArmed = 0, false // its checkpoints belong to the job that has ended
 	k.texts[item.GetId()] = entry
 	k.bytes += entry.size()
 }
 
-func (k *keptTexts) drop(id string) {
-	if held, ok := k.texts[id]; ok {
-		k.bytes -= held.size()
+func (k *textCache) remove(id string) {
+	if entry, ok := k.texts[id]; ok {
+		k.bytes -= entry.size()
 		delete(k.texts, id)
 	}
 }
 
-// take hands over the text of the same item; nil if none is kept.
-func (k *keptTexts) take(tenant string, item *wire.JobItem) *text {
-	kept, ok := k.texts[item.GetId()]
-	if !ok || kept.tenant != tenant || !sameItem(kept.item, item) {
+// take removes and returns the tenant's text for the same item and request. It returns nil if there is none.
+func (k *textCache) take(tenant string, item *wire.JobItem) *text {
+	entry, ok := k.texts[item.GetId()]
+	if !ok || entry.tenant != tenant || !isSameRequest(entry.item, item) {
 		return nil
 	}
-	k.drop(item.GetId())
-	return kept.text
+	k.remove(item.GetId())
+	return entry.text
 }
 
-func sameItem(a, b *wire.JobItem) bool {
+// isSameRequest reports whether two items send the same request: path, host, body and headers in their order.
+func isSameRequest(a, b *wire.JobItem) bool {
 	if a.GetPath() != b.GetPath() || a.GetHost() != b.GetHost() || !bytes.Equal(a.GetBody(), b.GetBody()) || len(a.GetHeaders()) != len(b.GetHeaders()) {
 		return false
 	}
--- a/internal/batchrun/kept_test.go
+++ b/internal/batchrun/kept_test.go
@@ -8,30 +8,31 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestKeptTextsAreBoundedInBytes keeps texts of the greatest length, the same items again and again, and takes
-// some of them out.
-func TestKeptTextsAreBoundedInBytes(t *testing.T) {
-	kept := newKeptTexts()
-	for number := range 3 * maximumKeptBytes / maximumTextBytes {
+// The byte count of the text cache must stay correct and bounded while texts of the maximum length are stored, replaced
+// and taken.
+func TestTextCacheIsBoundedInBytes(t *testing.T) {
+	cache := newTextCache()
+	for number := range 3 * maximumCachedBytes / maximumTextBytes {
 		item := &wire.JobItem{Id: fmt.Sprint("i", number/2), Body: []byte("body")}
-		kept.keep("", item, &text{data: make([]byte, maximumTextBytes), events: 1})
-		if number%5 == 0 && kept.take("", item) == nil {
-			t.Fatalf("the text that was kept last is gone")
+		cache.store("", item, &text{data: make([]byte, maximumTextBytes), events: 1})
+		if number%5 == 0 && cache.take("", item) == nil {
+			t.Fatalf("the text that was stored last is not in the cache")
 		}
 		held := 0
-		for _, entry := range kept.texts {
+		for _, entry := range cache.texts {
 			held += entry.size()
 		}
-		if held != kept.bytes || held > maximumKeptBytes {
-			t.Fatalf("%d bytes are kept and %d counted, at most %d may be", held, kept.bytes, maximumKeptBytes)
+		if held != cache.bytes || held > maximumCachedBytes {
+			t.Fatalf("%d bytes are cached and %d are counted, want equal and at most %d", held, cache.bytes, maximumCachedBytes)
 		}
 	}
 }
 
-func TestEndedJobsStayLongPastRetention(t *testing.T) {
+// Expiry commands must be so frequent that ended jobs stay at most 10% longer than their retention.
+func TestEndedJobsExpireSoonAfterRetention(t *testing.T) {
 	for _, retention := range []time.Duration{time.Minute, DefaultRetention} {
-		if longer := 2 * countInterval(retention); longer <= 0 || longer > retention/10 {
-			t.Errorf("jobs kept for %s may stay %s longer", retention, longer)
+		if longer := 2 * expiryInterval(retention); longer <= 0 || longer > retention/10 {
+			t.Errorf("with a retention of %s jobs may stay %s longer, want at most a tenth", retention, longer)
 		}
 	}
 }
--- a/internal/batchrun/listed.go
+++ b/internal/batchrun/listed.go
@@ -6,61 +6,63 @@
 	"github.com/tamarindring/tamarindring/internal/batchrun/listing"
 )
 
-// listings are the results of a job that wait to be listed, and when they are.
-type listings struct {
+// jobListing holds the results of a job that wait to be listed, and decides when they are listed.
+type jobListing struct {
 	pace    *listing.Pace
 	waiting []pendingEntry
-	since   time.Duration // of the first that waits, or of the last listing if some were held back then
-	count   int           // times that results were listed
-	carried int           // groups that the job has from an earlier one, as far as was known when it was opened
+	// waitingSince is when the first waiting result arrived, or the time of the last listing if that held some back.
+	waitingSince time.Duration
+	count        int // listings so far
+	carried      int // groups carried from an earlier job, as known when the job was opened
 }
 
-// beginListing prepares the listing of an opened job that the scheduler knows.
-func (t *tenure) beginListing(opened *job) {
+// beginListing initializes the listing of a job that was added to the scheduler.
+func (t *termRunner) beginListing(opened *job) {
 	groups, open := map[string]bool{}, map[string]int{}
 	for _, entry := range opened.items {
-		groups[entry.group()] = true
+		groups[entry.groupName()] = true
 		if entry.open {
-			open[entry.group()]++
+			open[entry.groupName()]++
 		}
 	}
 	carried := t.scheduler.Carried(opened.submit.GetId())
-	opened.listed = listings{carried: len(carried), pace: listing.New(t.config.ListInterval, &listing.Job{
-		Opened: opened.opened, Due: opened.due, Open: open, Whole: len(groups) - len(open),
+	opened.listing = jobListing{carried: len(carried), pace: listing.New(t.config.ListInterval, &listing.Job{
+		Opened: opened.openedAt, Due: opened.deadline, Open: open, Whole: len(groups) - len(open),
 		Desired: int(opened.submit.GetDesired()), Carried: carried,
 	})}
 }
 
-// list has an item's result listed, together with others of its job.
-func (t *tenure) list(held *job, entry pendingEntry) {
-	if len(held.listed.waiting) == 0 {
-		held.listed.since = t.config.Clock()
+// list queues an item's result to be listed together with other results of its job.
+func (t *termRunner) list(openJob *job, entry pendingEntry) {
+	if len(openJob.listing.waiting) == 0 {
+		openJob.listing.waitingSince = t.config.Clock()
 	}
-	held.listed.pace.Finished(held.items[entry.item()].group(), t.config.Clock())
-	held.listed.waiting = append(held.listed.waiting, entry)
-	t.release(held)
+	openJob.listing.pace.Finished(openJob.items[entry.itemID()].groupName(), t.config.Clock())
+	openJob.listing.waiting = append(openJob.listing.waiting, entry)
+	t.releaseResults(openJob)
 }
 
-// expect tells the pace of a job when it is expected to be whole. Where that is not known any more, nothing is held back for it.
-func (t *tenure) expect(held *job) {
-	end, known := t.scheduler.Expected(held.submit.GetId())
+// updateExpectedEnd passes the expected completion time of a job's wanted groups to its listing. Without one, the
+// listing holds no results back for the end.
+func (t *termRunner) updateExpectedEnd(openJob *job) {
+	end, known := t.scheduler.Expected(openJob.submit.GetId())
 	if !known {
-		held.listed.pace.Expect(0)
+		openJob.listing.pace.Expect(0)
 		return
 	}
-	held.listed.pace.Expect(max(end, t.config.Clock()))
+	openJob.listing.pace.Expect(max(end, t.config.Clock()))
 }
 
-// release commits the results of a job that are to be listed now.
-func (t *tenure) release(held *job) {
+// releaseResults commits the results of a job that are due to be listed.
+func (t *termRunner) releaseResults(openJob *job) {
 	now := t.config.Clock()
-	count := held.listed.pace.Release(now)
+	count := openJob.listing.pace.Release(now)
 	if count == 0 {
 		return
 	}
-	t.runner.counts.listing.WithLabelValues().Observe((now - held.listed.since).Seconds())
-	t.commits.add(held.listed.waiting[:count]...)
-	held.listed.waiting = held.listed.waiting[count:]
-	held.listed.since = now
-	held.listed.count++
+	t.runner.metrics.listingWait.WithLabelValues().Observe((now - openJob.listing.waitingSince).Seconds())
+	t.committer.add(openJob.listing.waiting[:count]...)
+	openJob.listing.waiting = openJob.listing.waiting[count:]
+	openJob.listing.waitingSince = now
+	openJob.listing.count++
 }
--- a/internal/batchrun/listed_test.go
+++ b/internal/batchrun/listed_test.go
@@ -13,10 +13,10 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// listings counts the commands that list results.
-func (r *rig) listings() *int {
+// countListings returns a counter of the commands that list results.
+func (r *rig) countListings() *int {
 	commands := 0
-	r.group.spoil = func(command *wire.Command) {
+	r.group.beforeApply = func(command *wire.Command) {
 		for _, results := range command.GetJobStore().GetJobs() {
 			if len(results.GetResults()) > 0 {
 				commands++
@@ -26,22 +26,22 @@
 	return &commands
 }
 
-// apart has the first items end one after the other, so that each would be listed by itself.
-var apart = map[string]time.Duration{"i1": 40 * time.Millisecond, "i2": 80 * time.Millisecond, "i3": 120 * time.Millisecond, "i4": 160 * time.Millisecond}
+// answerDelays makes the first items finish one after the other, so that each could be listed on its own.
+var answerDelays = map[string]time.Duration{"i1": 40 * time.Millisecond, "i2": 80 * time.Millisecond, "i3": 120 * time.Millisecond, "i4": 160 * time.Millisecond}
 
-// heldBack lets the item of an id end only once release is closed.
-func heldBack(id string, release chan struct{}) behaviour {
+// answerAfterRelease delays the answer of one item until release is closed.
+func answerAfterRelease(id string, release chan struct{}) behaviour {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		if call.AttemptID == id {
-			<-release // also when the call is ended because it is silent
+			<-release // regardless of ctx, which ends when the call counts as stalled
 		}
-		time.Sleep(apart[call.AttemptID])
-		return play(call, sink, testEvents, 5)
+		time.Sleep(answerDelays[call.AttemptID])
+		return sendEvents(call, sink, testEvents, 5)
 	}
 }
 
-// heldUntilStopped is heldBack, but a call that is stopped ends.
-func heldUntilStopped(id string, release chan struct{}) behaviour {
+// answerAfterReleaseOrStop is answerAfterRelease, except that a call ends when it is stopped.
+func answerAfterReleaseOrStop(id string, release chan struct{}) behaviour {
 	return func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		if call.AttemptID == id {
 			select {
@@ -50,56 +50,57 @@
 				return replica.Outcome{Verdict: verdict.MayHaveRun, Err: ctx.Err()}
 			}
 		}
-		return heldBack("", nil)(ctx, call, sink)
+		return answerAfterRelease("", nil)(ctx, call, sink)
 	}
 }
 
-// TestResultsAreListedOnceTheStepIsWhole: with an interval that never passes, the results of the groups that are waited for come
-// in one command, and what follows comes at once.
-func TestResultsAreListedOnceTheStepIsWhole(t *testing.T) {
+// With an interval that never passes, the results of all desired groups must be listed in one command, once these are
+// complete. Later results are listed at once.
+func TestResultsAreListedOnceDesiredGroupsAreComplete(t *testing.T) {
 	r := newRig(t)
-	r.listInterval = 24 * time.Hour // the job is due in one hour, and the intervals are counted from there
-	commands := r.listings()
+	r.listInterval = 24 * time.Hour // intervals are counted from the job's deadline in one hour
+	commands := r.countListings()
 	release := make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	defer let()
-	r.replicas.set(heldBack("i7", release), heldBack("i7", release))
+	releaseAnswers := sync.OnceFunc(func() { close(release) })
+	defer releaseAnswers()
+	r.replicas.set(answerAfterRelease("i7", release), answerAfterRelease("i7", release))
 	r.run(t)
 	r.submit(t, "a", 8, func(submit *wire.JobSubmit) { submit.Desired, submit.DeadlineMillis = 3, 3_600_000 })
 	r.await(t, "a", 6)
 	r.group.mutex.Lock()
 	if *commands != 1 {
-		t.Errorf("%d commands list the groups that are waited for", *commands)
+		t.Errorf("%d commands list the desired groups, want 1", *commands)
 	}
 	r.group.mutex.Unlock()
-	let()
+	releaseAnswers()
 	r.await(t, "a", 8)
 }
 
-// TestResultsAreNotHeldForGood: a step that does not become whole is listed after the interval.
-func TestResultsAreNotHeldForGood(t *testing.T) {
+// The results of a job that does not become complete must be listed after the interval.
+func TestIncompleteJobIsListedAfterInterval(t *testing.T) {
 	r := newRig(t)
-	r.listInterval = 500 * time.Millisecond // all but one have ended by then
+	r.listInterval = 500 * time.Millisecond // all items but one have ended by then
 	release := make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	defer let()
-	r.replicas.set(heldBack("i7", release), heldBack("i7", release))
+	releaseAnswers := sync.OnceFunc(func() { close(release) })
+	defer releaseAnswers()
+	r.replicas.set(answerAfterRelease("i7", release), answerAfterRelease("i7", release))
 	r.run(t)
 	r.submit(t, "a", 8, func(submit *wire.JobSubmit) { submit.DeadlineMillis = 3_600_000 })
 	r.await(t, "a", 7)
-	let()
+	releaseAnswers()
 	r.await(t, "a", 8)
 }
 
-// TestStepsAreListedWithTheirCarriedGroups: what is whole without a group that an earlier job left open waits for that group.
-func TestStepsAreListedWithTheirCarriedGroups(t *testing.T) {
+// The second job has as many complete groups as desired, but not the group that the first job left open. Its results
+// must not be listed before that group is complete.
+func TestListingWaitsForCarriedGroups(t *testing.T) {
 	r := newRig(t)
 	r.listInterval = 24 * time.Hour
-	commands := r.listings()
+	commands := r.countListings()
 	release := make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	defer let()
-	held := heldUntilStopped("i7", release)
+	releaseAnswers := sync.OnceFunc(func() { close(release) })
+	defer releaseAnswers()
+	held := answerAfterReleaseOrStop("i7", release)
 	r.replicas.set(held, held)
 	r.run(t)
 	change := func(submit *wire.JobSubmit) { submit.Desired, submit.DeadlineMillis = 3, 3_600_000 }
@@ -112,36 +113,36 @@
 	r.until(t, "the end of the stopped run", func() bool { return !r.replicas.isRunning("i7") })
 	r.submit(t, "b", 8, change)
 	r.until(t, "calls for all items of b", func() bool { return len(r.replicas.callsTo("")) >= 16 })
-	time.Sleep(apart["i4"] + 4*busyTick) // they end, and the loop has looked
+	time.Sleep(answerDelays["i4"] + 4*busyTickInterval) // the items end, and the loop handles their ends
 	r.group.mutex.Lock()
 	if *commands != before {
-		t.Errorf("%d commands list what is whole without the carried group", *commands-before)
+		t.Errorf("%d commands list results before the carried group is complete, want 0", *commands-before)
 	}
 	r.group.mutex.Unlock()
-	let()
+	releaseAnswers()
 	r.await(t, "b", 8)
 	r.propose(t, &wire.Command{Kind: &wire.Command_JobEnd{JobEnd: &wire.JobEnd{Job: "b"}}})
 	r.until(t, "the log of the end of b", func() bool { return len(eventsOf[*events.JobClosed](r)) == 2 })
 	first, second := eventsOf[*events.JobClosed](r)[0], eventsOf[*events.JobClosed](r)[1]
 	if first.Carried != 0 || second.Carried != 4 || second.Listings != 1 {
-		t.Errorf("logged %d and %d carried groups, and %d listings of the second job", first.Carried, second.Carried, second.Listings)
+		t.Errorf("logged %d and %d carried groups and %d listings of the second job, want 0, 4 and 1", first.Carried, second.Carried, second.Listings)
 	}
 }
 
-// TestMovesAreLoggedWithTheirReasons.
+// The log of a run that was moved must contain the figures that the move was decided by.
 func TestMovesAreLoggedWithTheirReasons(t *testing.T) {
 	r := newRig(t)
 	runner, err := New(Config{Group: r.group, Session: r.session, Caller: r.replicas, Route: r.route, Log: r.log()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := &call{Start: schedule.Start{Key: schedule.Key{Job: "a", Item: "i0"}}, stream: &stream{}, why: stopMoved, ending: schedule.Moved,
+	moved := &call{Start: schedule.Start{Key: schedule.Key{Job: "a", Item: "i0"}}, stream: &stream{}, stopReason: stopMoved, ending: schedule.Moved,
 		move: schedule.Move{Pace: 60 * time.Millisecond, Fastest: 40 * time.Millisecond, Left: 2 * time.Second, Leaving: true, Passing: 2.5,
 			Saved: time.Second}}
-	newTenure(runner, 1).logEnd(moved, 9, schedule.Again)
+	newTermRunner(runner, 1).logEnd(moved, 9, schedule.Again)
 	ended := eventsOf[*events.RunEnded](r)
 	if len(ended) != 1 || ended[0].PaceMs != 60 || ended[0].UsualMs != 40 || ended[0].LeftMs != 2000 || !ended[0].Leaving || ended[0].Events != 9 ||
 		ended[0].PassingPace != 2.5 || ended[0].SavedMs != 1000 {
-		t.Fatalf("%+v", ended)
+		t.Fatalf("logged %+v, want one event with the figures of the move", ended)
 	}
 }
--- a/internal/batchrun/listing/listing.go
+++ b/internal/batchrun/listing/listing.go
@@ -1,10 +1,14 @@
-// Package listing decides when the finished results of a batch job are listed. It answers this load: owners of jobs wait for whole
-// groups and read the list in turns of half a second, holding a read open for a second at most while there is nothing new. A result that
-// is listed ends the open read, and an owner whose read was open for less than a turn goes on only a turn after that read began. What
-// makes a job whole should therefore meet a read that has been open for a turn. So results are listed together, at once only with the
-// group that makes the job whole, and some are held back to end a read at the right moment before that is expected.
+// Package listing decides when the finished results of a batch job are listed, that is, become visible to the job's
+// owner.
 //
-// The package is pure: times are durations since an arbitrary start. A Pace is not safe for concurrent use.
+// It is designed for owners that wait for complete groups and read the list by long polling: a read is held open for at
+// most 1 s while there is nothing new, and consecutive reads begin at least half a second (a turn) apart. Listing a
+// result ends the open read. If that read has been open for less than a turn, the owner handles the answer only when
+// the turn is over. The results that complete a job should therefore meet a read that has been open for a turn already.
+// For this, results are listed in batches. They are listed at once only with the group that completes the job, and some
+// are held back to end a read at the right moment before the job's expected end.
+//
+// The package has no clock: times are durations since an arbitrary start. A Pace is not safe for concurrent use.
 package listing
 
 import (
@@ -13,60 +17,63 @@
 )
 
 const (
-	// DefaultInterval is the time between two listings of a job while its end is not near. It is longer than a reader's turn of half a
-	// second, so that a read is open again, and shorter than the second for which reads are held open.
+	// DefaultInterval is the time between two listings of a job while its end is not near. It is longer than a reader's
+	// turn of 0.5 s, so that a new read is open, and shorter than the 1 s for which reads are held open.
 	DefaultInterval = 900 * time.Millisecond
-	// lastCallDelay is how long after a job is due its results are listed for the last time that is of use. Owners take what they have
-	// read until a little later, and committing and reading take part of that time.
+	// lastCallDelay is the time from a job's due time to the last listing that the owner can still use. Owners accept
+	// results that they read until shortly after that, and committing and reading take part of the difference.
 	lastCallDelay = 450 * time.Millisecond
-	// postponed is by how much the last call waits for a job that is expected to be whole by then: one listing tells all.
-	postponed = 150 * time.Millisecond
-	// lead is how long before the expected end of a job a held-back result is listed, so that the read after it has been open for a turn
-	// by then, also if the reader looks at something else in between, and stays open a while beyond.
-	lead = 800 * time.Millisecond
-	// readerTurn is the least time between the beginnings of two reads.
+	// lastCallExtension is how much the last call is lastCallExtension if the job is expected to be complete within
+	// this time after it, so that one listing has all results.
+	lastCallExtension = 150 * time.Millisecond
+	// endLead is how long before the expected end of a job a held-back result is listed. The read that begins after
+	// this listing has then been open for a turn at the end, even if the reader makes another request in between, and
+	// stays open for some time after it.
+	endLead = 800 * time.Millisecond
+	// readerTurn is the minimum time between the beginnings of two reads.
 	readerTurn = 500 * time.Millisecond
-	// readerHold is how long a read is held open at most. Of two listings that far from each other the second one always meets a read that
-	// has been open for a turn, whatever the first one met.
+	// readerHold is the maximum time for which a read is held open. Of two listings this far apart, the second one
+	// always meets a read that has been open for a turn, in whatever state the first one met the reader.
 	readerHold = time.Second
-	// heldBack is how many results are held back for the listings before the end: one lead before it, and one a readerHold before that.
-	heldBack = 2
-	// maximumHold bounds how long a result is held back: the end may be far, or not come.
+	// heldBackResults is the number of results held back for the listings before the end. One is listed endLead before
+	// it, the other one readerHold before that.
+	heldBackResults = 2
+	// maximumHold bounds how long a result is held back, because the end may be far away or never come.
 	maximumHold = 5 * time.Second
 )
 
-// Job is what the pace of a job's listing depends on.
+// Job describes the state of a job when its listing begins.
 type Job struct {
 	Opened, Due time.Duration
-	Open        map[string]int // items without a result, by group; New takes it over
-	Whole       int            // groups that are whole
-	Desired     int            // whole groups that the owner waits for; 0: all
-	// Carried are the open groups that the owner waits for whichever others are whole.
+	Open        map[string]int // number of items without a result, by group; owned by the Pace after New
+	Whole       int            // complete groups
+	Desired     int            // complete groups that the owner waits for; 0: all
+	// Carried are the open groups, carried from an earlier job, that the owner waits for in any case.
 	Carried []string
 }
 
-// Pace is the listing of one job.
+// Pace decides when the results of one job are listed.
 type Pace struct {
-	interval time.Duration
-	lastCall time.Duration   // the last moment at which a listing is of use to the owner; others are whole intervals away
-	last     time.Duration   // of the last listing, or the job's opening
-	end      time.Duration   // when the job is expected to be whole; 0: not known
-	waiting  []time.Duration // since when results wait, in their order
-	ready    bool            // what waits makes a group whole
-	open     map[string]int
-	carried  map[string]bool // of them without a result for each item
-	wanted   int             // groups that are still waited for
-	atOnce   bool            // what waits completes the job, as far as is known
+	interval      time.Duration
+	lastCall      time.Duration   // time of the last useful listing; interval boundaries are counted from here
+	lastListing   time.Duration   // or the job's opening, before the first listing
+	expectedEnd   time.Duration   // when the wanted groups are expected to be complete; 0: unknown
+	waiting       []time.Duration // times since which results wait, oldest first
+	completeGroup bool            // the waiting results complete at least one group
+	open          map[string]int  // number of items without a result, by group
+	carried       map[string]bool // carried groups that are not complete
+	wanted        int             // further complete groups that the owner waits for
+	completeJob   bool            // the waiting results complete all groups that the owner waits for
 }
 
-// New returns the pace of a job.
+// New returns the Pace of a job. interval is the time between two listings while the job's end is not near.
 func New(interval time.Duration, job *Job) *Pace {
 	desired := job.Desired
 	if desired <= 0 {
 		desired = job.Whole + len(job.Open)
 	}
 	pace := &Pace{
-		interval: interval, lastCall: job.Due + lastCallDelay, last: job.Opened, open: job.Open, carried: map[string]bool{},
+		interval: interval, lastCall: job.Due + lastCallDelay, lastListing: job.Opened, open: job.Open, carried: map[string]bool{},
 		wanted: desired - job.Whole,
 	}
 	for _, group := range job.Carried {
@@ -75,104 +82,109 @@
 	return pace
 }
 
-// Finished notes the result of an item of a group, which waits from now on.
+// Finished adds the result of an item in a group, which waits to be listed from now on.
 func (p *Pace) Finished(group string, now time.Duration) {
 	p.waiting = append(p.waiting, now)
 	if p.open[group]--; p.open[group] > 0 {
 		return
 	}
 	p.wanted--
-	p.ready = true
+	p.completeGroup = true
 	delete(p.carried, group)
-	p.atOnce = p.atOnce || p.wanted <= 0 && len(p.carried) == 0
+	p.completeJob = p.completeJob || p.wanted <= 0 && len(p.carried) == 0
 }
 
-// Expect notes when the job is expected to be whole, 0: not known; it may be told anew at any time.
-func (p *Pace) Expect(whole time.Duration) { p.end = whole }
+// Expect sets when the groups that the owner waits for are expected to be complete (0: unknown). It may be called again
+// at any time.
+func (p *Pace) Expect(end time.Duration) { p.expectedEnd = end }
 
-// Release returns how many of the results that wait are to be listed now, the oldest first, and counts them as listed then.
+// Release returns how many of the waiting results, oldest first, must be listed now, and counts them as listed.
 func (p *Pace) Release(now time.Duration) int {
-	count := min(p.due(now), len(p.waiting))
+	count := min(p.countDue(now), len(p.waiting))
 	if count <= 0 {
 		return 0
 	}
 	p.waiting = p.waiting[count:]
-	p.last, p.atOnce = now, false
-	p.ready = p.ready && len(p.waiting) > 0
+	p.lastListing, p.completeJob = now, false
+	p.completeGroup = p.completeGroup && len(p.waiting) > 0
 	return count
 }
 
-// due is how many results are to be listed now; more than there are means all.
-func (p *Pace) due(now time.Duration) int {
-	if p.end != 0 && now > p.end+readerTurn {
-		p.end = 0 // it did not come: nothing is held back for it any more
+// countDue returns how many results must be listed now. It may exceed the number that wait, which means all.
+func (p *Pace) countDue(now time.Duration) int {
+	if p.expectedEnd != 0 && now > p.expectedEnd+readerTurn {
+		p.expectedEnd = 0 // the expected end has passed, so nothing is held back for it any more
 	}
-	return max(p.scheduled(now), p.heldTooLong(now))
+	return max(p.countScheduled(now), p.countOverheld(now))
 }
 
-// heldTooLong is how many results have waited for as long as they may.
-func (p *Pace) heldTooLong(now time.Duration) (count int) {
+// countOverheld returns how many results have waited for maximumHold.
+func (p *Pace) countOverheld(now time.Duration) (count int) {
 	for count < len(p.waiting) && now-p.waiting[count] >= maximumHold {
 		count++
 	}
 	return count
 }
 
-// scheduled is how many results are to be listed by the turns and the end of the job.
-func (p *Pace) scheduled(now time.Duration) int {
+// countScheduled returns how many results must be listed now according to the intervals and the end of the job.
+func (p *Pace) countScheduled(now time.Duration) int {
 	const all = math.MaxInt
-	beforeEnd := p.end - lead
+	beforeEnd := p.expectedEnd - endLead
 	switch {
-	case p.atOnce, p.isLastCall(now):
+	case p.completeJob, p.isLastCall(now):
 		return all
-	case p.end == 0 || now < beforeEnd-readerHold:
-		return p.turnDue(now)
-	case now > p.end-readerTurn:
-		return 0 // the read that is open now is to meet the end
-	case p.reached(beforeEnd, now):
+	case p.expectedEnd == 0 || now < beforeEnd-readerHold:
+		return p.countDueByInterval(now)
+	case now > p.expectedEnd-readerTurn:
+		return 0 // the read that is open now must stay open until the end
+	case p.hasReached(beforeEnd, now):
 		return all
-	case p.reached(beforeEnd-readerHold, now):
-		return len(p.waiting) - heldBack + 1
+	case p.hasReached(beforeEnd-readerHold, now):
+		return len(p.waiting) - heldBackResults + 1
 	}
 	return 0
 }
 
-// reached tells whether a moment before the end has come. The end is expected anew all the time: a listing shortly before the moment
-// stands for it.
-func (p *Pace) reached(moment, now time.Duration) bool {
-	return p.passed(moment, now) && p.last < moment-readerTurn
+// hasReached reports whether a moment before the expected end has passed without a listing for it. The expected end is
+// updated continually, so a listing within a turn before the moment counts as the listing for it.
+func (p *Pace) hasReached(moment, now time.Duration) bool {
+	return p.hasPassed(moment, now) && p.lastListing < moment-readerTurn
 }
 
-// passed tells whether a moment has come since the last listing.
-func (p *Pace) passed(moment, now time.Duration) bool { return p.last < moment && moment <= now }
+// hasPassed reports whether a moment has passed since the last listing.
+func (p *Pace) hasPassed(moment, now time.Duration) bool {
+	return p.lastListing < moment && moment <= now
+}
 
-// isLastCall tells whether what waits must be listed to be of use. Where a listing has just been, only a group that has become whole since
-// is worth another one.
+// isLastCall reports whether the waiting results must be listed now to be of use to the owner. If there was a listing
+// shortly before, only a group that was completed since justifies another one.
 func (p *Pace) isLastCall(now time.Duration) bool {
 	moment := p.lastCall
-	if p.end > moment && p.end <= moment+postponed {
-		moment += postponed
+	if p.expectedEnd > moment && p.expectedEnd <= moment+lastCallExtension {
+		moment += lastCallExtension
 	}
-	return p.passed(moment, now) && (p.ready || p.last < p.lastCall-lead)
+	return p.hasPassed(moment, now) && (p.completeGroup || p.lastListing < p.lastCall-endLead)
 }
 
-// turnDue is how many results are listed at the turn of an interval: all but those that are held back for an end that is expected.
-func (p *Pace) turnDue(now time.Duration) int {
+// countDueByInterval returns how many results must be listed now if an interval has begun since the last listing: all
+// except those that are held back for an expected end.
+func (p *Pace) countDueByInterval(now time.Duration) int {
 	switch {
-	case p.turn(now) == p.turn(p.last):
+	case p.intervalNumber(now) == p.intervalNumber(p.lastListing):
 		return 0
-	case p.end == 0:
+	case p.expectedEnd == 0:
 		return len(p.waiting)
 	}
-	return len(p.waiting) - heldBack
+	return len(p.waiting) - heldBackResults
 }
 
-// turn numbers the intervals from the last call on; those before it are negative.
-func (p *Pace) turn(at time.Duration) int64 {
+// intervalNumber returns the number of the interval that contains a time. Interval 0 begins at the last call, and
+// earlier intervals have negative numbers.
+func (p *Pace) intervalNumber(at time.Duration) int64 {
 	since := at - p.lastCall
-	turn := int64(since / p.interval)
+	number := int64(since / p.interval)
 	if since < 0 && since%p.interval != 0 {
-		turn-- // rounded down, not towards the last call
+		number-- // round down instead of towards 0
 	}
-	return turn
+	return number
 }
--- a/internal/batchrun/listing/listing_test.go
+++ b/internal/batchrun/listing/listing_test.go
@@ -9,6 +9,8 @@
 
 const second = time.Second
 
+// Results must be listed together after the interval, and at once with the third complete group, which completes the
+// job.
 func TestResultsAreListedTogether(t *testing.T) {
 	pace := New(second, &Job{Due: 10*second - lastCallDelay, Open: map[string]int{"a": 2, "b": 1, "c": 1, "d": 4}, Whole: 1, Desired: 3})
 	for _, step := range []struct {
@@ -16,25 +18,25 @@
 		group string
 		want  bool
 	}{
-		{second / 2, "a", false}, // one alone
-		{second, "", true},       // after the interval
+		{second / 2, "a", false}, // a single result within the interval
+		{second, "", true},       // the interval has passed
 		{3 * second / 2, "c", false},
 		{2 * second, "", true},
-		{9 * second / 4, "a", true}, // the third whole group: a, c and one before
+		{9 * second / 4, "a", true}, // the third complete group, after c and the one that was complete at the start
 		{19 * second / 8, "b", true},
 	} {
 		if step.group != "" {
 			pace.Finished(step.group, step.at)
 		}
 		if got := pace.Release(step.at); (got > 0) != step.want {
-			t.Errorf("at %v: %v", step.at, got)
+			t.Errorf("at %v: %v results listed, want the opposite of %[2]v > 0", step.at, got)
 		}
 	}
 }
 
-// TestResultsAreListedOnceMoreInTimeForTheirOwner: whatever the interval and whenever the job was opened, with the last moment at
-// which results count.
-func TestResultsAreListedOnceMoreInTimeForTheirOwner(t *testing.T) {
+// Whatever the interval and whenever the job was opened, waiting results must be listed at the last call, which is the
+// last time at which the owner can use them.
+func TestResultsAreListedAtTheLastCall(t *testing.T) {
 	for _, interval := range []time.Duration{second / 4, 900 * time.Millisecond, 7 * second, time.Hour} {
 		for _, opened := range []time.Duration{0, 313 * time.Millisecond, 2 * second, 8 * second} {
 			pace := New(interval, &Job{Opened: opened, Due: 8 * second, Open: map[string]int{"a": 2, "b": 1}})
@@ -42,14 +44,15 @@
 			pace.Release(max(opened, 8*second+lastCallDelay-1))
 			pace.Finished("a", 8*second+lastCallDelay-1)
 			if got := pace.Release(8*second + lastCallDelay); got == 0 {
-				t.Errorf("interval %v, opened at %v: not listed", interval, opened)
+				t.Errorf("interval %v, opened at %v: no result listed at the last call, want 1", interval, opened)
 			}
 		}
 	}
 }
 
-// TestResultsAreListedWhateverEndWasExpected: one that does not come, one that is far, one that is put off again and again.
-func TestResultsAreListedWhateverEndWasExpected(t *testing.T) {
+// Whatever end is expected, no result must be held back for too long: if the end does not come, is far away, or is
+// postponed again and again.
+func TestResultsAreListedWhateverEndIsExpected(t *testing.T) {
 	const tick = 100 * time.Millisecond
 	for name, expected := range map[string]func(now time.Duration) time.Duration{
 		"once":       func(time.Duration) time.Duration { return 3 * second },
@@ -65,14 +68,14 @@
 			waiting = append(waiting, now)
 			waiting = waiting[pace.Release(now):]
 			if len(waiting) > 0 && now-waiting[0] > maximumHold {
-				t.Errorf("%s: at %v a result has waited for %v", name, now, now-waiting[0])
+				t.Errorf("end expected %q: at %v a result has waited for %v, longer than maximumHold", name, now, now-waiting[0])
 				break
 			}
 		}
 	}
 }
 
-// TestCarriedGroupsAreWaitedFor: a job is whole only with the groups that it has from an earlier one.
+// A job must count as complete only when its groups carried from an earlier job are complete too.
 func TestCarriedGroupsAreWaitedFor(t *testing.T) {
 	pace := New(time.Hour, &Job{Due: 2 * time.Hour, Open: map[string]int{"a": 1, "b": 1, "c": 2}, Desired: 2, Carried: []string{"c"}})
 	for _, step := range []struct {
@@ -81,27 +84,29 @@
 	}{{"a", false}, {"b", false}, {"c", false}, {"c", true}} {
 		pace.Finished(step.group, 0)
 		if got := pace.Release(0) > 0; got != step.want {
-			t.Errorf("after %s: %v", step.group, got)
+			t.Errorf("after a result of group %s: listed %v, want the opposite", step.group, got)
 		}
 	}
 }
 
-// reader reads as the owners of jobs do: a read every turn, held open until something is new or hold is over; it ends its job
-// with the turn after the read that showed the wanted results.
+// The replayed reader polls like the owners of jobs. It begins at most one read per turn. A read is held open until
+// there are new results, for at most readHold. The reader ends its job at the turn after the read that had all wanted
+// results.
 const (
 	readTurn = second / 2
 	readHold = second
-	step     = 5 * time.Millisecond
-	// way is from a listing to a held read: its commit, and half of the pause between two looks.
-	way = 60 * time.Millisecond
+	step     = 5 * time.Millisecond // resolution of the replay
+	// listingLatency is the time from a listing to the answer of a held read: the commit, and half of the pause between
+	// two checks for new results.
+	listingLatency = 60 * time.Millisecond
 )
 
-// replayedStep is a trainer's step: when each item's result is there, by group, and which groups are carried.
+// replayedStep is a step of a trainer, with the time and group of each result.
 type replayedStep struct {
-	items   []replayedItem // by time
+	items   []replayedItem // in no particular order
 	groups  int
 	desired int
-	carried []string
+	carried []string // groups carried from an earlier step
 	due     time.Duration
 }
 
@@ -110,12 +115,12 @@
 	group string
 }
 
-// drawnStep draws a step of 29 groups of 8 items whose answers have 20 events on average, one in ten five times as many and 145 at
-// most, of 49 to 50.5 ms each; up to three groups with the longest answers are carried.
-func drawnStep(random *rand.Rand) *replayedStep { return drawnStepOf(random, 29, 26) }
+// drawStep draws a step of 29 groups of 8 items. Answers have 20 events on average, one in ten has five times as many,
+// and none more than 145. An event takes 49 to 50.5 ms. Up to three groups with the longest answers are carried.
+func drawStep(random *rand.Rand) *replayedStep { return drawStepOf(random, 29, 26) }
 
-// drawnStepOf is such a step with another number of groups.
-func drawnStepOf(random *rand.Rand, groups, desired int) *replayedStep {
+// drawStepOf draws a step like drawStep with another number of groups.
+func drawStepOf(random *rand.Rand, groups, desired int) *replayedStep {
 	const size = 8
 	drawn := &replayedStep{groups: groups, desired: desired, due: 7500 * time.Millisecond}
 	begin := 0.05 + 0.55*random.Float64()
@@ -147,8 +152,8 @@
 	return drawn
 }
 
-// whole is when the step is: as many groups as are desired, the carried ones among them.
-func (s *replayedStep) whole() time.Duration {
+// completeAt returns when the step is complete: as many groups as desired are complete, and all carried ones.
+func (s *replayedStep) completeAt() time.Duration {
 	open, whole := map[string]int{}, 0
 	for _, item := range s.items {
 		open[item.group]++
@@ -174,36 +179,40 @@
 	}
 }
 
-// forecast tells when a step is expected to be whole, as a scheduler knows it: by the longest answers, which all end at the same length,
-// within some hundredths of a second. In one step of five answers decide that end before they have that length.
+// forecast models the end of a step that a scheduler expects. It derives the end from the longest answers, which all
+// end at the same length, to within some hundredths of a second. In one step out of five, other answers that are
+// shorter decide the end, so that the forecast is too late by up to 1.5 s.
 type forecast struct {
-	from   time.Duration // when it is known
-	missed time.Duration // by how much it is off
-	early  time.Duration // how long before the end it is still expected sooner: until the last answer outgrows its estimate
+	from   time.Duration // when the forecast becomes available
+	offset time.Duration // difference between the expected and the actual end
+	// early makes the forecast too early by this time, until this time before the end. It models a last answer that
+	// outgrows its estimate.
+	early time.Duration
 }
 
-// of is when a step is expected to be whole that will be.
-func (f *forecast) of(whole, now time.Duration) time.Duration {
-	if f.early > 0 && now < whole-f.early {
-		return whole - f.early
+// expectedEnd returns the end of a step that is expected now, if it will be complete at the given time.
+func (f *forecast) expectedEnd(complete, now time.Duration) time.Duration {
+	if f.early > 0 && now < complete-f.early {
+		return complete - f.early
 	}
-	return max(whole+f.missed, now)
+	return max(complete+f.offset, now)
 }
 
-func drawnForecast(random *rand.Rand, whole time.Duration) *forecast {
-	drawn := &forecast{from: whole - 5*second, missed: time.Duration(0.03 * random.NormFloat64() * float64(second))}
+func drawForecast(random *rand.Rand, whole time.Duration) *forecast {
+	drawn := &forecast{from: whole - 5*second, offset: time.Duration(0.03 * random.NormFloat64() * float64(second))}
 	if random.IntN(5) == 0 {
-		drawn.missed = time.Duration(random.Float64() * float64(3*second/2))
+		drawn.offset = time.Duration(random.Float64() * float64(3*second/2))
 	}
 	return drawn
 }
 
-// wandering is the share of turns in which some readers look at an earlier position, which tells them nothing new.
-const wandering = 0.2
+// distractedShare is the fraction of turns in which a distracted reader makes another request that shows nothing new.
+const distractedShare = 0.2
 
-// played is how long after it is whole a step is ended by its reader. expected is nil where nobody knows when that is.
-func (s *replayedStep) played(random *rand.Rand, pace *Pace, expected *forecast, elsewhere float64) time.Duration {
-	whole := s.whole()
+// replay returns the time from the completion of a step until its reader ends it. expected may be nil, for a step whose
+// end is not known in advance. elsewhere is the fraction of turns in which the reader makes another request.
+func (s *replayedStep) replay(random *rand.Rand, pace *Pace, expected *forecast, elsewhere float64) time.Duration {
+	whole := s.completeAt()
 	waiting, listed, seen, seenWhole := 0, 0, 0, false
 	type listing struct {
 		at     time.Duration
@@ -222,11 +231,11 @@
 			}
 		}
 		if expected != nil && now >= expected.from {
-			pace.Expect(expected.of(whole, now))
+			pace.Expect(expected.expectedEnd(whole, now))
 		}
 		if count := pace.Release(now); count > 0 {
 			waiting -= count
-			coming = append(coming, listing{now + way, count, now >= whole && waiting == 0})
+			coming = append(coming, listing{now + listingLatency, count, now >= whole && waiting == 0})
 		}
 		for len(coming) > 0 && coming[0].at <= now {
 			listed += coming[0].listed
@@ -245,8 +254,8 @@
 	}
 }
 
-// paceOf is the pace of a replayed step.
-func (s *replayedStep) paceOf(interval time.Duration, due time.Duration, carried []string) *Pace {
+// newPace returns the Pace of a replayed step.
+func (s *replayedStep) newPace(interval time.Duration, due time.Duration, carried []string) *Pace {
 	open := map[string]int{}
 	for _, item := range s.items {
 		open[item.group]++
@@ -254,55 +263,55 @@
 	return New(interval, &Job{Due: due, Open: open, Desired: s.desired, Carried: carried})
 }
 
-// meanOf replays 200 steps whose end nobody expects.
-func meanOf(interval time.Duration, carriedKnown bool) (mean time.Duration) {
+// meanDelay returns the mean result of replay for 200 steps whose ends are not known in advance.
+func meanDelay(interval time.Duration, carriedKnown bool) (mean time.Duration) {
 	const steps = 200
 	random := rand.New(rand.NewPCG(1, 2))
 	for range steps {
-		drawn := drawnStep(random)
+		drawn := drawStep(random)
 		carried := drawn.carried
 		if !carriedKnown {
 			carried = nil
 		}
-		mean += drawn.played(random, drawn.paceOf(interval, drawn.due, carried), nil, 0) / steps
+		mean += drawn.replay(random, drawn.newPace(interval, drawn.due, carried), nil, 0) / steps
 	}
 	return mean
 }
 
-// TestReadersEndTheirStepsSooner replays steps whose longest answers end together, some of them carried from an earlier step, for a
-// reader that takes turns of half a second. It ends them 0.75 s after they are whole where each result is listed at once, 0.65 s
-// where the carried groups aren't known, and within 0.25 s with the pace as it is.
-func TestReadersEndTheirStepsSooner(t *testing.T) {
-	atOnce := meanOf(step, true)
-	unknown := meanOf(DefaultInterval, false)
-	paced := meanOf(DefaultInterval, true)
+// Replays steps whose longest answers end together, some of them in groups carried from an earlier step. The reader
+// ends the steps 0.75 s after their completion if each result is listed at once, and 0.65 s after it if the carried
+// groups are not known. With the default interval and known carried groups it must take at most 0.25 s.
+func TestIntervalAndCarriedGroupsEndStepsSooner(t *testing.T) {
+	atOnce := meanDelay(step, true)
+	unknown := meanDelay(DefaultInterval, false)
+	paced := meanDelay(DefaultInterval, true)
 	t.Logf("at once %v, carried groups not known %v, paced %v", atOnce, unknown, paced)
 	if paced > 250*time.Millisecond || atOnce < 600*time.Millisecond || unknown < paced+200*time.Millisecond {
-		t.Error("the interval and the carried groups bring less than they did")
+		t.Error("the interval and the carried groups do not end steps as much sooner as they should")
 	}
 	for _, interval := range []time.Duration{second / 2, 600 * time.Millisecond, 3 * second / 4, second, 1400 * time.Millisecond, time.Hour} {
-		t.Logf("interval %v: %v", interval, meanOf(interval, true))
+		t.Logf("interval %v: %v", interval, meanDelay(interval, true))
 	}
 }
 
-// TestExpectedEndsMeetAnOpenRead replays those of the same steps that are whole before the last call, which comes whatever is expected.
-// Where it is known about when they will be, a reader sees the end 0.15 s after it on average, and one that looks elsewhere in a fifth of
-// its turns sooner than where it is not known.
+// Replays the steps that are complete before the last call, which is listed whatever end is expected. With an
+// approximately known end, a reader must end its steps at most 0.15 s after their completion on average. A reader that
+// makes other requests in a fifth of its turns must end them sooner than without a known end.
 func TestExpectedEndsMeetAnOpenRead(t *testing.T) {
 	meanOf := func(groups, desired int, known bool, elsewhere float64, early time.Duration) (mean time.Duration) {
 		random, played := rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 		for range 300 {
-			drawn := drawnStepOf(random, groups, desired)
-			whole := drawn.whole()
+			drawn := drawStepOf(random, groups, desired)
+			whole := drawn.completeAt()
 			if whole > drawn.due+lastCallDelay {
 				continue
 			}
 			var expected *forecast
 			if known {
-				expected = drawnForecast(random, whole)
+				expected = drawForecast(random, whole)
 				expected.early = early
 			}
-			mean += drawn.played(random, drawn.paceOf(DefaultInterval, drawn.due, drawn.carried), expected, elsewhere)
+			mean += drawn.replay(random, drawn.newPace(DefaultInterval, drawn.due, drawn.carried), expected, elsewhere)
 			played++
 		}
 		return mean / played
@@ -310,15 +319,16 @@
 	mean := func(known bool, elsewhere float64) time.Duration { return meanOf(29, 26, known, elsewhere, 0) }
 	sooner := meanOf(8, 8, true, 0, second)
 	t.Logf("of few groups, expected sooner until a second before: %v", sooner)
-	expected, wandered, unexpected := mean(true, 0), mean(true, wandering), mean(false, wandering)
+	expected, wandered, unexpected := mean(true, 0), mean(true, distractedShare), mean(false, distractedShare)
 	t.Logf("expected %v; for a reader that looks elsewhere %v, and %v where the end is not expected", expected, wandered, unexpected)
 	if expected > 150*time.Millisecond || sooner > 150*time.Millisecond || wandered >= unexpected {
-		t.Error("the expected end brings less than it should")
+		t.Error("the expected end does not end steps as much sooner as it should")
 	}
 }
 
-// TestNothingIsListedShortlyBeforeTheExpectedEnd, which would end the read that is to meet the end: also where nothing waited to be listed
-// when that read should have begun. An end that doesn't come, and the last call, still have it listed.
+// A listing shortly before the expected end would end the read that should be open at the end. It must not happen, even
+// if no result was waiting to be listed when that read should have begun. The result must still be listed after an end
+// that does not come, and at the last call.
 func TestNothingIsListedShortlyBeforeTheExpectedEnd(t *testing.T) {
 	const end = 5 * second
 	begun := func(due time.Duration) *Pace {
@@ -333,7 +343,7 @@
 	pace := begun(20 * second)
 	for now := end - 300*time.Millisecond; now < end; now += step {
 		if pace.Release(now) != 0 {
-			t.Fatalf("listed %v before the end", end-now)
+			t.Fatalf("a result was listed %v before the expected end, want none", end-now)
 		}
 	}
 	pace.Finished("a", end)
@@ -347,10 +357,10 @@
 		listed += pace.Release(now)
 	}
 	if listed != 1 {
-		t.Error("not listed after an end that did not come")
+		t.Errorf("%d results listed after an end that did not come, want 1", listed)
 	}
 	pace = begun(end - 200*time.Millisecond - lastCallDelay)
 	if got := pace.Release(end - 200*time.Millisecond); got != 1 {
-		t.Error("not listed at the last call")
+		t.Errorf("%d results listed at the last call, want 1", got)
 	}
 }
--- a/internal/batchrun/log.go
+++ b/internal/batchrun/log.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Why an item is given up, in logs.
+// Reasons why an item is given up or a run is not permitted, as logs name them.
 const (
 	whyImpossible   = "impossible"
 	whyFailedOften  = "failed_too_often"
@@ -25,31 +25,33 @@
 	whySuspected    = "suspected"
 )
 
-// givenUpFor names why an item is given up after a run.
-func givenUpFor(ending schedule.Ending) string {
+// giveUpReason returns why an item is given up after a run.
+func giveUpReason(ending schedule.Ending) string {
 	if ending == schedule.Impossible {
 		return whyImpossible
 	}
 	return whyFailedOften
 }
 
-// runCounts counts the runs of a job's items under this leader.
+// runCounts counts the runs of a job's items under this leader, by how they ended.
 type runCounts struct {
-	first                      time.Duration
-	started, moved, full, lost int
+	firstRunAt time.Duration
+	// failed counts all ends except completed runs, moves and rejections by a full replica.
+	started, moved, full, failed int
 }
 
-// noteStart counts a run, and tells whether it is the job's first.
-func (j *job) noteStart(now time.Duration) (first bool) {
+// countStart counts the start of a run, and reports whether it is the job's first.
+func (j *job) countStart(now time.Duration) (first bool) {
 	j.runs.started++
 	if j.runs.started > 1 {
 		return false
 	}
-	j.runs.first = now
+	j.runs.firstRunAt = now
 	return true
 }
 
-func (j *job) noteEnd(ending schedule.Ending) {
+// countEnd counts the end of a run.
+func (j *job) countEnd(ending schedule.Ending) {
 	switch ending {
 	case schedule.Completed:
 	case schedule.Moved:
@@ -57,12 +59,12 @@
 	case schedule.Full:
 		j.runs.full++
 	default:
-		j.runs.lost++
+		j.runs.failed++
 	}
 }
 
-// groups counts a job's groups, and those all of whose items have a result.
-func (j *job) groups() (all, whole int) {
+// countGroups returns the number of a job's groups, and of those whose items all have a result.
+func (j *job) countGroups() (all, whole int) {
 	open := map[string]bool{}
 	for _, entry := range j.items {
 		name := entry.wire.GetGroup()
@@ -79,54 +81,54 @@
 	return len(open), whole
 }
 
-func (t *tenure) logOpened(taken *wire.JobWork, opened *job) {
+func (t *termRunner) logOpened(taken *wire.JobWork, opened *job) {
 	submit := opened.submit
 	logging.Emit(t.config.Log, &events.JobOpened{
 		Job: submit.GetId(), Route: submit.GetRoute(), Model: submit.GetModel(), Step: submit.GetStep(), MinVersion: submit.GetMinVersion(),
 		Desired: submit.GetDesired(), Items: len(submit.GetItems()), Finished: len(taken.GetFinished()),
-		DueMs: events.Millis(opened.due - opened.opened), AgeMs: events.Millis(age(submit)), TableNeeded: submit.GetTableVersion(),
+		DueMs: events.Millis(opened.deadline - opened.openedAt), AgeMs: events.Millis(jobAge(submit)), TableNeeded: submit.GetTableVersion(),
 	})
 }
 
-// noteTurns tells when owners begin or cease to take turns.
-func (t *tenure) noteTurns() {
+// reportTurns updates the metric of owners that take turns, and logs when they start or stop taking turns.
+func (t *termRunner) reportTurns() {
 	turns := t.scheduler.Turns()
-	t.runner.counts.turns.Set(float64(turns.Owners))
-	if turns.Taken == t.turns {
+	t.runner.metrics.ownersInTurns.Set(float64(turns.Owners))
+	if turns.Taken == t.ownersTakeTurns {
 		return
 	}
-	t.turns = turns.Taken
+	t.ownersTakeTurns = turns.Taken
 	logging.Emit(t.config.Log, &events.BatchTurns{Taken: turns.Taken, Owners: turns.Owners, Waiting: turns.Waiting, Largest: turns.Largest,
 		Most: turns.Most, Least: turns.Least})
 }
 
-func (t *tenure) logClosed(closed *job, running int) {
+func (t *termRunner) logClosed(closed *job, running int) {
 	submit, now := closed.submit, t.config.Clock()
 	event := &events.JobClosed{
 		Job: submit.GetId(), Step: submit.GetStep(), Items: len(submit.GetItems()), Desired: submit.GetDesired(), Running: running,
-		OverdueMs: events.Millis(now - closed.due), Runs: closed.runs.started, RunsMoved: closed.runs.moved, RunsFull: closed.runs.full,
-		RunsFailed: closed.runs.lost, Listings: closed.listed.count, Carried: closed.listed.carried,
+		OverdueMs: events.Millis(now - closed.deadline), Runs: closed.runs.started, RunsMoved: closed.runs.moved, RunsFull: closed.runs.full,
+		RunsFailed: closed.runs.failed, Listings: closed.listing.count, Carried: closed.listing.carried,
 	}
-	event.Groups, event.Whole = closed.groups()
+	event.Groups, event.Whole = closed.countGroups()
 	for _, entry := range closed.items {
 		if !entry.open {
 			event.Finished++
 		}
 	}
 	if closed.runs.started > 0 {
-		event.FirstRunMs = events.Millis(closed.runs.first - closed.opened)
+		event.FirstRunMs = events.Millis(closed.runs.firstRunAt - closed.openedAt)
 	}
 	if path, found := closed.criticalPath(now); found {
-		t.runner.counts.critical(path)
+		t.runner.metrics.observeCriticalPath(path)
 		event.Critical, event.CriticalRuns, event.CriticalEvents = path.item, path.runs, path.events
 		event.WaitMs, event.RunningMs = events.Millis(path.wait), events.Millis(path.running)
 		event.BetweenMs, event.AfterMs = events.Millis(path.between), events.Millis(path.after)
 	}
-	t.runner.counts.overdue.WithLabelValues().Observe(max(now-closed.due, 0).Seconds())
+	t.runner.metrics.jobOverdue.WithLabelValues().Observe(max(now-closed.deadline, 0).Seconds())
 	logging.Emit(t.config.Log, event)
 }
 
-func (t *tenure) logStart(c *call) {
+func (t *termRunner) logStart(c *call) {
 	event := &events.RunStarted{
 		Job: c.Job, Item: c.Item, Replica: c.Instance, Pool: c.Pool, TableVersion: t.view.Version(), Urgency: c.Urgency, Running: c.Running,
 		Slots: c.Slots, KnownVersion: c.Known, ExpectedVersion: c.ExpectedVersion, ResumeAfter: max(c.text.lastID, 0),
@@ -137,11 +139,11 @@
 	logging.Emit(t.config.Log, event)
 }
 
-func (t *tenure) logEnd(c *call, brought int, next schedule.Next) {
+func (t *termRunner) logEnd(c *call, brought int, next schedule.Next) {
 	event := &events.RunEnded{
-		Job: c.Job, Item: c.Item, Replica: c.Instance, Ending: c.ending.String(), Why: string(c.why), Next: next.String(),
+		Job: c.Job, Item: c.Item, Replica: c.Instance, Ending: c.ending.String(), Why: string(c.stopReason), Next: next.String(),
 		Executor: c.executorName(), Status: c.outcome.Status, Events: brought, Version: c.version, Cause: events.ErrorText(c.outcome.Err),
-		TookMs: events.Millis(t.config.Clock() - c.started),
+		TookMs: events.Millis(t.config.Clock() - c.startedAt),
 	}
 	if c.stream.fault != nil {
 		event.Cause = events.ErrorText(c.stream.fault)
@@ -149,7 +151,7 @@
 	if c.ending == schedule.Broken {
 		event.Digest, event.Peer = c.digest().String(), c.outcome.Peer.String()
 	}
-	if c.why == stopMoved {
+	if c.stopReason == stopMoved {
 		event.PaceMs, event.UsualMs = events.Millis(c.move.Pace), events.Millis(c.move.Fastest)
 		event.LeftMs, event.Leaving = events.Millis(c.move.Left), c.move.Leaving
 		event.PassingPace, event.SavedMs = c.move.Passing, events.Millis(c.move.Saved)
@@ -157,7 +159,7 @@
 	switch {
 	case errors.Is(c.outcome.Err, errNotAdmitted):
 		event.Why = whyNotPermitted
-	case c.judged.Permission == poison.Rest:
+	case c.judgment.Permission == poison.Rest:
 		event.Why, event.Digest = whySuspected, c.digest().String()
 	}
 	logging.Emit(t.config.Log, event)
@@ -167,16 +169,16 @@
 	}
 }
 
-func (t *tenure) logCompleted(key schedule.Key, versions []uint64) {
+func (t *termRunner) logCompleted(key schedule.Key, versions []uint64) {
 	logging.Emit(t.config.Log, &events.ItemFinished{Job: key.Job, Item: key.Item, State: stateCompleted, Versions: versions})
 }
 
-func (t *tenure) logTerminated(key schedule.Key, why string) {
+func (t *termRunner) logTerminated(key schedule.Key, why string) {
 	logging.Emit(t.config.Log, &events.ItemFinished{Job: key.Job, Item: key.Item, State: stateTerminated, Why: why})
 }
 
-func (c *commits) logCommitted(command *wire.JobStore, tries int, result *wire.Result, took time.Duration) {
-	c.counts.commit.WithLabelValues().Observe(took.Seconds())
+func (c *committer) logCommitted(command *wire.JobStore, tries int, result *wire.Result, took time.Duration) {
+	c.metrics.commitDuration.WithLabelValues().Observe(took.Seconds())
 	event := &events.ResultsCommitted{
 		Tries: tries, Refused: result.GetInvalid(), Unmatched: len(result.GetJob().GetUnmatched()), TookMs: events.Millis(took),
 	}
@@ -190,14 +192,14 @@
 	logging.Emit(c.config.Log, event)
 }
 
-// How a reward call ended, in logs and metrics.
+// Endings of reward calls, as logs and metrics name them.
 const (
 	rewardScored  = "scored"
 	rewardGivenUp = "given_up"
 	rewardStopped = "stopped"
 )
 
-func (c *rewardCall) end() string {
+func (c *rewardCall) endingName() string {
 	switch {
 	case c.score != "":
 		return rewardScored
@@ -211,17 +213,17 @@
 	logging.Emit(log, &events.RewardBegan{Job: c.Job, Item: c.Item, Call: c.request.GetId(), Versions: c.versions})
 }
 
-// logTry tells of a try that brought no score.
+// logTry logs an attempt that got no score.
 func (c *rewardCall) logTry(log *logrus.Entry, tried *rewardTry, next reward.Next) {
 	logging.Emit(log, &events.RewardTried{
-		Job: c.Job, Item: c.Item, Call: c.request.GetId(), Ending: tried.ending.String(), Failures: c.course.Failures(), Most: tried.most,
-		Tries: c.course.Tries(), PauseMs: events.Millis(next.Pause), GivenUp: next.GiveUp, Cause: events.ErrorText(tried.cause),
+		Job: c.Job, Item: c.Item, Call: c.request.GetId(), Ending: tried.ending.String(), Failures: c.attempts.Failures(), Most: tried.maximumFailures,
+		Tries: c.attempts.Tries(), PauseMs: events.Millis(next.Pause), GivenUp: next.GiveUp, Cause: events.ErrorText(tried.cause),
 	})
 }
 
 func (c *rewardCall) logEnded(log *logrus.Entry, took time.Duration) {
 	logging.Emit(log, &events.RewardEnded{
-		Job: c.Job, Item: c.Item, Call: c.request.GetId(), Ending: c.end(), Why: string(c.stopped), Tries: c.course.Tries(),
-		Failures: c.course.Failures(), TookMs: events.Millis(took),
+		Job: c.Job, Item: c.Item, Call: c.request.GetId(), Ending: c.endingName(), Why: string(c.stopReason), Tries: c.attempts.Tries(),
+		Failures: c.attempts.Failures(), TookMs: events.Millis(took),
 	})
 }
--- a/internal/batchrun/report_test.go
+++ b/internal/batchrun/report_test.go
@@ -10,8 +10,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestReportsReachTheScheduler with the head of an answer, long before it ends, and with a refusal; one without a pace changes nothing.
-func TestReportsReachTheScheduler(t *testing.T) {
+// A replica's load report must reach the scheduler with the head of an answer, before the answer ends, and with a
+// rejection. A report without a pace must change nothing.
+func TestLoadReportsReachTheScheduler(t *testing.T) {
 	r := newRig(t)
 	runner, err := New(Config{Group: r.group, Session: r.session, Caller: r.replicas, Route: r.route, Log: r.log()})
 	if err != nil {
@@ -26,38 +27,39 @@
 		"none":          {nil, false},
 	} {
 		for _, refused := range []bool{false, true} {
-			work := newTenure(runner, 1)
+			work := newTermRunner(runner, 1)
 			work.scheduler.Replicas([]schedule.Replica{{Instance: "r1", Pool: "p", Slots: 8}})
 			running := &call{Start: schedule.Start{Instance: "r1"}, stream: &stream{clock: runner.config.Clock, text: newText()}}
 			if refused {
-				running.stream.reported(test.report, loadreport.FromRefusal)
+				running.stream.storeLoadReport(test.report, loadreport.FromRefusal)
 			} else if err := running.stream.Head(replica.Head{Status: 200, Stream: true, Load: test.report}); err != nil {
 				t.Fatal(err)
 			}
-			work.follows(running)
+			work.reportProgress(running)
 			if got := work.scheduler.Fleet().Rest > time.Duration(0); got != test.told {
-				t.Errorf("%s, refused %v: told %v", name, refused, got)
+				t.Errorf("%s, rejected %v: report in use %v, want the opposite", name, refused, got)
 			}
 		}
 	}
 }
 
-// TestItemsSayWhatTheyTake: the estimate of the answer, the most that it may have, and the tokens of the prompt.
-func TestItemsSayWhatTheyTake(t *testing.T) {
+// The expected answer length is the item's estimate, or its token limit without one. The prompt length is read from the
+// usage header.
+func TestItemLengthsAreReadFromHeaders(t *testing.T) {
 	r := newRig(t)
 	runner, err := New(Config{Group: r.group, Session: r.session, Caller: r.replicas, Route: r.route, Log: r.log(),
 		LengthHeader: "Estimate", UsageHeader: "Usage"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	work := newTenure(runner, 1)
+	work := newTermRunner(runner, 1)
 	entry := testItem("a", map[string]string{"estimate": "70", "Usage": "40,200"}, 240)
-	if length, estimated := work.length(entry); length != 70 || !estimated || work.prompt(entry) != 40 {
-		t.Errorf("%d (%v), prompt %d", length, estimated, work.prompt(entry))
+	if length, estimated := work.expectedLength(entry); length != 70 || !estimated || work.promptTokens(entry) != 40 {
+		t.Errorf("%d (%v), prompt %d", length, estimated, work.promptTokens(entry))
 	}
 	entry = testItem("a", map[string]string{"Usage": "many,200"}, 240)
-	if length, estimated := work.length(entry); length != 240 || estimated || work.prompt(entry) != 0 {
-		t.Errorf("%d (%v), prompt %d", length, estimated, work.prompt(entry))
+	if length, estimated := work.expectedLength(entry); length != 240 || estimated || work.promptTokens(entry) != 0 {
+		t.Errorf("%d (%v), prompt %d", length, estimated, work.promptTokens(entry))
 	}
 }
 
--- a/internal/batchrun/reward/reward_test.go
+++ b/internal/batchrun/reward/reward_test.go
@@ -7,20 +7,20 @@
 	"pgregory.net/rapid"
 )
 
-func TestACallThatAlwaysFailsIsGivenUpAfterItsAttempts(t *testing.T) {
+func TestCallIsGivenUpAtMaximumFailures(t *testing.T) {
 	var call Call
 	settings := Settings{}.WithDefaults()
 	for failures := 1; failures < 4; failures++ {
 		if call.Ended(settings, 1, 4, 0, 0.5).GiveUp {
-			t.Fatalf("given up after %d failures", failures)
+			t.Fatalf("given up after %d failures, want after 4", failures)
 		}
 	}
 	if !call.Ended(settings, 1, 4, 0, 0.5).GiveUp {
-		t.Fatal("not given up after as many failures as allowed")
+		t.Fatal("not given up after 4 failures, which is the maximum")
 	}
 }
 
-func TestOnlyAnswersThatItFailedGiveACallUp(t *testing.T) {
+func TestCallWithoutFailuresIsNotGivenUp(t *testing.T) {
 	var call Call
 	settings := Settings{}.WithDefaults()
 	for range 1000 {
@@ -29,7 +29,7 @@
 		}
 	}
 	if call.Tries() != 1000 || call.Failures() != 0 {
-		t.Fatalf("%d tries, %d failures", call.Tries(), call.Failures())
+		t.Fatalf("%d tries and %d failures, want 1000 and 0", call.Tries(), call.Failures())
 	}
 }
 
@@ -45,10 +45,10 @@
 			usual := middle.Ended(settings, 0, 1, 0, 0.5).Pause
 			pause := call.Ended(settings, 0, 1, after, rapid.Float64Range(0, 1).Draw(t, "jitter")).Pause
 			if pause <= 0 && settings.Pause > 1 && settings.MaximumPause > 1 || pause > settings.MaximumPause*3/2 {
-				t.Fatalf("a pause of %s, the longest is %s", pause, settings.MaximumPause)
+				t.Fatalf("pause %s, want above 0 and at most 1.5 times %s", pause, settings.MaximumPause)
 			}
 			if usual < before {
-				t.Fatalf("the usual pause fell from %s to %s", before, usual)
+				t.Fatalf("the pause without jitter fell from %s to %s", before, usual)
 			}
 			before = usual
 		}
--- a/internal/batchrun/rewards.go
+++ b/internal/batchrun/rewards.go
@@ -17,24 +17,24 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// rewardSlotShare is the part of a pool's slots that reward calls may fill: the same pool answers live requests, which
-// gateways send without knowing of these calls.
+// rewardSlotShare is the fraction of a pool's slots that reward calls may use. The pool also serves live requests, and
+// the gateways that send them don't see the slots that reward calls take.
 const rewardSlotShare = 0.5
 
 var (
-	errOldTable = errors.New("batchrun: the table is older than the one that the job was taken under")
+	errOldTable = errors.New("batchrun: this node's table is older than the one that the job was submitted under")
 	errNoScore  = errors.New("batchrun: the answer to the reward call has no score")
 )
 
-// rewards makes the reward calls of a runner: requests by the route that the table has for them, which the forwarder
-// sends as it sends callers' requests.
-type rewards struct {
+// rewardCaller makes the reward calls of a runner. They are routed by the table and sent by a forwarder, like the
+// requests of live clients.
+type rewardCaller struct {
 	config    *Config
 	forwarder *forward.Forwarder
 }
 
-func newRewards(config *Config) (*rewards, error) {
-	made := &rewards{config: config}
+func newRewardCaller(config *Config) (*rewardCaller, error) {
+	made := &rewardCaller{config: config}
 	forwarder, err := forward.New(forward.Config{
 		Control: made, Caller: config.Caller, Zone: config.Zone, SlotShare: rewardSlotShare, Guard: config.Guard, Log: config.Log,
 	})
@@ -45,8 +45,8 @@
 	return made, nil
 }
 
-// Admit implements forward.Control. The forwarder gets a new table before it is asked to act on it.
-func (r *rewards) Admit() (version uint64, ok bool) {
+// Admit implements forward.Control. It passes a new table to the forwarder before the forwarder acts on it.
+func (r *rewardCaller) Admit() (version uint64, ok bool) {
 	view, ok := r.config.Session.AdmitView()
 	if !ok {
 		return 0, false
@@ -57,28 +57,28 @@
 	return view.Version(), true
 }
 
-// rewardTry is one request for a score, as it ended.
+// rewardTry is the result of one attempt to get a score.
 type rewardTry struct {
-	ending   reward.Ending
-	score    string        // of one that is scored
-	failures int           // back ends that answered that it failed
-	most     int           // failures after which its item is given up; 0: never
-	after    time.Duration // when a refusal advised to come back; 0: it did not
-	// condemned says of one that is held that it counts as the cause of crashes.
+	ending          reward.Ending
+	score           string        // set if ending is reward.Scored
+	failures        int           // back ends that answered that the call failed
+	maximumFailures int           // total failures after which the item is given up; 0: never
+	retryAfter      time.Duration // delay that a rejection asked for; 0: none
+	// condemned is set if ending is reward.Held and the call is condemned as the cause of crashes.
 	condemned bool
-	cause     error
+	cause     error // why there is no score
 }
 
-// try asks for a score once, of as many back ends as the route allows.
-func (r *rewards) try(ctx context.Context, call *rewardCall) rewardTry {
+// try makes one attempt to get a score, at as many back ends as the route allows.
+func (r *rewardCaller) try(ctx context.Context, call *rewardCall) rewardTry {
 	version, held := r.Admit()
 	if held && version < call.job.GetTableVersion() {
 		return rewardTry{ending: reward.Refused, cause: errOldTable}
 	}
-	tried := rewardTry{most: int(call.job.GetMaxAttempts())}
+	tried := rewardTry{maximumFailures: int(call.job.GetMaxAttempts())}
 	matched, known := r.forwarder.Match(call.request.GetHost(), call.request.GetPath())
-	if known && matched != nil && tried.most > 0 {
-		tried.most = max(tried.most, int(matched.MaxAttempts))
+	if known && matched != nil && tried.maximumFailures > 0 {
+		tried.maximumFailures = max(tried.maximumFailures, int(matched.MaxAttempts))
 	}
 	answer := &rewardAnswer{scoreHeader: r.config.ScoreHeader}
 	failure := r.forwarder.Serve(ctx, &forward.Request{
@@ -92,9 +92,9 @@
 	case tried.failures > 0:
 		tried.ending = reward.Failed
 	case failure != nil && failure.Reason == forward.Suspected:
-		tried.ending, tried.after, tried.condemned = reward.Held, failure.RetryAfter, failure.Condemned
+		tried.ending, tried.retryAfter, tried.condemned = reward.Held, failure.RetryAfter, failure.Condemned
 	case failure != nil && failure.Verdict == verdict.DidNotRun:
-		tried.ending, tried.after = reward.Refused, failure.RetryAfter
+		tried.ending, tried.retryAfter = reward.Refused, failure.RetryAfter
 	default:
 		tried.ending = reward.Lost
 	}
@@ -107,7 +107,8 @@
 	return tried
 }
 
-// rewardAnswer takes the answer to a reward call. It implements forward.Reply; the body rates nothing.
+// rewardAnswer receives the answer to a reward call and implements forward.Reply. The score is in a header, so the body
+// is ignored.
 type rewardAnswer struct {
 	scoreHeader string
 	status      int
@@ -128,9 +129,9 @@
 // Body implements forward.Reply.
 func (a *rewardAnswer) Body([]byte) error { return nil }
 
-// rate asks for a text's score until there is one, the call fails for good, or ctx ends. condemned is called when the call counts as the
-// cause of crashes.
-func (r *rewards) rate(ctx context.Context, call *rewardCall, condemned func()) {
+// requestScore retries a reward call until it gets a score, the call is given up, or ctx ends. It calls condemned after
+// each attempt that was rejected because the call is a condemned request.
+func (r *rewardCaller) requestScore(ctx context.Context, call *rewardCall, condemned func()) {
 	for ctx.Err() == nil {
 		tried := r.try(ctx, call)
 		if tried.ending == reward.Scored {
@@ -145,18 +146,18 @@
 			condemned()
 		}
 		if tried.ending == reward.Held {
-			next = call.course.Rested(tried.after)
+			next = call.attempts.Rested(tried.retryAfter)
 		} else {
-			next = call.course.Ended(r.config.Reward, tried.failures, tried.most, tried.after, rand.Float64())
+			next = call.attempts.Ended(r.config.Reward, tried.failures, tried.maximumFailures, tried.retryAfter, rand.Float64())
 		}
 		call.logTry(r.config.Log, &tried, next)
 		if next.GiveUp {
 			call.givenUp = true
 			return
 		}
-		pause(ctx, next.Pause)
+		sleep(ctx, next.Pause)
 	}
 }
 
-// awaitsScore tells whether an item's result needs a score.
-func awaitsScore(entry *wire.JobItem) bool { return entry.GetReward() != nil }
+// needsScore reports whether an item's result needs a score.
+func needsScore(entry *wire.JobItem) bool { return entry.GetReward() != nil }
--- a/internal/batchrun/routes.go
+++ b/internal/batchrun/routes.go
@@ -8,15 +8,15 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// TableRoutes matches requests with the table's routes. It keeps the routes of the newest view that it was
-// asked about, and is safe for concurrent use.
+// TableRoutes returns a RouteFunc that matches requests with the table's routes. It caches the routes of the last view
+// that it was called with, and is safe for concurrent use.
 func TableRoutes() RouteFunc {
-	var newest atomic.Pointer[route.Table]
+	var cached atomic.Pointer[route.Table]
 	return func(view *table.View, host, path string) (Route, bool) {
-		routes := newest.Load()
+		routes := cached.Load()
 		if routes == nil || routes.Version() != view.Version() {
 			routes = route.NewTable(view)
-			newest.Store(routes)
+			cached.Store(routes)
 		}
 		matched := routes.Match(host, path)
 		if matched == nil {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -15,68 +15,71 @@
 )
 
 const (
-	// idlePoll is how often a node that does not lead looks whether it does.
-	idlePoll = 100 * time.Millisecond
-	// busyTick is how often running calls, leadership and the table are looked at; idleTick while no job is open.
-	busyTick = 50 * time.Millisecond
-	idleTick = 200 * time.Millisecond
-	// queryTimeout bounds a question to the group, commitTimeout one attempt to commit results.
-	queryTimeout  = time.Second
+	// leadershipPollInterval is how often a node that does not lead its ledger group checks whether it does.
+	leadershipPollInterval = 100 * time.Millisecond
+	// busyTickInterval is how often running calls, leadership and the table are checked while jobs are open, and
+	// idleTickInterval while no job is open.
+	busyTickInterval = 50 * time.Millisecond
+	idleTickInterval = 200 * time.Millisecond
+	// queryTimeout bounds one query to the ledger group.
+	queryTimeout = time.Second
+	// commitTimeout bounds the first attempt to commit results; see attemptTimeout for the following ones.
 	commitTimeout = 2 * time.Second
-	// maximumTextBytes bounds an item's answer.
+	// maximumTextBytes is the largest answer of an item that is accepted.
 	maximumTextBytes = batch.MaximumResultBytes
 )
 
-// Runner runs the items of a group's jobs while its node leads the group.
+// Runner runs the items of a ledger group's batch jobs while its node leads the group.
 type Runner struct {
-	config  Config
-	kept    *keptTexts
-	open    atomic.Bool                       // jobs are open that this node runs
-	demand  atomic.Pointer[map[string]uint64] // see Demand; nil while this node does not run the jobs
-	targets atomic.Pointer[[]replica.Target]  // see Replicas
-	orders  atomic.Uint64                     // numbers of those to executors
-	counts  *counts
-	rewards *rewards
+	config       Config
+	textCache    *textCache
+	hasOpenJobs  atomic.Bool                       // this node leads and has open jobs to run
+	demand       atomic.Pointer[map[string]uint64] // see Demand; nil while this node does not run the jobs
+	targets      atomic.Pointer[[]replica.Target]  // see Replicas
+	orderNumber  atomic.Uint64                     // last number given to a stream or an order to an executor
+	metrics      *runnerMetrics
+	rewardCaller *rewardCaller
 }
 
-// New returns a runner; Run runs it.
+// New returns a Runner, which does nothing until Run is called. It returns an error if config lacks a group, a session
+// or a caller.
 func New(config Config) (*Runner, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	runner := &Runner{config: config, kept: newKeptTexts(), counts: newCounts()}
-	made, err := newRewards(&runner.config)
+	runner := &Runner{config: config, textCache: newTextCache(), metrics: newRunnerMetrics()}
+	made, err := newRewardCaller(&runner.config)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	runner.rewards = made
+	runner.rewardCaller = made
 	return runner, nil
 }
 
-// Busy tells whether this node runs open jobs. It is safe for concurrent use.
-func (r *Runner) Busy() bool { return r.open.Load() }
+// Busy reports whether this node leads the group and runs open jobs. It is safe for concurrent use.
+func (r *Runner) Busy() bool { return r.hasOpenJobs.Load() }
 
-// Demand returns the expected length, in tokens, of the newest job of each model; nil while this node does not run the jobs.
-// It is safe for concurrent use; the map must not be changed.
+// Demand returns, by model, the expected answer tokens of the newest job of that model. It returns nil while this node
+// does not run the jobs. It is safe for concurrent use. Callers must not change the map.
 func (r *Runner) Demand() map[string]uint64 {
-	if held := r.demand.Load(); held != nil {
-		return *held
+	if demand := r.demand.Load(); demand != nil {
+		return *demand
 	}
 	return nil
 }
 
-// Replicas returns the replicas that take items of the open jobs, as of the table that was followed last. It is safe for
-// concurrent use; the slice must not be changed.
+// Replicas returns the replicas that take items of the open jobs, according to the last table version that this node
+// applied as leader. It is safe for concurrent use. Callers must not change the slice.
 func (r *Runner) Replicas() []replica.Target {
-	if held := r.targets.Load(); held != nil {
-		return *held
+	if targets := r.targets.Load(); targets != nil {
+		return *targets
 	}
 	return nil
 }
 
-// Run works whenever the node leads, until ctx ends. No call is under way when it returns.
+// Run runs the group's jobs whenever the node leads the group, until ctx ends. All calls have ended when it returns.
 func (r *Runner) Run(ctx context.Context) {
-	ticker := time.NewTicker(idlePoll)
+	ticker := time.NewTicker(leadershipPollInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if term, leading := r.config.Group.Leads(); leading {
@@ -89,42 +92,43 @@
 	}
 }
 
-// lead runs the group's items until the node no longer leads in term.
+// lead runs the group's jobs until ctx ends or the node no longer leads in term. It waits for all calls to end.
 func (r *Runner) lead(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	work, err := r.work(ctx, 0, r.config.Group.Query)
+	work, err := r.queryOpenJobs(ctx, 0, r.config.Group.Query)
 	if err != nil {
 		r.config.Log.WithError(err).Debug("the open batch jobs could not be read")
 		return
 	}
 	logging.Emit(r.config.Log, &events.RunnerBegan{Term: term, Open: len(work.GetOpen()), Revision: work.GetRevision()})
-	tenure := newTenure(r, term)
-	if err := tenure.openFleet(ctx); err != nil {
-		r.config.Log.WithError(err).Error("the executors can't be used")
+	current := newTermRunner(r, term)
+	if err := current.startExecutorFleet(ctx); err != nil {
+		r.config.Log.WithError(err).Error("failed to create the executor client; this node drives all runs itself")
 	}
 	committed := make(chan struct{})
 	go func() {
 		defer close(committed)
-		tenure.commits.run(ctx)
+		current.committer.run(ctx)
 	}()
-	tenure.adopt(ctx, work)
-	tenure.loop(ctx)
-	ended := events.RunnerEnded{Term: term, Open: len(tenure.jobs), Running: len(tenure.calls)}
+	current.applyOpenJobs(ctx, work)
+	current.loop(ctx)
+	ended := events.RunnerEnded{Term: term, Open: len(current.jobs), Running: len(current.calls)}
 	cancel()
-	tenure.wait(ctx)
+	current.wait(ctx)
 	<-committed
-	r.counts.jobs.Set(0)
-	r.counts.executors.Set(0)
-	r.open.Store(false)
+	r.metrics.jobsOpen.Set(0)
+	r.metrics.executors.Set(0)
+	r.hasOpenJobs.Store(false)
 	r.demand.Store(nil)
 	logging.Emit(r.config.Log, &ended)
 }
 
-type ask func(ctx context.Context, query *wire.Query) (*wire.View, error)
+// queryFunc sends a query to the ledger group. It is Group.Query or Group.LocalQuery.
+type queryFunc func(ctx context.Context, query *wire.Query) (*wire.View, error)
 
-// work asks for the open jobs taken after a revision.
-func (r *Runner) work(ctx context.Context, after uint64, query ask) (*wire.JobWorkView, error) {
+// queryOpenJobs returns the ids of all open jobs, and the contents of those that were accepted after a revision.
+func (r *Runner) queryOpenJobs(ctx context.Context, after uint64, query queryFunc) (*wire.JobWorkView, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	view, err := query(ctx, &wire.Query{Kind: &wire.Query_JobWork{JobWork: &wire.JobWorkQuery{AfterRevision: after}}})
@@ -132,7 +136,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if view.GetJobWork() == nil {
-		return nil, trace.BadParameter("the group answered the question for open jobs with something else")
+		return nil, trace.BadParameter("the ledger group's answer to a job_work query has no job_work view")
 	}
 	return view.GetJobWork(), nil
 }
--- a/internal/batchrun/runner_test.go
+++ b/internal/batchrun/runner_test.go
@@ -25,12 +25,12 @@
 	}
 }
 
-func TestBrokenAnswersGoOnElsewhere(t *testing.T) {
+func TestBrokenAnswersResumeAtOtherReplicas(t *testing.T) {
 	r := newRig(t)
-	r.replicas.play["r1"] = func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-		return play(call, sink, 3, 5)
+	r.replicas.behaviours["r1"] = func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+		return sendEvents(call, sink, 3, 5)
 	}
-	r.replicas.play["r2"] = answering(6)
+	r.replicas.behaviours["r2"] = answerWith(6)
 	r.run(t)
 	r.submit(t, "a", 8, nil)
 	resumed := false
@@ -45,14 +45,14 @@
 		resumed = resumed || call.ResumeAfter == 2
 	}
 	if !resumed {
-		t.Fatal("no answer went on after its last event")
+		t.Fatal("no call resumes after event 2, the last one before the break")
 	}
 }
 
-func TestSilentReplicasLoseTheirItems(t *testing.T) {
+func TestStalledRunsAreFinishedAtOtherReplicas(t *testing.T) {
 	r := newRig(t)
-	r.replicas.play["r1"] = func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-		play(call, sink, 2, 5)
+	r.replicas.behaviours["r1"] = func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+		sendEvents(call, sink, 2, 5)
 		<-ctx.Done()
 		return replica.Outcome{Status: 200, Err: ctx.Err()}
 	}
@@ -63,76 +63,76 @@
 	}
 }
 
-func TestFailuresAreCounted(t *testing.T) {
+func TestItemIsTerminatedAfterMaxAttempts(t *testing.T) {
 	r := newRig(t)
-	r.replicas.play["r1"], r.replicas.play["r2"] = statusOnly(500), statusOnly(500)
+	r.replicas.behaviours["r1"], r.replicas.behaviours["r2"] = statusOnly(500), statusOnly(500)
 	r.run(t)
 	r.submit(t, "a", 1, func(submit *wire.JobSubmit) { submit.MaxAttempts = 3 })
 	if state := r.await(t, "a", 1)["i0"].GetState(); state != wire.JobItemState_JOB_ITEM_STATE_TERMINATED {
 		t.Fatal(state)
 	}
 	if calls := len(r.replicas.callsTo("")); calls != 3 {
-		t.Fatalf("%d calls, want max_attempts", calls)
+		t.Fatalf("%d calls, want max_attempts, which is 3", calls)
 	}
 }
 
-func TestImpossibleItemsEndAtOnce(t *testing.T) {
+func TestUnprocessableItemsAreNotRetried(t *testing.T) {
 	r := newRig(t)
-	r.replicas.play["r1"], r.replicas.play["r2"] = statusOnly(422), statusOnly(422)
+	r.replicas.behaviours["r1"], r.replicas.behaviours["r2"] = statusOnly(422), statusOnly(422)
 	r.run(t)
 	r.submit(t, "a", 1, func(submit *wire.JobSubmit) { submit.MaxAttempts = 3 })
 	r.await(t, "a", 1)
 	if calls := len(r.replicas.callsTo("")); calls != 1 {
-		t.Fatalf("%d calls", calls)
+		t.Fatalf("%d calls, want 1", calls)
 	}
 }
 
-func TestRefusalsAndOtherAnswersAreNoFailures(t *testing.T) {
+func TestOnlyFailureAnswersCountAsAttempts(t *testing.T) {
 	r := newRig(t)
 	left := 6 // bad answers, then good ones
 	kinds := []behaviour{refusing(replica.RefusedFull), refusing(replica.RefusedUnreachable), refusing(replica.RefusedWrongTarget),
 		statusOnly(404), statusOnly(503), statusOnly(200)}
 	changing := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		r.mutex.Lock()
-		kind := answering(5)
+		kind := answerWith(5)
 		if left--; left >= 0 {
 			kind = kinds[left]
 		}
 		r.mutex.Unlock()
 		return kind(ctx, call, sink)
 	}
-	r.replicas.play["r1"], r.replicas.play["r2"] = changing, changing
+	r.replicas.behaviours["r1"], r.replicas.behaviours["r2"] = changing, changing
 	r.run(t)
 	r.submit(t, "a", 1, func(submit *wire.JobSubmit) { submit.MaxAttempts = 1 })
 	wantWhole(t, r.await(t, "a", 1)["i0"], "[5]")
 }
 
-func TestOldWeightsMakeNoToken(t *testing.T) {
+func TestOldWeightVersionsGenerateNoEvents(t *testing.T) {
 	r := newRig(t)
-	r.replicas.play["r1"] = answering(4, 4, 4, 6) // a head of old weights
-	r.replicas.play["r2"] = answering(6, 6, 7)
+	r.replicas.behaviours["r1"] = answerWith(4, 4, 4, 6) // starts with old weights
+	r.replicas.behaviours["r2"] = answerWith(6, 6, 7)
 	r.run(t)
 	r.submit(t, "a", 6, func(submit *wire.JobSubmit) { submit.MinVersion = 6 })
 	for _, result := range r.await(t, "a", 6) {
 		wantWhole(t, result, "[6 7]")
 	}
-	r.replicas.set(answering(6, 6, 5), answering(6, 6, 7))
+	r.replicas.set(answerWith(6, 6, 5), answerWith(6, 6, 7))
 	r.submit(t, "b", 6, func(submit *wire.JobSubmit) { submit.MinVersion = 6 })
 	for _, result := range r.await(t, "b", 6) {
 		if result.GetVersions()[0] < 6 {
-			t.Fatalf("%v", result)
+			t.Fatalf("result %v, want no weight version below 6", result)
 		}
 	}
 }
 
-func TestSingleVersionTextsAreMadeAnew(t *testing.T) {
+func TestSingleVersionTextsRestartWhenWeightsChange(t *testing.T) {
 	r := newRig(t)
-	r.replicas.play["r1"] = answering(6, 6, 7) // changes in the middle
-	r.replicas.play["r2"] = func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+	r.replicas.behaviours["r1"] = answerWith(6, 6, 7) // changes in the middle
+	r.replicas.behaviours["r2"] = func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		if call.ExpectedVersion > 0 && call.ExpectedVersion != 8 {
 			return replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedWrongTarget}
 		}
-		return play(call, sink, testEvents, 8)
+		return sendEvents(call, sink, testEvents, 8)
 	}
 	r.run(t)
 	r.submit(t, "a", 6, func(submit *wire.JobSubmit) { submit.SingleVersion = true })
@@ -141,20 +141,20 @@
 	}
 }
 
-// held answers one event and then waits for the end of the call.
-func held(started chan<- string) behaviour {
+// hangBeforeLastEvent sends all events but the last one and then waits for the end of the call.
+func hangBeforeLastEvent(started chan<- string) behaviour {
 	return func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
-		play(call, sink, testEvents-1, 5)
+		sendEvents(call, sink, testEvents-1, 5)
 		started <- call.AttemptID
 		<-ctx.Done()
 		return replica.Outcome{Status: 200, Err: ctx.Err()}
 	}
 }
 
-func TestEndStopsItemsAndKeepsTheirText(t *testing.T) {
+func TestEndedJobStopsItemsAndCachesTheirText(t *testing.T) {
 	r := newRig(t)
 	started := make(chan string, 100)
-	r.replicas.play["r1"], r.replicas.play["r2"] = held(started), held(started)
+	r.replicas.behaviours["r1"], r.replicas.behaviours["r2"] = hangBeforeLastEvent(started), hangBeforeLastEvent(started)
 	r.run(t)
 	r.submit(t, "a", 4, nil)
 	for range 4 {
@@ -171,66 +171,68 @@
 		return running == 0
 	})
 	before := len(r.replicas.callsTo(""))
-	r.replicas.set(answering(5), answering(5))
+	r.replicas.set(answerWith(5), answerWith(5))
 	r.submit(t, "b", 4, nil)
 	for _, result := range r.await(t, "b", 4) {
 		wantWhole(t, result, "[5]")
 	}
 	for _, call := range r.replicas.callsTo("")[before:] {
 		if call.ResumeAfter != testEvents-2 {
-			t.Fatalf("carried item %s starts after %d", call.AttemptID, call.ResumeAfter)
+			t.Fatalf("carried item %s resumes after event %d, want %d", call.AttemptID, call.ResumeAfter, testEvents-2)
 		}
 	}
 }
 
-func TestEndedJobsAreForgottenAndOpenOnesAreNot(t *testing.T) {
+func TestOnlyEndedJobsExpire(t *testing.T) {
 	r := newRig(t)
 	r.retention = 20 * time.Millisecond
-	r.replicas.set(answering(5), answering(5))
+	r.replicas.set(answerWith(5), answerWith(5))
 	r.run(t)
 	r.submit(t, "a", 1, nil)
 	r.await(t, "a", 1)
-	r.submit(t, "b", 1, nil) // not before: its item has the same id, and may run beside that of an open job
+	r.submit(t, "b", 1, nil) // only now: its item has the same id as that of a, and would run concurrently with it
 	r.await(t, "b", 1)
 	r.propose(t, &wire.Command{Kind: &wire.Command_JobEnd{JobEnd: &wire.JobEnd{Job: "a"}}})
 	known := func(job string) bool {
 		view, err := r.group.Query(t.Context(), &wire.Query{Kind: &wire.Query_JobResults{JobResults: &wire.JobResultsQuery{Job: job}}})
 		return err == nil && view.GetJobResults().GetKnown()
 	}
-	r.until(t, "the ended job is forgotten", func() bool { return !known("a") })
+	r.until(t, "the ended job expires", func() bool { return !known("a") })
 	if !known("b") {
-		t.Fatal("an open job was forgotten")
+		t.Fatal("an open job expired")
 	}
 }
 
-func TestDrainingReplicasGetNothing(t *testing.T) {
+func TestDrainingReplicasGetNoItems(t *testing.T) {
 	r := newRig(t)
 	r.session.set(t, 4, "r1 active", "r2 draining")
 	r.run(t)
 	r.submit(t, "a", 12, nil)
 	r.await(t, "a", 12)
 	if calls := len(r.replicas.callsTo("r2")); calls != 0 {
-		t.Fatalf("%d calls to a draining replica", calls)
+		t.Fatalf("%d calls to a draining replica, want 0", calls)
 	}
 }
 
 func TestNothingStartsWithoutALease(t *testing.T) {
 	r := newRig(t)
-	r.session.lapsed = true
+	r.session.expired = true
 	r.run(t)
 	r.submit(t, "a", 2, nil)
 	r.submit(t, "b", 2, func(submit *wire.JobSubmit) { submit.QueueTtlMillis = 1 })
-	r.await(t, "b", 2) // given up: the runner has had its chance at a as well
+	r.await(t, "b", 2) // terminated, so the runner has had time to start a as well
 	if calls := len(r.replicas.callsTo("")); calls != 0 {
-		t.Fatalf("%d calls without a lease", calls)
+		t.Fatalf("%d calls without a lease, want 0", calls)
 	}
 	r.session.mutex.Lock()
-	r.session.lapsed = false
+	r.session.expired = false
 	r.session.mutex.Unlock()
 	r.await(t, "a", 2)
 }
 
-func TestItemsWithoutARouteAreGivenUp(t *testing.T) {
+// Items without a route are terminated, except while this node's table is older than the one that their job was
+// submitted under.
+func TestItemsWithoutARouteAreTerminated(t *testing.T) {
 	r := newRig(t)
 	r.routed = false
 	r.run(t)
@@ -238,7 +240,7 @@
 	r.submit(t, "a", 2, nil)
 	for _, result := range r.await(t, "a", 2) {
 		if result.GetState() != wire.JobItemState_JOB_ITEM_STATE_TERMINATED {
-			t.Fatalf("%v", result)
+			t.Fatalf("result %v, want a terminated item", result)
 		}
 	}
 	r.mutex.Lock()
@@ -248,41 +250,41 @@
 	wantWhole(t, r.await(t, "newer", 1)["i0"], "[5]")
 }
 
-func TestNextLeaderRunsWhatIsLeft(t *testing.T) {
+func TestNextLeaderResumesUnfinishedItems(t *testing.T) {
 	r := newRig(t)
 	started := make(chan string, 100)
-	r.replicas.play["r1"], r.replicas.play["r2"] = held(started), held(started)
+	r.replicas.behaviours["r1"], r.replicas.behaviours["r2"] = hangBeforeLastEvent(started), hangBeforeLastEvent(started)
 	r.run(t)
 	r.submit(t, "a", 4, nil)
 	for range 4 {
 		<-started
 	}
 	r.until(t, "the texts of all items are committed", func() bool { return r.partialEvents(t) == 4*(testEvents-1) })
-	r.group.lead(1, false)
-	r.until(t, "the calls of a leader that was deposed end", func() bool {
+	r.group.setLeader(1, false)
+	r.until(t, "the calls of the previous leader end", func() bool {
 		r.replicas.mutex.Lock()
 		defer r.replicas.mutex.Unlock()
 		return r.replicas.running["i0"]+r.replicas.running["i1"]+r.replicas.running["i2"]+r.replicas.running["i3"] == 0
 	})
 	before := len(r.replicas.callsTo(""))
-	r.replicas.set(answering(5), answering(5))
-	r.group.lead(2, true)
+	r.replicas.set(answerWith(5), answerWith(5))
+	r.group.setLeader(2, true)
 	for number := range 4 {
 		wantWhole(t, r.await(t, "a", 4)[fmt.Sprint("i", number)], "[5]")
 	}
 	for _, call := range r.replicas.callsTo("")[before:] {
 		if call.ResumeAfter != testEvents-2 {
-			t.Fatalf("item %s starts after %d at the next leader", call.AttemptID, call.ResumeAfter)
+			t.Fatalf("item %s resumes after event %d under the next leader, want %d", call.AttemptID, call.ResumeAfter, testEvents-2)
 		}
 	}
 	if left := r.partialEvents(t); left != 0 {
-		t.Fatalf("partial texts of %d events outlive the results", left)
+		t.Fatalf("partial texts with %d events are left after the results, want none", left)
 	}
 }
 
-// TestDemandIsTheWorkOfTheNewestJobs: it is known to the node that runs the jobs, by model, and outlasts a job until the next
-// one of its model.
-func TestDemandIsTheWorkOfTheNewestJobs(t *testing.T) {
+// Demand must return the tokens of each model's newest job on the leader only, and keep them after the job's end until
+// the next job of the model.
+func TestDemandIsOfTheNewestJobs(t *testing.T) {
 	r := newRig(t)
 	r.run(t)
 	of := func(model string, tokens uint64) func(*wire.JobSubmit) {
@@ -306,26 +308,26 @@
 		demand := r.runner.Demand()
 		return demand["m0"] == 40 && demand["m1"] == 7
 	})
-	r.group.lead(1, false)
-	r.until(t, "nothing known to a node that does not run the jobs", func() bool { return r.runner.Demand() == nil })
+	r.group.setLeader(1, false)
+	r.until(t, "no demand at a node that does not run the jobs", func() bool { return r.runner.Demand() == nil })
 }
 
-// TestNewLeaderWaitsForWhatReplicasServe: nothing is tried at a replica before it is known what the replicas serve; then
-// items go where the weights are new enough, and the replicas that take items are named for who asks them.
-func TestNewLeaderWaitsForWhatReplicasServe(t *testing.T) {
+// A new leader must not start items before it knows which weight versions the replicas serve, and then only start them
+// where the weights are new enough. Replicas must return the replicas before any item has started.
+func TestNewLeaderWaitsForServedVersions(t *testing.T) {
 	r := newRig(t)
 	var serving atomic.Pointer[weights.Serving]
 	r.serving = serving.Load
 	r.run(t)
 	r.submit(t, "a", 6, func(job *wire.JobSubmit) { job.Model, job.MinVersion = "m", 5 })
 	r.until(t, "the replicas to ask", func() bool { return len(r.runner.Replicas()) == 2 })
-	time.Sleep(2 * busyTick)
+	time.Sleep(2 * busyTickInterval)
 	if calls := r.replicas.callsTo(""); len(calls) > 0 {
-		t.Fatalf("%d items were sent to replicas of unknown weights", len(calls))
+		t.Fatalf("%d items were sent to replicas with unknown weights, want 0", len(calls))
 	}
 	serving.Store(&weights.Serving{Versions: map[string]map[string]uint64{"m": {"r1": 4, "r2": 5}}})
 	r.await(t, "a", 6)
 	if calls := r.replicas.callsTo("r1"); len(calls) > 0 {
-		t.Fatalf("%d items were sent to a replica whose weights are too old", len(calls))
+		t.Fatalf("%d items were sent to a replica with too old weights, want 0", len(calls))
 	}
 }
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -13,96 +13,96 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// rewardCall is the reward call of one whole text. Its routine owns it until the call is on the tenure's scores; the
-// tenure owns stopped.
+// rewardCall is the reward call of one complete text. Its goroutine owns it until it sends the call to
+// termRunner.endedRewardCalls, except for stopReason, which the loop owns.
 type rewardCall struct {
 	schedule.Key
-	job      *wire.JobSubmit
-	request  *wire.JobReward
-	versions []uint64 // that made the text
-	whole    time.Duration
-	cancel   context.CancelFunc
-	course   reward.Call
-	score    string // empty: none came
-	givenUp  bool   // the call fails wherever it is made
-	stopped  stopReason
+	job        *wire.JobSubmit
+	request    *wire.JobReward
+	versions   []uint64 // weight versions that generated the text
+	startedAt  time.Duration
+	cancel     context.CancelFunc
+	attempts   reward.Call
+	score      string // empty: none received
+	givenUp    bool   // too many back ends answered that the call failed
+	stopReason stopReason
 }
 
-// scoreText commits an item's whole text and asks for its score meanwhile: a leader that comes next finds the text
-// and asks for the score only.
-func (t *tenure) scoreText(ctx context.Context, c *call) {
-	t.commits.add(pendingEntry{job: c.Job, unscored: c.result, whole: c.whole})
-	t.rate(ctx, c.Key, c.result.GetVersions())
+// scoreText starts the reward call of an item and commits the item's complete text at the same time. With the committed
+// text, the next leader only needs to request the score.
+func (t *termRunner) scoreText(ctx context.Context, c *call) {
+	t.committer.add(pendingEntry{job: c.Job, unscored: c.result, wholeResult: c.wholeResult})
+	t.startRewardCall(ctx, c.Key, c.result.GetVersions())
 }
 
-// rescore asks for the scores of texts that an earlier leader has committed.
-func (t *tenure) rescore(ctx context.Context, id string, texts []*wire.JobResult) {
+// resumeRewardCalls starts reward calls for the complete texts that an earlier leader committed without a score.
+func (t *termRunner) resumeRewardCalls(ctx context.Context, id string, texts []*wire.JobResult) {
 	for _, committed := range texts {
-		held, err := restoredWhole(committed)
+		restored, err := restoreWholeText(committed)
 		if err != nil {
-			t.config.Log.WithError(err).Error("a committed text can't be read; it is made anew only for a later job")
+			t.config.Log.WithError(err).Error("failed to decode a committed unscored text; a later job with the item can't reuse it")
 		}
-		t.jobs[id].items[committed.GetItem()].text = held
-		t.rate(ctx, schedule.Key{Job: id, Item: committed.GetItem()}, committed.GetVersions())
+		t.jobs[id].items[committed.GetItem()].text = restored
+		t.startRewardCall(ctx, schedule.Key{Job: id, Item: committed.GetItem()}, committed.GetVersions())
 	}
 }
 
-// restoredWhole is a whole text that an earlier leader committed.
-func restoredWhole(committed *wire.JobResult) (*text, error) {
+// restoreWholeText returns the complete text that an earlier leader committed.
+func restoreWholeText(committed *wire.JobResult) (*text, error) {
 	data, err := batch.Text(committed)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	held := newText()
-	held.data, held.versions, held.whole = data, committed.GetVersions(), true
-	held.events = 1 + bytes.Count(data, []byte{'\n'}) // events are separated by line feeds
-	return held, nil
+	restored := newText()
+	restored.data, restored.versions, restored.whole = data, committed.GetVersions(), true
+	restored.events = 1 + bytes.Count(data, []byte{'\n'}) // events are separated by line feeds
+	return restored, nil
 }
 
-// rate makes the reward call of an item. Nothing starts any more once ctx has ended.
-func (t *tenure) rate(ctx context.Context, key schedule.Key, versions []uint64) {
+// startRewardCall starts the goroutine of an item's reward call. It does nothing once ctx has ended.
+func (t *termRunner) startRewardCall(ctx context.Context, key schedule.Key, versions []uint64) {
 	if ctx.Err() != nil {
 		return
 	}
-	held := t.jobs[key.Job]
+	openJob := t.jobs[key.Job]
 	callContext, cancel := context.WithCancel(ctx)
 	started := &rewardCall{
-		Key: key, job: held.submit, request: held.items[key.Item].wire.GetReward(), versions: versions,
-		whole: t.config.Clock(), cancel: cancel,
+		Key: key, job: openJob.submit, request: openJob.items[key.Item].wire.GetReward(), versions: versions,
+		startedAt: t.config.Clock(), cancel: cancel,
 	}
 	t.rewardCalls[key] = started
-	t.runner.counts.unscored.Inc()
+	t.runner.metrics.textsUnscored.Inc()
 	started.logBegan(t.config.Log)
 	t.routines.Go(func() {
-		defer t.runner.counts.unscored.Dec()
+		defer t.runner.metrics.textsUnscored.Dec()
 		defer cancel()
-		t.runner.rewards.rate(callContext, started, func() { t.noteCondemned(key) })
-		t.scores <- started
+		t.runner.rewardCaller.requestScore(callContext, started, func() { t.noteCondemned(key) })
+		t.endedRewardCalls <- started
 	})
 }
 
-// noteCondemned tells the loop of an item whose reward call is condemned, unless it is told of many already: it is told again at the
-// call's next look.
-func (t *tenure) noteCondemned(key schedule.Key) {
+// noteCondemned notifies the loop that an item's reward call is condemned. It drops the notification if the channel is
+// full, because the next attempt of the call repeats it.
+func (t *termRunner) noteCondemned(key schedule.Key) {
 	select {
-	case t.condemned <- key:
+	case t.condemnedItems <- key:
 	default:
 	}
 }
 
-// stopRating ends an item's reward call; it is reported through scores.
-func (t *tenure) stopRating(key schedule.Key, why stopReason) {
+// stopRewardCall cancels an item's reward call, which then reports through endedRewardCalls.
+func (t *termRunner) stopRewardCall(key schedule.Key, why stopReason) {
 	if rating := t.rewardCalls[key]; rating != nil {
-		rating.stopped = why
+		rating.stopReason = why
 		rating.cancel()
 	}
 }
 
-// rated takes a reward call that is over.
-func (t *tenure) rated(c *rewardCall) {
+// handleRewardCallEnd lists the item with the score, or terminates the item if its call was given up.
+func (t *termRunner) handleRewardCallEnd(c *rewardCall) {
 	delete(t.rewardCalls, c.Key)
-	took := t.config.Clock() - c.whole
-	t.runner.counts.rated(c, took)
+	took := t.config.Clock() - c.startedAt
+	t.runner.metrics.observeRewardCall(c, took)
 	c.logEnded(t.config.Log, took)
 	switch {
 	case c.score != "" && t.scheduler.Scored(c.Key):
@@ -112,14 +112,14 @@
 	}
 }
 
-// finishScored lists an item's text with its score.
-func (t *tenure) finishScored(c *rewardCall) {
-	held := t.jobs[c.Job]
-	if held == nil || !held.items[c.Item].open {
+// finishScored records and lists the result of an item that got its score.
+func (t *termRunner) finishScored(c *rewardCall) {
+	openJob := t.jobs[c.Job]
+	if openJob == nil || !openJob.items[c.Item].open {
 		return
 	}
-	held.items[c.Item].open = false
-	t.runner.counts.result(wire.JobItemState_JOB_ITEM_STATE_COMPLETED, t.config.Clock()-held.opened)
+	openJob.items[c.Item].open = false
+	t.runner.metrics.observeResult(wire.JobItemState_JOB_ITEM_STATE_COMPLETED, t.config.Clock()-openJob.openedAt)
 	t.logCompleted(c.Key, c.versions)
-	t.list(held, pendingEntry{job: c.Job, score: &wire.JobScore{Item: c.Item, Score: c.score}})
+	t.list(openJob, pendingEntry{job: c.Job, score: &wire.JobScore{Item: c.Item, Score: c.score}})
 }
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -23,45 +23,49 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// spareConnections is the room for connections to a replica that are being closed while others open.
+// spareConnections is the number of connections to a replica that are allowed above its slots, for connections that are
+// still closing while others open.
 const spareConnections = 2
 
-// errNotAdmitted ends a call that the table or the lease does not permit any more, before it is sent.
-var errNotAdmitted = errors.New("batchrun: the table does not permit the call any more")
+// errNotAdmitted ends a call before it is sent, because the lease has expired or the table no longer permits it.
+var errNotAdmitted = errors.New("batchrun: the lease or the table no longer permits the call")
 
-// call is one run of an item. Its routine owns the stream and its text until the call is on the tenure's ends.
+// call is one run of an item. Its goroutine owns the stream and the text until it sends the call to
+// termRunner.endedCalls.
 type call struct {
 	schedule.Start
-	item    *wire.JobItem
-	tenant  string // of its job
-	text    *text
-	stream  *stream
-	leaving bool   // its job has ended
-	cancel  func() // ends the run, wherever it is driven
-	started time.Duration
-	zone    string // of its replica, if executors may drive the run; empty otherwise
-	// tableVersion is that of the table that the run was decided on.
+	item       *wire.JobItem
+	tenant     string // of the job
+	text       *text
+	stream     *stream
+	isStopping bool   // its job has ended; counted in termRunner.stoppingCalls
+	cancel     func() // stops the run, in this process or at an executor
+	startedAt  time.Duration
+	zone       string // of the replica, if executors may drive the run; empty otherwise
+	// tableVersion is the version of the table that the run was scheduled with.
 	tableVersion uint64
-	held         *executorclient.Held                    // a run that an earlier leader began; nil: it is this leader's
-	executor     atomic.Pointer[executorclient.Executor] // that drives the run; nil: this node
-	why          stopReason                              // by the loop, when it ended the run
-	move         schedule.Move                           // with stopMoved
+	takenOver    *executorclient.Held                    // the run that an earlier leader started; nil: started by this leader
+	executor     atomic.Pointer[executorclient.Executor] // drives the run; nil: this node
+	stopReason   stopReason                              // set by the loop when it stops the run
+	move         schedule.Move                           // set with stopMoved
 	outcome      replica.Outcome
 	ending       schedule.Ending
-	version      uint64
-	result       *wire.JobResult // of a call that completed its item
+	version      uint64          // last weight version that the replica reported; 0: unknown
+	result       *wire.JobResult // set if the call completed its item
 
-	permitted *poisonguard.Run // nil: it was not permitted, or nobody permits runs
-	judged    poison.Judgment  // of one that was not permitted: why
+	guardRun *poisonguard.Run // nil: not permitted, or there is no guard
+	judgment poison.Judgment  // why the run was not permitted, if guardRun is nil
 }
 
-// whole is the result of a call with its whole text, whatever of it is committed.
-func (c *call) whole() *wire.JobResult { return batch.Completed(c.Item, c.text.data, c.text.versions) }
+// wholeResult returns the call's result with its complete text, including the part that checkpoints have committed.
+func (c *call) wholeResult() *wire.JobResult {
+	return batch.Completed(c.Item, c.text.data, c.text.versions)
+}
 
-// startAll starts what may start now.
-func (t *tenure) startAll(ctx context.Context) {
+// startRuns starts all items that the scheduler and the lease allow to start now.
+func (t *termRunner) startRuns(ctx context.Context) {
 	if len(t.jobs) == 0 {
-		t.dropHeld()
+		t.stopLeftoverRuns()
 		return
 	}
 	view, ok := t.config.Session.AdmitView()
@@ -69,56 +73,58 @@
 		return
 	}
 	if t.view == nil || view.Version() != t.view.Version() {
-		t.follow(view)
+		t.applyTable(view)
 	}
-	t.takeOver(ctx)
-	t.learnServing(t.config.Clock())
-	if now := t.config.Clock(); t.awaitsServing(now) || t.awaitsExecutors(now) {
+	t.takeOverRuns(ctx)
+	t.updateServing(t.config.Clock())
+	if now := t.config.Clock(); t.mustAwaitServing(now) || t.mustAwaitExecutors(now) {
 		return
 	}
 	for _, start := range t.scheduler.Starts(t.config.Clock()) {
-		if t.leaving[start.Item] > 0 {
+		if t.stoppingCalls[start.Item] > 0 {
 			t.postpone(start.Key)
 			continue
 		}
 		t.start(ctx, start)
 	}
-	t.noteTurns()
+	t.reportTurns()
 }
 
-// leavingPause is after how long an item is looked at again whose run under an ended job has not ended.
-const leavingPause = 10 * time.Millisecond
+// stoppingPause is the delay before an item is scheduled again whose run for an ended job is still being stopped.
+const stoppingPause = 10 * time.Millisecond
 
-// postpone takes a start back. A job may carry items whose runs under the one before are still being stopped: begun at once they would run
-// at two replicas, and anew, since the text that the former run brings is kept only with its end.
-func (t *tenure) postpone(key schedule.Key) {
+// postpone reverts a scheduled start. A job may contain items whose runs for the previous job are still being stopped.
+// Started now, such an item would run at two replicas at once, and from the beginning, because the text of the previous
+// run is cached only once that run has ended.
+func (t *termRunner) postpone(key schedule.Key) {
 	now := t.config.Clock()
 	t.scheduler.Ended(now, key, schedule.Stopped, 0)
-	t.scheduler.Hold(key, now+leavingPause)
+	t.scheduler.Hold(key, now+stoppingPause)
 }
 
-// follow tells the scheduler of a new table. Items whose route the table has no more are given up.
-func (t *tenure) follow(view *table.View) {
+// applyTable updates the scheduler's routes, tenant weights and replicas from a new table. It terminates items whose
+// route the table no longer has, and stops runs at replicas that have restarted.
+func (t *termRunner) applyTable(view *table.View) {
 	t.view = view
 	t.tenants = tenant.NewIndex(view, t.tenants)
 	pools := map[string]bool{}
-	for id, held := range t.jobs {
-		t.weigh(id, held)
-		for name, entry := range held.items {
+	for id, openJob := range t.jobs {
+		t.updateWeight(id, openJob)
+		for name, entry := range openJob.items {
 			if !entry.open {
 				continue
 			}
 			key := schedule.Key{Job: id, Item: name}
 			if t.rewardCalls[key] != nil {
-				continue // its text is whole; only its reward call's route counts
+				continue // its text is complete; only its reward call still needs a route
 			}
 			route, found := t.config.Route(view, entry.wire.GetHost(), entry.wire.GetPath())
 			switch {
-			case view.Version() < held.submit.GetTableVersion():
-				t.scheduler.Route(key, nil) // the job knows a newer table
+			case view.Version() < openJob.submit.GetTableVersion():
+				t.scheduler.Route(key, nil) // the job was submitted under a newer table, which may have its route
 				continue
 			case !found:
-				t.giveUp(key)
+				t.terminateUnrouted(key)
 				continue
 			}
 			t.scheduler.Route(key, route.Pools)
@@ -127,7 +133,7 @@
 			}
 		}
 	}
-	t.endRuns(view)
+	t.stopRunsOfEndedStarts(view)
 	replicas := replicasOf(view, pools)
 	t.scheduler.Replicas(replicas)
 	targets := make([]replica.Target, 0, len(replicas))
@@ -137,33 +143,36 @@
 	t.runner.targets.Store(&targets)
 }
 
-// weigh tells the scheduler the weight of a job's tenant, which is the usual one once the table has the tenant no more.
-func (t *tenure) weigh(id string, held *job) {
+// updateWeight passes the weight of a job's tenant to the scheduler. 0 stands for the default weight, for a tenant that
+// the table does not contain.
+func (t *termRunner) updateWeight(id string, openJob *job) {
 	weight := uint32(0)
-	if of := t.tenants.Named(held.submit.GetTenant()); of != nil {
+	if of := t.tenants.Named(openJob.submit.GetTenant()); of != nil {
 		weight = of.Weight
 	}
 	t.scheduler.Weigh(id, weight)
 }
 
-// endRuns ends the runs at replicas that have started again, which no connection tells behind a cut. Their texts go on elsewhere.
-func (t *tenure) endRuns(view *table.View) {
+// stopRunsOfEndedStarts stops the runs at replicas that have restarted according to the table. Behind a network
+// partition no connection breaks to show it. The items resume at other replicas.
+func (t *termRunner) stopRunsOfEndedStarts(view *table.View) {
 	for _, running := range t.calls {
 		if view.Ended(running.Instance) {
-			running.why = stopRestarted
+			running.stopReason = stopRestarted
 			running.cancel()
 		}
 	}
 }
 
-// giveUp ends an item that must not run any more.
-func (t *tenure) giveUp(key schedule.Key) {
+// terminateUnrouted terminates an item whose route the table no longer has.
+func (t *termRunner) terminateUnrouted(key schedule.Key) {
 	if t.scheduler.Terminate(key) {
-		t.stop(key)
+		t.stopCall(key)
 		t.terminate(key, whyNoRoute)
 	}
 }
 
+// replicasOf returns the replicas in the given pools that can take new items.
 func replicasOf(view *table.View, pools map[string]bool) []schedule.Replica {
 	var replicas []schedule.Replica
 	for pool := range pools {
@@ -176,66 +185,68 @@
 	return replicas
 }
 
-// slotsOf is how many items may run at a back end at a time: the table's share and room for live work.
+// slotsOf returns how many items may run at a back end at a time. It is limited by the share of the slots for batch
+// work, and by the slots that are reserved for live requests.
 func slotsOf(row *table.Row) int {
 	share := uint64(row.MaxInFlight) * uint64(row.RolloutShare) / 100
 	left := uint64(row.MaxInFlight) - min(uint64(row.MaxInFlight), uint64(row.LiveRoom))
 	return int(min(share, left))
 }
 
-// start runs an item, on from the text that is held of it.
-func (t *tenure) start(ctx context.Context, start schedule.Start) {
-	held := t.jobs[start.Job]
-	entry := held.items[start.Item]
-	minimum, single := held.submit.GetMinVersion(), held.submit.GetSingleVersion()
+// start starts a run of an item. The run resumes after the item's partial text, or after a cached one of an ended job,
+// if the job's version constraints allow it.
+func (t *termRunner) start(ctx context.Context, start schedule.Start) {
+	openJob := t.jobs[start.Job]
+	entry := openJob.items[start.Item]
+	minimum, single := openJob.submit.GetMinVersion(), openJob.submit.GetSingleVersion()
 	if entry.text == nil {
-		if kept := t.runner.kept.take(held.submit.GetTenant(), entry.wire); kept != nil && kept.fits(minimum, single) {
-			entry.text = kept
+		if cached := t.runner.textCache.take(openJob.submit.GetTenant(), entry.wire); cached != nil && cached.fits(minimum, single) {
+			entry.text = cached
 		}
 	}
 	if entry.text == nil || !entry.text.fits(minimum, single) {
 		entry.text = newText()
 	}
 	t.commitBeforeRun(start, entry.text)
-	t.begin(ctx, &call{Start: start, item: entry.wire, tenant: held.submit.GetTenant(), text: entry.text})
+	t.startCall(ctx, &call{Start: start, item: entry.wire, tenant: openJob.submit.GetTenant(), text: entry.text})
 }
 
-// begin has a call carried out.
-func (t *tenure) begin(ctx context.Context, started *call) {
-	start, held := started.Start, t.jobs[started.Job]
-	entry := held.items[start.Item]
-	started.started, started.zone, started.tableVersion = t.config.Clock(), t.zoneOf(start), t.view.Version()
+// startCall starts a call's goroutine.
+func (t *termRunner) startCall(ctx context.Context, started *call) {
+	start, openJob := started.Start, t.jobs[started.Job]
+	entry := openJob.items[start.Item]
+	started.startedAt, started.zone, started.tableVersion = t.config.Clock(), t.zoneOf(start), t.view.Version()
 	started.stream = &stream{
-		clock: t.config.Clock, minVersion: held.submit.GetMinVersion(), single: held.submit.GetSingleVersion(), item: start.Item,
-		text: started.text, next: started.nextEvent(),
-		checkpoints: checkpoints{
+		clock: t.config.Clock, minVersion: openJob.submit.GetMinVersion(), singleVersion: openJob.submit.GetSingleVersion(), item: start.Item,
+		text: started.text, firstNewID: started.firstNewEvent(),
+		checkpointer: checkpointer{
 			interval: t.config.Checkpoint,
-			commit:   func(partial *wire.JobPartial) { t.commits.add(pendingEntry{job: start.Job, partial: partial}) },
+			commit:   func(partial *wire.JobPartial) { t.committer.add(pendingEntry{job: start.Job, partial: partial}) },
 		},
 	}
 	started.stream.parser.VersionField = t.config.VersionField
 	t.calls[start.Key] = started
-	entry.path.started(started.started)
-	if held.noteStart(started.started) {
-		t.runner.counts.wait.WithLabelValues().Observe((started.started - held.opened).Seconds())
+	entry.timing.startRun(started.startedAt)
+	if openJob.countStart(started.startedAt) {
+		t.runner.metrics.firstRunWait.WithLabelValues().Observe((started.startedAt - openJob.openedAt).Seconds())
 	}
 	t.logStart(started)
 	callContext, cancel := context.WithCancelCause(ctx)
 	started.cancel = func() { cancel(executorclient.ErrStop) }
-	t.runner.counts.running.Inc()
+	t.runner.metrics.itemsRunning.Inc()
 	t.routines.Go(func() {
-		defer t.runner.counts.running.Dec()
+		defer t.runner.metrics.itemsRunning.Dec()
 		defer cancel(nil)
 		t.run(callContext, started)
 		if started.ending == schedule.Completed {
 			started.result = batch.CompletedAfter(started.Item, started.text.data, started.text.committed, started.text.versions)
 		}
-		t.ends <- started
+		t.endedCalls <- started
 	})
 }
 
-// run carries out a call and notes how it ended.
-func (t *tenure) run(ctx context.Context, c *call) {
+// run carries out a call and records how it ended.
+func (t *termRunner) run(ctx context.Context, c *call) {
 	if c.text.whole {
 		c.ending = schedule.Completed
 		return
@@ -244,30 +255,31 @@
 		c.ending = schedule.Stopped
 		return
 	}
-	request := t.request(c)
+	request := t.replicaCall(c)
 	request.Admit = func() error {
-		if !t.admits(c) {
+		if !t.isAdmitted(c) {
 			return errNotAdmitted
 		}
 		return nil
 	}
-	outcome := t.do(ctx, c, request)
+	outcome := t.driveRun(ctx, c, request)
 	c.outcome = outcome
 	if outcome.Verdict == verdict.DidNotRun {
-		c.stream.reported(outcome.Load, loadreport.FromRefusal)
+		c.stream.storeLoadReport(outcome.Load, loadreport.FromRefusal)
 	}
 	c.version = c.stream.version
 	c.ending = c.endingOf(outcome, request.ExpectedVersion > 0)
 	if ctx.Err() != nil && c.ending != schedule.Completed {
-		c.ending = schedule.Broken // stalled, or stopped, of which the scheduler knows
+		c.ending = schedule.Broken // the loop stopped the run, and the scheduler knows why
 	}
-	if errors.Is(c.stream.fault, errMixedVersion) || c.stream.single && request.ExpectedVersion > 0 && outcome.Refused == replica.RefusedWrongTarget {
-		*c.text = *newText() // the version that made it is gone
+	if errors.Is(c.stream.fault, errMixedVersion) || c.stream.singleVersion && request.ExpectedVersion > 0 && outcome.Refused == replica.RefusedWrongTarget {
+		*c.text = *newText() // the replica no longer has the weight version that generated it
 	}
 	c.text.whole = c.ending == schedule.Completed
 }
 
-// endingOf says how a run ended that the loop has not ended. What is not the replica's doing says nothing of it.
+// endingOf classifies the end of a run that the loop did not stop. Runs that were rejected by this node or lost with
+// their executor are not counted against the replica. expected is whether the call required a weight version.
 func (c *call) endingOf(outcome replica.Outcome, expected bool) schedule.Ending {
 	switch refusal := executor.RefusedAs(outcome.Err); {
 	case errors.Is(outcome.Err, errNotAdmitted), refusal == executor.NotPermitted:
@@ -278,13 +290,14 @@
 	return c.stream.ending(outcome, expected)
 }
 
-// admits looks at the lease and the table once more, directly before a call is sent.
-func (t *tenure) admits(c *call) bool {
+// isAdmitted checks the lease and the table again, immediately before a call is sent.
+func (t *termRunner) isAdmitted(c *call) bool {
 	view, ok := t.config.Session.AdmitView()
 	return ok && Permits(view, t.config.Route, c.item, &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool})
 }
 
-// Permits tells whether a table permits an item's run at a replica.
+// Permits reports whether a table permits an item to run at a replica. The back end must be serving under the target's
+// instance, address and pool, and the item's route must include that pool.
 func Permits(view *table.View, routeOf RouteFunc, item *wire.JobItem, target *wire.RunTarget) bool {
 	row := view.Backend(target.GetInstance())
 	if row == nil || !row.Serving() || row.Address != target.GetAddress() || row.Pool != target.GetPool() {
@@ -294,7 +307,8 @@
 	return matched && slices.ContainsFunc(found.Pools, func(share schedule.Share) bool { return share.Pool == target.GetPool() })
 }
 
-func (t *tenure) request(c *call) *replica.Call {
+// replicaCall returns the request that runs an item at its replica.
+func (t *termRunner) replicaCall(c *call) *replica.Call {
 	request := &replica.Call{
 		Target: replica.Target{Instance: c.Instance, Address: c.Address}, AttemptID: c.item.GetId(),
 		Method: c.item.GetMethod(), Path: c.item.GetPath(), Host: c.item.GetHost(), Tenant: c.tenant, Body: c.item.GetBody(),
@@ -304,68 +318,72 @@
 	for _, header := range c.item.GetHeaders() {
 		request.Header = append(request.Header, replica.Header{Name: header.GetName(), Value: header.GetValue()})
 	}
-	if c.stream.single && len(c.text.versions) > 0 {
+	if c.stream.singleVersion && len(c.text.versions) > 0 {
 		request.ExpectedVersion = c.text.versions[0]
 	}
 	return request
 }
 
-// follows tells the scheduler what a call has brought, and what its replica said of itself.
-func (t *tenure) follows(c *call) {
-	if report := c.stream.report.Swap(nil); report != nil {
+// reportProgress passes a call's progress and its replica's load report to the scheduler.
+func (t *termRunner) reportProgress(c *call) {
+	if report := c.stream.loadReport.Swap(nil); report != nil {
 		t.scheduler.Reported(c.Instance, *report)
 	}
 	if driving := c.executor.Load(); driving != nil {
-		t.scheduler.Known(c.Key, driving.Heard()) // before what has come is read: not after what it covers
+		// Heard is read before the progress, so that it does not cover a report whose events the progress lacks.
+		t.scheduler.Known(c.Key, driving.Heard())
 	} else if t.fleet != nil {
-		t.scheduler.Known(c.Key, t.config.Clock()) // an executor may have refused the run before it was driven here
+		// This node drives the run itself, possibly after an executor rejected it.
+		t.scheduler.Known(c.Key, t.config.Clock())
 	}
 	events, last, version := c.stream.progress()
 	t.scheduler.Progress(c.Key, events, last, version)
 }
 
-// ended takes a call that is over.
-func (t *tenure) ended(ctx context.Context, c *call) {
+// handleCallEnd updates the scheduler, the guard, metrics and logs after the end of a call. It lists the result of a
+// finished item, and caches the text of one whose job has ended.
+func (t *termRunner) handleCallEnd(ctx context.Context, c *call) {
 	delete(t.calls, c.Key)
-	t.left(c)
-	t.follows(c)
+	t.uncountStopping(c)
+	t.reportProgress(c)
 	events, _, _ := c.stream.progress()
-	if c.why == stopMoved && c.ending == schedule.Broken {
+	if c.stopReason == stopMoved && c.ending == schedule.Broken {
 		c.ending = schedule.Moved
 	}
-	if held := t.jobs[c.Job]; held != nil {
-		held.noteEnd(c.ending)
+	if openJob := t.jobs[c.Job]; openJob != nil {
+		openJob.countEnd(c.ending)
 	}
-	t.path(c.Key).ended(t.config.Clock()-c.started, events)
+	t.timingOf(c.Key).endRun(t.config.Clock()-c.startedAt, events)
 	next := t.scheduler.Ended(t.config.Clock(), c.Key, c.ending, c.version)
-	t.judgeRun(ctx, c)
-	t.runner.counts.ended(c.ending, t.config.Clock()-c.started)
+	t.reportToGuard(ctx, c)
+	t.runner.metrics.observeRun(c.ending, t.config.Clock()-c.startedAt)
 	t.logEnd(c, events, next)
 	switch next {
 	case schedule.Done:
-		t.finish(c.Key, c.result, c.whole)
+		t.finish(c.Key, c.result, c.wholeResult)
 	case schedule.GivenUp:
-		t.terminate(c.Key, givenUpFor(c.ending))
+		t.terminate(c.Key, giveUpReason(c.ending))
 	case schedule.ToScore:
 		t.scoreText(ctx, c)
 	case schedule.Forgotten:
-		if c.why == stopJobEnded {
-			t.runner.kept.keep(c.tenant, c.item, c.text)
+		if c.stopReason == stopJobEnded {
+			t.runner.textCache.store(c.tenant, c.item, c.text)
 		}
 	}
 }
 
-// length is the expected length of an item's answer: the estimate that came with it, or all its tokens.
-func (t *tenure) length(entry *wire.JobItem) (tokens uint64, estimated bool) {
-	if hint, err := strconv.ParseUint(header(entry, t.config.LengthHeader), 10, 64); err == nil {
+// expectedLength returns the expected answer length of an item in tokens: the estimate in its length header, or else
+// its token limit. estimated is true if it is the estimate.
+func (t *termRunner) expectedLength(entry *wire.JobItem) (tokens uint64, estimated bool) {
+	if hint, err := strconv.ParseUint(headerValue(entry, t.config.LengthHeader), 10, 64); err == nil {
 		return hint, true
 	}
 	return entry.GetTokens(), false
 }
 
-// prompt is how many tokens an item's prompt has; 0: it does not say.
-func (t *tenure) prompt(entry *wire.JobItem) uint64 {
-	text, _, _ := strings.Cut(header(entry, t.config.UsageHeader), ",")
+// promptTokens returns the prompt length of an item in tokens, or 0 if the item does not tell it.
+func (t *termRunner) promptTokens(entry *wire.JobItem) uint64 {
+	text, _, _ := strings.Cut(headerValue(entry, t.config.UsageHeader), ",")
 	tokens, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0
@@ -373,11 +391,11 @@
 	return min(tokens, entry.GetTokens())
 }
 
-// header is the value of an item's header; empty without one.
-func header(entry *wire.JobItem, name string) string {
-	for _, held := range entry.GetHeaders() {
-		if name != "" && strings.EqualFold(held.GetName(), name) {
-			return held.GetValue()
+// headerValue returns the value of an item's header, or "" if the item has no such header.
+func headerValue(entry *wire.JobItem, name string) string {
+	for _, field := range entry.GetHeaders() {
+		if name != "" && strings.EqualFold(field.GetName(), name) {
+			return field.GetValue()
 		}
 	}
 	return ""
--- a/internal/batchrun/stream_test.go
+++ b/internal/batchrun/stream_test.go
@@ -12,15 +12,15 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// streamOf takes an answer of the given bytes into a text that holds events up to an id already.
-func streamOf(held int64, body string) (*stream, error) {
-	taken := newText()
-	for id := int64(0); id <= held; id++ {
-		taken.data = append(taken.data, fmt.Sprintf("e%d\n", id)...)
-		taken.events, taken.lastID = taken.events+1, id
+// feedStream feeds an answer with the given body to a stream whose text already has the events 0 to lastID.
+func feedStream(lastID int64, body string) (*stream, error) {
+	started := newText()
+	for id := int64(0); id <= lastID; id++ {
+		started.data = append(started.data, fmt.Sprintf("e%d\n", id)...)
+		started.events, started.lastID = started.events+1, id
 	}
-	s := &stream{text: taken, clock: func() time.Duration { return 0 }}
-	s.checkpoints.interval = time.Hour
+	s := &stream{text: started, clock: func() time.Duration { return 0 }}
+	s.checkpointer.interval = time.Hour
 	s.parser.VersionField = "x-version"
 	if err := s.Head(replica.Head{Status: 200, Stream: true, Versions: 3}); err != nil {
 		return s, err
@@ -30,11 +30,10 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id) }
 
-// TestEventsOfATextFollowEachOther: an event that was there before, one that is missing between two and one without an id
-// end the run; the text keeps what came before.
-func TestEventsOfATextFollowEachOther(t *testing.T) {
+// A repeated event, a missing event and an event without an id must end the run. The text keeps the events before it.
+func TestTextRejectsEventsOutOfOrder(t *testing.T) {
 	for name, test := range map[string]struct {
-		held int64
+		held int64 // id of the last event of the text before; -1: none
 		body string
 		kept int64 // id of the last event of the text afterwards
 		err  error
@@ -49,15 +48,15 @@
 		"no id":                {held: -1, body: event(0) + "data: e1\n\n", kept: 0, err: errOutOfOrder},
 		"falling":              {held: -1, body: event(0) + event(10) + event(5), kept: 10, err: errOutOfOrder},
 	} {
-		s, err := streamOf(test.held, test.body)
+		s, err := feedStream(test.held, test.body)
 		if !errors.Is(err, test.err) || s.text.lastID != test.kept {
-			t.Errorf("%s: %v, last event %d, want %v and %d", name, err, s.text.lastID, test.err, test.kept)
+			t.Errorf("%s: error %v and last event %d, want %v and %d", name, err, s.text.lastID, test.err, test.kept)
 		}
 	}
 }
 
-// TestAnswerThatEndsWithinAnEventIsNotWhole: its connection ended as it should, and still an event is missing.
-func TestAnswerThatEndsWithinAnEventIsNotWhole(t *testing.T) {
+// The HTTP answer ends properly, but in the middle of an event. It must not count as complete.
+func TestAnswerThatEndsWithinAnEventIsNotComplete(t *testing.T) {
 	whole := replica.Outcome{Verdict: verdict.Ran, Status: 200, Whole: true}
 	for body, want := range map[string]schedule.Ending{
 		event(0) + event(1):                schedule.Completed,
@@ -66,19 +65,18 @@
 		"":                                 schedule.Broken,
 		event(0) + event(1) + ": keep me ": schedule.Broken,
 	} {
-		s, err := streamOf(-1, body)
+		s, err := feedStream(-1, body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := s.ending(whole, false); got != want {
-			t.Errorf("%q ended %v, not %v", body, got, want)
+			t.Errorf("answer %q: ending %v, want %v", body, got, want)
 		}
 	}
 }
 
-// TestKeptTextsServeTheSameRequestOnly: an item that carries the id of an earlier one and asks something else gets none of
-// its text.
-func TestKeptTextsServeTheSameRequestOnly(t *testing.T) {
+// An item with the id of an earlier item but a different request must not get the earlier item's text.
+func TestCachedTextIsUsedForSameRequestOnly(t *testing.T) {
 	first := &wire.JobItem{Id: "i", Path: "/a", Host: "h", Body: []byte("body"), Headers: []*wire.JobHeader{{Name: "X-Model", Value: "m"}}}
 	for name, change := range map[string]func(*wire.JobItem){
 		"path":   func(item *wire.JobItem) { item.Path = "/b" },
@@ -87,15 +85,15 @@
 		"header": func(item *wire.JobItem) { item.Headers = []*wire.JobHeader{{Name: "X-Model", Value: "other"}} },
 		"field":  func(item *wire.JobItem) { item.Headers = nil },
 	} {
-		kept := newKeptTexts()
-		kept.keep("", first, &text{data: []byte("e0"), events: 1})
+		cache := newTextCache()
+		cache.store("", first, &text{data: []byte("e0"), events: 1})
 		other := &wire.JobItem{Id: first.Id, Path: first.Path, Host: first.Host, Body: first.Body, Headers: first.Headers}
 		change(other)
-		if kept.take("", other) != nil {
+		if cache.take("", other) != nil {
 			t.Errorf("an item with another %s got the text", name)
 		}
-		if kept.take("", first) == nil {
-			t.Errorf("%s: the item's own text is gone", name)
+		if cache.take("", first) == nil {
+			t.Errorf("%s: the item does not get its own text", name)
 		}
 	}
 }
--- a/internal/batchrun/suspects.go
+++ b/internal/batchrun/suspects.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindring/tamarindring/internal/poisonguard"
 )
 
-// identity is what stays the same when the item runs again, in this job or a later one that carries it.
+// identity returns the request properties that stay the same when the item runs again, in this job or a later one.
 func (c *call) identity() poison.Identity {
 	identity := poison.Identity{Tenant: c.tenant, Method: c.item.GetMethod(), Host: c.item.GetHost(), Path: c.item.GetPath(), Body: c.item.GetBody()}
 	for _, field := range c.item.GetHeaders() {
@@ -18,59 +18,61 @@
 	return identity
 }
 
-// digest names the item's identity.
+// digest returns the digest of the item's identity, under which crashes are recorded.
 func (c *call) digest() poison.Digest {
 	identity := c.identity()
 	return identity.Digest()
 }
 
-// permit asks whether the item may run now; false: its call ends unsent.
-func (t *tenure) permit(ctx context.Context, c *call) bool {
+// permit asks the guard whether the item may run now. If not, the call ends without being sent.
+func (t *termRunner) permit(ctx context.Context, c *call) bool {
 	if t.config.Guard == nil {
 		return true
 	}
-	c.permitted, c.judged = t.config.Guard.Begin(ctx, c.identity)
-	if c.permitted == nil {
+	c.guardRun, c.judgment = t.config.Guard.Begin(ctx, c.identity)
+	if c.guardRun == nil {
 		return false
 	}
-	c.permitted.At(c.Instance, c.Address)
+	c.guardRun.At(c.Instance, c.Address)
 	return true
 }
 
-// holdPause is the longest pause of an item that must not run yet. It is looked at again within it, since it may be cleared at any time.
-const holdPause = 5 * time.Second
+// maximumHoldPause bounds the pause before an item that must not run yet is checked again, because it may be cleared of
+// suspicion at any time.
+const maximumHoldPause = 5 * time.Second
 
-// judgeRun tells the guard how a run ended, and the scheduler what follows for the item.
-func (t *tenure) judgeRun(ctx context.Context, c *call) {
-	if c.judged.Permission == poison.Rest {
+// reportToGuard reports the end of a run to the guard. It marks an item that is suspected of crashing replicas in the
+// scheduler, and delays one that the guard did not permit.
+func (t *termRunner) reportToGuard(ctx context.Context, c *call) {
+	if c.judgment.Permission == poison.Rest {
 		t.scheduler.Suspect(c.Key)
-		t.scheduler.Hold(c.Key, t.config.Clock()+min(c.judged.Left, holdPause))
-		if c.judged.Condemned() {
+		t.scheduler.Hold(c.Key, t.config.Clock()+min(c.judgment.Left, maximumHoldPause))
+		if c.judgment.Condemned() {
 			t.scheduler.Condemn(c.Key)
 		}
 		return
 	}
-	if c.permitted == nil {
+	if c.guardRun == nil {
 		return
 	}
-	ending := c.runEnding()
+	ending := c.guardEnding()
 	if ending == poisonguard.Crashed {
 		t.scheduler.Suspect(c.Key)
 	}
-	settle := c.permitted.Note(ending)
-	go settle(ctx) // bounded by the guard; the tenure may have ended, and waits for it no more
+	settle := c.guardRun.Note(ending)
+	go settle(ctx) // the guard bounds its duration; the term's end doesn't wait for it
 }
 
-// runEnding is how the run ended as the guard sees it.
-func (c *call) runEnding() poisonguard.Ending {
+// guardEnding returns how the run ended in the guard's terms.
+func (c *call) guardEnding() poisonguard.Ending {
 	switch ending := poisonguard.EndingOf(c.outcome); {
 	case c.ending == schedule.Completed:
 		return poisonguard.Answered
 	case c.ending == schedule.Lost:
-		return poisonguard.Stopped // by its executor's loss; the replica may be well
-	case c.why == stopRestarted:
+		return poisonguard.Stopped // the executor was lost, which does not mean that the replica crashed
+	case c.stopReason == stopRestarted:
 		return poisonguard.Crashed
-	case c.why != "" && c.why != stopStalled && ending == poisonguard.BrokeOff:
+	case c.stopReason != "" && c.stopReason != stopStalled && ending == poisonguard.BrokeOff:
 		return poisonguard.Stopped
 	default:
 		return ending
