--- a/internal/batchrun/suspects_test.go
+++ b/internal/batchrun/suspects_test.go
@@ -16,8 +16,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// guardedRig is a rig whose runs a guard permits.
-func guardedRig(t *testing.T) *rig {
+// newGuardedRig returns a rig whose runner has a guard.
+func newGuardedRig(t *testing.T) *rig {
 	t.Helper()
 	guard, err := poisonguard.New(poisonguard.Config{Control: poisonguardtest.NoControl{}, Recorded: poisonguardtest.NotRecorded})
 	if err != nil {
@@ -28,24 +28,25 @@
 	return r
 }
 
-// crashing plays a replica that one attempt crashes.
-func crashing(attempt string) behaviour {
+// crashedBy is the behaviour of a replica that crashes when it runs one attempt, and answers all others.
+func crashedBy(attempt string) behaviour {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		if call.AttemptID == attempt {
 			return replica.Outcome{Verdict: verdict.MayHaveRun, Peer: replica.PeerGone, Err: errors.New("reset")}
 		}
-		return play(call, sink, testEvents, 5)
+		return sendEvents(call, sink, testEvents, 5)
 	}
 }
 
-// ownBodies has each item ask something of its own.
-func ownBodies(submit *wire.JobSubmit) {
+// setOwnBodies gives each item a request body of its own, so that only one of them has the identity that is suspected.
+func setOwnBodies(submit *wire.JobSubmit) {
 	for _, item := range submit.Items {
 		item.Body = []byte(item.GetId())
 	}
 }
 
-func (r *rig) sendsOf(attempt string, instances ...string) (sends int) {
+// countSends counts the calls of an attempt to some replicas.
+func (r *rig) countSends(attempt string, instances ...string) (sends int) {
 	for _, instance := range instances {
 		for _, call := range r.replicas.callsTo(instance) {
 			if call.AttemptID == attempt {
@@ -56,14 +57,15 @@
 	return sends
 }
 
-// One item crashed each replica that began to run it, and this node brought it back until its job was due: with the items of others
-// beside it none of the pool's replicas was up for longer than the item took to find it. The log showed run_ended lines of one item at
-// all replicas, each with "unexpected EOF". An item rests after its second crash; it is not ended, and the others are made whole.
-func TestItemThatCrashesReplicasRests(t *testing.T) {
-	r := guardedRig(t)
-	r.replicas.play["r1"], r.replicas.play["r2"] = crashing("i0"), crashing("i0")
+// One item crashes each replica that starts to run it. If it were retried until its job's deadline, it would keep
+// crashing all replicas of the pool, and with them the runs of other items. In the log this shows as run_ended events
+// of the item at all replicas, each with "unexpected EOF". The item must be held after its second crash without being
+// terminated, and all other items must finish.
+func TestItemThatCrashesReplicasIsHeld(t *testing.T) {
+	r := newGuardedRig(t)
+	r.replicas.behaviours["r1"], r.replicas.behaviours["r2"] = crashedBy("i0"), crashedBy("i0")
 	r.run(t)
-	r.submit(t, "a", 8, ownBodies)
+	r.submit(t, "a", 8, setOwnBodies)
 	for _, result := range r.await(t, "a", 7) {
 		wantWhole(t, result, "[5]")
 	}
@@ -75,10 +77,10 @@
 		}
 		return false
 	})
-	if sends := r.sendsOf("i0", "r1", "r2"); sends != poison.TrialCrashes {
+	if sends := r.countSends("i0", "r1", "r2"); sends != poison.TrialCrashes {
 		t.Errorf("the item ran %d times, want %d", sends, poison.TrialCrashes)
 	}
-	r.submit(t, "b", 8, func(submit *wire.JobSubmit) { ownBodies(submit); submit.Items = submit.Items[1:] })
+	r.submit(t, "b", 8, func(submit *wire.JobSubmit) { setOwnBodies(submit); submit.Items = submit.Items[1:] })
 	r.await(t, "b", 7)
 	rests := 0
 	for _, ended := range eventsOf[*events.RunEnded](r) {
@@ -86,27 +88,28 @@
 			rests++
 		}
 	}
-	if rests > 5 { // it is looked at again once a second, and not at each turn
-		t.Errorf("the item was started %d times while it rests", rests)
+	if rests > 5 { // it is checked again about once a second, and not in each scheduling pass
+		t.Errorf("the item was started %d times while it was held, want at most 5", rests)
 	}
 }
 
-// TestCondemnedRewardCallIsTold: its item's group is not waited for any more.
-func TestCondemnedRewardCallIsTold(t *testing.T) {
-	r := guardedRig(t)
-	r.scorers(t)
+// The loop must be notified of an item whose reward call is condemned. Otherwise its group would still count as one of
+// the groups that the job waits for.
+func TestCondemnedRewardCallIsReported(t *testing.T) {
+	r := newGuardedRig(t)
+	r.addScorers(t)
 	identity := poison.Identity{Method: "POST", Host: "scores.example", Path: "/score/1", Body: []byte("i0")}
-	scorers := r.session.extra
-	r.session.extra = func(row func(name string, cells ...string)) {
+	scorers := r.session.addRows
+	r.session.addRows = func(row func(name string, cells ...string)) {
 		scorers(row)
 		row(poison.RowName(identity.Digest()), "kind=suspect", "crashes=3")
 	}
 	r.session.set(t, 4, "r1 active", "r2 active")
 	view, _ := r.session.AdmitView()
 	r.guard.Follow(view)
-	r.rateBy(scoring)
+	r.setScorers(answerScore)
 	r.run(t)
-	tenure := newTenure(r.runner, 1)
+	current := newTermRunner(r.runner, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	key := schedule.Key{Job: "a", Item: "i0"}
@@ -114,28 +117,29 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r.runner.rewards.rate(ctx, call, func() { tenure.noteCondemned(key) })
+		r.runner.rewardCaller.requestScore(ctx, call, func() { current.noteCondemned(key) })
 	}()
-	if told := <-tenure.condemned; told != key {
-		t.Errorf("told of %v", told)
+	if told := <-current.condemnedItems; told != key {
+		t.Errorf("notified of item %v, want %v", told, key)
 	}
 	cancel()
 	<-ended
 }
 
-// The reward call of one item crashed the scorers for as long as its item waited for a score: the call was made again after a pause of
-// 0.4 s at most, whatever became of those that ran it.
-func TestRewardCallThatCrashesScorersRests(t *testing.T) {
-	r := guardedRig(t)
-	r.scorers(t)
-	r.rateBy(func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+// The reward call of one item crashes the back ends that score it. If it were retried like other reward calls, with a
+// pause of at most 0.4 s, it would keep crashing them for as long as its item waits for a score. It must be held
+// instead.
+func TestRewardCallThatCrashesScorersIsHeld(t *testing.T) {
+	r := newGuardedRig(t)
+	r.addScorers(t)
+	r.setScorers(func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		if call.AttemptID == "call-i0" {
 			return replica.Outcome{Verdict: verdict.MayHaveRun, Peer: replica.PeerGone, Err: errors.New("reset")}
 		}
-		return scoring(ctx, call, sink)
+		return answerScore(ctx, call, sink)
 	})
 	r.run(t)
-	r.submit(t, "a", 4, rewarded)
+	r.submit(t, "a", 4, addRewards)
 	r.await(t, "a", 3)
 	r.until(t, "the call rests", func() bool {
 		for _, tried := range eventsOf[*events.RewardTried](r) {
@@ -145,7 +149,7 @@
 		}
 		return false
 	})
-	if sends := r.sendsOf("call-i0", "s1", "s2"); sends != poison.TrialCrashes {
+	if sends := r.countSends("call-i0", "s1", "s2"); sends != poison.TrialCrashes {
 		t.Errorf("the call ran %d times, want %d", sends, poison.TrialCrashes)
 	}
 }
--- a/internal/batchrun/tenure.go
+++ b/internal/batchrun/tenure.go
@@ -16,130 +16,137 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// tenure is the work of one leader in one term. Only its loop touches it; calls report through ends.
-type tenure struct {
+// termRunner runs the group's open jobs during one term of this node's leadership. Only its loop goroutine accesses it,
+// except for the atomic fields and the channels through which the calls' goroutines report.
+type termRunner struct {
 	runner    *Runner
 	config    *Config
 	term      uint64
 	scheduler *schedule.Scheduler
-	commits   *commits
-	jobs      map[string]*job
-	revision  uint64
-	kept      bool             // the group keeps jobs, open or ended
-	countedAt time.Duration    // up to when time was counted for their retention
-	counting  atomic.Bool      // a count is on its way
-	shownAt   time.Duration    // when it was shown last what is known of the replicas
-	view      *table.View      // that the scheduler was told of
-	tenants   *tenant.Index    // of that view
-	turns     bool             // owners take turns, as was logged last
-	serving   *weights.Serving // likewise
-	ready     time.Duration    // when it could have started items for the first time; 0: not yet
-	calls     map[schedule.Key]*call
-	leaving   map[string]int        // calls of jobs that have ended, by item, which have not ended yet
-	fleet     *executorclient.Fleet // nil: this node drives all runs itself
-	ends      chan *call
-	// rewardCalls are those of texts that wait for their score; the calls report through scores.
-	rewardCalls map[schedule.Key]*rewardCall
-	scores      chan *rewardCall
-	condemned   chan schedule.Key // items whose reward calls are condemned
-	routines    sync.WaitGroup
+	committer *committer
+	jobs      map[string]*job // open jobs by id
+	revision  uint64          // of the group's jobs that were read last
+
+	hasStoredJobs  bool          // the group's state holds jobs, open or ended
+	lastExpiryAt   time.Duration // up to when elapsed time was reported to the group, which counts it for retention
+	expiring       atomic.Bool   // a JobExpire command is in flight
+	fleetMetricsAt time.Duration // when the replica metrics were last updated
+
+	view            *table.View      // last table that the scheduler was updated from
+	tenants         *tenant.Index    // tenants of view
+	ownersTakeTurns bool             // last logged state of the scheduler
+	serving         *weights.Serving // last serving report that the scheduler was updated from
+	readyAt         time.Duration    // when this term could first have started items; 0: not yet
+
+	calls map[schedule.Key]*call
+	// stoppingCalls counts, by item id, the calls of ended jobs that are being stopped and have not ended yet.
+	stoppingCalls map[string]int
+	fleet         *executorclient.Fleet // nil: this node drives all runs itself
+	endedCalls    chan *call
+
+	// rewardCalls holds the reward calls in progress. Each is sent to endedRewardCalls when it ends.
+	rewardCalls      map[schedule.Key]*rewardCall
+	endedRewardCalls chan *rewardCall
+	condemnedItems   chan schedule.Key // items whose reward calls are condemned requests
+	routines         sync.WaitGroup
 }
 
-// job is an open job with what its items have brought so far.
+// job is an open job with the progress of its items under this leader. Times are readings of Config.Clock.
 type job struct {
-	submit *wire.JobSubmit
-	items  map[string]*item
-	opened time.Duration
-	due    time.Duration
-	runs   runCounts
-	listed listings
+	submit   *wire.JobSubmit
+	items    map[string]*item // by id
+	openedAt time.Duration    // when this leader opened the job
+	deadline time.Duration
+	runs     runCounts
+	listing  jobListing
 }
 
 type item struct {
-	wire *wire.JobItem
-	text *text // nil until the first run; a running call owns it
-	open bool  // without a result
-	path itemPath
+	wire   *wire.JobItem
+	text   *text // nil until the first run; owned by the item's running call, if there is one
+	open   bool  // has no result yet
+	timing itemTiming
 }
 
-// group names the item's group: one without a group is its own.
-func (i *item) group() string { return cmp.Or(i.wire.GetGroup(), i.wire.GetId()) }
+// groupName returns the name of the item's group. An item without a group forms a group under its own id.
+func (i *item) groupName() string { return cmp.Or(i.wire.GetGroup(), i.wire.GetId()) }
 
-// stopReason is why the loop has ended a run.
+// stopReason is why the loop stopped a run or a reward call, as logs name it.
 type stopReason string
 
 const (
 	stopJobEnded  stopReason = "job_ended"
 	stopStalled   stopReason = "stalled"
 	stopMoved     stopReason = "moved"     // another replica is faster
-	stopRestarted stopReason = "restarted" // the replica has started again: the start that ran it has ended
+	stopRestarted stopReason = "restarted" // the replica process that ran the item has been replaced by a new one
 	stopGivenUp   stopReason = "given_up"
 )
 
-// endsBuffer is how many calls that have ended may wait for the loop without holding up their routines.
-const endsBuffer = 64
+// endedBuffer is the capacity of the channels through which calls report to the loop. Calls that end while the loop is
+// busy don't block until the buffer is full.
+const endedBuffer = 64
 
-func newTenure(r *Runner, term uint64) *tenure {
-	return &tenure{
+func newTermRunner(r *Runner, term uint64) *termRunner {
+	return &termRunner{
 		runner: r, config: &r.config, term: term, scheduler: schedule.New(r.config.Schedule),
-		commits: newCommits(&r.config, r.counts), jobs: map[string]*job{},
-		countedAt: r.config.Clock(), calls: map[schedule.Key]*call{}, leaving: map[string]int{}, ends: make(chan *call, endsBuffer),
-		rewardCalls: map[schedule.Key]*rewardCall{}, scores: make(chan *rewardCall, endsBuffer),
-		condemned: make(chan schedule.Key, endsBuffer),
+		committer: newCommitter(&r.config, r.metrics), jobs: map[string]*job{},
+		lastExpiryAt: r.config.Clock(), calls: map[schedule.Key]*call{}, stoppingCalls: map[string]int{}, endedCalls: make(chan *call, endedBuffer),
+		rewardCalls: map[schedule.Key]*rewardCall{}, endedRewardCalls: make(chan *rewardCall, endedBuffer),
+		condemnedItems: make(chan schedule.Key, endedBuffer),
 	}
 }
 
-// loop works until ctx ends or the node no longer leads in the term.
-func (t *tenure) loop(ctx context.Context) {
-	timer := time.NewTimer(busyTick)
+// loop starts runs and handles events until ctx ends or the node no longer leads in the term.
+func (t *termRunner) loop(ctx context.Context) {
+	timer := time.NewTimer(busyTickInterval)
 	defer timer.Stop()
-	for t.leads() {
-		t.startAll(ctx)
+	for t.isLeader() {
+		t.startRuns(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.config.Group.Changed():
 			t.refresh(ctx)
-		case ended := <-t.ends:
-			t.ended(ctx, ended)
-			t.drainEnds(ctx)
-		case rated := <-t.scores:
-			t.rated(rated)
-		case key := <-t.condemned:
+		case ended := <-t.endedCalls:
+			t.handleCallEnd(ctx, ended)
+			t.drainEndedCalls(ctx)
+		case call := <-t.endedRewardCalls:
+			t.handleRewardCallEnd(call)
+		case key := <-t.condemnedItems:
 			t.scheduler.Condemn(key)
 		case <-timer.C:
 			t.tick(ctx)
-			timer.Reset(t.interval())
+			timer.Reset(t.tickInterval())
 		}
 	}
 }
 
-func (t *tenure) leads() bool {
+func (t *termRunner) isLeader() bool {
 	term, leading := t.config.Group.Leads()
 	return leading && term == t.term
 }
 
-func (t *tenure) interval() time.Duration {
+func (t *termRunner) tickInterval() time.Duration {
 	if len(t.jobs) > 0 {
-		return busyTick
+		return busyTickInterval
 	}
-	return idleTick
+	return idleTickInterval
 }
 
-// drainEnds takes what else has ended, so that the freed slots are given away together.
-func (t *tenure) drainEnds(ctx context.Context) {
+// drainEndedCalls handles all other calls that have ended, so that their slots are assigned in one scheduling pass.
+func (t *termRunner) drainEndedCalls(ctx context.Context) {
 	for {
 		select {
-		case ended := <-t.ends:
-			t.ended(ctx, ended)
+		case ended := <-t.endedCalls:
+			t.handleCallEnd(ctx, ended)
 		default:
 			return
 		}
 	}
 }
 
-// wait returns once all calls have ended; their contexts must have.
-func (t *tenure) wait(ctx context.Context) {
+// wait handles the remaining calls until all have ended. The caller must have cancelled their context.
+func (t *termRunner) wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		t.routines.Wait()
@@ -147,53 +154,54 @@
 	}()
 	for {
 		select {
-		case ended := <-t.ends:
-			t.ended(ctx, ended)
-		case rated := <-t.scores:
-			t.rated(rated)
+		case ended := <-t.endedCalls:
+			t.handleCallEnd(ctx, ended)
+		case call := <-t.endedRewardCalls:
+			t.handleRewardCallEnd(call)
 		case <-done:
 			return
 		}
 	}
 }
 
-// refresh learns which jobs were taken and ended.
-func (t *tenure) refresh(ctx context.Context) {
-	work, err := t.runner.work(ctx, t.revision, t.config.Group.LocalQuery)
+// refresh reads which jobs were submitted and which have ended since the last time.
+func (t *termRunner) refresh(ctx context.Context) {
+	work, err := t.runner.queryOpenJobs(ctx, t.revision, t.config.Group.LocalQuery)
 	if err != nil {
 		t.config.Log.WithError(err).Debug("the open batch jobs could not be read")
 		return
 	}
-	t.adopt(ctx, work)
+	t.applyOpenJobs(ctx, work)
 }
 
-func (t *tenure) adopt(ctx context.Context, work *wire.JobWorkView) {
+// applyOpenJobs closes the jobs that have ended and opens the new ones.
+func (t *termRunner) applyOpenJobs(ctx context.Context, work *wire.JobWorkView) {
 	open := make(map[string]bool, len(work.GetOpen()))
 	for _, id := range work.GetOpen() {
 		open[id] = true
 	}
 	for id := range t.jobs {
 		if !open[id] {
-			t.close(id)
+			t.closeJob(id)
 		}
 	}
 	for _, taken := range work.GetJobs() {
 		if t.jobs[taken.GetJob().GetId()] == nil {
-			t.open(ctx, taken)
+			t.openJob(ctx, taken)
 		}
 	}
-	t.revision, t.kept = work.GetRevision(), work.GetKept()
-	t.runner.open.Store(len(t.jobs) > 0)
+	t.revision, t.hasStoredJobs = work.GetRevision(), work.GetKept()
+	t.runner.hasOpenJobs.Store(len(t.jobs) > 0)
 }
 
-// open adds a job to the schedule. Times count from now where the job's own clock would be earlier: an item is
-// never given up too soon, whatever the clocks say.
-func (t *tenure) open(ctx context.Context, taken *wire.JobWork) {
+// openJob adds a job to the scheduler. The queue TTL counts from now and not from the submitter's send time, so that a
+// clock difference between machines never terminates items too early.
+func (t *termRunner) openJob(ctx context.Context, taken *wire.JobWork) {
 	submit, now := taken.GetJob(), t.config.Clock()
-	added := &job{submit: submit, items: make(map[string]*item, len(submit.GetItems())), opened: now}
+	added := &job{submit: submit, items: make(map[string]*item, len(submit.GetItems())), openedAt: now}
 	described := schedule.Job{
 		ID: submit.GetId(), Model: submit.GetModel(), MinVersion: submit.GetMinVersion(), Desired: int(submit.GetDesired()),
-		MaxAttempts: int(submit.GetMaxAttempts()), Deadline: now + millis(submit.GetDeadlineMillis()) - age(submit),
+		MaxAttempts: int(submit.GetMaxAttempts()), Deadline: now + millis(submit.GetDeadlineMillis()) - jobAge(submit),
 		Tenant: submit.GetTenant(),
 	}
 	if submit.GetQueueTtlMillis() > 0 {
@@ -201,25 +209,25 @@
 	}
 	for _, entry := range submit.GetItems() {
 		added.items[entry.GetId()] = &item{wire: entry, open: true}
-		length, estimated := t.length(entry)
+		length, estimated := t.expectedLength(entry)
 		described.Items = append(described.Items, schedule.Item{
-			ID: entry.GetId(), Group: entry.GetGroup(), Length: length, Estimated: estimated, Prompt: t.prompt(entry),
-			Most:   entry.GetTokens() - t.prompt(entry),
-			Scored: awaitsScore(entry),
+			ID: entry.GetId(), Group: entry.GetGroup(), Length: length, Estimated: estimated, Prompt: t.promptTokens(entry),
+			Most:   entry.GetTokens() - t.promptTokens(entry),
+			Scored: needsScore(entry),
 		})
 	}
 	for _, finished := range taken.GetFinished() {
 		added.items[finished].open = false
 	}
 	for _, partial := range taken.GetPartials() {
-		held, err := restoredText(partial)
+		restored, err := restoreText(partial)
 		if err != nil {
-			t.config.Log.WithError(err).Error("a committed text can't be read; its item begins anew")
+			t.config.Log.WithError(err).Error("failed to decode a committed partial text; its item restarts from the beginning")
 			continue
 		}
-		added.items[partial.GetItem()].text = held
+		added.items[partial.GetItem()].text = restored
 	}
-	added.due = described.Deadline
+	added.deadline = described.Deadline
 	t.jobs[submit.GetId()] = added
 	t.logOpened(taken, added)
 	unscored := make([]string, 0, len(taken.GetUnscored()))
@@ -228,13 +236,14 @@
 	}
 	t.scheduler.Open(described, taken.GetFinished(), unscored)
 	t.beginListing(added)
-	t.noteDemand(&described)
-	t.rescore(ctx, submit.GetId(), taken.GetUnscored())
-	t.view = nil // the new items have no route yet
+	t.publishDemand(&described)
+	t.resumeRewardCalls(ctx, submit.GetId(), taken.GetUnscored())
+	t.view = nil // makes startRuns call applyTable, which routes the new items
 }
 
-// noteDemand publishes the work of a model's newest job. It stays when the job ends: the next one is about to come.
-func (t *tenure) noteDemand(opened *schedule.Job) {
+// publishDemand publishes the expected tokens of a model's newest job. They stay published when the job ends, because
+// the model's next job usually follows soon.
+func (t *termRunner) publishDemand(opened *schedule.Job) {
 	tokens := uint64(0)
 	for _, entry := range opened.Items {
 		tokens += entry.Length
@@ -249,89 +258,90 @@
 
 func millis(value uint32) time.Duration { return time.Duration(value) * time.Millisecond }
 
-// age is how long ago a job was sent, as far as two machines' clocks tell.
-func age(submit *wire.JobSubmit) time.Duration {
+// jobAge returns how long ago a job was sent, by the wall clocks of two machines. It is clamped to between 0 and the
+// job's deadline.
+func jobAge(submit *wire.JobSubmit) time.Duration {
 	sent := time.UnixMilli(submit.GetSentUnixMillis())
 	return min(max(0, time.Since(sent)), millis(submit.GetDeadlineMillis()))
 }
 
-// close stops the items of a job that has ended. What they have brought is kept for a later job.
-func (t *tenure) close(id string) {
+// closeJob stops the running items of a job that has ended. Their texts are cached for a later job with the same items.
+func (t *termRunner) closeJob(id string) {
 	owner := t.jobs[id].submit.GetTenant()
 	running := t.scheduler.End(id)
 	for _, key := range running {
-		t.leave(key)
+		t.stopEndedJobsCall(key)
 	}
 	t.logClosed(t.jobs[id], len(running))
 	for _, entry := range t.jobs[id].items {
-		t.stopRating(schedule.Key{Job: id, Item: entry.wire.GetId()}, stopJobEnded)
+		t.stopRewardCall(schedule.Key{Job: id, Item: entry.wire.GetId()}, stopJobEnded)
 		if t.calls[schedule.Key{Job: id, Item: entry.wire.GetId()}] == nil {
-			t.runner.kept.keep(owner, entry.wire, entry.text)
+			t.runner.textCache.store(owner, entry.wire, entry.text)
 		}
 	}
 	delete(t.jobs, id)
 }
 
-// leave ends a call of a job that has ended.
-func (t *tenure) leave(key schedule.Key) {
-	if running := t.calls[key]; running != nil && !running.leaving {
-		running.leaving = true
-		t.leaving[key.Item]++
+// stopEndedJobsCall stops a call whose job has ended, and counts it in stoppingCalls.
+func (t *termRunner) stopEndedJobsCall(key schedule.Key) {
+	if running := t.calls[key]; running != nil && !running.isStopping {
+		running.isStopping = true
+		t.stoppingCalls[key.Item]++
 	}
-	t.stop(key)
+	t.stopCall(key)
 }
 
-// left notes the end of a call that was left.
-func (t *tenure) left(c *call) {
-	if !c.leaving {
+// uncountStopping removes a call that has ended from stoppingCalls, if stopEndedJobsCall counted it there.
+func (t *termRunner) uncountStopping(c *call) {
+	if !c.isStopping {
 		return
 	}
-	if t.leaving[c.Item]--; t.leaving[c.Item] == 0 {
-		delete(t.leaving, c.Item)
+	if t.stoppingCalls[c.Item]--; t.stoppingCalls[c.Item] == 0 {
+		delete(t.stoppingCalls, c.Item)
 	}
 }
 
-// stop ends a call; it is reported through ends.
-func (t *tenure) stop(key schedule.Key) {
+// stopCall cancels a call, which then reports through endedCalls.
+func (t *termRunner) stopCall(key schedule.Key) {
 	if running := t.calls[key]; running != nil {
-		running.why = stopJobEnded
+		running.stopReason = stopJobEnded
 		running.cancel()
 	}
 }
 
-// tick looks at what time changes.
-func (t *tenure) tick(ctx context.Context) {
-	t.runner.counts.jobs.Set(float64(len(t.jobs)))
+// tick does the periodic work: progress of runs, stalled and slow runs, expired items, listings and metrics.
+func (t *termRunner) tick(ctx context.Context) {
+	t.runner.metrics.jobsOpen.Set(float64(len(t.jobs)))
 	now := t.config.Clock()
-	t.showFleet(now)
-	t.learnServing(now)
+	t.updateFleetMetrics(now)
+	t.updateServing(now)
 	for _, running := range t.calls {
-		t.follows(running)
+		t.reportProgress(running)
 	}
 	for _, key := range t.scheduler.Stalled(now) {
 		if running := t.calls[key]; running != nil {
-			running.why = stopStalled
+			running.stopReason = stopStalled
 			running.cancel()
 		}
 	}
 	for _, move := range t.scheduler.Slow(now) {
 		if running := t.calls[move.Key]; running != nil {
-			running.why, running.move = stopMoved, move
+			running.stopReason, running.move = stopMoved, move
 			running.cancel()
 		}
 	}
 	for _, key := range t.scheduler.Expired(now) {
 		t.terminate(key, whyTooOld)
 	}
-	for _, held := range t.jobs {
-		t.expect(held)
-		t.release(held)
+	for _, openJob := range t.jobs {
+		t.updateExpectedEnd(openJob)
+		t.releaseResults(openJob)
 	}
-	t.expire(ctx, now)
+	t.expireEndedJobs(ctx, now)
 }
 
-// learnServing tells the scheduler what the replicas serve, if there is news.
-func (t *tenure) learnServing(now time.Duration) {
+// updateServing passes the weight versions that the replicas serve to the scheduler, if there is a new report.
+func (t *termRunner) updateServing(now time.Duration) {
 	serving := t.config.Serving()
 	if serving == nil || serving == t.serving || t.view == nil {
 		return
@@ -344,62 +354,64 @@
 	}
 }
 
-// awaitsServing reports whether starts wait until it is known what the replicas serve. A run at a replica whose weights are
-// too old costs its item a tenth of a second and the next choice is no better: the 170 that a new leader of a fleet of 128 replicas
-// made in its first two seconds went to the items that had the least time left.
-func (t *tenure) awaitsServing(now time.Duration) bool {
-	if t.ready == 0 {
-		t.ready = now
+// mustAwaitServing reports whether starts are delayed until the replicas' weight versions are known. A run at a replica
+// whose weights are too old costs its item 0.1 s, and the next replica is chosen as blindly. Without the wait, a new
+// leader of a fleet of 128 replicas made 170 such runs in its first two seconds, with the items closest to their latest
+// start.
+func (t *termRunner) mustAwaitServing(now time.Duration) bool {
+	if t.readyAt == 0 {
+		t.readyAt = now
 	}
-	return !t.serving.Knows() && now < t.ready+t.config.ServingWait
+	return !t.serving.Knows() && now < t.readyAt+t.config.ServingWait
 }
 
-// terminate lists an item as given up.
-func (t *tenure) terminate(key schedule.Key, why string) {
-	t.stopRating(key, stopGivenUp)
+// terminate gives an item up and lists its terminated result.
+func (t *termRunner) terminate(key schedule.Key, why string) {
+	t.stopRewardCall(key, stopGivenUp)
 	t.logTerminated(key, why)
 	t.finish(key, &wire.JobResult{Item: key.Item, State: wire.JobItemState_JOB_ITEM_STATE_TERMINATED}, nil)
 }
 
-// finish lists an item. whole makes its result with the whole text, if the result itself follows a committed one.
-func (t *tenure) finish(key schedule.Key, result *wire.JobResult, whole func() *wire.JobResult) {
-	held := t.jobs[key.Job]
-	if held == nil || !held.items[key.Item].open {
+// finish records and lists an item's result. whole returns the result with its complete text, for the case that result
+// refers to a committed checkpoint that the group does not hold; nil: result refers to none.
+func (t *termRunner) finish(key schedule.Key, result *wire.JobResult, whole func() *wire.JobResult) {
+	openJob := t.jobs[key.Job]
+	if openJob == nil || !openJob.items[key.Item].open {
 		return
 	}
-	held.items[key.Item].open, held.items[key.Item].path.finished = false, t.config.Clock()
-	t.runner.counts.result(result.GetState(), t.config.Clock()-held.opened)
+	openJob.items[key.Item].open, openJob.items[key.Item].timing.finishedAt = false, t.config.Clock()
+	t.runner.metrics.observeResult(result.GetState(), t.config.Clock()-openJob.openedAt)
 	if result.GetState() == wire.JobItemState_JOB_ITEM_STATE_COMPLETED {
 		t.logCompleted(key, result.GetVersions())
 	}
-	t.list(held, pendingEntry{job: key.Job, result: result, whole: whole})
+	t.list(openJob, pendingEntry{job: key.Job, result: result, wholeResult: whole})
 }
 
-// expire counts the time for the retention of jobs, which forgets ended ones that are past it. A count that is
-// lost is not made up for: jobs are kept longer then.
-func (t *tenure) expire(ctx context.Context, now time.Duration) {
-	if !t.kept || now-t.countedAt < countInterval(t.config.Retention) || !t.counting.CompareAndSwap(false, true) {
+// expireEndedJobs regularly reports the elapsed time to the group, which drops ended jobs past their retention. The
+// time of a report that is lost is not reported again, so jobs are retained longer then.
+func (t *termRunner) expireEndedJobs(ctx context.Context, now time.Duration) {
+	if !t.hasStoredJobs || now-t.lastExpiryAt < expiryInterval(t.config.Retention) || !t.expiring.CompareAndSwap(false, true) {
 		return
 	}
 	command := &wire.JobExpire{RetentionMillis: uint64(t.config.Retention.Milliseconds()),
-		ElapsedMillis: uint64((now - t.countedAt).Milliseconds())}
-	t.countedAt = now
+		ElapsedMillis: uint64((now - t.lastExpiryAt).Milliseconds())}
+	t.lastExpiryAt = now
 	t.routines.Go(func() {
-		defer t.counting.Store(false)
+		defer t.expiring.Store(false)
 		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 		defer cancel()
 		if _, err := t.config.Group.Propose(ctx, &wire.Command{Kind: &wire.Command_JobExpire{JobExpire: command}}); err != nil {
-			t.config.Log.WithError(err).Debug("ended batch jobs were not expired")
+			t.config.Log.WithError(err).Debug("failed to expire ended batch jobs")
 		}
 	})
 	t.refresh(ctx)
 }
 
-// countsPerRetention is how often in one retention time is counted. An ended job may stay in memory for two counts
-// beyond its retention.
-const countsPerRetention = 32
+// expiriesPerRetention is how many expiry commands are sent per retention time. An ended job may stay in memory for two
+// expiry intervals beyond its retention.
+const expiriesPerRetention = 32
 
-// countInterval is the time between two counts.
-func countInterval(retention time.Duration) time.Duration {
-	return max(retention/countsPerRetention, time.Millisecond)
+// expiryInterval returns the time between two expiry commands.
+func expiryInterval(retention time.Duration) time.Duration {
+	return max(retention/expiriesPerRetention, time.Millisecond)
 }
--- a/internal/batchrun/turns_test.go
+++ b/internal/batchrun/turns_test.go
@@ -10,17 +10,18 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestLateItemsOfTenantsTakeTurnsByWeight: the table's weights reach the order of work, and the log tells that it was made by them.
+// The tenant weights of the table must reach the scheduler, which lets late items of several tenants take turns by
+// weight. The log must show that owners take turns.
 func TestLateItemsOfTenantsTakeTurnsByWeight(t *testing.T) {
-	const items, looked = 30, 20
+	const items, checked = 30, 20
 	r := newRig(t)
-	r.session.extra = func(row func(name string, cells ...string)) {
+	r.session.addRows = func(row func(name string, cells ...string)) {
 		row("t1", "kind=tenant", "tenant_name=One", "tenant_weight=100")
 		row("t2", "kind=tenant", "tenant_name=Two", "tenant_weight=300")
 	}
 	r.session.set(t, 4, "r1 active")
 	release := make(chan struct{})
-	answer := answering(5)
+	answer := answerWith(5)
 	held := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		<-release
 		return answer(ctx, call, sink)
@@ -42,15 +43,15 @@
 	close(release)
 	r.until(t, "all runs", func() bool { return len(r.replicas.callsTo("")) == 2*items })
 	if logged := eventsOf[*events.BatchTurns](r); len(logged) == 0 || !logged[0].Taken || logged[0].Owners != 2 {
-		t.Errorf("%+v", logged)
+		t.Errorf("logged %+v, want turns taken by 2 owners first", logged)
 	}
 	ofTwo := 0
-	for _, call := range r.replicas.callsTo("")[:looked] {
+	for _, call := range r.replicas.callsTo("")[:checked] {
 		if call.Tenant == "Two" {
 			ofTwo++
 		}
 	}
-	if ofTwo < looked/2+2 {
-		t.Errorf("%d of the first %d items are of the tenant with 300 of 400 of the weights", ofTwo, looked)
+	if ofTwo < checked/2+2 {
+		t.Errorf("%d of the first %d items are of the tenant with weight 300 of 400, want at least %[2]d/2+2", ofTwo, checked)
 	}
 }
