--- a/internal/batchrun/checkpoint_test.go
+++ b/internal/batchrun/checkpoint_test.go
@@ -19,19 +19,19 @@
 		perRun   = 15                    // events: 600 ms
 		total    = 8 * perRun
 	)
-	held := newText()
+	itemText := newText()
 	var committed []*wire.JobPartial
 	var current *checkpointer
 	for id := range total {
 		if id%perRun == 0 {
 			current = &checkpointer{interval: interval, commit: func(partial *wire.JobPartial) { committed = append(committed, partial) }}
 		}
-		if err := held.add(eventstream.Event{ID: int64(id), Data: []byte(fmt.Sprint("event ", id))}, 3); err != nil {
+		if err := itemText.add(eventstream.Event{ID: int64(id), Data: []byte(fmt.Sprint("event ", id))}, 3); err != nil {
 			t.Fatal(err)
 		}
 		now := 5*time.Second + time.Duration(id)*pause
-		current.afterEvent(now, "i", held)
-		if lost := time.Duration(held.events-committedEvents(committed)) * pause; lost > interval+pause {
+		current.afterEvent(now, "i", itemText)
+		if lost := time.Duration(itemText.events-committedEvents(committed)) * pause; lost > interval+pause {
 			t.Fatalf("after event %d, %s of the text are not committed, want at most %s", id, lost, interval+pause)
 		}
 	}
@@ -43,20 +43,20 @@
 		}
 		whole += string(text)
 	}
-	if whole != string(held.data[:held.committed]) {
+	if whole != string(itemText.data[:itemText.committed]) {
 		t.Fatalf("the joined checkpoints are %q, which is not the committed part of the text", whole)
 	}
 }
 
 // A text that is complete within the first interval must not be committed twice, as a checkpoint and as a result.
 func TestShortTextsCommitNoCheckpoint(t *testing.T) {
-	held := newText()
+	itemText := newText()
 	current := &checkpointer{interval: time.Second, commit: func(*wire.JobPartial) { t.Error("a checkpoint of a short text was committed, want none") }}
 	for id := range 20 {
-		if err := held.add(eventstream.Event{ID: int64(id), Data: []byte("x")}, 3); err != nil {
+		if err := itemText.add(eventstream.Event{ID: int64(id), Data: []byte("x")}, 3); err != nil {
 			t.Fatal(err)
 		}
-		current.afterEvent(time.Duration(id)*40*time.Millisecond, "i", held)
+		current.afterEvent(time.Duration(id)*40*time.Millisecond, "i", itemText)
 	}
 }
 
--- a/internal/batchrun/commits.go
+++ b/internal/batchrun/commits.go
@@ -52,6 +52,7 @@
 	score    *wire.JobScore
 }
 
+// message returns the one message that is set.
 func (p *pendingEntry) message() proto.Message {
 	switch {
 	case p.result != nil:
--- a/internal/batchrun/critical_test.go
+++ b/internal/batchrun/critical_test.go
@@ -9,16 +9,16 @@
 
 // jobWithEnds returns a job whose items finished at the given seconds, by group. 0 stands for an item without a result.
 func jobWithEnds(desired uint32, groups map[string][]int) *job {
-	made := &job{submit: &wire.JobSubmit{Desired: desired}, items: map[string]*item{}, openedAt: time.Second}
+	created := &job{submit: &wire.JobSubmit{Desired: desired}, items: map[string]*item{}, openedAt: time.Second}
 	for group, ends := range groups {
 		for number, second := range ends {
 			id := group + string(rune('0'+number))
 			end := time.Duration(second) * time.Second
-			made.items[id] = &item{wire: &wire.JobItem{Id: id, Group: group}, open: second == 0, timing: itemTiming{
+			created.items[id] = &item{wire: &wire.JobItem{Id: id, Group: group}, open: second == 0, timing: itemTiming{
 				hasRun: true, firstRunAt: 2 * time.Second, runningTime: 2 * time.Second, runs: 2, events: 9, finishedAt: end}}
 		}
 	}
-	return made
+	return created
 }
 
 // The critical item is the one that completed the last wanted group, and not the last item of the job. There is none if
--- a/internal/batchrun/fixture_test.go
+++ b/internal/batchrun/fixture_test.go
@@ -196,7 +196,8 @@
 	return calls
 }
 
-// answerWith sends complete answers. The events have the given weight versions, and the last version from there on.
+// answerWith sends complete answers. The head has the first of the weight versions, and event i switches to version i if
+// there is one.
 func answerWith(versions ...uint64) behaviour {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		return sendEvents(call, sink, testEvents, versions...)
@@ -239,7 +240,7 @@
 	}
 }
 
-// rig is a runner with fakes of everything that it depends on. Fields without a comment are its configuration.
+// rig is a runner with fakes of everything that it depends on.
 type rig struct {
 	retention time.Duration
 	group     *fakeGroup
--- a/internal/batchrun/kept_test.go
+++ b/internal/batchrun/kept_test.go
@@ -18,12 +18,12 @@
 		if number%5 == 0 && cache.take("", item) == nil {
 			t.Fatalf("the text that was stored last is not in the cache")
 		}
-		held := 0
+		stored := 0
 		for _, entry := range cache.texts {
-			held += entry.size()
+			stored += entry.size()
 		}
-		if held != cache.bytes || held > maximumCachedBytes {
-			t.Fatalf("%d bytes are cached and %d are counted, want equal and at most %d", held, cache.bytes, maximumCachedBytes)
+		if stored != cache.bytes || stored > maximumCachedBytes {
+			t.Fatalf("%d bytes are cached and %d are counted, want equal and at most %d", stored, cache.bytes, maximumCachedBytes)
 		}
 	}
 }
--- a/internal/batchrun/listed_test.go
+++ b/internal/batchrun/listed_test.go
@@ -100,8 +100,8 @@
 	release := make(chan struct{})
 	releaseAnswers := sync.OnceFunc(func() { close(release) })
 	defer releaseAnswers()
-	held := answerAfterReleaseOrStop("i7", release)
-	r.replicas.set(held, held)
+	delayed := answerAfterReleaseOrStop("i7", release)
+	r.replicas.set(delayed, delayed)
 	r.run(t)
 	change := func(submit *wire.JobSubmit) { submit.Desired, submit.DeadlineMillis = 3, 3_600_000 }
 	r.submit(t, "a", 8, change)
--- a/internal/batchrun/listing/listing.go
+++ b/internal/batchrun/listing/listing.go
@@ -23,8 +23,8 @@
 	// lastCallDelay is the time from a job's due time to the last listing that the owner can still use. Owners accept
 	// results that they read until shortly after that, and committing and reading take part of the difference.
 	lastCallDelay = 450 * time.Millisecond
-	// lastCallExtension is how much the last call is lastCallExtension if the job is expected to be complete within
-	// this time after it, so that one listing has all results.
+	// lastCallExtension is how much the last call is postponed if the job is expected to be complete within this time
+	// after it, so that one listing has all results.
 	lastCallExtension = 150 * time.Millisecond
 	// endLead is how long before the expected end of a job a held-back result is listed. The read that begins after
 	// this listing has then been open for a turn at the end, even if the reader makes another request in between, and
@@ -56,7 +56,7 @@
 type Pace struct {
 	interval      time.Duration
 	lastCall      time.Duration   // time of the last useful listing; interval boundaries are counted from here
-	lastListing   time.Duration   // or the job's opening, before the first listing
+	lastListing   time.Duration   // time of the last listing, or of the job's opening before the first one
 	expectedEnd   time.Duration   // when the wanted groups are expected to be complete; 0: unknown
 	waiting       []time.Duration // times since which results wait, oldest first
 	completeGroup bool            // the waiting results complete at least one group
--- a/internal/batchrun/listing/listing_test.go
+++ b/internal/batchrun/listing/listing_test.go
@@ -349,7 +349,7 @@
 	pace.Finished("a", end)
 	pace.Finished("b", end)
 	if got := pace.Release(end); got != 3 {
-		t.Errorf("%d of 3 results are listed with the end", got)
+		t.Errorf("%d results listed at the end, want 3", got)
 	}
 	pace = begun(20 * second)
 	listed := 0
--- a/internal/batchrun/log.go
+++ b/internal/batchrun/log.go
@@ -139,10 +139,11 @@
 	logging.Emit(t.config.Log, event)
 }
 
-func (t *termRunner) logEnd(c *call, brought int, next schedule.Next) {
+// logEnd logs the end of a run that received a number of events, and the replicas that the scheduler suspended for it.
+func (t *termRunner) logEnd(c *call, eventCount int, next schedule.Next) {
 	event := &events.RunEnded{
 		Job: c.Job, Item: c.Item, Replica: c.Instance, Ending: c.ending.String(), Why: string(c.stopReason), Next: next.String(),
-		Executor: c.executorName(), Status: c.outcome.Status, Events: brought, Version: c.version, Cause: events.ErrorText(c.outcome.Err),
+		Executor: c.executorName(), Status: c.outcome.Status, Events: eventCount, Version: c.version, Cause: events.ErrorText(c.outcome.Err),
 		TookMs: events.Millis(t.config.Clock() - c.startedAt),
 	}
 	if c.stream.fault != nil {
@@ -163,9 +164,9 @@
 		event.Why, event.Digest = whySuspected, c.digest().String()
 	}
 	logging.Emit(t.config.Log, event)
-	for _, one := range t.scheduler.Suspended() {
-		logging.Emit(t.config.Log, &events.ReplicaSuspended{Replica: one.Instance, Ending: one.Ending.String(), Job: one.Job, Item: one.Item,
-			InRow: one.InRow, PauseMs: events.Millis(one.Pause)})
+	for _, suspended := range t.scheduler.Suspended() {
+		logging.Emit(t.config.Log, &events.ReplicaSuspended{Replica: suspended.Instance, Ending: suspended.Ending.String(),
+			Job: suspended.Job, Item: suspended.Item, InRow: suspended.InRow, PauseMs: events.Millis(suspended.Pause)})
 	}
 }
 
--- a/internal/batchrun/metrics.go
+++ b/internal/batchrun/metrics.go
@@ -69,7 +69,8 @@
 		textsUnscored:   part.Gauge("texts_unscored", "Whole texts that wait for the answer to their reward call."),
 		rewardDuration:  part.Latency("reward_duration_seconds", "Time from a whole text to the end of its reward call: scored, given_up or stopped.", "ending"),
 	}
-	c.Set = metrics.Set{c.results, c.itemsRunning, c.jobsOpen, c.ownersInTurns, c.runs, c.runDuration, c.firstRunWait, c.itemDuration, c.commitDuration, c.listingWait, c.jobOverdue, c.criticalPath, c.textsUnscored, c.rewardDuration,
+	c.Set = metrics.Set{c.results, c.itemsRunning, c.jobsOpen, c.ownersInTurns, c.runs, c.runDuration, c.firstRunWait,
+		c.itemDuration, c.commitDuration, c.listingWait, c.jobOverdue, c.criticalPath, c.textsUnscored, c.rewardDuration,
 		c.fastestPause, c.slowestPause, c.passingSlowness, c.memoryTaken, c.executors, ignored}
 	return c
 }
--- a/internal/batchrun/report_test.go
+++ b/internal/batchrun/report_test.go
@@ -20,7 +20,7 @@
 	}
 	for name, test := range map[string]struct {
 		report *loadreport.Report
-		told   bool
+		used   bool // by the scheduler
 	}{
 		"four figures":  {&loadreport.Report{Running: 3, Slots: 8, Pace: 2.5}, true},
 		"three figures": {&loadreport.Report{Running: 3, Slots: 8}, false},
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			work.reportProgress(running)
-			if got := work.scheduler.Fleet().Rest > time.Duration(0); got != test.told {
+			if got := work.scheduler.Fleet().Rest > time.Duration(0); got != test.used {
 				t.Errorf("%s, rejected %v: report in use %v, want the opposite", name, refused, got)
 			}
 		}
@@ -64,9 +64,9 @@
 }
 
 func testItem(id string, headers map[string]string, tokens uint64) *wire.JobItem {
-	made := &wire.JobItem{Id: id, Tokens: tokens}
+	entry := &wire.JobItem{Id: id, Tokens: tokens}
 	for name, value := range headers {
-		made.Headers = append(made.Headers, &wire.JobHeader{Name: name, Value: value})
+		entry.Headers = append(entry.Headers, &wire.JobHeader{Name: name, Value: value})
 	}
-	return made
+	return entry
 }
--- a/internal/batchrun/reward/reward.go
+++ b/internal/batchrun/reward/reward.go
@@ -28,8 +28,8 @@
 	DefaultPause = 20 * time.Millisecond
 	// DefaultMaximumPause limits how late a recovered pool is noticed. It is small compared to a job's deadline.
 	DefaultMaximumPause = 400 * time.Millisecond
-	// DefaultDeadline is long for a call of some ten ms of work, and short enough for several attempts before a job's
-	// deadline.
+	// DefaultDeadline bounds one attempt. It is long for a call of some ten ms of work, and short enough for several
+	// attempts before a job's deadline.
 	DefaultDeadline = time.Second
 )
 
--- a/internal/batchrun/reward/reward_test.go
+++ b/internal/batchrun/reward/reward_test.go
@@ -25,7 +25,7 @@
 	settings := Settings{}.WithDefaults()
 	for range 1000 {
 		if call.Ended(settings, 0, 1, 0, 1).GiveUp {
-			t.Fatal("a call that never failed was given up")
+			t.Fatal("a call that never failed was given up, want retries without end")
 		}
 	}
 	if call.Tries() != 1000 || call.Failures() != 0 {
--- a/internal/batchrun/rewards.go
+++ b/internal/batchrun/rewards.go
@@ -34,15 +34,15 @@
 }
 
 func newRewardCaller(config *Config) (*rewardCaller, error) {
-	made := &rewardCaller{config: config}
+	caller := &rewardCaller{config: config}
 	forwarder, err := forward.New(forward.Config{
-		Control: made, Caller: config.Caller, Zone: config.Zone, SlotShare: rewardSlotShare, Guard: config.Guard, Log: config.Log,
+		Control: caller, Caller: config.Caller, Zone: config.Zone, SlotShare: rewardSlotShare, Guard: config.Guard, Log: config.Log,
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	made.forwarder = forwarder
-	return made, nil
+	caller.forwarder = forwarder
+	return caller, nil
 }
 
 // Admit implements forward.Control. It passes a new table to the forwarder before the forwarder acts on it.
@@ -71,8 +71,8 @@
 
 // try makes one attempt to get a score, at as many back ends as the route allows.
 func (r *rewardCaller) try(ctx context.Context, call *rewardCall) rewardTry {
-	version, held := r.Admit()
-	if held && version < call.job.GetTableVersion() {
+	version, admitted := r.Admit()
+	if admitted && version < call.job.GetTableVersion() {
 		return rewardTry{ending: reward.Refused, cause: errOldTable}
 	}
 	tried := rewardTry{maximumFailures: int(call.job.GetMaxAttempts())}
--- a/internal/batchrun/rewards_test.go
+++ b/internal/batchrun/rewards_test.go
@@ -256,14 +256,14 @@
 		}
 		return true
 	})
-	made := len(r.replicas.callsTo("")) - len(rewardCalls(r.replicas.callsTo("")))
+	ranBefore := len(r.replicas.callsTo("")) - len(rewardCalls(r.replicas.callsTo("")))
 	r.setScorers(answerScore)
 	r.group.setLeader(2, true)
 	for number := range 4 {
 		wantWhole(t, r.await(t, "a", 4)[fmt.Sprint("i", number)], "[5]")
 	}
 	calls := r.replicas.callsTo("")
-	if again := len(calls) - len(rewardCalls(calls)) - made; again != 0 {
+	if again := len(calls) - len(rewardCalls(calls)) - ranBefore; again != 0 {
 		t.Fatalf("%d items ran again, want 0", again)
 	}
 }
@@ -279,15 +279,15 @@
 	if err := config.setDefaults(); err != nil {
 		t.Fatal(err)
 	}
-	made, err := newRewardCaller(&config)
+	caller, err := newRewardCaller(&config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if tried := made.try(t.Context(), call); !errors.Is(tried.cause, errOldTable) {
+	if tried := caller.try(t.Context(), call); !errors.Is(tried.cause, errOldTable) {
 		t.Fatalf("%+v", tried)
 	}
 	r.addScorers(t) // a newer table
-	if tried := made.try(t.Context(), call); tried.score == "" {
+	if tried := caller.try(t.Context(), call); tried.score == "" {
 		t.Fatalf("%+v", tried)
 	}
 }
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -48,11 +48,11 @@
 		return nil, trace.Wrap(err)
 	}
 	runner := &Runner{config: config, textCache: newTextCache(), metrics: newRunnerMetrics()}
-	made, err := newRewardCaller(&runner.config)
+	caller, err := newRewardCaller(&runner.config)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	runner.rewardCaller = made
+	runner.rewardCaller = caller
 	return runner, nil
 }
 
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -92,9 +92,9 @@
 
 // stopRewardCall cancels an item's reward call, which then reports through endedRewardCalls.
 func (t *termRunner) stopRewardCall(key schedule.Key, why stopReason) {
-	if rating := t.rewardCalls[key]; rating != nil {
-		rating.stopReason = why
-		rating.cancel()
+	if running := t.rewardCalls[key]; running != nil {
+		running.stopReason = why
+		running.cancel()
 	}
 }
 
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -44,7 +44,7 @@
 	zone       string // of the replica, if executors may drive the run; empty otherwise
 	// tableVersion is the version of the table that the run was scheduled with.
 	tableVersion uint64
-	takenOver    *executorclient.Held                    // the run that an earlier leader started; nil: started by this leader
+	takenOver    *executorclient.Held                    // a run that an earlier leader started; nil: a new run
 	executor     atomic.Pointer[executorclient.Executor] // drives the run; nil: this node
 	stopReason   stopReason                              // set by the loop when it stops the run
 	move         schedule.Move                           // set with stopMoved
@@ -137,8 +137,8 @@
 	replicas := replicasOf(view, pools)
 	t.scheduler.Replicas(replicas)
 	targets := make([]replica.Target, 0, len(replicas))
-	for _, one := range replicas {
-		targets = append(targets, replica.Target{Instance: one.Instance, Address: one.Address})
+	for _, serving := range replicas {
+		targets = append(targets, replica.Target{Instance: serving.Instance, Address: serving.Address})
 	}
 	t.runner.targets.Store(&targets)
 }
@@ -147,8 +147,8 @@
 // the table does not contain.
 func (t *termRunner) updateWeight(id string, openJob *job) {
 	weight := uint32(0)
-	if of := t.tenants.Named(openJob.submit.GetTenant()); of != nil {
-		weight = of.Weight
+	if owner := t.tenants.Named(openJob.submit.GetTenant()); owner != nil {
+		weight = owner.Weight
 	}
 	t.scheduler.Weigh(id, weight)
 }
@@ -211,7 +211,7 @@
 	t.startCall(ctx, &call{Start: start, item: entry.wire, tenant: openJob.submit.GetTenant(), text: entry.text})
 }
 
-// startCall starts a call's goroutine.
+// startCall registers a call and runs it in a new goroutine.
 func (t *termRunner) startCall(ctx context.Context, started *call) {
 	start, openJob := started.Start, t.jobs[started.Job]
 	entry := openJob.items[start.Item]
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -36,7 +36,9 @@
 	committed   int   // bytes of data that were queued to be committed
 	committedID int64 // id of the last event in these bytes
 
-	checkpointArmed bool          // checkpointDue was set, by the first event after the text was started, restored or cached
+	// checkpointArmed is whether checkpointDue is set. The first event after the text was started, restored or cached
+	// sets it.
+	checkpointArmed bool
 	checkpointDue   time.Duration // when the next checkpoint is due
 }
 
@@ -129,6 +131,7 @@
 	}
 }
 
+// addEvent appends an event of the answer to the text, unless the text already contains it.
 func (s *stream) addEvent(event eventstream.Event) error {
 	if event.Version > 0 {
 		s.version = event.Version
@@ -175,6 +178,7 @@
 	return nil
 }
 
+// fail records the first error of the answer as its fault, and returns err.
 func (s *stream) fail(err error) error {
 	if s.fault == nil {
 		s.fault = err
--- a/internal/batchrun/stream_test.go
+++ b/internal/batchrun/stream_test.go
@@ -33,24 +33,24 @@
 // A repeated event, a missing event and an event without an id must end the run. The text keeps the events before it.
 func TestTextRejectsEventsOutOfOrder(t *testing.T) {
 	for name, test := range map[string]struct {
-		held int64 // id of the last event of the text before; -1: none
-		body string
-		kept int64 // id of the last event of the text afterwards
-		err  error
+		lastIDBefore int64 // id of the last event of the text before the answer; -1: none
+		body         string
+		lastIDAfter  int64 // id of the last event of the text after the answer
+		err          error
 	}{
-		"in order":             {held: -1, body: event(0) + event(1) + event(2), kept: 2},
-		"goes on":              {held: 4, body: event(5) + event(6), kept: 6},
-		"again":                {held: -1, body: event(0) + event(1) + event(1), kept: 1, err: errOutOfOrder},
-		"again after a resume": {held: 4, body: event(4), kept: 4, err: errOutOfOrder},
-		"from the start":       {held: 4, body: event(0), kept: 4, err: errOutOfOrder},
-		"one is missing":       {held: -1, body: event(0) + event(1) + event(3), kept: 1, err: errOutOfOrder},
-		"missing after resume": {held: 4, body: event(6), kept: 4, err: errOutOfOrder},
-		"no id":                {held: -1, body: event(0) + "data: e1\n\n", kept: 0, err: errOutOfOrder},
-		"falling":              {held: -1, body: event(0) + event(10) + event(5), kept: 10, err: errOutOfOrder},
+		"in order":             {lastIDBefore: -1, body: event(0) + event(1) + event(2), lastIDAfter: 2},
+		"goes on":              {lastIDBefore: 4, body: event(5) + event(6), lastIDAfter: 6},
+		"again":                {lastIDBefore: -1, body: event(0) + event(1) + event(1), lastIDAfter: 1, err: errOutOfOrder},
+		"again after a resume": {lastIDBefore: 4, body: event(4), lastIDAfter: 4, err: errOutOfOrder},
+		"from the start":       {lastIDBefore: 4, body: event(0), lastIDAfter: 4, err: errOutOfOrder},
+		"one is missing":       {lastIDBefore: -1, body: event(0) + event(1) + event(3), lastIDAfter: 1, err: errOutOfOrder},
+		"missing after resume": {lastIDBefore: 4, body: event(6), lastIDAfter: 4, err: errOutOfOrder},
+		"no id":                {lastIDBefore: -1, body: event(0) + "data: e1\n\n", lastIDAfter: 0, err: errOutOfOrder},
+		"falling":              {lastIDBefore: -1, body: event(0) + event(10) + event(5), lastIDAfter: 10, err: errOutOfOrder},
 	} {
-		s, err := feedStream(test.held, test.body)
-		if !errors.Is(err, test.err) || s.text.lastID != test.kept {
-			t.Errorf("%s: error %v and last event %d, want %v and %d", name, err, s.text.lastID, test.err, test.kept)
+		s, err := feedStream(test.lastIDBefore, test.body)
+		if !errors.Is(err, test.err) || s.text.lastID != test.lastIDAfter {
+			t.Errorf("%s: error %v and last event %d, want %v and %d", name, err, s.text.lastID, test.err, test.lastIDAfter)
 		}
 	}
 }
--- a/internal/batchrun/suspects_test.go
+++ b/internal/batchrun/suspects_test.go
@@ -119,8 +119,8 @@
 		defer close(ended)
 		r.runner.rewardCaller.requestScore(ctx, call, func() { current.noteCondemned(key) })
 	}()
-	if told := <-current.condemnedItems; told != key {
-		t.Errorf("notified of item %v, want %v", told, key)
+	if notified := <-current.condemnedItems; notified != key {
+		t.Errorf("notified of item %v, want %v", notified, key)
 	}
 	cancel()
 	<-ended
--- a/internal/batchrun/turns_test.go
+++ b/internal/batchrun/turns_test.go
@@ -22,11 +22,11 @@
 	r.session.set(t, 4, "r1 active")
 	release := make(chan struct{})
 	answer := answerWith(5)
-	held := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
+	delayed := func(ctx context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		<-release
 		return answer(ctx, call, sink)
 	}
-	r.replicas.set(held, held)
+	r.replicas.set(delayed, delayed)
 	r.run(t)
 	for _, tenant := range []string{"One", "Two"} {
 		r.submit(t, tenant, items, func(submit *wire.JobSubmit) {
