--- a/internal/routing/baseline.go
+++ b/internal/routing/baseline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// UniformRandom is a baseline: any usable replica, all alike.
+// UniformRandom is a baseline policy that picks any usable replica with equal probability.
 type UniformRandom struct{}
 
 // Choose implements Policy.
@@ -11,14 +11,14 @@
 		if p.Len() == 0 {
 			return None
 		}
-		if i := below(random, p.Len()); p.usable(i, request, now) {
+		if i := uniformInt(random, p.Len()); p.isUsable(i, request, now) {
 			return i
 		}
 	}
-	return p.firstOpen(request, now, random)
+	return p.chooseFallback(request, now, random)
 }
 
-// RoundRobin is a baseline: usable replicas in turn.
+// RoundRobin is a baseline policy that cycles through the usable replicas.
 type RoundRobin struct{ next int }
 
 // Choose implements Policy.
@@ -28,14 +28,15 @@
 		if r.next >= p.Len() {
 			r.next = 0
 		}
-		if p.usable(r.next, request, now) {
+		if p.isUsable(r.next, request, now) {
 			return r.next
 		}
 	}
-	return p.firstOpen(request, now, random)
+	return p.chooseFallback(request, now, random)
 }
 
-// LeastRequests is a baseline: the usable replica with the fewest of this gateway's requests by weight.
+// LeastRequests is a baseline policy that picks the usable replica with the fewest in-flight requests of this
+// gateway, relative to its weight.
 type LeastRequests struct{}
 
 // Choose implements Policy.
@@ -44,13 +45,13 @@
 	if p.Len() == 0 {
 		return None
 	}
-	start := below(random, p.Len())
+	start := uniformInt(random, p.Len())
 	for step := range p.Len() {
 		i := start + step
 		if i >= p.Len() {
 			i -= p.Len()
 		}
-		if !p.usable(i, request, now) {
+		if !p.isUsable(i, request, now) {
 			continue
 		}
 		r := &p.replicas[i]
@@ -59,7 +60,7 @@
 		}
 	}
 	if best == None {
-		return p.firstOpen(request, now, random)
+		return p.chooseFallback(request, now, random)
 	}
 	return best
 }
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -2,88 +2,94 @@
 
 import "time"
 
-// health is a replica's quarantine. A replica that fails too often in a row gets nothing for a while; it
-// comes back slowly, so that no herd meets it, and each further quarantine in a row lasts twice as long.
+// health tracks the passive health checks of a replica. A replica that fails too often in a row is quarantined: it
+// gets no requests for a while. Afterwards its share of requests ramps up gradually, so that it is not flooded. Each
+// further quarantine in a row lasts twice as long.
 type health struct {
-	failures   int           // in a row
-	ejections  int           // in a row
-	until      time.Duration // end of the quarantine
-	rampEnd    time.Duration // end of the slow return
-	everFailed bool
+	consecutiveFailures    int           // in a row
+	consecutiveQuarantines int           // in a row
+	quarantineEnd          time.Duration // end of the last quarantine
+	rampEnd                time.Duration // end of the ramp that follows the quarantine
+	wasQuarantined         bool
 }
 
-// maxEjections bounds the doubling of a quarantine.
-const maxEjections = 16
+// maxQuarantineDoublings bounds how often the length of a quarantine is doubled.
+const maxQuarantineDoublings = 16
 
-// Failed notes a failed request at a replica.
+// Failed records a failed request at a replica and starts a quarantine when the failure limit is reached. During the
+// ramp after a quarantine a single failure is enough.
 func (p *Pool) Failed(name string, now time.Duration) {
 	i := p.Index(name)
 	if i < 0 {
 		return
 	}
 	h := &p.replicas[i].health
-	if h.quarantined(now) {
-		return // requests sent before the quarantine
+	if h.isQuarantined(now) {
+		return // the request was sent before the quarantine began
 	}
-	h.failures++
+	h.consecutiveFailures++
 	limit := p.settings.FailureLimit
-	if h.ramping(now) {
+	if h.isRamping(now) {
 		limit = 1
 	}
-	if h.failures < limit {
+	if h.consecutiveFailures < limit {
 		return
 	}
-	length := min(p.settings.QuarantineBase<<min(h.ejections, maxEjections), p.settings.QuarantineLimit)
-	h.ejections++
-	h.failures = 0
-	h.everFailed = true
-	h.until = now + length
-	h.rampEnd = h.until + p.settings.ReturnRamp
+	length := min(p.settings.QuarantineBase<<min(h.consecutiveQuarantines, maxQuarantineDoublings), p.settings.QuarantineLimit)
+	h.consecutiveQuarantines++
+	h.consecutiveFailures = 0
+	h.wasQuarantined = true
+	h.quarantineEnd = now + length
+	h.rampEnd = h.quarantineEnd + p.settings.ReturnRamp
 }
 
-// Succeeded notes a good answer of a replica.
+// Succeeded records a successful answer of a replica. The first success after the ramp resets the length of the next
+// quarantine.
 func (p *Pool) Succeeded(name string, now time.Duration) {
 	i := p.Index(name)
 	if i < 0 {
 		return
 	}
 	h := &p.replicas[i].health
-	h.failures = 0
-	if h.everFailed && now >= h.rampEnd {
-		h.ejections, h.everFailed = 0, false
+	h.consecutiveFailures = 0
+	if h.wasQuarantined && now >= h.rampEnd {
+		h.consecutiveQuarantines, h.wasQuarantined = 0, false
 	}
 }
 
-// Quarantine returns for how long a replica gets nothing yet, and how many quarantines it had in a row; both are 0 for
-// one that is sound.
+// Quarantine returns the remaining quarantine of a replica and the number of its quarantines in a row. Both are 0 for
+// a healthy replica.
 func (p *Pool) Quarantine(name string, now time.Duration) (left time.Duration, inRow int) {
 	i := p.Index(name)
-	if i < 0 || !p.replicas[i].health.everFailed {
+	if i < 0 || !p.replicas[i].health.wasQuarantined {
 		return 0, 0
 	}
 	h := &p.replicas[i].health
-	return max(h.until-now, 0), h.ejections
+	return max(h.quarantineEnd-now, 0), h.consecutiveQuarantines
 }
 
-// Quarantined tells whether a replica gets nothing because it failed.
+// Quarantined reports whether a replica is in quarantine after failures.
 func (p *Pool) Quarantined(i int, now time.Duration) bool {
-	return p.replicas[i].health.quarantined(now)
+	return p.replicas[i].health.isQuarantined(now)
 }
 
-func (h *health) quarantined(now time.Duration) bool { return h.everFailed && now < h.until }
+func (h *health) isQuarantined(now time.Duration) bool {
+	return h.wasQuarantined && now < h.quarantineEnd
+}
 
-func (h *health) ramping(now time.Duration) bool {
-	return h.everFailed && now >= h.until && now < h.rampEnd
+func (h *health) isRamping(now time.Duration) bool {
+	return h.wasQuarantined && now >= h.quarantineEnd && now < h.rampEnd
 }
 
-// rampFloor is the share with which a replica comes back.
-const rampFloor = 0.05
+// minRampShare is the share of its weight that a replica gets at the start of the ramp after a quarantine.
+const minRampShare = 0.05
 
-// share is the part of its weight that a replica gets now: 1 but for a slow return.
-func (p *Pool) share(r *replica, now time.Duration) float64 {
-	if !r.health.ramping(now) {
+// rampShare returns the fraction of its weight that a replica gets now. It is below 1 only during the ramp after a
+// quarantine.
+func (p *Pool) rampShare(r *replica, now time.Duration) float64 {
+	if !r.health.isRamping(now) {
 		return 1
 	}
 	done := 1 - float64(r.health.rampEnd-now)/float64(p.settings.ReturnRamp)
-	return rampFloor + (1-rampFloor)*min(max(done, 0), 1)
+	return minRampShare + (1-minRampShare)*min(max(done, 0), 1)
 }
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -5,124 +5,127 @@
 	"time"
 )
 
-// Sent counts a request that was sent to a replica; the caller gives the same request to Ended.
+// Sent counts a request that was sent to a replica. The caller passes the same request to Ended.
 func (p *Pool) Sent(i int, request *Request, now time.Duration) {
 	r := &p.replicas[i]
-	p.smooth(r, now)
+	p.updateSmoothed(r, now)
 	r.inFlight++
 	if !request.Urgent {
-		r.background++
+		r.backgroundInFlight++
 	}
 	addWork(r, request, 1)
-	p.learnWork(request)
+	p.updateMeanWork(request)
 	p.prefixes.record(request.Blocks, i, now)
 }
 
-// Ended takes a request off a replica.
+// Ended removes a request counted by Sent from a replica. It does nothing if the replica has left the pool.
 func (p *Pool) Ended(name string, request *Request, now time.Duration) {
 	i := p.Index(name)
 	if i < 0 {
 		return
 	}
 	r := &p.replicas[i]
-	p.smooth(r, now)
+	p.updateSmoothed(r, now)
 	r.inFlight = max(r.inFlight-1, 0)
 	if !request.Urgent {
-		r.background = max(r.background-1, 0)
-		p.packedTo = min(p.packedTo, p.packRank[i])
+		r.backgroundInFlight = max(r.backgroundInFlight-1, 0)
+		p.packStart = min(p.packStart, p.packPosition[i])
 	}
 	addWork(r, request, -1)
 }
 
-// workWeight is the share of one request in the smoothed mean.
-const workWeight = 1.0 / 64
+// meanWorkWeight is the weight of one request in the exponentially smoothed mean of work per request.
+const meanWorkWeight = 1.0 / 64
 
-func (p *Pool) learnWork(request *Request) {
-	learn(&p.meanWork, request.Work)
+func (p *Pool) updateMeanWork(request *Request) {
+	updateMean(&p.meanWork, request.Work)
 	if request.Urgent {
-		learn(&p.meanUrgent, request.Work)
+		updateMean(&p.meanUrgent, request.Work)
 	}
 }
 
-func learn(mean *float64, work float64) {
+func updateMean(mean *float64, work float64) {
 	if *mean == 0 {
 		*mean = work
 		return
 	}
-	*mean += (work - *mean) * workWeight
+	*mean += (work - *mean) * meanWorkWeight
 }
 
 func addWork(r *replica, request *Request, sign float64) {
 	r.work = max(r.work+sign*request.Work, 0)
 	if request.Urgent {
-		r.urgent = max(r.urgent+sign*request.Work, 0)
+		r.urgentWork = max(r.urgentWork+sign*request.Work, 0)
 	}
 	if r.inFlight == 0 {
-		r.work, r.urgent = 0, 0 // no drift from rounding
+		r.work, r.urgentWork = 0, 0 // prevents rounding errors from accumulating
 	}
 }
 
-// smooth moves the smoothed count towards the present one.
-func (p *Pool) smooth(r *replica, now time.Duration) {
-	if now > r.changed {
-		share := 1 - math.Exp(-float64(now-r.changed)/float64(p.settings.ReportLag))
+// updateSmoothed moves the smoothed request count towards the present one, with ReportLag as the time constant.
+func (p *Pool) updateSmoothed(r *replica, now time.Duration) {
+	if now > r.smoothedAt {
+		share := 1 - math.Exp(-float64(now-r.smoothedAt)/float64(p.settings.ReportLag))
 		r.smoothed += (float64(r.inFlight) - r.smoothed) * share
-		r.changed = now
+		r.smoothedAt = now
 	}
 }
 
-// outlierFactor bounds one replica's reported foreign requests, in multiples of the pool's mean: a wrong report
-// can at most make a replica look this much busier than the others.
+// outlierFactor bounds the foreign requests that one replica reports, in multiples of the pool's mean. A wrong report
+// can make a replica look at most this much busier than the others.
 const outlierFactor = 8
 
-// Report takes over a replica's load report. Values that cannot be are ignored.
+// Report applies a replica's load report. An invalid number of requests (negative, NaN or infinite) is ignored. The
+// rest of the report still counts.
 func (p *Pool) Report(name string, report LoadReport, now time.Duration) {
 	i := p.Index(name)
 	if i < 0 {
 		return
 	}
 	r := &p.replicas[i]
-	r.asked, r.unanswered = true, 0
+	r.wasPolled, r.missedReports = true, 0
 	r.setLeaving(SourceLoadReport, report.Leaving)
-	if !report.Leaving && now >= r.refusedUntil {
+	if !report.Leaving && now >= r.refusalExpiresAt {
 		r.setLeaving(SourceRefusal, false)
 	}
 	if !(report.Requests >= 0) || math.IsInf(report.Requests, 0) {
 		return
 	}
-	p.smooth(r, now)
-	if r.reported {
-		p.othersSum -= r.others
+	p.updateSmoothed(r, now)
+	if r.hasReport {
+		p.foreignSum -= r.foreignRequests
 	} else {
-		p.reporters++
+		p.reporterCount++
 	}
-	r.others = max(report.Requests-r.smoothed, 0)
-	r.reportedAt, r.reported = now, true
-	p.othersSum += r.others
+	r.foreignRequests = max(report.Requests-r.smoothed, 0)
+	r.reportedAt, r.hasReport = now, true
+	p.foreignSum += r.foreignRequests
 }
 
-// foreign estimates the work of other gateways at a replica. As a report ages, the estimate moves to the
-// pool's mean, so that a replica that stopped reporting looks neither idle nor buried.
-func (p *Pool) foreign(r *replica, now time.Duration) float64 {
-	if p.reporters == 0 {
+// estimateForeignWork estimates the work, in tokens, that other gateways have in flight at a replica. As a report
+// ages, the estimate moves to the pool's mean, so that a replica that stopped reporting looks neither idle nor
+// overloaded.
+func (p *Pool) estimateForeignWork(r *replica, now time.Duration) float64 {
+	if p.reporterCount == 0 {
 		return 0
 	}
-	mean := max(p.othersSum, 0) / float64(p.reporters)
-	if !r.reported {
+	mean := max(p.foreignSum, 0) / float64(p.reporterCount)
+	if !r.hasReport {
 		return mean * p.meanWork
 	}
-	fresh := 1 - float64(now-r.reportedAt)/float64(p.settings.ReportLife)
-	fresh = min(max(fresh, 0), 1)
-	rest := 0.0
-	if p.reporters > 1 {
-		rest = max(p.othersSum-r.others, 0) / float64(p.reporters-1)
+	freshness := 1 - float64(now-r.reportedAt)/float64(p.settings.ReportLife)
+	freshness = min(max(freshness, 0), 1)
+	othersMean := 0.0
+	if p.reporterCount > 1 {
+		othersMean = max(p.foreignSum-r.foreignRequests, 0) / float64(p.reporterCount-1)
 	}
-	others := r.others
-	if p.reporters > 1 {
-		others = min(others, outlierFactor*(rest+float64(r.inFlight)+outlierFloor))
+	foreignRequests := r.foreignRequests
+	if p.reporterCount > 1 {
+		foreignRequests = min(foreignRequests, outlierFactor*(othersMean+float64(r.inFlight)+outlierFloor))
 	}
-	return (mean + (others-mean)*fresh) * p.meanWork
+	return (mean + (foreignRequests-mean)*freshness) * p.meanWork
 }
 
-// outlierFloor is a number of foreign requests that is always believed.
+// outlierFloor is added to the load that bounds a report, so that a report of a few foreign requests is accepted even
+// when the rest of the pool is idle.
 const outlierFloor = 2
--- a/internal/routing/pace.go
+++ b/internal/routing/pace.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Paced notes how long work takes at a replica at the moment, as a multiple of the usual time, as it said itself; 0: it did not say.
-func (p *Pool) Paced(name string, figure float64, seen time.Duration) {
+// Paced records a replica's own report of how long work takes there at the moment, as a multiple of the usual time.
+// seen is when the report arrived. A slowdown of 0 or less means that the replica reported none and is ignored.
+func (p *Pool) Paced(name string, slowdown float64, seen time.Duration) {
 	i := p.Index(name)
-	if i < 0 || figure <= 0 {
+	if i < 0 || slowdown <= 0 {
 		return
 	}
-	p.replicas[i].said.Note(figure, seen, &p.rest)
+	p.replicas[i].reportedPace.Note(slowdown, seen, &p.slowdownDuration)
 }
 
-// slowness is how much longer a request that is sent now is expected to take than usual. Replicas that say nothing count as usual.
-// A request is over within a fraction of a second, so that what passes counts as much as what lasts, unless it was said long ago.
-func (p *Pool) slowness(r *replica, now time.Duration) float64 {
-	said := r.said.Pace()
-	if said.Passing == 0 {
+// expectedSlowdown returns the expected duration of a request that is sent now, as a multiple of the usual duration.
+// Replicas that report no pace count as 1. A request ends within a fraction of a second, so a passing slowdown counts
+// as much as a lasting one, unless its report is old.
+func (p *Pool) expectedSlowdown(r *replica, now time.Duration) float64 {
+	reportedPace := r.reportedPace.Pace()
+	if reportedPace.Passing == 0 {
 		return 1
 	}
-	return said.Expected(now, p.rest.Expected())
+	return reportedPace.Expected(now, p.slowdownDuration.Expected())
 }
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -8,46 +8,48 @@
 // Random is a source of uniform bits, such as *rand.PCG.
 type Random interface{ Uint64() uint64 }
 
-// Request is what a decision needs to know about a request.
+// Request describes a request to a Policy.
 type Request struct {
 	Work     float64  // expected tokens
-	Urgent   bool     // not rollout work
+	Urgent   bool     // live traffic, as opposed to rollout work
 	Blocks   []uint64 // chained hashes of the prompt's blocks, shortest prefix first
-	Excluded []int    // replicas that were tried
+	Excluded []int    // positions of replicas that were tried already
 }
 
-// None is the answer when no replica may take a request.
+// None is the result of Policy.Choose when no replica can take a request.
 const None = -1
 
-// Policy chooses a replica. Choose returns None when no replica may take the request.
+// Policy chooses a replica for a request. Choose returns the position of the replica, or None when no replica can
+// take the request.
 type Policy interface {
 	Choose(pool *Pool, request *Request, now time.Duration, random Random) int
 }
 
-// usable tells whether a replica of the subset may get the request.
-func (p *Pool) usable(i int, request *Request, now time.Duration) bool {
-	return !p.replicas[i].config.Reserve && p.open(i, request) && !p.replicas[i].avoided(now)
+// isUsable reports whether a replica of the subset can take the request now and is healthy.
+func (p *Pool) isUsable(i int, request *Request, now time.Duration) bool {
+	return !p.replicas[i].config.Reserve && p.canAccept(i, request) && !p.replicas[i].isAvoided(now)
 }
 
-// Usable tells whether a replica of the subset may get the request: one that a caller has reasons of its own to prefer
-// is taken past the policy.
+// Usable reports whether a replica of the subset can take the request now and is healthy. It serves callers that
+// prefer certain replicas for reasons of their own and bypass the policy.
 func (p *Pool) Usable(i int, request *Request, now time.Duration) bool {
-	return p.usable(i, request, now)
+	return p.isUsable(i, request, now)
 }
 
-// takesWork tells whether a replica takes requests at all, be it now or when others have ended.
-func (r *replica) takesWork() bool { return r.leaving == 0 && r.config.Weight > 0 }
+// canTakeWork reports whether a replica takes requests at all, now or after others have ended.
+func (r *replica) canTakeWork() bool { return r.leavingSources == 0 && r.config.Weight > 0 }
 
-// open is usable but for quarantine, silence and subset.
-func (p *Pool) open(i int, request *Request) bool {
+// canAccept reports whether a replica can take the request now. Unlike isUsable it ignores quarantine, missed load
+// reports and the subset.
+func (p *Pool) canAccept(i int, request *Request) bool {
 	r := &p.replicas[i]
-	if !r.takesWork() {
+	if !r.canTakeWork() {
 		return false
 	}
 	if r.config.MaxInFlight > 0 && r.inFlight >= r.config.MaxInFlight {
 		return false
 	}
-	if !request.Urgent && r.fullOfBackground() {
+	if !request.Urgent && r.isBackgroundFull() {
 		return false
 	}
 	for _, excluded := range request.Excluded {
@@ -58,75 +60,77 @@
 	return true
 }
 
-// fullOfBackground tells whether the replica may get no more rollout work.
-func (r *replica) fullOfBackground() bool {
-	return r.config.MaxBackground != 0 && r.background >= r.config.MaxBackground
+// isBackgroundFull reports whether the replica has reached its limit of rollout work.
+func (r *replica) isBackgroundFull() bool {
+	return r.config.MaxBackground != 0 && r.backgroundInFlight >= r.config.MaxBackground
 }
 
-// uniform maps random bits to [0, 1).
-func uniform(random Random) float64 { return float64(random.Uint64()>>11) / (1 << 53) }
+// uniformFloat maps random bits to [0, 1).
+func uniformFloat(random Random) float64 { return float64(random.Uint64()>>11) / (1 << 53) }
 
-// below maps random bits to [0, n).
-func below(random Random, n int) int { return int(uniform(random) * float64(n)) }
+// uniformInt maps random bits to [0, n).
+func uniformInt(random Random, n int) int { return int(uniformFloat(random) * float64(n)) }
 
-// firstOpen is the last resort when draws found nothing: the first usable replica from a random start, else
-// one that was not asked for its load yet, else one that is not of the subset if nobody of the subset is
-// alive, else the first that is only quarantined or silent, so that a pool in which every replica failed is
-// still tried.
-func (p *Pool) firstOpen(request *Request, now time.Duration, random Random) int {
+// chooseFallback scans all replicas from a random start when the draws of a policy found none. It prefers, in this
+// order: a usable replica; one that was not polled for its load yet; one of the reserve, if no replica of the subset
+// is alive; one that is only quarantined or silent, so that a pool in which every replica failed is still tried.
+func (p *Pool) chooseFallback(request *Request, now time.Duration, random Random) int {
 	n := len(p.replicas)
 	if n == 0 {
 		return None
 	}
-	start, unasked, reserve, avoided, busy := below(random, n), None, None, None, false
+	start, neverPolled, reserve, unhealthy, busy := uniformInt(random, n), None, None, None, false
 	for step := range n {
 		i := start + step
 		if i >= n {
 			i -= n
 		}
-		if !p.open(i, request) {
-			busy = busy || p.full(i, request, now)
+		if !p.canAccept(i, request) {
+			busy = busy || p.isBusy(i, request, now)
 			continue
 		}
 		switch r := &p.replicas[i]; {
-		case !r.config.Reserve && !r.avoided(now):
+		case !r.config.Reserve && !r.isAvoided(now):
 			return i
-		case r.unasked() && !r.troubled(now):
-			unasked = keepFirst(unasked, i)
-		case r.config.Reserve && !r.avoided(now):
-			reserve = keepFirst(reserve, i)
+		case r.awaitsFirstPoll() && !r.isUnhealthy(now):
+			neverPolled = firstFound(neverPolled, i)
+		case r.config.Reserve && !r.isAvoided(now):
+			reserve = firstFound(reserve, i)
 		default:
-			avoided = keepFirst(avoided, i)
+			unhealthy = firstFound(unhealthy, i)
 		}
 	}
-	if unasked != None {
-		return unasked
+	if neverPolled != None {
+		return neverPolled
 	}
 	if reserve != None && !busy {
 		return reserve
 	}
-	return avoided
+	return unhealthy
 }
 
-// full tells whether a replica of the subset is alive and not open only for the work that it has.
-func (p *Pool) full(i int, request *Request, now time.Duration) bool {
+// isBusy reports whether a replica of the subset is alive and rejects the request only because of the work that it
+// has.
+func (p *Pool) isBusy(i int, request *Request, now time.Duration) bool {
 	r := &p.replicas[i]
-	return !r.config.Reserve && r.takesWork() && !r.avoided(now) && !slices.Contains(request.Excluded, i)
+	return !r.config.Reserve && r.canTakeWork() && !r.isAvoided(now) && !slices.Contains(request.Excluded, i)
 }
 
-func keepFirst(kept, next int) int {
-	if kept == None {
-		return next
+// firstFound returns found, or candidate if found is None.
+func firstFound(found, candidate int) int {
+	if found == None {
+		return candidate
 	}
-	return kept
+	return found
 }
 
-// Balanced is the production policy. Rollout work fills few replicas whole, see firstPacked. For all else, and
-// where that is off, a few candidates drawn by weight, one of the own zone and the holders of the
-// prompt's prefix are compared by expected work before the request's answer.
+// Balanced is the production policy. Rollout work fills few replicas completely, see choosePacked. For all other
+// requests, and where packing is disabled, Balanced compares a few candidates by the work expected ahead of the
+// request's answer: some drawn by weight, one of the gateway's own zone, and the holders of the prompt's prefix.
 type Balanced struct{}
 
-// Draws of Balanced.
+// weightedCandidates is the number of candidates that Balanced draws by weight, and drawsPerCandidate the number of
+// draws to find a usable one.
 const (
 	weightedCandidates = 2
 	drawsPerCandidate  = 4
@@ -135,14 +139,14 @@
 // Choose implements Policy.
 func (Balanced) Choose(p *Pool, request *Request, now time.Duration, random Random) int {
 	if !request.Urgent && !p.settings.SpreadBackground {
-		if i := p.firstPacked(request, now, random); i != None {
+		if i := p.choosePacked(request, now, random); i != None {
 			return i
 		}
 	}
 	depth, entry := p.prefixes.find(request.Blocks, now, p.settings.PrefixLife)
 	best, bestScore := None, 0.0
 	consider := func(i int) {
-		if i < 0 || i == best || !p.usable(i, request, now) {
+		if i < 0 || i == best || !p.isUsable(i, request, now) {
 			return
 		}
 		if score := p.score(i, request, depth, entry, now); best == None || score < bestScore {
@@ -152,8 +156,8 @@
 	for range weightedCandidates {
 		consider(p.drawUsable(request, now, random))
 	}
-	if len(p.local) > 0 {
-		consider(p.local[below(random, len(p.local))])
+	if len(p.sameZone) > 0 {
+		consider(p.sameZone[uniformInt(random, len(p.sameZone))])
 	}
 	if entry != nil {
 		for _, holder := range entry.holders {
@@ -161,23 +165,23 @@
 		}
 	}
 	if best == None {
-		return p.firstOpen(request, now, random)
+		return p.chooseFallback(request, now, random)
 	}
 	return best
 }
 
-// firstPacked returns the first replica, in an order that all gateways share, that has room for rollout
-// work. So rollouts fill few replicas whole and leave the others to urgent requests, whose steps then are
-// short. Replicas without a limit on rollout work are left out: one of them would be filled without end.
-func (p *Pool) firstPacked(request *Request, now time.Duration, random Random) int {
-	for p.packedTo < len(p.packing) && p.replicas[p.packing[p.packedTo]].fullOfBackground() {
-		p.packedTo++
+// choosePacked returns the first replica, in an order shared by all gateways, that has capacity for rollout work.
+// Rollouts thus fill few replicas completely and leave the others to urgent requests, whose engine steps are then
+// short. Replicas without a limit on rollout work are skipped, because one of them would be filled without bound.
+func (p *Pool) choosePacked(request *Request, now time.Duration, random Random) int {
+	for p.packStart < len(p.packOrder) && p.replicas[p.packOrder[p.packStart]].isBackgroundFull() {
+		p.packStart++
 	}
-	for _, i := range p.packing[p.packedTo:] {
-		if p.replicas[i].config.MaxBackground <= 0 || !p.usable(i, request, now) {
+	for _, i := range p.packOrder[p.packStart:] {
+		if p.replicas[i].config.MaxBackground <= 0 || !p.isUsable(i, request, now) {
 			continue
 		}
-		if share := p.share(&p.replicas[i], now); share < 1 && uniform(random) >= share {
+		if share := p.rampShare(&p.replicas[i], now); share < 1 && uniformFloat(random) >= share {
 			continue
 		}
 		return i
@@ -185,17 +189,18 @@
 	return None
 }
 
-// drawUsable draws a replica by weight; one that comes back from quarantine is accepted by its share.
+// drawUsable draws a usable replica by weight. One that ramps up after a quarantine is accepted with the probability
+// of its ramp share.
 func (p *Pool) drawUsable(request *Request, now time.Duration, random Random) int {
 	for range drawsPerCandidate {
-		i := p.draw(uniform(random))
+		i := p.drawByWeight(uniformFloat(random))
 		if i < 0 {
 			return None
 		}
-		if !p.usable(i, request, now) {
+		if !p.isUsable(i, request, now) {
 			continue
 		}
-		if share := p.share(&p.replicas[i], now); share < 1 && uniform(random) >= share {
+		if share := p.rampShare(&p.replicas[i], now); share < 1 && uniformFloat(random) >= share {
 			continue
 		}
 		return i
@@ -203,15 +208,16 @@
 	return None
 }
 
-// meanWeight is the weight at which work counts as it is.
-const meanWeight = 100
+// referenceWeight is the default weight of a replica, at which the score of work equals its tokens.
+const referenceWeight = 100
 
-// score estimates the work, in tokens of a replica of default weight, that lies before the request's end.
+// score estimates the work that has to be done before the request's answer is complete, in tokens of a replica of
+// default weight.
 func (p *Pool) score(i int, request *Request, depth int, entry *prefixEntry, now time.Duration) float64 {
 	r := &p.replicas[i]
-	ahead := p.foreign(r, now)
+	ahead := p.estimateForeignWork(r, now)
 	if request.Urgent {
-		ahead = ahead/p.meanWork*p.meanUrgent + r.urgent + float64(r.background)*p.settings.BackgroundShare*p.meanUrgent
+		ahead = ahead/p.meanWork*p.meanUrgent + r.urgentWork + float64(r.backgroundInFlight)*p.settings.BackgroundShare*p.meanUrgent
 	} else {
 		ahead += r.work
 	}
@@ -220,6 +226,6 @@
 		uncached -= depth
 	}
 	work := ahead + request.Work + float64(uncached)*p.settings.BlockWork
-	work *= p.slowness(r, now) * meanWeight / (r.config.Weight * p.share(r, now))
+	work *= p.expectedSlowdown(r, now) * referenceWeight / (r.config.Weight * p.rampShare(r, now))
 	return work + p.settings.DistanceCost[r.config.Distance]
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -1,10 +1,10 @@
-// Package routing chooses the back end of a pool that gets a request. It has no clock, goroutine or I/O:
-// time and randomness are arguments, so the gateway and the simulator run the same code. A decision
-// allocates nothing. A Pool is not safe for concurrent use.
+// Package routing chooses the back end of a pool that gets a request. It has no clock, goroutine or I/O: time and
+// randomness are arguments, so the gateway and the simulator run the same code. A decision allocates nothing. A Pool
+// is not safe for concurrent use.
 //
-// What is known about a replica is never exact: the own count of work in flight is right but covers one
-// gateway only; load reports cover all gateways but lag, may stop and may be wrong. Estimates are
-// therefore bounded, and a decision is never better than its worst input allows it to do harm.
+// What is known about a replica is never exact. The gateway's own count of work in flight is correct but covers one
+// gateway only. Load reports cover all gateways, but they lag, may stop and may be wrong. Estimates are therefore
+// bounded, which limits the harm that one wrong input can do to a decision.
 package routing
 
 import (
@@ -18,45 +18,45 @@
 	"github.com/tamarindring/tamarindring/internal/pace"
 )
 
-// replica is the state of one back end.
+// replica is the state of one back end. Times are those passed to the Pool's methods.
 type replica struct {
-	config     ReplicaConfig
-	inFlight   int
-	background int     // of inFlight, rollout work
-	work       float64 // own tokens in flight
-	urgent     float64 // part of work that is not rollout work
-	smoothed   float64 // inFlight as it was about one report lag ago
-	changed    time.Duration
-
-	others     float64 // requests of other gateways, from the last report
-	reportedAt time.Duration
-	reported   bool
-
-	said pace.Said // of how long work takes there
-
-	leaving      Source
-	asked        bool // for its load, since it is polled
-	unanswered   int  // load reports missing in a row
-	refusedUntil time.Duration
-	health       health
+	config             ReplicaConfig
+	inFlight           int
+	backgroundInFlight int     // the part of inFlight that is rollout work
+	work               float64 // tokens of this gateway in flight
+	urgentWork         float64 // the part of work that is not rollout work
+	smoothed           float64 // inFlight about one ReportLag ago, when the replica made the reports that arrive now
+	smoothedAt         time.Duration
+
+	foreignRequests float64 // requests of other gateways, from the last report
+	reportedAt      time.Duration
+	hasReport       bool
+
+	reportedPace pace.Said // how long work takes, from the replica's own reports
+
+	leavingSources   Source
+	wasPolled        bool // asked for its load at least once since polling began
+	missedReports    int  // consecutive polls without an answer
+	refusalExpiresAt time.Duration
+	health           health
 }
 
-// Pool is the set of replicas that one request may go to.
+// Pool is the set of replicas that can serve one request, with the load and health of each.
 type Pool struct {
-	settings   Settings
-	replicas   []replica
-	index      map[string]int
-	cumulative []float64 // weights summed up, for weighted draws
-	local      []int     // replicas of this zone
-	packing    []int     // replicas in the order in which rollout work fills them, the same at all gateways
-	packRank   []int     // position in packing, by replica
-	packedTo   int       // all replicas before this position in packing are full of rollout work
-	othersSum  float64   // over the replicas that reported
-	reporters  int
-	meanWork   float64 // tokens per request, smoothed
-	meanUrgent float64 // the same over urgent requests
-	prefixes   prefixTable
-	rest       pace.Rest // of a passing slowness, over all replicas
+	settings          Settings
+	replicas          []replica
+	index             map[string]int
+	cumulativeWeights []float64 // cumulative sums of the weights, for weighted draws
+	sameZone          []int     // replicas in the gateway's zone, without the reserve
+	packOrder         []int     // replicas in the order in which rollout work fills them, the same at all gateways
+	packPosition      []int     // position in packOrder, by replica
+	packStart         int       // all replicas before this position in packOrder are full of rollout work
+	foreignSum        float64   // sum of foreignRequests over the replicas that reported
+	reporterCount     int
+	meanWork          float64 // tokens per request, smoothed
+	meanUrgent        float64 // tokens per urgent request, smoothed
+	prefixes          prefixTable
+	slowdownDuration  pace.Rest // how long a passing slowdown lasts, learned from all replicas
 }
 
 // NewPool returns an empty pool.
@@ -64,30 +64,30 @@
 	return &Pool{settings: settings.WithDefaults(), index: map[string]int{}, prefixes: newPrefixTable()}
 }
 
-// SetReplicas takes over the table's rows. What is known about replicas that stay is kept.
+// SetReplicas replaces the replicas by the rows of the table. Replicas that stay keep their state.
 func (p *Pool) SetReplicas(configs []ReplicaConfig) {
 	replicas := make([]replica, len(configs))
 	index := make(map[string]int, len(configs))
-	moved := make(map[int]int, len(configs))
+	newPositions := make(map[int]int, len(configs))
 	for i, config := range configs {
 		if old, known := p.index[config.Name]; known {
 			replicas[i] = p.replicas[old]
-			replicas[i].asked = replicas[i].asked && replicas[i].config.Polled && config.Polled
-			moved[old] = i
+			replicas[i].wasPolled = replicas[i].wasPolled && replicas[i].config.Polled && config.Polled
+			newPositions[old] = i
 		}
 		replicas[i].config = config
 		replicas[i].setLeaving(SourceTable, config.Draining)
 		index[config.Name] = i
 	}
-	p.prefixes.renumber(moved)
+	p.prefixes.renumber(newPositions)
 	p.replicas, p.index = replicas, index
-	p.recount()
+	p.rebuildDerived()
 }
 
-// recount rebuilds what is derived from the replicas.
-func (p *Pool) recount() {
-	p.cumulative, p.local = p.cumulative[:0], p.local[:0]
-	p.othersSum, p.reporters = 0, 0
+// rebuildDerived recomputes the fields that are derived from the replicas.
+func (p *Pool) rebuildDerived() {
+	p.cumulativeWeights, p.sameZone = p.cumulativeWeights[:0], p.sameZone[:0]
+	p.foreignSum, p.reporterCount = 0, 0
 	p.orderPacking()
 	total := 0.0
 	for i := range p.replicas {
@@ -95,30 +95,30 @@
 		if !r.config.Reserve {
 			total += max(r.config.Weight, 0)
 		}
-		p.cumulative = append(p.cumulative, total)
+		p.cumulativeWeights = append(p.cumulativeWeights, total)
 		if r.config.Distance == SameZone && !r.config.Reserve {
-			p.local = append(p.local, i)
+			p.sameZone = append(p.sameZone, i)
 		}
-		if r.reported {
-			p.othersSum += r.others
-			p.reporters++
+		if r.hasReport {
+			p.foreignSum += r.foreignRequests
+			p.reporterCount++
 		}
 	}
 }
 
-// orderPacking sorts the replicas by a hash of their names: neighbours in the table, such as those of one
-// zone, are not filled together.
+// orderPacking sorts the replicas by a hash of their names, so that rollout work does not fill neighbours in the
+// table, such as those of one zone, together.
 func (p *Pool) orderPacking() {
-	p.packing, p.packedTo = p.packing[:0], 0
-	p.packRank = make([]int, len(p.replicas))
+	p.packOrder, p.packStart = p.packOrder[:0], 0
+	p.packPosition = make([]int, len(p.replicas))
 	for i := range p.replicas {
-		p.packing = append(p.packing, i)
+		p.packOrder = append(p.packOrder, i)
 	}
-	slices.SortFunc(p.packing, func(first, second int) int {
+	slices.SortFunc(p.packOrder, func(first, second int) int {
 		return cmp.Compare(xxhash.Sum64String(p.replicas[first].config.Name), xxhash.Sum64String(p.replicas[second].config.Name))
 	})
-	for position, i := range p.packing {
-		p.packRank[i] = position
+	for position, i := range p.packOrder {
+		p.packPosition[i] = position
 	}
 }
 
@@ -128,7 +128,7 @@
 // Name returns the row name of a replica.
 func (p *Pool) Name(i int) string { return p.replicas[i].config.Name }
 
-// Index returns a replica's position, or -1.
+// Index returns a replica's position, or -1 if it is not in the pool. Positions change with SetReplicas.
 func (p *Pool) Index(name string) int {
 	if i, known := p.index[name]; known {
 		return i
@@ -136,7 +136,7 @@
 	return -1
 }
 
-// Reserve tells whether a replica is not of this gateway's subset.
+// Reserve reports whether a replica is outside this gateway's subset.
 func (p *Pool) Reserve(i int) bool { return p.replicas[i].config.Reserve }
 
 // InFlight returns the number of this gateway's requests at a replica.
@@ -145,40 +145,41 @@
 // Work returns this gateway's tokens in flight at a replica.
 func (p *Pool) Work(i int) float64 { return p.replicas[i].work }
 
-// Leaving tells whether some source says that a replica is leaving.
-func (p *Pool) Leaving(i int) bool { return p.replicas[i].leaving != 0 }
+// Leaving reports whether any source says that a replica is leaving.
+func (p *Pool) Leaving(i int) bool { return p.replicas[i].leavingSources != 0 }
 
-// SetLeaving notes what one source says about a replica.
+// SetLeaving records whether one source says that a replica is leaving.
 func (p *Pool) SetLeaving(name string, source Source, leaving bool) {
 	if i := p.Index(name); i >= 0 {
 		p.replicas[i].setLeaving(source, leaving)
 	}
 }
 
-// RefusedLeaving notes that a replica refused work because it leaves.
+// RefusedLeaving records that a replica refused work because it is leaving.
 func (p *Pool) RefusedLeaving(name string, now time.Duration) {
 	if i := p.Index(name); i >= 0 {
 		p.replicas[i].setLeaving(SourceRefusal, true)
-		p.replicas[i].refusedUntil = now + p.settings.RefusalLife
+		p.replicas[i].refusalExpiresAt = now + p.settings.RefusalLife
 	}
 }
 
 func (r *replica) setLeaving(source Source, leaving bool) {
 	if leaving {
-		r.leaving |= source
+		r.leavingSources |= source
 		return
 	}
-	r.leaving &^= source
+	r.leavingSources &^= source
 }
 
-// draw returns a replica with probability by weight; u is uniform in [0, 1).
-func (p *Pool) draw(u float64) int {
-	if len(p.cumulative) == 0 {
+// drawByWeight maps u, which is uniform in [0, 1), to a replica with a probability proportional to its weight. It
+// returns -1 if no replica has a weight.
+func (p *Pool) drawByWeight(u float64) int {
+	if len(p.cumulativeWeights) == 0 {
 		return -1
 	}
-	total := p.cumulative[len(p.cumulative)-1]
+	total := p.cumulativeWeights[len(p.cumulativeWeights)-1]
 	if total <= 0 {
 		return -1
 	}
-	return min(sort.SearchFloat64s(p.cumulative, u*total), len(p.cumulative)-1)
+	return min(sort.SearchFloat64s(p.cumulativeWeights, u*total), len(p.cumulativeWeights)-1)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -25,7 +25,8 @@
 		"least requests": LeastRequests{}}
 }
 
-// TestNoPolicyChoosesAnUnusableReplica throws arbitrary states and reports at every policy.
+// TestNoPolicyChoosesAnUnusableReplica checks every policy against random pool states, reports and limits: a policy
+// must choose a replica that can accept the request, whenever there is one.
 func TestNoPolicyChoosesAnUnusableReplica(t *testing.T) {
 	examined := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,21 +58,21 @@
 			for policyName, policy := range policies() {
 				anyOpen := false
 				for i := range pool.Len() {
-					anyOpen = anyOpen || pool.open(i, request)
+					anyOpen = anyOpen || pool.canAccept(i, request)
 				}
 				chosen := policy.Choose(pool, request, now, random)
 				if chosen == None {
 					if anyOpen {
-						t.Fatalf("%s chose none of an open pool", policyName)
+						t.Fatalf("%s chose no replica although one can accept the request", policyName)
 					}
 					continue
 				}
 				examined++
-				if !pool.open(chosen, request) {
-					t.Fatalf("%s chose %d, which is not open", policyName, chosen)
+				if !pool.canAccept(chosen, request) {
+					t.Fatalf("%s chose replica %d, which cannot accept the request", policyName, chosen)
 				}
-				if limit := configs[chosen].MaxBackground; !request.Urgent && (limit < 0 || limit > 0 && pool.replicas[chosen].background >= limit) {
-					t.Fatalf("%s put rollout work on %d beyond its limit %d", policyName, chosen, limit)
+				if limit := configs[chosen].MaxBackground; !request.Urgent && (limit < 0 || limit > 0 && pool.replicas[chosen].backgroundInFlight >= limit) {
+					t.Fatalf("%s put rollout work on replica %d beyond its limit %d", policyName, chosen, limit)
 				}
 				pool.Sent(chosen, request, now)
 			}
@@ -82,7 +83,7 @@
 	}
 }
 
-// spread sends n requests that never end and returns the number per replica.
+// spread chooses replicas for n requests that never end and returns the number of requests per replica.
 func spread(pool *Pool, n int, request *Request, now time.Duration) []int {
 	random := rand.NewPCG(1, 2)
 	counts := make([]int, pool.Len())
@@ -99,42 +100,46 @@
 	pool.SetReplicas([]ReplicaConfig{{Name: "a", Weight: 100}, {Name: "b", Weight: 300}})
 	counts := spread(pool, 4000, &Request{Work: 100}, 0)
 	if ratio := float64(counts[1]) / float64(counts[0]); ratio < 2.7 || ratio > 3.3 {
-		t.Fatalf("weights 1:3 gave %v", counts)
+		t.Fatalf("weights 1:3 gave requests %v, want a ratio of 2.7 to 3.3", counts)
 	}
 }
 
-func TestLyingReportNeitherAttractsNorStarves(t *testing.T) {
+// TestImplausibleLoadReportIsBounded guards against a wrong load report that attracts most requests to a replica or
+// keeps all away from it.
+func TestImplausibleLoadReportIsBounded(t *testing.T) {
 	pool := uniformPool(10)
 	for i := range 10 {
 		pool.Report(pool.Name(i), LoadReport{Requests: 10}, time.Second)
 	}
-	pool.Report("r0", LoadReport{Requests: 0}, time.Second)    // looks idle
-	pool.Report("r1", LoadReport{Requests: 1e12}, time.Second) // looks buried
+	pool.Report("r0", LoadReport{Requests: 0}, time.Second)    // reports no load
+	pool.Report("r1", LoadReport{Requests: 1e12}, time.Second) // reports an impossibly high load
 	counts := spread(pool, 2000, &Request{Work: 100}, time.Second)
 	if counts[0] > 600 {
-		t.Fatalf("a replica that looks idle took %v", counts)
+		t.Fatalf("r0 reports no load and took more than 600 requests: requests by replica %v", counts)
 	}
 	if counts[1] == 0 {
-		t.Fatalf("a replica that looks buried got nothing: %v", counts)
+		t.Fatalf("r1 reports an impossibly high load and got nothing: requests by replica %v", counts)
 	}
 }
 
-func TestReplicaComesBackSlowly(t *testing.T) {
+// TestQuarantinedReplicaReturnsGradually checks that a replica gets nothing in quarantine and little right after it,
+// and that one failure during the ramp starts a longer quarantine.
+func TestQuarantinedReplicaReturnsGradually(t *testing.T) {
 	pool := uniformPool(10)
 	for range 3 {
 		pool.Failed("r0", 0)
 	}
 	request := &Request{Work: 100}
 	if got := spread(pool, 500, request, 500*time.Millisecond)[0]; got != 0 {
-		t.Fatalf("a quarantined replica got %d", got)
+		t.Fatalf("a quarantined replica got %d requests, want 0", got)
 	}
 	back := spread(pool, 500, request, 1100*time.Millisecond)[0]
 	if back == 0 || back > 50 {
-		t.Fatalf("a replica just back got %d of 500 while its fair share is 50", back)
+		t.Fatalf("a replica just back from quarantine got %d of 500 requests, want 1 to 50 (50 is its full share)", back)
 	}
 	pool.Failed("r0", 1200*time.Millisecond)
 	if !pool.Quarantined(0, 3*time.Second) {
-		t.Fatal("one failure in the slow return must quarantine again, for longer")
+		t.Fatal("the replica is not quarantined 1.8 s after a failure during its ramp; want one failure to quarantine it again, for longer")
 	}
 }
 
@@ -147,30 +152,32 @@
 		same = same || count == 2
 	}
 	if !same {
-		t.Fatalf("the second of a group did not follow the prefix: %v", counts)
+		t.Fatalf("two requests with the same prefix went to different replicas: requests by replica %v", counts)
 	}
 	more := spread(pool, 40, request, time.Second)
 	for i, count := range more {
 		if count > 20 {
-			t.Fatalf("replica %d took %d of 40 for the prefix's sake", i, count)
+			t.Fatalf("replica %d took %d of 40 requests because of the prefix, want at most 20", i, count)
 		}
 	}
 }
 
-func TestStoppedReportsMoveToTheMean(t *testing.T) {
+// TestStaleReportDecaysToPoolMean guards against a replica that stops reporting and looks idle for good by its last
+// report.
+func TestStaleReportDecaysToPoolMean(t *testing.T) {
 	pool := uniformPool(4)
 	for i := range 4 {
 		pool.Report(pool.Name(i), LoadReport{Requests: 10}, time.Second)
 	}
 	pool.Report("r0", LoadReport{Requests: 0}, time.Second)
-	pool.learnWork(&Request{Work: 100})
-	fresh, stale := pool.foreign(&pool.replicas[0], time.Second), pool.foreign(&pool.replicas[0], 20*time.Second)
+	pool.updateMeanWork(&Request{Work: 100})
+	fresh, stale := pool.estimateForeignWork(&pool.replicas[0], time.Second), pool.estimateForeignWork(&pool.replicas[0], 20*time.Second)
 	if fresh >= stale || stale != 750 {
-		t.Fatalf("fresh %v, stale %v; want the pool's mean 750 when stale", fresh, stale)
+		t.Fatalf("foreign work by a fresh report %v, by a stale one %v; want the pool's mean 750 when stale, and less when fresh", fresh, stale)
 	}
 }
 
-// limitedPool has replicas that take limit rollouts each.
+// limitedPool returns a pool of n replicas that take up to limit rollout requests each.
 func limitedPool(n, limit int) *Pool {
 	configs := make([]ReplicaConfig, n)
 	for i := range configs {
@@ -181,7 +188,9 @@
 	return pool
 }
 
-func TestRolloutsFillFewReplicasAndLiveTrafficAvoidsThem(t *testing.T) {
+// TestRolloutsArePackedAndUrgentRequestsAvoidFullReplicas checks that rollouts fill as few replicas as possible and
+// that urgent requests go to the other replicas.
+func TestRolloutsArePackedAndUrgentRequestsAvoidFullReplicas(t *testing.T) {
 	pool := limitedPool(10, 20)
 	filled := spread(pool, 50, &Request{Work: 500}, time.Second)
 	used, whole := 0, 0
@@ -194,17 +203,17 @@
 		}
 	}
 	if used != 3 || whole != 2 {
-		t.Fatalf("50 rollouts on replicas that take 20 each: %v", filled)
+		t.Fatalf("50 rollouts on replicas that take 20 each: requests by replica %v, want 20, 20 and 10 on three of them", filled)
 	}
 	live := spread(pool, 14, &Request{Work: 100, Urgent: true}, time.Second)
 	for i, count := range live {
 		if filled[i] == 20 && count > 1 {
-			t.Fatalf("rollouts %v, live traffic %v", filled, live)
+			t.Fatalf("a replica full of rollouts got more than 1 urgent request: rollouts %v, urgent requests %v", filled, live)
 		}
 	}
 }
 
-// BenchmarkChooseRollout chooses for rollout work on pools that are half full of it.
+// BenchmarkChooseRollout measures choices for rollout work on pools that are half full of it.
 func BenchmarkChooseRollout(b *testing.B) {
 	for _, n := range []int{10, 100, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -245,26 +254,29 @@
 	}
 }
 
-// TestAReplicaThatWasNeverAskedGetsWork has one replica that answered its load poll and two that were not
-// asked yet; the last is asked again after it left the subset for a while.
-func TestSlotsOfReplicasThatTakeNoWorkAreAway(t *testing.T) {
+// TestAwayCountsSlotsOfUnavailableReplicas checks the slots that a leaving and a quarantined replica take out of
+// service.
+func TestAwayCountsSlotsOfUnavailableReplicas(t *testing.T) {
 	pool := limitedPool(4, 10)
 	if slots, background := pool.Away(0); slots != 0 || background != 0 {
-		t.Fatalf("%d and %d slots of a sound pool are away", slots, background)
+		t.Fatalf("%d slots and %d for rollouts are away in a healthy pool, want 0 and 0", slots, background)
 	}
 	pool.SetLeaving(pool.Name(0), SourceLoadReport, true)
 	for range 3 {
 		pool.Failed(pool.Name(1), 0)
 	}
 	if slots, background := pool.Away(0); slots != 36 || background != 2*pool.replicas[0].config.MaxBackground {
-		t.Errorf("%d and %d slots of a leaving and a quarantined replica are away", slots, background)
+		t.Errorf("%d slots and %d for rollouts are away with one leaving and one quarantined replica, want 36 and all of both", slots, background)
 	}
 	if slots, _ := pool.Away(time.Minute); slots != 18 {
-		t.Errorf("%d slots are away after the quarantine", slots)
+		t.Errorf("%d slots are away after the quarantine, want 18 of the leaving replica", slots)
 	}
 }
 
-func TestAReplicaThatWasNeverAskedGetsWork(t *testing.T) {
+// TestUnpolledReplicaIsAvoidedUntilPolled guards against requests to a replica that may be leaving because its load
+// is not known yet. One replica has answered its poll. Two await their first poll: one is new, and one has returned
+// to the subset after its polling stopped for a while.
+func TestUnpolledReplicaIsAvoidedUntilPolled(t *testing.T) {
 	configs := []ReplicaConfig{{Name: "known", Weight: 1, Polled: true}, {Name: "new", Weight: 100, Polled: true}, {Name: "back", Weight: 100, Polled: true}}
 	pool := NewPool(Settings{})
 	pool.SetReplicas(configs)
@@ -277,15 +289,15 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
 		if chosen := (Balanced{}).Choose(pool, &Request{Work: 1, Urgent: true}, 0, random); pool.Name(chosen) != "known" {
-			t.Fatalf("chose %s, which may be leaving", pool.Name(chosen))
+			t.Fatalf("chose %s, which was not polled yet and may be leaving; want known", pool.Name(chosen))
 		}
 	}
 	pool.Unanswered("new")
 	pool.Asked("back")
 	if pool.Unasked() {
-		t.Fatal("all were asked")
+		t.Fatal("Unasked is true although all replicas were polled")
 	}
 	if chosen := (Balanced{}).Choose(pool, &Request{Work: 1, Urgent: true}, 0, random); pool.Name(chosen) == "known" {
-		t.Fatal("the replicas that were asked get no work")
+		t.Fatal("chose the replica of weight 1 although those of weight 100 were polled by now")
 	}
 }
--- a/internal/routing/silence.go
+++ b/internal/routing/silence.go
@@ -2,60 +2,62 @@
 
 import "time"
 
-// silenceLimit is the number of load reports in a row that have to be missing before a replica counts as
-// silent. One may be lost, two may meet a pause of the replica.
-const silenceLimit = 3
+// missedReportLimit is the number of consecutive load reports that have to be missing before a replica counts as
+// silent. One may be lost, and two may coincide with a pause of the replica.
+const missedReportLimit = 3
 
-// Unanswered notes that a replica did not answer when it was asked for its load. A silent replica gets
-// nothing while another one can take the request; its next report ends the silence.
+// Unanswered records that a replica did not answer a poll for its load. A silent replica gets requests only when no
+// other replica can take them. Its next load report ends this state.
 func (p *Pool) Unanswered(name string) {
 	if i := p.Index(name); i >= 0 {
-		p.replicas[i].asked = true
-		p.replicas[i].unanswered++
+		p.replicas[i].wasPolled = true
+		p.replicas[i].missedReports++
 	}
 }
 
-// Asked notes that a replica was asked for its load and gave an answer that tells nothing.
+// Asked records that a replica was polled for its load and its answer contained no load report.
 func (p *Pool) Asked(name string) {
 	if i := p.Index(name); i >= 0 {
-		p.replicas[i].asked = true
+		p.replicas[i].wasPolled = true
 	}
 }
 
-// Unasked tells whether some replica is polled and was not asked yet.
+// Unasked reports whether any polled replica still awaits its first poll.
 func (p *Pool) Unasked() bool {
 	for i := range p.replicas {
-		if p.replicas[i].unasked() {
+		if p.replicas[i].awaitsFirstPoll() {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *replica) unasked() bool { return r.config.Polled && !r.asked }
+func (r *replica) awaitsFirstPoll() bool { return r.config.Polled && !r.wasPolled }
 
-// Silent tells whether a replica answers nothing any more.
-func (p *Pool) Silent(i int) bool { return p.replicas[i].silent() }
+// Silent reports whether a replica has missed so many polls in a row that it is assumed not to answer any more.
+func (p *Pool) Silent(i int) bool { return p.replicas[i].isSilent() }
 
-func (r *replica) silent() bool { return r.unanswered >= silenceLimit }
+func (r *replica) isSilent() bool { return r.missedReports >= missedReportLimit }
 
-// avoided tells whether a replica gets nothing while another one can take the request.
-func (r *replica) avoided(now time.Duration) bool {
-	return r.troubled(now) || r.unasked()
+// isAvoided reports whether a replica gets requests only when no other replica can take them.
+func (r *replica) isAvoided(now time.Duration) bool {
+	return r.isUnhealthy(now) || r.awaitsFirstPoll()
 }
 
-// troubled tells whether a replica failed or is silent.
-func (r *replica) troubled(now time.Duration) bool { return r.health.quarantined(now) || r.silent() }
+// isUnhealthy reports whether a replica is quarantined or silent.
+func (r *replica) isUnhealthy(now time.Duration) bool {
+	return r.health.isQuarantined(now) || r.isSilent()
+}
 
-// Away sums the limits of the replicas that the table has in service and that take no work now, all told and for rollout
-// work: the other replicas have no room for what was to run there.
+// Away returns the total slots, and the slots for rollout work, of the replicas that are in service according to the
+// table but take no work now. The other replicas have no free capacity for the requests that would have run there.
 func (p *Pool) Away(now time.Duration) (slots, background int) {
 	for i := range p.replicas {
 		r := &p.replicas[i]
 		if r.config.Reserve || r.config.Draining || r.config.Weight <= 0 {
 			continue
 		}
-		if r.leaving != 0 || r.troubled(now) {
+		if r.leavingSources != 0 || r.isUnhealthy(now) {
 			slots += r.config.MaxInFlight
 			background += max(r.config.MaxBackground, 0)
 		}
@@ -63,15 +65,16 @@
 	return slots, background
 }
 
-// Spare tells whether some replica other than the one named answers and takes work.
+// Spare reports whether any replica other than the named one is healthy, was polled if it has to be, and can take an
+// urgent request.
 func (p *Pool) Spare(name string, now time.Duration) bool {
 	for i := range p.replicas {
-		if r := &p.replicas[i]; r.config.Name != name && p.open(i, &anyRequest) && !r.avoided(now) {
+		if r := &p.replicas[i]; r.config.Name != name && p.canAccept(i, &anyRequest) && !r.isAvoided(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// anyRequest is a request that every open replica takes.
+// anyRequest is a request that every replica takes unless it is leaving, at its limit or of weight 0.
 var anyRequest = Request{Urgent: true}
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -8,26 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place names a gateway or a back end and says where it stands.
+// Place is a gateway or a back end and its location.
 type Place struct {
 	Name string
-	Zone string // empty is unknown: near to everything
+	Zone string // empty: unknown, treated as near to every zone
 }
 
-// DistanceBetween tells how far two zones are from each other. Zones that share the text before their last
-// dash share a region; an empty zone is near to every other.
+// DistanceBetween returns the distance between two zones. Zones whose names share the text before their last dash are
+// in one region. An empty zone counts as the same zone as any other.
 func DistanceBetween(zone, other string) Distance {
 	switch {
 	case zone == other || zone == "" || other == "":
 		return SameZone
-	case region(zone) == region(other):
+	case regionOf(zone) == regionOf(other):
 		return SameRegion
 	}
 	return OtherRegion
 }
 
-// region is the text of a zone's name before its last dash; empty without one.
-func region(zone string) string {
+// regionOf returns the part of a zone's name before its last dash, or "" if it contains no dash.
+func regionOf(zone string) string {
 	for at := len(zone) - 1; at >= 0; at-- {
 		if zone[at] == '-' {
 			return zone[:at]
@@ -36,17 +36,17 @@
 	return ""
 }
 
-// SubsetSettings say how many back ends of a pool a gateway uses.
+// SubsetSettings set how many back ends of a pool each gateway uses.
 type SubsetSettings struct {
-	// Size is the number of back ends that a gateway uses, about. A pool of no more is used whole by every
-	// gateway. Default 24.
+	// Size is the approximate number of back ends that a gateway uses. Every gateway uses all back ends of a pool
+	// that has no more than Size. Default 24.
 	Size int
-	// MinimumUsers is the least number of gateways that use each back end, as far as there are as many:
-	// where gateways are few they use more back ends than Size. Default 8.
+	// MinimumUsers is the least number of gateways that use each back end, or all gateways if there are fewer. With
+	// few gateways, each therefore uses more than Size back ends. Default 8.
 	MinimumUsers int
 }
 
-// WithDefaults fills unset fields.
+// WithDefaults returns the settings with the defaults in place of fields that are 0 or less.
 func (s SubsetSettings) WithDefaults() SubsetSettings {
 	if s.Size <= 0 {
 		s.Size = 24
@@ -57,52 +57,54 @@
 	return s
 }
 
-// Parts of a subset: of eight back ends that a gateway uses about four are in its zone and three elsewhere
-// in its region, so that one is left when the region is lost.
+// Composition of a subset, in eighths: of eight back ends that a gateway uses, about four are in its zone and three
+// elsewhere in its region, so that one is left when the region is lost.
 const (
-	zoneParts   = 4
-	regionParts = 3
-	wholeParts  = 8
-	// slackParts bounds how many more back ends than the mean one gateway uses, in eighths of the mean.
-	slackParts = 2
+	sameZoneParts   = 4
+	sameRegionParts = 3
+	totalParts      = 8
+	// overloadParts bounds how many more back ends than the mean one gateway uses, in eighths of the mean.
+	overloadParts = 2
 )
 
-// Subsets is which gateways use which back ends of one pool. It is a function of the two lists alone, so
-// that gateways that know the same lists agree on it without a word between them.
+// Subsets is the assignment of the back ends of one pool to gateways. It depends only on the two lists, so that
+// gateways that know the same lists compute the same assignment without communication.
 type Subsets struct {
-	users [][]int // by back end: the gateways that use it, rising; nil when all gateways use all back ends
-	count int     // of gateways
+	users [][]int // gateways that use each back end, ascending; nil when all gateways use all back ends
+	count int     // number of gateways
 }
 
-// Share is one gateway's place among the users of a back end.
+// Share describes a gateway's part in the use of a back end.
 type Share struct {
-	Users int // gateways that use the back end
-	Rank  int // of this one among them, from 0; -1 when it does not use it
+	Users int // number of gateways that use the back end
+	Rank  int // position of this gateway among them, from 0; -1 if it does not use the back end
 }
 
-// NewSubsets assigns the back ends of a pool to the gateways. Both lists must be free of doubles and have
-// the same order at every caller; at most 65,536 gateways. Each back end chooses its users by rendezvous hashing: most of them in
-// its zone, some in its region, some anywhere; a gateway that has enough is passed over while others have
-// less. A gateway or a back end that comes or goes therefore moves little else.
+// NewSubsets assigns the back ends of a pool to the gateways. Both lists must be free of duplicates and in the same
+// order at every caller, with at most 65,536 gateways.
+//
+// Each back end selects its users by rendezvous hashing: most of them in its zone, some in its region, some anywhere.
+// A gateway that has enough back ends is skipped while others have fewer. Adding or removing a gateway or a back end
+// therefore changes few other assignments.
 func NewSubsets(gateways, backends []Place, settings SubsetSettings) *Subsets {
 	settings = settings.WithDefaults()
 	s := &Subsets{count: len(gateways)}
-	users := max(ceilDivide(settings.Size*len(gateways), max(len(backends), 1)), settings.MinimumUsers)
-	if len(backends) <= settings.Size || users >= len(gateways) {
+	usersPerBackend := max(ceilDivide(settings.Size*len(gateways), max(len(backends), 1)), settings.MinimumUsers)
+	if len(backends) <= settings.Size || usersPerBackend >= len(gateways) {
 		return s
 	}
 	s.users = make([][]int, len(backends))
-	a := newAssigner(gateways, backends, settings.Size, users)
-	for _, backend := range a.order {
-		s.users[backend] = a.choose(backend)
+	a := newAssigner(gateways, backends, settings.Size, usersPerBackend)
+	for _, backend := range a.backendOrder {
+		s.users[backend] = a.chooseUsers(backend)
 	}
-	a.topUp(s.users)
+	a.fillToMinimum(s.users)
 	return s
 }
 
 func ceilDivide(value, by int) int { return (value + by - 1) / by }
 
-// Share returns a gateway's place among the users of a back end, both by their position in the lists.
+// Share returns a gateway's part in the use of a back end. Both are given by their positions in the lists.
 func (s *Subsets) Share(gateway, backend int) Share {
 	if s.users == nil {
 		return Share{Users: s.count, Rank: gateway}
@@ -114,43 +116,43 @@
 	return Share{Users: len(s.users[backend]), Rank: rank}
 }
 
-// assigner is one assignment under way.
+// assigner is the state of one run of NewSubsets.
 type assigner struct {
 	gateways, backends       []Place
 	gatewayHash, backendHash []uint64
 	gatewayZone, backendZone []int // positions in zones
-	zones                    []zone
-	distance                 [][]Distance // by two positions in zones
-	order                    []int        // back ends by hash: the order of their choice
-	size, perBackend         int
-	least                    int      // back ends that a gateway uses at least, if there are as many
-	most                     int      // back ends from which a gateway is passed over
-	used                     []int    // back ends by gateway
-	ranked                   []uint64 // gateways of one choice, best last; see rank
-	taken                    []bool   // by gateway, in one choice
+	zones                    []zoneCounts
+	distance                 [][]Distance // between two zones, by their positions in zones
+	backendOrder             []int        // back ends sorted by hash, the order in which they choose users
+	size, usersPerBackend    int
+	minBackends              int      // least number of back ends per gateway, if there are as many
+	maxBackends              int      // number of back ends from which on a gateway is skipped
+	backendCounts            []int    // number of back ends assigned, by gateway
+	rankedGateways           []uint64 // gateways sorted by score for one back end, best last; see rankGateways
+	isChosen                 []bool   // by gateway, whether the current back end has chosen it
 }
 
-// zone counts what stands in one zone, and in all zones of its region.
-type zone struct {
+// zoneCounts holds the numbers of gateways and back ends in one zone and in all zones of its region.
+type zoneCounts struct {
 	name                           string
 	gateways, backends             int
 	regionGateways, regionBackends int
 }
 
-func newAssigner(gateways, backends []Place, size, users int) *assigner {
-	mean := ceilDivide(users*len(backends), len(gateways))
-	a := &assigner{gateways: gateways, backends: backends, gatewayHash: hashes(gateways), backendHash: hashes(backends),
-		size: size, perBackend: users, least: min(size/2, len(backends)), most: mean + ceilDivide(mean*slackParts, wholeParts),
-		used: make([]int, len(gateways)), ranked: make([]uint64, len(gateways)), taken: make([]bool, len(gateways))}
+func newAssigner(gateways, backends []Place, size, usersPerBackend int) *assigner {
+	mean := ceilDivide(usersPerBackend*len(backends), len(gateways))
+	a := &assigner{gateways: gateways, backends: backends, gatewayHash: hashNames(gateways), backendHash: hashNames(backends),
+		size: size, usersPerBackend: usersPerBackend, minBackends: min(size/2, len(backends)), maxBackends: mean + ceilDivide(mean*overloadParts, totalParts),
+		backendCounts: make([]int, len(gateways)), rankedGateways: make([]uint64, len(gateways)), isChosen: make([]bool, len(gateways))}
 	a.countZones()
 	for index := range backends {
-		a.order = append(a.order, index)
+		a.backendOrder = append(a.backendOrder, index)
 	}
-	slices.SortFunc(a.order, func(one, other int) int { return cmp.Compare(a.backendHash[one], a.backendHash[other]) })
+	slices.SortFunc(a.backendOrder, func(one, other int) int { return cmp.Compare(a.backendHash[one], a.backendHash[other]) })
 	return a
 }
 
-func hashes(places []Place) []uint64 {
+func hashNames(places []Place) []uint64 {
 	all := make([]uint64, len(places))
 	for index, place := range places {
 		all[index] = xxhash.Sum64String(place.Name)
@@ -158,7 +160,7 @@
 	return all
 }
 
-// countZones numbers the zones and fills in what is known of them.
+// countZones numbers the zones, counts their gateways and back ends, and computes the distances between them.
 func (a *assigner) countZones() {
 	number := map[string]int{}
 	positions := func(places []Place) []int {
@@ -168,7 +170,7 @@
 			if !known {
 				position = len(a.zones)
 				number[place.Zone] = position
-				a.zones = append(a.zones, zone{name: place.Zone})
+				a.zones = append(a.zones, zoneCounts{name: place.Zone})
 			}
 			all[index] = position
 		}
@@ -194,7 +196,7 @@
 	}
 }
 
-// score is the rendezvous hash of a pair.
+// score returns the rendezvous hash of a gateway and a back end.
 func (a *assigner) score(gateway, backend int) uint64 {
 	mixed := a.gatewayHash[gateway] ^ bits.RotateLeft64(a.backendHash[backend], 32)
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
@@ -202,71 +204,73 @@
 	return mixed ^ mixed>>31
 }
 
-// gatewayBits hold a gateway's position beside its score.
+// gatewayBits is the number of low bits of an entry of rankedGateways that hold the gateway's position. The others
+// hold its score.
 const gatewayBits = 16
 
-// rank sorts the gateways by their score for a back end.
-func (a *assigner) rank(backend int) {
+// rankGateways sorts the gateways by their score for a back end.
+func (a *assigner) rankGateways(backend int) {
 	for gateway := range a.gateways {
-		a.ranked[gateway] = a.score(gateway, backend)>>gatewayBits<<gatewayBits | uint64(gateway)
+		a.rankedGateways[gateway] = a.score(gateway, backend)>>gatewayBits<<gatewayBits | uint64(gateway)
 	}
-	slices.Sort(a.ranked)
-	clear(a.taken)
+	slices.Sort(a.rankedGateways)
+	clear(a.isChosen)
 }
 
-// choose returns a back end's users, rising.
-func (a *assigner) choose(backend int) []int {
-	a.rank(backend)
+// chooseUsers returns the gateways that use a back end, ascending.
+func (a *assigner) chooseUsers(backend int) []int {
+	a.rankGateways(backend)
 	own := a.zones[a.backendZone[backend]]
-	inZone := ceilDivide(a.size*zoneParts*own.gateways, wholeParts*own.backends)
-	inRegion := ceilDivide(a.size*regionParts*own.regionGateways, wholeParts*own.regionBackends)
-	chosen := make([]int, 0, a.perBackend)
-	chosen = a.take(chosen, backend, SameZone, min(inZone, a.perBackend), a.most)
-	chosen = a.take(chosen, backend, SameRegion, min(len(chosen)+inRegion, a.perBackend), a.most)
-	chosen = a.take(chosen, backend, OtherRegion, a.perBackend, a.most)
-	chosen = a.take(chosen, backend, OtherRegion, a.perBackend, len(a.backends))
+	inZone := ceilDivide(a.size*sameZoneParts*own.gateways, totalParts*own.backends)
+	inRegion := ceilDivide(a.size*sameRegionParts*own.regionGateways, totalParts*own.regionBackends)
+	chosen := make([]int, 0, a.usersPerBackend)
+	chosen = a.addUsers(chosen, backend, SameZone, min(inZone, a.usersPerBackend), a.maxBackends)
+	chosen = a.addUsers(chosen, backend, SameRegion, min(len(chosen)+inRegion, a.usersPerBackend), a.maxBackends)
+	chosen = a.addUsers(chosen, backend, OtherRegion, a.usersPerBackend, a.maxBackends)
+	chosen = a.addUsers(chosen, backend, OtherRegion, a.usersPerBackend, len(a.backends))
 	slices.Sort(chosen)
 	return chosen
 }
 
-// take adds the best gateways that are no farther than a distance and use fewer back ends than most, until
-// count are chosen.
-func (a *assigner) take(chosen []int, backend int, distance Distance, count, most int) []int {
+// addUsers appends the gateways with the highest scores that are no farther than distance and use fewer than
+// maxBackends back ends, until chosen has count entries.
+func (a *assigner) addUsers(chosen []int, backend int, distance Distance, count, maxBackends int) []int {
 	near := a.distance[a.backendZone[backend]]
-	for index := len(a.ranked) - 1; index >= 0 && len(chosen) < count; index-- {
-		gateway := int(a.ranked[index] & (1<<gatewayBits - 1))
-		if a.taken[gateway] || near[a.gatewayZone[gateway]] > distance || a.used[gateway] >= most {
+	for index := len(a.rankedGateways) - 1; index >= 0 && len(chosen) < count; index-- {
+		gateway := int(a.rankedGateways[index] & (1<<gatewayBits - 1))
+		if a.isChosen[gateway] || near[a.gatewayZone[gateway]] > distance || a.backendCounts[gateway] >= maxBackends {
 			continue
 		}
-		a.taken[gateway] = true
-		a.used[gateway]++
+		a.isChosen[gateway] = true
+		a.backendCounts[gateway]++
 		chosen = append(chosen, gateway)
 	}
 	return chosen
 }
 
-// topUp gives a gateway that few back ends chose the ones that it scores highest, the nearest first.
-func (a *assigner) topUp(users [][]int) {
+// fillToMinimum assigns further back ends to gateways that have fewer than minBackends, the nearest first and within
+// a distance those with the highest score.
+func (a *assigner) fillToMinimum(users [][]int) {
 	for gateway := range a.gateways {
-		if a.used[gateway] >= a.least {
+		if a.backendCounts[gateway] >= a.minBackends {
 			continue
 		}
-		for _, backend := range a.preferred(gateway) {
+		for _, backend := range a.rankBackends(gateway) {
 			at, used := slices.BinarySearch(users[backend], gateway)
 			if used {
 				continue
 			}
 			users[backend] = slices.Insert(users[backend], at, gateway)
-			if a.used[gateway]++; a.used[gateway] >= a.least {
+			if a.backendCounts[gateway]++; a.backendCounts[gateway] >= a.minBackends {
 				break
 			}
 		}
 	}
 }
 
-// preferred returns all back ends in a gateway's order of preference.
-func (a *assigner) preferred(gateway int) []int {
-	ranked := slices.Clone(a.order)
+// rankBackends returns all back ends in a gateway's order of preference.
+func (a *assigner) rankBackends(gateway int) []int {
+	ranked := slices.Clone(a.backendOrder)
 	near := a.distance[a.gatewayZone[gateway]]
 	slices.SortFunc(ranked, func(one, other int) int {
 		return cmp.Or(cmp.Compare(near[a.backendZone[one]], near[a.backendZone[other]]),
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// targetZones are the users' two regions.
+// targetZones are the zones of a large deployment in two regions.
 var targetZones = []string{"a-1", "a-2", "a-3", "a-4", "b-1", "b-2", "b-3"}
 
 const (
@@ -26,7 +26,7 @@
 	return places
 }
 
-// usersOf returns the users of each back end.
+// usersOf returns the gateways that use each back end.
 func usersOf(gateways, backends []Place, subsets *Subsets) [][]int {
 	users := make([][]int, len(backends))
 	for b := range backends {
@@ -39,8 +39,9 @@
 	return users
 }
 
-// TestSubsetsLeaveNoBackendUncovered draws fleets of any shape.
-func TestSubsetsLeaveNoBackendUncovered(t *testing.T) {
+// TestSubsetsCoverEveryBackend guards against back ends without enough gateways, gateways without enough back ends,
+// and wrong shares, in random fleets.
+func TestSubsetsCoverEveryBackend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.SampledFrom([][]string{{""}, {"a-1"}, {"a-1", "a-2", "a-3"}, targetZones}).Draw(t, "zones")
 		gateways := placesIn("g", rapid.IntRange(1, 60).Draw(t, "gateways"), zones)
@@ -63,12 +64,12 @@
 			t.Fatalf("a gateway uses %d back ends of %d, want %d at least", slices.Min(sizes), len(backends), least)
 		}
 		if len(backends) <= settings.Size && slices.Min(sizes) < len(backends) {
-			t.Fatalf("a pool of %d is not used whole: %v", len(backends), sizes)
+			t.Fatalf("a gateway uses less than all of a pool of %d back ends, which is within the subset size: back ends by gateway %v", len(backends), sizes)
 		}
 	})
 }
 
-// staticLoad is the most that one back end gets over the mean when every gateway spreads its requests
+// staticLoad returns the highest load of a back end, relative to the mean, when every gateway spreads its requests
 // evenly over its subset.
 func staticLoad(gateways, backends []Place, users [][]int) float64 {
 	sizes := make([]int, len(gateways))
@@ -88,12 +89,12 @@
 	return most * float64(len(backends)) / float64(len(gateways))
 }
 
-// rendezvousUsers is the baseline: each gateway takes the back ends that it scores highest.
+// rendezvousUsers is the baseline assignment: each gateway takes the back ends with the highest scores.
 func rendezvousUsers(gateways, backends []Place, size int) [][]int {
 	a := newAssigner(gateways, backends, size, 1)
 	users := make([][]int, len(backends))
 	for g := range gateways {
-		ranked := slices.Clone(a.order)
+		ranked := slices.Clone(a.backendOrder)
 		slices.SortFunc(ranked, func(one, other int) int { return cmp.Compare(a.score(g, other), a.score(g, one)) })
 		for _, b := range ranked[:min(size, len(ranked))] {
 			users[b] = append(users[b], g)
@@ -102,8 +103,9 @@
 	return users
 }
 
-// TestSubsetsBalanceAtTheTarget holds the spread that docs/design/subsetting.md states.
-func TestSubsetsBalanceAtTheTarget(t *testing.T) {
+// TestSubsetsBalanceAtTargetSize checks the spread of gateways and load over back ends that docs/design/subsetting.md
+// states.
+func TestSubsetsBalanceAtTargetSize(t *testing.T) {
 	gateways, backends := placesIn("g", targetGateways, targetZones), placesIn("b", targetBackends, targetZones)
 	users := usersOf(gateways, backends, NewSubsets(gateways, backends, SubsetSettings{}))
 	fewest, most, sizes := len(users[0]), 0, make([]int, len(gateways))
@@ -116,15 +118,16 @@
 	load, baseline := staticLoad(gateways, backends, users), staticLoad(gateways, backends, rendezvousUsers(gateways, backends, 24))
 	t.Logf("users of a back end %d to %d, static load at most %.2f of the mean; rendezvous by gateway %.2f", fewest, most, load, baseline)
 	if fewest < 14 || load > 1.25 || load > baseline {
-		t.Fatal("back ends are not used evenly")
+		t.Fatal("back ends are not used evenly; want at least 14 users of each, and a static load of at most 1.25 and the baseline's")
 	}
 	if mean := 25; slices.Max(sizes) > mean+mean/4+1 || slices.Min(sizes) < 12 {
-		t.Fatalf("gateways use %d to %d back ends", slices.Min(sizes), slices.Max(sizes))
+		t.Fatalf("gateways use %d to %d back ends, want 12 to 32", slices.Min(sizes), slices.Max(sizes))
 	}
 }
 
-// TestSubsetsMoveLittleWhenOneComesOrGoes counts the pairs that are new for no reason of their own.
-func TestSubsetsMoveLittleWhenOneComesOrGoes(t *testing.T) {
+// TestSubsetsChangeLittleAfterOneDeparture counts the pairs of a gateway and a back end that are new after one
+// gateway or back end has left. Many new pairs would mean many new connections each time.
+func TestSubsetsChangeLittleAfterOneDeparture(t *testing.T) {
 	gateways, backends := placesIn("g", targetGateways, targetZones), placesIn("b", targetBackends, targetZones)
 	before := pairsOf(gateways, backends)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -135,18 +138,18 @@
 			pairsOf(slices.Delete(slices.Clone(gateways), g, g+1), backends),
 			pairsOf(gateways, slices.Delete(slices.Clone(backends), b, b+1)),
 		} {
-			moved := 0
+			newPositions := 0
 			for pair := range after {
 				if !before[pair] {
-					moved++
+					newPositions++
 				}
 			}
-			most = max(most, moved)
+			most = max(most, newPositions)
 		}
 	}
 	t.Logf("at most %d of %d pairs are new after one gateway or back end left", most, len(before))
 	if most > len(before)/20 {
-		t.Fatal("one departure moves more than a twentieth of all pairs")
+		t.Fatal("one departure adds more than a twentieth of all pairs")
 	}
 }
 
@@ -160,9 +163,11 @@
 	return pairs
 }
 
-func TestSubsetsKeepToTheZoneAndReachOutside(t *testing.T) {
+// TestSubsetsPreferOwnZoneAndIncludeOthers checks that most pairs are within a zone, and that no gateway depends on
+// its zone alone.
+func TestSubsetsPreferOwnZoneAndIncludeOthers(t *testing.T) {
 	gateways, backends := placesIn("g", targetGateways, targetZones), placesIn("b", targetBackends, targetZones)
-	var pairs [distances]int
+	var pairs [distanceCount]int
 	outside := make([]int, len(gateways))
 	for b, users := range usersOf(gateways, backends, NewSubsets(gateways, backends, SubsetSettings{})) {
 		for _, g := range users {
@@ -175,11 +180,11 @@
 	}
 	t.Logf("pairs in the zone, in the region, across regions: %v", pairs)
 	if pairs[SameZone] < pairs[SameRegion] || pairs[SameRegion] < pairs[OtherRegion] || slices.Min(outside) == 0 {
-		t.Fatalf("pairs by distance %v, fewest outside the zone %d", pairs, slices.Min(outside))
+		t.Fatalf("pairs by distance %v, fewest back ends outside a gateway's zone %d; want no more pairs at a farther distance than at a nearer one, and at least 1 outside", pairs, slices.Min(outside))
 	}
 }
 
-// reservePool has a subset of two replicas and two in reserve.
+// reservePool returns a pool with two replicas in the subset and two in reserve, with a capacity of one request each.
 func reservePool() *Pool {
 	pool := NewPool(Settings{})
 	pool.SetReplicas([]ReplicaConfig{{Name: "own-1", Weight: 100, MaxInFlight: 1}, {Name: "own-2", Weight: 100, MaxInFlight: 1},
@@ -187,25 +192,27 @@
 	return pool
 }
 
-func TestReserveIsUsedOnlyWhenTheSubsetIsDead(t *testing.T) {
+// TestReserveIsUsedOnlyWhenSubsetIsUnavailable guards against requests that leave the subset while its replicas are
+// only busy, and against a pool that serves nothing although the reserve is alive.
+func TestReserveIsUsedOnlyWhenSubsetIsUnavailable(t *testing.T) {
 	for name, policy := range policies() {
 		pool, random, request := reservePool(), rand.NewPCG(1, 2), &Request{Work: 1, Urgent: true}
 		for range 2 {
 			i := policy.Choose(pool, request, 0, random)
 			if i == None || pool.Reserve(i) {
-				t.Fatalf("%s: chose %d while the subset has room", name, i)
+				t.Fatalf("%s: chose %d while the subset has free capacity, want a replica of the subset", name, i)
 			}
 			pool.Sent(i, request, 0)
 		}
 		if i := policy.Choose(pool, request, 0, random); i != None {
-			t.Errorf("%s: chose %s while the subset is only busy", name, pool.Name(i))
+			t.Errorf("%s: chose %s while the subset is only busy, want none", name, pool.Name(i))
 		}
 		pool.SetLeaving("own-1", SourceLoadReport, true)
-		for range silenceLimit {
+		for range missedReportLimit {
 			pool.Unanswered("own-2")
 		}
 		if i := policy.Choose(pool, request, 0, random); i == None || !pool.Reserve(i) {
-			t.Errorf("%s: chose %d while the subset is dead and the reserve is alive", name, i)
+			t.Errorf("%s: chose %d while the subset is unavailable and the reserve is alive, want a replica of the reserve", name, i)
 		}
 	}
 }
