--- a/internal/pace/lasting.go
+++ b/internal/pace/lasting.go
@@ -6,56 +6,58 @@
 )
 
 const (
-	// partLength is the time of which one pause between events is taken: several events come in it, so that those which arrive late
-	// and then together are seen as a whole.
-	partLength = 200 * time.Millisecond
-	// parts is how many of them are kept. A replica that turns slow for good is known after half of them, which is how long an answer
-	// can wait for that and still gain by a move; one that is slow for moments isn't unless it is so for half of its time.
-	parts = 13
+	// intervalLength is the length of an interval, over which the pauses between events are averaged. An interval
+	// contains several events, so that late events that arrive together do not distort the estimate.
+	intervalLength = 200 * time.Millisecond
+	// maxIntervals is the number of intervals that are kept. A replica that becomes slow permanently is recognized
+	// after half of them. That is how long an answer can wait for this and still gain by moving to another replica. A
+	// replica that is slow for moments is not taken for a slow one unless it is slow for half of its time.
+	maxIntervals = 13
 )
 
-// Lasting estimates how long an event of a stream lastingly takes at a replica: the median over the last times in which it brought some.
-// It keeps what it knows while nothing runs there. The zero value knows nothing.
+// Lasting estimates a replica's lasting time per event of a stream: the median over the latest intervals in which
+// events arrived. The estimate is kept while nothing runs at the replica. The zero value has no events. It is not
+// safe for concurrent use.
 type Lasting struct {
-	kept   []part // the oldest first
-	sorted []float64
+	intervals []interval // oldest first
+	sorted    []float64
 }
 
-// part is what came in a part of the time.
-type part struct {
-	number  time.Duration
+// interval holds the events of one interval of intervalLength.
+type interval struct {
+	index   time.Duration // time of arrival divided by intervalLength
 	seconds float64
 	events  float64
 }
 
-// Add notes events that took some seconds together, the last of which came at a time.
+// Add records events that took a number of seconds in total. at is when the last of them arrived.
 func (l *Lasting) Add(at time.Duration, seconds float64, events int) {
-	number := at / partLength
-	for i := len(l.kept) - 1; i >= 0; i-- {
-		if l.kept[i].number == number {
-			l.kept[i].seconds += seconds
-			l.kept[i].events += float64(events)
+	index := at / intervalLength
+	for i := len(l.intervals) - 1; i >= 0; i-- {
+		if l.intervals[i].index == index {
+			l.intervals[i].seconds += seconds
+			l.intervals[i].events += float64(events)
 			return
 		}
 	}
-	if len(l.kept) > 0 && number < l.kept[0].number {
-		return // too late to count
+	if len(l.intervals) > 0 && index < l.intervals[0].index {
+		return // older than all intervals kept
 	}
-	if len(l.kept) == parts {
-		l.kept = l.kept[1:]
+	if len(l.intervals) == maxIntervals {
+		l.intervals = l.intervals[1:]
 	}
-	l.kept = append(l.kept, part{number: number, seconds: seconds, events: float64(events)})
+	l.intervals = append(l.intervals, interval{index: index, seconds: seconds, events: float64(events)})
 }
 
-// Value is the seconds between two events; 0 while fewer than least were seen.
-func (l *Lasting) Value(least float64) float64 {
+// Value returns the seconds per event, or 0 while fewer than minEvents events were seen.
+func (l *Lasting) Value(minEvents float64) float64 {
 	l.sorted = l.sorted[:0]
 	seen := 0.0
-	for _, one := range l.kept {
-		seen += one.events
-		l.sorted = append(l.sorted, one.seconds/one.events)
+	for _, each := range l.intervals {
+		seen += each.events
+		l.sorted = append(l.sorted, each.seconds/each.events)
 	}
-	if len(l.sorted) == 0 || seen < least {
+	if len(l.sorted) == 0 || seen < minEvents {
 		return 0
 	}
 	slices.Sort(l.sorted)
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,8 +1,9 @@
-// Package pace tells how fast a replica works, in two parts: what lasts, such as its hardware, and what passes, such as the load of others
-// on its machine.
+// Package pace estimates how fast a replica works, in two parts: a lasting one, such as its hardware, and a passing
+// one, such as the load of other processes on its machine.
 //
-// It answers a load on which replicas differ lastingly and slow down for moments: who takes a passing slowness for a lasting one flees
-// from it, reads prompts again elsewhere and is there when the next replica slows down.
+// The parts are separate because replicas differ permanently and also slow down for moments. A scheduler that takes a
+// passing slowdown for a lasting one moves the work away, processes its prompts again elsewhere, and may arrive there
+// just as that replica slows down.
 //
 // The package is pure: times are durations since an arbitrary start.
 package pace
@@ -12,54 +13,58 @@
 	"time"
 )
 
-// Pace is how long work takes at a replica, as multiples of the usual time: 1 is as usual, 2 twice as long.
+// Pace is how long work takes at a replica, as multiples of the usual time: 1 is the usual time, 2 twice as long.
 type Pace struct {
-	Lasting float64 // learned slowly, from work alone or with known company; 0: not known
-	Passing float64 // beside it, as the replica said last; 0: not known
-	// Seen is when Passing was said. It counts for less the older it is, and for nothing once it has usually changed.
+	Lasting float64 // learned slowly, from runs alone or with known other runs beside them; 0: unknown
+	Passing float64 // additional factor, from the replica's latest report; 0: unknown
+	// Seen is when Passing was reported. Its influence decays with its age, at the rate at which slowdowns usually
+	// end.
 	Seen time.Duration
 }
 
-// The bounds of a passing part that is believed: whatever a replica says, it makes it look neither idle nor dead.
+// Bounds of the passing part. No report makes a replica look idle or dead.
 const (
-	minimumPassing = 0.25
-	maximumPassing = 8
+	minPassing = 0.25
+	maxPassing = 8
 )
 
-// Expected is how long work that begins now is expected to take, as a multiple of the usual time. What was said of the passing part
-// fades towards the usual with the time that it usually lasts, rest.
-func (p Pace) Expected(now, rest time.Duration) float64 {
+// Expected returns how long work that begins now is expected to take, as a multiple of the usual time. The passing
+// part decays towards 1 with slowdownDuration, the expected duration of a slowdown, as the time constant.
+func (p Pace) Expected(now, slowdownDuration time.Duration) float64 {
 	lasting := p.Lasting
 	if lasting == 0 {
 		lasting = 1
 	}
-	return lasting * (1 + (p.passing()-1)*p.weight(now, rest))
+	return lasting * (1 + (p.boundedPassing()-1)*p.freshness(now, slowdownDuration))
 }
 
-// passing is the passing part as far as it is believed.
-func (p Pace) passing() float64 {
+// boundedPassing returns the passing part within its bounds, or 1 if it is unknown.
+func (p Pace) boundedPassing() float64 {
 	if p.Passing == 0 {
 		return 1
 	}
-	return min(max(p.Passing, minimumPassing), maximumPassing)
+	return min(max(p.Passing, minPassing), maxPassing)
 }
 
-// weight is how much the passing part still counts: 1 when it was just said, less the older it is.
-func (p Pace) weight(now, rest time.Duration) float64 {
-	if rest <= 0 {
+// freshness returns the weight of the passing part: 1 when it was just reported, decreasing to 0 with its age.
+func (p Pace) freshness(now, slowdownDuration time.Duration) float64 {
+	if slowdownDuration <= 0 {
 		return 0
 	}
-	return math.Exp(-float64(max(now-p.Seen, 0)) / float64(rest))
+	return math.Exp(-float64(max(now-p.Seen, 0)) / float64(slowdownDuration))
 }
 
-// Slowed tells whether the passing part made work notably longer when it was said, and it still counts for the most part.
-func (p Pace) Slowed(now, rest time.Duration) bool {
-	return p.passing() >= slowed && p.weight(now, rest) >= freshWeight
+// Slowed reports whether the passing part made work notably longer when it was reported, and the report is still
+// fresh enough to act on.
+func (p Pace) Slowed(now, slowdownDuration time.Duration) bool {
+	return p.boundedPassing() >= slowdownThreshold && p.freshness(now, slowdownDuration) >= minFreshness
 }
 
 const (
-	// slowed is from where on work counts as slowed down: less is lost in how unevenly events arrive.
-	slowed = 1.25
-	// freshWeight is the least weight of a report that is acted on: about that of one as old as a slowness usually lasts.
-	freshWeight = 0.37
+	// slowdownThreshold is the passing part from which on work counts as slowed down. Smaller values are lost in the
+	// uneven arrival of events.
+	slowdownThreshold = 1.25
+	// minFreshness is the least freshness of a report that is acted on: about that of a report as old as a slowdown
+	// usually lasts.
+	minFreshness = 0.37
 )
--- a/internal/pace/rest.go
+++ b/internal/pace/rest.go
@@ -3,56 +3,59 @@
 import "time"
 
 const (
-	// DefaultRest is the assumed duration of a passing slowness until enough was learned: a wrong guess costs a run no more than that.
-	DefaultRest = 500 * time.Millisecond
-	minimumRest = 100 * time.Millisecond
-	maximumRest = 5 * time.Second
-	// maximumReportGap is the longest gap between two reports that counts as observed time.
-	maximumReportGap = 500 * time.Millisecond
-	// knownTime is how much of slow time is remembered: beyond it the old counts for half, so that the estimate follows a change.
-	knownTime = 30 * time.Second
+	// DefaultSlowdownDuration is the assumed duration of a passing slowdown until enough reports were seen. A wrong
+	// value costs a run at most this much time.
+	DefaultSlowdownDuration = 500 * time.Millisecond
+	minSlowdownDuration     = 100 * time.Millisecond
+	maxSlowdownDuration     = 5 * time.Second
+	// maxReportGap is the longest gap between two reports of a replica that counts as observed time.
+	maxReportGap = 500 * time.Millisecond
+	// maxRememberedTime is the total observed slow time at which all earlier observations are halved, so that the
+	// estimate follows a change.
+	maxRememberedTime = 30 * time.Second
 )
 
-// Rest learns from the reports of many replicas how long a passing slowness goes on. The zero value knows nothing.
+// Rest estimates how long a passing slowdown lasts, from the reports of many replicas. The zero value has no
+// observations. It is not safe for concurrent use.
 type Rest struct {
-	slow time.Duration // for which replicas were watched that were slow
-	ends float64       // of slownesses that were seen
+	slowTime time.Duration // total time during which slow replicas were observed
+	endCount float64       // number of observed ends of slowdowns
 }
 
-// spell is what Rest remembers of one replica between its reports.
-type spell struct {
-	seen   time.Duration
-	slowed bool
-	known  bool
-	length time.Duration // of the slowness so far
+// slowdownState is what Rest keeps of one replica between its reports.
+type slowdownState struct {
+	lastSeen time.Duration
+	wasSlow  bool
+	known    bool
+	slowTime time.Duration // observed duration of the present slowdown
 }
 
-// note takes a replica's word on its passing part. A slowness that goes on beyond maximumRest counts no further: it is none that
-// passes, or the replica repeats itself.
-func (r *Rest) note(of *spell, passing float64, seen time.Duration) {
-	if of.known && seen <= of.seen {
+// observe processes a replica's report of its passing part. The part of a slowdown beyond maxSlowdownDuration is
+// ignored: it is not a passing one, or the replica repeats an old report.
+func (r *Rest) observe(state *slowdownState, passing float64, seen time.Duration) {
+	if state.known && seen <= state.lastSeen {
 		return
 	}
-	isSlow, between := passing >= slowed, seen-of.seen
-	watched := of.known && of.slowed && between <= maximumReportGap
-	if watched && of.length < maximumRest {
-		r.slow += between
-		of.length += between
+	isSlow, elapsed := passing >= slowdownThreshold, seen-state.lastSeen
+	observed := state.known && state.wasSlow && elapsed <= maxReportGap
+	if observed && state.slowTime < maxSlowdownDuration {
+		r.slowTime += elapsed
+		state.slowTime += elapsed
 		if !isSlow {
-			r.ends++
+			r.endCount++
 		}
 	}
-	if !watched || !isSlow {
-		of.length = 0
+	if !observed || !isSlow {
+		state.slowTime = 0
 	}
-	of.seen, of.slowed, of.known = seen, isSlow, true
-	if r.slow > knownTime {
-		r.slow, r.ends = r.slow/2, r.ends/2
+	state.lastSeen, state.wasSlow, state.known = seen, isSlow, true
+	if r.slowTime > maxRememberedTime {
+		r.slowTime, r.endCount = r.slowTime/2, r.endCount/2
 	}
 }
 
-// Expected is how long a slowness is expected to go on, whenever it began.
+// Expected returns how much longer a slowdown is expected to last, however long ago it began.
 func (r *Rest) Expected() time.Duration {
-	expected := float64(r.slow+DefaultRest) / (r.ends + 1)
-	return min(max(time.Duration(expected), minimumRest), maximumRest)
+	expected := float64(r.slowTime+DefaultSlowdownDuration) / (r.endCount + 1)
+	return min(max(time.Duration(expected), minSlowdownDuration), maxSlowdownDuration)
 }
--- a/internal/pace/said.go
+++ b/internal/pace/said.go
@@ -6,62 +6,65 @@
 )
 
 const (
-	// saidFigures is how many of a replica's last figures are kept: what lasts is their median, so that a replica that is slow for
-	// moments does not count as slow, and one that turns slow for good does after half of them.
-	saidFigures = 15
-	// leastFigures is from how many on it is told what lasts.
-	leastFigures = 3
-	// saidInterval is the least time between two that are kept: replicas report with each answer, and what many answers say that begin
-	// together is one figure.
-	saidInterval = 100 * time.Millisecond
-	// The bounds of a figure that is believed: whatever a replica says, it makes it look neither idle nor dead.
-	minimumFigure = 0.1
-	maximumFigure = 10
+	// maxSamples is the number of a replica's latest samples that are kept. The lasting part is their median. A
+	// replica that is slow for moments therefore does not count as slow, and one that becomes slow permanently does
+	// after half of the samples.
+	maxSamples = 15
+	// minSamples is the number of samples from which on the lasting part is known.
+	minSamples = 3
+	// sampleInterval is the least time between two samples. Replicas report with each answer, and the reports of many
+	// answers that begin together count as one sample.
+	sampleInterval = 100 * time.Millisecond
+	// minReported and maxReported bound a reported pace, so that no report makes a replica look idle or dead.
+	minReported = 0.1
+	maxReported = 10
 )
 
-// Said learns a replica's pace from its own words: figures that hold what lasts and what passes together. The zero value has heard
-// nothing.
+// Said estimates a replica's pace from its own reports, which contain the lasting and the passing part in one number.
+// The zero value has no reports. It is not safe for concurrent use.
 type Said struct {
-	figures []float64 // the oldest first
-	kept    time.Duration
-	last    float64
-	seen    time.Duration
-	lasting float64
-	spell   spell
+	samples    []float64 // oldest first
+	sampledAt  time.Duration
+	latest     float64
+	latestSeen time.Duration
+	lasting    float64
+	state      slowdownState
 }
 
-// Note takes a figure, a multiple of the usual time, and has rest learn from it. A figure that came before the last one is dropped.
-func (s *Said) Note(figure float64, seen time.Duration, rest *Rest) {
-	if figure <= 0 || s.last > 0 && seen < s.seen {
+// Note adds a report: how long work takes, as a multiple of the usual time. seen is when it arrived. It also updates
+// rest. Reports of 0 or less, and those that arrived before the latest one, are ignored.
+func (s *Said) Note(reported float64, seen time.Duration, rest *Rest) {
+	if reported <= 0 || s.latest > 0 && seen < s.latestSeen {
 		return
 	}
-	figure = min(max(figure, minimumFigure), maximumFigure)
-	if s.last == 0 || seen >= s.kept+saidInterval {
-		s.keep(figure, seen)
+	reported = min(max(reported, minReported), maxReported)
+	if s.latest == 0 || seen >= s.sampledAt+sampleInterval {
+		s.addSample(reported, seen)
 	}
-	s.last, s.seen = figure, seen
+	s.latest, s.latestSeen = reported, seen
 	if s.lasting > 0 {
-		rest.note(&s.spell, figure/s.lasting, seen)
+		rest.observe(&s.state, reported/s.lasting, seen)
 	}
 }
 
-func (s *Said) keep(figure float64, seen time.Duration) {
-	if len(s.figures) == saidFigures {
-		s.figures = append(s.figures[:0], s.figures[1:]...)
+func (s *Said) addSample(reported float64, seen time.Duration) {
+	if len(s.samples) == maxSamples {
+		s.samples = append(s.samples[:0], s.samples[1:]...)
 	}
-	s.figures, s.kept = append(s.figures, figure), seen
-	if len(s.figures) < leastFigures {
+	s.samples, s.sampledAt = append(s.samples, reported), seen
+	if len(s.samples) < minSamples {
 		return
 	}
-	sorted := slices.Clone(s.figures)
+	sorted := slices.Clone(s.samples)
 	slices.Sort(sorted)
 	s.lasting = sorted[(len(sorted)-1)/2]
 }
 
-// Pace is what was said, in its two parts. While too little was said to tell them apart, all of it passes.
+// Pace returns the reported pace, split into its two parts. Until minSamples samples were taken, all of it counts as
+// the passing part.
 func (s *Said) Pace() Pace {
 	if s.lasting == 0 {
-		return Pace{Passing: s.last, Seen: s.seen}
+		return Pace{Passing: s.latest, Seen: s.latestSeen}
 	}
-	return Pace{Lasting: s.lasting, Passing: s.last / s.lasting, Seen: s.seen}
+	return Pace{Lasting: s.lasting, Passing: s.latest / s.lasting, Seen: s.latestSeen}
 }
