--- a/internal/loadreport/parse.go
+++ b/internal/loadreport/parse.go
@@ -6,46 +6,46 @@
 	"strings"
 )
 
-// ErrUnreadable is the reason why a text is no report.
+// ErrUnreadable is returned by Parse for a text that is not a valid report.
 var ErrUnreadable = errors.New("loadreport: the text is not running,waiting,slots with an optional pace in percent")
 
-// The figures of a report in the order of its text.
+// Positions of the fields in the text of a report.
 const (
-	figureRunning = iota
-	figureWaiting
-	figureSlots
-	figurePace // in percent; optional
-	figures
+	fieldRunning = iota
+	fieldWaiting
+	fieldSlots
+	fieldPace // in percent; optional
+	maxFields
 )
 
 const (
-	// maximumTextBytes bounds what is read: four figures take a fraction of it.
-	maximumTextBytes = 256
-	percent          = 100.0
+	// maxTextBytes bounds the length of the text. Four fields take a fraction of it.
+	maxTextBytes = 256
+	percent      = 100.0
 )
 
-// Parse reads "running,waiting,slots" or "running,waiting,slots,pace", the pace in percent of the usual time. Figures after these are
-// ignored, so that replicas may say more one day. A text with one figure that can't be read is no report at all: it is not known then
-// what the others mean.
+// Parse parses "running,waiting,slots" or "running,waiting,slots,pace", with the pace in percent of the usual time.
+// Further fields are ignored, so that future replicas can report more. If one of the known fields is invalid, the
+// whole text is rejected with ErrUnreadable, because the meaning of the others is then uncertain.
 func Parse(text string) (Report, error) {
-	if len(text) > maximumTextBytes {
+	if len(text) > maxTextBytes {
 		return Report{}, ErrUnreadable
 	}
-	var numbers [figures]int
-	rest, found, more := text, 0, true
-	for more && found < figures {
+	var numbers [maxFields]int
+	rest, parsed, more := text, 0, true
+	for more && parsed < maxFields {
 		var field string
 		field, rest, more = strings.Cut(rest, ",")
 		number, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || number < 0 {
 			return Report{}, ErrUnreadable
 		}
-		numbers[found] = number
-		found++
+		numbers[parsed] = number
+		parsed++
 	}
-	if found < figurePace {
+	if parsed < fieldPace {
 		return Report{}, ErrUnreadable
 	}
-	return Report{Running: numbers[figureRunning], Waiting: numbers[figureWaiting], Slots: numbers[figureSlots],
-		Pace: float64(numbers[figurePace]) / percent}, nil
+	return Report{Running: numbers[fieldRunning], Waiting: numbers[fieldWaiting], Slots: numbers[fieldSlots],
+		Pace: float64(numbers[fieldPace]) / percent}, nil
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,11 +1,13 @@
-// Package retrybudget bounds how many requests of a pool one gateway sends again: retries after failures, and hedges of slow
-// sends. It prevents retry storms: when many back ends fail or time out at once, each request that is sent up to its route's limit
-// multiplies the work that made them fail, and the pool stays overloaded after the cause is gone. The rule is that of Finagle's and
-// Envoy's retry budgets: a part of the requests that begin, and a small constant rate.
+// Package retrybudget limits how many requests of a pool one gateway sends again: retries after failures, and hedges
+// of slow sends. It prevents retry storms: when many back ends fail or time out at once, resending each request up to
+// the limit of its route multiplies the work that made them fail, and the pool stays overloaded after the cause is
+// gone. The limit is that of the retry budgets of Finagle and Envoy: a ratio of the requests that begin, plus a small
+// constant rate.
 //
-// It differs in one point: what was sent again because of one back end, the one that lost the most lately, is free. A back end that
-// crashes loses all that it had in hand at once, which in a small pool is most of what is in flight, and the others can take it. It can't
-// become a retry storm, since a back end that fails gets next to nothing more (package routing).
+// It differs in one point: resends because of one back end, the one that lost the most requests lately, take no
+// tokens. A back end that crashes loses all its requests at once, which in a small pool is most of what is in flight,
+// and the other back ends can take them. This can't become a retry storm, since a back end that fails gets almost no
+// further requests (package routing).
 //
 // The package is pure: times are durations since an arbitrary start. A Budget is not safe for concurrent use.
 package retrybudget
@@ -13,107 +15,118 @@
 import "time"
 
 const (
-	// Span is how far back the budget looks: for the most that was in flight, since lost requests may have ended by the time that others
-	// are sent again, and for who lost the most. It is longer than a back end that failed is left alone at first, so that this stays one
-	// failure.
+	// Span is the time window over which the budget counts requests in flight and losses. The most requests that were
+	// in flight matter because lost requests may have ended by the time that others are sent again. Span is longer
+	// than the first quarantine of a back end, so that its losses count as one failure.
 	Span = 10 * time.Second
-	// intervals is in how many parts Span is counted: what is forgotten at once is a tenth of it.
-	intervals      = 10
-	intervalLength = Span / intervals
+	// intervalCount is the number of intervals into which Span is divided. Counts expire one interval, a tenth of
+	// Span, at a time.
+	intervalCount  = 10
+	intervalLength = Span / intervalCount
 )
 
-// DefaultLimits carry what callers need. A fifth of the requests that begin: a pool that works at four fifths of its capacity can take it,
-// and fewer back ends than that may be slow or fail for long without a caller's noticing. A third of what is in flight at once: so much is lost
-// when a zone of three ends. One a second and ten at once: a pool with few requests may send each of them again, and several of a burst twice.
+// DefaultLimits suit most pools.
+//
+// Part: a pool at four fifths of its capacity can take a fifth more requests, and fewer back ends than that may be
+// slow or fail for long without an effect on callers.
+//
+// InFlight: a third of what is in flight is lost when one of three zones fails.
+//
+// PerSecond and Burst, one a second and ten at once: a pool with few requests may send each of them again, and
+// several of a burst twice.
 var DefaultLimits = Limits{Part: 0.2, InFlight: 1.0 / 3, PerSecond: 1, Burst: 10}
 
-// Limits of a Budget.
+// Limits are the parameters of a Budget.
 type Limits struct {
-	Part      float64 // of the requests that begin, over time
-	InFlight  float64 // part of the most requests that were in flight within Span, which may be sent again at once
-	PerSecond float64 // sends, in addition to Part
-	Burst     float64 // sends, in addition to InFlight
+	Part      float64 // tokens added per request that begins
+	InFlight  float64 // tokens held at most, as a part of the most requests in flight within Span
+	PerSecond float64 // tokens added per second, in addition to Part
+	Burst     float64 // tokens held at most, in addition to InFlight
 }
 
-// Budget is one pool's at one gateway: a token bucket that is filled by requests that begin and by time. A sliding window over what was
-// sent again would permit all of it at once each time that a retry storm leaves the window, and so repeat the storm.
+// Budget is the retry budget of one pool at one gateway: a token bucket that is filled by requests that begin and by
+// time. A sliding window over the resends would instead permit all of them at once each time that a retry storm
+// leaves the window, and thus repeat the storm.
 type Budget struct {
-	limits   Limits
-	tokens   float64 // sends that are permitted; below 0 after streams were resumed beyond it
-	inFlight int
-	filled   time.Duration
-	ring     [intervals]interval
-	running  int64          // number of the running interval since the start
-	lost     map[string]int // sum of the ring
+	limits          Limits
+	tokens          float64 // resends permitted; below 0 after streams were resumed beyond the limit
+	inFlight        int
+	refilledAt      time.Duration
+	ring            [intervalCount]interval
+	currentInterval int64          // number of the current interval since time 0
+	lost            map[string]int // sums of the lost counts of all intervals in the ring
 }
 
-// interval is a part of Span.
+// interval holds the counts of one part of Span.
 type interval struct {
-	most int            // requests in flight
-	lost map[string]int // sends that were made again, by the back end that had lost them
+	maxInFlight int            // the most requests in flight
+	lost        map[string]int // resends, by the back end that lost the request
 }
 
-// New returns a budget that has seen nothing since now.
+// New returns a budget with a full bucket and no requests in flight.
 func New(now time.Duration, limits Limits) *Budget {
-	budget := &Budget{limits: limits, filled: now, running: int64(now / intervalLength), lost: map[string]int{}}
-	budget.tokens = budget.most()
+	budget := &Budget{limits: limits, refilledAt: now, currentInterval: int64(now / intervalLength), lost: map[string]int{}}
+	budget.tokens = budget.capacity()
 	return budget
 }
 
-// Began counts a request that is sent for the first time.
+// Began counts the first send of a request.
 func (b *Budget) Began(now time.Duration) {
 	b.advance(now)
 	b.inFlight++
 	current := b.current()
-	current.most = max(current.most, b.inFlight)
-	b.add(b.limits.Part)
+	current.maxInFlight = max(current.maxInFlight, b.inFlight)
+	b.addTokens(b.limits.Part)
 }
 
-// Ended counts a request that began and is over, however often it was sent.
+// Ended counts the end of a request counted by Began. It is called once per request, however often the request was
+// sent.
 func (b *Budget) Ended() { b.inFlight-- }
 
-// Retry counts a request that is sent again because a back end failed, if the budget permits that.
+// Retry reports whether a request that failed at backEnd may be sent again, and if so counts it.
 func (b *Budget) Retry(now time.Duration, backEnd string) bool {
 	b.advance(now)
-	if !b.free(backEnd) && !b.take() {
+	if !b.isExempt(backEnd) && !b.takeToken() {
 		return false
 	}
-	b.lose(backEnd)
+	b.recordLost(backEnd)
 	return true
 }
 
-// Resumed counts a stream that goes on at another back end. It is never refused: what is left of it is less work than the whole request
-// that its caller would send again. It takes from what others may use.
+// Resumed counts a stream that failed at backEnd and continues at another back end. It is never rejected, because the
+// rest of the stream is less work than the whole request, which its caller would send again. It takes a token that
+// retries and hedges could use.
 func (b *Budget) Resumed(now time.Duration, backEnd string) {
 	b.advance(now)
-	if !b.free(backEnd) {
-		b.tokens = max(b.tokens-1, -b.most())
+	if !b.isExempt(backEnd) {
+		b.tokens = max(b.tokens-1, -b.capacity())
 	}
-	b.lose(backEnd)
+	b.recordLost(backEnd)
 }
 
-// Hedge counts a second send of a request whose first one is slow, if the budget permits that. None is free: slowness at
-// one back end goes on, and the first send may still be answered.
+// Hedge reports whether a request whose first send is slow may be sent a second time, and if so counts it. A hedge
+// always takes a token: slowness at one back end continues, and the first send may still be answered.
 func (b *Budget) Hedge(now time.Duration) bool {
 	b.advance(now)
-	return b.take()
+	return b.takeToken()
 }
 
-// Figures are what a decision is made by.
+// Figures is the state of a Budget on which its decisions are based, for logs.
 type Figures struct {
-	InFlight  int     // requests
-	Permitted float64 // sends that are left
-	Most      float64 // that could be
+	InFlight  int     // requests in flight
+	Permitted float64 // tokens left
+	Most      float64 // capacity in tokens
 }
 
-// Figures returns what the next decision would be made by.
+// Figures returns the state on which the next decision would be based.
 func (b *Budget) Figures(now time.Duration) Figures {
 	b.advance(now)
-	return Figures{InFlight: b.inFlight, Permitted: b.tokens, Most: b.most()}
+	return Figures{InFlight: b.inFlight, Permitted: b.tokens, Most: b.capacity()}
 }
 
-// free tells whether no other back end has lost more.
-func (b *Budget) free(backEnd string) bool {
+// isExempt reports whether no other back end has lost more requests within Span. Resends for such a back end take no
+// tokens.
+func (b *Budget) isExempt(backEnd string) bool {
 	for _, count := range b.lost {
 		if count > b.lost[backEnd] {
 			return false
@@ -122,7 +135,7 @@
 	return true
 }
 
-func (b *Budget) lose(backEnd string) {
+func (b *Budget) recordLost(backEnd string) {
 	current := b.current()
 	if current.lost == nil {
 		current.lost = map[string]int{}
@@ -131,7 +144,7 @@
 	b.lost[backEnd]++
 }
 
-func (b *Budget) take() bool {
+func (b *Budget) takeToken() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -139,41 +152,41 @@
 	return true
 }
 
-func (b *Budget) add(sends float64) { b.tokens = min(b.tokens+sends, b.most()) }
+func (b *Budget) addTokens(sends float64) { b.tokens = min(b.tokens+sends, b.capacity()) }
 
-// most is what the bucket holds when it is full.
-func (b *Budget) most() float64 {
+// capacity returns the number of tokens in a full bucket.
+func (b *Budget) capacity() float64 {
 	inFlight := 0
 	for number := range b.ring {
-		inFlight = max(inFlight, b.ring[number].most)
+		inFlight = max(inFlight, b.ring[number].maxInFlight)
 	}
 	return b.limits.InFlight*float64(inFlight) + b.limits.Burst
 }
 
-func (b *Budget) current() *interval { return &b.ring[b.running%intervals] }
+func (b *Budget) current() *interval { return &b.ring[b.currentInterval%intervalCount] }
 
-// advance fills the bucket for the time that has passed, and forgets the intervals that are older than Span. A time before the last one
-// counts as that.
+// advance adds the tokens for the time since the last call and expires the intervals older than Span. A time before
+// the last one is ignored.
 func (b *Budget) advance(now time.Duration) {
-	if now <= b.filled {
+	if now <= b.refilledAt {
 		return
 	}
-	passed := now - b.filled
-	b.filled = now
+	passed := now - b.refilledAt
+	b.refilledAt = now
 	at := int64(now / intervalLength)
-	for number := b.running + 1; number <= min(at, b.running+intervals); number++ {
-		b.forget(&b.ring[number%intervals])
+	for number := b.currentInterval + 1; number <= min(at, b.currentInterval+intervalCount); number++ {
+		b.resetInterval(&b.ring[number%intervalCount])
 	}
-	b.running = at
-	b.add(b.limits.PerSecond * passed.Seconds())
+	b.currentInterval = at
+	b.addTokens(b.limits.PerSecond * passed.Seconds())
 }
 
-// forget empties an interval for a time that begins with what is in flight.
-func (b *Budget) forget(old *interval) {
+// resetInterval removes an expired interval's counts and starts a new one with the requests now in flight.
+func (b *Budget) resetInterval(old *interval) {
 	for backEnd, count := range old.lost {
 		if b.lost[backEnd] -= count; b.lost[backEnd] == 0 {
 			delete(b.lost, backEnd)
 		}
 	}
-	*old = interval{most: b.inFlight}
+	*old = interval{maxInFlight: b.inFlight}
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -11,12 +11,12 @@
 // event is one call to a budget in a generated run.
 type event struct {
 	at      time.Duration
-	kind    int // of kinds
+	kind    int // a kind of call, such as beginEvent
 	backEnd string
 	allowed bool
-	charged bool // it took from the budget
+	charged bool // it took a token of the budget
 
-	inFlight int // after it
+	inFlight int // requests in flight after it
 }
 
 const (
@@ -25,17 +25,17 @@
 	hedgeEvent
 	resumeEvent
 	endEvent
-	kinds
+	kindCount
 )
 
-// generate draws a run of calls and plays it to a budget.
-func generate(t *rapid.T, limits Limits, backEnds int) []event {
+// generateCalls draws a sequence of calls, makes them to a budget and returns them with their results.
+func generateCalls(t *rapid.T, limits Limits, backEnds int) []event {
 	budget := New(0, limits)
-	var played []event
+	var events []event
 	now, inFlight := time.Duration(0), 0
 	for range rapid.IntRange(1, 300).Draw(t, "calls") {
 		now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 100 * time.Millisecond, 3 * time.Second}).Draw(t, "gap")
-		called := event{at: now, kind: rapid.IntRange(0, kinds-1).Draw(t, "kind"), allowed: true,
+		called := event{at: now, kind: rapid.IntRange(0, kindCount-1).Draw(t, "kind"), allowed: true,
 			backEnd: fmt.Sprint(rapid.IntRange(1, backEnds).Draw(t, "back end"))}
 		before := budget.Figures(now).Permitted
 		switch called.kind {
@@ -55,19 +55,19 @@
 			budget.Resumed(now, called.backEnd)
 		}
 		called.charged, called.inFlight = budget.Figures(now).Permitted < before, inFlight
-		played = append(played, called)
+		events = append(events, called)
 	}
-	return played
+	return events
 }
 
-// sums of what happened from one event to another.
-type sums struct {
+// summary counts what a sequence of events contains.
+type summary struct {
 	began, charged int
-	resent         map[string]int // by the back end that had lost it
+	resent         map[string]int // retries and resumed streams, by the back end that lost the request
 }
 
-func sum(events []event) sums {
-	total := sums{resent: map[string]int{}}
+func summarize(events []event) summary {
+	total := summary{resent: map[string]int{}}
 	for _, each := range events {
 		if each.kind == beginEvent {
 			total.began++
@@ -82,22 +82,23 @@
 	return total
 }
 
-// since returns the events that are counted at a time: those in whole intervals.
-func since(events []event, at time.Duration) []event {
-	first := at.Truncate(intervalLength) - (intervals-1)*intervalLength
+// inCountedIntervals returns the events that the budget still counts at a time. It drops whole intervals.
+func inCountedIntervals(events []event, at time.Duration) []event {
+	first := at.Truncate(intervalLength) - (intervalCount-1)*intervalLength
 	for len(events) > 0 && events[0].at < first {
 		events = events[1:]
 	}
 	return events
 }
 
-// TestWhatIsSentAgainStaysWithinTheBudget: from any time on, what failures and slowness have had sent again is at most what the budget
-// has ever held, the part of what began since, and the constant. Streams that are resumed go beyond it.
-func TestWhatIsSentAgainStaysWithinTheBudget(t *testing.T) {
+// TestResendsStayWithinBudget guards against a budget that permits more resends than its limits. Between any two
+// times, the retries and hedges that took tokens are at most the largest capacity so far, plus the ratio of the
+// requests that began, plus the constant rate. Resumed streams may exceed this.
+func TestResendsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Part: rapid.Float64Range(0.05, 1).Draw(t, "part"), InFlight: rapid.Float64Range(0, 1).Draw(t, "in flight"),
 			PerSecond: rapid.Float64Range(0, 1).Draw(t, "rate"), Burst: rapid.Float64Range(0, 3).Draw(t, "burst")}
-		events := generate(t, limits, 4)
+		events := generateCalls(t, limits, 4)
 		for last, each := range events {
 			if !each.charged || each.kind == resumeEvent {
 				continue
@@ -107,60 +108,63 @@
 				most = max(most, events[first].inFlight)
 			}
 			for first := range last {
-				gained := sum(events[first : last+1])
+				gained := summarize(events[first : last+1])
 				bound := limits.InFlight*float64(most) + limits.Burst + limits.Part*float64(gained.began) +
 					limits.PerSecond*(each.at-events[first].at).Seconds()
 				if float64(gained.charged) > bound+1e-9 {
-					t.Fatalf("%d were sent again from %s to %s, of %v", gained.charged, events[first].at, each.at, bound)
+					t.Fatalf("%d resends took tokens from %s to %s, want at most %v", gained.charged, events[first].at, each.at, bound)
 				}
 			}
 		}
 	})
 }
 
-// TestOnlyTheBackEndThatLostMostIsFree.
-func TestOnlyTheBackEndThatLostMostIsFree(t *testing.T) {
+// TestOnlyBackEndWithMostLossesIsExempt guards against retries that take no token although another back end has lost
+// more requests within Span.
+func TestOnlyBackEndWithMostLossesIsExempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		events := generate(t, Limits{Part: 0.1, PerSecond: 0.1}, 4)
+		events := generateCalls(t, Limits{Part: 0.1, PerSecond: 0.1}, 4)
 		for position, each := range events {
 			if each.kind != retryEvent || !each.allowed || each.charged {
 				continue
 			}
-			resent := sum(since(events[:position], each.at)).resent
+			resent := summarize(inCountedIntervals(events[:position], each.at)).resent
 			for other, count := range resent {
 				if count > resent[each.backEnd] {
-					t.Fatalf("at %s back end %s was free, and %s has lost %d", each.at, each.backEnd, other, count)
+					t.Fatalf("at %s the retry for back end %s took no token, although back end %s has lost more: %d", each.at, each.backEnd, other, count)
 				}
 			}
 		}
 	})
 }
 
-// TestRetriesAfterOneBackEndFailedAllGo, however many they are and whatever second sends have used.
-func TestRetriesAfterOneBackEndFailedAllGo(t *testing.T) {
+// TestRetriesForSingleFailedBackEndAreNeverRejected checks that all retries are permitted when only one back end
+// fails, however many there are and however many tokens hedges have taken.
+func TestRetriesForSingleFailedBackEndAreNeverRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, each := range generate(t, Limits{Part: 0.2}, 1) {
+		for _, each := range generateCalls(t, Limits{Part: 0.2}, 1) {
 			if each.kind == retryEvent && !each.allowed {
-				t.Fatalf("a retry at %s was refused", each.at)
+				t.Fatalf("a retry at %s was rejected, want all permitted", each.at)
 			}
 		}
 	})
 }
 
-// TestQuietPoolMayRetry: requests far apart get the constant, also while all back ends fail.
-func TestQuietPoolMayRetry(t *testing.T) {
+// TestPoolWithFewRequestsCanRetry checks that the constant rate permits a retry of each request when requests are
+// rare, also while all back ends fail.
+func TestPoolWithFewRequestsCanRetry(t *testing.T) {
 	budget := New(0, DefaultLimits)
 	for second := range 120 {
 		now := time.Duration(second) * time.Second
 		budget.Began(now)
 		if !budget.Retry(now, fmt.Sprint(second%7)) {
-			t.Fatalf("the retry at %s was refused", now)
+			t.Fatalf("the retry at %s was rejected, want all permitted", now)
 		}
 	}
 }
 
-// TestBudgetForgets: after a storm and a span of calm a retry is let through, and nothing of the storm is held.
-func TestBudgetForgets(t *testing.T) {
+// TestBudgetRecoversAfterSpan guards against a retry storm whose effect or memory use outlasts Span.
+func TestBudgetRecoversAfterSpan(t *testing.T) {
 	budget := New(0, DefaultLimits)
 	refused := 0
 	for number := range 1000 {
@@ -169,21 +173,21 @@
 		}
 	}
 	if refused < 900 {
-		t.Errorf("%d of 1000 were refused", refused)
+		t.Errorf("%d of 1000 retries for as many back ends were rejected, want 900 at least", refused)
 	}
 	if !budget.Retry(Span, "1") || !budget.Hedge(Span) {
-		t.Error("refused after a span")
+		t.Error("a retry or hedge was rejected after Span without calls, want both permitted")
 	}
 	if held := len(budget.lost); held > 1 {
-		t.Errorf("%d back ends are remembered", held)
+		t.Errorf("the losses of %d back ends are kept after Span, want 1 at most", held)
 	}
 }
 
-// TestClockThatGoesBack does not lose what was counted.
-func TestClockThatGoesBack(t *testing.T) {
+// TestBackwardClockKeepsCounts checks that a time before the previous one does not reset the budget.
+func TestBackwardClockKeepsCounts(t *testing.T) {
 	budget := New(0, Limits{Part: 1, InFlight: 1})
 	budget.Began(time.Minute)
 	if !budget.Hedge(time.Second) || budget.Hedge(time.Minute) {
-		t.Error("one request has one second send")
+		t.Error("want exactly one hedge permitted for one request, also when the clock goes back")
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,7 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-func viewOf(t interface{ Fatal(...any) }, texts ...string) *table.View {
+// newView returns a view of a table with cells given as "row column value".
+func newView(t interface{ Fatal(...any) }, texts ...string) *table.View {
 	change := &wire.TableChange{ChangeId: "one", Operator: "test"}
 	for _, text := range texts {
 		parts := strings.SplitN(text, " ", 3)
@@ -27,8 +28,9 @@
 	return view
 }
 
+// TestMatch covers hosts in upper case and with ports, nested prefixes, queries, and requests without a route.
 func TestMatch(t *testing.T) {
-	routes := NewTable(viewOf(t, "a kind pool", "b kind pool",
+	routes := NewTable(newView(t, "a kind pool", "b kind pool",
 		"one kind route", "one host Shop.example", "one path_prefix /", "one pools a:90,b:10", "one route_kind repeatable",
 		"two kind route", "two host shop.example", "two path_prefix /x/y/", "two pools b:1",
 		"three kind route", "three host shop.example:81", "three path_prefix /x/", "three pools b:1"))
@@ -42,16 +44,16 @@
 			got = found.Name
 		}
 		if got != test.want {
-			t.Errorf("%s%s: %q, not %q", test.host, test.path, got, test.want)
+			t.Errorf("%s%s: route %q, want %q", test.host, test.path, got, test.want)
 		}
 	}
 	one := routes.Match("shop.example", "/")
 	if len(one.Pools) != 2 || one.Pools[0] != (Share{"a", 90}) || !one.Repeatable() || routes.Match("shop.example", "/x/y/").Repeatable() {
-		t.Fatalf("%+v", one)
+		t.Fatalf("route %+v; want a repeatable one with two pools, a with weight 90 first, and route two not to be repeatable", one)
 	}
 }
 
-// TestLongestPrefixWins compares the match with the plain rule: of the prefixes that begin the path, the longest.
+// TestLongestPrefixWins compares Match with a direct search for the longest prefix of the path.
 func TestLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefixes := rapid.SliceOfNDistinct(rapid.StringMatching(`/([ab]/){0,4}`), 1, 6, rapid.ID[string]).Draw(t, "prefixes")
@@ -66,12 +68,12 @@
 				want = prefix
 			}
 		}
-		found, got := NewTable(viewOf(t, texts...)).Match("h", path), ""
+		found, got := NewTable(newView(t, texts...)).Match("h", path), ""
 		if found != nil {
 			got = found.PathPrefix
 		}
 		if got != want {
-			t.Fatalf("%s: %q, not %q", path, got, want)
+			t.Fatalf("%s: path prefix %q, want %q", path, got, want)
 		}
 	})
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict says whether a request may have run at a back end. Every error that reaches a caller
-// carries a verdict, and every retry decision is made on it.
+// Package verdict classifies whether a request may have run at a back end. Every error that reaches a caller carries
+// a verdict, and every retry decision is based on it.
 package verdict
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/gravitational/trace"
 )
 
-// Verdict is what is known about a request's execution.
+// Verdict is the knowledge about a request's execution.
 type Verdict uint8
 
-// The verdicts. The zero value is the cautious one, so a forgotten verdict never permits a retry.
+// Verdicts. The zero value is the conservative one, so that a missing verdict never permits a retry.
 const (
-	MayHaveRun Verdict = iota // it may run, have run, or be running
-	DidNotRun                 // it did not run and never will
-	Ran                       // it ran
+	MayHaveRun Verdict = iota // the request may have run, may be running or may still run
+	DidNotRun                 // the request did not run and will not run
+	Ran                       // the request ran
 )
 
-// Header is the HTTP response header that carries the verdict's text form.
+// Header is the HTTP response header that contains the verdict's text form.
 const Header = "Tamarindring-Verdict"
 
 var texts = [...]string{MayHaveRun: "may-have-run", DidNotRun: "did-not-run", Ran: "ran"}
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Parse reads the text form.
+// Parse parses the text form of a verdict. It returns MayHaveRun and a BadParameter error for an unknown text.
 func Parse(text string) (Verdict, error) {
 	for candidate, known := range texts {
 		if known == text {
@@ -42,24 +42,24 @@
 	return MayHaveRun, trace.BadParameter("unknown verdict %q", text)
 }
 
-// Error is an error with a verdict.
+// Error is an error with a verdict on the request that failed.
 type Error struct {
 	Verdict Verdict
-	Reason  string // what happened and what to do next, for a person
+	Reason  string // what happened and what the caller can do next, in plain language
 	Cause   error  // may be nil
 }
 
-// New returns an error with a verdict.
+// New returns an error with a verdict and a formatted reason.
 func New(v Verdict, format string, arguments ...any) *Error {
 	return &Error{Verdict: v, Reason: fmt.Sprintf(format, arguments...)}
 }
 
-// Wrap returns cause with a verdict and a reason.
+// Wrap returns an error with a verdict, a formatted reason, and cause as its cause.
 func Wrap(v Verdict, cause error, format string, arguments ...any) *Error {
 	return &Error{Verdict: v, Reason: fmt.Sprintf(format, arguments...), Cause: cause}
 }
 
-// Error implements error.
+// Error returns the reason, the verdict in parentheses, and the cause if there is one.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return fmt.Sprintf("%s (%s)", e.Reason, e.Verdict)
@@ -70,7 +70,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Of returns the verdict that err carries; an error without one may have run.
+// Of returns the verdict of the first *Error in err's chain, or MayHaveRun if there is none.
 func Of(err error) Verdict {
 	var carrier *Error
 	if errors.As(err, &carrier) {
