--- a/internal/replicabytes/ledger_test.go
+++ b/internal/replicabytes/ledger_test.go
@@ -9,49 +9,51 @@
 
 const mega = 1 << 20
 
-// TestOneBodyAtATimeUntilItIsAccepted: a replica gets the next large body once the one before was read or is answered.
+// TestOneBodyAtATimeUntilItIsAccepted guards against two bodies under way to one replica: it must get the next one
+// only after it has accepted or answered the one before.
 func TestOneBodyAtATimeUntilItIsAccepted(t *testing.T) {
 	l := New()
 	first := l.Add(0, "r", mega)
 	if l.Fits(0, "r", mega) || !l.Fits(0, "other", mega) {
-		t.Error("two bodies are on their way to one replica")
+		t.Error("want no second body at a replica that has not accepted the first, and one at another replica")
 	}
 	if !l.Accept(first) || l.Accept(first) || !l.Fits(0, "r", 33*mega) || l.Held("r") != mega {
-		t.Error("an accepted body keeps others out")
+		t.Error("want Accept true once, and a second body to fit after it")
 	}
 	second := l.Add(0, "r", mega)
 	l.End(time.Second, second, false)
 	l.End(time.Second, first, true)
 	if l.Held("r") != 0 || l.Bytes() != 0 || !l.Fits(time.Second, "r", mega) {
-		t.Errorf("%d bytes are left", l.Bytes())
+		t.Errorf("%d bytes are left after all bodies ended, want 0 and the next body to fit", l.Bytes())
 	}
 }
 
-// TestLargerSumsAreTriedAtOneReplica: a sum beyond what was borne is at one replica at a time, until it is borne.
-func TestLargerSumsAreTriedAtOneReplica(t *testing.T) {
+// TestLargerTotalsAreTriedAtOneReplicaAtATime guards against a total that no replica has answered with yet being
+// tried at several replicas, which could all crash at once.
+func TestLargerTotalsAreTriedAtOneReplicaAtATime(t *testing.T) {
 	l := New()
-	held(l, 0, "r", 16*mega, 16*mega)
-	held(l, 0, "s", 32*mega)
+	addAccepted(l, 0, "r", 16*mega, 16*mega)
+	addAccepted(l, 0, "s", 32*mega)
 	if !l.Fits(0, "r", mega) || !l.Fits(0, "s", 33*mega) {
-		t.Error("no larger sum is tried")
+		t.Error("want a larger total to fit at a replica while no other replica holds more than safeBytes")
 	}
-	tried := held(l, 0, "r", mega)[0]
+	tried := addAccepted(l, 0, "r", mega)[0]
 	if l.Fits(0, "r", mega) || l.Fits(0, "s", mega) || !l.Fits(0, "t", 33*mega) {
-		t.Error("a larger sum is tried at two replicas, or twice at one")
+		t.Error("want no second larger total at this or another replica, and any body at an empty replica")
 	}
 	l.End(time.Second, tried, true)
 	if !l.Fits(time.Second, "r", mega) || !l.Fits(time.Second, "s", mega) {
-		t.Error("a sum that was borne is refused")
+		t.Error("want a total that was answered to fit at both replicas")
 	}
-	held(l, time.Second, "r", mega)
-	held(l, time.Second, "s", mega)
+	addAccepted(l, time.Second, "r", mega)
+	addAccepted(l, time.Second, "s", mega)
 	if !l.Fits(time.Second, "r", mega) {
-		t.Error("no still larger sum is tried")
+		t.Error("want a still larger total to fit at one replica")
 	}
 }
 
-// held adds accepted bodies.
-func held(l *Ledger, now time.Duration, instance string, bodies ...int64) (added []*Body) {
+// addAccepted adds bodies and accepts them.
+func addAccepted(l *Ledger, now time.Duration, instance string, bodies ...int64) (added []*Body) {
 	for _, bytes := range bodies {
 		body := l.Add(now, instance, bytes)
 		l.Accept(body)
@@ -60,11 +62,12 @@
 	return added
 }
 
-// TestCrashesTeachALimit: by what a replica held when it crashed, whichever of its bodies ends first, once for all of them.
-func TestCrashesTeachALimit(t *testing.T) {
+// TestCrashSetsLimit checks that the limit follows from what a replica held when it crashed, whichever of its bodies
+// ends first, and that the bodies of one crash count once.
+func TestCrashSetsLimit(t *testing.T) {
 	for _, endsFirst := range []bool{false, true} {
 		l := New()
-		bodies := held(l, 0, "r", 30*mega, 30*mega, 20*mega)
+		bodies := addAccepted(l, 0, "r", 30*mega, 30*mega, 20*mega)
 		if endsFirst {
 			l.End(time.Second, bodies[0], false)
 			bodies = bodies[1:]
@@ -72,57 +75,60 @@
 		for position, body := range bodies {
 			crash := l.Crashed(time.Second, "r")
 			if want := (Crash{Bytes: 80 * mega, Bodies: 3, Limit: 40 * mega, BySum: true, New: position == 0}); crash != want {
-				t.Errorf("%+v, want %+v", crash, want)
+				t.Errorf("crash %+v, want %+v", crash, want)
 			}
 			l.End(time.Second, body, false)
 		}
-		held(l, time.Second, "s", 30*mega)
+		addAccepted(l, time.Second, "s", 30*mega)
 		if l.Limit(time.Second) != 40*mega || l.Fits(time.Second, "s", 11*mega) || !l.Fits(time.Second, "s", 10*mega) {
-			t.Errorf("a limit of %d", l.Limit(time.Second))
+			t.Errorf("a limit of %d bytes, want 40 MiB, 10 MiB more than 30 to fit and 11 not", l.Limit(time.Second))
 		}
 		if !l.Fits(time.Second, "t", 60*mega) {
-			t.Error("a body larger than the limit has no replica to go to alone")
+			t.Error("want a body larger than the limit to fit at an empty replica")
 		}
 	}
 }
 
-// TestWhatACrashIsBlamedOn: on the sum when it is beyond what the pool bore, and once only; one body alone is its own cause. What is not
-// blamed on the sum teaches no limit.
-func TestWhatACrashIsBlamedOn(t *testing.T) {
+// TestCrashIsAttributedToTotalOrSingleBody checks which crashes set a limit. A crash is attributed to the total only
+// if that is larger than any that a replica answered with, and only while there is no limit. Otherwise a request that
+// crashes replicas could be overlooked again and again. A crash with a single body is attributed to that body.
+// Crashes that are not attributed to the total must not set a first limit.
+func TestCrashIsAttributedToTotalOrSingleBody(t *testing.T) {
 	for _, one := range []struct {
-		name   string
-		borne  int64
-		bodies []int64
-		sum    bool
+		name     string
+		answered int64
+		bodies   []int64
+		sum      bool
 	}{
-		{"nothing was borne", 0, []int64{20 * mega, 20 * mega}, true},
-		{"each replica must bear it", 0, []int64{16 * mega, 16 * mega}, false},
-		{"one body alone", 0, []int64{60 * mega}, false},
-		{"as much was borne", 40 * mega, []int64{20 * mega, 20 * mega}, false},
-		{"more than was borne", 30 * mega, []int64{33 * mega, 33 * mega}, true},
+		{"no total was answered", 0, []int64{20 * mega, 20 * mega}, true},
+		{"a total within safeBytes", 0, []int64{16 * mega, 16 * mega}, false},
+		{"a single body", 0, []int64{60 * mega}, false},
+		{"a total that was answered before", 40 * mega, []int64{20 * mega, 20 * mega}, false},
+		{"a total larger than any answered", 30 * mega, []int64{33 * mega, 33 * mega}, true},
 	} {
 		l := New()
-		if one.borne > 0 {
-			l.End(0, held(l, 0, "before", one.borne)[0], true)
+		if one.answered > 0 {
+			l.End(0, addAccepted(l, 0, "before", one.answered)[0], true)
 		}
-		held(l, time.Second, "r", one.bodies...)
+		addAccepted(l, time.Second, "r", one.bodies...)
 		if crash := l.Crashed(time.Second, "r"); crash.BySum != one.sum || (crash.Limit > 0) != one.sum || l.Limit(time.Second) != crash.Limit {
-			t.Errorf("%s: %+v", one.name, crash)
+			t.Errorf("%s: crash %+v, want BySum and a limit only for a total larger than any answered", one.name, crash)
 		}
-		held(l, time.Minute, "s", 40*mega, 40*mega)
+		addAccepted(l, time.Minute, "s", 40*mega, 40*mega)
 		if crash := l.Crashed(time.Minute, "s"); crash.BySum == one.sum || crash.Limit == 0 {
-			t.Errorf("%s: a request may hide behind the sum again, or a larger sum teaches nothing: %+v", one.name, crash)
+			t.Errorf("%s: second crash %+v, want a limit, and BySum only if the first crash set no limit", one.name, crash)
 		}
 	}
 	if crash := New().Crashed(0, "r"); crash != (Crash{}) {
-		t.Errorf("a crash without large bodies: %+v", crash)
+		t.Errorf("a crash without large bodies: %+v, want an empty one", crash)
 	}
 }
 
-// TestLimitsAreRaisedAndForgotten: by sums that were borne, below what was too much, and with time.
-func TestLimitsAreRaisedAndForgotten(t *testing.T) {
+// TestLimitIsRaisedAndExpires checks that answers close to the limit raise it, up to a fraction of the total at the
+// crash, and that it expires after the retention time.
+func TestLimitIsRaisedAndExpires(t *testing.T) {
 	l := New()
-	for _, body := range held(l, 0, "r", 40*mega, 40*mega) {
+	for _, body := range addAccepted(l, 0, "r", 40*mega, 40*mega) {
 		l.Crashed(0, "r")
 		l.End(0, body, false)
 	}
@@ -130,23 +136,24 @@
 	for range 12 {
 		now += raiseInterval
 		before := l.Limit(now)
-		l.End(now, held(l, now, "s", before)[0], true)
+		l.End(now, addAccepted(l, now, "s", before)[0], true)
 		if after := l.Limit(now); after < before || after > before+before/raiseDivisor || after > 60*mega {
-			t.Fatalf("from %d to %d", before, after)
+			t.Fatalf("an answer changed the limit from %d to %d, want a raise by an eighth at most, up to 60 MiB", before, after)
 		}
-		l.End(now, held(l, now, "s", l.Limit(now))[0], true)
+		l.End(now, addAccepted(l, now, "s", l.Limit(now))[0], true)
 	}
 	if l.Limit(now) != 60*mega {
-		t.Errorf("raised to %d", l.Limit(now))
+		t.Errorf("the limit was raised to %d, want 60 MiB", l.Limit(now))
 	}
 	if l.Limit(retention) != 0 || !l.Fits(retention, "s", 1<<40) {
-		t.Error("a limit is never forgotten")
+		t.Error("a limit holds after the retention time, want none")
 	}
 }
 
-// TestSumsAreTrue: whatever happens in whatever order, what is held is the sum of the bodies that have not ended, no replica gets more
-// than its limit but for one body alone, and nothing is left in the end.
-func TestSumsAreTrue(t *testing.T) {
+// TestAccountingStaysExact guards against leaked or lost bytes in random sequences of calls. The total must equal
+// that of the bodies that have not ended, no replica may get more than its limit except for a single body, and no
+// state may be left at the end.
+func TestAccountingStaysExact(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		l := New()
@@ -157,7 +164,7 @@
 			instance := fmt.Sprint(random.IntN(4))
 			switch random.IntN(5) {
 			case 0, 1:
-				if bytes := int64(random.IntN(33*mega) + largeBytes); l.Fits(now, instance, bytes) {
+				if bytes := int64(random.IntN(33*mega) + largeBodyThreshold); l.Fits(now, instance, bytes) {
 					alone := l.Held(instance) == 0
 					bodies = append(bodies, l.Add(now, instance, bytes))
 					if limit := l.Limit(now); limit > 0 && !alone && l.Held(instance) > limit {
@@ -177,7 +184,7 @@
 			case 4:
 				if before := l.Limit(now); random.IntN(10) == 0 {
 					if crash := l.Crashed(now, instance); crash.New && before > 0 && l.Limit(now) > before {
-						t.Fatalf("seed %d: a crash raises the limit", seed)
+						t.Fatalf("seed %d: a crash raised the limit", seed)
 					}
 				}
 			}
@@ -199,83 +206,86 @@
 	}
 }
 
-// TestOnlyWhatWasReadWasBorne: a replica that answers has not borne what is still on its way.
-func TestOnlyWhatWasReadWasBorne(t *testing.T) {
+// TestUnacceptedBodiesDoNotCountAsAnswered guards against an overestimate of what replicas can hold: bodies that were
+// still being sent when a replica answered do not show that it had memory for them.
+func TestUnacceptedBodiesDoNotCountAsAnswered(t *testing.T) {
 	l := New()
-	first := held(l, 0, "r", 33*mega)[0]
+	first := addAccepted(l, 0, "r", 33*mega)[0]
 	l.Add(0, "r", 33*mega)
 	l.End(time.Second, first, true)
-	held(l, time.Second, "s", 20*mega, 20*mega)
+	addAccepted(l, time.Second, "s", 20*mega, 20*mega)
 	if crash := l.Crashed(time.Second, "s"); crash.MaxAnswered != 33*mega || !crash.BySum {
-		t.Errorf("%+v", crash)
+		t.Errorf("crash %+v, want MaxAnswered 33 MiB and BySum", crash)
 	}
 }
 
-// TestToldLimitsOutliveTheirTeller: a limit that is told no more, or a higher one, takes effect only after the leases in which it was told.
-func TestToldLimitsOutliveTheirTeller(t *testing.T) {
+// TestFleetLimitIsHeldAgainstHigherOrNone guards against a new leader that does not know the limit yet and thereby
+// lifts it. A higher limit or none must take effect only after fleetLimitHold, a lower one at once.
+func TestFleetLimitIsHeldAgainstHigherOrNone(t *testing.T) {
 	l := New()
 	l.SetFleetLimit(0, 40*mega)
 	l.SetFleetLimit(time.Second, 40*mega)
 	for _, told := range []int64{0, 60 * mega} {
 		if l.SetFleetLimit(time.Second+fleetLimitHold-1, told); l.Limit(time.Second+fleetLimitHold-1) != 40*mega {
-			t.Errorf("%d is told and 40 MB are forgotten", told)
+			t.Errorf("a fleet limit of %d replaces 40 MiB before fleetLimitHold has passed", told)
 		}
 	}
 	if l.SetFleetLimit(2*time.Second, 30*mega); l.Limit(2*time.Second) != 30*mega {
-		t.Error("a lower limit waits")
+		t.Error("a lower fleet limit does not take effect at once")
 	}
 	if l.SetFleetLimit(2*time.Second+fleetLimitHold, 0); l.Limit(2*time.Second+fleetLimitHold) != 0 {
-		t.Error("a told limit is never forgotten")
+		t.Error("a fleet limit holds after fleetLimitHold, want none")
 	}
 }
 
-// TestLoneCrashesAreLearnedWhenTold: a body alone teaches nothing by itself; what the fleet learns from it while it is told is learned
-// here too, and later nothing is.
-func TestLoneCrashesAreLearnedWhenTold(t *testing.T) {
+// TestSingleBodyCrashAdoptsFleetLimit checks that a crash with a single body sets no limit by itself, but makes the
+// process adopt a fleet limit that arrives within singleBodyCrashWindow, and not later.
+func TestSingleBodyCrashAdoptsFleetLimit(t *testing.T) {
 	for _, one := range []struct {
 		after   time.Duration
 		learned int64
-	}{{loneCrashWindow, 40 * mega}, {loneCrashWindow + 1, 0}} {
+	}{{singleBodyCrashWindow, 40 * mega}, {singleBodyCrashWindow + 1, 0}} {
 		l := New()
-		body := held(l, time.Second, "r", 40*mega)[0]
+		body := addAccepted(l, time.Second, "r", 40*mega)[0]
 		l.Crashed(time.Second, "r")
 		l.End(time.Second, body, false)
 		if l.Limit(time.Second) != 0 || l.LoneCrash(time.Second) != 40*mega {
-			t.Errorf("a limit of %d, a lone body of %d", l.Limit(time.Second), l.LoneCrash(time.Second))
+			t.Errorf("a limit of %d and a single body of %d bytes after the crash, want 0 and 40 MiB", l.Limit(time.Second), l.LoneCrash(time.Second))
 		}
 		l.SetFleetLimit(time.Second+one.after, 40*mega)
 		if learned := l.Learned(time.Second + one.after); learned != one.learned || l.LoneCrash(time.Second+one.after) != 0 {
-			t.Errorf("learned %d after %v", learned, one.after)
+			t.Errorf("learned limit %d with a fleet limit %v after the crash, want it within singleBodyCrashWindow only, and LoneCrash 0", learned, one.after)
 		}
 	}
 }
 
-// TestExcusedCrashesTeachNothing: a crash that has another cause, whichever of the bodies there tells of it, and the next one teaches again.
-func TestExcusedCrashesTeachNothing(t *testing.T) {
+// TestIgnoredCrashSetsNoLimit guards against a limit after a crash with another cause, whichever body reports it. The
+// next crash must set a limit again.
+func TestIgnoredCrashSetsNoLimit(t *testing.T) {
 	l := New()
-	for _, body := range held(l, 0, "r", 40*mega, 40*mega) {
+	for _, body := range addAccepted(l, 0, "r", 40*mega, 40*mega) {
 		l.IgnoreCrash(time.Second, "r")
 		if crash := l.Crashed(time.Second, "r"); crash != (Crash{}) {
-			t.Errorf("%+v", crash)
+			t.Errorf("crash %+v after IgnoreCrash, want an empty one", crash)
 		}
 		l.End(time.Second, body, false)
 	}
-	held(l, time.Minute, "r", 40*mega, 40*mega)
+	addAccepted(l, time.Minute, "r", 40*mega, 40*mega)
 	if crash := l.Crashed(time.Minute, "r"); l.Limit(time.Minute) != 40*mega || !crash.BySum {
-		t.Errorf("%+v", crash)
+		t.Errorf("crash %+v a minute later, want BySum and a limit of 40 MiB", crash)
 	}
 }
 
-// TestWaitTellsWhenBodiesWereAnswered: by how long earlier ones took, as many as leave room under a limit; without one nothing is known,
-// and an empty replica has room.
-func TestWaitTellsWhenBodiesWereAnswered(t *testing.T) {
+// TestWaitEstimate checks the wait until enough bodies are answered for the limit, by the time that earlier bodies
+// took. Without a limit the wait is unknown (0), and for an empty replica it is 0.
+func TestWaitEstimate(t *testing.T) {
 	l := New()
-	l.End(2*time.Second, held(l, 0, "r", mega)[0], true)
-	held(l, 3*time.Second, "r", mega)
-	held(l, 4*time.Second, "r", mega)
+	l.End(2*time.Second, addAccepted(l, 0, "r", mega)[0], true)
+	addAccepted(l, 3*time.Second, "r", mega)
+	addAccepted(l, 4*time.Second, "r", mega)
 	l.Add(4*time.Second, "s", mega)
 	if wait := l.Wait(4*time.Second, "r", mega); wait != 0 {
-		t.Errorf("a wait of %v without a limit", wait)
+		t.Errorf("a wait of %v without a limit, want 0", wait)
 	}
 	l.SetFleetLimit(0, 2*mega)
 	for _, one := range []struct {
@@ -286,9 +296,9 @@
 	}{
 		{4 * time.Second, "r", mega, time.Second},
 		{4 * time.Second, "r", 2 * mega, 2 * time.Second},
-		{4 * time.Second, "r", 9 * mega, 2 * time.Second}, // alone
-		{time.Minute, "r", mega, 0},                       // overdue
-		{4 * time.Second, "s", mega, 0},                   // one on its way keeps it out
+		{4 * time.Second, "r", 9 * mega, 2 * time.Second}, // larger than the limit: must wait until the replica is empty
+		{time.Minute, "r", mega, 0},                       // the bodies should have been answered already
+		{4 * time.Second, "s", mega, 0},                   // excluded by a body that is not accepted yet
 		{4 * time.Second, "empty", 9 * mega, 0},
 	} {
 		if wait := l.Wait(one.now, one.instance, one.bytes); wait != one.want {
--- a/internal/replicabytes/replay_test.go
+++ b/internal/replicabytes/replay_test.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/share"
 )
 
-// The replay has several gateways send large bodies to few replicas with a memory, in virtual time in steps. Each gateway knows its own
-// bytes, and what the leader tells it with its renewals.
+// The replay simulates, in virtual time and fixed steps, several gateways that send large bodies to a few replicas
+// with limited memory. Each gateway knows its own bytes and what the leader tells it with its lease renewals.
 const (
 	replayStep    = 5 * time.Millisecond
 	replayLease   = 3 * time.Second
@@ -20,12 +20,12 @@
 	replayRead    = 100 * time.Millisecond
 	replayWork    = 400 * time.Millisecond
 	replayBody    = 33 * mega
-	replayMemory  = 80 * mega // two bodies, not three
-	// replayTold is how long after the first crash each gateway has heard of it: two renewals.
-	replayTold = 2*replayRenewal + 2*replayTrip
+	replayMemory  = 80 * mega // enough for two bodies but not for three
+	// replayPropagation is the time from the first crash until each gateway knows of it: two renewals.
+	replayPropagation = 2*replayRenewal + 2*replayTrip
 )
 
-type replayBodyState struct {
+type sentBody struct {
 	body    *Body
 	replica string
 	began   time.Duration
@@ -35,22 +35,22 @@
 	ledger  *Ledger
 	turns   *Turns
 	holding *share.Holding
-	next    time.Duration // renewal
+	next    time.Duration // time of the next lease renewal
 	number  uint64
 	waiting int
-	sent    []replayBodyState
+	sent    []sentBody
 	order   []string
 }
 
 type replay struct {
 	t         *testing.T
-	shared    bool // turns and limits are told through the leader
+	shared    bool // turns and limits are shared through the leader
 	replicas  []string
 	gateways  []*replayGateway
 	allocator *share.Allocator
 	numbers   uint64
 	held      map[string]int64
-	answers   []func(now time.Duration) bool // true once it has been taken
+	answers   []func(now time.Duration) bool // leader's replies under way; each returns true once it has arrived
 	crashes   []time.Duration
 	served    int
 }
@@ -116,8 +116,8 @@
 }
 
 func (r *replay) follow(now time.Duration, gateway *replayGateway) {
-	told, _ := gateway.holding.Share(now, share.Bytes("p"))
-	gateway.ledger.SetFleetLimit(now, int64(told)*share.BytesUnit)
+	fleetLimit, _ := gateway.holding.Share(now, share.Bytes("p"))
+	gateway.ledger.SetFleetLimit(now, int64(fleetLimit)*share.BytesUnit)
 	if gateway.ledger.Limit(now) > 0 {
 		gateway.turns.Step(now, &Situation{Replicas: gateway.order, Waiting: gateway.waiting, Granted: r.granted(now, gateway),
 			Held: func(instance string) bool { return gateway.ledger.Held(instance) > 0 }})
@@ -129,21 +129,21 @@
 		return
 	}
 	gateway.next = now + replayRenewal
-	told := []share.Told{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.Learned(now) / share.BytesUnit),
+	demands := []share.Told{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.Learned(now) / share.BytesUnit),
 		Waiting: 1 + uint32(gateway.ledger.LoneCrash(now)/share.BytesUnit)}}}
 	for _, instance := range gateway.turns.Instances() {
 		inUse, waiting, _ := gateway.turns.Demand(instance)
-		told = append(told, share.Told{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
+		demands = append(demands, share.Told{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
 	}
 	r.numbers++
 	grants := r.allocator.Renew(now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: r.numbers, Acted: gateway.number,
-		Ends: now + replayLease, Demands: told})
+		Ends: now + replayLease, Demands: demands})
 	number := r.numbers
 	r.answers = append(r.answers, func(at time.Duration) bool {
 		if at < now+replayTrip {
 			return false
 		}
-		gateway.holding.Granted(told, grants, now+replayLease)
+		gateway.holding.Granted(demands, grants, now+replayLease)
 		gateway.number = number
 		return true
 	})
@@ -151,27 +151,27 @@
 
 func (r *replay) send(now time.Duration, gateway *replayGateway) {
 	for gateway.waiting > 0 {
-		best := ""
+		target := ""
 		for _, instance := range gateway.order {
 			if !gateway.ledger.Fits(now, instance, replayBody) || r.shared && gateway.ledger.Limit(now) > 0 && !gateway.turns.May(now, instance) {
 				continue
 			}
-			if best == "" || gateway.ledger.Held(instance) < gateway.ledger.Held(best) {
-				best = instance
+			if target == "" || gateway.ledger.Held(instance) < gateway.ledger.Held(target) {
+				target = instance
 			}
 		}
-		if best == "" {
+		if target == "" {
 			return
 		}
 		gateway.waiting--
-		gateway.sent = append(gateway.sent, replayBodyState{body: gateway.ledger.Add(now, best, replayBody), replica: best, began: now})
-		if r.held[best] += replayBody; r.held[best] > replayMemory {
-			r.crash(now, best)
+		gateway.sent = append(gateway.sent, sentBody{body: gateway.ledger.Add(now, target, replayBody), replica: target, began: now})
+		if r.held[target] += replayBody; r.held[target] > replayMemory {
+			r.crash(now, target)
 		}
 	}
 }
 
-// crash ends a replica, which is there again at once, and all that it held; the bodies wait again.
+// crash restarts a replica at once. The bodies that it held are lost and wait to be sent again.
 func (r *replay) crash(now time.Duration, replica string) {
 	r.crashes = append(r.crashes, now)
 	r.held[replica] = 0
@@ -190,9 +190,10 @@
 	}
 }
 
-// TestGatewaysTogetherSpareReplicas: once the first crash is known to all gateways no replica follows, though each of them could bear what
-// any one gateway sends, and all bodies are served.
-func TestGatewaysTogetherSpareReplicas(t *testing.T) {
+// TestSharedLimitsPreventFurtherCrashes guards against replicas that crash because several gateways together exceed
+// their memory, although each gateway alone does not. Once all gateways know of the first crash there must be no
+// further one, and all bodies must be served.
+func TestSharedLimitsPreventFurtherCrashes(t *testing.T) {
 	for _, gateways := range []int{1, 2, 4, 8} {
 		for seed := range uint64(20) {
 			r := newReplay(t, gateways, 3, true, seed)
@@ -207,19 +208,20 @@
 				r.step(now)
 			}
 			for _, at := range r.crashes {
-				if at > r.crashes[0]+replayTold {
-					t.Errorf("%d gateways, seed %d: a crash at %v, the first at %v", gateways, seed, at, r.crashes[0])
+				if at > r.crashes[0]+replayPropagation {
+					t.Errorf("%d gateways, seed %d: a crash at %v although the first was at %v, want none once it is known", gateways, seed, at, r.crashes[0])
 				}
 			}
 			if r.served != sent {
-				t.Errorf("%d gateways, seed %d: %d of %d bodies are served", gateways, seed, r.served, sent)
+				t.Errorf("%d gateways, seed %d: %d of %d bodies are served, want all", gateways, seed, r.served, sent)
 			}
 		}
 	}
 }
 
-// TestGatewaysAloneDoNot is why limits and turns are told: each for itself, gateways bring replicas down again and again.
-func TestGatewaysAloneDoNot(t *testing.T) {
+// TestUnsharedLimitsAllowRepeatedCrashes shows why limits and turns are shared: without that, gateways crash replicas
+// repeatedly.
+func TestUnsharedLimitsAllowRepeatedCrashes(t *testing.T) {
 	r := newReplay(t, 8, 3, false, 1)
 	for now := time.Duration(0); now < 20*time.Second; now += replayStep {
 		if now < 10*time.Second && now%(time.Second) == 0 {
@@ -230,6 +232,6 @@
 		r.step(now)
 	}
 	if len(r.crashes) < 3 {
-		t.Errorf("%d crashes: nothing need be told", len(r.crashes))
+		t.Errorf("%d crashes without shared limits, want 3 at least: the replay shows no need to share them", len(r.crashes))
 	}
 }
--- a/internal/replicabytes/turns.go
+++ b/internal/replicabytes/turns.go
@@ -3,109 +3,113 @@
 import "time"
 
 const (
-	// turnTime is how long a process that holds a replica sends large bodies to it before it lets others. Several bodies share what a
-	// change of holders costs, some renewals of the lease, and a body whose caller waits for some seconds still gets its turn.
-	turnTime = time.Second
-	// askTime is how long a process waits for one replica before it asks for another one, whose holder may be idle.
-	askTime = time.Second
+	// maxTurnDuration is how long a process sends large bodies to a replica before it lets others do so. It is long
+	// enough for several bodies to share the cost of a change, which takes some lease renewals, and short enough for
+	// a body whose caller waits a few seconds to be sent in time.
+	maxTurnDuration = time.Second
+	// maxRequestDuration is how long a process waits for one replica before it requests another one, whose holder may
+	// be idle.
+	maxRequestDuration = time.Second
 )
 
-// turnState is how far a process is with one replica.
+// turnState is the state of a process's turn at one replica.
 type turnState uint8
 
 const (
-	turnAsked   turnState = iota // the replica may be another process's
-	turnHeld                     // large bodies may go there
-	turnEnded                    // what is there is still to be answered
-	turnLeaving                  // until the leader has taken note
+	turnRequested turnState = iota // requested from the leader; another process may have the turn
+	turnActive                     // large bodies may be sent to the replica
+	turnDraining                   // no further bodies are sent; those at the replica are not answered yet
+	turnReleasing                  // released; waits until the leader has withdrawn the grant
 )
 
+// turn is the state of one turn and when it was entered.
 type turn struct {
 	state turnState
 	since time.Duration
 }
 
-// Turns are a process's turns at the replicas of one pool, of which one process at a time sends large bodies to each. Without
-// them several processes, each within the limit, could exceed a replica's memory together. They are used only while a limit is known.
-// Not safe for concurrent use.
+// Turns manages a process's turns at the replicas of one pool. Only the process that has the turn at a replica sends
+// large bodies to it. Otherwise several processes, each within the limit, could exceed the replica's memory together.
+// Turns are used only while a limit is known. Turns is not safe for concurrent use.
 type Turns struct{ turns map[string]*turn }
 
-// NewTurns returns no turns.
+// NewTurns returns a Turns without any turn.
 func NewTurns() *Turns { return &Turns{turns: map[string]*turn{}} }
 
-// Situation is what a step of Turns goes by.
+// Situation is the input of Turns.Step.
 type Situation struct {
-	Replicas []string                   // that could take large bodies, in the order of this process's preference
-	Waiting  int                        // bodies that wait for room
-	Granted  func(instance string) bool // whether the replica is this process's now
-	Held     func(instance string) bool // whether it holds bodies of this process
+	Replicas []string                   // replicas that can take large bodies, in the order of this process's preference
+	Waiting  int                        // number of bodies that wait for free space at a replica
+	Granted  func(instance string) bool // whether the leader grants this process the turn at a replica
+	Held     func(instance string) bool // whether a replica holds bodies of this process
 }
 
-// Step moves all turns on, and asks for as many replicas as bodies wait, as far as there are.
-func (t *Turns) Step(now time.Duration, at *Situation) {
-	asked := 0
+// Step advances all turns, and requests further ones until there are as many as bodies wait, or no replica is left.
+func (t *Turns) Step(now time.Duration, situation *Situation) {
+	wanted := 0
 	for instance, one := range t.turns {
-		t.move(now, instance, one, at)
-		if one.state == turnAsked || one.state == turnHeld {
-			asked++
+		t.advance(now, instance, one, situation)
+		if one.state == turnRequested || one.state == turnActive {
+			wanted++
 		}
 	}
-	for _, instance := range at.Replicas {
-		if asked >= at.Waiting {
+	for _, instance := range situation.Replicas {
+		if wanted >= situation.Waiting {
 			return
 		}
 		if t.turns[instance] == nil {
-			t.turns[instance] = &turn{state: turnAsked, since: now}
-			asked++
+			t.turns[instance] = &turn{state: turnRequested, since: now}
+			wanted++
 		}
 	}
 }
 
-// move moves one turn on; one that is over is forgotten.
-func (t *Turns) move(now time.Duration, instance string, one *turn, at *Situation) {
-	granted, held := at.Granted(instance), at.Held(instance)
+// advance performs the state transitions of one turn. A released turn is deleted once the leader no longer grants it.
+func (t *Turns) advance(now time.Duration, instance string, one *turn, situation *Situation) {
+	granted, held := situation.Granted(instance), situation.Held(instance)
 	switch one.state {
-	case turnAsked:
+	case turnRequested:
 		if granted {
-			one.state, one.since = turnHeld, now
-		} else if at.Waiting == 0 || now-one.since >= askTime {
-			one.state, one.since = turnLeaving, now
+			one.state, one.since = turnActive, now
+		} else if situation.Waiting == 0 || now-one.since >= maxRequestDuration {
+			one.state, one.since = turnReleasing, now
 		}
-	case turnHeld:
-		if !granted || now-one.since >= turnTime || at.Waiting == 0 && !held {
-			one.state, one.since = turnEnded, now
+	case turnActive:
+		if !granted || now-one.since >= maxTurnDuration || situation.Waiting == 0 && !held {
+			one.state, one.since = turnDraining, now
 		}
 	}
-	if one.state == turnEnded && !held {
-		one.state, one.since = turnLeaving, now
+	if one.state == turnDraining && !held {
+		one.state, one.since = turnReleasing, now
 	}
-	if one.state == turnLeaving && !granted && now > one.since {
+	if one.state == turnReleasing && !granted && now > one.since {
 		delete(t.turns, instance)
 	}
 }
 
-// May tells whether large bodies may go to a replica now.
+// May reports whether large bodies may be sent to a replica now.
 func (t *Turns) May(now time.Duration, instance string) bool {
 	one := t.turns[instance]
-	return one != nil && one.state == turnHeld && now-one.since < turnTime
+	return one != nil && one.state == turnActive && now-one.since < maxTurnDuration
 }
 
-// Demand is what the process reports to the leader for a replica: that it uses it, or waits for it. known is false without a turn there.
+// Demand returns what the process reports to the leader for a replica: that it uses the replica, waits for it, or
+// neither. known is false if there is no turn at the replica.
 func (t *Turns) Demand(instance string) (inUse, waiting uint32, known bool) {
 	one := t.turns[instance]
 	if one == nil {
 		return 0, 0, false
 	}
 	switch one.state {
-	case turnAsked:
+	case turnRequested:
 		return 0, 1, true
-	case turnLeaving:
+	case turnReleasing:
 		return 0, 0, true
 	}
 	return 1, 0, true
 }
 
-// Instances lists the replicas with a turn, in no order.
+// Instances returns the replicas with a turn, in no particular order.
 func (t *Turns) Instances() []string {
 	instances := make([]string, 0, len(t.turns))
 	for instance := range t.turns {
--- a/internal/replicabytes/turns_test.go
+++ b/internal/replicabytes/turns_test.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// TestTurnsEnd: a holder gives a replica back after a while, once what it sent there is answered, and asks anew only when the leader has
-// taken note; a turn that others hold is not waited for while there are other replicas.
-func TestTurnsEnd(t *testing.T) {
+// TestTurnIsReleasedAndRequestedAgain guards against a process that keeps a replica from others. Its turn must end
+// after maxTurnDuration, be released once the bodies there are answered, and be requested again only after the leader
+// has withdrawn the grant. While others have the turn, the process must request another replica.
+func TestTurnIsReleasedAndRequestedAgain(t *testing.T) {
 	granted, held := map[string]bool{}, map[string]bool{}
-	at := &Situation{Replicas: []string{"r", "s"}, Waiting: 1, Granted: func(i string) bool { return granted[i] }, Held: func(i string) bool { return held[i] }}
+	situation := &Situation{Replicas: []string{"r", "s"}, Waiting: 1, Granted: func(i string) bool { return granted[i] }, Held: func(i string) bool { return held[i] }}
 	turns := NewTurns()
 	expect := func(now time.Duration, instance string, inUse, waiting uint32, known, may bool) {
 		t.Helper()
 		gotUse, gotWait, gotKnown := turns.Demand(instance)
 		if gotUse != inUse || gotWait != waiting || gotKnown != known || turns.May(now, instance) != may {
-			t.Errorf("%v: in use %d, waiting %d, known %v, may %v", now, gotUse, gotWait, gotKnown, turns.May(now, instance))
+			t.Errorf("at %v: in use %d, waiting %d, known %v, may send %v; want the arguments of the call at the reported line", now, gotUse, gotWait, gotKnown, turns.May(now, instance))
 		}
 	}
-	turns.Step(0, at)
+	turns.Step(0, situation)
 	expect(0, "r", 0, 1, true, false)
 	expect(0, "s", 0, 0, false, false)
 	granted["r"], held["r"] = true, true
-	turns.Step(time.Second/2, at)
+	turns.Step(time.Second/2, situation)
 	expect(time.Second/2, "r", 1, 0, true, true)
-	ended := time.Second/2 + turnTime
+	ended := time.Second/2 + maxTurnDuration
 	expect(ended, "r", 1, 0, true, false)
-	turns.Step(ended, at)
+	turns.Step(ended, situation)
 	expect(ended, "r", 1, 0, true, false)
 	expect(ended, "s", 0, 1, true, false)
 	held["r"] = false
-	turns.Step(ended+1, at)
+	turns.Step(ended+1, situation)
 	expect(ended+1, "r", 0, 0, true, false)
 	granted["r"] = false
-	turns.Step(ended+2, at)
+	turns.Step(ended+2, situation)
 	expect(ended+2, "r", 0, 0, false, false)
-	turns.Step(ended+askTime, at)
-	expect(ended+askTime, "s", 0, 0, true, false)
-	expect(ended+askTime, "r", 0, 1, true, false)
-	at.Waiting = 0
-	turns.Step(ended+askTime+1, at)
-	turns.Step(ended+askTime+2, at)
+	turns.Step(ended+maxRequestDuration, situation)
+	expect(ended+maxRequestDuration, "s", 0, 0, true, false)
+	expect(ended+maxRequestDuration, "r", 0, 1, true, false)
+	situation.Waiting = 0
+	turns.Step(ended+maxRequestDuration+1, situation)
+	turns.Step(ended+maxRequestDuration+2, situation)
 	if left := turns.Instances(); len(left) > 0 {
-		t.Errorf("nothing waits and %v is asked for", left)
+		t.Errorf("turns at %v although no body waits, want none", left)
 	}
 }
