--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -11,16 +11,16 @@
 
 // TestPassingSlowdownDecaysWithAge guards against an old report of a slowdown that counts as much as a fresh one.
 func TestPassingSlowdownDecaysWithAge(t *testing.T) {
-	said := Pace{Lasting: 2, Passing: 3, Seen: time.Second}
+	reported := Pace{Lasting: 2, Passing: 3, Seen: time.Second}
 	for age, want := range map[time.Duration]float64{0: 6, -time.Second: 6, time.Second: 2 * (1 + 2/math.E), time.Minute: 2} {
-		if got := said.Expected(time.Second+age, time.Second); math.Abs(got-want) > 1e-6 {
+		if got := reported.Expected(time.Second+age, time.Second); math.Abs(got-want) > 1e-6 {
 			t.Errorf("expected factor after %v: got %v, want %v", age, got, want)
 		}
 	}
 	if got := (Pace{}).Expected(0, time.Second); got != 1 {
 		t.Errorf("expected factor %v without any report, want 1", got)
 	}
-	if !said.Slowed(time.Second, time.Second) || said.Slowed(time.Minute, time.Second) {
+	if !reported.Slowed(time.Second, time.Second) || reported.Slowed(time.Minute, time.Second) {
 		t.Error("Slowed must be true right after the report of a slowdown and false a minute later")
 	}
 }
@@ -28,8 +28,8 @@
 // TestImplausiblePassingPaceIsBounded guards against a report that makes a replica look idle or dead.
 func TestImplausiblePassingPaceIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := Pace{Passing: rapid.Float64Range(0, 1e12).Draw(t, "passing"), Seen: time.Second}
-		if got := said.Expected(time.Second, time.Second); got < minPassing || got > maxPassing {
+		reported := Pace{Passing: rapid.Float64Range(0, 1e12).Draw(t, "passing"), Seen: time.Second}
+		if got := reported.Expected(time.Second, time.Second); got < minPassing || got > maxPassing {
 			t.Fatalf("expected factor %v, want a value within the bounds of the passing part", got)
 		}
 	})
@@ -165,13 +165,13 @@
 func TestImplausibleReportsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rest Rest
-		var said Said
+		var estimator Said
 		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			seen := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "seen"))
-			said.Note(rapid.Float64Range(-1, 1e12).Draw(t, "figure"), seen, &rest)
+			estimator.Note(rapid.Float64Range(-1, 1e12).Draw(t, "figure"), seen, &rest)
 		}
 		least, most := minReported*minPassing, float64(maxReported*maxPassing)
-		if got := said.Pace().Expected(5*time.Second, rest.Expected()); got < least || got > most {
+		if got := estimator.Pace().Expected(5*time.Second, rest.Expected()); got < least || got > most {
 			t.Fatalf("expected factor %v, want a value within the bounds of both parts", got)
 		}
 	})
@@ -180,10 +180,10 @@
 // TestOutdatedReportsAreDropped checks that a report that arrived before the latest one is ignored.
 func TestOutdatedReportsAreDropped(t *testing.T) {
 	var rest Rest
-	var said Said
-	said.Note(1, 2*time.Second, &rest)
-	said.Note(2.5, time.Second, &rest)
-	if got := said.Pace(); got.Passing != 1 || got.Seen != 2*time.Second {
+	var estimator Said
+	estimator.Note(1, 2*time.Second, &rest)
+	estimator.Note(2.5, time.Second, &rest)
+	if got := estimator.Pace(); got.Passing != 1 || got.Seen != 2*time.Second {
 		t.Errorf("pace %+v after an outdated report, want a passing part of 1 seen at 2 s", got)
 	}
 }
--- a/internal/replicabytes/ledger_test.go
+++ b/internal/replicabytes/ledger_test.go
@@ -225,9 +225,9 @@
 	l := New()
 	l.SetFleetLimit(0, 40*mega)
 	l.SetFleetLimit(time.Second, 40*mega)
-	for _, told := range []int64{0, 60 * mega} {
-		if l.SetFleetLimit(time.Second+fleetLimitHold-1, told); l.Limit(time.Second+fleetLimitHold-1) != 40*mega {
-			t.Errorf("a fleet limit of %d replaces 40 MiB before fleetLimitHold has passed", told)
+	for _, limit := range []int64{0, 60 * mega} {
+		if l.SetFleetLimit(time.Second+fleetLimitHold-1, limit); l.Limit(time.Second+fleetLimitHold-1) != 40*mega {
+			t.Errorf("a fleet limit of %d replaces 40 MiB before fleetLimitHold has passed", limit)
 		}
 	}
 	if l.SetFleetLimit(2*time.Second, 30*mega); l.Limit(2*time.Second) != 30*mega {
