--- a/internal/batchrun/schedule/adopt.go
+++ b/internal/batchrun/schedule/adopt.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Adopt counts a waiting item as running at a replica where an earlier leader has it run, and returns the run as Starts would have. It is
-// refused for an item that does not wait, and at a replica that is not known.
+// Adopt counts a waiting item as running on the replica where an earlier leader started it, and returns the run as
+// Starts would have. It returns false if the item is not waiting or the replica is unknown.
 func (s *Scheduler) Adopt(key Key, instance string, now time.Duration) (Start, bool) {
-	entry, at := s.find(key), s.replicas[instance]
-	if entry == nil || entry.state != waiting || at == nil {
+	entry, replica := s.find(key), s.replicas[instance]
+	if entry == nil || entry.state != waiting || replica == nil {
 		return Start{}, false
 	}
-	if s.order == nil {
-		s.arrange(now)
+	if s.waitingOrder == nil {
+		s.sortWaiting(now)
 	}
-	s.order = slices.DeleteFunc(s.order, func(one *item) bool { return one == entry })
-	entry.press(now)
-	s.enter(entry, at, now)
+	s.waitingOrder = slices.DeleteFunc(s.waitingOrder, func(one *item) bool { return one == entry })
+	entry.markCritical(now)
+	s.startRun(entry, replica, now)
 	return Start{
-		Key: key, Instance: at.Instance, Address: at.Address, Pool: at.Pool, Slots: at.Slots, Urgency: entry.urgency, Running: at.running,
+		Key: key, Instance: replica.Instance, Address: replica.Address, Pool: replica.Pool, Slots: replica.Slots, Urgency: entry.urgency, Running: replica.running,
 	}, true
 }
--- a/internal/batchrun/schedule/candidates.go
+++ b/internal/batchrun/schedule/candidates.go
@@ -7,52 +7,54 @@
 	"time"
 )
 
-// demand is what decides which replicas may take an item and in which order, whichever item it is.
-type demand struct {
+// placementKey holds everything about an item that determines which replicas may run it and their order. Items with
+// equal keys share one set of candidates.
+type placementKey struct {
 	pool, model string
 	minVersion  uint64
-	pressing    bool
+	critical    bool
 	suspected   bool
-	// enough is how fast a replica must be for the item to be in time, see Scheduler.enough.
-	enough paceClass
+	// paceClass is how fast a replica must be for the item to be in time; see Scheduler.requiredPaceClass.
+	paceClass paceClass
 }
 
-func (s *Scheduler) demand(entry *item, pool string, now time.Duration) demand {
-	return demand{pool: pool, model: entry.job.Model, minVersion: entry.job.MinVersion, pressing: entry.pressing,
-		suspected: entry.suspected, enough: s.enough(entry, s.pools[pool], now)}
+func (s *Scheduler) placementKeyOf(entry *item, pool string, now time.Duration) placementKey {
+	return placementKey{pool: pool, model: entry.job.Model, minVersion: entry.job.MinVersion, critical: entry.critical,
+		suspected: entry.suspected, paceClass: s.requiredPaceClass(entry, s.pools[pool], now)}
 }
 
-// round is one look for starts at a moment. Within it replicas only fill up, so candidates that are collected once stay
-// in order but for those that were chosen since.
-type round struct {
+// placementRound places items at one point in time. Replicas only fill up during a round, so candidates that were
+// collected once stay in order, except for those that received an item since.
+type placementRound struct {
 	scheduler  *Scheduler
 	now        time.Duration
-	candidates map[demand]*candidates
+	candidates map[placementKey]*candidates
 }
 
-func (s *Scheduler) newRound(now time.Duration) *round {
-	return &round{scheduler: s, now: now, candidates: map[demand]*candidates{}}
+func (s *Scheduler) newPlacementRound(now time.Duration) *placementRound {
+	return &placementRound{scheduler: s, now: now, candidates: map[placementKey]*candidates{}}
 }
 
-// candidate is a replica with its load when that was last looked at; it may have grown since.
+// candidate is a replica with its load when that was last computed. The load may have grown since.
 type candidate struct {
-	at   *replica
-	load float64
+	replica *replica
+	load    float64
 }
 
 func (c candidate) compare(other candidate) int {
-	return cmp.Or(cmp.Compare(c.load, other.load), cmp.Compare(c.at.position, other.at.position))
+	return cmp.Or(cmp.Compare(c.load, other.load), cmp.Compare(c.replica.index, other.replica.index))
 }
 
-// candidates are the replicas that may meet a demand.
+// candidates are the replicas that may run the items of one placementKey.
 type candidates struct {
 	byLoad
-	// memoryFull: no replica had memory for an item. smallest is the tokens of the smallest such item.
-	memoryFull bool
-	smallest   uint64
+	// memoryRejected reports that no replica had memory for some item. smallestRejected is the number of tokens of the
+	// smallest such item.
+	memoryRejected   bool
+	smallestRejected uint64
 }
 
-// byLoad are candidates, the emptiest first. It implements heap.Interface.
+// byLoad is a heap of candidates, ordered by load. It implements heap.Interface.
 type byLoad []candidate
 
 func (c byLoad) Len() int           { return len(c) }
@@ -69,133 +71,136 @@
 	return last
 }
 
-// place chooses the replica for an item; nil if none may take it now.
-func (r *round) place(entry *item) *replica {
+// place returns the replica on which an item starts, or nil if no replica can run it now.
+func (r *placementRound) place(entry *item) *replica {
 	name := entry.poolOf()
-	of := r.scheduler.pools[name]
-	if name == "" || of == nil {
+	pool := r.scheduler.pools[name]
+	if name == "" || pool == nil {
 		return nil
 	}
-	if at := r.reserved(entry, of); at != nil {
-		return at
+	if replica := r.reserved(entry, pool); replica != nil {
+		return replica
 	}
-	wanted := r.scheduler.demand(entry, name, r.now)
-	best, found := r.emptiest(entry, of, wanted)
-	for _, instance := range []string{entry.group.instance, entry.avoid} {
-		special, fits := r.special(entry, of, instance, wanted)
-		if fits && (!found || special.compare(best) < 0) {
-			best, found = special, true
+	key := r.scheduler.placementKeyOf(entry, name, r.now)
+	best, found := r.findLeastLoaded(entry, pool, key)
+	for _, instance := range []string{entry.group.lastInstance, entry.avoidInstance} {
+		preferred, fits := r.candidateOn(entry, pool, instance, key)
+		if fits && (!found || preferred.compare(best) < 0) {
+			best, found = preferred, true
 		}
 	}
-	return best.at
+	return best.replica
 }
 
-// special is one of the replicas that an item prefers or avoids, with what that counts as load.
-func (r *round) special(entry *item, of *pool, instance string, wanted demand) (found candidate, fits bool) {
-	at := r.scheduler.replicas[instance]
-	if instance == "" || at == nil || at.gone || r.scheduler.pools[at.Pool] != of || !r.scheduler.fits(at, entry, r.now) ||
-		!r.scheduler.holds(at, entry) {
+// candidateOn returns a replica that the item prefers or avoids as a candidate, with its load adjusted for that. fits
+// is false if the replica can't run the item now.
+func (r *placementRound) candidateOn(entry *item, pool *pool, instance string, key placementKey) (found candidate, fits bool) {
+	replica := r.scheduler.replicas[instance]
+	if instance == "" || replica == nil || replica.draining || r.scheduler.pools[replica.Pool] != pool || !r.scheduler.canStart(replica, entry, r.now) ||
+		!r.scheduler.hasMemoryFor(replica, entry) {
 		return candidate{}, false
 	}
-	load := r.scheduler.load(at, of, wanted)
-	if instance == entry.group.instance {
+	load := r.scheduler.loadWith(replica, pool, key)
+	if instance == entry.group.lastInstance {
 		load -= r.scheduler.settings.AffinityBonus
 	}
-	if instance == entry.avoid && len(of.replicas) > 1 {
+	if instance == entry.avoidInstance && len(pool.replicas) > 1 {
 		load += avoidanceLoad
 	}
-	return candidate{at: at, load: load}, true
+	return candidate{replica: replica, load: load}, true
 }
 
-// memoryFullShare is how many times smaller an item must be than one for which no replica has memory to be tried in the same round: each
-// try looks at all replicas.
-const memoryFullShare = 2
+// memoryRetryRatio is how many times smaller than the smallest rejected item another item must be to be tried in the
+// same round once no replica had memory. It bounds the cost, because each attempt checks all replicas.
+const memoryRetryRatio = 2
 
-// emptiest is the replica with the lowest load but for those that special answers for.
-func (r *round) emptiest(entry *item, of *pool, wanted demand) (best candidate, found bool) {
-	held, size := r.collected(entry, of, wanted), entry.Length+entry.Prompt
-	if held.memoryFull && memoryFullShare*size > held.smallest {
+// findLeastLoaded returns the candidate with the lowest load, leaving out the replicas that the item prefers or avoids,
+// which candidateOn evaluates.
+func (r *placementRound) findLeastLoaded(entry *item, pool *pool, key placementKey) (best candidate, found bool) {
+	candidates, size := r.candidatesFor(entry, pool, key), entry.Length+entry.Prompt
+	if candidates.memoryRejected && memoryRetryRatio*size > candidates.smallestRejected {
 		return candidate{}, false
 	}
-	var aside []candidate
-	memoryFull := false
-	for held.Len() > 0 && !found {
-		top := held.byLoad[0]
-		switch load := r.scheduler.load(top.at, of, wanted); {
-		case !r.scheduler.fits(top.at, entry, r.now):
-			heap.Pop(held)
+	var skipped []candidate
+	memoryRejected := false
+	for candidates.Len() > 0 && !found {
+		top := candidates.byLoad[0]
+		switch load := r.scheduler.loadWith(top.replica, pool, key); {
+		case !r.scheduler.canStart(top.replica, entry, r.now):
+			heap.Pop(candidates)
 		case load != top.load:
-			held.byLoad[0].load = load
-			heap.Fix(held, 0)
-		case !r.scheduler.holds(top.at, entry):
-			aside, memoryFull = append(aside, top), true
-			heap.Pop(held)
-		case top.at.Instance == entry.avoid || top.at.Instance == entry.group.instance:
-			aside = append(aside, top)
-			heap.Pop(held)
+			candidates.byLoad[0].load = load
+			heap.Fix(candidates, 0)
+		case !r.scheduler.hasMemoryFor(top.replica, entry):
+			skipped, memoryRejected = append(skipped, top), true
+			heap.Pop(candidates)
+		case top.replica.Instance == entry.avoidInstance || top.replica.Instance == entry.group.lastInstance:
+			skipped = append(skipped, top)
+			heap.Pop(candidates)
 		default:
 			best, found = top, true
 		}
 	}
-	for _, one := range aside {
-		heap.Push(held, one)
+	for _, one := range skipped {
+		heap.Push(candidates, one)
 	}
-	if memoryFull && !found {
-		held.memoryFull, held.smallest = true, size
+	if memoryRejected && !found {
+		candidates.memoryRejected, candidates.smallestRejected = true, size
 	}
 	return best, found
 }
 
-// collected returns the candidates of a demand, collecting them when they are asked for first.
-func (r *round) collected(entry *item, of *pool, wanted demand) *candidates {
-	if held := r.candidates[wanted]; held != nil {
-		return held
+// candidatesFor returns the candidates of a placement key. They are collected on first use.
+func (r *placementRound) candidatesFor(entry *item, pool *pool, key placementKey) *candidates {
+	if candidates := r.candidates[key]; candidates != nil {
+		return candidates
 	}
-	held := &candidates{}
-	for _, at := range of.replicas {
-		if r.scheduler.fits(at, entry, r.now) {
-			held.byLoad = append(held.byLoad, candidate{at: at, load: r.scheduler.load(at, of, wanted)})
+	candidates := &candidates{}
+	for _, replica := range pool.replicas {
+		if r.scheduler.canStart(replica, entry, r.now) {
+			candidates.byLoad = append(candidates.byLoad, candidate{replica: replica, load: r.scheduler.loadWith(replica, pool, key)})
 		}
 	}
-	heap.Init(held)
-	r.candidates[wanted] = held
-	return held
+	heap.Init(candidates)
+	r.candidates[key] = candidates
+	return candidates
 }
 
-// faster are the replicas with room that runs may be moved to, the fastest first.
-type faster []*replica
-
-// fasterFor collects the replicas of a pool that bring events, have room and may take an item like this one.
-func (s *Scheduler) fasterFor(entry *item, of *pool, now time.Duration) faster {
-	var found faster
-	for _, at := range of.replicas {
-		known := at.versions[entry.job.Model]
-		usable := at.pausedTo <= now && !at.probation && !at.tooOld(entry.job) && !(known.fresh(now) && known.loading)
-		if usable && at.pace > 0 && at.hasRoom() {
-			found = append(found, at)
+// fasterReplicas are the replicas with free slots that runs can move to, ordered by pace with the fastest first.
+type fasterReplicas []*replica
+
+// findFasterReplicas returns the replicas of a pool that have a known pace and a free slot and may run an item like
+// this one.
+func (s *Scheduler) findFasterReplicas(entry *item, pool *pool, now time.Duration) fasterReplicas {
+	var found fasterReplicas
+	for _, replica := range pool.replicas {
+		known := replica.versions[entry.job.Model]
+		usable := replica.pausedUntil <= now && !replica.onProbation && !replica.isTooOldFor(entry.job) && !(known.isFresh(now) && known.loading)
+		if usable && replica.pace > 0 && replica.hasFreeSlot() {
+			found = append(found, replica)
 		}
 	}
 	slices.SortStableFunc(found, func(a, b *replica) int { return cmp.Compare(a.pace, b.pace) })
 	return found
 }
 
-// first is the fastest replica whose memory holds a run; nil if none does.
-func (f *faster) first(holds func(*replica) bool) *replica {
+// firstWithMemory returns the fastest replica for which hasMemory is true, or nil if there is none.
+func (f *fasterReplicas) firstWithMemory(hasMemory func(*replica) bool) *replica {
 	f.dropFull()
 	for _, candidate := range *f {
-		if candidate.hasRoom() && holds(candidate) {
+		if candidate.hasFreeSlot() && hasMemory(candidate) {
 			return candidate
 		}
 	}
 	return nil
 }
 
-// dropFull drops replicas without room from the front.
-func (f *faster) dropFull() {
-	for len(*f) > 0 && !(*f)[0].hasRoom() {
+// dropFull removes replicas without a free slot from the front.
+func (f *fasterReplicas) dropFull() {
+	for len(*f) > 0 && !(*f)[0].hasFreeSlot() {
 		*f = (*f)[1:]
 	}
 }
 
-// hasRoom tells whether one more run may come.
-func (r *replica) hasRoom() bool { return r.running+r.coming+r.reserved < r.Slots }
+// hasFreeSlot reports whether one more run can start or move here, counting slots held for moving runs as taken.
+func (r *replica) hasFreeSlot() bool { return r.running+r.incomingMoves+r.reservedSlots < r.Slots }
--- a/internal/batchrun/schedule/fleet.go
+++ b/internal/batchrun/schedule/fleet.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Fleet is what is known of the replicas of all pools, in short.
+// Fleet summarizes the replicas of all pools that accept new work.
 type Fleet struct {
-	// Fastest and Slowest are the pauses between two events at the replica that is lastingly the fastest, and at the slowest; 0: none
-	// is known.
+	// Fastest and Slowest are the times between two events on the fastest and on the slowest replica, by their
+	// long-term paces. 0: unknown.
 	Fastest, Slowest time.Duration
-	// Rest is how long a passing slowness is expected to go on; 0: no replica tells of any.
+	// Rest is how long a temporary slowdown is expected to last; 0: no replica reports its pace.
 	Rest time.Duration
-	// Memory is the part of its memory that is taken at the replica that is the fullest; 0: no memory is known.
+	// Memory is the used fraction of memory of the replica whose memory is fullest; 0: no memory size is known.
 	Memory float64
 }
 
-// Fleet describes the replicas that take new work.
+// Fleet summarizes the replicas that accept new work.
 func (s *Scheduler) Fleet() Fleet {
 	var found Fleet
-	for _, of := range s.pools {
-		if of.reportsPace {
-			found.Rest = max(found.Rest, of.rest.Expected())
+	for _, pool := range s.pools {
+		if pool.reportsPace {
+			found.Rest = max(found.Rest, pool.slowdownRest.Expected())
 		}
-		for _, at := range of.replicas {
-			if pause := inSeconds(at.pace); pause > 0 {
+		for _, replica := range pool.replicas {
+			if pause := fromSeconds(replica.pace); pause > 0 {
 				found.Slowest = max(found.Slowest, pause)
 				if found.Fastest == 0 || pause < found.Fastest {
 					found.Fastest = pause
 				}
 			}
-			if at.Memory > 0 {
-				found.Memory = max(found.Memory, s.memory(at)/float64(at.Memory))
+			if replica.Memory > 0 {
+				found.Memory = max(found.Memory, s.peakMemory(replica)/float64(replica.Memory))
 			}
 		}
 	}
--- a/internal/batchrun/schedule/forecast.go
+++ b/internal/batchrun/schedule/forecast.go
@@ -6,67 +6,71 @@
 	"time"
 )
 
-// lengthLimit is what is known of the longest answers of a model: requests bound their answers, and the longest of many end at that bound.
+// lengthLimit learns the maximum length of a model's answers. Requests limit their answers, so the longest of many
+// answers end at that limit.
 type lengthLimit struct {
 	events int // of the longest answer
-	times  int // how many answers had as many
+	count  int // number of answers of that length
 }
 
-// limitTimes is how many answers must have the same greatest number of events for that to count as the bound of all.
-const limitTimes = 3
+// limitConfirmations is how many answers must share the largest number of events for it to count as the limit of all
+// answers.
+const limitConfirmations = 3
 
+// note records the events of a complete answer.
 func (l *lengthLimit) note(events int) {
 	switch {
 	case events > l.events:
-		*l = lengthLimit{events: events, times: 1}
+		*l = lengthLimit{events: events, count: 1}
 	case events == l.events:
-		l.times++
+		l.count++
 	}
 }
 
-// known returns the bound of a model's answers in events; 0 while it is not known.
-func (l *lengthLimit) known() int {
-	if l == nil || l.times < limitTimes {
+// bound returns the maximum number of events of a model's answers; 0 while it is unknown.
+func (l *lengthLimit) bound() int {
+	if l == nil || l.count < limitConfirmations {
 		return 0
 	}
 	return l.events
 }
 
-// noteLength notes the events of a whole answer.
+// noteLength records the number of events of a model's complete answer.
 func (s *Scheduler) noteLength(model string, events int) {
-	if s.limits == nil {
-		s.limits = map[string]*lengthLimit{}
+	if s.lengthLimits == nil {
+		s.lengthLimits = map[string]*lengthLimit{}
 	}
-	if s.limits[model] == nil {
-		s.limits[model] = &lengthLimit{}
+	if s.lengthLimits[model] == nil {
+		s.lengthLimits[model] = &lengthLimit{}
 	}
-	s.limits[model].note(events)
+	s.lengthLimits[model].note(events)
 }
 
-// Expected returns when a job is expected to have the whole groups that its owner waits for: by the items that run, at the paces of their
-// replicas. An answer that has outgrown its estimate is expected to become as long as answers of its model do. Not known while an item that
-// counts does not run, or the bound of the answers is not known.
+// Expected returns when the groups that a job's owner requires are expected to be complete, according to the running
+// items and the paces of their replicas. An answer that has outgrown its estimate is expected to reach the maximum
+// length of its model's answers. The end is unknown while a required item is not running or while that maximum is
+// unknown.
 func (s *Scheduler) Expected(id string) (end time.Duration, known bool) {
-	held := s.jobs[id]
-	if held == nil {
+	job := s.jobs[id]
+	if job == nil {
 		return 0, false
 	}
-	limit := s.limits[held.Model].known()
+	limit := s.lengthLimits[job.Model].bound()
 	if limit == 0 {
 		return 0, false
 	}
-	wanted := held.Desired
-	if wanted <= 0 {
-		wanted = len(held.groups)
+	required := job.Desired
+	if required <= 0 {
+		required = len(job.groups)
 	}
 	var ends []time.Duration
-	for _, member := range held.groups {
-		switch groupEnd, whole := s.groupEnd(member, limit); {
-		case member.hopeless():
-		case whole:
-			wanted--
+	for _, member := range job.groups {
+		switch groupEnd, complete := s.estimateGroupEnd(member, limit); {
+		case member.cannotComplete():
+		case complete:
+			required--
 		case member.carried:
-			wanted--
+			required--
 			end = max(end, groupEnd)
 		default:
 			ends = append(ends, groupEnd)
@@ -74,45 +78,47 @@
 	}
 	slices.SortFunc(ends, cmp.Compare)
 	switch {
-	case wanted > len(ends):
+	case required > len(ends):
 		return 0, false
-	case wanted > 0:
-		end = max(end, ends[wanted-1])
+	case required > 0:
+		end = max(end, ends[required-1])
 	}
-	return end, end > 0 && end < farAway
+	return end, end > 0 && end < unboundedTime
 }
 
-// groupEnd is when the last item of a group is expected to end, farAway if one does not run; whole: all have ended.
-func (s *Scheduler) groupEnd(member *group, limit int) (end time.Duration, whole bool) {
-	whole = true
+// estimateGroupEnd returns when the last item of a group is expected to end, or unboundedTime if an unfinished item is
+// not running. complete reports that all items have ended.
+func (s *Scheduler) estimateGroupEnd(member *group, limit int) (end time.Duration, complete bool) {
+	complete = true
 	for _, entry := range member.items {
 		switch entry.state {
 		case finished, terminated:
 			continue
 		case running:
-			end = max(end, s.runEnd(entry, limit))
+			end = max(end, s.estimateRunEnd(entry, limit))
 		default:
-			end = farAway
+			end = unboundedTime
 		}
-		whole = false
+		complete = false
 	}
-	return end, whole
+	return end, complete
 }
 
-// runEnd is when a run is expected to end.
-func (s *Scheduler) runEnd(entry *item, limit int) time.Duration {
-	at := s.replicas[entry.run.instance]
-	if at == nil {
-		return farAway
+// estimateRunEnd returns when a run is expected to end, given the maximum number of events of an answer; unboundedTime
+// if the pace is unknown.
+func (s *Scheduler) estimateRunEnd(entry *item, limit int) time.Duration {
+	replica := s.replicas[entry.run.instance]
+	if replica == nil {
+		return unboundedTime
 	}
-	pace := cmp.Or(at.pace, s.poolNamed(at.Pool).pace)
+	pace := cmp.Or(replica.pace, s.poolNamed(replica.Pool).pace)
 	if pace == 0 {
-		return farAway
+		return unboundedTime
 	}
-	brought := float64(entry.brought + entry.run.events)
+	delivered := float64(entry.earlierEvents + entry.run.events)
 	total := min(s.expectedEvents(entry), float64(limit))
-	if brought >= total {
+	if delivered >= total {
 		total = float64(limit)
 	}
-	return entry.run.last + inSeconds(max(total-brought, 0)*pace)
+	return entry.run.lastEvent + fromSeconds(max(total-delivered, 0)*pace)
 }
--- a/internal/batchrun/schedule/forecast_test.go
+++ b/internal/batchrun/schedule/forecast_test.go
@@ -9,7 +9,7 @@
 
 // knowLimit has answers of a model become so many events long, as often as it takes to believe in a bound.
 func knowLimit(s *Scheduler, model string, events int) {
-	for range limitTimes {
+	for range limitConfirmations {
 		s.noteLength(model, events)
 	}
 }
@@ -74,15 +74,15 @@
 func TestBoundsOfAnswersNeedSeveral(t *testing.T) {
 	var limit lengthLimit
 	for _, events := range []int{40, 145, 145, 7, 145} {
-		if known := limit.known(); known != 0 {
+		if known := limit.bound(); known != 0 {
 			t.Fatalf("bound %d before it was met often enough", known)
 		}
 		limit.note(events)
 	}
-	if limit.known() != 145 {
-		t.Errorf("bound %d", limit.known())
+	if limit.bound() != 145 {
+		t.Errorf("bound %d", limit.bound())
 	}
-	if limit.note(200); limit.known() != 0 {
+	if limit.note(200); limit.bound() != 0 {
 		t.Error("a longer answer leaves the bound as it was")
 	}
 }
--- a/internal/batchrun/schedule/memory.go
+++ b/internal/batchrun/schedule/memory.go
@@ -6,10 +6,12 @@
 	"slices"
 )
 
-// A replica's memory is a room beside its slots: it holds the prompts and the answers of all that runs there. A replica that runs out of
-// it stops a run and reads its prompt and text again later, which costs the run its time and all others theirs.
+// The memory of a replica is a second limit besides its slots. It holds the prompts and answers of all runs there. A
+// replica that runs out of memory preempts a run and later processes its prompt and text again, which costs that run
+// its time and delays all others.
 
-// tokensPerEvent is how many tokens an event of the pool's answers brings, by the estimates of those that are whole; 0: none is.
+// tokensPerEvent returns how many tokens an event carries, from the estimated lengths of complete answers; 0 if none
+// was seen.
 func (p *pool) tokensPerEvent() float64 {
 	if p.meanEvents == 0 {
 		return 0
@@ -17,137 +19,141 @@
 	return p.meanLength / p.meanEvents
 }
 
-// holding is what an answer takes of a replica's memory.
-type holding struct {
-	brought float64 // tokens so far
-	left    float64 // tokens that are expected to follow
+// answerMemory is the memory that an answer uses on a replica.
+type answerMemory struct {
+	produced  float64 // tokens so far
+	remaining float64 // tokens that are expected to follow
 }
 
-// holding is what an item's answer takes of memory where it runs. Of one that has brought more than was estimated more is expected to
-// follow, and none is longer than its message permits.
-func (p *pool) holding(entry *item) holding {
+// answerMemoryOf returns the memory that an item's answer uses on its replica. More tokens are expected to follow even
+// if the answer has exceeded its estimate, but it never exceeds the maximum length of its request.
+func (p *pool) answerMemoryOf(entry *item) answerMemory {
 	expected := float64(entry.Length)
 	if p.overrun > 0 {
 		expected *= p.overrun
 	}
-	brought := float64(entry.brought+entry.run.events) * p.tokensPerEvent()
-	left := math.Max(expected-brought, overrunLikely*brought)
+	produced := float64(entry.earlierEvents+entry.run.events) * p.tokensPerEvent()
+	remaining := math.Max(expected-produced, likelyRemainingShare*produced)
 	if entry.Most > 0 {
-		left = math.Max(math.Min(left, float64(entry.Most)-brought), 0)
+		remaining = math.Max(math.Min(remaining, float64(entry.Most)-produced), 0)
 	}
-	return holding{brought: brought, left: left}
+	return answerMemory{produced: produced, remaining: remaining}
 }
 
-// peak is the most memory that answers take together which go on side by side at one pace, given those with the most left first: each end
-// of one frees what it took, and the others grow until then.
-func peak(answers []holding) float64 {
-	most, brought := 0.0, 0.0
+// computePeak returns the peak memory use of answers that progress concurrently at the same pace. answers is sorted by
+// remaining tokens in descending order. When an answer ends, its memory is freed, and the others grow until the next
+// one ends.
+func computePeak(answers []answerMemory) float64 {
+	peak, produced := 0.0, 0.0
 	for i, one := range answers {
-		brought += one.brought
-		most = math.Max(most, brought+float64(i+1)*one.left)
+		produced += one.produced
+		peak = math.Max(peak, produced+float64(i+1)*one.remaining)
 	}
-	return most
+	return peak
 }
 
-// peakWith is the peak of answers and another one.
-func peakWith(answers []holding, added holding) float64 {
-	at, _ := slices.BinarySearchFunc(answers, added, mostLeftFirst)
-	most, brought := peak(answers[:at]), added.brought
-	for _, one := range answers[:at] {
-		brought += one.brought
+// computePeakWith returns the peak memory use of answers and one more answer.
+func computePeakWith(answers []answerMemory, added answerMemory) float64 {
+	position, _ := slices.BinarySearchFunc(answers, added, byRemainingDescending)
+	peak, produced := computePeak(answers[:position]), added.produced
+	for _, one := range answers[:position] {
+		produced += one.produced
 	}
-	most = math.Max(most, brought+float64(at+1)*added.left)
-	for i, one := range answers[at:] {
-		brought += one.brought
-		most = math.Max(most, brought+float64(at+i+2)*one.left)
+	peak = math.Max(peak, produced+float64(position+1)*added.remaining)
+	for i, one := range answers[position:] {
+		produced += one.produced
+		peak = math.Max(peak, produced+float64(position+i+2)*one.remaining)
 	}
-	return most
+	return peak
 }
 
-func mostLeftFirst(a, b holding) int { return cmp.Compare(b.left, a.left) }
-
-// memoryRoom is what the answers at a replica take of its memory. It is kept between two changes of them: each item that looks for a place
-// asks many replicas.
-type memoryRoom struct {
-	known   bool
-	changes uint64    // of the scheduler, when it was made
-	answers []holding // those with the most left first
-	prompts map[*group]uint64
-	prompt  uint64 // tokens of all prompts
+// byRemainingDescending compares answers for sorting by remaining tokens, the largest first.
+func byRemainingDescending(a, b answerMemory) int { return cmp.Compare(b.remaining, a.remaining) }
+
+// memoryUsage is the memory used by the items of a replica. It is cached between changes, because placing one item
+// queries many replicas.
+type memoryUsage struct {
+	valid        bool              // the items have not changed since it was computed
+	revision     uint64            // Scheduler.revision for which it was computed
+	answers      []answerMemory    // sorted by remaining tokens in descending order
+	prompts      map[*group]uint64 // tokens of the prompt shared by a group's items
+	promptTokens uint64            // tokens of all prompts
 }
 
-// memoryOf is what the answers that run at a replica, or are to go on there, take.
-func (s *Scheduler) memoryOf(at *replica) *memoryRoom {
-	if at.room == nil {
-		at.room = &memoryRoom{prompts: map[*group]uint64{}}
+// memoryUsageOf returns the memory used by the items that run on a replica or have a slot reserved there.
+func (s *Scheduler) memoryUsageOf(replica *replica) *memoryUsage {
+	if replica.memoryUsage == nil {
+		replica.memoryUsage = &memoryUsage{prompts: map[*group]uint64{}}
 	}
-	room, of := at.room, s.poolNamed(at.Pool)
-	if room.known && room.changes == s.changes {
-		return room
+	usage, pool := replica.memoryUsage, s.poolNamed(replica.Pool)
+	if usage.valid && usage.revision == s.revision {
+		return usage
 	}
-	room.known, room.changes, room.answers, room.prompt = true, s.changes, room.answers[:0], 0
-	clear(room.prompts)
-	for entry := range at.items {
-		room.answers = append(room.answers, of.holding(entry))
-		room.prompt += room.morePrompt(entry)
-		room.prompts[entry.group] = max(room.prompts[entry.group], entry.Prompt)
+	usage.valid, usage.revision, usage.answers, usage.promptTokens = true, s.revision, usage.answers[:0], 0
+	clear(usage.prompts)
+	for entry := range replica.items {
+		usage.answers = append(usage.answers, pool.answerMemoryOf(entry))
+		usage.promptTokens += usage.additionalPrompt(entry)
+		usage.prompts[entry.group] = max(usage.prompts[entry.group], entry.Prompt)
 	}
-	slices.SortFunc(room.answers, mostLeftFirst)
-	return room
+	slices.SortFunc(usage.answers, byRemainingDescending)
+	return usage
 }
 
-// forget has it made anew when it is asked for.
-func (r *memoryRoom) forget() {
-	if r != nil {
-		r.known = false
+// invalidate has the usage computed again on the next query.
+func (u *memoryUsage) invalidate() {
+	if u != nil {
+		u.valid = false
 	}
 }
 
-// morePrompt is what an item's prompt takes beside those that are there. Items of a group share theirs.
-func (r *memoryRoom) morePrompt(entry *item) uint64 {
-	there := r.prompts[entry.group]
-	return max(there, entry.Prompt) - there
+// additionalPrompt returns how many prompt tokens an item adds to those of the other items. Items of a group share a
+// prompt.
+func (u *memoryUsage) additionalPrompt(entry *item) uint64 {
+	present := u.prompts[entry.group]
+	return max(present, entry.Prompt) - present
 }
 
-// memory is how much of a replica's memory is expected to be taken at the most by what runs there and what is to go on there.
-func (s *Scheduler) memory(at *replica) float64 {
-	room := s.memoryOf(at)
-	return peak(room.answers) + float64(room.prompt)
+// peakMemory returns the expected peak memory use, in tokens, of the items on a replica.
+func (s *Scheduler) peakMemory(replica *replica) float64 {
+	usage := s.memoryUsageOf(replica)
+	return computePeak(usage.answers) + float64(usage.promptTokens)
 }
 
-// memoryWith is the same with one more item.
-func (s *Scheduler) memoryWith(at *replica, added *item) float64 {
-	room := s.memoryOf(at)
-	return peakWith(room.answers, s.poolNamed(at.Pool).holding(added)) + float64(room.prompt+room.morePrompt(added))
+// peakMemoryWith returns the expected peak memory use of a replica with one more item.
+func (s *Scheduler) peakMemoryWith(replica *replica, added *item) float64 {
+	usage := s.memoryUsageOf(replica)
+	return computePeakWith(usage.answers, s.poolNamed(replica.Pool).answerMemoryOf(added)) + float64(usage.promptTokens+usage.additionalPrompt(added))
 }
 
-// holds tells whether a replica's memory is expected to have room for an item until it is whole. A replica on which nothing runs takes
-// any: it says itself what it can't hold. Pools whose replicas don't report a pace are placed by slots alone.
-func (s *Scheduler) holds(at *replica, entry *item) bool {
-	if at.Memory == 0 || !entry.Estimated || len(at.items) == 0 || !s.poolNamed(at.Pool).reportsPace {
+// hasMemoryFor reports whether a replica's memory is expected to suffice for an item until it completes. An idle
+// replica accepts any item and itself rejects those that it can't hold. Items in pools without reported paces are
+// placed by slots alone.
+func (s *Scheduler) hasMemoryFor(replica *replica, entry *item) bool {
+	if replica.Memory == 0 || !entry.Estimated || len(replica.items) == 0 || !s.poolNamed(replica.Pool).reportsPace {
 		return true
 	}
-	return s.memoryWith(at, entry) <= float64(at.Memory)
+	return s.peakMemoryWith(replica, entry) <= float64(replica.Memory)
 }
 
-// overrunWeight is the weight of a whole answer in what is learned of how far answers exceed their estimates.
+// overrunWeight is the weight of a complete answer in the learned ratio of actual to estimated lengths.
 const overrunWeight = 0.02
 
-// overrunQuantile is the part of the answers that are to keep within the room that is foreseen for them: a run that is stopped for want
-// of memory loses more time than a slot that stays empty for a moment.
+// overrunQuantile is the fraction of answers that are to stay within the memory planned for them. Preempting a run for
+// lack of memory costs more time than a slot that stays empty for a moment.
 const overrunQuantile = 0.75
 
-// learnOverrun moves the estimate of the quantile towards a whole answer's length, as a part of what was estimated: up by the part
-// that should lie above it, down by the part below.
+// learnOverrun moves the estimated quantile towards the ratio of a complete answer's actual to its estimated length.
+// The estimate grows in proportion to the quantile and shrinks in proportion to one minus the quantile.
 func (p *pool) learnOverrun(events int, length uint64) {
-	usual := p.tokensPerEvent()
-	if usual == 0 || events == 0 || length == 0 {
+	tokensPerEvent := p.tokensPerEvent()
+	if tokensPerEvent == 0 || events == 0 || length == 0 {
 		return
 	}
 	if p.overrun == 0 {
 		p.overrun = 1
 	}
-	if float64(events)*usual > p.overrun*float64(length) {
+	if float64(events)*tokensPerEvent > p.overrun*float64(length) {
 		p.overrun *= 1 + overrunWeight*overrunQuantile
 	} else {
 		p.overrun *= 1 - overrunWeight*(1-overrunQuantile)
@@ -155,7 +161,7 @@
 	p.overrun = min(max(p.overrun, minimumOverrun), maximumOverrun)
 }
 
-// The bounds of what is learned, so that estimates that are no estimates neither fill nor empty a replica.
+// Bounds of the learned ratio. They keep meaningless length estimates from overfilling replicas or leaving them empty.
 const (
 	minimumOverrun = 0.5
 	maximumOverrun = 4
--- a/internal/batchrun/schedule/memory_test.go
+++ b/internal/batchrun/schedule/memory_test.go
@@ -148,7 +148,7 @@
 		}
 		s.End("j")
 		for _, at := range s.replicas {
-			if len(at.items) != 0 || at.running != 0 || at.reserved != 0 {
+			if len(at.items) != 0 || at.running != 0 || at.reservedSlots != 0 {
 				t.Fatalf("%s holds %d items, of which %d run", at.Instance, len(at.items), at.running)
 			}
 		}
@@ -157,22 +157,22 @@
 
 // memoryByLooking is the definition of what a replica's memory is expected to hold with one more item.
 func (s *Scheduler) memoryByLooking(at *replica, added *item) float64 {
-	var answers []holding
+	var answers []answerMemory
 	prompts := map[*group]uint64{}
 	note := func(entry *item) {
-		answers = append(answers, s.poolNamed(at.Pool).holding(entry))
+		answers = append(answers, s.poolNamed(at.Pool).answerMemoryOf(entry))
 		prompts[entry.group] = max(prompts[entry.group], entry.Prompt)
 	}
 	for entry := range at.items {
 		note(entry)
 	}
 	note(added)
-	slices.SortFunc(answers, mostLeftFirst)
+	slices.SortFunc(answers, byRemainingDescending)
 	total := uint64(0)
 	for _, tokens := range prompts {
 		total += tokens
 	}
-	return peak(answers) + float64(total)
+	return computePeak(answers) + float64(total)
 }
 
 // TestWhatIsKeptOfMemoryIsWhatLookingFinds, whatever has begun, brought events, moved or ended since.
@@ -196,10 +196,10 @@
 			}
 			for _, at := range s.replicas {
 				for _, entry := range s.jobs["j"].items {
-					if entry.state == running || entry.reserved != nil {
+					if entry.state == running || entry.reservedReplica != nil {
 						continue
 					}
-					if got, want := s.memoryWith(at, entry), s.memoryByLooking(at, entry); math.Abs(got-want) > 1e-6 {
+					if got, want := s.peakMemoryWith(at, entry), s.memoryByLooking(at, entry); math.Abs(got-want) > 1e-6 {
 						t.Fatalf("%s with %s: %v, not %v", at.Instance, entry.ID, got, want)
 					}
 				}
@@ -211,32 +211,32 @@
 // TestPeakIsWhatAnswersTakeTogether: by looking at each moment until all have ended.
 func TestPeakIsWhatAnswersTakeTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var answers []holding
+		var answers []answerMemory
 		longest := 0
 		for range rapid.IntRange(0, 8).Draw(t, "answers") {
 			left := rapid.IntRange(0, 50).Draw(t, "left")
-			answers = append(answers, holding{brought: float64(rapid.IntRange(0, 100).Draw(t, "brought")), left: float64(left)})
+			answers = append(answers, answerMemory{produced: float64(rapid.IntRange(0, 100).Draw(t, "brought")), remaining: float64(left)})
 			longest = max(longest, left)
 		}
 		want := 0.0
 		for moment := range longest + 1 {
 			taken := 0.0
 			for _, one := range answers {
-				if one.left >= float64(moment) {
-					taken += one.brought + float64(moment)
+				if one.remaining >= float64(moment) {
+					taken += one.produced + float64(moment)
 				}
 			}
 			want = max(want, taken)
 		}
-		slices.SortFunc(answers, mostLeftFirst)
-		if got := peak(answers); got != want {
+		slices.SortFunc(answers, byRemainingDescending)
+		if got := computePeak(answers); got != want {
 			t.Fatalf("%v, not %v", got, want)
 		}
 		if len(answers) == 0 {
 			return
 		}
 		at := rapid.IntRange(0, len(answers)-1).Draw(t, "added")
-		if got := peakWith(slices.Delete(slices.Clone(answers), at, at+1), answers[at]); got != want {
+		if got := computePeakWith(slices.Delete(slices.Clone(answers), at, at+1), answers[at]); got != want {
 			t.Fatalf("%v, not %v with the one of %v added to the others", got, want, answers[at])
 		}
 	})
--- a/internal/batchrun/schedule/move.go
+++ b/internal/batchrun/schedule/move.go
@@ -7,61 +7,62 @@
 	"time"
 )
 
-// Slow returns runs of groups that are waited for which would go on much faster elsewhere, or whose replica leaves before
-// they are over, at most as many as there is room for that no waiting item could take. They are to be stopped and reported
-// with Ended as Moved; until then they count as running.
+// Slow returns runs of required groups that would continue much faster on another replica, or whose replica leaves
+// before they end. The number of runs is limited by the free capacity that no waiting item could use. The caller must
+// stop the runs and report them to Ended with the ending Moved. Until then they count as running.
 func (s *Scheduler) Slow(now time.Duration) []Move {
-	for _, at := range s.replicas {
-		at.coming = 0
+	for _, replica := range s.replicas {
+		replica.incomingMoves = 0
 	}
-	rooms := map[roomKey]*faster{}
+	destinations := map[destinationKey]*fasterReplicas{}
 	var moved []Move
-	for _, found := range s.movable(now) {
-		if s.takeRoom(found.item, rooms, now) {
+	for _, found := range s.movableRuns(now) {
+		if s.reserveFasterReplica(found.item, destinations, now) {
 			found.moving = true
-			moved = append(moved, s.moveOf(found.item, now))
+			moved = append(moved, s.describeMove(found.item, now))
 		}
 	}
 	return moved
 }
 
-// moveOf describes the move of a run.
-func (s *Scheduler) moveOf(entry *item, now time.Duration) Move {
-	at := s.replicas[entry.run.instance]
+// describeMove returns the move of a run with the figures on which it is based.
+func (s *Scheduler) describeMove(entry *item, now time.Duration) Move {
+	replica := s.replicas[entry.run.instance]
 	move := Move{
-		Key: Key{Job: entry.job.ID, Item: entry.ID}, Leaving: at.gone,
-		Pace: inSeconds(at.pace), Fastest: inSeconds(s.poolNamed(at.Pool).fastest()),
+		Key: Key{Job: entry.job.ID, Item: entry.ID}, Leaving: replica.draining,
+		Pace: fromSeconds(replica.pace), Fastest: fromSeconds(s.poolNamed(replica.Pool).fastestPace()),
 	}
-	if left := s.remaining(entry); left < farAway {
+	if left := s.remainingTime(entry); left < unboundedTime {
 		move.Left = left
 	}
-	if of := s.poolNamed(at.Pool); of.reportsPace && !at.gone {
-		move.Passing = at.said.Pace().Passing
-		if move.Left > 0 && entry.reserved != nil {
-			move.Saved = s.saved(entry, at, entry.reserved, of, now)
+	if pool := s.poolNamed(replica.Pool); pool.reportsPace && !replica.draining {
+		move.Passing = replica.reportedPace.Pace().Passing
+		if move.Left > 0 && entry.reservedReplica != nil {
+			move.Saved = s.savedTime(entry, replica, entry.reservedReplica, pool, now)
 		}
 	}
 	return move
 }
 
-func inSeconds(value float64) time.Duration {
+// fromSeconds converts seconds to a duration.
+func fromSeconds(value float64) time.Duration {
 	return time.Duration(math.Round(value * float64(time.Second)))
 }
 
-// movableRun is an item whose run is to be moved if there is room.
+// movableRun is an item whose run should move if there is capacity.
 type movableRun struct {
 	*item
-	slack time.Duration // from its expected end where it runs to its job's deadline
+	slack time.Duration // time between its expected end on its current replica and its job's deadline
 }
 
-// movable returns the runs that are to be moved, those with the least slack first: room at fast replicas is scarce when the
-// items of several steps have just begun, and a step ends with its latest item.
-func (s *Scheduler) movable(now time.Duration) []movableRun {
+// movableRuns returns the runs that should move, those with the least slack first. Capacity on fast replicas is scarce
+// when the items of several steps have just started, and a step ends with its latest item.
+func (s *Scheduler) movableRuns(now time.Duration) []movableRun {
 	var found []movableRun
-	for _, held := range s.jobs {
-		for _, entry := range held.items {
+	for _, job := range s.jobs {
+		for _, entry := range job.items {
 			if entry.state == running && !entry.moving && s.isMovable(entry, now) {
-				found = append(found, movableRun{item: entry, slack: held.Deadline - now - min(s.remaining(entry), farAway)})
+				found = append(found, movableRun{item: entry, slack: job.Deadline - now - min(s.remainingTime(entry), unboundedTime)})
 			}
 		}
 	}
@@ -71,73 +72,76 @@
 	return found
 }
 
-// farAway is longer than any run, and can be taken from a time.
-const farAway = 1000 * time.Hour
+// unboundedTime is longer than any run, and small enough that times can be subtracted from it.
+const unboundedTime = 1000 * time.Hour
 
-// isMovable reports whether a run is worth a move to the fastest replica.
+// isMovable reports whether moving a run to the fastest replica is worthwhile.
 func (s *Scheduler) isMovable(entry *item, now time.Duration) bool {
-	at := s.replicas[entry.run.instance]
-	if at == nil || entry.urgency == urgencySurplus || entry.run.events == 0 || now < entry.run.started+s.settings.MovePause {
+	current := s.replicas[entry.run.instance]
+	if current == nil || entry.urgency == urgencySurplus || entry.run.events == 0 || now < entry.run.started+s.settings.MovePause {
 		return false
 	}
-	if at.gone {
-		return s.remaining(entry) >= s.settings.LeavingTime
+	if current.draining {
+		return s.remainingTime(entry) >= s.settings.MinimumRemaining
 	}
-	of := s.poolNamed(at.Pool)
-	if at.pace <= s.settings.MoveRatio*of.fastest() || !entry.run.pace.isSlow(of.fastest(), s.settings.MoveRatio) {
-		return false // nowhere, whoever has room
+	pool := s.poolNamed(current.Pool)
+	if current.pace <= s.settings.MoveRatio*pool.fastestPace() || !entry.run.pace.isSlow(pool.fastestPace(), s.settings.MoveRatio) {
+		return false // no replica is sufficiently faster, whichever has capacity
 	}
-	if of.reportsPace {
-		return s.isLate(entry, of, now)
+	if pool.reportsPace {
+		return s.isLate(entry, pool, now)
 	}
-	gain := time.Duration(float64(s.remaining(entry)) * (1 - of.fastest()/at.pace))
+	gain := time.Duration(float64(s.remainingTime(entry)) * (1 - pool.fastestPace()/current.pace))
 	return gain >= s.settings.MoveGain
 }
 
-// takeRoom takes the room for a run at the fastest replica that has some: one that is faster by the ratio, or not slower by it where
-// the run can't stay.
-func (s *Scheduler) takeRoom(entry *item, rooms map[roomKey]*faster, now time.Duration) bool {
-	at := s.replicas[entry.run.instance]
-	room := s.roomFor(entry, s.poolNamed(at.Pool), rooms, now)
-	found := room.first(func(candidate *replica) bool { return s.holds(candidate, entry) })
-	if found == nil || at.gone && found.pace > s.settings.MoveRatio*at.pace || !at.gone && at.pace <= s.settings.MoveRatio*found.pace {
+// reserveFasterReplica reserves capacity for a run on the fastest replica that has some, and reports whether it did.
+// The replica must be faster than the current one by MoveRatio or, if the current one is leaving, not slower by more
+// than that ratio.
+func (s *Scheduler) reserveFasterReplica(entry *item, destinations map[destinationKey]*fasterReplicas, now time.Duration) bool {
+	current := s.replicas[entry.run.instance]
+	options := s.destinationsFor(entry, s.poolNamed(current.Pool), destinations, now)
+	found := options.firstWithMemory(func(candidate *replica) bool { return s.hasMemoryFor(candidate, entry) })
+	if found == nil || current.draining && found.pace > s.settings.MoveRatio*current.pace || !current.draining && current.pace <= s.settings.MoveRatio*found.pace {
 		return false
 	}
-	if of := s.poolNamed(at.Pool); of.reportsPace && !at.gone && !s.pays(entry, at, found, of, now) {
+	if pool := s.poolNamed(current.Pool); pool.reportsPace && !current.draining && !s.isMoveWorthwhile(entry, current, found, pool, now) {
 		return false
 	}
 	s.reserve(entry, found)
 	return true
 }
 
-// roomKey is what decides which replicas have room for a run that is moved, whichever it is.
-type roomKey struct {
+// destinationKey holds everything about a run that determines which replicas it may move to.
+type destinationKey struct {
 	pool, model string
 	minVersion  uint64
 }
 
-// roomFor returns the replicas with room for runs like this one, collecting them when they are asked for first.
-func (s *Scheduler) roomFor(entry *item, of *pool, rooms map[roomKey]*faster, now time.Duration) *faster {
-	wanted := roomKey{pool: s.replicas[entry.run.instance].Pool, model: entry.job.Model, minVersion: entry.job.MinVersion}
-	if rooms[wanted] == nil {
-		found := s.fasterFor(entry, of, now)
-		rooms[wanted] = &found
+// destinationsFor returns the replicas to which a run may move. They are collected on first use of its destinationKey.
+func (s *Scheduler) destinationsFor(entry *item, pool *pool, destinations map[destinationKey]*fasterReplicas, now time.Duration) *fasterReplicas {
+	key := destinationKey{pool: s.replicas[entry.run.instance].Pool, model: entry.job.Model, minVersion: entry.job.MinVersion}
+	if destinations[key] == nil {
+		found := s.findFasterReplicas(entry, pool, now)
+		destinations[key] = &found
 	}
-	return rooms[wanted]
+	return destinations[key]
 }
 
-// overrunShare is the least part of what an answer has brought that is expected to follow: estimates are often far off. overrunLikely is
-// the same part for answers beyond their estimate in pools that report a pace, where it also sizes memory.
+// leastRemainingShare is the minimum fraction of the events already delivered that are expected to follow, because
+// estimates are often far off. likelyRemainingShare is the same fraction in pools that report a pace, where it also
+// determines the memory of answers beyond their estimate.
 const (
-	overrunShare  = 0.25
-	overrunLikely = 0.5
+	leastRemainingShare  = 0.25
+	likelyRemainingShare = 0.5
 )
 
-// remaining is how long a run is expected to go on at its replica; as long as any while no whole answer was seen.
-func (s *Scheduler) remaining(entry *item) time.Duration {
+// remainingTime returns how long a run is expected to continue on its replica, or the maximum duration while no
+// complete answer has been seen.
+func (s *Scheduler) remainingTime(entry *item) time.Duration {
 	if s.expectedEvents(entry) == 0 {
 		return math.MaxInt64
 	}
-	at := s.replicas[entry.run.instance]
-	return time.Duration(s.eventsLeft(entry) * at.pace * float64(time.Second))
+	replica := s.replicas[entry.run.instance]
+	return time.Duration(s.remainingEvents(entry) * replica.pace * float64(time.Second))
 }
--- a/internal/batchrun/schedule/order.go
+++ b/internal/batchrun/schedule/order.go
@@ -6,90 +6,90 @@
 	"time"
 )
 
-// Starts returns what starts now and counts it as running. The caller either runs a start or reports it with
-// Ended as Stopped.
+// Starts returns the runs to start now and counts them as running. The caller runs each of them, or reports it to Ended
+// with the ending Stopped.
 func (s *Scheduler) Starts(now time.Duration) []Start {
-	if s.order == nil {
-		s.arrange(now)
+	if s.waitingOrder == nil {
+		s.sortWaiting(now)
 	}
 	var starts []Start
-	look := s.newRound(now)
-	left := s.order[:0]
-	for _, entry := range s.order {
+	round := s.newPlacementRound(now)
+	unplaced := s.waitingOrder[:0]
+	for _, entry := range s.waitingOrder {
 		var chosen *replica
 		if entry.notBefore <= now {
-			entry.press(now)
-			chosen = look.place(entry)
+			entry.markCritical(now)
+			chosen = round.place(entry)
 		}
 		if chosen == nil {
-			left = append(left, entry)
+			unplaced = append(unplaced, entry)
 			continue
 		}
 		known := chosen.versions[entry.job.Model]
-		expected := s.enter(entry, chosen, now)
+		expected := s.startRun(entry, chosen, now)
 		starts = append(starts, Start{
 			Key:      Key{Job: entry.job.ID, Item: entry.ID},
 			Instance: chosen.Instance, Address: chosen.Address, Pool: chosen.Pool, Slots: chosen.Slots,
 			Urgency: entry.urgency, ExpectedVersion: expected,
-			Running: chosen.running, Known: known.number, KnownAge: now - known.at,
+			Running: chosen.running, Known: known.number, KnownAge: now - known.heardAt,
 		})
 	}
-	clear(s.order[len(left):])
-	s.order = left
+	clear(s.waitingOrder[len(unplaced):])
+	s.waitingOrder = unplaced
 	return starts
 }
 
-// arrange sorts the waiting items of all jobs into the order of work: those of groups that are waited for by the moment at
-// which each must start to be whole by its job's deadline, then all others.
+// sortWaiting sorts the waiting items of all jobs. Items of required groups come first, by latest start, then all
+// others. If some items are already late, owners may take turns; see takeTurns.
 //
-// The unit is the item and not its group: a step ends with its longest answers, so these begin before the short ones of
-// their own group take the slots whose weights the job allows.
-// Where some are already late, owners may take turns; see takeTurns.
-func (s *Scheduler) arrange(now time.Duration) {
-	s.order = []*item{}
+// The order is by item and not by group, because a step ends with its longest answers. These have to start before the
+// short ones of their own group take the slots on replicas whose weights the job allows.
+func (s *Scheduler) sortWaiting(now time.Duration) {
+	s.waitingOrder = []*item{}
 	var surplus []*item
-	for _, held := range s.jobs {
-		wanted := held.Desired
-		if wanted <= 0 {
-			wanted = len(held.groups)
+	for _, job := range s.jobs {
+		required := job.Desired
+		if required <= 0 {
+			required = len(job.groups)
 		}
-		for rank, member := range held.byUrgency() {
+		for rank, member := range job.groupsInOrder() {
 			member.rank = rank
-			if wanted > 0 {
-				s.order = member.appendWaiting(s.order, urgencyWanted)
+			if required > 0 {
+				s.waitingOrder = member.appendWaiting(s.waitingOrder, urgencyRequired)
 			} else {
 				surplus = member.appendWaiting(surplus, urgencySurplus)
 			}
-			if !member.hopeless() {
-				wanted--
+			if !member.cannotComplete() {
+				required--
 			}
 		}
 	}
-	s.sortByLatestStart(s.order)
-	s.order = s.takeTurns(s.order, now)
+	s.sortByLatestStart(s.waitingOrder)
+	s.waitingOrder = s.takeTurns(s.waitingOrder, now)
 	s.sortByLatestStart(surplus)
-	s.order = append(s.order, surplus...)
+	s.waitingOrder = append(s.waitingOrder, surplus...)
 }
 
-// pressingMargin is how many times as long as expected an answer may become: estimates are right in the middle and often off by
-// that much.
-const pressingMargin = 2
+// criticalMargin is how many times longer than expected an answer is assumed to become. Length estimates are right in
+// the median and often off by this factor.
+const criticalMargin = 2
 
-// press notes whether the item presses when it starts now: its job would be late if the answer is longer than expected by
-// pressingMargin. Such items are as urgent as stragglers, so that a replica without memory for all keeps them.
-func (e *item) press(now time.Duration) {
+// markCritical records whether the item is critical if it starts now. It is critical if its job would be late with an
+// answer criticalMargin times as long as expected. Critical items are as urgent as stragglers, so that a replica that
+// runs out of memory does not preempt them.
+func (e *item) markCritical(now time.Duration) {
 	expected := e.job.Deadline - e.latestStart
-	e.pressing = expected > 0 && e.urgency != urgencySurplus && now+pressingMargin*expected >= e.job.Deadline
-	if e.pressing {
+	e.critical = expected > 0 && e.urgency != urgencySurplus && now+criticalMargin*expected >= e.job.Deadline
+	if e.critical {
 		e.urgency = urgencyStraggler
 	}
 }
 
-// sortByLatestStart sorts items by their latest starts; those of a job that can't be told apart by their expected length,
-// the longest first, and then by the order of their groups.
+// sortByLatestStart sorts items by their latest starts. Items of one job with the same latest start are sorted by
+// length, the longest first, and then by the rank of their groups.
 func (s *Scheduler) sortByLatestStart(items []*item) {
 	for _, entry := range items {
-		entry.latestStart = entry.job.Deadline - s.expected(entry)
+		entry.latestStart = entry.job.Deadline - s.expectedDuration(entry)
 	}
 	slices.SortFunc(items, func(a, b *item) int {
 		return cmp.Or(
@@ -103,41 +103,43 @@
 	})
 }
 
-// expected is how long an item's answer is expected to take at the usual pace of its pool; 0 while that is not known.
-func (s *Scheduler) expected(entry *item) time.Duration {
-	of := s.pools[entry.poolOf()]
-	if of == nil {
+// expectedDuration returns how long the rest of an item's answer is expected to take at the pool's usual pace; 0 if
+// unknown.
+func (s *Scheduler) expectedDuration(entry *item) time.Duration {
+	pool := s.pools[entry.poolOf()]
+	if pool == nil {
 		return 0
 	}
-	left := max(s.expectedEvents(entry)-float64(entry.brought), 0)
-	return time.Duration(left * of.pace * float64(time.Second))
+	left := max(s.expectedEvents(entry)-float64(entry.earlierEvents), 0)
+	return time.Duration(left * pool.pace * float64(time.Second))
 }
 
-// expectedEvents is how many events an item's whole answer is expected to have; 0 while that is not known.
+// expectedEvents returns how many events an item's complete answer is expected to have; 0 if unknown.
 func (s *Scheduler) expectedEvents(entry *item) float64 {
-	of := s.pools[entry.poolOf()]
-	if of == nil || of.meanLength == 0 {
+	pool := s.pools[entry.poolOf()]
+	if pool == nil || pool.meanLength == 0 {
 		return 0
 	}
-	return float64(entry.Length) * of.meanEvents / of.meanLength
+	return float64(entry.Length) * pool.meanEvents / pool.meanLength
 }
 
-// byUrgency returns a job's groups in order of work.
-func (j *job) byUrgency() []*group {
+// groupsInOrder returns a job's groups in the order in which they are to be completed.
+func (j *job) groupsInOrder() []*group {
 	groups := slices.Clone(j.groups)
 	slices.SortStableFunc(groups, func(a, b *group) int {
 		return cmp.Or(
-			rank(a.hopeless(), b.hopeless()), // last
-			rank(b.carried, a.carried),       // first
-			rank(b.begun(), a.begun()),       // first
-			cmp.Compare(b.longest(), a.longest()),
+			compareBools(a.cannotComplete(), b.cannotComplete()), // groups that can't complete go last
+			compareBools(b.carried, a.carried),                   // groups of an earlier job go first
+			compareBools(b.hasStarted(), a.hasStarted()),         // groups that have started go first
+			cmp.Compare(b.maxLength(), a.maxLength()),
 			cmp.Compare(a.position, b.position),
 		)
 	})
 	return groups
 }
 
-func rank(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -148,18 +150,18 @@
 	}
 }
 
-// hopeless reports that the group can't become whole.
-func (g *group) hopeless() bool {
+// cannotComplete reports whether an item of the group is terminated, or is condemned and not finished.
+func (g *group) cannotComplete() bool {
 	return slices.ContainsFunc(g.items, func(entry *item) bool {
 		return entry.state == terminated || entry.condemned && entry.state != finished
 	})
 }
 
-func (g *group) begun() bool {
+func (g *group) hasStarted() bool {
 	return slices.ContainsFunc(g.items, func(entry *item) bool { return entry.state != waiting })
 }
 
-func (g *group) longest() uint64 {
+func (g *group) maxLength() uint64 {
 	longest := uint64(0)
 	for _, entry := range g.items {
 		longest = max(longest, entry.Length)
@@ -167,7 +169,8 @@
 	return longest
 }
 
-// appendWaiting adds the group's waiting items.
+// appendWaiting appends the group's waiting items to order and sets their urgency. The waiting items of a required
+// group are stragglers once at least half of the group's items are complete.
 func (g *group) appendWaiting(order []*item, urgency int) []*item {
 	first := len(order)
 	done := 0
@@ -181,7 +184,7 @@
 		}
 	}
 	added := order[first:]
-	if urgency == urgencyWanted && done > 0 && 2*done >= len(g.items) {
+	if urgency == urgencyRequired && done > 0 && 2*done >= len(g.items) {
 		for _, entry := range added {
 			entry.urgency = urgencyStraggler
 		}
--- a/internal/batchrun/schedule/outcome.go
+++ b/internal/batchrun/schedule/outcome.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// Progress notes how many events a run has brought so far, when the last one came, and the weight version that
-// made it (0: unknown).
+// Progress records how many events a run has delivered so far, when the last one arrived, and the weight version that
+// generated it (0: unknown).
 func (s *Scheduler) Progress(key Key, events int, last time.Duration, version uint64) {
 	entry := s.find(key)
 	if entry == nil || entry.state != running || events <= entry.run.events {
 		return
 	}
-	at := s.replicas[entry.run.instance]
-	if at == nil {
+	replica := s.replicas[entry.run.instance]
+	if replica == nil {
 		return
 	}
-	if before := entry.run.events; before > 0 && last > entry.run.last {
-		s.poolNamed(at.Pool).paced(at, &entry.run, last, (last - entry.run.last).Seconds(), events-before)
+	if before := entry.run.events; before > 0 && last > entry.run.lastEvent {
+		s.poolNamed(replica.Pool).notePace(replica, &entry.run, last, (last - entry.run.lastEvent).Seconds(), events-before)
 	} else if before == 0 && last > entry.run.started {
-		average(&s.poolNamed(at.Pool).meanStart, (last - entry.run.started).Seconds())
+		updateMean(&s.poolNamed(replica.Pool).meanFirstEventDelay, (last - entry.run.started).Seconds())
 	}
-	entry.run.events, entry.run.last = events, last
-	s.changes++
-	at.proven(entry)
-	s.heard(at, entry.job.Model, version, last)
+	entry.run.events, entry.run.lastEvent = events, last
+	s.revision++
+	replica.endProbation(entry)
+	s.noteVersion(replica, entry.job.Model, version, last)
 }
 
-// proven ends a replica's probation when a run that began during it brings an event.
-func (r *replica) proven(entry *item) {
-	if r.probation && entry.run.started < r.since {
+// endProbation resets the replica's failure counts and ends its probation, unless the item's run started before the
+// probation.
+func (r *replica) endProbation(entry *item) {
+	if r.onProbation && entry.run.started < r.probationStart {
 		return
 	}
-	r.failures, r.refusals, r.probation = 0, 0, false
+	r.failuresInRow, r.refusalsInRow, r.onProbation = 0, 0, false
 	if r.probe == entry {
 		r.probe = nil
 	}
 }
 
-func average(mean *float64, value float64) {
+// updateMean adds a value to a moving average. The first value replaces a mean of 0.
+func updateMean(mean *float64, value float64) {
 	if *mean == 0 {
 		*mean = value
 		return
@@ -43,29 +45,30 @@
 	*mean += lengthWeight * (value - *mean)
 }
 
-// Known notes up to when it is known what a run has brought: another process drives it, and may fall silent itself.
+// Known records that another process drives a run and up to when it has reported on the run. The time after that does
+// not count as silence of the run, because the process itself may have fallen silent.
 func (s *Scheduler) Known(key Key, until time.Duration) {
 	if entry := s.find(key); entry != nil && entry.state == running {
-		entry.run.remote, entry.run.known = true, until
+		entry.run.remote, entry.run.heardUntil = true, until
 	}
 }
 
-// silence is how long a run is known to have brought no event.
+// silence returns how long the run is known to have delivered no event.
 func (r *run) silence(now time.Duration) time.Duration {
 	if r.remote {
-		return min(r.known, now) - r.last
+		return min(r.heardUntil, now) - r.lastEvent
 	}
-	return now - r.last
+	return now - r.lastEvent
 }
 
-// Stalled returns the runs that have brought no event for too long. They are to be stopped and reported with
-// Ended as Broken; until then they count as running.
+// Stalled returns the runs that have delivered no event for too long. The caller must stop them and report them to
+// Ended with the ending Broken. Until then they count as running.
 func (s *Scheduler) Stalled(now time.Duration) []Key {
 	var stalled []Key
 	for _, id := range s.Jobs() {
 		for _, member := range s.jobs[id].groups {
 			for _, entry := range member.items {
-				if entry.state == running && entry.run.silence(now) > s.patience(entry) {
+				if entry.state == running && entry.run.silence(now) > s.stallTimeout(entry) {
 					stalled = append(stalled, Key{Job: id, Item: entry.ID})
 				}
 			}
@@ -74,40 +77,40 @@
 	return stalled
 }
 
-// patience is how long a run may go without an event.
-func (s *Scheduler) patience(entry *item) time.Duration {
+// stallTimeout returns how long a run may go without an event.
+func (s *Scheduler) stallTimeout(entry *item) time.Duration {
 	if entry.run.events == 0 {
 		return s.settings.FirstEvent
 	}
 	usual := 0.0
-	if at := s.replicas[entry.run.instance]; at != nil {
-		of := s.poolNamed(at.Pool)
-		usual = of.pace
-		if of.reportsPace {
-			usual = max(usual, at.pace) // a replica that is known to be slow is not silent
+	if replica := s.replicas[entry.run.instance]; replica != nil {
+		pool := s.poolNamed(replica.Pool)
+		usual = pool.pace
+		if pool.reportsPace {
+			usual = max(usual, replica.pace) // a replica that is known to be slow is not silent
 		}
 	}
 	return max(s.settings.MinimumStall, time.Duration(usual*float64(s.settings.StallFactor)*float64(time.Second)))
 }
 
-// Ended notes how an item's run ended and says what becomes of the item. version is the one that the replica
-// last named; 0 if none.
+// Ended records how an item's run ended and returns the item's next state. version is the weight version that the
+// replica last reported; 0 if none.
 func (s *Scheduler) Ended(now time.Duration, key Key, ending Ending, version uint64) Next {
 	entry := s.find(key)
 	if entry == nil || entry.state != running {
 		return Forgotten
 	}
-	at := s.replicas[entry.run.instance]
+	replica := s.replicas[entry.run.instance]
 	instance := entry.run.instance
-	if at != nil {
-		s.judge(at, entry, ending, version, now)
+	if replica != nil {
+		s.recordOutcome(replica, entry, ending, version, now)
 	}
-	s.changes++
-	s.usage.Add(entry.job.owner().Name, s.workDone(entry, ending), now)
-	s.leave(entry)
-	entry.state, s.order = waiting, nil
+	s.revision++
+	s.usage.Add(entry.job.owner().Name, s.completedWork(entry, ending), now)
+	s.endRun(entry)
+	entry.state, s.waitingOrder = waiting, nil
 	if ending != Moved {
-		s.unreserve(entry)
+		s.releaseReservation(entry)
 	}
 	switch ending {
 	case Completed:
@@ -128,29 +131,29 @@
 		}
 		entry.notBefore = now + s.settings.RetryPause
 	case Changed:
-		entry.brought = 0 // the text begins anew
+		entry.earlierEvents = 0 // the text starts over
 		entry.notBefore = now + s.settings.RetryPause
 	case Lost:
-		entry.notBefore = now + s.settings.RetryPause // the process may be chosen again, and be lost at once
+		entry.notBefore = now + s.settings.RetryPause // otherwise the same process could be chosen and lost again at once
 	}
 	if ending != Stopped && ending != Lost {
-		entry.avoid = instance
+		entry.avoidInstance = instance
 	}
 	return Again
 }
 
-// judge draws conclusions about a replica from the end of a run there.
-func (s *Scheduler) judge(at *replica, entry *item, ending Ending, version uint64, now time.Duration) {
-	s.heard(at, entry.job.Model, version, now)
+// recordOutcome updates the state of a replica with the end of a run there.
+func (s *Scheduler) recordOutcome(replica *replica, entry *item, ending Ending, version uint64, now time.Duration) {
+	s.noteVersion(replica, entry.job.Model, version, now)
 	switch ending {
 	case Completed:
-		at.proven(entry)
-		s.poolNamed(at.Pool).answered(entry.brought+entry.run.events, entry.Length)
-		s.noteLength(entry.job.Model, entry.brought+entry.run.events)
+		replica.endProbation(entry)
+		s.poolNamed(replica.Pool).noteAnswer(entry.earlierEvents+entry.run.events, entry.Length)
+		s.noteLength(entry.job.Model, entry.earlierEvents+entry.run.events)
 	case Full:
-		s.suspend(at, &at.refusals, s.settings.FullPause, s.settings.MaximumFullPause, now, entry, ending)
+		s.suspend(replica, &replica.refusalsInRow, s.settings.FullPause, s.settings.MaximumFullPause, now, entry, ending)
 	case Broken, Unreachable, Misdirected:
-		s.suspend(at, &at.failures, s.settings.FailurePause, s.settings.MaximumPause, now, entry, ending)
+		s.suspend(replica, &replica.failuresInRow, s.settings.FailurePause, s.settings.MaximumPause, now, entry, ending)
 	}
 }
 
@@ -161,14 +164,15 @@
 	return suspended
 }
 
-// suspend keeps new items from a replica for a pause that doubles. Runs that end together count once.
-func (s *Scheduler) suspend(at *replica, count *int, pause, most, now time.Duration, entry *item, ending Ending) {
-	if at.pausedTo > now {
+// suspend pauses new items for a replica, for twice as long with each consecutive suspension up to maximum. Runs that
+// end during a pause do not count again.
+func (s *Scheduler) suspend(replica *replica, count *int, pause, maximum, now time.Duration, entry *item, ending Ending) {
+	if replica.pausedUntil > now {
 		return
 	}
-	at.pausedTo = now + min(pause<<min(*count, 10), most)
+	replica.pausedUntil = now + min(pause<<min(*count, 10), maximum)
 	*count++
-	at.probation, at.since = true, now
-	s.suspended = append(s.suspended, Suspension{Key: Key{Job: entry.job.ID, Item: entry.ID}, Instance: at.Instance, Ending: ending,
-		Pause: at.pausedTo - now, InRow: *count})
+	replica.onProbation, replica.probationStart = true, now
+	s.suspended = append(s.suspended, Suspension{Key: Key{Job: entry.job.ID, Item: entry.ID}, Instance: replica.Instance, Ending: ending,
+		Pause: replica.pausedUntil - now, InRow: *count})
 }
--- a/internal/batchrun/schedule/pace.go
+++ b/internal/batchrun/schedule/pace.go
@@ -2,31 +2,33 @@
 
 import "math"
 
-// The events after which a pace counts half: that of a run follows a replica that turns slow within some events, those of a
-// replica and of a pool are steady.
+// Half-lives of moving averages, in events. A run's pace follows a replica that turns slow within a few events. The
+// paces of replicas and pools are steady.
 const (
-	runPaceLife     = 4
-	replicaPaceLife = 20
-	poolPaceLife    = 200
-	// paceEvents is how many events the pace of a replica needs: its first ones may come together.
-	paceEvents = 5
+	runPaceHalfLife     = 4
+	replicaPaceHalfLife = 20
+	poolPaceHalfLife    = 200
+	// minimumPaceEvents is how many events the pace of a replica requires, because its first events may arrive
+	// together.
+	minimumPaceEvents = 5
 )
 
-// paceAverage is a moving average of the time between two events: the time that the newest ones took by their number, so that events
-// which arrive late and then together count with the time that they took together. Averages of single pauses made one run in
-// five leave a replica on which it took the usual 50 ms an event (123 of 604 moves on a played day with few faults).
+// paceAverage is a moving average of the time between two events. It divides the time that the newest events took by
+// their number, so that events that arrive late and together count with the time they took together. With averages of
+// single pauses, one run in five left a replica on which it took the usual 50 ms per event (123 of 604 moves in a
+// simulated day with few faults).
 type paceAverage struct{ seconds, events float64 }
 
-// add notes events that took some seconds together.
-func (p *paceAverage) add(seconds float64, events int, life float64) {
-	kept := math.Exp2(-float64(events) / life)
-	p.seconds = p.seconds*kept + seconds
-	p.events = p.events*kept + float64(events)
+// add records events that took some seconds together. The weight of earlier events halves every halfLife events.
+func (p *paceAverage) add(seconds float64, events int, halfLife float64) {
+	decay := math.Exp2(-float64(events) / halfLife)
+	p.seconds = p.seconds*decay + seconds
+	p.events = p.events*decay + float64(events)
 }
 
-// value is the seconds between two events; 0 while there are fewer than least.
-func (p *paceAverage) value(least float64) float64 {
-	if p.events == 0 || p.events < least {
+// value returns the seconds between two events; 0 while the weighted number of events is below minimumEvents.
+func (p *paceAverage) value(minimumEvents float64) float64 {
+	if p.events == 0 || p.events < minimumEvents {
 		return 0
 	}
 	return p.seconds / p.events
@@ -34,18 +36,19 @@
 
 // runPace is the pace of a run.
 type runPace struct {
-	average        paceAverage
-	latest, before float64 // of the events between the last two looks that found some, and between the two before
+	average                paceAverage
+	lastPace, previousPace float64 // seconds per event in the last two reports that contained events
 }
 
+// add records events that took some seconds together.
 func (p *runPace) add(seconds float64, events int) {
-	p.average.add(seconds, events, runPaceLife)
-	p.before, p.latest = p.latest, seconds/float64(events)
+	p.average.add(seconds, events, runPaceHalfLife)
+	p.previousPace, p.lastPace = p.lastPace, seconds/float64(events)
 }
 
-// isSlow reports whether the run's events have taken more than ratio times a usual pause for a while and still do: after a pause,
-// such as a load of weights makes, it goes on as before.
+// isSlow reports whether the run's events have taken more than ratio times the usual time for a while and still do. A
+// single pause, such as for loading weights, is followed by events at the normal pace and does not count.
 func (p *runPace) isSlow(usual, ratio float64) bool {
-	still := (1 + ratio) / 2
-	return p.average.value(0) > ratio*usual && min(p.latest, p.before) > still*usual
+	stillSlow := (1 + ratio) / 2
+	return p.average.value(0) > ratio*usual && min(p.lastPace, p.previousPace) > stillSlow*usual
 }
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -7,207 +7,211 @@
 	"github.com/tamarindring/tamarindring/internal/pace"
 )
 
-// lengthWeight is the weight of a new answer in the moving averages of lengths.
+// lengthWeight is the weight of a new value in the moving averages of answer lengths and first-event delays.
 const lengthWeight = 0.1
 
-// replica is a replica with what is known of it.
+// replica is the state of a replica.
 type replica struct {
 	Replica
-	position  int  // among the pool's replicas
-	gone      bool // takes nothing new
-	running   int
-	pressing  int                // of the running ones
-	suspects  int                // likewise
-	coming    int                // runs that Slow has moved for the room here
-	items     map[*item]struct{} // that run here, or have room reserved to go on here
-	reserved  int                // runs that are to go on here and have not begun yet
-	failures  int                // in a row
-	refusals  int                // as full, in a row
-	pausedTo  time.Duration      // gets nothing before
-	probation bool               // one item at a time, until one that began later brings an event
-	since     time.Duration      // of the probation
-	probe     *item              // that tries it out
-	versions  map[string]version // by model
-	measured  paceAverage
-	lasting   pace.Lasting
-	pace      float64     // usual pause between events, seconds, as measured; 0: unknown
-	said      pace.Said   // of how long work takes there
-	room      *memoryRoom // that its items take; nil: not known
+	index          int                // position in pool.replicas
+	draining       bool               // accepts no new work
+	running        int                // number of runs
+	criticalRuns   int                // critical ones among the runs
+	suspectRuns    int                // suspects among the runs
+	incomingMoves  int                // runs that the last call of Slow moved here, in pools without reported paces
+	items          map[*item]struct{} // items that run here or have a slot reserved here
+	reservedSlots  int                // runs that are to continue here and have not started yet
+	failuresInRow  int                // consecutive failures
+	refusalsInRow  int                // consecutive rejections as full
+	pausedUntil    time.Duration      // receives no items before this time
+	onProbation    bool               // one item at a time until a run that started meanwhile delivers an event
+	probationStart time.Duration      // start of the probation
+	probe          *item              // item that is tried on a replica on probation or with old weights
+	versions       map[string]version // by model
+	measuredPace   paceAverage
+	lastingPace    pace.Lasting // long-term pace
+	pace           float64      // seconds between two events as measured; 0: unknown
+	reportedPace   pace.Said    // pace that the replica itself reports
+	memoryUsage    *memoryUsage // memory used by its items; nil: not computed yet
 }
 
-// version is what was last heard of a model's weights at a replica.
+// version is what was last heard about the weights of a model on a replica.
 type version struct {
-	number uint64
-	tries  int // since then, under which it was too old
-	at     time.Duration
-	// told is when whoever orders the replicas' loads said so last, and loading that the replica loads another one;
-	// 0: never.
-	told    time.Duration
-	loading bool
+	number  uint64
+	tries   int           // attempts since then for items that require a newer version
+	heardAt time.Duration // when the version was last heard
+	// reported is when the component that orders weight loads last reported the version; 0: never. loading is true if
+	// that report said that the replica is loading another version.
+	reported time.Duration
+	loading  bool
 }
 
-// toldLife is how long it counts what whoever orders the loads said. Then replicas are tried out again.
-const toldLife = 2 * time.Second
+// reportTTL is how long a report of the component that orders weight loads counts. Afterwards replicas with old
+// weights are tried again.
+const reportTTL = 2 * time.Second
 
-// Told notes what whoever orders the replicas' loads knows of one: the version of a model that it serves, and whether
-// it loads another one, for which time it begins no item of that model.
+// Told records what the component that orders weight loads knows about a replica: the version of a model that it
+// serves, and whether it is loading another one. While a replica loads a version it starts no item of that model.
 func (s *Scheduler) Told(instance, model string, number uint64, loading bool, now time.Duration) {
-	at := s.replicas[instance]
-	if at == nil || number == 0 {
+	replica := s.replicas[instance]
+	if replica == nil || number == 0 {
 		return
 	}
-	if known := at.versions[model]; number > known.number {
-		s.heard(at, model, number, now)
+	if known := replica.versions[model]; number > known.number {
+		s.noteVersion(replica, model, number, now)
 	}
-	known := at.versions[model]
-	known.told, known.loading = max(now, 1), loading
-	at.versions[model] = known
+	known := replica.versions[model]
+	known.reported, known.loading = max(now, 1), loading
+	replica.versions[model] = known
 }
 
-// fresh tells whether what was told of the replica still counts.
-func (v version) fresh(now time.Duration) bool { return v.told > 0 && now < v.told+toldLife }
+// isFresh reports whether the last report on the replica still counts.
+func (v version) isFresh(now time.Duration) bool { return v.reported > 0 && now < v.reported+reportTTL }
 
+// pool is the state of a pool.
 type pool struct {
-	replicas []*replica // by instance; those that take new work
-	measured paceAverage
-	pace     float64           // usual pause between events, seconds, as measured; 0: unknown
-	newest   map[string]uint64 // highest version heard, by model
-	// The usual number of events and expected length of the whole answers; 0: none was seen. Their quotient says how many
-	// events an answer of an expected length brings.
+	replicas      []*replica // those that accept new work, by instance
+	measuredPace  paceAverage
+	pace          float64           // seconds between two events as measured; 0: unknown
+	newestVersion map[string]uint64 // newest version heard, by model
+	// meanEvents and meanLength are moving averages of the number of events and of the expected length in tokens of
+	// complete answers; 0: none was seen. Their ratio converts an expected length into events.
 	meanEvents, meanLength float64
 
-	fastestPace   float64
-	usualPace     float64 // median of the known ones
-	pacesCompared bool
-	paces         []float64 // room for comparing them
+	cachedFastestPace   float64   // of the fastest replica; 0: no pace is known
+	cachedMedianPace    float64   // of the replicas whose pace is known; 0: no pace is known
+	paceStatisticsValid bool      // the cached paces are up to date
+	paces               []float64 // buffer for sorting paces
 
-	reportsPace bool      // replicas report their momentary pace
-	rest        pace.Rest // of a passing slowness
-	overrun     float64   // quantile of the lengths of whole answers, as a part of their estimates; 0: none was seen
-	meanStart   float64   // seconds from the start of a run to its first event; 0: none was seen
+	reportsPace         bool      // replicas report their current pace
+	slowdownRest        pace.Rest // how long temporary slowdowns last
+	overrun             float64   // quantile of the ratio of actual to estimated length of complete answers; 0: none was seen
+	meanFirstEventDelay float64   // seconds from the start of a run to its first event; 0: none was seen
 }
 
-// heard notes the weights under which a replica answered.
-func (s *Scheduler) heard(at *replica, model string, number uint64, now time.Duration) {
+// noteVersion records the weight version under which a replica answered; 0 is ignored.
+func (s *Scheduler) noteVersion(replica *replica, model string, number uint64, now time.Duration) {
 	if number == 0 {
 		return
 	}
-	if at.versions[model].number == number {
-		known := at.versions[model]
-		known.at = max(known.at, now)
-		at.versions[model] = known
+	if replica.versions[model].number == number {
+		known := replica.versions[model]
+		known.heardAt = max(known.heardAt, now)
+		replica.versions[model] = known
 		return
 	}
-	at.versions[model] = version{number: number, at: now, told: at.versions[model].told, loading: at.versions[model].loading}
-	of := s.poolNamed(at.Pool)
-	of.newest[model] = max(of.newest[model], number)
+	replica.versions[model] = version{number: number, heardAt: now, reported: replica.versions[model].reported, loading: replica.versions[model].loading}
+	pool := s.poolNamed(replica.Pool)
+	pool.newestVersion[model] = max(pool.newestVersion[model], number)
 }
 
-// tooOld reports whether a replica's weights were too old for a job when they were last heard.
-func (r *replica) tooOld(of *job) bool {
-	known := r.versions[of.Model]
-	return known.number > 0 && known.number < of.MinVersion
+// isTooOldFor reports whether the replica's weights were too old for a job when their version was last heard.
+func (r *replica) isTooOldFor(job *job) bool {
+	known := r.versions[job.Model]
+	return known.number > 0 && known.number < job.MinVersion
 }
 
-// Replicas replaces the replicas that take new work. What is known of those that stay is kept; items that run
-// at those that leave run on.
+// Replicas replaces the set of replicas that accept new work. The state of remaining replicas is kept, and runs on
+// removed ones continue.
 func (s *Scheduler) Replicas(replicas []Replica) {
-	named := make(map[string]bool, len(replicas))
-	for _, held := range s.pools {
-		held.replicas, held.pacesCompared = nil, false
+	present := make(map[string]bool, len(replicas))
+	for _, pool := range s.pools {
+		pool.replicas, pool.paceStatisticsValid = nil, false
 	}
 	for _, described := range replicas {
-		named[described.Instance] = true
-		held := s.replicas[described.Instance]
-		if held == nil {
-			held = &replica{versions: map[string]version{}, items: map[*item]struct{}{}}
-			s.replicas[described.Instance] = held
+		present[described.Instance] = true
+		known := s.replicas[described.Instance]
+		if known == nil {
+			known = &replica{versions: map[string]version{}, items: map[*item]struct{}{}}
+			s.replicas[described.Instance] = known
 		}
-		held.Replica, held.gone = described, false
-		of := s.poolNamed(described.Pool)
-		of.replicas = append(of.replicas, held)
+		known.Replica, known.draining = described, false
+		pool := s.poolNamed(described.Pool)
+		pool.replicas = append(pool.replicas, known)
 	}
-	for instance, held := range s.replicas {
-		held.gone = !named[instance]
-		if held.gone && held.running == 0 {
+	for instance, known := range s.replicas {
+		known.draining = !present[instance]
+		if known.draining && known.running == 0 {
 			delete(s.replicas, instance)
 		}
 	}
-	for _, held := range s.pools {
-		slices.SortFunc(held.replicas, func(a, b *replica) int {
+	for _, pool := range s.pools {
+		slices.SortFunc(pool.replicas, func(a, b *replica) int {
 			if a.Instance < b.Instance {
 				return -1
 			}
 			return 1
 		})
-		for position, at := range held.replicas {
-			at.position = position
+		for position, replica := range pool.replicas {
+			replica.index = position
 		}
 	}
 }
 
+// poolNamed returns a pool, creating it on first use.
 func (s *Scheduler) poolNamed(name string) *pool {
 	if s.pools[name] == nil {
-		s.pools[name] = &pool{newest: map[string]uint64{}}
+		s.pools[name] = &pool{newestVersion: map[string]uint64{}}
 	}
 	return s.pools[name]
 }
 
-// avoidanceLoad is what a replica counts as fuller for an item whose last run ended badly there: it is taken only if all
-// others are.
+// avoidanceLoad is the load added to a replica for an item whose last run ended badly there. Such a replica is used
+// only if all others are full.
 const avoidanceLoad = 2
 
-// suspectLoad is what each suspect at a replica counts as for another one: more than a full replica and any slowness.
+// suspectLoad is the load that each suspect on a replica adds for another suspect. It outweighs a full replica and any
+// slowness.
 const suspectLoad = 10
 
-// fits tells whether a replica may take an item now.
-func (s *Scheduler) fits(candidate *replica, entry *item, now time.Duration) bool {
-	if candidate.running+candidate.reserved >= candidate.Slots || candidate.pausedTo > now {
+// canStart reports whether a replica can start an item now, apart from its memory.
+func (s *Scheduler) canStart(candidate *replica, entry *item, now time.Duration) bool {
+	if candidate.running+candidate.reservedSlots >= candidate.Slots || candidate.pausedUntil > now {
 		return false
 	}
 	known := candidate.versions[entry.job.Model]
-	tooOld := candidate.tooOld(entry.job)
-	if known.fresh(now) && (tooOld || known.loading) {
-		return false // it is known not to take the item
+	tooOld := candidate.isTooOldFor(entry.job)
+	if known.isFresh(now) && (tooOld || known.loading) {
+		return false // its weights are reported to be too old or loading
 	}
-	if (candidate.probation || tooOld) && candidate.probe != nil {
+	if (candidate.onProbation || tooOld) && candidate.probe != nil {
 		return false
 	}
-	return !tooOld || now >= known.at+s.settings.VersionPause
+	return !tooOld || now >= known.heardAt+s.settings.VersionPause
 }
 
-// load is the part of a replica's slots that is taken with one more item, and more for one that is slower than
-// the fastest of its pool. For an item that does not press, runs that do count more: each run beside them slows them down.
-// A suspect goes beside another one only where all replicas run some.
-func (s *Scheduler) load(candidate *replica, of *pool, wanted demand) float64 {
+// loadWith returns the load of a replica with one more item, as a fraction of its slots, plus the cost of its pace. For
+// an item that is not critical, critical runs count more, because each concurrent run slows them down. A suspect shares
+// a replica with another suspect only if all replicas run one.
+func (s *Scheduler) loadWith(candidate *replica, pool *pool, key placementKey) float64 {
 	load := float64(candidate.running+1) / float64(candidate.Slots)
-	if !wanted.pressing {
-		load += s.settings.CompanyCost * float64(candidate.pressing) / float64(candidate.Slots)
+	if !key.critical {
+		load += s.settings.InterferenceCost * float64(candidate.criticalRuns) / float64(candidate.Slots)
 	}
-	if wanted.suspected {
-		load += suspectLoad * float64(candidate.suspects)
+	if key.suspected {
+		load += suspectLoad * float64(candidate.suspectRuns)
 	}
-	return load + s.paceCost(candidate, of, wanted)
+	return load + s.paceCost(candidate, pool, key)
 }
 
-// fastest is the shortest usual pause of the pool's replicas; 0 if none is known.
-func (p *pool) fastest() float64 {
-	p.compare()
-	return p.fastestPace
+// fastestPace returns the seconds between two events on the pool's fastest replica; 0 if no pace is known.
+func (p *pool) fastestPace() float64 {
+	p.updatePaceStatistics()
+	return p.cachedFastestPace
 }
 
-// usual is the usual pause at the replica in the middle; 0 if none is known.
-func (p *pool) usual() float64 {
-	p.compare()
-	return p.usualPace
+// medianPace returns the median of the replicas' seconds between two events; 0 if no pace is known.
+func (p *pool) medianPace() float64 {
+	p.updatePaceStatistics()
+	return p.cachedMedianPace
 }
 
-// compare finds the fastest and the median pace again after a pace or the set of replicas has changed.
-func (p *pool) compare() {
-	if p.pacesCompared {
+// updatePaceStatistics recomputes the fastest and the median pace if a pace or the set of replicas has changed.
+func (p *pool) updatePaceStatistics() {
+	if p.paceStatisticsValid {
 		return
 	}
-	p.fastestPace, p.usualPace, p.pacesCompared = 0, 0, true
+	p.cachedFastestPace, p.cachedMedianPace, p.paceStatisticsValid = 0, 0, true
 	p.paces = p.paces[:0]
 	for _, candidate := range p.replicas {
 		if candidate.pace > 0 {
@@ -218,91 +222,92 @@
 		return
 	}
 	slices.Sort(p.paces)
-	p.fastestPace, p.usualPace = p.paces[0], p.paces[len(p.paces)/2]
+	p.cachedFastestPace, p.cachedMedianPace = p.paces[0], p.paces[len(p.paces)/2]
 }
 
-// paced notes events of a run at a replica that took some seconds together, the last of which came at a time.
-func (p *pool) paced(at *replica, run *run, last time.Duration, seconds float64, events int) {
+// notePace records that events of a run took some seconds together. last is when the last of them arrived.
+func (p *pool) notePace(replica *replica, run *run, last time.Duration, seconds float64, events int) {
 	run.pace.add(seconds, events)
-	at.measured.add(seconds, events, replicaPaceLife)
-	at.lasting.Add(last, seconds, events)
-	p.measured.add(seconds, events, poolPaceLife)
-	at.pace, p.pace = p.paceOf(at), p.measured.value(0)
-	p.pacesCompared = false
+	replica.measuredPace.add(seconds, events, replicaPaceHalfLife)
+	replica.lastingPace.Add(last, seconds, events)
+	p.measuredPace.add(seconds, events, poolPaceHalfLife)
+	replica.pace, p.pace = p.paceOf(replica), p.measuredPace.value(0)
+	p.paceStatisticsValid = false
 }
 
-// answered notes a whole answer.
-func (p *pool) answered(events int, length uint64) {
+// noteAnswer records the number of events of a complete answer and its expected length in tokens.
+func (p *pool) noteAnswer(events int, length uint64) {
 	if events == 0 || length == 0 {
 		return
 	}
-	average(&p.meanEvents, float64(events))
-	average(&p.meanLength, float64(length))
+	updateMean(&p.meanEvents, float64(events))
+	updateMean(&p.meanLength, float64(length))
 	p.learnOverrun(events, length)
 }
 
-// add and remove keep the items that run at a replica, or are to go on there.
-func (r *replica) add(entry *item) {
+// addItem records an item that runs on the replica or has a slot reserved there.
+func (r *replica) addItem(entry *item) {
 	r.items[entry] = struct{}{}
-	r.room.forget()
+	r.memoryUsage.invalidate()
 }
 
-func (r *replica) remove(entry *item) {
+// removeItem reverses addItem.
+func (r *replica) removeItem(entry *item) {
 	delete(r.items, entry)
-	r.room.forget()
+	r.memoryUsage.invalidate()
 }
 
-// enter counts an item as running at a replica and returns the weight version to ask for, 0 for any. Every
-// second try of weights that were too old asks for none: the replica may be ahead of all others.
-func (s *Scheduler) enter(entry *item, at *replica, now time.Duration) (expected uint64) {
-	s.unreserve(entry)
+// startRun counts an item as running on a replica and returns the weight version to ask for, 0 for any. Every second
+// attempt on a replica with too old weights asks for none, because the replica may be ahead of all others.
+func (s *Scheduler) startRun(entry *item, replica *replica, now time.Duration) (expected uint64) {
+	s.releaseReservation(entry)
 	entry.state = running
-	entry.run = run{instance: at.Instance, started: now, last: now}
-	entry.group.instance = at.Instance
-	at.running++
-	at.add(entry)
-	if entry.pressing {
-		at.pressing++
+	entry.run = run{instance: replica.Instance, started: now, lastEvent: now}
+	entry.group.lastInstance = replica.Instance
+	replica.running++
+	replica.addItem(entry)
+	if entry.critical {
+		replica.criticalRuns++
 	}
 	if entry.suspected {
-		at.suspects++
+		replica.suspectRuns++
 	}
 	entry.run.suspected = entry.suspected
 	entry.moving = false
 	entry.condemned = false
 	model := entry.job.Model
-	if at.tooOld(entry.job) {
-		known := at.versions[model]
+	if replica.isTooOldFor(entry.job) {
+		known := replica.versions[model]
 		if known.tries%2 == 0 {
-			expected = max(s.poolNamed(at.Pool).newest[model], entry.job.MinVersion)
+			expected = max(s.poolNamed(replica.Pool).newestVersion[model], entry.job.MinVersion)
 		}
 		known.tries++
-		known.at = now
-		at.versions[model], at.probe = known, entry
-	} else if at.probation {
-		at.probe = entry
+		known.heardAt = now
+		replica.versions[model], replica.probe = known, entry
+	} else if replica.onProbation {
+		replica.probe = entry
 	}
 	return expected
 }
 
-// leave takes a running item from its replica; the caller sets its next state.
-func (s *Scheduler) leave(entry *item) {
-	if at := s.replicas[entry.run.instance]; at != nil {
-		at.running--
-		at.remove(entry)
-		if entry.pressing {
-			at.pressing--
+// endRun removes a running item from its replica. The caller sets the item's next state.
+func (s *Scheduler) endRun(entry *item) {
+	if replica := s.replicas[entry.run.instance]; replica != nil {
+		replica.running--
+		replica.removeItem(entry)
+		if entry.critical {
+			replica.criticalRuns--
 		}
 		if entry.run.suspected {
-			at.suspects--
+			replica.suspectRuns--
 		}
-		if at.probe == entry {
-			at.probe = nil
+		if replica.probe == entry {
+			replica.probe = nil
 		}
-		if at.gone && at.running == 0 {
-			delete(s.replicas, at.Instance)
+		if replica.draining && replica.running == 0 {
+			delete(s.replicas, replica.Instance)
 		}
 	}
-	entry.brought += entry.run.events
+	entry.earlierEvents += entry.run.events
 	entry.run = run{}
 }
--- a/internal/batchrun/schedule/queue.go
+++ b/internal/batchrun/schedule/queue.go
@@ -10,80 +10,86 @@
 	"github.com/tamarindring/tamarindring/internal/fairqueue"
 )
 
-// Scheduler holds the open jobs and the replicas.
+// Scheduler schedules the items of the open jobs on the known replicas.
 type Scheduler struct {
-	settings  Settings
-	jobs      map[string]*job
-	replicas  map[string]*replica // by instance
-	pools     map[string]*pool
-	seen      map[string]bool         // groups of jobs that have ended
-	suspended []Suspension            // that Suspended has not returned
-	usage     *fairqueue.Usage        // events of runs that have ended, by owner
-	turns     Turns                   // by which order was made
-	order     []*item                 // waiting items in order of work; nil: to be made anew
-	limits    map[string]*lengthLimit // by model
-	changes   uint64                  // of what runs have brought, and of what is learned of answers
+	settings     Settings
+	jobs         map[string]*job
+	replicas     map[string]*replica // by instance
+	pools        map[string]*pool
+	endedGroups  map[string]bool         // groups of jobs that have ended
+	suspended    []Suspension            // not yet returned by Suspended
+	usage        *fairqueue.Usage        // events of ended runs, by owner
+	turns        Turns                   // basis of the present order
+	waitingOrder []*item                 // waiting items in order of work; nil: has to be sorted again
+	lengthLimits map[string]*lengthLimit // by model
+	revision     uint64                  // increases with the progress of runs and with every end of a run
 }
 
+// job is an open job.
 type job struct {
 	Job
 	items  map[string]*item
-	groups []*group // as they stand in the job
-	// soonest is when it is whole at the soonest, as reckoned at a time; see Scheduler.soonest.
-	soonest, reckoned time.Duration
+	groups []*group // in the order of the job's items
+	// earliestEnd is the earliest time at which the job can complete, as computed at earliestEndAt; see
+	// Scheduler.earliestEndOf.
+	earliestEnd, earliestEndAt time.Duration
 }
 
+// group is a group of a job's items.
 type group struct {
-	id       string
-	position int
-	items    []*item
-	carried  bool
-	rank     int    // in the order of work of its job's groups
-	instance string // where an item of it began last
+	id           string
+	position     int // among the job's groups
+	items        []*item
+	carried      bool   // an earlier job that has ended contained the group
+	rank         int    // position in the order of work of its job's groups
+	lastInstance string // replica on which one of its items started last
 }
 
+// state is the state of an item.
 type state uint8
 
 const (
 	waiting state = iota
 	running
-	scoring // the text is whole; its score is still out
+	scoring // the text is complete and its score is pending
 	finished
 	terminated
 )
 
+// item is an item of an open job.
 type item struct {
 	Item
-	job       *job
-	group     *group
-	state     state
-	pools     []Share // none: not to be run now
-	failures  int
-	notBefore time.Duration
-	avoid     string // instance of the last run that ended badly
-	moving    bool   // the run is being stopped for a faster replica
-	suspected bool   // replicas crashed under it
-	condemned bool   // it counts as the cause, and rests for long
-	run       run
-	reserved  *replica // where the item is to go on, and has room; nil: nowhere
-	urgency   int
-	brought   int // events of the runs that have ended
-	// pressing says that the item's present or next run decides when its job is done, as far as its length is known.
-	pressing bool
-	// latestStart is when the item must start to be whole by its job's deadline, as far as its length is known.
+	job             *job
+	group           *group
+	state           state
+	pools           []Share       // empty: the item can't run now
+	failures        int           // runs that ended as Failed
+	notBefore       time.Duration // earliest time of the next run
+	avoidInstance   string        // replica of the last run that ended badly or was moved
+	moving          bool          // the run is being stopped to continue on a faster replica
+	suspected       bool          // replicas crashed while running it
+	condemned       bool          // considered the cause of crashes and held for a long time
+	run             run           // the present run
+	reservedReplica *replica      // replica with a slot reserved for the item to continue on; nil: none
+	urgency         int
+	earlierEvents   int // events of ended runs
+	// critical reports that, as far as the item's length is known, its current or next run decides when its job
+	// completes.
+	critical bool
+	// latestStart is when the item must start to complete by its job's deadline, as far as its length is known.
 	latestStart time.Duration
 }
 
-// run is the present run of an item.
+// run is the current run of an item.
 type run struct {
-	instance string
-	started  time.Duration
-	last     time.Duration // of the last event; started if there was none
-	events   int
-	remote   bool          // another process drives it
-	known    time.Duration // of a remote one: up to when that process has told of it
-	pace     runPace
-	// suspected is what the item was when the run began.
+	instance   string
+	started    time.Duration
+	lastEvent  time.Duration // time of the last event, or the start of the run before the first event
+	events     int
+	remote     bool          // another process drives the run
+	heardUntil time.Duration // for a remote run: the time up to which its process has reported
+	pace       runPace       // time between events
+	// suspected is the item's suspected flag at the start of the run.
 	suspected bool
 }
 
@@ -91,13 +97,13 @@
 func New(settings Settings) *Scheduler {
 	return &Scheduler{
 		settings: settings.WithDefaults(), jobs: map[string]*job{}, replicas: map[string]*replica{},
-		pools: map[string]*pool{}, seen: map[string]bool{},
+		pools: map[string]*pool{}, endedGroups: map[string]bool{},
 		usage: fairqueue.NewUsage(usageHalfLife),
 	}
 }
 
-// Open adds a job. Items of done have a result, those of unscored a whole text without its score. A job that is held is
-// left as it is.
+// Open adds a job. The items in done have a result, and those in unscored have a complete text without a score. Open
+// does nothing if the job is already open.
 func (s *Scheduler) Open(opened Job, done, unscored []string) {
 	if s.jobs[opened.ID] != nil {
 		return
@@ -111,7 +117,7 @@
 		}
 		member := groups[name]
 		if member == nil {
-			member = &group{id: name, position: len(added.groups), carried: s.seen[name]}
+			member = &group{id: name, position: len(added.groups), carried: s.endedGroups[name]}
 			groups[name] = member
 			added.groups = append(added.groups, member)
 		}
@@ -126,54 +132,54 @@
 		member.items = append(member.items, entry)
 	}
 	s.jobs[opened.ID] = added
-	s.order = nil
+	s.waitingOrder = nil
 }
 
-// End removes a job. Its running items are returned: their runs are to be stopped and reported with Ended.
+// End removes a job and returns its running items. The caller must stop their runs and report them to Ended.
 func (s *Scheduler) End(id string) []Key {
 	ended := s.jobs[id]
 	if ended == nil {
 		return nil
 	}
 	var stop []Key
-	if len(s.seen) > maximumSeen {
-		clear(s.seen)
+	if len(s.endedGroups) > maximumEndedGroups {
+		clear(s.endedGroups)
 	}
 	for _, member := range ended.groups {
 		for _, entry := range member.items {
 			if entry.state == running {
 				stop = append(stop, Key{Job: id, Item: entry.ID})
-				s.leave(entry)
+				s.endRun(entry)
 			}
-			s.unreserve(entry)
+			s.releaseReservation(entry)
 		}
-		s.seen[member.id] = true
+		s.endedGroups[member.id] = true
 	}
 	delete(s.jobs, id)
-	s.order = nil
+	s.waitingOrder = nil
 	return stop
 }
 
-// Carried returns the open groups of a job that it has from an earlier one, as far as is known: the scheduler has seen that
-// job end. Their owner did not have them whole then, whatever was finished: the last results may not have been read. An item
-// without a group is named in its place.
+// Carried returns the incomplete groups of a job that also belonged to an earlier job whose end the scheduler has seen.
+// The owner did not receive them complete from that job, even if all their items finished, because it may not have read
+// the last results. An item without a group is named by its own id.
 func (s *Scheduler) Carried(id string) []string {
-	held := s.jobs[id]
-	if held == nil {
+	job := s.jobs[id]
+	if job == nil {
 		return nil
 	}
 	var carried []string
-	for _, member := range held.groups {
-		whole := !slices.ContainsFunc(member.items, func(entry *item) bool { return entry.state < finished })
-		if member.carried && !whole {
+	for _, member := range job.groups {
+		complete := !slices.ContainsFunc(member.items, func(entry *item) bool { return entry.state < finished })
+		if member.carried && !complete {
 			carried = append(carried, cmp.Or(member.items[0].Group, member.items[0].ID))
 		}
 	}
 	return carried
 }
 
-// maximumSeen bounds the groups of ended jobs that are remembered.
-const maximumSeen = 100_000
+// maximumEndedGroups bounds how many groups of ended jobs are remembered.
+const maximumEndedGroups = 100_000
 
 // Jobs returns the ids of the open jobs, sorted.
 func (s *Scheduler) Jobs() []string {
@@ -185,51 +191,52 @@
 	return ids
 }
 
-// Route says which pools may run an item; without any it waits.
+// Route sets the pools that may run an item. Without pools the item waits.
 func (s *Scheduler) Route(key Key, pools []Share) {
 	if entry := s.find(key); entry != nil {
 		entry.pools = pools
 	}
 }
 
-// Terminate ends an item for good for a reason of the caller's own. It reports whether the item was open.
+// Terminate ends an item permanently for a reason of the caller's own. It reports whether the item was unfinished.
 func (s *Scheduler) Terminate(key Key) bool {
 	entry := s.find(key)
 	if entry == nil || entry.state >= finished {
 		return false
 	}
 	if entry.state == running {
-		s.leave(entry)
+		s.endRun(entry)
 	}
-	s.unreserve(entry)
-	entry.state, s.order = terminated, nil
+	s.releaseReservation(entry)
+	entry.state, s.waitingOrder = terminated, nil
 	return true
 }
 
-// Suspect notes that a replica crashed under an item: its next runs keep away from those of other suspects, so that a further crash
-// tells which of them it was.
+// Suspect records that a replica crashed while running an item. The item's next runs are kept apart from those of other
+// suspects, so that a further crash identifies its cause.
 func (s *Scheduler) Suspect(key Key) {
 	if entry := s.find(key); entry != nil {
-		entry.suspected, s.order = true, nil
+		entry.suspected, s.waitingOrder = true, nil
 	}
 }
 
-// Hold puts an item off that must not run before a time.
+// Hold prevents an item from starting before a given time.
 func (s *Scheduler) Hold(key Key, until time.Duration) {
 	if entry := s.find(key); entry != nil {
 		entry.notBefore = until
 	}
 }
 
-// Condemn notes that an item, or the call for its score, counts as the cause of crashes and rests for long. Its group will not be whole
-// in time: others of its job are waited for in its place, until it runs again.
+// Condemn records that an item, or the call for its score, is considered the cause of crashes and is held for a long
+// time. Its group will not complete in time, so another group of the job is required in its place until the item runs
+// again.
 func (s *Scheduler) Condemn(key Key) {
 	if entry := s.find(key); entry != nil && !entry.condemned {
-		entry.condemned, s.order = true, nil
+		entry.condemned, s.waitingOrder = true, nil
 	}
 }
 
-// Scored finishes an item whose text has got its score. It reports whether the item waited for one.
+// Scored finishes an item whose text has received its score. It reports whether the item was waiting for one.
 func (s *Scheduler) Scored(key Key) bool {
 	entry := s.find(key)
 	if entry == nil || entry.state != scoring {
@@ -239,19 +246,20 @@
 	return true
 }
 
-// Expired terminates the items whose time is over and that wait, for a replica or for a score, and returns them.
+// Expired terminates the items that wait for a replica or for a score although their job's GiveUp time has passed, and
+// returns them.
 func (s *Scheduler) Expired(now time.Duration) []Key {
 	var expired []Key
 	for _, id := range s.Jobs() {
-		held := s.jobs[id]
-		if held.GiveUp == 0 || now < held.GiveUp {
+		job := s.jobs[id]
+		if job.GiveUp == 0 || now < job.GiveUp {
 			continue
 		}
-		for _, member := range held.groups {
+		for _, member := range job.groups {
 			for _, entry := range member.items {
 				if entry.state == waiting || entry.state == scoring {
-					s.unreserve(entry)
-					entry.state, s.order = terminated, nil
+					s.releaseReservation(entry)
+					entry.state, s.waitingOrder = terminated, nil
 					expired = append(expired, Key{Job: id, Item: entry.ID})
 				}
 			}
@@ -260,14 +268,15 @@
 	return expired
 }
 
+// find returns an item of an open job, or nil.
 func (s *Scheduler) find(key Key) *item {
-	if held := s.jobs[key.Job]; held != nil {
-		return held.items[key.Item]
+	if job := s.jobs[key.Job]; job != nil {
+		return job.items[key.Item]
 	}
 	return nil
 }
 
-// poolOf chooses the pool of an item by the route's shares; the same item gets the same pool while they stay.
+// poolOf chooses the pool of an item by the route's shares. An item keeps its pool as long as the shares stay the same.
 func (e *item) poolOf() string {
 	if len(e.pools) == 1 && e.pools[0].Weight > 0 {
 		return e.pools[0].Pool
--- a/internal/batchrun/schedule/reserve.go
+++ b/internal/batchrun/schedule/reserve.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// reserve gives a run that is to be moved its room at a replica, until it begins somewhere or ends for good. Without it whichever item
-// comes first takes the room, and the run that paid for the move begins at the next slow replica.
-func (s *Scheduler) reserve(entry *item, at *replica) {
-	if !s.poolNamed(at.Pool).reportsPace {
-		at.coming++
+// reserve holds capacity on a replica for a run that is to move, until the item starts somewhere or ends permanently.
+// Otherwise the first item to be placed would take the slot, and the run that paid for the move would start on the next
+// slow replica.
+func (s *Scheduler) reserve(entry *item, replica *replica) {
+	if !s.poolNamed(replica.Pool).reportsPace {
+		replica.incomingMoves++
 		return
 	}
-	s.unreserve(entry)
-	entry.reserved = at
-	at.reserved++
-	at.add(entry)
+	s.releaseReservation(entry)
+	entry.reservedReplica = replica
+	replica.reservedSlots++
+	replica.addItem(entry)
 }
 
-// unreserve gives the room back.
-func (s *Scheduler) unreserve(entry *item) {
-	if at := entry.reserved; at != nil {
-		at.reserved--
-		at.remove(entry)
+// releaseReservation returns the capacity reserved for an item.
+func (s *Scheduler) releaseReservation(entry *item) {
+	if replica := entry.reservedReplica; replica != nil {
+		replica.reservedSlots--
+		replica.removeItem(entry)
 	}
-	entry.reserved = nil
+	entry.reservedReplica = nil
 }
 
-// reserved is the replica that an item has room at, if it may still begin there; the room is given back otherwise.
-func (r *round) reserved(entry *item, of *pool) *replica {
-	at := entry.reserved
-	if at == nil {
+// reserved returns the replica with a slot reserved for an item, if the item can still start there. Otherwise it
+// releases the reservation and returns nil.
+func (r *placementRound) reserved(entry *item, pool *pool) *replica {
+	replica := entry.reservedReplica
+	if replica == nil {
 		return nil
 	}
-	if at.gone || r.scheduler.pools[at.Pool] != of || !r.scheduler.takes(at, entry, r.now) {
-		r.scheduler.unreserve(entry)
+	if replica.draining || r.scheduler.pools[replica.Pool] != pool || !r.scheduler.canStartReserved(replica, entry, r.now) {
+		r.scheduler.releaseReservation(entry)
 		return nil
 	}
-	return at
+	return replica
 }
 
-// takes tells whether a replica takes an item now that has room there.
-func (s *Scheduler) takes(at *replica, entry *item, now time.Duration) bool {
-	known := at.versions[entry.job.Model]
-	return at.running < at.Slots && at.pausedTo <= now && !at.probation && !at.tooOld(entry.job) && !(known.fresh(now) && known.loading)
+// canStartReserved reports whether an item can start now on a replica with a slot reserved for it.
+func (s *Scheduler) canStartReserved(replica *replica, entry *item, now time.Duration) bool {
+	known := replica.versions[entry.job.Model]
+	return replica.running < replica.Slots && replica.pausedUntil <= now && !replica.onProbation && !replica.isTooOldFor(entry.job) && !(known.isFresh(now) && known.loading)
 }
--- a/internal/batchrun/schedule/scale_test.go
+++ b/internal/batchrun/schedule/scale_test.go
@@ -69,16 +69,16 @@
 func largeUneven(replicas, items int) *Scheduler {
 	s := largeScheduler(replicas, items)
 	of := s.pools["pool"]
-	of.reportsPace, of.overrun, of.meanStart = true, 1.3, 0.08
+	of.reportsPace, of.overrun, of.meanFirstEventDelay = true, 1.3, 0.08
 	for number := range 100 {
-		of.answered(20, uint64(1500+number%2))
+		of.noteAnswer(20, uint64(1500+number%2))
 	}
 	for number, at := range of.replicas {
 		at.Memory = 60_000
 		at.pace = 0.025 * float64(1+number%2)
-		at.said.Note(1, time.Millisecond, &of.rest)
+		at.reportedPace.Note(1, time.Millisecond, &of.slowdownRest)
 	}
-	of.pacesCompared = false
+	of.paceStatisticsValid = false
 	for _, entry := range s.jobs["job"].items {
 		entry.Length, entry.Estimated, entry.Prompt, entry.Most = 100+entry.Length*13%3000, true, 200, 12_000
 	}
@@ -123,14 +123,14 @@
 					at.Slots = 0
 				}
 			}
-			s.pools["pool"].pacesCompared = false
-			if late := len(s.movable(opened + time.Second)); late < 10 {
+			s.pools["pool"].paceStatisticsValid = false
+			if late := len(s.movableRuns(opened + time.Second)); late < 10 {
 				b.Fatalf("%d runs are late", late)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				s.Slow(opened + time.Second + time.Duration(i)*soonestLife)
+				s.Slow(opened + time.Second + time.Duration(i)*earliestEndTTL)
 			}
 		})
 	}
@@ -142,14 +142,14 @@
 	var best *replica
 	var bestLoad float64
 	for _, at := range of.replicas {
-		if !s.fits(at, entry, now) {
+		if !s.canStart(at, entry, now) {
 			continue
 		}
-		load := s.load(at, of, s.demand(entry, at.Pool, now))
-		if at.Instance == entry.group.instance {
+		load := s.loadWith(at, of, s.placementKeyOf(entry, at.Pool, now))
+		if at.Instance == entry.group.lastInstance {
 			load -= s.settings.AffinityBonus
 		}
-		if at.Instance == entry.avoid && len(of.replicas) > 1 {
+		if at.Instance == entry.avoidInstance && len(of.replicas) > 1 {
 			load += avoidanceLoad
 		}
 		if best == nil || load < bestLoad {
@@ -169,17 +169,17 @@
 			at.Slots = rapid.IntRange(1, 4).Draw(t, "slots")
 			at.pace = rapid.SampledFrom([]float64{0, 0.04, 0.04, 0.06, 0.2}).Draw(t, "pace")
 			at.running = rapid.IntRange(0, 2).Draw(t, "running")
-			at.pressing = rapid.IntRange(0, at.running).Draw(t, "pressing")
-			at.probation = rapid.IntRange(0, 3).Draw(t, "probation") == 0
-			at.pausedTo = time.Duration(rapid.IntRange(0, 2).Draw(t, "paused")) * time.Second
-			at.versions["m"] = version{number: uint64(rapid.IntRange(0, 2).Draw(t, "version")), told: time.Second, loading: rapid.IntRange(0, 3).Draw(t, "loading") == 0}
+			at.criticalRuns = rapid.IntRange(0, at.running).Draw(t, "pressing")
+			at.onProbation = rapid.IntRange(0, 3).Draw(t, "probation") == 0
+			at.pausedUntil = time.Duration(rapid.IntRange(0, 2).Draw(t, "paused")) * time.Second
+			at.versions["m"] = version{number: uint64(rapid.IntRange(0, 2).Draw(t, "version")), reported: time.Second, loading: rapid.IntRange(0, 3).Draw(t, "loading") == 0}
 		}
-		of.pacesCompared = false
+		of.paceStatisticsValid = false
 	}
 	for _, entry := range s.jobs["job"].items {
-		entry.avoid = fmt.Sprintf("i-%05d", rapid.IntRange(0, 6).Draw(t, "avoid"))
-		entry.group.instance = fmt.Sprintf("i-%05d", rapid.IntRange(0, 6).Draw(t, "group at"))
-		entry.pressing = rapid.Bool().Draw(t, "presses")
+		entry.avoidInstance = fmt.Sprintf("i-%05d", rapid.IntRange(0, 6).Draw(t, "avoid"))
+		entry.group.lastInstance = fmt.Sprintf("i-%05d", rapid.IntRange(0, 6).Draw(t, "group at"))
+		entry.critical = rapid.Bool().Draw(t, "presses")
 		entry.job.MinVersion = uint64(rapid.IntRange(0, 2).Draw(t, "oldest"))
 	}
 	return s
@@ -191,16 +191,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Second
 		s := drawnScheduler(t)
-		s.arrange(now)
-		look := s.newRound(now)
-		for _, entry := range s.order {
+		s.sortWaiting(now)
+		look := s.newPlacementRound(now)
+		for _, entry := range s.waitingOrder {
 			want := s.placeByLooking(entry, now)
 			got := look.place(entry)
 			if got != want {
 				t.Fatalf("item %s goes to %+v, not %+v", entry.ID, got, want)
 			}
 			if got != nil {
-				s.enter(entry, got, now)
+				s.startRun(entry, got, now)
 			}
 		}
 	})
--- a/internal/batchrun/schedule/schedule_test.go
+++ b/internal/batchrun/schedule/schedule_test.go
@@ -266,12 +266,12 @@
 			alone = start.Instance
 		}
 	}
-	if at[alone] != 2 || urgencies["i0"] != urgencyStraggler || urgencies["i1"] != urgencyWanted {
+	if at[alone] != 2 || urgencies["i0"] != urgencyStraggler || urgencies["i1"] != urgencyRequired {
 		t.Fatalf("%v run, the long one at %s; urgencies %v", at, alone, urgencies)
 	}
 	s.End("j")
 	for _, held := range s.replicas {
-		if held.pressing != 0 || held.running != 0 {
+		if held.criticalRuns != 0 || held.running != 0 {
 			t.Fatalf("%+v after the end of all runs", held)
 		}
 	}
@@ -386,10 +386,10 @@
 	s := newScheduler(1, 4)
 	s.Told("r1", "m", 4, false, second)
 	open(s, Job{ID: "j", Model: "m", MinVersion: 5}, "a:1")
-	if got := s.Starts(second + toldLife - 1); len(got) > 0 {
+	if got := s.Starts(second + reportTTL - 1); len(got) > 0 {
 		t.Fatalf("started %v", got)
 	}
-	if got := s.Starts(second + toldLife); len(got) != 1 {
+	if got := s.Starts(second + reportTTL); len(got) != 1 {
 		t.Fatalf("started %v", got)
 	}
 }
@@ -425,7 +425,7 @@
 		t.Fatalf("%v expired", expired)
 	}
 	// A group that is whole here may come again all the same: its owner may not have read its last result.
-	if s.End("a"); !s.seen["g"] || !s.seen["h"] || !s.seen["k"] || !s.seen["l"] {
-		t.Fatalf("groups of the ended job: %v", s.seen)
+	if s.End("a"); !s.endedGroups["g"] || !s.endedGroups["h"] || !s.endedGroups["k"] || !s.endedGroups["l"] {
+		t.Fatalf("groups of the ended job: %v", s.endedGroups)
 	}
 }
--- a/internal/batchrun/schedule/suspect_test.go
+++ b/internal/batchrun/schedule/suspect_test.go
@@ -26,8 +26,8 @@
 		s.Ended(0, Key{"j", fmt.Sprint("i", number)}, Broken, 0)
 	}
 	for _, one := range s.replicas {
-		if one.suspects != 0 {
-			t.Errorf("%s counts %d suspects after their ends", one.Instance, one.suspects)
+		if one.suspectRuns != 0 {
+			t.Errorf("%s counts %d suspects after their ends", one.Instance, one.suspectRuns)
 		}
 	}
 }
--- a/internal/batchrun/schedule/turns.go
+++ b/internal/batchrun/schedule/turns.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// mostUneven is the ratio between the most and the least open work of two owners of equal weight up to which items begin in the order of
-	// their latest starts. It leaves room for trainers whose steps differ in size; beyond it, or where weights differ, owners take turns.
-	mostUneven = 8
-	// usageHalfLife is about the time that a step takes: what an owner had for its last step counts against its next one, and one
-	// that comes back after a pause does not take all the room.
+	// maximumDemandRatio is the highest ratio between the open work of the owners with the most and with the least work
+	// at which items still start in the order of their latest starts. It tolerates trainers whose steps differ in size.
+	// Above it, or if the owners' weights differ, owners take turns.
+	maximumDemandRatio = 8
+	// usageHalfLife is about the duration of a step. The work that an owner received for its last step then counts
+	// against its next one, and an owner that returns after a pause does not take all the capacity.
 	usageHalfLife = 8 * time.Second
 )
 
-// owner is whose work a job is: its tenant's or, where that is not known, that of the trainer whose weights it uses, each step of which
-// is a job of its own.
+// owner returns the owner of the job's work. This is the tenant or, if that is unknown, the trainer whose weights the
+// job uses, because each step of a trainer is a job of its own.
 func (j *job) owner() fairqueue.Owner {
 	switch {
 	case j.Tenant != "":
@@ -30,64 +31,65 @@
 
 // Weigh sets the weight of a job's tenant.
 func (s *Scheduler) Weigh(id string, weight uint32) {
-	if held := s.jobs[id]; held != nil && held.Weight != weight {
-		held.Weight, s.order = weight, nil
+	if job := s.jobs[id]; job != nil && job.Weight != weight {
+		job.Weight, s.waitingOrder = weight, nil
 	}
 }
 
-// ownerDemand is an owner's open work.
+// ownerDemand is the open work of an owner, in the units of expectedWork.
 type ownerDemand struct {
 	fairqueue.Owner
-	asked float64 // all of its open jobs
-	had   float64 // what runs, and what ran lately
+	requested float64 // work of all its open jobs
+	received  float64 // remaining work of its runs, and work that it received lately
 }
 
-// Turns tells whether owners take turns, and what that was decided by.
+// Turns reports whether owners take turns, and the figures on which that decision was based.
 type Turns struct {
 	Taken   bool
 	Owners  int
 	Waiting int    // items
-	Largest string // the owner that asks for the most work
-	// The work that the owners ask for which ask for the most and the least, in events.
+	Largest string // name of the owner with the most work
+	// Most and Least are the work of the owners that ask for the most and for the least, in events.
 	Most, Least float64
 }
 
-// Turns returns what the present order of work was decided by.
+// Turns returns the basis of the present order of work.
 func (s *Scheduler) Turns() Turns { return s.turns }
 
-// turnsOf describes the owners that take turns.
-func turnsOf(demands map[string]*ownerDemand, waiting int) Turns {
+// describeTurns describes the owners that take turns.
+func describeTurns(demands map[string]*ownerDemand, waiting int) Turns {
 	turns := Turns{Taken: true, Owners: len(demands), Waiting: waiting}
 	for name, one := range demands {
-		if one.asked > turns.Most || one.asked == turns.Most && name < turns.Largest {
-			turns.Largest, turns.Most = name, one.asked
+		if one.requested > turns.Most || one.requested == turns.Most && name < turns.Largest {
+			turns.Largest, turns.Most = name, one.requested
 		}
-		if turns.Least == 0 || one.asked < turns.Least {
-			turns.Least = one.asked
+		if turns.Least == 0 || one.requested < turns.Least {
+			turns.Least = one.requested
 		}
 	}
 	return turns
 }
 
-// takeTurns orders waiting items, which are sorted by their latest starts, so that owners take turns where one of them would
-// take the others' room: some items can't be in time any more, and owners' weights differ or one asks for many times
-// another's work. While all can be in time, and among owners that ask for about as much, the order of latest starts stays.
+// takeTurns reorders waiting items, which are sorted by their latest starts, so that owners take turns if one of them
+// would otherwise use up the capacity of the others. This is the case if some items can no longer be in time and either
+// the owners' weights differ or one owner asks for many times the work of another. Otherwise the order of latest starts
+// stays.
 func (s *Scheduler) takeTurns(items []*item, now time.Duration) []*item {
 	s.turns = Turns{}
-	if !s.isBehind(items, now) {
+	if !s.isOverloaded(items, now) {
 		return items
 	}
-	demands := s.demands(now)
-	if !isUneven(demands) {
+	demands := s.ownerDemands(now)
+	if !isDemandUneven(demands) {
 		return items
 	}
-	s.turns = turnsOf(demands, len(items))
+	s.turns = describeTurns(demands, len(items))
 	var queue fairqueue.Queue[*item]
 	for _, one := range demands {
-		queue.Charge(one.Owner, one.had)
+		queue.Charge(one.Owner, one.received)
 	}
 	for _, entry := range items {
-		queue.Push(entry.job.owner(), s.workLeft(entry), entry)
+		queue.Push(entry.job.owner(), s.remainingWork(entry), entry)
 	}
 	ordered := items[:0]
 	for {
@@ -99,82 +101,83 @@
 	}
 }
 
-// isBehind tells whether more items wait than there is room for, and some of them too long to be in time.
-func (s *Scheduler) isBehind(items []*item, now time.Duration) bool {
+// isOverloaded reports whether more items wait than there are free slots and some of them can no longer be in time.
+func (s *Scheduler) isOverloaded(items []*item, now time.Duration) bool {
 	late := func(entry *item) bool { return entry.latestStart < now }
 	if len(items) == 0 || !slices.ContainsFunc(items, late) {
 		return false
 	}
-	room := 0
-	for _, at := range s.replicas {
-		if !at.gone {
-			room += max(at.Slots-at.running, 0)
+	freeSlots := 0
+	for _, replica := range s.replicas {
+		if !replica.draining {
+			freeSlots += max(replica.Slots-replica.running, 0)
 		}
 	}
-	return len(items) > room
+	return len(items) > freeSlots
 }
 
-// demands are the owners of the open jobs, by name.
-func (s *Scheduler) demands(now time.Duration) map[string]*ownerDemand {
+// ownerDemands returns the demands of the owners of the open jobs, by owner name.
+func (s *Scheduler) ownerDemands(now time.Duration) map[string]*ownerDemand {
 	demands := map[string]*ownerDemand{}
-	for _, held := range s.jobs {
-		owner := held.owner()
-		of := demands[owner.Name]
-		if of == nil {
-			of = &ownerDemand{Owner: owner, had: s.usage.Of(owner.Name, now)}
-			demands[owner.Name] = of
+	for _, job := range s.jobs {
+		owner := job.owner()
+		demand := demands[owner.Name]
+		if demand == nil {
+			demand = &ownerDemand{Owner: owner, received: s.usage.Of(owner.Name, now)}
+			demands[owner.Name] = demand
 		}
-		for _, entry := range held.items {
-			of.asked += s.work(entry)
+		for _, entry := range job.items {
+			demand.requested += s.expectedWork(entry)
 			if entry.state == running {
-				of.had += s.workLeft(entry)
+				demand.received += s.remainingWork(entry)
 			}
 		}
 	}
 	return demands
 }
 
-// isUneven tells whether weights differ, or an owner asks for many times another's work.
-func isUneven(demands map[string]*ownerDemand) bool {
+// isDemandUneven reports whether the owners' weights differ or one owner asks for many times the work of another.
+func isDemandUneven(demands map[string]*ownerDemand) bool {
 	least, most := 0.0, 0.0
 	weight := uint32(0)
 	for _, one := range demands {
-		own := one.Weight
-		if own == 0 {
-			own = fairqueue.DefaultWeight
+		ownerWeight := one.Weight
+		if ownerWeight == 0 {
+			ownerWeight = fairqueue.DefaultWeight
 		}
-		if weight != 0 && own != weight {
+		if weight != 0 && ownerWeight != weight {
 			return true
 		}
-		weight = own
-		if least == 0 || one.asked < least {
-			least = one.asked
+		weight = ownerWeight
+		if least == 0 || one.requested < least {
+			least = one.requested
 		}
-		most = max(most, one.asked)
+		most = max(most, one.requested)
 	}
-	return most > mostUneven*least
+	return most > maximumDemandRatio*least
 }
 
-// work is the expected work of an item: its events or, while it is not known how many tokens make one, its tokens.
-func (s *Scheduler) work(entry *item) float64 {
+// expectedWork returns the expected work of an item in events or, while the number of tokens per event is unknown, in
+// tokens.
+func (s *Scheduler) expectedWork(entry *item) float64 {
 	if events := s.expectedEvents(entry); events > 0 {
 		return events
 	}
 	return float64(max(entry.Length, 1))
 }
 
-// workLeft is the expected work of what an item has not brought in earlier runs.
-func (s *Scheduler) workLeft(entry *item) float64 {
-	return max(s.work(entry)-float64(entry.brought), 1)
+// remainingWork returns the expected work of an item without what its ended runs have delivered.
+func (s *Scheduler) remainingWork(entry *item) float64 {
+	return max(s.expectedWork(entry)-float64(entry.earlierEvents), 1)
 }
 
-// workDone is the work of a run that has ended.
-func (s *Scheduler) workDone(entry *item, ending Ending) float64 {
+// completedWork returns the work of a run that has ended.
+func (s *Scheduler) completedWork(entry *item, ending Ending) float64 {
 	switch {
 	case s.expectedEvents(entry) > 0:
 		return float64(entry.run.events)
 	case ending == Completed:
-		return s.workLeft(entry)
+		return s.remainingWork(entry)
 	}
 	return 0
 }
--- a/internal/batchrun/schedule/turns_test.go
+++ b/internal/batchrun/schedule/turns_test.go
@@ -129,7 +129,7 @@
 		if !uneven {
 			items[1] = items[0]
 		} else {
-			items[1] = mostUneven*items[0] + 1
+			items[1] = maximumDemandRatio*items[0] + 1
 		}
 		slots := (items[0] + items[1]) / 2
 		if enough {
@@ -143,10 +143,10 @@
 		if late {
 			now = 3 * time.Second
 		}
-		s.arrange(now)
-		got := slices.Clone(s.order)
-		s.sortByLatestStart(s.order)
-		same := slices.Equal(got, s.order)
+		s.sortWaiting(now)
+		got := slices.Clone(s.waitingOrder)
+		s.sortByLatestStart(s.waitingOrder)
+		same := slices.Equal(got, s.waitingOrder)
 		if want := enough || !late || !uneven; same != want && (want || items[0] > 1) {
 			t.Fatalf("items %v, %d slots, late %v: order of latest starts %v", items, slots, late, same)
 		}
@@ -172,9 +172,9 @@
 		s.Open(job, nil, nil)
 	}
 	s.Weigh("two", 300)
-	s.arrange(3 * time.Second)
+	s.sortWaiting(3 * time.Second)
 	ofTwo := 0
-	for _, entry := range s.order[:20] {
+	for _, entry := range s.waitingOrder[:20] {
 		if entry.job.Tenant == "two" {
 			ofTwo++
 		}
@@ -196,11 +196,11 @@
 		t.Fatal(started)
 	}
 	s.Open(evenJob("small", 5, 2*time.Second), nil, nil)
-	s.arrange(3 * time.Second)
+	s.sortWaiting(3 * time.Second)
 	if turns := s.Turns(); !turns.Taken || turns.Owners != 2 || turns.Waiting != 95 || turns.Largest != "model/model-large" || turns.Most != 1000 || turns.Least != 50 {
 		t.Errorf("%+v", turns)
 	}
-	for number, entry := range s.order[:5] {
+	for number, entry := range s.waitingOrder[:5] {
 		if entry.job.ID != "small" {
 			t.Errorf("item %d is of the owner that has all the room", number)
 		}
--- a/internal/batchrun/schedule/types.go
+++ b/internal/batchrun/schedule/types.go
@@ -1,154 +1,159 @@
-// Package schedule decides for the items of batch jobs what starts next, at which replica and how urgently,
-// what is moved elsewhere, and what is given up for good.
+// Package schedule decides for the items of batch jobs which run starts next, on which replica and how urgently, which
+// runs move to another replica, and which items are terminated.
 //
-// The package is pure: no clock, goroutine or I/O. Times are durations since an arbitrary start. A Scheduler
-// is not safe for concurrent use. Order of work: items by the moment at which each must start to be whole by its
-// job's deadline, of those that must at the same moment the longest first; groups beyond those that the job's owner
-// waits for come after all others of all jobs. Those are, in this order, groups that an earlier job carried, that have
-// begun, that have the longest items. Where there is so little room that some can't be in time, owners take turns if one of them
-// would take the others' room.
+// The package is pure: it has no clock, goroutines or I/O. Times are durations since an arbitrary start. A Scheduler is
+// not safe for concurrent use.
+//
+// Items are ordered by their latest start, the time at which each must start to complete by its job's deadline. Among
+// items with the same latest start the longest goes first. Groups beyond those that a job's owner requires come after
+// the required groups of all jobs. The required groups are the first ones in a ranking of a job's groups by whether an
+// earlier job already contained them, then by whether they have started, then by the length of their longest item. If
+// capacity is too small for all items to meet their deadlines, owners take turns when one of them would otherwise use
+// up the capacity of the others.
 package schedule
 
 import "time"
 
-// Key names an item: ids are unique within a job only.
+// Key identifies an item. Item ids are unique only within a job.
 type Key struct{ Job, Item string }
 
 // Item is one request of a job.
 type Item struct {
 	ID    string
-	Group string // items of one group count only together; empty: a group of its own
-	// Length is the expected length of the answer in tokens, by which long items begin early.
+	Group string // items of one group count only together; empty: the item is its own group
+	// Length is the expected length of the answer in tokens. Long items start early.
 	Length uint64
-	// Estimated says that Length is an estimate, and not the most that the answer may have.
+	// Estimated reports that Length is an estimate rather than an upper bound of the answer's length.
 	Estimated bool
-	Most      uint64 // tokens that the answer has at most; 0: not known
-	Prompt    uint64 // tokens of the prompt, which the items of a group share; 0: not known
-	// Scored says that the item is finished only once its text has a score; see Scheduler.Scored.
+	Most      uint64 // maximum number of tokens in the answer; 0: unknown
+	Prompt    uint64 // tokens of the prompt, which the items of a group share; 0: unknown
+	// Scored reports that the item is finished only once its text has a score; see Scheduler.Scored.
 	Scored bool
 }
 
-// Job is a batch job as the scheduler needs it.
+// Job describes a batch job to the scheduler.
 type Job struct {
 	ID         string
-	Model      string // whose weights make the tokens; a replica may hold several models
-	MinVersion uint64 // oldest weight version that may make tokens; 0: any
-	Desired    int    // whole groups that its owner waits for; 0: all
+	Model      string // model that generates the tokens; a replica may serve several models
+	MinVersion uint64 // oldest weight version that may generate tokens; 0: any
+	Desired    int    // number of complete groups that the owner requires; 0: all
 	Deadline   time.Duration
-	// GiveUp is when items that wait may be given up; 0: never.
+	// GiveUp is when waiting items may be terminated; 0: never.
 	GiveUp      time.Duration
-	MaxAttempts int // failed runs after which an item is given up; 0: no bound
-	// Tenant is whose job it is; empty: not known. Weight is its share where there is not enough room; 0: the usual one.
+	MaxAttempts int // failed runs after which an item is terminated; 0: unlimited
+	// Tenant owns the job; empty: unknown. Weight is the tenant's share when capacity is too small for all; 0: the
+	// default weight.
 	Tenant string
 	Weight uint32
 	Items  []Item
 }
 
-// Share is a pool's share of a route's items.
+// Share is the share of a route's items that a pool receives.
 type Share struct {
 	Pool   string
 	Weight uint32
 }
 
-// Replica is one replica of a pool that takes new work.
+// Replica describes a replica of a pool that accepts new work.
 type Replica struct {
 	Instance string
 	Address  string
 	Pool     string
-	Slots    int    // items that may run there at a time
-	Memory   uint64 // tokens of the prompts and answers that it can hold at a time; 0: not known
+	Slots    int    // maximum number of concurrent items
+	Memory   uint64 // capacity in tokens of prompts and answers held at the same time; 0: unknown
 }
 
-// Start is the order to run an item at a replica.
+// Start tells the caller to run an item on a replica.
 type Start struct {
 	Key
 	Instance string
 	Address  string
 	Pool     string
-	Slots    int // of the replica
+	Slots    int // slots of the replica
 	Urgency  int // 0 (most urgent) to 9
-	// ExpectedVersion asks the replica to refuse the item under other weights: it had too old ones when it was
-	// last heard, and a refusal costs less than a run that is dropped. 0: any will do.
+	// ExpectedVersion asks the replica to reject the item unless it serves this weight version. It is set if the
+	// version last heard from the replica was too old, because a rejection costs less than a run that is discarded. 0:
+	// any version will do.
 	ExpectedVersion uint64
-	// What the choice was made on: items that run there with this one, the weight version last heard there (0: none)
-	// and how long ago.
+	// The basis of the choice: the number of items running on the replica including this one, the weight version last
+	// heard from it (0: none) and the age of that information.
 	Running  int
 	Known    uint64
 	KnownAge time.Duration
 }
 
-// Move is a run that is to go on at another replica, with what that was decided by.
+// Move is a run that is to continue on another replica, with the figures on which the decision was based.
 type Move struct {
 	Key
-	Pace, Fastest time.Duration // between two events at its replica and at the fastest one of its pool; 0: unknown
-	Left          time.Duration // expected until its end; 0: unknown
-	Leaving       bool          // its replica takes nothing new
-	// Passing is the replica's last reported pace as a multiple of its lasting one, and Saved the expected gain of the move after its
-	// cost; 0: unknown, or the pool reports no pace.
+	Pace, Fastest time.Duration // time between two events on its replica and on the fastest one of its pool; 0: unknown
+	Left          time.Duration // expected time until the run ends; 0: unknown
+	Leaving       bool          // its replica accepts no new work
+	// Passing is the replica's last reported pace as a multiple of its long-term pace. Saved is the time that the move
+	// is expected to save after subtracting its cost. Both are 0 if unknown or if the pool reports no pace.
 	Passing float64
 	Saved   time.Duration
 }
 
-// Suspension is a replica that gets no items for a pause.
+// Suspension is a pause during which a replica receives no items.
 type Suspension struct {
-	Key      // of the run whose ending is the reason
+	Key      // identifies the run whose ending caused the suspension
 	Instance string
 	Ending   Ending
 	Pause    time.Duration
-	InRow    int // pauses in a row for such a reason, with this one
+	InRow    int // number of consecutive pauses for this kind of reason, including this one
 }
 
 // Ending is how a run of an item ended.
 type Ending uint8
 
-// The endings.
+// The ways in which a run can end.
 const (
-	Completed   Ending = iota // the whole answer is held
-	Failed                    // the replica ran it and says that it failed
-	Impossible                // the replica says that it can never be done
-	Broken                    // it may have run; the answer broke off, was no answer, or was slow
-	Full                      // not run: no slot
+	Completed   Ending = iota // the complete answer is held
+	Failed                    // the replica ran the item and reports that it failed
+	Impossible                // the replica reports that the item can never succeed
+	Broken                    // the item may have run; the answer was cut off, invalid or slow
+	Full                      // not run: no free slot
 	Unreachable               // not run: no connection
-	Misdirected               // not run: another replica, or other weights than expected
-	OldVersion                // dropped: weights older than the job allows
-	Moved                     // stopped for a faster replica
-	Changed                   // dropped, or refused as not run: other weights than those that made the text so far
-	Stopped                   // dropped by the caller for a reason of its own
-	Lost                      // the process that was to drive it can't be reached or refused it, which says nothing of the replica
+	Misdirected               // not run: reached another replica, or other weights than expected
+	OldVersion                // discarded: the weights are older than the job allows
+	Moved                     // stopped to continue on a faster replica
+	Changed                   // discarded or not run: weights other than those that generated the text so far
+	Stopped                   // stopped by the caller for a reason of its own
+	Lost                      // the process driving the run is unreachable or rejected it; says nothing about the replica
 )
 
-// String names an ending in logs.
+// String returns the name of the ending as used in logs.
 func (e Ending) String() string {
 	return [...]string{Completed: "completed", Failed: "failed", Impossible: "impossible", Broken: "broken", Full: "full",
 		Unreachable: "unreachable", Misdirected: "misdirected", OldVersion: "old_version", Moved: "moved", Changed: "changed",
 		Stopped: "stopped", Lost: "lost"}[e]
 }
 
-// Next is what becomes of an item after a run.
+// Next is the state of an item after a run.
 type Next uint8
 
-// What becomes of an item.
+// The states of an item after a run.
 const (
-	Again     Next = iota // it waits for another replica
+	Again     Next = iota // it waits for another run
 	Done                  // it is completed
-	GivenUp               // it is terminated for good
+	GivenUp               // it is terminated permanently
 	Forgotten             // its job has ended
-	ToScore               // its text is whole and needs a score
+	ToScore               // its text is complete and needs a score
 )
 
-// String names it in logs.
+// String returns the name of the state as used in logs.
 func (n Next) String() string {
 	return [...]string{Again: "again", Done: "done", GivenUp: "given_up", Forgotten: "forgotten", ToScore: "to_score"}[n]
 }
 
-// The urgencies of starts: 0 to 9, 5 where none is given.
+// Urgencies of starts, from 0 (most urgent) to 9. Requests without an urgency count as 5.
 const (
-	urgencyStraggler = 4 // the last items of a group that is waited for
-	urgencyWanted    = 6
-	urgencySurplus   = 8 // groups that nobody waits for
+	urgencyStraggler = 4 // critical items and the last items of a required group
+	urgencyRequired  = 6
+	urgencySurplus   = 8 // groups beyond the required ones
 )
 
-// Defaults of Settings.
+// Default values of Settings.
 const (
 	DefaultFirstEvent       = time.Second
 	DefaultMinimumStall     = 500 * time.Millisecond
@@ -160,80 +165,81 @@
 	DefaultVersionPause     = 200 * time.Millisecond
 	DefaultRetryPause       = 50 * time.Millisecond
 	DefaultSlownessCost     = 2
-	DefaultSpareCost        = 0.3
-	DefaultCompanyCost      = 1
+	DefaultExcessSpeedCost  = 0.3
+	DefaultInterferenceCost = 1
 	DefaultMoveRatio        = 1.25
 	DefaultMovePause        = 600 * time.Millisecond
 	DefaultMoveGain         = 200 * time.Millisecond
-	DefaultLeavingTime      = time.Second
+	DefaultMinimumRemaining = time.Second
 	DefaultAffinityBonus    = 0.25
 )
 
-// Settings of a Scheduler. Zero fields take the defaults.
+// Settings configures a Scheduler. Fields that are zero take their defaults.
 type Settings struct {
-	// FirstEvent is how long a run may stay without its first event, MinimumStall and StallFactor (times the
-	// pool's usual pause) how long without a further one.
+	// FirstEvent is how long a run may take until its first event. Afterwards a run is stalled if it delivers no event
+	// for StallFactor times the pool's usual time between two events, and at least for MinimumStall.
 	FirstEvent   time.Duration
 	MinimumStall time.Duration
 	StallFactor  int
-	// FullPause is how long a replica that was full gets nothing, doubled with each refusal in a row up to
-	// MaximumFullPause; FailurePause one that failed, doubled up to MaximumPause; VersionPause is the pause
-	// between two tries of one whose weights were too old. After each such pause it gets one item, and more
-	// once that has brought an event.
+	// FullPause is how long a replica that rejected an item as full receives no items. It doubles with each consecutive
+	// rejection up to MaximumFullPause. FailurePause is the same for a replica that failed and doubles up to
+	// MaximumPause. VersionPause is the time between two attempts on a replica whose weights were too old. After each
+	// of these pauses the replica receives a single item, and more only once that item has delivered an event.
 	FullPause        time.Duration
 	MaximumFullPause time.Duration
 	FailurePause     time.Duration
 	MaximumPause     time.Duration
 	VersionPause     time.Duration
-	// RetryPause is how long an item waits after a failed run, or one whose process was lost.
+	// RetryPause is how long an item waits after a failed run or after the loss of the process that drove the run.
 	RetryPause time.Duration
-	// AffinityBonus is the load, as a part of the slots, that a replica may have above others and still get an
-	// item whose group began there: its memory holds the group's prompt.
+	// AffinityBonus is the extra load, as a fraction of the slots, that a replica may have over others and still
+	// receive an item whose group started there, because its memory already holds the group's prompt.
 	AffinityBonus float64
-	// SlownessCost is what a replica that takes twice the fastest one's time counts as in load.
+	// SlownessCost is the load added to a replica that takes twice as long per event as the fastest one.
 	SlownessCost float64
-	// SpareCost is the load added to a replica that is far faster than an item needs, which keeps fast replicas free for items that
-	// need them.
-	SpareCost float64
-	// CompanyCost is what a pressing run counts as besides itself, in runs, in the load of a replica for an item that is not pressing:
-	// company slows it down.
-	CompanyCost float64
-	// MoveRatio is how many times slower than another one with room a replica must be for its runs to be moved
-	// there, and MovePause how long a run stays before it is moved.
+	// ExcessSpeedCost is the load added to a replica that is far faster than an item needs. It keeps fast replicas free
+	// for the items that need them.
+	ExcessSpeedCost float64
+	// InterferenceCost is how many additional runs each critical run on a replica counts for in the load that a
+	// non-critical item sees there, because concurrent runs slow the critical one down.
+	InterferenceCost float64
+	// MoveRatio is how many times slower a replica must be than another one with free capacity for its runs to be moved
+	// there. MovePause is how long a run stays on its replica before it can be moved.
 	MoveRatio float64
 	MovePause time.Duration
-	// MoveGain is the time that a move must be expected to save: a run that goes on elsewhere reads its prompt again, on a new
-	// connection mostly, and loses the event that was being made.
+	// MoveGain is the minimum time that a move must be expected to save. A moved run processes its prompt again,
+	// usually on a new connection, and loses the event in progress.
 	MoveGain time.Duration
-	// LeavingTime is how long a run must be expected to go on to be moved away from a replica that leaves. Replicas serve
-	// for some seconds after they said so, and then fall silent: on a day with 18 replicas taken away, 10 runs of up to 60 events
-	// stood still for about a second each until that was noticed.
-	LeavingTime time.Duration
+	// MinimumRemaining is the minimum expected remaining time of a run for it to be moved off a leaving replica.
+	// Replicas keep serving for some seconds after they announce that they leave, and then fall silent. With 18
+	// replicas removed during a day, 10 runs of up to 60 events each stood still for about a second until the silence
+	// was detected.
+	MinimumRemaining time.Duration
 }
 
-// WithDefaults fills unset fields.
+// WithDefaults returns the settings with zero fields replaced by their defaults.
 func (s Settings) WithDefaults() Settings {
-	set(&s.FirstEvent, DefaultFirstEvent)
-	set(&s.MinimumStall, DefaultMinimumStall)
-	set(&s.StallFactor, DefaultStallFactor)
-	set(&s.FullPause, DefaultFullPause)
-	set(&s.MaximumFullPause, DefaultMaximumFullPause)
-	set(&s.FailurePause, DefaultFailurePause)
-	set(&s.MaximumPause, DefaultMaximumPause)
-	set(&s.VersionPause, DefaultVersionPause)
-	set(&s.RetryPause, DefaultRetryPause)
-	set(&s.AffinityBonus, DefaultAffinityBonus)
-	set(&s.SlownessCost, DefaultSlownessCost)
-	set(&s.SpareCost, DefaultSpareCost)
-	set(&s.CompanyCost, DefaultCompanyCost)
-	set(&s.MoveRatio, DefaultMoveRatio)
-	set(&s.MovePause, DefaultMovePause)
-	set(&s.MoveGain, DefaultMoveGain)
-	set(&s.LeavingTime, DefaultLeavingTime)
+	setDefault(&s.FirstEvent, DefaultFirstEvent)
+	setDefault(&s.MinimumStall, DefaultMinimumStall)
+	setDefault(&s.StallFactor, DefaultStallFactor)
+	setDefault(&s.FullPause, DefaultFullPause)
+	setDefault(&s.MaximumFullPause, DefaultMaximumFullPause)
+	setDefault(&s.FailurePause, DefaultFailurePause)
+	setDefault(&s.MaximumPause, DefaultMaximumPause)
+	setDefault(&s.VersionPause, DefaultVersionPause)
+	setDefault(&s.RetryPause, DefaultRetryPause)
+	setDefault(&s.AffinityBonus, DefaultAffinityBonus)
+	setDefault(&s.SlownessCost, DefaultSlownessCost)
+	setDefault(&s.ExcessSpeedCost, DefaultExcessSpeedCost)
+	setDefault(&s.InterferenceCost, DefaultInterferenceCost)
+	setDefault(&s.MoveRatio, DefaultMoveRatio)
+	setDefault(&s.MovePause, DefaultMovePause)
+	setDefault(&s.MoveGain, DefaultMoveGain)
+	setDefault(&s.MinimumRemaining, DefaultMinimumRemaining)
 	return s
 }
 
-func set[T int | float64 | time.Duration](field *T, value T) {
+func setDefault[T int | float64 | time.Duration](field *T, value T) {
 	if *field == 0 {
 		*field = value
 	}
--- a/internal/batchrun/schedule/uneven_test.go
+++ b/internal/batchrun/schedule/uneven_test.go
@@ -130,7 +130,7 @@
 	for instance, pause := range map[string]time.Duration{"r1": 10 * time.Millisecond, "r2": 20 * time.Millisecond} {
 		at := s.replicas[instance]
 		for event := range 100 {
-			at.lasting.Add(time.Duration(event)*pause, pause.Seconds(), 1)
+			at.lastingPace.Add(time.Duration(event)*pause, pause.Seconds(), 1)
 		}
 	}
 	for number := range 5 {
@@ -251,8 +251,8 @@
 	if s.replicas["r1"] != nil {
 		t.Fatal("the former start is held")
 	}
-	if again := s.replicas["r1-again"]; again.said.Pace().Passing != 0 || again.pace != 0 {
-		t.Errorf("the next start is believed to have the pace %+v", again.said.Pace())
+	if again := s.replicas["r1-again"]; again.reportedPace.Pace().Passing != 0 || again.pace != 0 {
+		t.Errorf("the next start is believed to have the pace %+v", again.reportedPace.Pace())
 	}
 }
 
@@ -294,7 +294,7 @@
 		if starts := s.Starts(2 * second); again && (len(starts) != 1 || starts[0].Instance != "r1" || starts[0].Key != key) {
 			t.Errorf("%v after the move", starts)
 		}
-		if got := s.replicas["r1"].reserved; got != 0 {
+		if got := s.replicas["r1"].reservedSlots; got != 0 {
 			t.Errorf("%v: %d runs have room reserved", ending, got)
 		}
 	}
@@ -308,12 +308,12 @@
 	key := runAt(t, s, "r2", 20, 20*time.Millisecond)
 	fast := s.replicas["r1"]
 	fast.Slots = 1
-	if moves := s.Slow(2 * second); len(moves) != 1 || fast.reserved != 1 || len(fast.items) != 1 {
-		t.Fatalf("%v; %d runs have room reserved", moves, fast.reserved)
+	if moves := s.Slow(2 * second); len(moves) != 1 || fast.reservedSlots != 1 || len(fast.items) != 1 {
+		t.Fatalf("%v; %d runs have room reserved", moves, fast.reservedSlots)
 	}
 	s.End("j")
-	if fast.reserved != 0 || len(fast.items) != 0 {
-		t.Errorf("%d runs have room reserved after their job has ended", fast.reserved)
+	if fast.reservedSlots != 0 || len(fast.items) != 0 {
+		t.Errorf("%d runs have room reserved after their job has ended", fast.reservedSlots)
 	}
 	open(s, Job{ID: "k", Deadline: 3 * second}, "a:300")
 	s.Ended(2*second, key, Moved, 1) // of a job that has ended
@@ -325,8 +325,8 @@
 	}
 	s.Replicas(someReplicas(2, 8)[1:])
 	s.Ended(3*second, key, Moved, 1)
-	if starts := s.Starts(3 * second); len(starts) != 1 || starts[0].Instance != "r2" || fast.reserved != 0 {
-		t.Errorf("%v; %d runs have room reserved at a replica that has left", starts, fast.reserved)
+	if starts := s.Starts(3 * second); len(starts) != 1 || starts[0].Instance != "r2" || fast.reservedSlots != 0 {
+		t.Errorf("%v; %d runs have room reserved at a replica that has left", starts, fast.reservedSlots)
 	}
 }
 
@@ -337,7 +337,7 @@
 	for number, pause := range []time.Duration{10 * time.Millisecond, 20 * time.Millisecond, 90 * time.Millisecond} {
 		at := s.replicas[fmt.Sprint("r", number+1)]
 		for event := range 20 {
-			at.lasting.Add(time.Duration(event)*pause, pause.Seconds(), 1)
+			at.lastingPace.Add(time.Duration(event)*pause, pause.Seconds(), 1)
 		}
 	}
 	tellPace(s, second, 1, 2, 9)
@@ -357,7 +357,7 @@
 		for number, pause := range []time.Duration{here, 15 * time.Millisecond, 10 * time.Millisecond} {
 			at := s.replicas[fmt.Sprint("r", number+1)]
 			for event := range 20 {
-				at.lasting.Add(time.Duration(event)*pause, pause.Seconds(), 1)
+				at.lastingPace.Add(time.Duration(event)*pause, pause.Seconds(), 1)
 			}
 		}
 		tellPace(s, second, 1, 1, 1)
