--- a/internal/batchrun/schedule/candidates.go
+++ b/internal/batchrun/schedule/candidates.go
@@ -18,6 +18,7 @@
 	paceClass paceClass
 }
 
+// placementKeyOf returns the placement key of an item in a pool.
 func (s *Scheduler) placementKeyOf(entry *item, pool string, now time.Duration) placementKey {
 	return placementKey{pool: pool, model: entry.job.Model, minVersion: entry.job.MinVersion, critical: entry.critical,
 		suspected: entry.suspected, paceClass: s.requiredPaceClass(entry, s.pools[pool], now)}
@@ -31,6 +32,7 @@
 	candidates map[placementKey]*candidates
 }
 
+// newPlacementRound starts a placement round at the given time.
 func (s *Scheduler) newPlacementRound(now time.Duration) *placementRound {
 	return &placementRound{scheduler: s, now: now, candidates: map[placementKey]*candidates{}}
 }
--- a/internal/batchrun/schedule/memory_test.go
+++ b/internal/batchrun/schedule/memory_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// crowded are replicas that report a pace, with memory for some tokens, and a job of items whose answers are estimated.
-func crowded(memory uint64, replicas int, lengths ...uint64) *Scheduler {
+// newMemoryLimited returns a scheduler with replicas that report a pace and have memory for some tokens, and one job of
+// items with estimated lengths.
+func newMemoryLimited(memory uint64, replicas int, lengths ...uint64) *Scheduler {
 	s := New(Settings{})
 	described := someReplicas(replicas, 8)
 	for i := range described {
@@ -30,62 +31,63 @@
 	return s
 }
 
-// TestMemoryBoundsWhatBegins: answers begin as long as the replica's memory is expected to hold them with their one prompt, and a short
-// one does where a long one waits.
-func TestMemoryBoundsWhatBegins(t *testing.T) {
-	s := crowded(1000, 1, 400, 400, 400, 90)
+// TestMemoryLimitsStarts: items start as long as the replica's memory is expected to hold their answers with their
+// shared prompt. A short item starts although a longer one waits for memory.
+func TestMemoryLimitsStarts(t *testing.T) {
+	s := newMemoryLimited(1000, 1, 400, 400, 400, 90)
 	starts := s.Starts(second)
-	begun := uint64(0)
+	started := uint64(0)
 	for _, start := range starts {
-		begun += s.find(start.Key).Length
+		started += s.find(start.Key).Length
 	}
-	if len(starts) != 3 || begun != 890 {
-		t.Fatalf("%d begin, with %d tokens", len(starts), begun)
+	if len(starts) != 3 || started != 890 {
+		t.Fatalf("%d items of %d tokens together started, want 3 of 890", len(starts), started)
 	}
 	if again := s.Starts(2 * second); len(again) != 0 {
-		t.Fatalf("%v begin without room", again)
+		t.Fatalf("%v started without free memory", again)
 	}
 	s.Ended(2*second, starts[0].Key, Completed, 1)
 	if again := s.Starts(3 * second); len(again) != 1 {
-		t.Fatalf("%v begin once there is room", again)
+		t.Fatalf("%v started once memory is free, want one item", again)
 	}
 }
 
-// TestNothingIsBoundWithoutMemoryOrEstimates: a replica whose memory is not known, a pool whose replicas report no pace, and answers whose
-// lengths are bounds.
-func TestNothingIsBoundWithoutMemoryOrEstimates(t *testing.T) {
-	if starts := crowded(0, 1, 400, 400, 400).Starts(second); len(starts) != 3 {
-		t.Errorf("without memory %d begin", len(starts))
+// TestNoMemoryLimitWithoutEstimates: memory does not limit starts on replicas of unknown memory, in pools that report
+// no pace, or for items whose lengths are upper bounds.
+func TestNoMemoryLimitWithoutEstimates(t *testing.T) {
+	if starts := newMemoryLimited(0, 1, 400, 400, 400).Starts(second); len(starts) != 3 {
+		t.Errorf("%d items started on a replica of unknown memory, want 3", len(starts))
 	}
-	silent := crowded(1000, 1, 400, 400, 400)
+	silent := newMemoryLimited(1000, 1, 400, 400, 400)
 	silent.poolNamed("p").reportsPace = false
 	if starts := silent.Starts(second); len(starts) != 3 {
-		t.Errorf("without reports of pace %d begin", len(starts))
+		t.Errorf("%d items started without pace reports, want 3", len(starts))
 	}
-	s := crowded(1000, 1, 400, 400, 400)
+	s := newMemoryLimited(1000, 1, 400, 400, 400)
 	for _, entry := range s.jobs["j"].items {
 		entry.Estimated = false
 	}
 	if starts := s.Starts(second); len(starts) != 3 {
-		t.Errorf("without estimates %d begin", len(starts))
+		t.Errorf("%d items started without estimates, want 3", len(starts))
 	}
 }
 
-// TestAnItemThatIsTooLargeBeginsAlone: it is the replica that says what it can't hold.
-func TestAnItemThatIsTooLargeBeginsAlone(t *testing.T) {
-	s := crowded(1000, 1, 5000, 10)
+// TestOversizedItemStartsAlone: an item that exceeds the memory still starts on an idle replica, which itself rejects
+// what it can't hold.
+func TestOversizedItemStartsAlone(t *testing.T) {
+	s := newMemoryLimited(1000, 1, 5000, 10)
 	if starts := s.Starts(second); len(starts) != 1 || s.find(starts[0].Key).Length != 5000 {
-		t.Fatalf("%v", starts)
+		t.Fatalf("started %v, want the oversized item alone", starts)
 	}
 }
 
-// TestOneLongAnswerFillsAReplica: what an answer brings beyond its estimate takes room, so that nothing more begins beside it.
-func TestOneLongAnswerFillsAReplica(t *testing.T) {
-	s := crowded(1000, 2, 100)
+// TestLongAnswerFillsReplica: an answer that exceeds its estimate takes memory, so that nothing else starts beside it.
+func TestLongAnswerFillsReplica(t *testing.T) {
+	s := newMemoryLimited(1000, 2, 100)
 	s.poolNamed("p").meanEvents, s.poolNamed("p").meanLength = 10, 100
 	starts := s.Starts(second)
 	if len(starts) != 1 {
-		t.Fatalf("%v", starts)
+		t.Fatalf("started %v, want one run", starts)
 	}
 	s.Progress(starts[0].Key, 80, 2*second, 1)
 	full := starts[0].Instance
@@ -93,43 +95,45 @@
 	for _, entry := range s.jobs["next"].items {
 		entry.Estimated = true
 	}
-	begun := s.Starts(2 * second)
-	if len(begun) != 3 {
-		t.Fatalf("%v", begun)
+	started := s.Starts(2 * second)
+	if len(started) != 3 {
+		t.Fatalf("started %v, want three runs", started)
 	}
-	for _, start := range begun {
+	for _, start := range started {
 		if start.Instance == full {
-			t.Errorf("%s begins beside an answer that fills the memory", start.Item)
+			t.Errorf("%s started beside an answer that fills the memory", start.Item)
 		}
 	}
 }
 
-// TestOverrunsAreLearned: where answers are twice as long as estimated, room for that is reserved, and lies don't go beyond the bounds.
+// TestOverrunsAreLearned: if answers are twice as long as estimated, memory is planned for that. Meaningless estimates
+// don't move the ratio beyond its bounds.
 func TestOverrunsAreLearned(t *testing.T) {
-	of := &pool{meanEvents: 10, meanLength: 100}
+	pool := &pool{meanEvents: 10, meanLength: 100}
 	for range 1000 {
-		of.learnOverrun(20, 100)
+		pool.learnOverrun(20, 100)
 	}
-	if of.overrun < 1.9 || of.overrun > 2.1 {
-		t.Errorf("%v", of.overrun)
+	if pool.overrun < 1.9 || pool.overrun > 2.1 {
+		t.Errorf("overrun ratio %v, want about 2", pool.overrun)
 	}
 	for range 10_000 {
-		of.learnOverrun(1, 100_000)
+		pool.learnOverrun(1, 100_000)
 	}
-	if of.overrun != minimumOverrun {
-		t.Errorf("%v", of.overrun)
+	if pool.overrun != minimumOverrun {
+		t.Errorf("overrun ratio %v, want the minimum", pool.overrun)
 	}
 }
 
-// TestItemsHaveRoomWhereTheyRun and nowhere else, whatever begins, moves and ends in whatever order.
-func TestItemsHaveRoomWhereTheyRun(t *testing.T) {
+// TestReservationsAreBalanced: after any sequence of starts, moves and ends, no replica keeps items, runs or
+// reservations.
+func TestReservationsAreBalanced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := crowded(1000, 2, rapid.SliceOfN(rapid.Uint64Range(1, 600), 1, 20).Draw(t, "lengths")...)
+		s := newMemoryLimited(1000, 2, rapid.SliceOfN(rapid.Uint64Range(1, 600), 1, 20).Draw(t, "lengths")...)
 		var runs []Key
 		now := second
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += 100 * time.Millisecond
-			tellPace(s, now, 1, 2)
+			reportPace(s, now, 1, 2)
 			for _, start := range s.Starts(now) {
 				runs = append(runs, start.Key)
 			}
@@ -147,23 +151,23 @@
 			runs = runs[1:]
 		}
 		s.End("j")
-		for _, at := range s.replicas {
-			if len(at.items) != 0 || at.running != 0 || at.reservedSlots != 0 {
-				t.Fatalf("%s holds %d items, of which %d run", at.Instance, len(at.items), at.running)
+		for _, replica := range s.replicas {
+			if len(replica.items) != 0 || replica.running != 0 || replica.reservedSlots != 0 {
+				t.Fatalf("%s holds %d items, of which %d run, after all have ended", replica.Instance, len(replica.items), replica.running)
 			}
 		}
 	})
 }
 
-// memoryByLooking is the definition of what a replica's memory is expected to hold with one more item.
-func (s *Scheduler) memoryByLooking(at *replica, added *item) float64 {
+// recomputePeakMemory computes the expected peak memory use of a replica with one more item without the cache.
+func (s *Scheduler) recomputePeakMemory(replica *replica, added *item) float64 {
 	var answers []answerMemory
 	prompts := map[*group]uint64{}
 	note := func(entry *item) {
-		answers = append(answers, s.poolNamed(at.Pool).answerMemoryOf(entry))
+		answers = append(answers, s.poolNamed(replica.Pool).answerMemoryOf(entry))
 		prompts[entry.group] = max(prompts[entry.group], entry.Prompt)
 	}
-	for entry := range at.items {
+	for entry := range replica.items {
 		note(entry)
 	}
 	note(added)
@@ -175,14 +179,15 @@
 	return computePeak(answers) + float64(total)
 }
 
-// TestWhatIsKeptOfMemoryIsWhatLookingFinds, whatever has begun, brought events, moved or ended since.
-func TestWhatIsKeptOfMemoryIsWhatLookingFinds(t *testing.T) {
+// TestCachedMemoryUsageMatchesRecomputation: the cached memory usage equals a fresh computation after any sequence of
+// starts, events, moves and ends.
+func TestCachedMemoryUsageMatchesRecomputation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lengths := rapid.SliceOfN(rapid.Uint64Range(1, 400), 2, 20).Draw(t, "lengths")
-		s := crowded(1000, 2, lengths...)
+		s := newMemoryLimited(1000, 2, lengths...)
 		var runs []Key
 		for now := second; now < 4*second; now += 200 * time.Millisecond {
-			tellPace(s, now, 1, 2)
+			reportPace(s, now, 1, 2)
 			for _, start := range s.Starts(now) {
 				runs = append(runs, start.Key)
 			}
@@ -194,13 +199,13 @@
 				s.Ended(now, runs[0], rapid.SampledFrom([]Ending{Completed, Moved, Broken, Full, Changed}).Draw(t, "ending"), 1)
 				runs = runs[1:]
 			}
-			for _, at := range s.replicas {
+			for _, replica := range s.replicas {
 				for _, entry := range s.jobs["j"].items {
 					if entry.state == running || entry.reservedReplica != nil {
 						continue
 					}
-					if got, want := s.peakMemoryWith(at, entry), s.memoryByLooking(at, entry); math.Abs(got-want) > 1e-6 {
-						t.Fatalf("%s with %s: %v, not %v", at.Instance, entry.ID, got, want)
+					if got, want := s.peakMemoryWith(replica, entry), s.recomputePeakMemory(replica, entry); math.Abs(got-want) > 1e-6 {
+						t.Fatalf("memory of %s with %s: got %v, want %v", replica.Instance, entry.ID, got, want)
 					}
 				}
 			}
@@ -208,8 +213,8 @@
 	})
 }
 
-// TestPeakIsWhatAnswersTakeTogether: by looking at each moment until all have ended.
-func TestPeakIsWhatAnswersTakeTogether(t *testing.T) {
+// TestPeakMatchesSimulation compares the computed peak with the memory use at each step until all answers have ended.
+func TestPeakMatchesSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var answers []answerMemory
 		longest := 0
@@ -219,25 +224,25 @@
 			longest = max(longest, left)
 		}
 		want := 0.0
-		for moment := range longest + 1 {
+		for step := range longest + 1 {
 			taken := 0.0
 			for _, one := range answers {
-				if one.remaining >= float64(moment) {
-					taken += one.produced + float64(moment)
+				if one.remaining >= float64(step) {
+					taken += one.produced + float64(step)
 				}
 			}
 			want = max(want, taken)
 		}
 		slices.SortFunc(answers, byRemainingDescending)
 		if got := computePeak(answers); got != want {
-			t.Fatalf("%v, not %v", got, want)
+			t.Fatalf("peak %v, want %v", got, want)
 		}
 		if len(answers) == 0 {
 			return
 		}
-		at := rapid.IntRange(0, len(answers)-1).Draw(t, "added")
-		if got := computePeakWith(slices.Delete(slices.Clone(answers), at, at+1), answers[at]); got != want {
-			t.Fatalf("%v, not %v with the one of %v added to the others", got, want, answers[at])
+		position := rapid.IntRange(0, len(answers)-1).Draw(t, "added")
+		if got := computePeakWith(slices.Delete(slices.Clone(answers), position, position+1), answers[position]); got != want {
+			t.Fatalf("peak %v, want %v, with %v added to the other answers", got, want, answers[position])
 		}
 	})
 }
--- a/internal/batchrun/schedule/order.go
+++ b/internal/batchrun/schedule/order.go
@@ -157,10 +157,12 @@
 	})
 }
 
+// hasStarted reports whether an item of the group is in a state other than waiting.
 func (g *group) hasStarted() bool {
 	return slices.ContainsFunc(g.items, func(entry *item) bool { return entry.state != waiting })
 }
 
+// maxLength returns the expected length of the group's longest answer in tokens.
 func (g *group) maxLength() uint64 {
 	longest := uint64(0)
 	for _, entry := range g.items {
--- a/internal/batchrun/schedule/pace_test.go
+++ b/internal/batchrun/schedule/pace_test.go
@@ -2,11 +2,12 @@
 
 import "testing"
 
-// TestRunsAreSlowOnceTheyAreForAWhile: neither two late events make a run slow, nor an average that two usual ones follow.
-func TestRunsAreSlowOnceTheyAreForAWhile(t *testing.T) {
+// TestRunIsSlowOnlyIfSustained: a run is not slow after two late events, nor if its average is slow but its last events
+// are not.
+func TestRunIsSlowOnlyIfSustained(t *testing.T) {
 	const usual, ratio = 0.010, 1.25
 	for name, test := range map[string]struct {
-		pauses []float64 // in usual ones, after twenty usual ones
+		pauses []float64 // as multiples of the usual time, after twenty usual ones
 		want   bool
 	}{
 		"usual":                   {nil, false},
@@ -24,7 +25,7 @@
 			run.add(pause*usual, 1)
 		}
 		if got := run.isSlow(usual, ratio); got != test.want {
-			t.Errorf("%s: slow %v", name, got)
+			t.Errorf("%s: slow is %v, want the opposite", name, got)
 		}
 	}
 }
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -10,7 +10,7 @@
 // lengthWeight is the weight of a new value in the moving averages of answer lengths and first-event delays.
 const lengthWeight = 0.1
 
-// replica is the state of a replica.
+// replica is a known replica with its load, its suspensions and its measured pace.
 type replica struct {
 	Replica
 	index          int                // position in pool.replicas
@@ -35,7 +35,7 @@
 	memoryUsage    *memoryUsage // memory used by its items; nil: not computed yet
 }
 
-// version is what was last heard about the weights of a model on a replica.
+// version is the last known state of a model's weights on a replica.
 type version struct {
 	number  uint64
 	tries   int           // attempts since then for items that require a newer version
@@ -68,7 +68,7 @@
 // isFresh reports whether the last report on the replica still counts.
 func (v version) isFresh(now time.Duration) bool { return v.reported > 0 && now < v.reported+reportTTL }
 
-// pool is the state of a pool.
+// pool is a pool with its replicas and the statistics of its answers.
 type pool struct {
 	replicas      []*replica // those that accept new work, by instance
 	measuredPace  paceAverage
--- a/internal/batchrun/schedule/queue.go
+++ b/internal/batchrun/schedule/queue.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/fairqueue"
 )
 
-// Scheduler schedules the items of the open jobs on the known replicas.
+// Scheduler holds the open jobs and the known replicas, and decides where and when items run.
 type Scheduler struct {
 	settings     Settings
 	jobs         map[string]*job
--- a/internal/batchrun/schedule/scale_test.go
+++ b/internal/batchrun/schedule/scale_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// largeScheduler holds many replicas, each with a pace of its own and told to serve the job's model, and one job.
-func largeScheduler(replicas, items int) *Scheduler {
+// newLargeScheduler returns a scheduler with many replicas, each with its own pace and reported to serve the job's
+// model, and one job.
+func newLargeScheduler(replicas, items int) *Scheduler {
 	s := New(Settings{})
 	var described []Replica
 	for number := range replicas {
@@ -31,14 +32,15 @@
 	return s
 }
 
-// BenchmarkStarts places a job's items on a large fleet: the cost of an item should grow no faster than the replicas.
+// BenchmarkStarts places a job's items on a large fleet. The cost of an item should grow no faster than the number of
+// replicas.
 func BenchmarkStarts(b *testing.B) {
 	for _, replicas := range []int{45, 450, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			const items = 256
 			for range b.N {
 				b.StopTimer()
-				s := largeScheduler(replicas, items)
+				s := newLargeScheduler(replicas, items)
 				b.StartTimer()
 				if started := len(s.Starts(0)); started != items {
 					b.Fatalf("%d of %d items started", started, items)
@@ -49,11 +51,11 @@
 	}
 }
 
-// BenchmarkSlow looks for runs to move on a large fleet.
+// BenchmarkSlow searches for runs to move on a large fleet.
 func BenchmarkSlow(b *testing.B) {
 	for _, replicas := range []int{45, 450, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			s := largeScheduler(replicas, 256)
+			s := newLargeScheduler(replicas, 256)
 			for _, start := range s.Starts(0) {
 				s.Progress(start.Key, 1, time.Millisecond, 1)
 			}
@@ -64,21 +66,21 @@
 	}
 }
 
-// largeUneven is such a scheduler whose replicas report their pace and have memory, half of them twice as slow, with items of estimated
-// lengths.
-func largeUneven(replicas, items int) *Scheduler {
-	s := largeScheduler(replicas, items)
-	of := s.pools["pool"]
-	of.reportsPace, of.overrun, of.meanFirstEventDelay = true, 1.3, 0.08
+// newLargeUneven returns a large scheduler whose replicas report their pace and have memory. Half of them are twice as
+// slow, and the items have estimated lengths.
+func newLargeUneven(replicas, items int) *Scheduler {
+	s := newLargeScheduler(replicas, items)
+	pool := s.pools["pool"]
+	pool.reportsPace, pool.overrun, pool.meanFirstEventDelay = true, 1.3, 0.08
 	for number := range 100 {
-		of.noteAnswer(20, uint64(1500+number%2))
+		pool.noteAnswer(20, uint64(1500+number%2))
 	}
-	for number, at := range of.replicas {
-		at.Memory = 60_000
-		at.pace = 0.025 * float64(1+number%2)
-		at.reportedPace.Note(1, time.Millisecond, &of.slowdownRest)
+	for number, replica := range pool.replicas {
+		replica.Memory = 60_000
+		replica.pace = 0.025 * float64(1+number%2)
+		replica.reportedPace.Note(1, time.Millisecond, &pool.slowdownRest)
 	}
-	of.paceStatisticsValid = false
+	pool.paceStatisticsValid = false
 	for _, entry := range s.jobs["job"].items {
 		entry.Length, entry.Estimated, entry.Prompt, entry.Most = 100+entry.Length*13%3000, true, 200, 12_000
 	}
@@ -93,7 +95,7 @@
 			b.ReportAllocs()
 			for range b.N {
 				b.StopTimer()
-				s := largeUneven(replicas, items)
+				s := newLargeUneven(replicas, items)
 				b.StartTimer()
 				if started := len(s.Starts(0)); started != items {
 					b.Fatalf("%d of %d items started", started, items)
@@ -104,23 +106,24 @@
 	}
 }
 
-// BenchmarkSlowUneven looks for late runs at slow replicas, none of which finds room: the memory of the fast ones is full.
+// BenchmarkSlowUneven searches for late runs on slow replicas that can't move, because the memory of the fast replicas
+// is full.
 func BenchmarkSlowUneven(b *testing.B) {
 	for _, replicas := range []int{45, 450, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			s := largeUneven(replicas, 256)
+			s := newLargeUneven(replicas, 256)
 			const opened = time.Minute - time.Second/2
 			for _, start := range s.Starts(opened) {
 				for event := range 8 {
 					s.Progress(start.Key, 1+event, opened+time.Duration(event)*60*time.Millisecond, 1)
 				}
 			}
-			for number, at := range s.pools["pool"].replicas {
-				if at.pace, at.Memory = 0.025, 1; number%4 == 0 {
-					at.pace = 0.05
+			for number, replica := range s.pools["pool"].replicas {
+				if replica.pace, replica.Memory = 0.025, 1; number%4 == 0 {
+					replica.pace = 0.05
 				}
-				if at.running == 0 {
-					at.Slots = 0
+				if replica.running == 0 {
+					replica.Slots = 0
 				}
 			}
 			s.pools["pool"].paceStatisticsValid = false
@@ -136,45 +139,45 @@
 	}
 }
 
-// placeByLooking is the definition of a placement: look at all replicas and take the emptiest that fits.
-func (s *Scheduler) placeByLooking(entry *item, now time.Duration) *replica {
-	of := s.pools[entry.poolOf()]
+// placeExhaustively is the reference for placement: it checks all replicas and returns the one with the lowest load.
+func (s *Scheduler) placeExhaustively(entry *item, now time.Duration) *replica {
+	pool := s.pools[entry.poolOf()]
 	var best *replica
 	var bestLoad float64
-	for _, at := range of.replicas {
-		if !s.canStart(at, entry, now) {
+	for _, replica := range pool.replicas {
+		if !s.canStart(replica, entry, now) {
 			continue
 		}
-		load := s.loadWith(at, of, s.placementKeyOf(entry, at.Pool, now))
-		if at.Instance == entry.group.lastInstance {
+		load := s.loadWith(replica, pool, s.placementKeyOf(entry, replica.Pool, now))
+		if replica.Instance == entry.group.lastInstance {
 			load -= s.settings.AffinityBonus
 		}
-		if at.Instance == entry.avoidInstance && len(of.replicas) > 1 {
+		if replica.Instance == entry.avoidInstance && len(pool.replicas) > 1 {
 			load += avoidanceLoad
 		}
 		if best == nil || load < bestLoad {
-			best, bestLoad = at, load
+			best, bestLoad = replica, load
 		}
 	}
 	return best
 }
 
-// drawnScheduler is a scheduler in any state: replicas that are slow, paused, on probation, of old weights or loading,
-// some of them already busy, and items that prefer or avoid one.
-func drawnScheduler(t *rapid.T) *Scheduler {
+// drawScheduler draws a scheduler in an arbitrary state. Its replicas may be slow, paused, on probation, loading, busy
+// or have old weights, and its items may prefer or avoid a replica.
+func drawScheduler(t *rapid.T) *Scheduler {
 	replicas := rapid.IntRange(1, 6).Draw(t, "replicas")
-	s := largeScheduler(replicas, rapid.IntRange(1, 24).Draw(t, "items"))
-	for _, of := range s.pools {
-		for _, at := range of.replicas {
-			at.Slots = rapid.IntRange(1, 4).Draw(t, "slots")
-			at.pace = rapid.SampledFrom([]float64{0, 0.04, 0.04, 0.06, 0.2}).Draw(t, "pace")
-			at.running = rapid.IntRange(0, 2).Draw(t, "running")
-			at.criticalRuns = rapid.IntRange(0, at.running).Draw(t, "pressing")
-			at.onProbation = rapid.IntRange(0, 3).Draw(t, "probation") == 0
-			at.pausedUntil = time.Duration(rapid.IntRange(0, 2).Draw(t, "paused")) * time.Second
-			at.versions["m"] = version{number: uint64(rapid.IntRange(0, 2).Draw(t, "version")), reported: time.Second, loading: rapid.IntRange(0, 3).Draw(t, "loading") == 0}
+	s := newLargeScheduler(replicas, rapid.IntRange(1, 24).Draw(t, "items"))
+	for _, pool := range s.pools {
+		for _, replica := range pool.replicas {
+			replica.Slots = rapid.IntRange(1, 4).Draw(t, "slots")
+			replica.pace = rapid.SampledFrom([]float64{0, 0.04, 0.04, 0.06, 0.2}).Draw(t, "pace")
+			replica.running = rapid.IntRange(0, 2).Draw(t, "running")
+			replica.criticalRuns = rapid.IntRange(0, replica.running).Draw(t, "pressing")
+			replica.onProbation = rapid.IntRange(0, 3).Draw(t, "probation") == 0
+			replica.pausedUntil = time.Duration(rapid.IntRange(0, 2).Draw(t, "paused")) * time.Second
+			replica.versions["m"] = version{number: uint64(rapid.IntRange(0, 2).Draw(t, "version")), reported: time.Second, loading: rapid.IntRange(0, 3).Draw(t, "loading") == 0}
 		}
-		of.paceStatisticsValid = false
+		pool.paceStatisticsValid = false
 	}
 	for _, entry := range s.jobs["job"].items {
 		entry.avoidInstance = fmt.Sprintf("i-%05d", rapid.IntRange(0, 6).Draw(t, "avoid"))
@@ -185,19 +188,19 @@
 	return s
 }
 
-// TestPlacementIsThatOfLookingAtAll: the candidates that a round keeps in order give each item the replica that looking
-// at all of them would.
-func TestPlacementIsThatOfLookingAtAll(t *testing.T) {
+// TestPlacementMatchesExhaustiveSearch: the candidates that a round keeps in order yield the same replica for each item
+// as checking all replicas.
+func TestPlacementMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Second
-		s := drawnScheduler(t)
+		s := drawScheduler(t)
 		s.sortWaiting(now)
-		look := s.newPlacementRound(now)
+		round := s.newPlacementRound(now)
 		for _, entry := range s.waitingOrder {
-			want := s.placeByLooking(entry, now)
-			got := look.place(entry)
+			want := s.placeExhaustively(entry, now)
+			got := round.place(entry)
 			if got != want {
-				t.Fatalf("item %s goes to %+v, not %+v", entry.ID, got, want)
+				t.Fatalf("item %s is placed on %+v, want %+v", entry.ID, got, want)
 			}
 			if got != nil {
 				s.startRun(entry, got, now)
--- a/internal/batchrun/schedule/schedule_test.go
+++ b/internal/batchrun/schedule/schedule_test.go
@@ -11,13 +11,14 @@
 
 const second = time.Second
 
-// newScheduler has replicas r1 to rN of pool p.
+// newScheduler returns a scheduler with replicas r1 to rN of pool p.
 func newScheduler(replicas, slots int) *Scheduler {
 	s := New(Settings{})
 	s.Replicas(someReplicas(replicas, slots))
 	return s
 }
 
+// someReplicas returns replicas r1 to rN of pool p.
 func someReplicas(count, slots int) []Replica {
 	var replicas []Replica
 	for number := range count {
@@ -26,7 +27,7 @@
 	return replicas
 }
 
-// open adds a job whose items are given as "group:length".
+// open adds a job and routes its items, which are given as "group:length", to pool p.
 func open(s *Scheduler, job Job, groups ...string) {
 	for number, text := range groups {
 		var group string
@@ -42,8 +43,8 @@
 	}
 }
 
-// order starts one item after the other and returns them as "job/item urgency".
-func order(s *Scheduler, now time.Duration) []string {
+// startOrder starts all items, completing each one at once, and returns them in order as "job/item urgency".
+func startOrder(s *Scheduler, now time.Duration) []string {
 	var names []string
 	for {
 		starts := s.Starts(now)
@@ -57,8 +58,9 @@
 	}
 }
 
-// knowPace has an answer of ten tokens bring so many events with a pause between them, all within the first second.
-func knowPace(s *Scheduler, events int, pause time.Duration) {
+// learnPace completes an answer of ten tokens with the given number of events and time between them, all within the
+// first second.
+func learnPace(s *Scheduler, events int, pause time.Duration) {
 	open(s, Job{ID: "known"}, "a:10")
 	first := s.Starts(0)[0].Key
 	for event := range events {
@@ -74,46 +76,49 @@
 	}
 }
 
-func TestOldestDeadlineFirstSurplusLast(t *testing.T) {
+func TestEarliestDeadlineFirstSurplusLast(t *testing.T) {
 	s := newScheduler(1, 1)
 	open(s, Job{ID: "late", Deadline: 9 * second, Desired: 1}, "a:1", "b:1")
 	open(s, Job{ID: "soon", Deadline: 5 * second, Desired: 1}, "a:1", "b:1")
-	wantOrder(t, order(s, 0), "soon/i0 6", "late/i0 6", "soon/i1 8", "late/i1 8")
+	wantOrder(t, startOrder(s, 0), "soon/i0 6", "late/i0 6", "soon/i1 8", "late/i1 8")
 }
 
-// TestLongItemsFirstThenStragglers: the longest items of all groups, then those of the group that has the longest ones.
+// TestLongItemsFirstThenStragglers: longer items start first, and among items of equal length those of the group with
+// the longest item. The last items of a group are stragglers.
 func TestLongItemsFirstThenStragglers(t *testing.T) {
 	s := newScheduler(1, 1)
 	open(s, Job{ID: "j"}, "a:1", "a:2", "b:9", "b:1")
-	wantOrder(t, order(s, 0), "j/i2 6", "j/i1 6", "j/i3 4", "j/i0 4")
+	wantOrder(t, startOrder(s, 0), "j/i2 6", "j/i1 6", "j/i3 4", "j/i0 4")
 }
 
-// TestItemsStartByTheirLatestStart: once the pace is known, a long item of a job that is due later goes before the short ones
-// of a job that is due sooner, if it must start before them to be in time; what is left of it counts.
+// TestItemsStartByTheirLatestStart: once the pace is known, a long item of a job with a later deadline starts before
+// short items of a job with an earlier one if its latest start is earlier. Only the rest of an interrupted item's
+// answer counts.
 func TestItemsStartByTheirLatestStart(t *testing.T) {
 	s := newScheduler(1, 1)
-	knowPace(s, 5, 100*time.Millisecond)
+	learnPace(s, 5, 100*time.Millisecond)
 	open(s, Job{ID: "soon", Deadline: 5 * second}, "a:10", "b:30", "c:12")
 	open(s, Job{ID: "late", Deadline: 6 * second}, "a:60", "b:5")
-	wantOrder(t, order(s, second), "late/i0 4", "soon/i1 6", "soon/i2 6", "soon/i0 6", "late/i1 6")
+	wantOrder(t, startOrder(s, second), "late/i0 4", "soon/i1 6", "soon/i2 6", "soon/i0 6", "late/i1 6")
 
 	open(s, Job{ID: "more", Deadline: 5 * second}, "a:40", "b:30")
 	cut := s.Starts(second)[0].Key
 	s.Progress(cut, 15, 2*second, 1) // of 20 events
 	s.Ended(2*second, cut, Moved, 1)
-	wantOrder(t, order(s, 2*second), "more/i1 4", "more/i0 6")
+	wantOrder(t, startOrder(s, 2*second), "more/i1 4", "more/i0 6")
 }
 
-func TestCarriedGroupsStandFirst(t *testing.T) {
+func TestCarriedGroupsStartFirst(t *testing.T) {
 	s := newScheduler(1, 1)
 	open(s, Job{ID: "first"}, "z:1")
 	s.End("first")
 	open(s, Job{ID: "next", Desired: 1}, "a:9", "z:1")
-	wantOrder(t, order(s, 0), "next/i1 6", "next/i0 8")
+	wantOrder(t, startOrder(s, 0), "next/i1 6", "next/i0 8")
 }
 
-// TestCarriedGroupsAreNamed while they are open, those of items without a group by their item.
-func TestCarriedGroupsAreNamed(t *testing.T) {
+// TestCarriedReturnsIncompleteGroups: Carried returns the groups of an earlier job while they are incomplete, and names
+// items without a group by their ids.
+func TestCarriedReturnsIncompleteGroups(t *testing.T) {
 	s := newScheduler(1, 1)
 	alone := []Item{{ID: "alone"}, {ID: "i9", Group: "z"}}
 	s.Open(Job{ID: "first", Items: alone}, nil, nil)
@@ -128,29 +133,29 @@
 	}
 }
 
-func TestHopelessGroupsAreNotWaitedFor(t *testing.T) {
+func TestGroupsThatCannotCompleteAreNotRequired(t *testing.T) {
 	s := newScheduler(1, 1)
 	open(s, Job{ID: "j", Desired: 1}, "a:9", "a:9", "b:1")
 	starts := s.Starts(0)
 	if next := s.Ended(0, starts[0].Key, Impossible, 0); next != GivenUp {
 		t.Fatal(next)
 	}
-	wantOrder(t, order(s, 0), "j/i2 6", "j/i1 8")
+	wantOrder(t, startOrder(s, 0), "j/i2 6", "j/i1 8")
 }
 
 func TestGroupsStayTogetherWhileLoadsAreAlike(t *testing.T) {
 	s := newScheduler(2, 8)
 	open(s, Job{ID: "j"}, "a:1", "a:1", "b:1", "b:1")
-	at := map[string][]string{}
+	items := map[string][]string{}
 	for _, start := range s.Starts(0) {
-		at[start.Instance] = append(at[start.Instance], start.Item)
+		items[start.Instance] = append(items[start.Instance], start.Item)
 	}
-	if len(at["r1"]) != 2 || len(at["r2"]) != 2 {
-		t.Fatalf("%v", at)
+	if len(items["r1"]) != 2 || len(items["r2"]) != 2 {
+		t.Fatalf("items by replica %v, want two on each", items)
 	}
 }
 
-func TestReplicasWithOldWeightsAreLeftAlone(t *testing.T) {
+func TestReplicasWithOldWeightsAreAvoided(t *testing.T) {
 	s := newScheduler(2, 4)
 	open(s, Job{ID: "j", MinVersion: 3}, "a:1")
 	first := s.Starts(0)[0]
@@ -159,10 +164,10 @@
 	}
 	again := s.Starts(0)
 	if len(again) != 1 || again[0].Instance == first.Instance {
-		t.Fatalf("%v", again)
+		t.Fatalf("started %v, want one run on the other replica", again)
 	}
 	open(s, Job{ID: "k", MinVersion: 3}, "a:1", "a:1", "a:1", "a:1", "a:1", "a:1")
-	open(s, Job{ID: "other", Model: "m", MinVersion: 3}, "a:1") // weights of its own
+	open(s, Job{ID: "other", Model: "m", MinVersion: 3}, "a:1") // another model with its own version
 	s.Progress(again[0].Key, 1, 1, 4)
 	tried := map[string]uint64{}
 	for _, start := range s.Starts(DefaultVersionPause) {
@@ -171,14 +176,14 @@
 		}
 	}
 	if fmt.Sprint(tried) != "map[k:4 other:0]" {
-		t.Fatalf("tries of a replica whose weights were too old: %v", tried)
+		t.Fatalf("expected versions of the runs on the replica with old weights: %v, want map[k:4 other:0]", tried)
 	}
 }
 
-func TestFailingReplicasRest(t *testing.T) {
+func TestFailingReplicasArePaused(t *testing.T) {
 	s := newScheduler(1, 4)
 	open(s, Job{ID: "j"}, "a:1")
-	now, rests := time.Duration(0), []time.Duration{}
+	now, pauses := time.Duration(0), []time.Duration{}
 	for range 7 {
 		starts := s.Starts(now)
 		s.Ended(now, starts[0].Key, Broken, 0)
@@ -186,38 +191,38 @@
 		for len(s.Starts(now)) == 0 {
 			now += 10 * time.Millisecond
 		}
-		rests = append(rests, now-failed)
+		pauses = append(pauses, now-failed)
 		s.Ended(now, starts[0].Key, Stopped, 0)
 	}
-	if rests[0] != DefaultFailurePause || rests[1] != 2*DefaultFailurePause || rests[6] != DefaultMaximumPause {
-		t.Fatalf("%v", rests)
+	if pauses[0] != DefaultFailurePause || pauses[1] != 2*DefaultFailurePause || pauses[6] != DefaultMaximumPause {
+		t.Fatalf("pauses %v, want them to double from the default up to the maximum", pauses)
 	}
 }
 
-func TestSilenceIsMeasuredByTheUsualPause(t *testing.T) {
+func TestStallTimeoutFollowsUsualPace(t *testing.T) {
 	s := newScheduler(1, 4)
 	open(s, Job{ID: "j"}, "a:1", "b:1")
 	starts := s.Starts(0)
 	if stalled := s.Stalled(DefaultFirstEvent); len(stalled) != 0 {
-		t.Fatalf("%v", stalled)
+		t.Fatalf("%v stalled before the time limit of the first event", stalled)
 	}
 	if stalled := s.Stalled(DefaultFirstEvent + 1); len(stalled) != 2 {
-		t.Fatalf("%v", stalled)
+		t.Fatalf("%v stalled, want both runs", stalled)
 	}
 	s.Progress(starts[0].Key, 1, second, 7)
 	s.Progress(starts[0].Key, 11, 2*second, 7) // ten events in a second
 	last := 2*second + DefaultStallFactor*second/10
 	if stalled := s.Stalled(last); slices.Contains(stalled, starts[0].Key) {
-		t.Fatal("stalled too soon")
+		t.Fatal("the run stalled too early")
 	}
 	if stalled := s.Stalled(last + time.Millisecond); !slices.Contains(stalled, starts[0].Key) {
-		t.Fatal("not stalled")
+		t.Fatal("the run has not stalled after its timeout")
 	}
 }
 
-// TestSilentLinksAreNoStalls: a run that another process drives is silent only as far as that process has told of it. When the process
-// says nothing for a second its replicas may be well.
-func TestSilentLinksAreNoStalls(t *testing.T) {
+// TestSilentProcessIsNoStall: a run that another process drives is silent only up to the time for which that process
+// has reported. If the process itself is silent its replicas may be well.
+func TestSilentProcessIsNoStall(t *testing.T) {
 	s := newScheduler(1, 4)
 	open(s, Job{ID: "j"}, "a:1")
 	key := s.Starts(0)[0].Key
@@ -227,52 +232,53 @@
 	}
 	s.Known(key, DefaultFirstEvent+1)
 	if stalled := s.Stalled(10 * DefaultFirstEvent); len(stalled) != 1 {
-		t.Error("a run that its process knows as silent is not stalled")
+		t.Error("a run that its process reports as silent has not stalled")
 	}
 }
 
-// TestLostProcessesBlameNoReplica: the run goes on after a pause, at the same replica if that is the best one, and the replica is not
-// suspended. Without the pause an item whose process can't be reached would be ordered from it without end.
-func TestLostProcessesBlameNoReplica(t *testing.T) {
+// TestLostProcessDoesNotSuspendReplica: the item starts again after a pause, on the same replica if that is the best
+// one, and the replica is not suspended. Without the pause an item would be sent to an unreachable process over and
+// over.
+func TestLostProcessDoesNotSuspendReplica(t *testing.T) {
 	s := newScheduler(1, 1)
 	open(s, Job{ID: "j"}, "a:5")
 	start := s.Starts(0)[0]
 	if next := s.Ended(second, start.Key, Lost, 0); next != Again {
-		t.Fatalf("the item is %v", next)
+		t.Fatalf("the item is %v, want again", next)
 	}
 	if suspended := s.Suspended(); len(suspended) != 0 {
-		t.Errorf("suspended: %+v", suspended)
+		t.Errorf("suspended %+v, want none", suspended)
 	}
 	if again := s.Starts(second + DefaultRetryPause - 1); len(again) != 0 {
-		t.Errorf("started within the pause: %+v", again)
+		t.Errorf("started during the pause: %+v", again)
 	}
 	if again := s.Starts(second + DefaultRetryPause); len(again) != 1 || again[0].Instance != start.Instance {
-		t.Errorf("started %+v", again)
+		t.Errorf("started %+v after the pause, want one run on the same replica", again)
 	}
 }
 
-// TestItemsThatPressAreLeftAlone: short items go beside the one that decides when its job is done only where the others are
-// fuller by more than one run, and it is as urgent as a straggler.
-func TestItemsThatPressAreLeftAlone(t *testing.T) {
+// TestShortItemsAvoidCriticalItem: short items start beside a critical item only if the other replicas have more than
+// one run more. The critical item is as urgent as a straggler.
+func TestShortItemsAvoidCriticalItem(t *testing.T) {
 	s := newScheduler(2, 8)
-	knowPace(s, 10, 100*time.Millisecond)
+	learnPace(s, 10, 100*time.Millisecond)
 	open(s, Job{ID: "j", Deadline: 6 * second}, "a:40", "b:9", "c:9", "d:9", "e:9")
-	at, urgencies := map[string]int{}, map[string]int{}
+	runs, urgencies := map[string]int{}, map[string]int{}
 	var alone string
 	for _, start := range s.Starts(second) {
-		at[start.Instance]++
+		runs[start.Instance]++
 		urgencies[start.Item] = start.Urgency
 		if start.Item == "i0" {
 			alone = start.Instance
 		}
 	}
-	if at[alone] != 2 || urgencies["i0"] != urgencyStraggler || urgencies["i1"] != urgencyRequired {
-		t.Fatalf("%v run, the long one at %s; urgencies %v", at, alone, urgencies)
+	if runs[alone] != 2 || urgencies["i0"] != urgencyStraggler || urgencies["i1"] != urgencyRequired {
+		t.Fatalf("runs by replica %v, the critical one on %s; urgencies %v", runs, alone, urgencies)
 	}
 	s.End("j")
-	for _, held := range s.replicas {
-		if held.criticalRuns != 0 || held.running != 0 {
-			t.Fatalf("%+v after the end of all runs", held)
+	for _, replica := range s.replicas {
+		if replica.criticalRuns != 0 || replica.running != 0 {
+			t.Fatalf("state of a replica after the end of all runs: %+v, want no runs", replica)
 		}
 	}
 }
@@ -282,18 +288,18 @@
 	open(s, Job{ID: "j", GiveUp: 3 * second}, "a:1", "b:1")
 	running := s.Starts(0)[0]
 	if expired := s.Expired(3*second - 1); len(expired) != 0 {
-		t.Fatalf("%v", expired)
+		t.Fatalf("%v expired early", expired)
 	}
 	if expired := s.Expired(3 * second); len(expired) != 1 || expired[0] == running.Key {
-		t.Fatalf("%v", expired)
+		t.Fatalf("%v expired, want the waiting item only", expired)
 	}
 	if next := s.Ended(3*second, running.Key, Completed, 0); next != Done {
 		t.Fatal(next)
 	}
 }
 
-// TestSlotsAndRunsAreNeverExceeded plays random commands: no replica has more runs than slots, no item two
-// runs, and a slot that is freed serves again.
+// TestSlotsAndRunsAreNeverExceeded runs random sequences of operations: no replica has more runs than slots, no item
+// has two runs, and a freed slot is used again.
 func TestSlotsAndRunsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newScheduler(3, 2)
@@ -322,15 +328,15 @@
 			}
 			for _, start := range s.Starts(now) {
 				if running[start.Key] != "" {
-					t.Fatalf("%v runs twice", start)
+					t.Fatalf("%v started although it runs already", start)
 				}
 				running[start.Key] = start.Instance
 			}
-			at := map[string]int{}
+			runs := map[string]int{}
 			for _, instance := range running {
-				at[instance]++
-				if at[instance] > 2 {
-					t.Fatalf("%s has %d runs", instance, at[instance])
+				runs[instance]++
+				if runs[instance] > 2 {
+					t.Fatalf("%s has %d runs, want at most 2", instance, runs[instance])
 				}
 			}
 		}
@@ -341,16 +347,16 @@
 		}
 		open(s, Job{ID: "last", Deadline: 1}, "a:1")
 		if len(s.Starts(now)) == 0 {
-			t.Fatal("a free replica gets nothing")
+			t.Fatal("no item starts on a free replica")
 		}
 	})
 }
 
-// TestToldVersionsAreNotTriedOut: a replica that is known to be too old, or to load, gets nothing; one that came to the
-// version does at once; and when nothing is told for a while, replicas are tried out again.
-func TestToldVersionsAreNotTriedOut(t *testing.T) {
+// TestReportedOldVersionsAreNotTried: a replica that is reported to be too old or loading receives nothing. One that
+// reaches the version receives items at once.
+func TestReportedOldVersionsAreNotTried(t *testing.T) {
 	s := newScheduler(3, 4)
-	tell := func(now time.Duration, numbers ...uint64) {
+	report := func(now time.Duration, numbers ...uint64) {
 		for position, number := range numbers {
 			s.Told(fmt.Sprint("r", position+1), "m", number, position == 1, now)
 		}
@@ -361,41 +367,44 @@
 		for _, start := range s.Starts(now) {
 			found[start.Instance]++
 			if start.ExpectedVersion != 0 {
-				t.Errorf("%s is asked for version %d", start.Instance, start.ExpectedVersion)
+				t.Errorf("%s is asked for version %d, want none", start.Instance, start.ExpectedVersion)
 			}
 		}
 		return found
 	}
-	tell(0, 4, 5, 5) // r1 is too old, r2 loads
+	report(0, 4, 5, 5) // r1 is too old, r2 loads
 	if got := started(0); len(got) != 1 || got["r3"] != 4 {
-		t.Fatalf("started at %v", got)
+		t.Fatalf("runs by replica %v, want 4 on r3", got)
 	}
 	for now := 100 * time.Millisecond; now < second; now += 100 * time.Millisecond {
-		tell(now, 4, 5, 5)
+		report(now, 4, 5, 5)
 		if got := started(now); len(got) > 0 {
-			t.Fatalf("tried out %v", got)
+			t.Fatalf("runs by replica %v while r1 is too old, r2 loads and r3 is full, want none", got)
 		}
 	}
-	tell(second, 5, 5, 5) // r2 still loads
+	report(second, 5, 5, 5) // r2 still loads
 	if got := started(second); got["r1"] != 2 || len(got) != 1 {
-		t.Fatalf("started at %v", got)
+		t.Fatalf("runs by replica %v, want 2 on r1", got)
 	}
 }
 
-func TestReplicasAreTriedOutOnceNothingIsTold(t *testing.T) {
+// TestOldVersionsAreTriedOnceReportsExpire: a replica whose weights were reported to be too old is tried again once the
+// report has expired.
+func TestOldVersionsAreTriedOnceReportsExpire(t *testing.T) {
 	s := newScheduler(1, 4)
 	s.Told("r1", "m", 4, false, second)
 	open(s, Job{ID: "j", Model: "m", MinVersion: 5}, "a:1")
 	if got := s.Starts(second + reportTTL - 1); len(got) > 0 {
-		t.Fatalf("started %v", got)
+		t.Fatalf("started %v before the report expired", got)
 	}
 	if got := s.Starts(second + reportTTL); len(got) != 1 {
-		t.Fatalf("started %v", got)
+		t.Fatalf("started %v after the report expired, want one run", got)
 	}
 }
 
-// TestItemsThatNeedAScoreAreFinishedWithIt: a whole text frees its slot, but its item is neither run again nor done.
-func TestItemsThatNeedAScoreAreFinishedWithIt(t *testing.T) {
+// TestScoredItemsFinishWithTheirScore: an item whose text is complete but not scored frees its slot, does not run again
+// and is not finished.
+func TestScoredItemsFinishWithTheirScore(t *testing.T) {
 	s := newScheduler(1, 2)
 	s.Open(Job{ID: "a", GiveUp: 10 * second, Items: []Item{{ID: "i0", Group: "g", Scored: true}, {ID: "i1", Group: "h", Scored: true},
 		{ID: "i2", Group: "k", Scored: true}, {ID: "i3", Group: "l", Scored: true}}}, nil, []string{"i3"})
@@ -405,27 +414,27 @@
 	for range 2 {
 		for _, start := range s.Starts(0) {
 			if start.Item == "i3" {
-				t.Fatal("an item whose text is whole runs again")
+				t.Fatal("an item whose text is complete runs again")
 			}
 			if next := s.Ended(0, start.Key, Completed, 0); next != ToScore {
-				t.Fatalf("%s: a whole text is %s", start.Item, next)
+				t.Fatalf("%s is %s after its text is complete, want to_score", start.Item, next)
 			}
 		}
 	}
 	if starts := s.Starts(0); len(starts) != 0 {
-		t.Fatalf("%v runs again", starts)
+		t.Fatalf("%v run again", starts)
 	}
 	if !s.Scored(Key{"a", "i0"}) || s.Scored(Key{"a", "i0"}) || s.Terminate(Key{"a", "i0"}) {
-		t.Fatal("a score does not finish its item once")
+		t.Fatal("a score must finish its item exactly once")
 	}
 	if !s.Terminate(Key{"a", "i1"}) || s.Scored(Key{"a", "i1"}) {
-		t.Fatal("an item whose score can't be had is not terminated for good")
+		t.Fatal("an item without a score is not terminated permanently")
 	}
 	if expired := s.Expired(11 * second); !slices.Equal(expired, []Key{{"a", "i2"}, {"a", "i3"}}) {
-		t.Fatalf("%v expired", expired)
+		t.Fatalf("%v expired, want the two items without a score", expired)
 	}
-	// A group that is whole here may come again all the same: its owner may not have read its last result.
+	// Completed groups may reappear in a later job as well, because their owner may not have read the last result.
 	if s.End("a"); !s.endedGroups["g"] || !s.endedGroups["h"] || !s.endedGroups["k"] || !s.endedGroups["l"] {
-		t.Fatalf("groups of the ended job: %v", s.endedGroups)
+		t.Fatalf("remembered groups of the ended job: %v, want all four", s.endedGroups)
 	}
 }
--- a/internal/batchrun/schedule/turns.go
+++ b/internal/batchrun/schedule/turns.go
@@ -43,7 +43,8 @@
 	received  float64 // remaining work of its runs, and work that it received lately
 }
 
-// Turns reports whether owners take turns, and the figures on which that decision was based.
+// Turns reports whether owners take turns, and the figures on which that decision was based. The other fields are zero
+// unless Taken is set.
 type Turns struct {
 	Taken   bool
 	Owners  int
--- a/internal/batchrun/schedule/turns_test.go
+++ b/internal/batchrun/schedule/turns_test.go
@@ -9,118 +9,120 @@
 	"pgregory.net/rapid"
 )
 
-// trainer opens a step once the one before is whole and at least replayedEvery after it was opened.
+// trainer opens a step once the previous one is complete and at least stepInterval after that was opened.
 type trainer struct {
 	name   string
-	groups int // of each step, of 8 items each
+	groups int // groups per step, of 8 items each
 	opened time.Duration
 	steps  int
 }
 
-// scarceLoad is the load of trainers that need more room than there is.
-type scarceLoad struct {
-	name     string
-	replicas int
-	lost     int // replicas that are away for some seconds
-	groups   []int
-	light    int // trainers, the first ones, that ask for less than their share
+// overload is a load of trainers that exceeds the capacity.
+type overload struct {
+	name          string
+	replicas      int
+	lostReplicas  int // replicas that are unavailable from lostFrom to lostUntil
+	groups        []int
+	lightTrainers int // number of trainers, at the front of groups, that ask for less than their share
 }
 
-// scarceLoads is the table of loads on which orders of work are compared.
-var scarceLoads = []scarceLoad{
-	{name: "four equal trainers with half the room", replicas: 30, groups: []int{29, 29, 29, 29}},
-	{name: "one trainer with 30 times the items of three", replicas: 12, groups: []int{4, 4, 4, 120}, light: 3},
-	{name: "trainers of several sizes with half the room", replicas: 20, groups: []int{12, 18, 29, 40}},
-	{name: "most replicas away for 12 seconds", replicas: 60, lost: 45, groups: []int{16, 18, 18, 12}},
+// overloads are the loads on which orders of work are compared.
+var overloads = []overload{
+	{name: "four equal trainers with half the capacity", replicas: 30, groups: []int{29, 29, 29, 29}},
+	{name: "one trainer with 30 times the items of three", replicas: 12, groups: []int{4, 4, 4, 120}, lightTrainers: 3},
+	{name: "trainers of several sizes with half the capacity", replicas: 20, groups: []int{12, 18, 29, 40}},
+	{name: "most replicas unavailable for 12 seconds", replicas: 60, lostReplicas: 45, groups: []int{16, 18, 18, 12}},
 }
 
 const (
-	scarceLasting = 60 * time.Second
-	trainingTime  = 500 * time.Millisecond
-	lostFrom      = 8 * time.Second
-	lostUntil     = 20 * time.Second
+	overloadDuration = 60 * time.Second
+	trainingTime     = 500 * time.Millisecond
+	lostFrom         = 8 * time.Second
+	lostUntil        = 20 * time.Second
 )
 
-// play replays a load and returns how many steps each trainer got whole.
-func (l *scarceLoad) play(seed uint64) (whole []int) {
-	r := newReplayed(seed, l.replicas, Settings{})
+// play simulates a load and returns how many steps each trainer completed.
+func (l *overload) play(seed uint64) (completed []int) {
+	r := newSimulation(seed, l.replicas, Settings{})
 	trainers := make([]trainer, 0, len(l.groups))
 	for number, groups := range l.groups {
 		trainers = append(trainers, trainer{name: modelNamed(number), groups: groups})
 	}
-	for now := time.Duration(0); now < scarceLasting; now += replayedStep {
+	for now := time.Duration(0); now < overloadDuration; now += simulationStep {
 		switch {
-		case l.lost > 0 && now == lostFrom:
-			r.lose(l.lost, now)
-		case l.lost > 0 && now == lostUntil:
-			r.s.Replicas(describedReplicas(0, l.replicas))
+		case l.lostReplicas > 0 && now == lostFrom:
+			r.removeReplicas(l.lostReplicas, now)
+		case l.lostReplicas > 0 && now == lostUntil:
+			r.scheduler.Replicas(describeReplicas(0, l.replicas))
 		}
 		for number := range trainers {
 			r.openNext(&trainers[number], now)
 		}
 		r.advance(now)
-		if now%replayedTick == 0 {
-			r.tick(now)
+		if now%reportInterval == 0 {
+			r.reportProgress(now)
 		}
-		r.start(now)
+		r.startRuns(now)
 	}
 	for _, one := range trainers {
-		whole = append(whole, len(r.whole[one.name]))
+		completed = append(completed, len(r.completedAt[one.name]))
 	}
-	return whole
+	return completed
 }
 
-// openNext opens a trainer's next step when it is time.
-func (r *replayed) openNext(of *trainer, now time.Duration) {
-	ends := r.whole[of.name]
-	if len(ends) < of.steps || of.steps > 0 && (now < of.opened+replayedEvery || now < ends[of.steps-1]+trainingTime) {
+// openNext opens a trainer's next step when it is due.
+func (r *simulation) openNext(trainer *trainer, now time.Duration) {
+	ends := r.completedAt[trainer.name]
+	if len(ends) < trainer.steps || trainer.steps > 0 && (now < trainer.opened+stepInterval || now < ends[trainer.steps-1]+trainingTime) {
 		return
 	}
-	r.openJob(Job{ID: fmt.Sprint(of.name, "-", of.steps), Model: of.name, Desired: of.groups - of.groups/10}, of.groups, now)
-	of.opened = now
-	of.steps++
+	r.openJob(Job{ID: fmt.Sprint(trainer.name, "-", trainer.steps), Model: trainer.name, Desired: trainer.groups - trainer.groups/10}, trainer.groups, now)
+	trainer.opened = now
+	trainer.steps++
 }
 
-// lose takes the first replicas away with what runs there.
-func (r *replayed) lose(lost int, now time.Duration) {
-	r.s.Replicas(describedReplicas(lost, len(r.replicas)))
+// removeReplicas removes the first replicas and breaks their runs.
+func (r *simulation) removeReplicas(lost int, now time.Duration) {
+	r.scheduler.Replicas(describeReplicas(lost, len(r.replicas)))
 	for _, key := range r.running() {
-		if run := r.runs[key]; run.at < lost {
-			r.end(key, run, Broken, now)
+		if run := r.runs[key]; run.replica < lost {
+			r.endRun(key, run, Broken, now)
 		}
 	}
 }
 
-// TestTrainersKeepUpWithEachOther: with too little room no trainer ends more than a step behind another one, but for one that asks
-// for many times as much.
-func TestTrainersKeepUpWithEachOther(t *testing.T) {
-	for _, load := range scarceLoads {
-		whole := load.play(0)
-		t.Logf("%s: steps %v", load.name, whole)
-		if load.light == 0 && slices.Max(whole)-slices.Min(whole) > 1 {
-			t.Errorf("%s: steps %v", load.name, whole)
+// TestOverloadedTrainersProgressEvenly: with too little capacity no trainer completes two steps fewer than another one,
+// unless one trainer asks for many times as much as the others. No trainer starves in any case.
+func TestOverloadedTrainersProgressEvenly(t *testing.T) {
+	for _, load := range overloads {
+		completed := load.play(0)
+		t.Logf("%s: completed steps %v", load.name, completed)
+		if load.lightTrainers == 0 && slices.Max(completed)-slices.Min(completed) > 1 {
+			t.Errorf("%s: completed steps %v, want a difference of at most 1", load.name, completed)
 		}
-		if slices.Min(whole) == 0 {
-			t.Errorf("%s: a trainer gets nothing: %v", load.name, whole)
+		if slices.Min(completed) == 0 {
+			t.Errorf("%s: a trainer completes no step: %v", load.name, completed)
 		}
 	}
 }
 
-// TestLightTrainersGetOnBesideAHeavyOne nearly as if they were alone, though one asks for many times as much.
+// TestLightTrainersGetOnBesideAHeavyOne: light trainers complete nearly as many steps as they would alone, although
+// another trainer asks for many times as much.
 func TestLightTrainersGetOnBesideAHeavyOne(t *testing.T) {
-	const leastOfAlone = 0.95 // of the steps
-	for _, load := range scarceLoads {
-		whole := load.play(0)
-		for number := range load.light {
-			alone := scarceLoad{replicas: load.replicas, groups: load.groups[number : number+1]}
-			if most := alone.play(0)[0]; float64(whole[number]) < leastOfAlone*float64(most) {
-				t.Errorf("%s: a light trainer gets %d steps, alone %d", load.name, whole[number], most)
+	const leastOfAlone = 0.95 // fraction of the steps
+	for _, load := range overloads {
+		completed := load.play(0)
+		for number := range load.lightTrainers {
+			alone := overload{replicas: load.replicas, groups: load.groups[number : number+1]}
+			if most := alone.play(0)[0]; float64(completed[number]) < leastOfAlone*float64(most) {
+				t.Errorf("%s: a light trainer completes %d steps, alone %d", load.name, completed[number], most)
 			}
 		}
 	}
 }
 
-// TestOrderOfLatestStartsStays where there is room for all, or all can be in time, or owners ask for about as much.
+// TestOrderOfLatestStartsStays: owners don't take turns if there is capacity for all items, if all can be in time, or
+// if the owners ask for about as much.
 func TestOrderOfLatestStartsStays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Settings{})
@@ -137,7 +139,7 @@
 		}
 		s.Replicas([]Replica{{Instance: "i", Pool: "p", Slots: slots}})
 		for number, count := range items {
-			s.Open(evenJob(fmt.Sprint(number), count, time.Duration(number+1)*time.Second), nil, nil)
+			s.Open(newUniformJob(fmt.Sprint(number), count, time.Duration(number+1)*time.Second), nil, nil)
 		}
 		now := time.Duration(0)
 		if late {
@@ -148,13 +150,13 @@
 		s.sortByLatestStart(s.waitingOrder)
 		same := slices.Equal(got, s.waitingOrder)
 		if want := enough || !late || !uneven; same != want && (want || items[0] > 1) {
-			t.Fatalf("items %v, %d slots, late %v: order of latest starts %v", items, slots, late, same)
+			t.Fatalf("items %v, %d slots, late %v: order of latest starts kept is %v", items, slots, late, same)
 		}
 	})
 }
 
-// evenJob is a job of a trainer of its own, with items of one length.
-func evenJob(id string, items int, deadline time.Duration) Job {
+// newUniformJob returns a job of a model of its own with items of equal length.
+func newUniformJob(id string, items int, deadline time.Duration) Job {
 	job := Job{ID: id, Model: "model-" + id, Deadline: deadline}
 	for number := range items {
 		job.Items = append(job.Items, Item{ID: fmt.Sprint(id, "-", number), Length: 10})
@@ -162,12 +164,13 @@
 	return job
 }
 
-// TestTenantsTakeTurnsByWeight where their weights differ and there is too little room.
+// TestTenantsTakeTurnsByWeight: with too little capacity, tenants of different weights get items started in proportion
+// to their weights.
 func TestTenantsTakeTurnsByWeight(t *testing.T) {
 	s := New(Settings{})
 	s.Replicas([]Replica{{Instance: "i", Pool: "p", Slots: 1}})
 	for number, tenant := range []string{"one", "two"} {
-		job := evenJob(tenant, 40, time.Duration(number+1)*time.Second)
+		job := newUniformJob(tenant, 40, time.Duration(number+1)*time.Second)
 		job.Tenant = tenant
 		s.Open(job, nil, nil)
 	}
@@ -180,29 +183,29 @@
 		}
 	}
 	if ofTwo != 15 {
-		t.Errorf("%d of the first 20 items are of the tenant with 300 of 400 of the weights", ofTwo)
+		t.Errorf("%d of the first 20 items belong to the tenant with 3/4 of the weights, want 15", ofTwo)
 	}
 }
 
-// TestWorkThatRunsCounts: an owner whose items hold the room waits for the others.
-func TestWorkThatRunsCounts(t *testing.T) {
+// TestRunningWorkCountsAgainstOwner: an owner whose items take up the capacity has to wait for the others.
+func TestRunningWorkCountsAgainstOwner(t *testing.T) {
 	s := New(Settings{})
 	s.Replicas([]Replica{{Instance: "i", Pool: "p", Slots: 10}})
-	s.Open(evenJob("large", 100, time.Second), nil, nil)
+	s.Open(newUniformJob("large", 100, time.Second), nil, nil)
 	for number := range 100 {
 		s.Route(Key{"large", fmt.Sprint("large-", number)}, []Share{{Pool: "p", Weight: 1}})
 	}
 	if started := s.Starts(0); len(started) != 10 {
 		t.Fatal(started)
 	}
-	s.Open(evenJob("small", 5, 2*time.Second), nil, nil)
+	s.Open(newUniformJob("small", 5, 2*time.Second), nil, nil)
 	s.sortWaiting(3 * time.Second)
 	if turns := s.Turns(); !turns.Taken || turns.Owners != 2 || turns.Waiting != 95 || turns.Largest != "model/model-large" || turns.Most != 1000 || turns.Least != 50 {
-		t.Errorf("%+v", turns)
+		t.Errorf("turns %+v, want two owners, the large one with 1000 events and the small one with 50", turns)
 	}
 	for number, entry := range s.waitingOrder[:5] {
 		if entry.job.ID != "small" {
-			t.Errorf("item %d is of the owner that has all the room", number)
+			t.Errorf("item %d belongs to the owner that has all the slots", number)
 		}
 	}
 }
