--- a/internal/member/hearing.go
+++ b/internal/member/hearing.go
@@ -2,64 +2,68 @@
 
 import "time"
 
-// Sighting is what a group's leader knows of one other node when it looks.
+// Sighting is one observation of another node of a group, made periodically by the observing node.
 type Sighting struct {
 	Node uint64
-	// Active tells that the node was heard within an election timeout, or that the leadership is younger than that.
+	// Active is true if the node was heard within an election timeout, or if the leadership is younger than that.
 	Active bool
-	// Heard tells that the node was heard under this leadership.
+	// Heard is true if the node was heard under the present leadership.
 	Heard bool
-	// Told is for how long other nodes have not heard it, as they have told lately: the longest of these times, or 0 if one of
-	// them hears it.
+	// Told is the longest time for which other nodes have not heard this node, according to their latest reports. It
+	// is 0 if any of them hears it.
 	Told time.Duration
 }
 
-// Hearing counts for how long the nodes of a group have not been heard by the group's leader, in the time in which the leader
-// looked. Where it looks late, as on a machine whose processor is shared, it counts less, but forgets nothing: a count that
-// began anew at each late look let lost voters keep their places for good (232 of 2000 runs of the model).
+// Hearing tracks for how long each node of a group has not been heard by the observing node, usually the group's
+// leader. Silence accumulates between observations. A late observation, as on a machine whose processor is shared,
+// adds less than the time that passed but resets nothing: with counts that restarted at each late observation, lost
+// voters kept their places permanently in 232 of 2000 runs of the model.
+//
+// It is not safe for concurrent use.
 type Hearing struct {
-	self       uint64
-	maximumGap time.Duration
-	looked     time.Duration
-	unheard    map[uint64]silence
+	self         uint64
+	maximumGap   time.Duration
+	lastObserved time.Duration
+	silences     map[uint64]silence
 }
 
-// silence is what is known of a node that may not answer.
+// silence is the state of one observed node.
 type silence struct {
-	span    time.Duration
-	answers bool
+	span       time.Duration // accumulated time for which it was not heard
+	responsive bool          // it was active and heard under this leadership at the last observation
 }
 
-// NewHearing returns a leader's hearing that counts from now on. Of the time between two looks maximumGap counts at most:
-// this node may have been paused, and then what was sent to it meanwhile is not read yet.
+// NewHearing returns a Hearing that starts to count at now. At most maximumGap counts between two observations: this
+// node may have been paused for longer, and the messages sent to it in the meantime are not read yet.
 func NewHearing(self uint64, now, maximumGap time.Duration) *Hearing {
-	return &Hearing{self: self, maximumGap: maximumGap, looked: now, unheard: map[uint64]silence{}}
+	return &Hearing{self: self, maximumGap: maximumGap, lastObserved: now, silences: map[uint64]silence{}}
 }
 
-// Look takes in what the leader knows now. A node that is not listed any more is forgotten.
+// Look records the observations made at now. Nodes that are not listed are forgotten.
 func (h *Hearing) Look(now time.Duration, sightings []Sighting) {
-	gap := min(now-h.looked, h.maximumGap)
-	h.looked = now
-	unheard := make(map[uint64]silence, len(sightings))
+	gap := min(now-h.lastObserved, h.maximumGap)
+	h.lastObserved = now
+	silences := make(map[uint64]silence, len(sightings))
 	for _, other := range sightings {
-		known, counted := h.unheard[other.Node]
-		known.answers = other.Active && other.Heard
+		current, wasListed := h.silences[other.Node]
+		current.responsive = other.Active && other.Heard
 		switch {
-		case known.answers:
-			known.span = 0
-		case counted:
-			known.span += gap
+		case current.responsive:
+			current.span = 0
+		case wasListed:
+			current.span += gap
 		}
 		if !other.Active {
-			known.span = max(known.span, other.Told)
+			current.span = max(current.span, other.Told)
 		}
-		unheard[other.Node] = known
+		silences[other.Node] = current
 	}
-	h.unheard = unheard
+	h.silences = silences
 }
 
-// Silence is for how long a node had not been heard at the last look.
-func (h *Hearing) Silence(node uint64) time.Duration { return h.unheard[node].span }
+// Silence returns for how long a node had not been heard at the last observation; 0 for unknown nodes.
+func (h *Hearing) Silence(node uint64) time.Duration { return h.silences[node].span }
 
-// Answers tells whether a node was heard shortly before the last look, and under this leadership.
-func (h *Hearing) Answers(node uint64) bool { return node == h.self || h.unheard[node].answers }
+// Answers reports whether a node had been heard shortly before the last observation and under the present leadership.
+// It is always true of the observing node itself.
+func (h *Hearing) Answers(node uint64) bool { return node == h.self || h.silences[node].responsive }
--- a/internal/member/hearing_test.go
+++ b/internal/member/hearing_test.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// TestHearing looks at node 2 at several times, at each of which it answers or not.
+// TestHearing guards the silence count of node 2 against late observations, pauses and changes of the leadership.
+// Each look observes the node once; after is the time since the observation before.
 func TestHearing(t *testing.T) {
-	type look struct {
+	type observation struct {
 		after                 time.Duration
 		active, heard, absent bool
 	}
 	const gap = time.Second
-	answers := look{after: 200 * time.Millisecond, active: true, heard: true}
-	silent := func(after time.Duration) look { return look{after: after, heard: true} }
+	answers := observation{after: 200 * time.Millisecond, active: true, heard: true}
+	unanswered := func(after time.Duration) observation { return observation{after: after, heard: true} }
 	for name, test := range map[string]struct {
-		looks   []look
-		silence time.Duration
-		answers bool
+		observations []observation
+		silence      time.Duration
+		answers      bool
 	}{
-		"it answers":                        {[]look{answers, answers}, 0, true},
-		"not heard by a new leader":         {[]look{{after: 100 * time.Millisecond, active: true}, {after: 200 * time.Millisecond, active: true}}, 200 * time.Millisecond, false},
-		"silent from the first look":        {[]look{silent(200 * time.Millisecond), silent(300 * time.Millisecond)}, 300 * time.Millisecond, false},
-		"silent":                            {[]look{answers, silent(200 * time.Millisecond), silent(200 * time.Millisecond)}, 400 * time.Millisecond, false},
-		"late looks forget nothing":         {[]look{answers, silent(900 * time.Millisecond), silent(900 * time.Millisecond)}, 1800 * time.Millisecond, false},
-		"a pause counts as one gap at most": {[]look{answers, silent(200 * time.Millisecond), silent(time.Minute)}, 1200 * time.Millisecond, false},
-		"heard again":                       {[]look{answers, silent(900 * time.Millisecond), answers}, 0, true},
-		"left and came again":               {[]look{answers, silent(900 * time.Millisecond), {after: gap, absent: true}, silent(gap)}, 0, false},
+		"it answers":                        {[]observation{answers, answers}, 0, true},
+		"not heard by a new leader":         {[]observation{{after: 100 * time.Millisecond, active: true}, {after: 200 * time.Millisecond, active: true}}, 200 * time.Millisecond, false},
+		"silent from the first observation": {[]observation{unanswered(200 * time.Millisecond), unanswered(300 * time.Millisecond)}, 300 * time.Millisecond, false},
+		"silent":                            {[]observation{answers, unanswered(200 * time.Millisecond), unanswered(200 * time.Millisecond)}, 400 * time.Millisecond, false},
+		"late observations reset nothing":   {[]observation{answers, unanswered(900 * time.Millisecond), unanswered(900 * time.Millisecond)}, 1800 * time.Millisecond, false},
+		"a pause counts as one gap at most": {[]observation{answers, unanswered(200 * time.Millisecond), unanswered(time.Minute)}, 1200 * time.Millisecond, false},
+		"heard again":                       {[]observation{answers, unanswered(900 * time.Millisecond), answers}, 0, true},
+		"left and came again":               {[]observation{answers, unanswered(900 * time.Millisecond), {after: gap, absent: true}, unanswered(gap)}, 0, false},
 	} {
 		now := time.Minute
-		hearing := NewHearing(1, now, gap)
-		for _, look := range test.looks {
-			now += look.after
+		tracker := NewHearing(1, now, gap)
+		for _, observation := range test.observations {
+			now += observation.after
 			var sightings []Sighting
-			if !look.absent {
-				sightings = []Sighting{{Node: 2, Active: look.active, Heard: look.heard}}
+			if !observation.absent {
+				sightings = []Sighting{{Node: 2, Active: observation.active, Heard: observation.heard}}
 			}
-			hearing.Look(now, sightings)
+			tracker.Look(now, sightings)
 		}
-		if hearing.Silence(2) != test.silence || hearing.Answers(2) != test.answers {
-			t.Errorf("%s: silent for %s, answers %v; want %s, %v", name, hearing.Silence(2), hearing.Answers(2), test.silence, test.answers)
+		if tracker.Silence(2) != test.silence || tracker.Answers(2) != test.answers {
+			t.Errorf("%s: silent for %s, answers %v; want %s, %v", name, tracker.Silence(2), tracker.Answers(2), test.silence, test.answers)
 		}
-		if hearing.Silence(1) != 0 || !hearing.Answers(1) {
-			t.Errorf("%s: the leader does not hear itself", name)
+		if tracker.Silence(1) != 0 || !tracker.Answers(1) {
+			t.Errorf("%s: the leader counts itself as silent", name)
 		}
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,7 +1,7 @@
-// Package member is the replicated list of the cluster's processes: name, incarnation, role, address, zone
-// and state. An incarnation is one run of a process; a newer one replaces an older one for good, and one
-// that has left does not come back. Who is suspect or gone is decided by the control group's leader, which
-// proposes it; this package only keeps the order of incarnations and states.
+// Package member is the replicated list of the cluster's processes: name, incarnation, role, address, zone and state.
+// An incarnation is one run of a process. A newer incarnation permanently replaces an older one, and an incarnation
+// that has left does not come back. The control group's leader decides which members are suspect or gone and proposes
+// these changes; this package only enforces the order of incarnations and states.
 //
 // The package is pure. Apply updates in log order from one goroutine.
 package member
@@ -16,16 +16,16 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of the list.
+// Limits of the list.
 const (
-	// MaximumTextBytes bounds a name, zone and region, in bytes.
+	// MaximumTextBytes is the maximum length of a name, zone or region, in bytes.
 	MaximumTextBytes = 128
-	// MaximumGone bounds the members that are remembered after they have gone (a count). The oldest are
-	// forgotten first; a forgotten one could come back under an old incarnation.
+	// MaximumGone is the maximum number of members that are remembered after they have gone. The oldest are forgotten
+	// first. A forgotten member could come back under an old incarnation.
 	MaximumGone = 1000
 )
 
-// List is the members. The zero value is not ready; use New.
+// List holds the members. The zero value is not usable; use New.
 type List struct {
 	version uint64
 	members map[string]*entry
@@ -33,54 +33,55 @@
 
 type entry struct {
 	member  *wire.Member
-	left    bool   // it announced that it leaves
+	left    bool   // it has announced that it leaves
 	version uint64 // list version of its last change
 }
 
 // New returns an empty list at version 0.
 func New() *List { return &List{members: map[string]*entry{}} }
 
-// Version rises by one with each change of the list.
+// Version returns the list's version, which increases by one with each change of the list.
 func (l *List) Version() uint64 { return l.version }
 
-// Apply takes what the update says about a member unless it is older than what is known: a lower
-// incarnation, another role or address under the same incarnation, or a return after leaving. An update
-// that changes nothing is accepted and leaves the version. Errors: malformed update, nothing changed.
+// Apply applies an update of a member. The result is not accepted if the update is older than the known state: a
+// lower incarnation, another role or address under the same incarnation, or a return after leaving. An update that
+// changes nothing is accepted and does not change the version. An error is returned for a malformed update; the list
+// is then unchanged.
 func (l *List) Apply(update *wire.MemberUpdate) (*wire.MemberResult, error) {
 	next := update.GetMember()
-	if err := check(next); err != nil {
+	if err := validate(next); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	known := l.members[next.GetName()]
-	if known != nil && !follows(known, next) {
-		refused := l.result(false)
+	if known != nil && !canFollow(known, next) {
+		refused := l.newResult(false)
 		refused.HeldIncarnation = known.member.GetIncarnation()
 		return refused, nil
 	}
-	if known != nil && staysDraining(known, next) {
+	if known != nil && isStillDraining(known, next) {
 		next = proto.CloneOf(next)
 		next.State = wire.MemberState_MEMBER_STATE_LEAVING
 	}
 	if known != nil && proto.Equal(known.member, next) {
-		return l.result(true), nil
+		return l.newResult(true), nil
 	}
 	l.version++
-	sameRun := known != nil && known.member.GetIncarnation() == next.GetIncarnation()
+	sameIncarnation := known != nil && known.member.GetIncarnation() == next.GetIncarnation()
 	l.members[next.GetName()] = &entry{
 		member:  proto.CloneOf(next),
-		left:    next.GetState() == wire.MemberState_MEMBER_STATE_LEAVING || (sameRun && known.left),
+		left:    next.GetState() == wire.MemberState_MEMBER_STATE_LEAVING || (sameIncarnation && known.left),
 		version: l.version,
 	}
 	l.forgetGone()
-	return l.result(true), nil
+	return l.newResult(true), nil
 }
 
-func (l *List) result(accepted bool) *wire.MemberResult {
+func (l *List) newResult(accepted bool) *wire.MemberResult {
 	return &wire.MemberResult{Accepted: accepted, MembersVersion: l.version}
 }
 
-// follows reports whether an update may come after what is known of the member.
-func follows(known *entry, next *wire.Member) bool {
+// canFollow reports whether the update is a valid successor of the known state of the member.
+func canFollow(known *entry, next *wire.Member) bool {
 	held := known.member
 	if next.GetIncarnation() != held.GetIncarnation() {
 		return next.GetIncarnation() > held.GetIncarnation()
@@ -88,7 +89,7 @@
 	if next.GetRole() != held.GetRole() || next.GetAddress() != held.GetAddress() {
 		return false
 	}
-	if !known.left || staysDraining(known, next) && held.GetState() == wire.MemberState_MEMBER_STATE_LEAVING {
+	if !known.left || isStillDraining(known, next) && held.GetState() == wire.MemberState_MEMBER_STATE_LEAVING {
 		return true
 	}
 	if held.GetState() == wire.MemberState_MEMBER_STATE_GONE {
@@ -97,14 +98,14 @@
 	return next.GetState() == wire.MemberState_MEMBER_STATE_LEAVING || next.GetState() == wire.MemberState_MEMBER_STATE_GONE
 }
 
-// staysDraining reports whether a restarted storage member goes on leaving. Its process does not stop by
-// itself when it is asked to leave, and what is emptied must not be filled again by a restart.
-func staysDraining(known *entry, next *wire.Member) bool {
+// isStillDraining reports whether a restarted storage member remains in the leaving state. Its process does not stop
+// by itself when it is asked to leave, and a restart must not fill the emptied member again.
+func isStillDraining(known *entry, next *wire.Member) bool {
 	return known.left && next.GetRole() == wire.MemberRole_MEMBER_ROLE_STORAGE &&
 		known.member.GetRole() == next.GetRole() && next.GetState() == wire.MemberState_MEMBER_STATE_ALIVE
 }
 
-func check(member *wire.Member) error {
+func validate(member *wire.Member) error {
 	if member.GetName() == "" {
 		return trace.BadParameter("member has no name")
 	}
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// forgetGone drops the members that went longest ago above the bound.
+// forgetGone removes the members that have been gone for longest, down to MaximumGone.
 func (l *List) forgetGone() {
 	var gone []*entry
 	for _, known := range l.members {
@@ -145,7 +146,7 @@
 	}
 }
 
-// Get returns a copy of a member; nil if the name is unknown.
+// Get returns a copy of a member, or nil if the name is unknown.
 func (l *List) Get(name string) *wire.Member {
 	known := l.members[name]
 	if known == nil {
@@ -154,14 +155,14 @@
 	return proto.CloneOf(known.member)
 }
 
-// View returns copies of all members by name, also those that have gone.
+// View returns copies of all members, including those that have gone, sorted by name.
 func (l *List) View() *wire.MembersView { return l.Changes(0) }
 
-// Changes returns copies of the members that changed after a version of the list, by name. Members that
-// were forgotten since are not mentioned: they had gone.
+// Changes returns copies of the members that changed after the known version of the list, sorted by name. Members
+// that were forgotten since are not included; all of them had gone.
 func (l *List) Changes(known uint64) *wire.MembersView {
 	view := &wire.MembersView{MembersVersion: l.version, FromVersion: known}
-	for _, name := range l.names() {
+	for _, name := range l.sortedNames() {
 		if entry := l.members[name]; entry.version > known {
 			view.Members = append(view.Members, proto.CloneOf(entry.member))
 		}
@@ -169,20 +170,20 @@
 	return view
 }
 
-func (l *List) names() []string {
-	names := make([]string, 0, len(l.members))
+func (l *List) sortedNames() []string {
+	sortedNames := make([]string, 0, len(l.members))
 	for name := range l.members {
-		names = append(names, name)
+		sortedNames = append(sortedNames, name)
 	}
-	sort.Strings(names)
-	return names
+	sort.Strings(sortedNames)
+	return sortedNames
 }
 
-// Snapshot returns the whole state. Equal lists give equal snapshots. It shares members with the list:
-// encode it before the next Apply.
+// Snapshot returns the whole state. Equal lists give equal snapshots. The snapshot shares members with the list, so
+// it must be encoded before the next Apply.
 func (l *List) Snapshot() *wire.MemberSnapshot {
 	snapshot := &wire.MemberSnapshot{Version: l.version}
-	for _, name := range l.names() {
+	for _, name := range l.sortedNames() {
 		known := l.members[name]
 		snapshot.Members = append(snapshot.Members, &wire.MemberRecord{
 			Member: known.member, Left: known.left, Version: known.version,
@@ -191,12 +192,12 @@
 	return snapshot
 }
 
-// Restore replaces the state with a snapshot's. On an error the list is unchanged.
+// Restore replaces the state with that of a snapshot. If it returns an error, the list is unchanged.
 func (l *List) Restore(snapshot *wire.MemberSnapshot) error {
 	restored := New()
 	restored.version = snapshot.GetVersion()
 	for _, record := range snapshot.GetMembers() {
-		if err := check(record.GetMember()); err != nil {
+		if err := validate(record.GetMember()); err != nil {
 			return trace.Wrap(err)
 		}
 		restored.members[record.GetMember().GetName()] = &entry{
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -29,13 +29,13 @@
 		version     uint64
 	}{
 		{2, alive, true, 1}, {2, alive, true, 1}, {1, alive, false, 1}, {2, suspect, true, 2}, {2, gone, true, 3},
-		{2, alive, true, 4}, // was wrongly given up, and has not left
+		{2, alive, true, 4}, // it was declared gone by mistake and has not left
 		{2, leaving, true, 5}, {2, alive, false, 5}, {2, gone, true, 6}, {2, alive, false, 6}, {2, leaving, false, 6},
 		{3, alive, true, 7}, {2, gone, false, 7},
 	} {
 		result, err := list.Apply(update(step.incarnation, step.state))
 		if err != nil || result.GetAccepted() != step.accepted || result.GetMembersVersion() != step.version {
-			t.Fatalf("step %d %+v: %v %v", position, step, result, err)
+			t.Fatalf("step %d, want %+v: Apply returned %v, %v", position, step, result, err)
 		}
 		restored := New()
 		if err := restored.Restore(proto.CloneOf(list.Snapshot())); err != nil {
@@ -46,18 +46,19 @@
 	moved := update(3, alive)
 	moved.Member.Address = "10.0.0.2:80"
 	if result, _ := list.Apply(moved); result.GetAccepted() {
-		t.Fatal("an address changed within one incarnation")
+		t.Fatal("an update that changes the address within one incarnation was accepted")
 	}
 	for _, bad := range []*wire.MemberUpdate{nil, update(0, alive), update(9, 0), update(9, 99)} {
 		if _, err := list.Apply(bad); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("malformed update %v was accepted", bad)
 		}
 	}
 }
 
-// TestAStorageMemberLeavesOverItsRestarts: its process is started again by whoever runs it, and what an operator
-// has emptied must stay so. Other roles begin anew.
-func TestAStorageMemberLeavesOverItsRestarts(t *testing.T) {
+// TestStorageMemberKeepsLeavingAcrossRestarts guards against a drained storage member that is filled again: its
+// supervisor restarts the process after an operator has emptied the member. Members of other roles are alive again
+// after a restart.
+func TestStorageMemberKeepsLeavingAcrossRestarts(t *testing.T) {
 	for role, want := range map[wire.MemberRole]wire.MemberState{
 		wire.MemberRole_MEMBER_ROLE_STORAGE: wire.MemberState_MEMBER_STATE_LEAVING,
 		wire.MemberRole_MEMBER_ROLE_GATEWAY: wire.MemberState_MEMBER_STATE_ALIVE,
@@ -80,14 +81,14 @@
 			list = restored
 		}
 		if got := list.Get("g1"); got.GetState() != want || got.GetIncarnation() != 3 {
-			t.Errorf("%s after two restarts is %s", wire.MemberRoleText(role), wire.MemberStateText(got.GetState()))
+			t.Errorf("%s after two restarts: wrong state %s or wrong incarnation", wire.MemberRoleText(role), wire.MemberStateText(got.GetState()))
 		}
 	}
 }
 
-// TestARegistrationMayBeSentAgain: a storage member that an operator has asked to leave starts again, and the answer to its
-// registration is lost. The same registration is taken once more, and changes nothing.
-func TestARegistrationMayBeSentAgain(t *testing.T) {
+// TestRepeatedRegistrationIsAccepted covers a storage member that was asked to leave, restarts and registers, and
+// loses the answer to the registration. The repeated registration must be accepted without changing the list.
+func TestRepeatedRegistrationIsAccepted(t *testing.T) {
 	list := New()
 	apply := func(incarnation uint64, state wire.MemberState) *wire.MemberResult {
 		step := update(incarnation, state)
@@ -103,16 +104,16 @@
 	first := apply(2, wire.MemberState_MEMBER_STATE_ALIVE)
 	again := apply(2, wire.MemberState_MEMBER_STATE_ALIVE)
 	if !first.GetAccepted() || !again.GetAccepted() || again.GetMembersVersion() != first.GetMembersVersion() {
-		t.Fatalf("first %v, again %v", first, again)
+		t.Fatalf("first registration %v, repeated %v; want both accepted at one version", first, again)
 	}
 	if got := list.Get("g1").GetState(); got != wire.MemberState_MEMBER_STATE_LEAVING {
-		t.Fatalf("the member is %s", wire.MemberStateText(got))
+		t.Fatalf("the member is %s, want leaving", wire.MemberStateText(got))
 	}
 	if apply(1, wire.MemberState_MEMBER_STATE_ALIVE).GetAccepted() {
-		t.Fatal("an earlier start was taken")
+		t.Fatal("a registration of an earlier incarnation was accepted")
 	}
 	apply(2, wire.MemberState_MEMBER_STATE_GONE)
 	if apply(2, wire.MemberState_MEMBER_STATE_ALIVE).GetAccepted() {
-		t.Fatal("a member that is gone came back")
+		t.Fatal("a registration of a member that left and is gone was accepted")
 	}
 }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -6,9 +6,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Merge returns the members that changes, as Changes gave them, lead to from what is known. Changes that
-// are not newer, or that start above what is known, alter nothing. The arguments are left as they are and
-// share their members with the result.
+// Merge returns the view that results from applying changes, as returned by Changes, to the known view. Changes that
+// are not newer than the known view, or that start from a later version than it, have no effect. The arguments are
+// not modified and share their members with the result.
 func Merge(known, changes *wire.MembersView) *wire.MembersView {
 	if changes.GetFromVersion() == 0 && changes.GetMembersVersion() >= known.GetMembersVersion() {
 		return changes
--- a/internal/member/merge_test.go
+++ b/internal/member/merge_test.go
@@ -10,8 +10,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestMergedChangesEqualTheWholeView follows a list by changes only, in random steps and with repeats.
-func TestMergedChangesEqualTheWholeView(t *testing.T) {
+// TestMergedChangesEqualFullView follows a list only through Changes and Merge, in random steps and with repeated
+// changes. The merged view must equal the list's view.
+func TestMergedChangesEqualFullView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, followed := New(), &wire.MembersView{}
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
--- a/internal/member/voters.go
+++ b/internal/member/voters.go
@@ -6,100 +6,107 @@
 	"time"
 )
 
-// GroupNode is a node that carries a consensus group, as the group's leader sees it.
+// GroupNode is a member of a consensus group or a candidate for membership, as the group's leader sees it.
 type GroupNode struct {
 	ID      uint64
-	Address string        // where it listens; empty if unknown
-	Silence time.Duration // since it was last heard; 0 for the leader itself
-	Unheard bool          // it was not heard lately, or not yet under this leader
-	Behind  bool          // a learner that was found to lack entries
-	Leaving bool          // it has said that it stops, or an operator has asked it to
-	Standby bool          // it votes, but others are to lead
-	Leads   bool          // it leads the group now
+	Address string        // the address that it listens on; empty if unknown
+	Silence time.Duration // time since it was last heard; 0 for the leader itself
+	Unheard bool          // it was not heard recently, or not yet under this leader
+	Behind  bool          // it is a learner that was found to lack log entries
+	Leaving bool          // it announced that it stops, or an operator asked it to leave
+	Standby bool          // it may vote, but other nodes are preferred as leader and as voters
+	Leads   bool          // it is the group's present leader
 }
 
-// Group is what the choice of the next change of a group's nodes rests on.
+// Group is the state of a consensus group from which NextGroupChange chooses the next change.
 type Group struct {
 	Voters     []GroupNode
 	Learners   []GroupNode
-	Candidates []GroupNode // nodes that ask to carry the group, and have asked lately
+	Candidates []GroupNode // nodes that recently asked to join the group
 }
 
-// GroupChangeKind says what to do with a node.
+// GroupChangeKind is the kind of a membership change.
 type GroupChangeKind int
 
-// The kinds of changes.
+// Kinds of membership changes.
 const (
-	NoGroupChange GroupChangeKind = iota
-	AddLearner
-	PromoteLearner
-	RemoveNode
+	NoGroupChange  GroupChangeKind = iota // leave the group as it is
+	AddLearner                            // add a candidate as a learner
+	PromoteLearner                        // make a learner a voter
+	RemoveNode                            // remove a voter or learner
 )
 
-// GroupChange is one step.
+// GroupChange is one membership change of a consensus group.
 type GroupChange struct {
 	Kind GroupChangeKind
 	Node uint64
 }
 
-// NextGroupChange returns the next step towards a group with size voters that all answer, of which as few as possible
-// are standbys. A candidate takes the place of the voter whose address it has, for nobody else listens there any more,
-// or else of the voter unheard for longest, at least for patience; one that leaves counts as unheard for patience, but
-// only for a candidate of its kind: a standby would have to give the place back. A candidate that is none also takes
-// a standby's place. It becomes a learner, then a voter; only then the replaced one goes, so that a majority of voters
-// that hold everything stands at each step. A silent voter without a candidate for its place stays. A learner whose
-// place was taken back by its voter waits as a learner: an even number of voters bears no more losses, and needs one
-// more of them. A learner that is behind, or that stopped answering, holds nobody up.
+// NextGroupChange returns the next step towards a group of size voters that all answer, with as few standbys among
+// them as possible. A zero GroupChange means that there is nothing to do.
+//
+// A candidate takes the place of the voter whose address it has, because that voter cannot be listening there any
+// more. Otherwise it takes the place of the voter that has been unheard for longest, provided that it has been unheard
+// for at least patience. A leaving voter counts as unheard for patience, but only towards candidates of its own kind: a standby
+// that replaced a regular voter would have to give the place back. A candidate that is not a standby also takes a
+// standby's place.
+//
+// The candidate becomes a learner first and then a voter. Only then is the replaced voter removed, so that at each
+// step a majority of the voters hold all entries. A silent voter without a candidate for its place stays. A learner
+// whose place was reclaimed by the returning voter remains a learner, because an even number of voters tolerates no
+// more losses and needs one more voter for a majority. A learner that is behind or has stopped answering does not
+// block other candidates.
 func NextGroupChange(group Group, size int, patience time.Duration) GroupChange {
-	full := len(group.Voters) > size
-	if full {
-		if surplus, found := surplusVoter(group, patience); found {
+	hasSurplus := len(group.Voters) > size
+	if hasSurplus {
+		if surplus, found := selectSurplusVoter(group, patience); found {
 			return GroupChange{RemoveNode, surplus.ID}
 		}
 	}
 	for _, learner := range group.Learners {
-		if learner.Leaving || !listed(group.Candidates, learner.ID) && learner.Silence >= patience {
+		if learner.Leaving || !containsNode(group.Candidates, learner.ID) && learner.Silence >= patience {
 			return GroupChange{RemoveNode, learner.ID}
 		}
 	}
-	candidates := inOrder(group.Candidates)
+	candidates := sortCandidates(group.Candidates)
 	for _, candidate := range candidates {
-		if !full && promotable(group.Learners, candidate.ID) && places(group.Voters, candidate, size, patience) > 0 {
+		if !hasSurplus && isPromotable(group.Learners, candidate.ID) && countPlaces(group.Voters, candidate, size, patience) > 0 {
 			return GroupChange{PromoteLearner, candidate.ID}
 		}
 	}
 	for _, candidate := range candidates {
-		known := listed(group.Voters, candidate.ID) || listed(group.Learners, candidate.ID)
-		if known || full && candidate.Standby {
+		known := containsNode(group.Voters, candidate.ID) || containsNode(group.Learners, candidate.ID)
+		if known || hasSurplus && candidate.Standby {
 			continue
 		}
-		if places(group.Voters, candidate, size, patience) > underWay(group, patience) {
+		if countPlaces(group.Voters, candidate, size, patience) > countAdvancingLearners(group, patience) {
 			return GroupChange{AddLearner, candidate.ID}
 		}
 	}
 	return GroupChange{}
 }
 
-// promotable tells whether a node is a learner that may have caught up.
-func promotable(learners []GroupNode, id uint64) bool {
+// isPromotable reports whether the node is a learner that may have caught up.
+func isPromotable(learners []GroupNode, id uint64) bool {
 	return slices.ContainsFunc(learners, func(learner GroupNode) bool {
 		return learner.ID == id && !learner.Behind && learner.Silence == 0
 	})
 }
 
-// underWay is how many learners are about to become voters. One that is silent for half of patience is not.
-func underWay(group Group, patience time.Duration) int {
+// countAdvancingLearners returns how many learners are about to become voters. A learner that has been silent for
+// half of patience or longer is not counted.
+func countAdvancingLearners(group Group, patience time.Duration) int {
 	count := 0
 	for _, learner := range group.Learners {
-		if listed(group.Candidates, learner.ID) && learner.Silence < patience/2 {
+		if containsNode(group.Candidates, learner.ID) && learner.Silence < patience/2 {
 			count++
 		}
 	}
 	return count
 }
 
-// inOrder returns the candidates in the order in which they get places: standbys last.
-func inOrder(candidates []GroupNode) []GroupNode {
+// sortCandidates returns the candidates in the order in which they get places: by ID, standbys last.
+func sortCandidates(candidates []GroupNode) []GroupNode {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b GroupNode) int {
 		if a.Standby != b.Standby {
@@ -113,66 +120,69 @@
 	return ordered
 }
 
-// places is how many voters a candidate may become, or could if it were several: those that are missing, those that it
-// replaces, and the standbys if it is none.
-func places(voters []GroupNode, candidate GroupNode, size int, patience time.Duration) int {
+// countPlaces returns how many voter places candidates of this candidate's kind could take: the missing ones, those
+// of the voters that it replaces, and, if it is not a standby, those of the standbys.
+func countPlaces(voters []GroupNode, candidate GroupNode, size int, patience time.Duration) int {
 	count := max(size-len(voters), 0)
 	for _, voter := range voters {
 		leaves := voter.Leaving && voter.Standby == candidate.Standby
-		if leaves || outlived(voter, candidate) || voter.Silence >= patience || voter.Standby && !candidate.Standby {
+		if leaves || isReplacedBy(voter, candidate) || voter.Silence >= patience || voter.Standby && !candidate.Standby {
 			count++
 		}
 	}
 	return count
 }
 
-// outlived tells whether another node listens where a voter did.
-func outlived(voter, successor GroupNode) bool {
+// isReplacedBy reports whether another node now listens on the voter's address.
+func isReplacedBy(voter, successor GroupNode) bool {
 	sameAddress := voter.Address != "" && voter.Address == successor.Address
-	return voter.ID != successor.ID && sameAddress && !voter.answers() && successor.answers()
+	return voter.ID != successor.ID && sameAddress && !voter.isResponsive() && successor.isResponsive()
 }
 
-// answers tells whether the leader hears the node, or the node has asked it lately.
-func (n GroupNode) answers() bool { return !n.Unheard && n.Silence == 0 }
+// isResponsive reports whether the leader hears the node or the node has recently sent a request to the leader.
+func (n GroupNode) isResponsive() bool { return !n.Unheard && n.Silence == 0 }
 
-// surplusHaste divides the patience with a silent voter once there is one too many: its successor votes already, and where it
-// is back it takes a standby's place. Less patience means fewer lost voters that stay when the next disks are lost.
-const surplusHaste = 2
+// surplusPatienceDivisor divides the patience with a silent voter while there is one voter too many: its successor
+// already votes, and if the silent voter returns it takes a standby's place. Shorter patience leaves fewer lost
+// voters in the group when the next disks are lost.
+const surplusPatienceDivisor = 2
 
-// surplusVoter returns the voter that goes when there is one too many: one at whose address another node listens, the one
-// silent for longest, or, once all others answer, one that leaves or a standby; never the leader for being a standby.
+// selectSurplusVoter returns the voter to remove when there is one too many. In order of preference, this is a voter
+// whose address another node has taken over, the voter that has been silent for longest, or, once all others answer,
+// a leaving voter or a standby. The leader is never removed merely for being a standby.
 //
-// As long as another one is unheard, one that answers stays: a leader that is new, or that looks late, does not know yet who
-// is lost, and the lost one would be left in a group that bears one loss less (1664 of 2000 runs of the model did so).
-func surplusVoter(group Group, patience time.Duration) (GroupNode, bool) {
-	var longest, spare GroupNode
+// While another voter is unheard, no voter that answers is removed: a leader that is new or that observes late does
+// not know yet which voter is lost. The lost voter would remain in a group that tolerates one loss less, which
+// happened in 1664 of 2000 runs of the model.
+func selectSurplusVoter(group Group, patience time.Duration) (GroupNode, bool) {
+	var mostSilent, removable GroupNode
 	for _, voter := range group.Voters {
-		if succeeded(voter, group) {
+		if hasSuccessor(voter, group) {
 			return voter, true
 		}
-		if voter.Silence > longest.Silence {
-			longest = voter
+		if voter.Silence > mostSilent.Silence {
+			mostSilent = voter
 		}
-		if goesBefore(voter, spare) {
-			spare = voter
+		if isRemovedBefore(voter, removable) {
+			removable = voter
 		}
 	}
-	if longest.Silence >= patience/surplusHaste {
-		return longest, true
+	if mostSilent.Silence >= patience/surplusPatienceDivisor {
+		return mostSilent, true
 	}
 	for _, voter := range group.Voters {
-		if voter.ID != spare.ID && !voter.answers() {
+		if voter.ID != removable.ID && !voter.isResponsive() {
 			return GroupNode{}, false
 		}
 	}
-	return spare, spare.ID != 0
+	return removable, removable.ID != 0
 }
 
-// succeeded tells whether another voter or a candidate listens where a voter did.
-func succeeded(voter GroupNode, group Group) bool {
+// hasSuccessor reports whether another voter or a candidate now listens on the voter's address.
+func hasSuccessor(voter GroupNode, group Group) bool {
 	for _, others := range [][]GroupNode{group.Voters, group.Candidates} {
 		for _, other := range others {
-			if outlived(voter, other) {
+			if isReplacedBy(voter, other) {
 				return true
 			}
 		}
@@ -180,8 +190,9 @@
 	return false
 }
 
-// goesBefore tells whether a voter goes rather than another one, which may be none: one that leaves, then a standby.
-func goesBefore(voter, other GroupNode) bool {
+// isRemovedBefore reports whether a voter should be removed rather than the other one, which may be the zero
+// GroupNode: leaving voters first, then standbys.
+func isRemovedBefore(voter, other GroupNode) bool {
 	rank := func(node GroupNode) int {
 		switch {
 		case node.ID == 0:
@@ -199,7 +210,7 @@
 	return rank(voter) > 0 && voter.ID > other.ID
 }
 
-func listed(nodes []GroupNode, id uint64) bool {
+func containsNode(nodes []GroupNode, id uint64) bool {
 	for _, node := range nodes {
 		if node.ID == id {
 			return true
--- a/internal/member/voters_model_judge_test.go
+++ b/internal/member/voters_model_judge_test.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// checkRemoval fails when a voter that answers goes while one whose disk is lost stays. Of a disk that was lost less than an
-// election timeout ago no leader can know: its node was heard lately.
+// checkRemoval records a violation if a voter that answers is removed while a voter whose disk is lost stays. A disk
+// that was lost less than an election timeout ago is exempt: its node was heard recently, so no leader can know of
+// the loss.
 func (w *modelWorld) checkRemoval(node uint64) {
-	if !slices.Contains(w.voters, node) || w.gone[node] || !w.answers(node) {
+	if !slices.Contains(w.voters, node) || w.lostDisks[node] || !w.isNodeUp(node) {
 		return
 	}
 	for _, voter := range w.voters {
-		if w.gone[voter] && w.now-w.goneAt[voter] >= modelElection {
-			w.fail(livingGoes, node)
+		if w.lostDisks[voter] && w.now-w.diskLostAt[voter] >= modelElectionTimeout {
+			w.recordViolation(answeringVoterRemoved, node)
 		}
 	}
 }
 
-// hold lets no time count for a repair in which three voters are gone or away: five with two losses have no majority then,
-// whatever the rules are.
-func (w *modelWorld) hold() {
+// extendLossHolds stops the time for repairs while three or more voters are lost or do not answer: five voters with
+// two losses then have no majority, whatever the rules are.
+func (w *modelWorld) extendLossHolds() {
 	missing := 0
 	for _, voter := range w.voters {
-		if w.gone[voter] || !w.answers(voter) {
+		if w.lostDisks[voter] || !w.isNodeUp(voter) {
 			missing++
 		}
 	}
@@ -28,25 +29,25 @@
 		return
 	}
 	for _, machine := range w.machines {
-		if w.now < machine.held {
-			machine.held += modelStep
+		if w.now < machine.lostUntil {
+			machine.lostUntil += modelStep
 		}
 	}
 }
 
-// judge checks that the group keeps a majority of disks, and notes when it is whole again.
-func (w *modelWorld) judge() {
+// checkGroup checks that the group keeps a majority of disks, and records when it is fully repaired.
+func (w *modelWorld) checkGroup() {
 	disks, whole := 0, len(w.voters) == modelVoters
 	for _, voter := range w.voters {
-		if !w.gone[voter] {
+		if !w.lostDisks[voter] {
 			disks++
 		}
-		whole = whole && w.answers(voter)
+		whole = whole && w.isNodeUp(voter)
 	}
 	if disks <= len(w.voters)/2 {
-		w.fail(noMajority, 0)
+		w.recordViolation(majorityLost, 0)
 	}
-	if whole && w.wholeAt == 0 && w.now > w.calmSince {
-		w.wholeAt = w.now
+	if whole && w.repairedAt == 0 && w.now > w.faultsEndAt {
+		w.repairedAt = w.now
 	}
 }
--- a/internal/member/voters_model_silence_test.go
+++ b/internal/member/voters_model_silence_test.go
@@ -2,72 +2,74 @@
 
 import "time"
 
-// Settings of the nodes' account of each other, which they tell each other.
+// Settings of the nodes' reports to each other about whom they hear.
 const (
-	modelKeepAlive = 250 * time.Millisecond
-	modelHeardFor  = 2 * modelKeepAlive // after which a node that was heard counts as silent
+	modelKeepAlive   = 250 * time.Millisecond
+	modelSilentAfter = 2 * modelKeepAlive // a node that was heard longer ago counts as silent
 )
 
-// modelAccount is a machine's account of whom it hears, whoever leads: it begins with its process.
-type modelAccount struct {
-	heardAt map[uint64]time.Duration
-	hearing *Hearing
-	looksAt time.Duration
-	tellsAt time.Duration
-	told    map[uint64]time.Duration // as told last; 0: heard
+// modelObserver tracks which nodes a machine hears, independent of the leader. It starts empty with the machine's
+// process.
+type modelObserver struct {
+	heardAt      map[uint64]time.Duration
+	hearing      *Hearing
+	nextLoopAt   time.Duration
+	nextReportAt time.Duration
+	reported     map[uint64]time.Duration // silences in the machine's latest report; 0: heard
 }
 
-// countSilences has the machines hear each other's signs of life, look, and tell.
-func (w *modelWorld) countSilences() {
+// updateObservations makes the machines receive each other's keep-alives, observe, and report.
+func (w *modelWorld) updateObservations() {
 	for _, machine := range w.machines {
-		if !w.up(machine) {
-			machine.account = nil
+		if !w.isUp(machine) {
+			machine.observer = nil
 			continue
 		}
-		if machine.account == nil {
-			machine.account = &modelAccount{heardAt: map[uint64]time.Duration{}, hearing: NewHearing(machine.id, w.now, modelGap), looksAt: w.now,
-				tellsAt: w.now + w.between(0, modelKeepAlive)}
+		if machine.observer == nil {
+			machine.observer = &modelObserver{heardAt: map[uint64]time.Duration{}, hearing: NewHearing(machine.id, w.now, modelGap), nextLoopAt: w.now,
+				nextReportAt: w.now + w.drawBetween(0, modelKeepAlive)}
 		}
-		w.count(machine)
+		w.observe(machine)
 	}
 }
 
-func (w *modelWorld) count(machine *modelMachine) {
-	account := machine.account
+func (w *modelWorld) observe(machine *modelMachine) {
+	observer := machine.observer
 	for _, other := range w.machines {
-		if other.account != nil && other.account.tellsAt <= w.now {
-			account.heardAt[other.id] = w.now
+		if other.observer != nil && other.observer.nextReportAt <= w.now {
+			observer.heardAt[other.id] = w.now
 		}
 	}
-	if w.now >= account.looksAt {
-		account.looksAt = w.now + modelLook + w.lateness()
+	if w.now >= observer.nextLoopAt {
+		observer.nextLoopAt = w.now + modelLoopInterval + w.drawLateness()
 		var sightings []Sighting
 		for _, voter := range w.voters {
-			heardAt, heard := account.heardAt[voter]
-			sightings = append(sightings, Sighting{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelHeardFor})
+			heardAt, heard := observer.heardAt[voter]
+			sightings = append(sightings, Sighting{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelSilentAfter})
 		}
-		account.hearing.Look(w.now, sightings)
+		observer.hearing.Look(w.now, sightings)
 	}
-	if w.now >= account.tellsAt {
-		account.tellsAt = w.now + modelKeepAlive
-		account.told = map[uint64]time.Duration{}
+	if w.now >= observer.nextReportAt {
+		observer.nextReportAt = w.now + modelKeepAlive
+		observer.reported = map[uint64]time.Duration{}
 		for _, voter := range w.voters {
-			account.told[voter] = account.hearing.Silence(voter)
+			observer.reported[voter] = observer.hearing.Silence(voter)
 		}
 	}
 }
 
-// told is what the machines that the leader has heard have told of a node, the leader among them.
-func (w *modelWorld) told(node uint64) time.Duration {
+// longestReportedSilence returns the longest silence of a node in the latest reports of the leader and of the
+// machines that the leader has heard. It is 0 if one of them hears the node.
+func (w *modelWorld) longestReportedSilence(node uint64) time.Duration {
 	longest := time.Duration(0)
 	for _, machine := range w.machines {
 		_, heard := w.heardAt[machine.id]
-		if machine.account == nil || !heard && machine != w.leader || machine.id == node {
+		if machine.observer == nil || !heard && machine != w.leader || machine.id == node {
 			continue
 		}
-		silence, tells := machine.account.told[node]
+		silence, reports := machine.observer.reported[node]
 		switch {
-		case !tells:
+		case !reports:
 		case silence == 0:
 			return 0
 		default:
--- a/internal/member/voters_model_test.go
+++ b/internal/member/voters_model_test.go
@@ -7,85 +7,88 @@
 	"time"
 )
 
-// Times of the model. A machine counts as lost until lossHold after its successor's start; then the next may be lost.
+// Parameters of the model. A machine counts as lost until modelLossHold after its successor's start. At most
+// modelLosses machines count as lost at the same time.
 const (
-	modelStep     = 20 * time.Millisecond
-	modelLook     = 200 * time.Millisecond
-	modelGap      = modelMaximumGap
-	modelPatience = 2 * time.Second
-	modelAsk      = 300 * time.Millisecond
-	modelElection = 500 * time.Millisecond // after which a silent node is no longer active
-	lossHold      = 6 * time.Second
-	modelLength   = 60 * time.Second
-	modelCalm     = 30 * time.Second // without faults at the end
-	modelVoters   = 5
-	modelCores    = 4
-	modelMachines = 8
-	modelLosses   = 2
+	modelStep            = 20 * time.Millisecond
+	modelLoopInterval    = 200 * time.Millisecond
+	modelGap             = modelMaximumGap
+	modelPatience        = 2 * time.Second
+	modelJoinInterval    = 300 * time.Millisecond
+	modelElectionTimeout = 500 * time.Millisecond // a node that was last heard longer ago is no longer active
+	modelLossHold        = 6 * time.Second
+	modelFaultTime       = 60 * time.Second
+	modelFaultFreeTime   = 30 * time.Second // at the end of a run
+	modelVoters          = 5
+	modelCores           = 4 // machines that are control nodes; the others carry standbys
+	modelMachines        = 8
+	modelLosses          = 2
 )
 
-const modelStandbyMark = 1 << 20
+// modelStandbyBit is set in the IDs of standbys.
+const modelStandbyBit = 1 << 20
 
-// breach is what a run may do wrong.
-type breach string
+// violation is a property that a run of the model failed to keep.
+type violation string
 
 const (
-	noMajority breach = "no majority of disks"
-	livingGoes breach = "a voter that answers goes and a lost one stays"
-	notWhole   breach = "not whole in calm"
+	majorityLost          violation = "no majority of disks"
+	answeringVoterRemoved violation = "a voter that answers is removed while a lost one stays"
+	notRepaired           violation = "not repaired in the fault-free time"
 )
 
 // modelMachine is a machine and the process on it.
 type modelMachine struct {
-	id      uint64
-	address string
-	core    bool
-	upAt    time.Duration // since or from when the process answers
-	awayAt  time.Duration // until when it is away after that, with its disk
-	held    time.Duration // until when it counts as lost
-	asksAt  time.Duration
-	account *modelAccount // of whom it hears; nil while it is away
+	id            uint64
+	address       string
+	core          bool          // it is a control node; the other machines carry standbys
+	startsAt      time.Duration // when the process starts or started to answer
+	awayUntil     time.Duration // until when the process does not answer after that; its disk is kept
+	lostUntil     time.Duration // until when the machine counts as lost
+	nextRequestAt time.Duration
+	observer      *modelObserver // its observations of the other nodes; nil while it does not answer
 }
 
-// modelWorld is a group of which the leader decides with NextGroupChange, on machines that are lost and late.
+// modelWorld simulates a group whose leader decides with NextGroupChange, on machines that are lost and whose loops
+// run late.
 type modelWorld struct {
-	random  *rand.Rand
-	now     time.Duration
-	stretch time.Duration // factor of what changes and answers take
-	late    float64       // share of loops that run late, by up to a second
-	lenient bool          // no further process is away, and no leader gives up, while a machine counts as lost
+	random            *rand.Rand
+	now               time.Duration
+	slowdown          time.Duration // factor on the duration of changes and answers
+	lateShare         float64       // share of loop turns that run late, by up to a second
+	noFaultsWhileLost bool          // while a machine counts as lost, no further process pauses and no leader gives up
 
-	machines []*modelMachine
-	gone     map[uint64]bool // nodes whose disk is lost
-	goneAt   map[uint64]time.Duration
-	lastID   uint64
-	voters   []uint64
-	learners map[uint64]time.Duration // since when
-	asked    map[uint64]GroupNode
-	askedAt  map[uint64]time.Duration
-	heardAt  map[uint64]time.Duration // by the leader
-	address  map[uint64]string
+	machines         []*modelMachine
+	lostDisks        map[uint64]bool // IDs of nodes whose disk is lost
+	diskLostAt       map[uint64]time.Duration
+	lastID           uint64
+	voters           []uint64
+	learners         map[uint64]time.Duration // time of addition by ID
+	candidates       map[uint64]GroupNode
+	candidateAskedAt map[uint64]time.Duration
+	heardAt          map[uint64]time.Duration // when the leader last heard a node
+	address          map[uint64]string        // by node ID
 
-	leader    *modelMachine
-	ledSince  time.Duration
-	electAt   time.Duration
-	looksAt   time.Duration
-	hearing   *Hearing
-	broken    map[breach]string
-	wholeAt   time.Duration // when the group was whole in calm
-	changes   int
-	calmSince time.Duration
+	leader      *modelMachine
+	leaderSince time.Duration
+	electionAt  time.Duration
+	nextLoopAt  time.Duration
+	hearing     *Hearing
+	violated    map[violation]string
+	repairedAt  time.Duration // when the group was repaired after the last fault; 0 if it was not
+	changes     int
+	faultsEndAt time.Duration
 }
 
 func newModelWorld(seed int64) *modelWorld {
 	random := rand.New(rand.NewSource(seed))
-	w := &modelWorld{random: random, stretch: time.Duration(1 + random.Intn(10)), late: float64(random.Intn(4)) / 4,
-		gone: map[uint64]bool{}, goneAt: map[uint64]time.Duration{}, learners: map[uint64]time.Duration{}, asked: map[uint64]GroupNode{}, askedAt: map[uint64]time.Duration{},
-		heardAt: map[uint64]time.Duration{}, address: map[uint64]string{}, broken: map[breach]string{}, calmSince: modelLength}
+	w := &modelWorld{random: random, slowdown: time.Duration(1 + random.Intn(10)), lateShare: float64(random.Intn(4)) / 4,
+		lostDisks: map[uint64]bool{}, diskLostAt: map[uint64]time.Duration{}, learners: map[uint64]time.Duration{}, candidates: map[uint64]GroupNode{}, candidateAskedAt: map[uint64]time.Duration{},
+		heardAt: map[uint64]time.Duration{}, address: map[uint64]string{}, violated: map[violation]string{}, faultsEndAt: modelFaultTime}
 	for position := range modelMachines {
 		machine := &modelMachine{core: position < modelCores}
 		w.machines = append(w.machines, machine)
-		w.identify(machine, fmt.Sprint("machine-", position))
+		w.assignID(machine, fmt.Sprint("machine-", position))
 		if len(w.voters) < modelVoters {
 			w.voters = append(w.voters, machine.id)
 		}
@@ -93,21 +96,21 @@
 	return w
 }
 
-// identify gives a machine with an empty disk a new identity.
-func (w *modelWorld) identify(machine *modelMachine, address string) {
+// assignID gives a machine with an empty disk a new node ID.
+func (w *modelWorld) assignID(machine *modelMachine, address string) {
 	w.lastID++
 	machine.id, machine.address = w.lastID, address
 	if !machine.core {
-		machine.id |= modelStandbyMark
+		machine.id |= modelStandbyBit
 	}
 	w.address[machine.id] = address
 }
 
-func (w *modelWorld) up(machine *modelMachine) bool {
-	return w.now >= machine.upAt && w.now >= machine.awayAt
+func (w *modelWorld) isUp(machine *modelMachine) bool {
+	return w.now >= machine.startsAt && w.now >= machine.awayUntil
 }
 
-func (w *modelWorld) machineOf(id uint64) *modelMachine {
+func (w *modelWorld) findMachine(id uint64) *modelMachine {
 	for _, machine := range w.machines {
 		if machine.id == id {
 			return machine
@@ -116,45 +119,45 @@
 	return nil
 }
 
-func (w *modelWorld) answers(id uint64) bool {
-	machine := w.machineOf(id)
-	return machine != nil && w.up(machine)
+func (w *modelWorld) isNodeUp(id uint64) bool {
+	machine := w.findMachine(id)
+	return machine != nil && w.isUp(machine)
 }
 
-// between draws a time.
-func (w *modelWorld) between(least, most time.Duration) time.Duration {
+// drawBetween draws a duration from [least, most).
+func (w *modelWorld) drawBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int63n(int64(most-least)))
 }
 
-// lateness is by how much a loop runs late.
-func (w *modelWorld) lateness() time.Duration {
-	if w.random.Float64() >= w.late {
+// drawLateness draws by how much a loop turn runs late.
+func (w *modelWorld) drawLateness() time.Duration {
+	if w.random.Float64() >= w.lateShare {
 		return 0
 	}
-	return w.between(0, time.Second)
+	return w.drawBetween(0, time.Second)
 }
 
 func (w *modelWorld) run() {
-	for w.now = 0; w.now < w.calmSince+modelCalm && w.broken[noMajority] == ""; w.now += modelStep {
-		if w.now < w.calmSince {
-			w.fault()
+	for w.now = 0; w.now < w.faultsEndAt+modelFaultFreeTime && w.violated[majorityLost] == ""; w.now += modelStep {
+		if w.now < w.faultsEndAt {
+			w.injectFault()
 		}
-		w.elect()
-		w.ask()
-		w.hear()
-		w.look()
-		w.judge()
-		w.hold()
+		w.electLeader()
+		w.sendJoinRequests()
+		w.receiveHeartbeats()
+		w.runLeaderLoop()
+		w.checkGroup()
+		w.extendLossHolds()
 	}
-	if w.broken[noMajority] == "" && w.wholeAt == 0 {
-		w.fail(notWhole, 0)
+	if w.violated[majorityLost] == "" && w.repairedAt == 0 {
+		w.recordViolation(notRepaired, 0)
 	}
 }
 
-// fail notes the first breach of a kind.
-func (w *modelWorld) fail(kind breach, node uint64) {
-	if w.broken[kind] == "" {
-		w.broken[kind] = fmt.Sprintf("%s, node %d: %s", w.now, node&^modelStandbyMark, w.describe())
+// recordViolation records the first violation of each kind.
+func (w *modelWorld) recordViolation(kind violation, node uint64) {
+	if w.violated[kind] == "" {
+		w.violated[kind] = fmt.Sprintf("%s, node %d: %s", w.now, node&^modelStandbyBit, w.describe())
 	}
 }
 
@@ -162,47 +165,48 @@
 	text := ""
 	for _, voter := range w.voters {
 		state := "alive"
-		if w.gone[voter] {
+		if w.lostDisks[voter] {
 			state = "gone"
-		} else if !w.answers(voter) {
+		} else if !w.isNodeUp(voter) {
 			state = "away"
 		}
-		text += fmt.Sprintf("%d (%s) %s, ", voter&^modelStandbyMark, w.address[voter], state)
+		text += fmt.Sprintf("%d (%s) %s, ", voter&^modelStandbyBit, w.address[voter], state)
 	}
-	return text + fmt.Sprintf("stretch %d, late %.2f", w.stretch, w.late)
+	return text + fmt.Sprintf("slowdown %d, late %.2f", w.slowdown, w.lateShare)
 }
 
-// fault loses up to two disks, with or without the power of all others; or a process is away for a while.
-func (w *modelWorld) fault() {
+// injectFault loses up to two disks, with or without a power failure of all other machines, or pauses a process for a
+// while, or makes the leader give up.
+func (w *modelWorld) injectFault() {
 	switch chance := w.random.Float64() * float64(time.Second/modelStep); {
 	case chance < 0.2:
-		w.lose(1 + w.random.Intn(modelLosses))
-	case w.lenient && w.held() > 0:
+		w.loseMachines(1 + w.random.Intn(modelLosses))
+	case w.noFaultsWhileLost && w.countLostMachines() > 0:
 	case chance < 0.4:
 		longest := 4 * time.Second
-		if w.held() > 0 {
-			longest = 1500 * time.Millisecond // as long as without power: it must leave time for a repair
+		if w.countLostMachines() > 0 {
+			longest = 1500 * time.Millisecond // as long as a power failure: it must leave time for a repair
 		}
 		away := w.machines[w.random.Intn(len(w.machines))]
-		away.awayAt = max(away.awayAt, w.now+w.between(300*time.Millisecond, longest))
+		away.awayUntil = max(away.awayUntil, w.now+w.drawBetween(300*time.Millisecond, longest))
 	case chance < 0.5 && w.leader != nil:
-		w.leader = nil // it gives the group away
+		w.leader = nil // the leader gives up leadership
 	}
 }
 
-// held is how many machines count as lost.
-func (w *modelWorld) held() int {
-	held := 0
+// countLostMachines returns how many machines count as lost.
+func (w *modelWorld) countLostMachines() int {
+	lost := 0
 	for _, machine := range w.machines {
-		if w.now < machine.held {
-			held++
+		if w.now < machine.lostUntil {
+			lost++
 		}
 	}
-	return held
+	return lost
 }
 
-func (w *modelWorld) lose(count int) {
-	count = min(count, modelLosses-w.held())
+func (w *modelWorld) loseMachines(count int) {
+	count = min(count, modelLosses-w.countLostMachines())
 	if count <= 0 {
 		return
 	}
@@ -210,104 +214,104 @@
 	lost := w.random.Perm(len(w.machines))[:count]
 	for position, machine := range w.machines {
 		switch {
-		case slices.Contains(lost, position) && w.now >= machine.held:
-			w.replace(machine)
+		case slices.Contains(lost, position) && w.now >= machine.lostUntil:
+			w.replaceMachine(machine)
 		case power:
-			machine.awayAt = max(machine.awayAt, w.now+w.between(200*time.Millisecond, 1500*time.Millisecond))
+			machine.awayUntil = max(machine.awayUntil, w.now+w.drawBetween(200*time.Millisecond, 1500*time.Millisecond))
 		}
 	}
 }
 
-// replace starts an empty machine in the place of one, at its address or at another one.
-func (w *modelWorld) replace(machine *modelMachine) {
-	w.gone[machine.id], w.goneAt[machine.id] = true, w.now
+// replaceMachine starts an empty machine in place of a lost one, at the same address or a new one.
+func (w *modelWorld) replaceMachine(machine *modelMachine) {
+	w.lostDisks[machine.id], w.diskLostAt[machine.id] = true, w.now
 	address := machine.address
 	if machine.core && w.random.Intn(2) == 0 {
 		address = fmt.Sprint("machine-new-", w.lastID)
 	}
-	w.identify(machine, address)
-	machine.upAt = w.now + w.between(200*time.Millisecond, 2*time.Second)
-	machine.held = machine.upAt + lossHold
+	w.assignID(machine, address)
+	machine.startsAt = w.now + w.drawBetween(200*time.Millisecond, 2*time.Second)
+	machine.lostUntil = machine.startsAt + modelLossHold
 }
 
-// elect finds a leader while a majority answers, and unseats one that has none.
-func (w *modelWorld) elect() {
-	var able []*modelMachine
+// electLeader elects a leader while a majority of voters answers, and removes a leader that has no majority.
+func (w *modelWorld) electLeader() {
+	var electable []*modelMachine
 	for _, voter := range w.voters {
-		if machine := w.machineOf(voter); machine != nil && w.up(machine) {
-			able = append(able, machine)
+		if machine := w.findMachine(voter); machine != nil && w.isUp(machine) {
+			electable = append(electable, machine)
 		}
 	}
-	majority := len(able) > len(w.voters)/2
-	if w.leader != nil && (!w.up(w.leader) || !majority || !slices.Contains(w.voters, w.leader.id)) {
+	majority := len(electable) > len(w.voters)/2
+	if w.leader != nil && (!w.isUp(w.leader) || !majority || !slices.Contains(w.voters, w.leader.id)) {
 		w.leader = nil
 	}
 	switch {
 	case w.leader != nil || !majority:
-		w.electAt = 0
-	case w.electAt == 0:
-		w.electAt = w.now + w.between(200*time.Millisecond, 800*time.Millisecond)
-	case w.now >= w.electAt:
-		slices.SortStableFunc(able, func(a, b *modelMachine) int { return int(a.id&modelStandbyMark) - int(b.id&modelStandbyMark) })
-		cores := slices.IndexFunc(able, func(machine *modelMachine) bool { return !machine.core })
+		w.electionAt = 0
+	case w.electionAt == 0:
+		w.electionAt = w.now + w.drawBetween(200*time.Millisecond, 800*time.Millisecond)
+	case w.now >= w.electionAt:
+		slices.SortStableFunc(electable, func(a, b *modelMachine) int { return int(a.id&modelStandbyBit) - int(b.id&modelStandbyBit) })
+		cores := slices.IndexFunc(electable, func(machine *modelMachine) bool { return !machine.core })
 		if cores <= 0 {
-			cores = len(able)
+			cores = len(electable)
 		}
-		w.leader, w.ledSince, w.hearing = able[w.random.Intn(cores)], w.now, nil
-		w.looksAt = w.now + w.between(0, modelLook) + w.lateness()
+		w.leader, w.leaderSince, w.hearing = electable[w.random.Intn(cores)], w.now, nil
+		w.nextLoopAt = w.now + w.drawBetween(0, modelLoopInterval) + w.drawLateness()
 		clear(w.heardAt)
 	}
 }
 
-// ask has the machines that don't vote ask for a place.
-func (w *modelWorld) ask() {
+// sendJoinRequests makes the machines that do not vote ask to join the group.
+func (w *modelWorld) sendJoinRequests() {
 	for _, machine := range w.machines {
-		if !w.up(machine) || w.now < machine.asksAt {
+		if !w.isUp(machine) || w.now < machine.nextRequestAt {
 			continue
 		}
-		machine.asksAt = w.now + modelAsk + w.lateness()
+		machine.nextRequestAt = w.now + modelJoinInterval + w.drawLateness()
 		if !slices.Contains(w.voters, machine.id) {
-			w.forgetAt(machine.address)
-			w.asked[machine.id] = GroupNode{ID: machine.id, Address: machine.address, Standby: !machine.core}
-			w.askedAt[machine.id] = w.now
+			w.forgetCandidatesAt(machine.address)
+			w.candidates[machine.id] = GroupNode{ID: machine.id, Address: machine.address, Standby: !machine.core}
+			w.candidateAskedAt[machine.id] = w.now
 		}
 	}
 }
 
-// forgetAt forgets who asked from an address: somebody else listens there now.
-func (w *modelWorld) forgetAt(address string) {
-	for id, candidate := range w.asked {
+// forgetCandidatesAt forgets the candidates at an address, because another node listens there now.
+func (w *modelWorld) forgetCandidatesAt(address string) {
+	for id, candidate := range w.candidates {
 		if candidate.Address == address {
-			delete(w.asked, id)
+			delete(w.candidates, id)
 		}
 	}
 }
 
-// hear notes who answers the leader.
-func (w *modelWorld) hear() {
-	w.countSilences()
+// receiveHeartbeats records which machines answer the leader.
+func (w *modelWorld) receiveHeartbeats() {
+	w.updateObservations()
 	if w.leader == nil {
 		return
 	}
 	for _, machine := range w.machines {
-		if w.up(machine) && w.now >= w.ledSince+w.stretch*5*time.Millisecond {
+		if w.isUp(machine) && w.now >= w.leaderSince+w.slowdown*5*time.Millisecond {
 			w.heardAt[machine.id] = w.now
 		}
 	}
 }
 
-// look is a leader's look at its group, as package control has it.
-func (w *modelWorld) look() {
-	if w.leader == nil || w.now < w.looksAt {
+// runLeaderLoop runs the leader's periodic check of its group, as package control does it.
+func (w *modelWorld) runLeaderLoop() {
+	if w.leader == nil || w.now < w.nextLoopAt {
 		return
 	}
-	w.looksAt = w.now + modelLook + w.lateness()
-	took := w.oversee()
-	w.looksAt += took
+	w.nextLoopAt = w.now + modelLoopInterval + w.drawLateness()
+	took := w.applyDueChanges()
+	w.nextLoopAt += took
 }
 
-// group is what the leader knows; behind are learners that it found to lack entries.
-func (w *modelWorld) group(behind map[uint64]bool) Group {
+// buildGroup returns the group as the leader sees it. behind holds the learners that were found to lack entries.
+func (w *modelWorld) buildGroup(behind map[uint64]bool) Group {
 	if w.hearing == nil {
 		w.hearing = NewHearing(w.leader.id, w.now, modelGap)
 	}
@@ -319,15 +323,15 @@
 	for _, id := range members {
 		if id != w.leader.id {
 			heardAt, heard := w.heardAt[id]
-			since := max(w.ledSince, heardAt, w.learners[id])
-			sightings = append(sightings, Sighting{Node: id, Heard: heard, Active: w.now-since < modelElection, Told: w.told(id)})
+			since := max(w.leaderSince, heardAt, w.learners[id])
+			sightings = append(sightings, Sighting{Node: id, Heard: heard, Active: w.now-since < modelElectionTimeout, Told: w.longestReportedSilence(id)})
 		}
 	}
 	w.hearing.Look(w.now, sightings)
 	seen := Group{}
 	for _, id := range members {
 		node := GroupNode{ID: id, Address: w.address[id], Silence: w.hearing.Silence(id), Unheard: !w.hearing.Answers(id),
-			Behind: behind[id], Standby: id&modelStandbyMark != 0, Leads: id == w.leader.id}
+			Behind: behind[id], Standby: id&modelStandbyBit != 0, Leads: id == w.leader.id}
 		if slices.Contains(w.voters, id) {
 			seen.Voters = append(seen.Voters, node)
 		} else {
@@ -335,8 +339,8 @@
 		}
 	}
 	slices.SortFunc(seen.Learners, func(a, b GroupNode) int { return int(a.ID) - int(b.ID) })
-	for id, candidate := range w.asked {
-		if w.now-w.askedAt[id] <= modelCandidateLife && w.askedAt[id] >= w.leader.awayAt {
+	for id, candidate := range w.candidates {
+		if w.now-w.candidateAskedAt[id] <= modelCandidateLife && w.candidateAskedAt[id] >= w.leader.awayUntil {
 			seen.Candidates = append(seen.Candidates, candidate)
 		}
 	}
@@ -344,14 +348,14 @@
 	return seen
 }
 
-// apply carries a change out and tells whether raft takes it.
+// apply carries out a change and reports whether raft accepts it.
 func (w *modelWorld) apply(change GroupChange) bool {
 	switch change.Kind {
 	case AddLearner:
 		w.learners[change.Node] = w.now
 	case PromoteLearner:
-		caughtUpAt := max(w.learners[change.Node], w.ledSince) + w.stretch*w.between(30*time.Millisecond, 150*time.Millisecond)
-		if !w.answers(change.Node) || w.now < caughtUpAt {
+		caughtUpAt := max(w.learners[change.Node], w.leaderSince) + w.slowdown*w.drawBetween(30*time.Millisecond, 150*time.Millisecond)
+		if !w.isNodeUp(change.Node) || w.now < caughtUpAt {
 			return false
 		}
 		delete(w.learners, change.Node)
--- a/internal/member/voters_test.go
+++ b/internal/member/voters_test.go
@@ -17,23 +17,23 @@
 		group Group
 		want  GroupChange
 	}{
-		"all answer":            {Group{Voters: []GroupNode{a, b, voter(3, "c", 0)}, Candidates: []GroupNode{elsewhere}}, GroupChange{}},
-		"nobody asks":           {Group{Voters: []GroupNode{a, b, lost}}, GroupChange{}},
-		"silent for a moment":   {Group{Voters: []GroupNode{a, b, silent}, Candidates: []GroupNode{elsewhere}}, GroupChange{}},
-		"silent for long":       {Group{Voters: []GroupNode{a, b, lost}, Candidates: []GroupNode{elsewhere}}, GroupChange{AddLearner, 9}},
-		"same address at once":  {Group{Voters: []GroupNode{a, b, silent}, Candidates: []GroupNode{same}}, GroupChange{AddLearner, 9}},
-		"leaving":               {Group{Voters: []GroupNode{a, b, {ID: 3, Address: "c", Leaving: true}}, Candidates: []GroupNode{elsewhere}}, GroupChange{AddLearner, 9}},
-		"leaving, nobody asks":  {Group{Voters: []GroupNode{a, b, {ID: 3, Address: "c", Leaving: true}}}, GroupChange{}},
-		"left, one too many":    {Group{Voters: []GroupNode{a, b, {ID: 3, Address: "c", Silence: time.Second, Leaving: true}, elsewhere}}, GroupChange{RemoveNode, 3}},
-		"too few voters":        {Group{Voters: []GroupNode{a, b}, Candidates: []GroupNode{elsewhere}}, GroupChange{AddLearner, 9}},
-		"learner":               {Group{Voters: []GroupNode{a, b, lost}, Learners: []GroupNode{elsewhere}, Candidates: []GroupNode{elsewhere}}, GroupChange{PromoteLearner, 9}},
-		"lost one back first":   {Group{Voters: []GroupNode{a, b, voter(3, "c", 0)}, Learners: []GroupNode{elsewhere}, Candidates: []GroupNode{elsewhere}}, GroupChange{}},
-		"learner, too few":      {Group{Voters: []GroupNode{a, b}, Learners: []GroupNode{elsewhere}, Candidates: []GroupNode{elsewhere}}, GroupChange{PromoteLearner, 9}},
-		"learner in its place":  {Group{Voters: []GroupNode{a, b, silent}, Learners: []GroupNode{same}, Candidates: []GroupNode{same}}, GroupChange{PromoteLearner, 9}},
-		"learner lost again":    {Group{Voters: []GroupNode{a, b, lost}, Learners: []GroupNode{voter(8, "c", patience)}, Candidates: []GroupNode{same}}, GroupChange{RemoveNode, 8}},
-		"one voter too many":    {Group{Voters: []GroupNode{a, b, lost, elsewhere}}, GroupChange{RemoveNode, 3}},
-		"old one at an address": {Group{Voters: []GroupNode{a, b, silent, same}}, GroupChange{RemoveNode, 3}},
-		"replaced one is back":  {Group{Voters: []GroupNode{a, b, voter(3, "c", 0), elsewhere}}, GroupChange{}},
+		"all answer":                          {Group{Voters: []GroupNode{a, b, voter(3, "c", 0)}, Candidates: []GroupNode{elsewhere}}, GroupChange{}},
+		"no candidate":                        {Group{Voters: []GroupNode{a, b, lost}}, GroupChange{}},
+		"silent for less than patience":       {Group{Voters: []GroupNode{a, b, silent}, Candidates: []GroupNode{elsewhere}}, GroupChange{}},
+		"silent for patience":                 {Group{Voters: []GroupNode{a, b, lost}, Candidates: []GroupNode{elsewhere}}, GroupChange{AddLearner, 9}},
+		"same address at once":                {Group{Voters: []GroupNode{a, b, silent}, Candidates: []GroupNode{same}}, GroupChange{AddLearner, 9}},
+		"leaving":                             {Group{Voters: []GroupNode{a, b, {ID: 3, Address: "c", Leaving: true}}, Candidates: []GroupNode{elsewhere}}, GroupChange{AddLearner, 9}},
+		"leaving, no candidate":               {Group{Voters: []GroupNode{a, b, {ID: 3, Address: "c", Leaving: true}}}, GroupChange{}},
+		"left, surplus voter":                 {Group{Voters: []GroupNode{a, b, {ID: 3, Address: "c", Silence: time.Second, Leaving: true}, elsewhere}}, GroupChange{RemoveNode, 3}},
+		"too few voters":                      {Group{Voters: []GroupNode{a, b}, Candidates: []GroupNode{elsewhere}}, GroupChange{AddLearner, 9}},
+		"learner":                             {Group{Voters: []GroupNode{a, b, lost}, Learners: []GroupNode{elsewhere}, Candidates: []GroupNode{elsewhere}}, GroupChange{PromoteLearner, 9}},
+		"lost voter returns before promotion": {Group{Voters: []GroupNode{a, b, voter(3, "c", 0)}, Learners: []GroupNode{elsewhere}, Candidates: []GroupNode{elsewhere}}, GroupChange{}},
+		"learner, too few voters":             {Group{Voters: []GroupNode{a, b}, Learners: []GroupNode{elsewhere}, Candidates: []GroupNode{elsewhere}}, GroupChange{PromoteLearner, 9}},
+		"learner in its place":                {Group{Voters: []GroupNode{a, b, silent}, Learners: []GroupNode{same}, Candidates: []GroupNode{same}}, GroupChange{PromoteLearner, 9}},
+		"learner lost again":                  {Group{Voters: []GroupNode{a, b, lost}, Learners: []GroupNode{voter(8, "c", patience)}, Candidates: []GroupNode{same}}, GroupChange{RemoveNode, 8}},
+		"surplus voter is silent":             {Group{Voters: []GroupNode{a, b, lost, elsewhere}}, GroupChange{RemoveNode, 3}},
+		"address taken over":                  {Group{Voters: []GroupNode{a, b, silent, same}}, GroupChange{RemoveNode, 3}},
+		"replaced voter returns":              {Group{Voters: []GroupNode{a, b, voter(3, "c", 0), elsewhere}}, GroupChange{}},
 	} {
 		if got := NextGroupChange(test.group, 3, patience); got != test.want {
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
@@ -41,16 +41,16 @@
 	}
 }
 
-// TestStandbysGivePlacesBack covers groups of five voters, some of them standbys.
-func TestStandbysGivePlacesBack(t *testing.T) {
+// TestStandbysAreReplacedByRegularNodes covers groups of five voters, some of them standbys.
+func TestStandbysAreReplacedByRegularNodes(t *testing.T) {
 	const patience = 2 * time.Second
-	full := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id))} }
+	regular := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id))} }
 	standby := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id)), Standby: true} }
-	with := func(node GroupNode, change func(*GroupNode)) GroupNode { change(&node); return node }
+	modified := func(node GroupNode, change func(*GroupNode)) GroupNode { change(&node); return node }
 	leaving := func(node *GroupNode) { node.Leaving = true }
 	lost := func(node *GroupNode) { node.Silence = patience }
 	leads := func(node *GroupNode) { node.Leads = true }
-	five := []GroupNode{full(1), full(2), full(3), standby(4), standby(5)}
+	five := []GroupNode{regular(1), regular(2), regular(3), standby(4), standby(5)}
 	replaced := func(position int, change func(*GroupNode)) []GroupNode {
 		voters := append([]GroupNode(nil), five...)
 		change(&voters[position])
@@ -60,18 +60,18 @@
 		group Group
 		want  GroupChange
 	}{
-		"standbys fill up":                {Group{Voters: five[:3], Candidates: []GroupNode{standby(5), standby(4)}}, GroupChange{AddLearner, 4}},
-		"others come first":               {Group{Voters: five[:3], Candidates: []GroupNode{standby(4), full(9)}}, GroupChange{AddLearner, 9}},
-		"a standby waits":                 {Group{Voters: five, Candidates: []GroupNode{standby(6)}}, GroupChange{}},
-		"a standby is replaced":           {Group{Voters: five, Candidates: []GroupNode{full(9)}}, GroupChange{AddLearner, 9}},
-		"and promoted":                    {Group{Voters: five, Learners: []GroupNode{full(9)}, Candidates: []GroupNode{full(9)}}, GroupChange{PromoteLearner, 9}},
-		"then a standby goes":             {Group{Voters: append(five[:5:5], full(9))}, GroupChange{RemoveNode, 5}},
-		"but not the leader":              {Group{Voters: append(append(five[:4:4], with(standby(5), leads)), full(9))}, GroupChange{RemoveNode, 4}},
-		"a lost one goes before standbys": {Group{Voters: append(replaced(0, lost), full(9))}, GroupChange{RemoveNode, 1}},
-		"a standby takes a lost place":    {Group{Voters: replaced(0, lost), Candidates: []GroupNode{standby(6)}}, GroupChange{AddLearner, 6}},
-		"not that of one that restarts":   {Group{Voters: replaced(0, leaving), Candidates: []GroupNode{standby(6)}}, GroupChange{}},
-		"a standby that leaves":           {Group{Voters: replaced(4, leaving), Candidates: []GroupNode{standby(6)}}, GroupChange{AddLearner, 6}},
-		"and goes":                        {Group{Voters: append(replaced(4, leaving), standby(6))}, GroupChange{RemoveNode, 5}},
+		"standbys fill free places":                          {Group{Voters: five[:3], Candidates: []GroupNode{standby(5), standby(4)}}, GroupChange{AddLearner, 4}},
+		"regular candidates come first":                      {Group{Voters: five[:3], Candidates: []GroupNode{standby(4), regular(9)}}, GroupChange{AddLearner, 9}},
+		"a standby waits":                                    {Group{Voters: five, Candidates: []GroupNode{standby(6)}}, GroupChange{}},
+		"a standby is replaced":                              {Group{Voters: five, Candidates: []GroupNode{regular(9)}}, GroupChange{AddLearner, 9}},
+		"a standby's replacement is promoted":                {Group{Voters: five, Learners: []GroupNode{regular(9)}, Candidates: []GroupNode{regular(9)}}, GroupChange{PromoteLearner, 9}},
+		"a replaced standby is removed":                      {Group{Voters: append(five[:5:5], regular(9))}, GroupChange{RemoveNode, 5}},
+		"a leading standby is not removed":                   {Group{Voters: append(append(five[:4:4], modified(standby(5), leads)), regular(9))}, GroupChange{RemoveNode, 4}},
+		"a lost voter is removed before standbys":            {Group{Voters: append(replaced(0, lost), regular(9))}, GroupChange{RemoveNode, 1}},
+		"a standby takes a lost voter's place":               {Group{Voters: replaced(0, lost), Candidates: []GroupNode{standby(6)}}, GroupChange{AddLearner, 6}},
+		"a standby does not take a restarting voter's place": {Group{Voters: replaced(0, leaving), Candidates: []GroupNode{standby(6)}}, GroupChange{}},
+		"a leaving standby is replaced by a standby":         {Group{Voters: replaced(4, leaving), Candidates: []GroupNode{standby(6)}}, GroupChange{AddLearner, 6}},
+		"a leaving standby is removed when replaced":         {Group{Voters: append(replaced(4, leaving), standby(6))}, GroupChange{RemoveNode, 5}},
 	} {
 		if got := NextGroupChange(test.group, 5, patience); got != test.want {
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
@@ -79,11 +79,12 @@
 	}
 }
 
-// TestNoLivingVoterGoesBeforeALostOne covers six voters of which five should stay. An empty node takes a standby's place at once
-// where a control node is lost, so that a new leader, or one that looks late, meets six voters before it knows which one is gone.
-func TestNoLivingVoterGoesBeforeALostOne(t *testing.T) {
+// TestAnsweringVoterIsNotRemovedBeforeLostOne covers six voters of which five should stay. When a control node is
+// lost, an empty node immediately takes a standby's place. A leader that is new or observes late then has six voters
+// before it knows which one is lost, and must not remove one that answers.
+func TestAnsweringVoterIsNotRemovedBeforeLostOne(t *testing.T) {
 	const patience = 2 * time.Second
-	full := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id))} }
+	regular := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id))} }
 	unheard := func(node GroupNode, silence time.Duration) GroupNode {
 		node.Unheard, node.Silence = true, silence
 		return node
@@ -96,18 +97,18 @@
 		candidates []GroupNode
 		want       GroupChange
 	}{
-		"all answer":                      {[]GroupNode{full(1), full(2), full(3), full(4), standby, full(9)}, nil, GroupChange{RemoveNode, 5}},
-		"one is unheard":                  {[]GroupNode{full(1), full(2), full(3), unheard(full(4), 0), standby, full(9)}, nil, GroupChange{}},
-		"one is silent, not for long":     {[]GroupNode{full(1), full(2), full(3), unheard(full(4), time.Second-1), standby, full(9)}, nil, GroupChange{}},
-		"one is silent for half of it":    {[]GroupNode{full(1), full(2), full(3), unheard(full(4), time.Second), standby, full(9)}, nil, GroupChange{RemoveNode, 4}},
-		"one is silent for long":          {[]GroupNode{full(1), full(2), full(3), unheard(full(4), patience), standby, full(9)}, nil, GroupChange{RemoveNode, 4}},
-		"the standby is the one unheard":  {[]GroupNode{full(1), full(2), full(3), full(4), unheard(standby, 0), full(9)}, nil, GroupChange{RemoveNode, 5}},
-		"one leaves and one is unheard":   {[]GroupNode{full(1), full(2), full(3), unheard(full(4), time.Second-1), leaving, full(9)}, nil, GroupChange{}},
-		"one leaves":                      {[]GroupNode{full(1), full(2), full(3), full(4), leaving, full(9)}, nil, GroupChange{RemoveNode, 6}},
-		"another one asks at its address": {[]GroupNode{full(1), full(2), full(3), unheard(full(4), 0), standby, full(9)}, []GroupNode{at(10, full(4).Address)}, GroupChange{RemoveNode, 4}},
-		"lost twice at one address": {[]GroupNode{full(1), full(2), full(3), unheard(at(4, "x"), 0), standby, unheard(at(9, "x"), 0)},
+		"all answer":     {[]GroupNode{regular(1), regular(2), regular(3), regular(4), standby, regular(9)}, nil, GroupChange{RemoveNode, 5}},
+		"one is unheard": {[]GroupNode{regular(1), regular(2), regular(3), unheard(regular(4), 0), standby, regular(9)}, nil, GroupChange{}},
+		"one is silent for less than half of patience": {[]GroupNode{regular(1), regular(2), regular(3), unheard(regular(4), time.Second-1), standby, regular(9)}, nil, GroupChange{}},
+		"one is silent for half of patience":           {[]GroupNode{regular(1), regular(2), regular(3), unheard(regular(4), time.Second), standby, regular(9)}, nil, GroupChange{RemoveNode, 4}},
+		"one is silent for patience":                   {[]GroupNode{regular(1), regular(2), regular(3), unheard(regular(4), patience), standby, regular(9)}, nil, GroupChange{RemoveNode, 4}},
+		"the standby is the one unheard":               {[]GroupNode{regular(1), regular(2), regular(3), regular(4), unheard(standby, 0), regular(9)}, nil, GroupChange{RemoveNode, 5}},
+		"one leaves and one is unheard":                {[]GroupNode{regular(1), regular(2), regular(3), unheard(regular(4), time.Second-1), leaving, regular(9)}, nil, GroupChange{}},
+		"one leaves":                                   {[]GroupNode{regular(1), regular(2), regular(3), regular(4), leaving, regular(9)}, nil, GroupChange{RemoveNode, 6}},
+		"a candidate has the unheard voter's address":  {[]GroupNode{regular(1), regular(2), regular(3), unheard(regular(4), 0), standby, regular(9)}, []GroupNode{at(10, regular(4).Address)}, GroupChange{RemoveNode, 4}},
+		"two voters lost at one address": {[]GroupNode{regular(1), regular(2), regular(3), unheard(at(4, "x"), 0), standby, unheard(at(9, "x"), 0)},
 			[]GroupNode{at(10, "x")}, GroupChange{RemoveNode, 4}},
-		"one answers at an address where another one asked": {[]GroupNode{full(1), full(2), full(3), at(4, "x"), unheard(full(7), 0), full(9)},
+		"the voter at a candidate's address answers": {[]GroupNode{regular(1), regular(2), regular(3), at(4, "x"), unheard(regular(7), 0), regular(9)},
 			[]GroupNode{at(10, "x")}, GroupChange{}},
 	} {
 		if got := NextGroupChange(Group{Voters: test.voters, Candidates: test.candidates}, 5, patience); got != test.want {
@@ -116,34 +117,35 @@
 	}
 }
 
-// TestLearnersHoldNobodyUp covers learners that can't become voters: one that is behind or that stopped answering used to be
-// asked for at every look, as long as it counted as a candidate, and others waited for it.
-func TestLearnersHoldNobodyUp(t *testing.T) {
+// TestStalledLearnersDoNotBlockCandidates covers learners that cannot become voters. A learner that is behind or has
+// stopped answering must not be chosen for promotion at every observation for as long as it counts as a candidate,
+// because other candidates would wait for it.
+func TestStalledLearnersDoNotBlockCandidates(t *testing.T) {
 	const patience = 2 * time.Second
-	full := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id))} }
+	regular := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id))} }
 	standby := func(id uint64) GroupNode { return GroupNode{ID: id, Address: string(rune('a' + id)), Standby: true} }
-	with := func(node GroupNode, change func(*GroupNode)) GroupNode { change(&node); return node }
+	modified := func(node GroupNode, change func(*GroupNode)) GroupNode { change(&node); return node }
 	lost := func(node *GroupNode) { node.Silence, node.Unheard = patience, true }
 	silent := func(node *GroupNode) { node.Silence, node.Unheard = time.Second, true }
 	behind := func(node *GroupNode) { node.Behind = true }
 	leaving := func(node *GroupNode) { node.Leaving = true }
-	two := []GroupNode{with(full(1), lost), with(full(2), lost), full(3), full(4), standby(5)}
-	five := []GroupNode{full(1), full(2), full(3), full(4), standby(5)}
+	two := []GroupNode{modified(regular(1), lost), modified(regular(2), lost), regular(3), regular(4), standby(5)}
+	five := []GroupNode{regular(1), regular(2), regular(3), regular(4), standby(5)}
 	for name, test := range map[string]struct {
 		group Group
 		want  GroupChange
 	}{
-		"the first is behind":        {Group{two, []GroupNode{with(full(8), behind), full(9)}, []GroupNode{full(8), full(9)}}, GroupChange{PromoteLearner, 9}},
-		"the first is silent":        {Group{two, []GroupNode{with(full(8), silent), full(9)}, []GroupNode{full(8), full(9)}}, GroupChange{PromoteLearner, 9}},
-		"both lost are followed":     {Group{two, []GroupNode{with(full(8), behind)}, []GroupNode{full(8), full(9)}}, GroupChange{AddLearner, 9}},
-		"a standby for the second":   {Group{two, []GroupNode{with(standby(8), behind)}, []GroupNode{standby(8), standby(9)}}, GroupChange{AddLearner, 9}},
-		"but no third":               {Group{two, []GroupNode{with(standby(8), behind), with(standby(9), behind)}, []GroupNode{standby(7), standby(8), standby(9)}}, GroupChange{}},
-		"all wait for the one":       {Group{five, []GroupNode{with(full(8), behind)}, []GroupNode{full(8), full(9)}}, GroupChange{}},
-		"not for one that is gone":   {Group{five, []GroupNode{with(full(8), silent)}, []GroupNode{full(8), full(9)}}, GroupChange{AddLearner, 9}},
-		"followed while six vote":    {Group{append(two[:5:5], full(8)), nil, []GroupNode{full(9)}}, GroupChange{RemoveNode, 1}},
-		"also before they know":      {Group{append([]GroupNode{with(full(1), func(node *GroupNode) { node.Unheard = true })}, append(five[1:5:5], full(8))...), nil, []GroupNode{full(9)}}, GroupChange{AddLearner, 9}},
-		"a learner is to leave":      {Group{five, []GroupNode{with(standby(8), leaving)}, nil}, GroupChange{RemoveNode, 8}},
-		"a learner leaves its place": {Group{two, []GroupNode{with(standby(8), leaving)}, []GroupNode{standby(9)}}, GroupChange{RemoveNode, 8}},
+		"the first is behind":                               {Group{two, []GroupNode{modified(regular(8), behind), regular(9)}, []GroupNode{regular(8), regular(9)}}, GroupChange{PromoteLearner, 9}},
+		"the first is silent":                               {Group{two, []GroupNode{modified(regular(8), silent), regular(9)}, []GroupNode{regular(8), regular(9)}}, GroupChange{PromoteLearner, 9}},
+		"a second learner for the second loss":              {Group{two, []GroupNode{modified(regular(8), behind)}, []GroupNode{regular(8), regular(9)}}, GroupChange{AddLearner, 9}},
+		"a second standby for the second loss":              {Group{two, []GroupNode{modified(standby(8), behind)}, []GroupNode{standby(8), standby(9)}}, GroupChange{AddLearner, 9}},
+		"no third learner for two losses":                   {Group{two, []GroupNode{modified(standby(8), behind), modified(standby(9), behind)}, []GroupNode{standby(7), standby(8), standby(9)}}, GroupChange{}},
+		"no second learner for one standby":                 {Group{five, []GroupNode{modified(regular(8), behind)}, []GroupNode{regular(8), regular(9)}}, GroupChange{}},
+		"a silent learner does not count":                   {Group{five, []GroupNode{modified(regular(8), silent)}, []GroupNode{regular(8), regular(9)}}, GroupChange{AddLearner, 9}},
+		"a lost voter is removed while six vote":            {Group{append(two[:5:5], regular(8)), nil, []GroupNode{regular(9)}}, GroupChange{RemoveNode, 1}},
+		"a learner joins while the lost voter is not known": {Group{append([]GroupNode{modified(regular(1), func(node *GroupNode) { node.Unheard = true })}, append(five[1:5:5], regular(8))...), nil, []GroupNode{regular(9)}}, GroupChange{AddLearner, 9}},
+		"a leaving learner is removed":                      {Group{five, []GroupNode{modified(standby(8), leaving)}, nil}, GroupChange{RemoveNode, 8}},
+		"a leaving learner goes before others join":         {Group{two, []GroupNode{modified(standby(8), leaving)}, []GroupNode{standby(9)}}, GroupChange{RemoveNode, 8}},
 	} {
 		if got := NextGroupChange(test.group, 5, patience); got != test.want {
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
