--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,6 +1,6 @@
-// Package fence hands out fencing tokens: numbers that rise with every change of a resource's owner. A back
-// end or ledger remembers the highest token it has seen for a resource and refuses orders with a lower one,
-// so that a late order of a deposed owner does nothing.
+// Package fence issues fencing tokens: numbers that increase with every change of a resource's owner. A back end or
+// ledger remembers the highest token that it has seen for a resource and refuses orders with a lower one, so that a
+// delayed order of a deposed owner has no effect.
 //
 // The package is pure. Apply commands in log order from one goroutine.
 package fence
@@ -13,45 +13,45 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of the registry.
+// Limits of the registry.
 const (
-	// MaximumTextBytes bounds a resource, owner and request id, in bytes.
+	// MaximumTextBytes is the maximum length of a resource, owner or request id, in bytes.
 	MaximumTextBytes = 256
-	// MaximumRequests bounds the requests whose tokens are remembered (a count); the oldest are forgotten
-	// first. A resend of a forgotten request gets a new, higher token, which is safe.
+	// MaximumRequests is the maximum number of requests whose tokens are remembered. The oldest are forgotten first.
+	// A resend of a forgotten request gets a new, higher token, which is safe.
 	MaximumRequests = 10_000
-	// MaximumResources bounds the resources (a count).
+	// MaximumResources is the maximum number of resources.
 	MaximumResources = 100_000
 )
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety steps. Only tests set it, to show that their checks detect the resulting faults.
 type Unsafe struct {
-	RepeatToken bool // a new owner gets the token of the owner before
-	FollowAny   bool // an acquisition displaces an owner that it does not name
+	RepeatToken bool // a new owner gets the token of the previous owner
+	FollowAny   bool // an acquisition replaces the owner even if the token that it follows is not the current one
 }
 
-// Registry holds the tokens of all resources. The zero value is not ready; use New.
+// Registry holds the tokens of all resources. The zero value is not usable; use New.
 type Registry struct {
-	unsafe    Unsafe
-	resources map[string]*wire.FenceRecord
-	requests  map[string]*wire.FenceRequest
-	order     []*wire.FenceRequest // oldest first
+	unsafe       Unsafe
+	resources    map[string]*wire.FenceRecord
+	requests     map[string]*wire.FenceRequest
+	requestOrder []*wire.FenceRequest // oldest first
 }
 
 // New returns an empty registry.
 func New() *Registry { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty registry with safety steps switched off.
+// NewUnsafe returns an empty registry with the given safety steps disabled.
 func NewUnsafe(unsafe Unsafe) *Registry {
 	return &Registry{
 		unsafe: unsafe, resources: map[string]*wire.FenceRecord{}, requests: map[string]*wire.FenceRequest{},
 	}
 }
 
-// Acquire makes the command's owner the owner of the resource, with a token above every earlier one. A
-// resend of the request gets the token that it got before, even if the resource has another owner by now:
-// that token is then stale. An acquisition that names the token it follows is refused where the resource has another
-// one. Errors: malformed command, or too many resources; nothing changed.
+// Acquire makes the command's owner the owner of the resource, with a token above every earlier one. A resend of a
+// request gets the same token as before, even if the resource has another owner by now; that token is then stale. An
+// acquisition that names the token that it follows is refused if the resource's current token is another one. An
+// error is returned for a malformed command or too many resources; the registry is then unchanged.
 func (r *Registry) Acquire(command *wire.FenceAcquire) (*wire.FenceResult, error) {
 	for _, text := range []string{command.GetResource(), command.GetOwner(), command.GetRequestId()} {
 		if text == "" || len(text) > MaximumTextBytes {
@@ -64,49 +64,49 @@
 		}
 		return &wire.FenceResult{Token: known.GetToken(), Owner: known.GetOwner()}, nil
 	}
-	held := r.resources[command.GetResource()]
-	if command.GetIfFollows() && held.GetToken() != command.GetFollows() && !r.unsafe.FollowAny {
-		return &wire.FenceResult{Token: held.GetToken(), Owner: held.GetOwner(), Refused: true}, nil
+	record := r.resources[command.GetResource()]
+	if command.GetIfFollows() && record.GetToken() != command.GetFollows() && !r.unsafe.FollowAny {
+		return &wire.FenceResult{Token: record.GetToken(), Owner: record.GetOwner(), Refused: true}, nil
 	}
-	if held == nil {
+	if record == nil {
 		if len(r.resources) >= MaximumResources {
 			return nil, trace.LimitExceeded("more than %d fenced resources", MaximumResources)
 		}
-		held = &wire.FenceRecord{Resource: command.GetResource()}
-		r.resources[command.GetResource()] = held
+		record = &wire.FenceRecord{Resource: command.GetResource()}
+		r.resources[command.GetResource()] = record
 	}
-	if !r.unsafe.RepeatToken || held.GetToken() == 0 {
-		held.Token++
+	if !r.unsafe.RepeatToken || record.GetToken() == 0 {
+		record.Token++
 	}
-	held.Owner = command.GetOwner()
-	r.remember(&wire.FenceRequest{
-		RequestId: command.GetRequestId(), Resource: held.GetResource(), Owner: held.GetOwner(), Token: held.GetToken(),
+	record.Owner = command.GetOwner()
+	r.rememberRequest(&wire.FenceRequest{
+		RequestId: command.GetRequestId(), Resource: record.GetResource(), Owner: record.GetOwner(), Token: record.GetToken(),
 	})
-	return &wire.FenceResult{Token: held.GetToken(), Owner: held.GetOwner()}, nil
+	return &wire.FenceResult{Token: record.GetToken(), Owner: record.GetOwner()}, nil
 }
 
-func (r *Registry) remember(request *wire.FenceRequest) {
+func (r *Registry) rememberRequest(request *wire.FenceRequest) {
 	r.requests[request.GetRequestId()] = request
-	r.order = append(r.order, request)
-	if len(r.order) > MaximumRequests {
-		delete(r.requests, r.order[0].GetRequestId())
-		r.order[0] = nil
-		r.order = r.order[1:]
+	r.requestOrder = append(r.requestOrder, request)
+	if len(r.requestOrder) > MaximumRequests {
+		delete(r.requests, r.requestOrder[0].GetRequestId())
+		r.requestOrder[0] = nil
+		r.requestOrder = r.requestOrder[1:]
 	}
 }
 
-// Current returns the owner and token of a resource; token 0 if it never had an owner.
+// Current returns the owner and token of a resource. The token is 0 if the resource never had an owner.
 func (r *Registry) Current(resource string) *wire.FenceResult {
-	held := r.resources[resource]
-	return &wire.FenceResult{Token: held.GetToken(), Owner: held.GetOwner()}
+	record := r.resources[resource]
+	return &wire.FenceResult{Token: record.GetToken(), Owner: record.GetOwner()}
 }
 
-// Snapshot returns the whole state. Equal registries give equal snapshots. It shares records with the
-// registry: encode it before the next Acquire.
+// Snapshot returns the whole state. Equal registries give equal snapshots. The snapshot shares records with the
+// registry, so it must be encoded before the next Acquire.
 func (r *Registry) Snapshot() *wire.FenceSnapshot {
-	snapshot := &wire.FenceSnapshot{Requests: r.order}
-	for _, held := range r.resources {
-		snapshot.Resources = append(snapshot.Resources, held)
+	snapshot := &wire.FenceSnapshot{Requests: r.requestOrder}
+	for _, record := range r.resources {
+		snapshot.Resources = append(snapshot.Resources, record)
 	}
 	sort.Slice(snapshot.Resources, func(i, j int) bool {
 		return snapshot.Resources[i].GetResource() < snapshot.Resources[j].GetResource()
@@ -114,7 +114,7 @@
 	return snapshot
 }
 
-// Restore replaces the state with a snapshot's. On an error the registry is unchanged.
+// Restore replaces the state with that of a snapshot. If it returns an error, the registry is unchanged.
 func (r *Registry) Restore(snapshot *wire.FenceSnapshot) error {
 	restored := NewUnsafe(r.unsafe)
 	for _, record := range snapshot.GetResources() {
@@ -127,7 +127,7 @@
 		if request.GetRequestId() == "" {
 			return trace.BadParameter("snapshot has a fence request without an id")
 		}
-		restored.remember(request)
+		restored.rememberRequest(request)
 	}
 	*r = *restored
 	return nil
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -22,7 +22,7 @@
 			}
 			if before, resent := answers[command.GetRequestId()]; resent {
 				if result.GetToken() != before {
-					t.Fatalf("resent request got %d after %d", result.GetToken(), before)
+					t.Fatalf("resent request got token %d, want %d as before", result.GetToken(), before)
 				}
 			} else if result.GetToken() <= highest[command.GetResource()] {
 				t.Fatalf("token %d does not rise above %d", result.GetToken(), highest[command.GetResource()])
@@ -44,18 +44,19 @@
 		_, _ = registry.Acquire(&wire.FenceAcquire{Resource: "r", Owner: "o", RequestId: fmt.Sprint(request)})
 	}
 	again, err := registry.Acquire(&wire.FenceAcquire{Resource: "r", Owner: "o", RequestId: "0"})
-	if err != nil || again.GetToken() != MaximumRequests+2 || len(registry.order) > MaximumRequests {
+	if err != nil || again.GetToken() != MaximumRequests+2 || len(registry.requestOrder) > MaximumRequests {
 		t.Fatal(again, err)
 	}
 	for _, bad := range []*wire.FenceAcquire{nil, {Resource: "r", Owner: "o"}, {Resource: "other", Owner: "o", RequestId: "5"}} {
 		if _, err := registry.Acquire(bad); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("malformed command %v was accepted", bad)
 		}
 	}
 }
 
-// TestAcquisitionsFollowTheTokenThatTheyName: one that names another token displaces nobody, and says who is there.
-func TestAcquisitionsFollowTheTokenThatTheyName(t *testing.T) {
+// TestAcquireRefusesStaleFollows guards against an acquisition that replaces an owner of which it does not know. If
+// the token that it follows is not the current one, it changes nothing and returns the current owner and token.
+func TestAcquireRefusesStaleFollows(t *testing.T) {
 	for _, unsafe := range []Unsafe{{}, {FollowAny: true}} {
 		registry := NewUnsafe(unsafe)
 		acquire := func(owner, request string, follows uint64) *wire.FenceResult {
@@ -72,13 +73,13 @@
 		late := acquire("b", "2", 0)
 		found := late.GetRefused() && late.GetToken() == 1 && late.GetOwner() == "a" && registry.Current("r").GetOwner() == "a"
 		if found == unsafe.FollowAny {
-			t.Fatalf("%+v: an acquisition that follows nobody gives %v", unsafe, late)
+			t.Fatalf("%+v: an acquisition that follows token 0 while token 1 is current returned %v", unsafe, late)
 		}
 		if unsafe.FollowAny {
 			continue
 		}
 		if again := acquire("a", "1", 0); again.GetRefused() || again.GetToken() != 1 {
-			t.Fatalf("a resend gives %v", again)
+			t.Fatalf("a resend returned %v, want token 1", again)
 		}
 		if next := acquire("b", "2", 1); next.GetRefused() || next.GetToken() != 2 || next.GetOwner() != "b" {
 			t.Fatalf("%v", next)
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -1,6 +1,6 @@
-// Package incarnation tells the starts of a replica apart. A replica may end and start again under the id that it had; it
-// then holds and knows nothing of before. What is believed of a replica therefore belongs to one of its starts, and is kept
-// under the text form of an Incarnation, never under the id alone. It is pure logic.
+// Package incarnation distinguishes the starts of a replica. A replica may end and start again under the same id, and
+// it then holds and knows nothing from before. State that is recorded about a replica therefore belongs to one of its
+// starts, and is kept under the text form of an Incarnation, never under the id alone. The package is pure.
 package incarnation
 
 import (
@@ -8,31 +8,31 @@
 	"strings"
 )
 
-// MaximumStart is the latest time of a start that is believed, in Unix milliseconds: in the year 2109. A clock that shows
-// more is broken, and its replica would outrank every later start.
+// MaximumStart is the latest accepted start time, in Unix milliseconds: in the year 2109. A clock that shows a later
+// time is broken, and its replica would outrank every later start.
 const MaximumStart = 1 << 42
 
-// separator stands between id and start in the text form. No id holds it: ids name rows of the table.
+// separator separates id and start in the text form. Ids cannot contain it, because they name rows of the table.
 const separator = "@"
 
 // Incarnation is one start of a replica.
 type Incarnation struct {
 	ID    string
-	Start uint64 // Unix milliseconds; 0: not known
+	Start uint64 // Unix milliseconds; 0: unknown
 }
 
-// Relation is what one incarnation is to another one.
+// Relation is the result of comparing two incarnations.
 type Relation uint8
 
-// The relations.
+// Results of Incarnation.Compare.
 const (
-	Unrelated Relation = iota // of another replica
+	Unrelated Relation = iota // incarnations of different replicas
 	Same
-	Newer // a later start of the replica: the other one has ended
-	Older // an earlier start of the replica: it has ended
+	Newer // a later start of the same replica: the other incarnation has ended
+	Older // an earlier start of the same replica: this incarnation has ended
 )
 
-// Compare tells what i is to known. A start that is not known comes before every known one.
+// Compare returns the relation of i to the known incarnation. An unknown start sorts before every known one.
 func (i Incarnation) Compare(known Incarnation) Relation {
 	switch {
 	case i.ID != known.ID:
@@ -45,7 +45,8 @@
 	return Same
 }
 
-// String returns the text form: the id, with the start where that is known. It is unique for every start, and Parse reads it.
+// String returns the text form: the id, followed by the separator and the start if that is known. It is unique for
+// each start, and Parse reads it.
 func (i Incarnation) String() string {
 	if i.Start == 0 {
 		return i.ID
@@ -53,7 +54,7 @@
 	return i.ID + separator + strconv.FormatUint(i.Start, 10)
 }
 
-// Parse reads the text form. Text without a start is an id whose start is not known.
+// Parse reads the text form. Text without a valid start is taken as an id with an unknown start.
 func Parse(text string) Incarnation {
 	position := strings.LastIndex(text, separator)
 	if position < 0 {
@@ -66,5 +67,5 @@
 	return Incarnation{ID: text[:position], Start: start}
 }
 
-// ID returns the id in a text form.
+// ID returns the id contained in a text form.
 func ID(text string) string { return Parse(text).ID }
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Defaults of Settings, sized so that a change is in force within 2 s: Grace + Lease*(1+ClockDrift) = 1.66 s.
+// Defaults of Settings. With them a change is in force within 2 s: Grace + Lease*(1+ClockDrift) = 1.66 s.
 const (
 	DefaultLease         = 1200 * time.Millisecond
 	DefaultRenewInterval = 300 * time.Millisecond
@@ -15,23 +15,24 @@
 	DefaultClockDrift    = 0.05
 )
 
-// Settings are the times of the leases. All processes of a cluster must use the same.
+// Settings are the durations of the lease protocol. All processes of a cluster must use the same settings.
 type Settings struct {
-	// Lease is how long a holder may act after it sent a renewal. Default DefaultLease; 6 s suits the
-	// full size, where a change may take 10 s. Longer survives longer outages of the control group,
-	// shorter brings a change into force sooner past a holder that cannot be reached.
+	// Lease is how long a holder may act after it sent a renewal. Default DefaultLease; 6 s suits a full-size
+	// cluster, where a change may take 10 s. A longer lease survives longer outages of the control group. A shorter
+	// one brings a change into force sooner when a holder is unreachable.
 	Lease time.Duration
-	// RenewInterval is how often a holder renews. Default DefaultRenewInterval. Several must fit into one
-	// Lease, so that one lost renewal or a change of leader does not stop the holder.
+	// RenewInterval is the interval between a holder's renewals. Default DefaultRenewInterval. Several renewals must
+	// fit into one Lease, so that one lost renewal or a change of leader does not stop the holder.
 	RenewInterval time.Duration
-	// Grace is how long after a change a holder that still acts on the version before is renewed. Default
-	// DefaultGrace. It must cover a round trip; it adds to the time until a change is in force.
+	// Grace is how long after a change the leader still renews the lease of a holder that acts on the version before
+	// the change. Default DefaultGrace. It must cover a round trip, and it adds to the time until a change is in
+	// force.
 	Grace time.Duration
-	// ClockDrift is the largest relative difference in speed of two clocks. Default DefaultClockDrift.
+	// ClockDrift is the largest relative difference in speed between two clocks. Default DefaultClockDrift.
 	ClockDrift float64
 }
 
-// WithDefaults fills unset fields.
+// WithDefaults returns the settings with defaults in place of zero fields.
 func (s Settings) WithDefaults() Settings {
 	if s.Lease == 0 {
 		s.Lease = DefaultLease
@@ -48,7 +49,7 @@
 	return s
 }
 
-// Validate reports settings that cannot work.
+// Validate returns an error for settings with which leases cannot work.
 func (s Settings) Validate() error {
 	switch {
 	case s.Lease <= 0 || s.RenewInterval <= 0 || s.Grace <= 0:
@@ -61,25 +62,25 @@
 	return nil
 }
 
-// Bound is the longest time from a change's commit until it is in force, while the leader stays.
-func (s Settings) Bound() time.Duration { return s.Grace + s.counted() }
+// Bound returns the longest time from a change's commit until it is in force, provided that the leader stays.
+func (s Settings) Bound() time.Duration { return s.Grace + s.granterLease() }
 
-// counted is the lease as the leader counts it.
-func (s Settings) counted() time.Duration {
+// granterLease returns the length of a lease as the leader counts it, including the margin for clock drift.
+func (s Settings) granterLease() time.Duration {
 	return s.Lease + time.Duration(float64(s.Lease)*s.ClockDrift)
 }
 
-// HolderID names one run of a process.
+// HolderID identifies one run of a holder's process.
 type HolderID struct {
 	Name        string
 	Incarnation uint64
 }
 
-// HolderInfo is what the leader knows of a holder whose lease has not ended.
+// HolderInfo describes a holder whose lease has not ended, as the leader knows it.
 type HolderInfo struct {
 	ID        HolderID
 	Version   uint64        // the holder acts on no version below this
-	Remaining time.Duration // of the lease, as the leader counts it
+	Remaining time.Duration // remaining time of the lease as the leader counts it
 }
 
 type grant struct {
@@ -92,94 +93,94 @@
 	version uint64
 }
 
-// Granter is the leader's side. A node makes a new one each time it becomes leader, and drops it when it
-// no longer is.
+// Granter is the leader's side of the leases. A node creates a new Granter each time it becomes leader, and drops it
+// when it is no longer the leader.
 type Granter struct {
-	unsafe   Unsafe
-	settings Settings
-	waitEnds time.Duration // leases of the predecessor have ended
-	current  uint64        // newest committed table version
-	required uint64        // no renewal for holders below it
-	recent   []commit      // commits within the grace, oldest first
-	holders  map[HolderID]grant
-}
-
-// NewGranter returns the Granter of a node that has just become leader and has applied every entry up to
-// the first one of its own term; tableVersion is the table's version then. Whatever the predecessor called
-// in force is not above it, so a holder below it gets no lease.
+	unsafe               Unsafe
+	settings             Settings
+	predecessorLeasesEnd time.Duration // when all leases granted by the previous leader have ended
+	newestVersion        uint64        // newest committed table version
+	minimumVersion       uint64        // holders that act on an older version are not renewed
+	recentCommits        []commit      // commits less than Grace ago, oldest first
+	holders              map[HolderID]grant
+}
+
+// NewGranter returns the Granter of a node that has just become leader and has applied every entry up to the first
+// one of its own term. tableVersion is the table's version at that point. The previous leader cannot have declared a
+// higher version in force, so holders below tableVersion get no lease.
 func NewGranter(now time.Duration, settings Settings, tableVersion uint64) *Granter {
 	return NewGranterUnsafe(now, settings, tableVersion, Unsafe{})
 }
 
-// NewGranterUnsafe returns a Granter with safety steps switched off.
+// NewGranterUnsafe returns a Granter with the given safety steps disabled.
 func NewGranterUnsafe(now time.Duration, settings Settings, tableVersion uint64, unsafe Unsafe) *Granter {
 	settings = settings.WithDefaults()
 	return &Granter{
-		unsafe: unsafe, settings: settings, waitEnds: now + settings.counted(),
-		current: tableVersion, required: tableVersion, holders: map[HolderID]grant{},
+		unsafe: unsafe, settings: settings, predecessorLeasesEnd: now + settings.granterLease(),
+		newestVersion: tableVersion, minimumVersion: tableVersion, holders: map[HolderID]grant{},
 	}
 }
 
-// Committed notes that the table's version was committed at now. Call it for every accepted change.
+// Committed records that a table version was committed at now. Call it for every accepted change.
 func (g *Granter) Committed(now time.Duration, version uint64) {
-	if version <= g.current {
+	if version <= g.newestVersion {
 		return
 	}
-	g.current = version
-	g.recent = append(g.recent, commit{at: now, version: version})
-	g.advance(now)
+	g.newestVersion = version
+	g.recentCommits = append(g.recentCommits, commit{at: now, version: version})
+	g.raiseMinimum(now)
 }
 
-// advance raises the version that a renewal needs to the newest one committed a grace ago.
-func (g *Granter) advance(now time.Duration) {
-	for len(g.recent) > 0 && now-g.recent[0].at >= g.settings.Grace {
-		g.required = max(g.required, g.recent[0].version)
-		g.recent = g.recent[1:]
+// raiseMinimum raises the version required for a renewal to the newest version committed at least Grace ago.
+func (g *Granter) raiseMinimum(now time.Duration) {
+	for len(g.recentCommits) > 0 && now-g.recentCommits[0].at >= g.settings.Grace {
+		g.minimumVersion = max(g.minimumVersion, g.recentCommits[0].version)
+		g.recentCommits = g.recentCommits[1:]
 	}
 }
 
-// Renew judges a renewal that arrived at now from a holder that acts on no version below acted. It reports
-// whether the lease is granted. Send the grant only after a read round of the quorum that began after the
-// renewal arrived. A holder that is refused gets the table update in the reply and renews again at once.
-func (g *Granter) Renew(holder HolderID, now time.Duration, acted uint64) bool {
-	g.advance(now)
-	held, known := g.holders[holder]
-	if known && now < held.expires {
-		// The acknowledgement holds whether or not the lease is renewed.
-		acted = max(acted, held.version)
-		g.holders[holder] = grant{version: acted, expires: held.expires}
+// Renew handles a renewal that arrived at now from a holder that acts on no version below acted, and reports whether
+// the lease is granted. The caller must send the grant only after a quorum read round that began after the renewal
+// arrived. A holder whose renewal is refused gets the table update in the reply and renews again immediately.
+func (g *Granter) Renew(holder HolderID, now time.Duration, actedVersion uint64) bool {
+	g.raiseMinimum(now)
+	existing, known := g.holders[holder]
+	if known && now < existing.expires {
+		// The acknowledged version counts whether or not the lease is renewed.
+		actedVersion = max(actedVersion, existing.version)
+		g.holders[holder] = grant{version: actedVersion, expires: existing.expires}
 	}
-	if acted < g.required && !g.unsafe.GrantAnyVersion {
+	if actedVersion < g.minimumVersion && !g.unsafe.GrantAnyVersion {
 		return false
 	}
-	g.holders[holder] = grant{version: acted, expires: max(held.expires, now+g.settings.counted())}
+	g.holders[holder] = grant{version: actedVersion, expires: max(existing.expires, now+g.settings.granterLease())}
 	return true
 }
 
-// Leave forgets a holder that promised to act no more.
+// Leave removes a holder that has promised not to act any more.
 func (g *Granter) Leave(holder HolderID) { delete(g.holders, holder) }
 
-// InForce returns the highest version such that no process acts on an older one. It is 0 until the leases
-// that the predecessor may have granted have ended. It never falls while this Granter is in use.
+// InForce returns the highest version for which no process acts on an older one. It is 0 until the leases that the
+// previous leader may have granted have ended. It never decreases during the life of this Granter.
 func (g *Granter) InForce(now time.Duration) uint64 {
-	g.advance(now)
-	if now < g.waitEnds && !g.unsafe.SkipNewLeaderWait {
+	g.raiseMinimum(now)
+	if now < g.predecessorLeasesEnd && !g.unsafe.SkipNewLeaderWait {
 		return 0
 	}
-	version := g.current
-	for id, held := range g.holders {
-		if now >= held.expires {
+	version := g.newestVersion
+	for id, existing := range g.holders {
+		if now >= existing.expires {
 			delete(g.holders, id)
 			continue
 		}
-		version = min(version, held.version)
+		version = min(version, existing.version)
 	}
-	// A holder that is not known now needs a lease first, and gets none below this version.
-	g.required = max(g.required, version)
+	// A holder without a lease must get one before it acts, and no lease is granted below this version.
+	g.minimumVersion = max(g.minimumVersion, version)
 	return version
 }
 
-// Late returns the holders, by name, that may still act on a version below the given one.
+// Late returns the holders that may still act on a version below the given one, sorted by name.
 func (g *Granter) Late(now time.Duration, version uint64) []HolderInfo {
 	var late []HolderInfo
 	for _, holder := range g.Holders(now) {
@@ -190,12 +191,12 @@
 	return late
 }
 
-// Holders returns the holders whose leases have not ended, by name.
+// Holders returns the holders whose leases have not ended, sorted by name.
 func (g *Granter) Holders(now time.Duration) []HolderInfo {
 	var infos []HolderInfo
-	for id, held := range g.holders {
-		if now < held.expires {
-			infos = append(infos, HolderInfo{ID: id, Version: held.version, Remaining: held.expires - now})
+	for id, existing := range g.holders {
+		if now < existing.expires {
+			infos = append(infos, HolderInfo{ID: id, Version: existing.version, Remaining: existing.expires - now})
 		}
 	}
 	sort.Slice(infos, func(i, j int) bool {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// clock runs at its own speed and from its own start.
+// clock is a simulated clock with its own speed and start.
 type clock struct {
 	rate   float64
 	offset time.Duration
@@ -17,10 +17,11 @@
 	return c.offset + time.Duration(float64(real)*c.rate)
 }
 
-// renewal and its reply travel with a delay that the network draws; both may be delivered late or never.
+// renewal is a request to renew a lease. Renewals and replies are delivered after a random delay, out of order, or
+// never.
 type renewal struct {
 	holder int
-	sentAt time.Duration // holder's clock
+	sentAt time.Duration // on the holder's clock
 	acted  uint64
 }
 
@@ -30,11 +31,11 @@
 	granted bool
 }
 
-// world is one control leader after another and some holders, all with their own clocks.
+// world simulates successive control leaders and several holders, each with its own clock.
 type world struct {
 	real     time.Duration
 	version  uint64
-	inForce  uint64 // highest version that any leader called in force
+	inForce  uint64 // highest version that any leader has declared in force
 	leader   clock
 	granter  *Granter
 	unsafe   Unsafe
@@ -46,7 +47,7 @@
 
 func newWorld(t *rapid.T, unsafe Unsafe) *world {
 	w := &world{version: 1, unsafe: unsafe}
-	w.elect(t)
+	w.electLeader(t)
 	for range 3 {
 		w.holders = append(w.holders, NewHolderUnsafe(unsafe))
 		w.clocks = append(w.clocks, drawClock(t))
@@ -61,12 +62,12 @@
 	}
 }
 
-func (w *world) elect(t *rapid.T) {
+func (w *world) electLeader(t *rapid.T) {
 	w.leader = drawClock(t)
 	w.granter = NewGranterUnsafe(w.leader.at(w.real), Settings{}, w.version, w.unsafe)
 }
 
-// step does one random thing and returns whether some holder admits work below the version in force.
+// step performs one random action and reports whether some holder admits work below the version in force.
 func (w *world) step(t *rapid.T) bool {
 	holder := rapid.IntRange(0, len(w.holders)-1).Draw(t, "holder")
 	now := w.leader.at(w.real)
@@ -79,12 +80,12 @@
 	case 3:
 		w.renewals = append(w.renewals, renewal{holder, w.clocks[holder].at(w.real), w.holders[holder].Version()})
 	case 4:
-		w.deliverRenewal(t, now)
+		w.deliverRandomRenewal(t, now)
 	case 5:
-		w.deliverReply(t)
+		w.deliverRandomReply(t)
 	case 6:
 		if rapid.IntRange(0, 4).Draw(t, "elect") == 0 {
-			w.elect(t)
+			w.electLeader(t)
 		}
 	default:
 		w.inForce = max(w.inForce, w.granter.InForce(now))
@@ -97,7 +98,7 @@
 	return false
 }
 
-func (w *world) deliverRenewal(t *rapid.T, now time.Duration) {
+func (w *world) deliverRandomRenewal(t *rapid.T, now time.Duration) {
 	if len(w.renewals) == 0 {
 		return
 	}
@@ -108,7 +109,7 @@
 	w.replies = append(w.replies, reply{request, w.version, granted})
 }
 
-func (w *world) deliverReply(t *rapid.T) {
+func (w *world) deliverRandomReply(t *rapid.T) {
 	if len(w.replies) == 0 {
 		return
 	}
@@ -153,12 +154,13 @@
 					return
 				}
 			}
-			t.Fatal("no violation in 5000 runs")
+			t.Fatal("no violation in 5000 runs without this safety step, want at least one")
 		})
 	}
 }
 
-// TestChangeComesIntoForceWithinTheBound has one holder that never acknowledges and one that does.
+// TestChangeComesIntoForceWithinTheBound covers one holder that never acknowledges a change and one that does. The
+// first must not delay the change beyond Settings.Bound.
 func TestChangeComesIntoForceWithinTheBound(t *testing.T) {
 	settings := Settings{}.WithDefaults()
 	granter := NewGranter(0, settings, 1)
@@ -181,7 +183,7 @@
 			break
 		}
 		if late := granter.Late(now, 2); len(late) == 0 || late[len(late)-1].ID != stuck {
-			t.Fatalf("late holders: %v", late)
+			t.Fatalf("late holders: %v, want the stuck one last", late)
 		}
 	}
 	if granter.Renew(stuck, start+5*time.Second, 1) {
@@ -189,13 +191,13 @@
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	if err := (Settings{}).WithDefaults().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []Settings{{}, {Lease: time.Second, RenewInterval: time.Second, Grace: 1}, {Lease: 9, RenewInterval: 3, Grace: 1, ClockDrift: 2}} {
 		if bad.Validate() == nil {
-			t.Fatalf("%+v was taken", bad)
+			t.Fatalf("invalid settings %+v were accepted", bad)
 		}
 	}
 }
--- a/internal/monotonic/attention.go
+++ b/internal/monotonic/attention.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Attention is the time in which somebody paid attention: it goes on with the clock, but at most by a bound between two looks.
-// Silences are measured on it, so that a watcher that was paused does not take for silent whom it did not listen to, and one
-// that is late again and again still comes to an end: a count that begins anew at each late look never does.
+// Attention measures the time that a watcher has spent observing. It advances with the clock, but by at most a bound
+// between two looks. Measuring silences on it has two effects: a watcher that was paused does not consider peers
+// silent to which it did not listen, and a watcher that repeatedly looks late still reaches its time-outs, which it
+// would not if the count restarted at each late look.
 //
-// Not safe for concurrent use.
+// It is not safe for concurrent use.
 type Attention struct {
-	bound  time.Duration
-	looked time.Duration
-	spent  time.Duration
+	maximumGap  time.Duration
+	lastLook    time.Duration
+	accumulated time.Duration
 }
 
-// NewAttention begins at 0, with a look now. The bound is what counts at most between two looks.
-func NewAttention(now, bound time.Duration) *Attention {
-	return &Attention{bound: bound, looked: now}
+// NewAttention returns an Attention at 0, with a first look at now. At most bound counts between two looks.
+func NewAttention(now, maximumGap time.Duration) *Attention {
+	return &Attention{maximumGap: maximumGap, lastLook: now}
 }
 
-// Look notes a look, and returns the attention paid so far.
+// Look records a look at now and returns the attention accumulated so far.
 func (a *Attention) Look(now time.Duration) time.Duration {
-	a.spent, a.looked = a.At(now), max(now, a.looked)
-	return a.spent
+	a.accumulated, a.lastLook = a.At(now), max(now, a.lastLook)
+	return a.accumulated
 }
 
-// At is the attention paid at a time since the last look.
+// At returns the attention accumulated at a time since the last look.
 func (a *Attention) At(now time.Duration) time.Duration {
-	return a.spent + min(max(now-a.looked, 0), a.bound)
+	return a.accumulated + min(max(now-a.lastLook, 0), a.maximumGap)
 }
--- a/internal/monotonic/attention_test.go
+++ b/internal/monotonic/attention_test.go
@@ -17,13 +17,13 @@
 	} {
 		now += look.after
 		if got := attention.At(now); got != look.want {
-			t.Errorf("%s after the last look: %s, want %s", look.after, got, look.want)
+			t.Errorf("At %s after the last look: %s, want %s", look.after, got, look.want)
 		}
 		if got := attention.Look(now); got != look.want || attention.At(now) != look.want {
-			t.Errorf("a look %s after the last one: %s, want %s", look.after, got, look.want)
+			t.Errorf("Look %s after the last look: %s, want %s", look.after, got, look.want)
 		}
 	}
 	if got := attention.At(now - time.Second); got != attention.At(now) {
-		t.Errorf("before the last look: %s", got)
+		t.Errorf("At a time before the last look: %s, want the value at the last look", got)
 	}
 }
--- a/internal/monotonic/timeofday_test.go
+++ b/internal/monotonic/timeofday_test.go
@@ -9,27 +9,29 @@
 	"testing"
 )
 
-// timeOfDayPlaces are the files that make a number of the time of day, and what for. What decides by it stands in docs/design/clocks.md.
+// timeOfDayPlaces lists the files that convert the time of day to a number, with the purpose. Decisions based on the
+// time of day are described in docs/design/clocks.md.
 var timeOfDayPlaces = map[string]string{
-	"internal/page/api.go":              "the history, for people",
-	"internal/operator/change.go":       "the history, for people",
-	"internal/cli/databackup.go":        "a backup's date, for people",
+	"internal/page/api.go":              "timestamps of the history, shown to people only",
+	"internal/operator/change.go":       "timestamps of the history, shown to people only",
+	"internal/cli/databackup.go":        "a backup's date, shown to people only",
 	"internal/cli/load.go":              "a name",
 	"internal/credentials/guard.go":     "how often a refusal is logged",
-	"internal/controlclient/session.go": "a start's number, where none is given; the group's list may raise it",
-	"platform/control.go":               "a start's number",
-	"platform/store_role.go":            "a start's number",
-	"platform/gateway_role.go":          "a start's number, and a name",
-	"internal/batchclient/client.go":    "when a batch job was sent: the order of work",
-	"internal/usage/meter.go":           "windows of usage, held steady by the boot clock",
+	"internal/controlclient/session.go": "the number of a start if none is given; the group's member list may raise it",
+	"platform/control.go":               "the number of a start",
+	"platform/store_role.go":            "the number of a start",
+	"platform/gateway_role.go":          "the number of a start, and a name",
+	"internal/batchclient/client.go":    "when a batch job was sent, which determines the order of work",
+	"internal/usage/meter.go":           "usage windows, kept free of clock steps with the boot clock",
 	"internal/gateway/exchange.go":      "a claim's date",
 	"internal/control/retention.go":     "the retention of claims, which counts up to the claims' dates only",
 }
 
 var timeOfDay = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
 
-// TestTimeOfDayIsReadInListedPlacesOnly: clocks of machines are stepped and differ, so that what is decided by them is decided wrongly now and
-// then; a new place needs a purpose here, and an entry there if it decides.
+// TestTimeOfDayIsReadInListedPlacesOnly guards against new decisions based on the time of day: clocks of machines are
+// stepped and differ, so that such decisions are sometimes wrong. A new use needs a purpose in timeOfDayPlaces, and
+// an entry in docs/design/clocks.md if a decision depends on it.
 func TestTimeOfDayIsReadInListedPlacesOnly(t *testing.T) {
 	const root = "../.."
 	found := map[string]bool{}
@@ -52,7 +54,7 @@
 			}
 			found[name] = true
 			if timeOfDayPlaces[name] == "" {
-				t.Errorf("%s makes a number of the time of day", name)
+				t.Errorf("%s converts the time of day to a number and is not in timeOfDayPlaces", name)
 			}
 			return nil
 		})
@@ -62,7 +64,7 @@
 	}
 	for name := range timeOfDayPlaces {
 		if !found[name] {
-			t.Errorf("%s makes none any more; take it out of the list", name)
+			t.Errorf("%s no longer converts the time of day to a number; remove it from timeOfDayPlaces", name)
 		}
 	}
 }
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -1,6 +1,6 @@
-// Package release is the replicated record of which weight versions were released for each pool. Numbers of
-// a pool rise; a number or name is never given twice with another meaning, so every version that a replica
-// may be ordered to serve can be named. The pool's newest version is what its replicas are to serve.
+// Package release is the replicated record of the weight versions that were released for each pool. The numbers of a
+// pool's versions increase. A number or name is never reused with another meaning, so every version that a replica
+// may be ordered to serve can be identified. A pool's replicas are to serve its newest version.
 //
 // The package is pure. Apply commands in log order from one goroutine.
 package release
@@ -13,14 +13,14 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of the registry.
+// Limits of the registry.
 const (
-	// MaximumTextBytes bounds a pool's, version's and trainer's name, in bytes.
+	// MaximumTextBytes is the maximum length of a pool's, version's or trainer's name, in bytes.
 	MaximumTextBytes = 256
-	// MaximumVersions bounds the versions of a pool that are remembered (a count); the oldest are forgotten
-	// first. The announcement of a forgotten version is refused like any old one.
+	// MaximumVersions is the maximum number of versions remembered per pool. The oldest are forgotten first. A
+	// release of a forgotten version is refused like that of any old version.
 	MaximumVersions = 256
-	// MaximumPools bounds the pools (a count).
+	// MaximumPools is the maximum number of pools.
 	MaximumPools = 10_000
 )
 
@@ -31,15 +31,15 @@
 	ReasonNameTaken  = "the pool has a version of this name under another number"
 )
 
-// Resource is the name of the fence that a pool's owner holds.
+// Resource returns the name of the fenced resource whose owner may release versions of the pool.
 func Resource(pool string) string { return "pool/" + pool }
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety steps. Only tests set it, to show that their checks detect the resulting faults.
 type Unsafe struct {
-	IgnoreFence bool // releases of deposed owners are taken
+	IgnoreFence bool // releases of deposed owners are accepted
 }
 
-// Registry holds the released versions of all pools. The zero value is not ready; use New.
+// Registry holds the released versions of all pools. The zero value is not usable; use New.
 type Registry struct {
 	unsafe Unsafe
 	pools  map[string][]*wire.ReleasedVersion // oldest first
@@ -48,32 +48,34 @@
 // New returns an empty registry.
 func New() *Registry { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty registry with safety steps switched off.
+// NewUnsafe returns an empty registry with the given safety steps disabled.
 func NewUnsafe(unsafe Unsafe) *Registry {
 	return &Registry{unsafe: unsafe, pools: map[string][]*wire.ReleasedVersion{}}
 }
 
-// Release makes a version the newest of its pool; token is the current one of the pool's fence. A resend is
-// accepted again. Errors: malformed command, or too many pools; nothing changed.
+// Release makes a version the newest of its pool. token is the current fencing token of the pool. A repeated command
+// is accepted again. A command with another fencing token, an old number, or a name used under another number is
+// refused with a reason. An error is returned for a malformed command or too many pools; the registry is then
+// unchanged.
 func (r *Registry) Release(command *wire.VersionRelease, token uint64) (*wire.VersionResult, error) {
-	if err := check(command); err != nil {
+	if err := validate(command); err != nil {
 		return nil, err
 	}
 	versions := r.pools[command.GetPool()]
 	if command.GetFence() != token && !r.unsafe.IgnoreFence {
-		return refused(versions, ReasonStaleFence), nil
+		return newRefusal(versions, ReasonStaleFence), nil
 	}
 	for _, known := range versions {
 		same := known.GetVersionNumber() == command.GetVersionNumber()
 		switch {
 		case known.GetVersion() == command.GetVersion() && same:
-			return &wire.VersionResult{Accepted: true, NewestNumber: newest(versions)}, nil
+			return &wire.VersionResult{Accepted: true, NewestNumber: newestNumber(versions)}, nil
 		case known.GetVersion() == command.GetVersion():
-			return refused(versions, ReasonNameTaken), nil
+			return newRefusal(versions, ReasonNameTaken), nil
 		}
 	}
-	if command.GetVersionNumber() <= newest(versions) {
-		return refused(versions, ReasonOldNumber), nil
+	if command.GetVersionNumber() <= newestNumber(versions) {
+		return newRefusal(versions, ReasonOldNumber), nil
 	}
 	if versions == nil && len(r.pools) >= MaximumPools {
 		return nil, trace.LimitExceeded("more than %d pools with weight versions", MaximumPools)
@@ -87,7 +89,7 @@
 	return &wire.VersionResult{Accepted: true, NewestNumber: command.GetVersionNumber()}, nil
 }
 
-func check(command *wire.VersionRelease) error {
+func validate(command *wire.VersionRelease) error {
 	for _, text := range []string{command.GetPool(), command.GetVersion(), command.GetTrainer()} {
 		if text == "" || len(text) > MaximumTextBytes {
 			return trace.BadParameter("pool, version and trainer must have 1 to %d bytes", MaximumTextBytes)
@@ -99,15 +101,15 @@
 	return nil
 }
 
-func newest(versions []*wire.ReleasedVersion) uint64 {
+func newestNumber(versions []*wire.ReleasedVersion) uint64 {
 	if len(versions) == 0 {
 		return 0
 	}
 	return versions[len(versions)-1].GetVersionNumber()
 }
 
-func refused(versions []*wire.ReleasedVersion, reason string) *wire.VersionResult {
-	return &wire.VersionResult{Reason: reason, NewestNumber: newest(versions)}
+func newRefusal(versions []*wire.ReleasedVersion, reason string) *wire.VersionResult {
+	return &wire.VersionResult{Reason: reason, NewestNumber: newestNumber(versions)}
 }
 
 // View returns a pool's versions, oldest first.
@@ -115,8 +117,8 @@
 	return &wire.VersionsView{Versions: append([]*wire.ReleasedVersion(nil), r.pools[pool]...)}
 }
 
-// Snapshot returns the whole state. Equal registries give equal snapshots. It shares records with the
-// registry: encode it before the next Release.
+// Snapshot returns the whole state. Equal registries give equal snapshots. The snapshot shares records with the
+// registry, so it must be encoded before the next Release.
 func (r *Registry) Snapshot() *wire.ReleaseSnapshot {
 	snapshot := &wire.ReleaseSnapshot{}
 	for pool, versions := range r.pools {
@@ -126,7 +128,7 @@
 	return snapshot
 }
 
-// Restore replaces the state with a snapshot's. On an error the registry is unchanged.
+// Restore replaces the state with that of a snapshot. If it returns an error, the registry is unchanged.
 func (r *Registry) Restore(snapshot *wire.ReleaseSnapshot) error {
 	restored := NewUnsafe(r.unsafe)
 	for _, pool := range snapshot.GetPools() {
