--- a/internal/metering/flusher.go
+++ b/internal/metering/flusher.go
@@ -1,5 +1,6 @@
-// Package metering is the runtime of usage: gateways hand their counts to the control group (Flusher), and the node that holds the
-// right to seals windows and reports them (Reporter). Whoever reports later reports the same figures.
+// Package metering runs the usage accounting of package usage. Gateways hand their counts to the control group
+// (Flusher). The node that holds the right to report seals windows and reports them (Reporter). If another node takes
+// over, it reports the same figures.
 package metering
 
 import (
@@ -19,49 +20,53 @@
 )
 
 const (
-	// flushInterval is how often counts are handed over where there are new ones, and so the most that a killed process
-	// loses: a fifth of a window of 5 s at one of many gateways.
+	// flushInterval is the interval at which new counts are handed over. It bounds the loss when a process is killed:
+	// a fifth of a 5 s window at one of many gateways.
 	flushInterval = time.Second
-	// flushTime bounds one hand-over.
-	flushTime = 900 * time.Millisecond
+	// flushTimeout limits one hand-over.
+	flushTimeout = 900 * time.Millisecond
 )
 
-// controlGroup is the consensus group whose ledger keeps the usage, as package state has it, which imports this one.
+// controlGroup is the consensus group whose ledger keeps the usage. Package state defines it too, but imports this
+// package.
 const controlGroup uint32 = 0
 
-// Control is what this package needs of a client of the control nodes.
+// Control is the part of a control nodes' client that this package uses.
 type Control interface {
 	Execute(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, error)
 	Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
 }
 
-// FlusherConfig says what a Flusher works with.
+// FlusherConfig configures a Flusher.
 type FlusherConfig struct {
 	Control Control
-	// Reporter names this life of this process; no other one has its name.
+	// Reporter is a name for this run of this process, which no other run may share.
 	Reporter string
-	Length   time.Duration // of a window
-	// Clock counts the time that the machine is suspended, as the time of day does: on one that does not, windows fell behind by a
-	// suspension for a minute, until the time of day was believed. Default monotonic.Now.
+	Length   time.Duration // length of a window
+	// Clock must include the time for which the machine is suspended, as the time of day does. With a clock that does
+	// not, windows would lag by the length of a suspension for a minute, until the time of day is adopted. Default
+	// monotonic.Now.
 	Clock monotonic.Clock
-	// Now is the time of day. Default time.Now.
+	// Now returns the time of day. Default time.Now.
 	Now func() time.Time
 	Log *logrus.Entry
 }
 
-// Flusher counts what a process sees begin to run, and hands the counts to the control group. It is safe for concurrent use.
+// Flusher counts the requests that begin to run in a process, and hands the counts to the control group. It is safe
+// for concurrent use.
 type Flusher struct {
 	config FlusherConfig
 
-	mutex sync.Mutex // guards what follows
+	mutex sync.Mutex // guards the fields below
 	meter *usage.Meter
 	clock usage.Steady
 }
 
-// NewFlusher returns a flusher; Run makes it hand counts over.
+// NewFlusher returns a flusher. It hands counts over only while Run is running or when Flush is called. It returns an
+// error if a required field of the configuration is missing.
 func NewFlusher(config FlusherConfig) (*Flusher, error) {
 	if config.Control == nil || config.Reporter == "" || config.Length <= 0 {
-		return nil, trace.BadParameter("a flusher needs control, a reporter's name and the windows' length")
+		return nil, trace.BadParameter("flusher configuration: Control, Reporter and a Length above 0 are required")
 	}
 	if config.Log == nil {
 		config.Log = logging.Discard()
@@ -75,22 +80,22 @@
 	return &Flusher{config: config, meter: usage.NewMeter(config.Length)}, nil
 }
 
-// Count notes that a request of a tenant began to run; at is this process's clock.
+// Count records that a request of a tenant began to run. at is the time on this process's clock.
 func (f *Flusher) Count(tenant string, at time.Time) {
 	if tenant == "" {
-		return // nobody is told of anonymous use
+		return // anonymous requests are not reported to anybody
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.meter.Count(tenant, f.clock.At(at, f.config.Clock()-f.config.Now().Sub(at)))
 }
 
-// Run hands counts over until ctx ends.
+// Run hands counts over periodically until ctx ends.
 func (f *Flusher) Run(ctx context.Context) {
 	pause.Every(ctx, flushInterval, f.Flush)
 }
 
-// Flush hands over what is new. What may not have arrived goes again with the next one.
+// Flush hands over the new counts. Counts that may not have arrived are sent again by the next Flush.
 func (f *Flusher) Flush(ctx context.Context) {
 	f.mutex.Lock()
 	windows := f.meter.Unsent()
@@ -98,12 +103,12 @@
 	if len(windows) == 0 {
 		return
 	}
-	next, err := f.add(ctx, windows)
+	next, err := f.sendCounts(ctx, windows)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if err != nil {
 		f.meter.Lost(windows)
-		f.config.Log.WithError(err).Warn("usage counts could not be handed over")
+		f.config.Log.WithError(err).Warn("failed to hand usage counts over to the control group, retrying")
 		return
 	}
 	late := uint64(0)
@@ -117,9 +122,9 @@
 	}
 }
 
-// add returns the first window that was not sealed.
-func (f *Flusher) add(ctx context.Context, windows []*wire.UsageWindow) (next uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, flushTime)
+// sendCounts hands the counts over and returns the first window that is not sealed.
+func (f *Flusher) sendCounts(ctx context.Context, windows []*wire.UsageWindow) (next uint64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	result, err := f.config.Control.Execute(ctx, controlGroup, &wire.Command{Kind: &wire.Command_UsageAdd{
 		UsageAdd: &wire.UsageAdd{Reporter: f.config.Reporter, Windows: windows}}})
@@ -127,7 +132,7 @@
 	case err != nil:
 		return 0, trace.Wrap(err)
 	case result.GetUsage() == nil:
-		return 0, trace.BadParameter("the counts can't be taken: %s", result.GetInvalid())
+		return 0, trace.BadParameter("control group rejected the usage counts: %s", result.GetInvalid())
 	}
 	return result.GetUsage().GetNext(), nil
 }
--- a/internal/metering/metrics.go
+++ b/internal/metering/metrics.go
@@ -8,24 +8,24 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// Outcomes of reports.
+// Outcomes of reports, as values of a metric label.
 const (
-	reportTaken   = "taken"
-	reportRefused = "superseded"
-	reportFailed  = "failed"
+	reportTaken      = "taken"
+	reportSuperseded = "superseded"
+	reportFailed     = "failed"
 )
 
-// reporterCounts are a reporter's metrics, of this node since its start.
-type reporterCounts struct {
+// reporterMetrics are a reporter's metrics, counted on this node since its start.
+type reporterMetrics struct {
 	metrics.Set
 	sealed  *prometheus.CounterVec
 	reports *prometheus.CounterVec
 	pending prometheus.Gauge
 }
 
-func newReporterCounts() *reporterCounts {
+func newReporterMetrics() *reporterMetrics {
 	part := metrics.Part("usage")
-	c := &reporterCounts{
+	c := &reporterMetrics{
 		sealed:  part.Counter("windows_sealed_total", "Windows of usage that this node sealed."),
 		reports: part.Counter("reports_total", "Reports of sealed windows by outcome: taken, superseded (another node reports) or failed.", "outcome"),
 		pending: part.Gauge("windows_pending", "Sealed windows that are not reported yet, as this node saw last."),
@@ -34,11 +34,11 @@
 	return c
 }
 
-func (c *reporterCounts) reported(err error) {
+func (c *reporterMetrics) countReport(err error) {
 	outcome := reportTaken
 	switch {
 	case errors.Is(err, ErrSuperseded):
-		outcome = reportRefused
+		outcome = reportSuperseded
 	case err != nil:
 		outcome = reportFailed
 	}
@@ -46,4 +46,4 @@
 }
 
 // Collector returns the reporter's metrics.
-func (r *Reporter) Collector() prometheus.Collector { return r.counts }
+func (r *Reporter) Collector() prometheus.Collector { return r.metrics }
--- a/internal/metering/reporter_test.go
+++ b/internal/metering/reporter_test.go
@@ -15,21 +15,21 @@
 
 const length = 5 * time.Second
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-// fakeControl is the control group's ledger; lost commands are carried out and get no answer.
+// fakeControl serves the control group's ledger. Commands whose answer is lost are executed nevertheless.
 type fakeControl struct {
-	mutex  sync.Mutex
-	ledger *usage.Ledger
-	away   bool
-	lose   int // answers to commands
+	mutex       sync.Mutex
+	ledger      *usage.Ledger
+	unavailable bool
+	lostAnswers int // number of answers to commands that are lost next
 }
 
 func (f *fakeControl) Execute(_ context.Context, _ uint32, command *wire.Command) (*wire.Result, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.away {
-		return nil, errAway
+	if f.unavailable {
+		return nil, errUnavailable
 	}
 	var view *wire.UsageView
 	var err error
@@ -41,9 +41,9 @@
 	case *wire.Command_UsageDeliver:
 		view = f.ledger.Deliver(kind.UsageDeliver)
 	}
-	if f.lose > 0 {
-		f.lose--
-		return nil, errAway
+	if f.lostAnswers > 0 {
+		f.lostAnswers--
+		return nil, errUnavailable
 	}
 	if err != nil {
 		return &wire.Result{Kind: &wire.Result_Invalid{Invalid: err.Error()}}, nil
@@ -54,50 +54,50 @@
 func (f *fakeControl) Query(context.Context, uint32, *wire.Query) (*wire.View, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.away {
-		return nil, errAway
+	if f.unavailable {
+		return nil, errUnavailable
 	}
 	return &wire.View{Kind: &wire.View_Usage{Usage: f.ledger.View()}}, nil
 }
 
-// fakeReceiver takes reports; it checks what must hold of them all.
+// fakeReceiver accepts reports, and fails the test if two reports of a window differ.
 type fakeReceiver struct {
-	t       *testing.T
-	mutex   sync.Mutex
-	highest uint64
-	taken   map[uint64]map[string]uint64
-	calls   int
-	fail    int    // calls that are carried out and get no answer
-	after   func() // called after each call; may be nil
-	away    bool
+	t           *testing.T
+	mutex       sync.Mutex
+	highest     uint64
+	accepted    map[uint64]map[string]uint64
+	calls       int
+	lostAnswers int    // number of calls that are executed next but whose answer is lost
+	afterReport func() // called after each Report; may be nil
+	unavailable bool
 }
 
 func (f *fakeReceiver) Report(_ context.Context, token uint64, window *wire.UsageWindow) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.calls++
-	if f.after != nil {
-		defer f.after()
+	if f.afterReport != nil {
+		defer f.afterReport()
 	}
 	switch {
-	case f.away:
-		return errAway
+	case f.unavailable:
+		return errUnavailable
 	case token < f.highest:
 		return ErrSuperseded
 	}
 	f.highest = token
-	if before, known := f.taken[window.GetWindow()]; known && !maps.Equal(before, figures(window)) {
+	if before, known := f.accepted[window.GetWindow()]; known && !maps.Equal(before, figures(window)) {
 		f.t.Errorf("window %d: %v, then %v", window.GetWindow(), before, figures(window))
 	}
-	f.taken[window.GetWindow()] = figures(window)
-	if f.fail > 0 {
-		f.fail--
-		return errAway
+	f.accepted[window.GetWindow()] = figures(window)
+	if f.lostAnswers > 0 {
+		f.lostAnswers--
+		return errUnavailable
 	}
 	return nil
 }
 
-// right is a node's right to report.
+// right is a node's right to report; token 0 stands for none.
 type right struct {
 	mutex sync.Mutex
 	token uint64
@@ -122,9 +122,10 @@
 	flusher  *Flusher
 }
 
-// newReportFixture starts two nodes that may report and one process that counts, in a synctest bubble.
+// newReportFixture starts two nodes that may report and one process that counts. It must be called in a synctest
+// bubble.
 func newReportFixture(t *testing.T) *reportFixture {
-	f := &reportFixture{control: &fakeControl{ledger: usage.NewLedger()}, receiver: &fakeReceiver{t: t, taken: map[uint64]map[string]uint64{}}}
+	f := &reportFixture{control: &fakeControl{ledger: usage.NewLedger()}, receiver: &fakeReceiver{t: t, accepted: map[uint64]map[string]uint64{}}}
 	ctx, cancel := context.WithCancel(t.Context())
 	var routines sync.WaitGroup
 	t.Cleanup(func() { cancel(); routines.Wait() })
@@ -146,7 +147,7 @@
 	return f
 }
 
-// runFor counts one request a second for a while.
+// runFor counts one request of a tenant and one anonymous request per second for the given time.
 func (f *reportFixture) runFor(seconds int) {
 	for range seconds {
 		f.flusher.Count("one", time.Now())
@@ -155,61 +156,64 @@
 	}
 }
 
-// check wants every window between the first and the last that was reported, each with its five requests but the first.
+// check fails unless every window from the first to the last reported one was reported, at least the given number of
+// them, with five requests in each but the first.
 func (f *reportFixture) check(t *testing.T, least int) {
 	t.Helper()
 	f.receiver.mutex.Lock()
 	defer f.receiver.mutex.Unlock()
 	first, last := uint64(1<<63), uint64(0)
-	for window := range f.receiver.taken {
+	for window := range f.receiver.accepted {
 		first, last = min(first, window), max(last, window)
 	}
-	if len(f.receiver.taken) < least || uint64(len(f.receiver.taken)) != last-first+1 {
-		t.Errorf("%d windows are reported, of %d to %d", len(f.receiver.taken), first, last)
+	if len(f.receiver.accepted) < least || uint64(len(f.receiver.accepted)) != last-first+1 {
+		t.Errorf("%d windows were reported, from %d to %d; windows are missing", len(f.receiver.accepted), first, last)
 	}
-	for window, counted := range f.receiver.taken {
+	for window, counted := range f.receiver.accepted {
 		if window > first && !maps.Equal(counted, map[string]uint64{"one": 5}) {
-			t.Errorf("window %d is reported with %v", window, counted)
+			t.Errorf("window %d was reported with %v, want one: 5", window, counted)
 		}
 	}
 }
 
-// TestEachWindowIsReportedWithItsRequests, within the time in which it is due, with as few calls as there are windows.
+// TestEachWindowIsReportedWithItsRequests guards against missing windows and requests, and against more calls to the
+// receiver than there are windows.
 func TestEachWindowIsReportedWithItsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReportFixture(t)
 		f.rights[0].set(1)
 		f.runFor(60)
 		f.check(t, 10)
-		if f.receiver.calls != len(f.receiver.taken) {
-			t.Errorf("%d calls for %d windows", f.receiver.calls, len(f.receiver.taken))
+		if f.receiver.calls != len(f.receiver.accepted) {
+			t.Errorf("%d calls for %d windows, want one call each", f.receiver.calls, len(f.receiver.accepted))
 		}
 	})
 }
 
-// TestFiguresAreTheSameWhoeverReports: the right changes hands while answers of the control group and of the receiver are lost,
-// and both are away for a while; a node that still believes to hold the right is refused once and is still.
-func TestFiguresAreTheSameWhoeverReports(t *testing.T) {
+// TestTakeoverReportsTheSameFigures guards against figures that depend on the reporting node. The right changes hands
+// while answers of the control group and the receiver are lost and the receiver is unavailable for a while. A node
+// that wrongly believes that it still holds the right is refused once and then stops.
+func TestTakeoverReportsTheSameFigures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReportFixture(t)
 		f.rights[0].set(1)
 		f.runFor(13)
 		f.control.mutex.Lock()
-		f.control.lose = 2
+		f.control.lostAnswers = 2
 		f.control.mutex.Unlock()
 		f.receiver.mutex.Lock()
-		f.receiver.fail = 3
+		f.receiver.lostAnswers = 3
 		f.receiver.mutex.Unlock()
 		f.runFor(10)
-		f.rights[1].set(2) // the first node does not know yet
+		f.rights[1].set(2) // the first node still believes that it holds the right
 		f.runFor(20)
 		f.rights[0].set(0)
 		f.receiver.mutex.Lock()
-		f.receiver.away = true
+		f.receiver.unavailable = true
 		f.receiver.mutex.Unlock()
 		f.runFor(20)
 		f.receiver.mutex.Lock()
-		f.receiver.away = false
+		f.receiver.unavailable = false
 		f.receiver.mutex.Unlock()
 		f.rights[1].set(0)
 		f.rights[0].set(3)
@@ -218,30 +222,31 @@
 	})
 }
 
-// TestCallsAreFewWhileTheReceiverIsAway, since they have a common rate.
-func TestCallsAreFewWhileTheReceiverIsAway(t *testing.T) {
+// TestRetriesBackOffWhileReceiverIsDown guards against retries that use up the rate limit that all reports share.
+func TestRetriesBackOffWhileReceiverIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReportFixture(t)
-		f.receiver.away = true
+		f.receiver.unavailable = true
 		f.rights[0].set(1)
 		f.runFor(60)
 		f.receiver.mutex.Lock()
 		defer f.receiver.mutex.Unlock()
 		if calls := f.receiver.calls; calls < 20 || calls > 40 {
-			t.Errorf("%d calls in 60 s", calls)
+			t.Errorf("%d calls in 60 s, want 20 to 40", calls)
 		}
 	})
 }
 
-// TestRefusedTokenIsNotUsedAgain.
+// TestRefusedTokenIsNotUsedAgain guards against a superseded node that goes on reporting under the refused token. It
+// must report again only with a higher one.
 func TestRefusedTokenIsNotUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReportFixture(t)
 		f.receiver.highest = 5
 		f.rights[0].set(4)
 		f.runFor(40)
-		if f.receiver.calls != 1 || len(f.receiver.taken) != 0 {
-			t.Errorf("%d calls, %d windows taken", f.receiver.calls, len(f.receiver.taken))
+		if f.receiver.calls != 1 || len(f.receiver.accepted) != 0 {
+			t.Errorf("%d calls, %d windows accepted; want one call and no window", f.receiver.calls, len(f.receiver.accepted))
 		}
 		f.rights[0].set(6)
 		f.runFor(15)
@@ -249,61 +254,64 @@
 	})
 }
 
-// TestLedgerThatIsCutOffLosesNothing: counts go again until they are taken.
-func TestLedgerThatIsCutOffLosesNothing(t *testing.T) {
+// TestControlGroupOutageLosesNoCounts guards against counts that are lost while the control group is unavailable.
+// They must be sent again until they are accepted.
+func TestControlGroupOutageLosesNoCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReportFixture(t)
 		f.rights[0].set(1)
 		f.runFor(11)
 		f.control.mutex.Lock()
-		f.control.away = true
+		f.control.unavailable = true
 		f.control.mutex.Unlock()
 		f.runFor(3)
 		f.control.mutex.Lock()
-		f.control.away = false
+		f.control.unavailable = false
 		f.control.mutex.Unlock()
 		f.runFor(20)
 		f.check(t, 4)
 	})
 }
 
-// TestRightIsLookedAtBeforeEachReport: a node that loses it between two reports of one turn sends no more.
-func TestRightIsLookedAtBeforeEachReport(t *testing.T) {
+// TestRightIsCheckedBeforeEachReport guards against a node that loses the right between two reports of one poll and
+// sends the second one nevertheless.
+func TestRightIsCheckedBeforeEachReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReportFixture(t)
-		f.receiver.away = true
+		f.receiver.unavailable = true
 		f.rights[0].set(1)
 		f.runFor(40)
 		f.receiver.mutex.Lock()
-		f.receiver.away, f.receiver.calls = false, 0
-		f.receiver.after = func() { f.rights[0].set(0) }
+		f.receiver.unavailable, f.receiver.calls = false, 0
+		f.receiver.afterReport = func() { f.rights[0].set(0) }
 		f.receiver.mutex.Unlock()
 		f.runFor(10)
 		f.receiver.mutex.Lock()
 		defer f.receiver.mutex.Unlock()
 		if f.receiver.calls != 1 {
-			t.Errorf("%d reports, one of them with the right", f.receiver.calls)
+			t.Errorf("%d reports were sent, want only the one with the right", f.receiver.calls)
 		}
 	})
 }
 
-// TestHandOverThatIsLostGoesAgain, also when nothing new is counted in its window.
-func TestHandOverThatIsLostGoesAgain(t *testing.T) {
-	control := &fakeControl{ledger: usage.NewLedger(), away: true}
+// TestFailedFlushIsSentAgain guards against counts that are lost with a failed hand-over if nothing new is counted in
+// their window.
+func TestFailedFlushIsSentAgain(t *testing.T) {
+	control := &fakeControl{ledger: usage.NewLedger(), unavailable: true}
 	flusher, err := NewFlusher(FlusherConfig{Control: control, Reporter: "g/1", Length: length, Clock: bubbleClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	flusher.Count("one", time.Now())
 	flusher.Flush(t.Context())
-	control.away = false
+	control.unavailable = false
 	flusher.Flush(t.Context())
 	if control.ledger.View().GetOldest() == 0 {
-		t.Error("the count is lost")
+		t.Error("the ledger has no counts after the second flush")
 	}
 }
 
-// figures are a window's requests by tenant.
+// figures returns a window's requests by tenant.
 func figures(window *wire.UsageWindow) map[string]uint64 {
 	counted := map[string]uint64{}
 	for _, count := range window.GetCounts() {
@@ -312,14 +320,16 @@
 	return counted
 }
 
-// bubbleClock is a clock that follows the test's virtual time.
+// bubbleClock returns a clock that follows the test's virtual time.
 func bubbleClock() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
 
-// The time of day and the boot clock count the time for which a machine is suspended, and the steady clock does not. A flusher that held
-// the time of day by the steady clock took it for stepped after a suspension, and counted in windows 5 s behind for a minute.
+// TestSuspensionMovesNoWindow guards against a clock that stops during a suspension. The time of day and the boot
+// clock include the time for which a machine is suspended, whereas a steady clock does not. A flusher that compared
+// the time of day with the steady clock took the time of day for stepped after a suspension, and for a minute counted
+// in windows 5 s behind.
 func TestSuspensionMovesNoWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		control := &fakeControl{ledger: usage.NewLedger()}
@@ -336,7 +346,7 @@
 		flusher.Flush(t.Context())
 		view := control.ledger.Snapshot()
 		if open := view.GetOpen(); len(open) != 2 || open[1].GetWindow() != usage.WindowOf(wall(), length) {
-			t.Errorf("counted in %v, the second request is of window %d", open, usage.WindowOf(wall(), length))
+			t.Errorf("requests were counted in %v, want the second in window %d", open, usage.WindowOf(wall(), length))
 		}
 	})
 }
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant tells who a request is from by the key that it carries. An Index is made of a view of the operators'
-// table, which holds digests and never keys, and does not change.
+// Package tenant identifies the tenant of a request by the key that the request carries. An Index is built from a
+// view of the operators' table, which holds digests of keys and never keys, and is immutable.
 //
 // The package is pure.
 package tenant
@@ -14,17 +14,18 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// MaximumKeyBytes bounds a key: it stands in the head of every request, beside other fields.
+// MaximumKeyBytes is the maximum length of a key, in bytes. A key is sent in the header of every request, beside
+// other fields.
 const MaximumKeyBytes = 1024
 
-// Digest is what the table holds in a key's place: its SHA-256 in hexadecimal. Keys are long random texts, so that no salt
-// or slow hash is needed to keep them from being guessed.
+// Digest returns the form in which the table holds a key: its SHA-256 in hexadecimal. Keys are long random texts, so
+// that neither a salt nor a slow hash is needed to keep them from being guessed.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// CheckKey returns why a text can't be a key; nil if it can.
+// CheckKey returns an error that says why a text cannot be used as a key, or nil if it can.
 func CheckKey(key string) error {
 	switch {
 	case key == "":
@@ -37,28 +38,30 @@
 	return nil
 }
 
-// Tenant is a caller that the table names.
+// Tenant is a caller that is defined in the table.
 type Tenant struct {
 	Name string
-	// Priority is the rank of its requests, which goes before that of their routes where Ranked.
+	// Priority is the priority of the tenant's requests. If Ranked is true, it takes precedence over the priority of
+	// their routes.
 	Priority uint32
 	Ranked   bool
-	// Weight is its share where requests of several tenants wait, relative to the others' weights; above 0.
+	// Weight determines the tenant's share when requests of several tenants wait. It is relative to the other
+	// tenants' weights and above 0.
 	Weight uint32
 	Quota  Quota
 }
 
-// Quota is what a tenant may ask for, over all gateways. The zero Quota is no limit.
+// Quota limits a tenant's requests over all gateways. The zero Quota sets no limit.
 type Quota struct {
-	Rate        uint32 // requests a second; 0: no limit
-	Burst       uint32 // requests at once beyond the rate; 0: as many as the rate allows in a second
+	Rate        uint32 // requests per second; 0: no limit
+	Burst       uint32 // requests at once beyond the rate; 0: the number that the rate allows in one second
 	Concurrency uint32 // requests in flight; 0: no limit
 }
 
-// Limited tells whether the quota limits anything.
+// Limited reports whether the quota sets any limit.
 func (q Quota) Limited() bool { return q.Rate > 0 || q.Concurrency > 0 }
 
-// BurstSeconds is the burst as the time in which the rate allows as many requests.
+// BurstSeconds returns the time in seconds in which the rate allows as many requests as the burst.
 func (q Quota) BurstSeconds() float64 {
 	if q.Burst == 0 || q.Rate == 0 {
 		return 1
@@ -66,55 +69,57 @@
 	return float64(q.Burst) / float64(q.Rate)
 }
 
-// Index finds tenants by key and by name. It is safe to share.
+// Index finds tenants by key and by name. It is safe for concurrent use.
 type Index struct {
 	required bool
-	version  uint64 // View.AccessVersion of the view that it was made of
+	version  uint64 // AccessVersion of the view from which the index was built
 	byDigest map[[sha256.Size]byte]*Tenant
 	byName   map[string]*Tenant
-	limited  []*Tenant // with a quota
+	limited  []*Tenant // tenants with a quota
 }
 
-// NewIndex returns the tenants of a view. held is an index of an earlier view or nil; it is returned where no listener or
-// tenant has changed since, so that a table of 10,000 tenants isn't read again with each heartbeat of a back end.
-func NewIndex(view *table.View, held *Index) *Index {
-	if held != nil && held.version == view.AccessVersion() {
-		return held
+// NewIndex returns the index of a view's tenants. held is the index of an earlier view or nil. It is returned
+// unchanged if no listener or tenant has changed since, so that a table of 10,000 tenants is not read again with each
+// heartbeat of a back end.
+func NewIndex(view *table.View, previous *Index) *Index {
+	if previous != nil && previous.version == view.AccessVersion() {
+		return previous
 	}
-	made := &Index{version: view.AccessVersion(), byDigest: map[[sha256.Size]byte]*Tenant{}, byName: map[string]*Tenant{}}
+	built := &Index{version: view.AccessVersion(), byDigest: map[[sha256.Size]byte]*Tenant{}, byName: map[string]*Tenant{}}
 	for _, row := range view.Rows() {
 		switch row.Kind {
 		case table.Listener:
-			made.required = made.required || row.KeysRequired
+			built.required = built.required || row.KeysRequired
 		case table.Tenant:
-			made.add(row)
+			built.add(row)
 		}
 	}
-	return made
+	return built
 }
 
 func (i *Index) add(row *table.Row) {
-	one := &Tenant{Name: row.TenantName, Priority: row.Priority, Weight: row.TenantWeight,
+	tenant := &Tenant{Name: row.TenantName, Priority: row.Priority, Weight: row.TenantWeight,
 		Quota: Quota{Rate: row.Rate, Burst: row.Burst, Concurrency: row.Concurrency}}
-	_, one.Ranked = row.Explicit(table.ColumnPriority)
-	i.byName[one.Name] = one
-	if one.Quota.Limited() {
-		i.limited = append(i.limited, one)
+	_, tenant.Ranked = row.Explicit(table.ColumnPriority)
+	i.byName[tenant.Name] = tenant
+	if tenant.Quota.Limited() {
+		i.limited = append(i.limited, tenant)
 	}
 	for _, text := range row.KeyDigests {
 		var digest [sha256.Size]byte
 		if n, err := hex.Decode(digest[:], []byte(text)); err == nil && n == len(digest) {
-			i.byDigest[digest] = one
+			i.byDigest[digest] = tenant
 		}
 	}
 }
 
-// Required tells whether requests need a key.
+// Required reports whether requests need a key.
 func (i *Index) Required() bool { return i != nil && i.required }
 
-// Authenticate returns the tenant that a key belongs to. refused: the key is not known, or is missing where the request's
-// route is not anonymous. Without either, a nil tenant stands for an anonymous caller. The look-up compares digests, so that
-// its time tells nothing of other keys.
+// Authenticate returns the tenant to which a key belongs. refused is true if the key is unknown, or if it is missing
+// and anonymous, which tells whether the request's route admits requests without a key, is false. If neither a tenant
+// nor a refusal is returned, the caller is anonymous. The look-up compares digests, so that its duration reveals
+// nothing about other keys.
 func (i *Index) Authenticate(key string, anonymous bool) (found *Tenant, refused bool) {
 	if !i.Required() {
 		return nil, false
@@ -126,7 +131,7 @@
 	return found, found == nil
 }
 
-// Limited lists the tenants with a quota. Callers must not change the list.
+// Limited returns the tenants with a quota. Callers must not modify the slice.
 func (i *Index) Limited() []*Tenant {
 	if i == nil {
 		return nil
@@ -134,7 +139,7 @@
 	return i.limited
 }
 
-// Named returns the tenant of a name; nil if there is none any more.
+// Named returns the tenant with a name, or nil if there is none.
 func (i *Index) Named(name string) *Tenant {
 	if i == nil {
 		return nil
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -9,7 +9,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// viewAfter returns the view after changes of "row column value" texts separated by semicolons.
+// viewAfter returns the view after the changes, each of which is a list of "row column value" texts separated by
+// semicolons.
 func viewAfter(t testing.TB, changes ...string) *table.View {
 	t.Helper()
 	made, view := table.New(), table.NewView()
@@ -41,7 +42,7 @@
 
 const required = "l kind listener;l keys_required true"
 
-func TestCallersAreKnownByTheirKeys(t *testing.T) {
+func TestAuthenticateFindsTenantByKey(t *testing.T) {
 	index := NewIndex(viewAfter(t, required+";"+row("a", "k1", "k2")+";"+row("b", "k3")+";b priority 2;c kind tenant;c tenant_name C"), nil)
 	for _, test := range []struct {
 		key       string
@@ -62,8 +63,9 @@
 	}
 }
 
-// TestWithoutKeysRequiredNobodyIsAsked: tenants alone, as an operator enters them one by one, shut nobody out.
-func TestWithoutKeysRequiredNobodyIsAsked(t *testing.T) {
+// TestKeysAreNotCheckedUnlessRequired guards against callers that are refused while an operator still enters tenants
+// one by one.
+func TestKeysAreNotCheckedUnlessRequired(t *testing.T) {
 	index := NewIndex(viewAfter(t, row("a", "k1")), nil)
 	if found, refused := index.Authenticate("other", false); found != nil || refused {
 		t.Fatal(found, refused)
@@ -74,16 +76,16 @@
 	}
 }
 
-// TestKeyMovesAndGoes: with the view in which a key has gone or belongs to another tenant it does so, and an index of a view in
-// which nothing of the kind has changed is the one that was held.
-func TestKeyMovesAndGoes(t *testing.T) {
+// TestIndexFollowsKeyChanges guards against an outdated index after a key was removed or assigned to another tenant,
+// and against a rebuilt index when no tenant or listener has changed.
+func TestIndexFollowsKeyChanges(t *testing.T) {
 	changes := []string{required + ";" + row("a", "k1", "k2"), "p kind pool", "a key_digests " + Digest("k2"), row("b", "k1"), "l keys_required false"}
 	var index *Index
 	for number, want := range []string{"A", "A", "", "B", ""} {
 		held := index
 		index = NewIndex(viewAfter(t, changes[:number+1]...), held)
 		if unchanged := number == 1; held != nil && (index == held) != unchanged {
-			t.Errorf("view %d: same index %v", number, index == held)
+			t.Errorf("view %d: same index %v, want the opposite", number, index == held)
 		}
 		if found, _ := index.Authenticate("k1", false); (found == nil) != (want == "") || found != nil && found.Name != want {
 			t.Errorf("view %d: %+v", number, found)
@@ -91,8 +93,9 @@
 	}
 }
 
-// TestTenantThatIsRemovedIsForgotten, though its row is all that changes.
-func TestTenantThatIsRemovedIsForgotten(t *testing.T) {
+// TestRemovedTenantIsRefused guards against an index that keeps a tenant whose row was removed, if that is the only
+// change.
+func TestRemovedTenantIsRefused(t *testing.T) {
 	view := viewAfter(t, required+";"+row("a", "k1"))
 	held := NewIndex(view, nil)
 	next, err := view.Apply(&wire.TableUpdate{FromVersion: view.Version(), ToVersion: view.Version() + 1, RemovedRows: []string{"a"}})
@@ -100,14 +103,14 @@
 		t.Fatal(err)
 	}
 	if found, refused := NewIndex(next, held).Authenticate("k1", false); found != nil || !refused {
-		t.Error("the key of a removed tenant is taken")
+		t.Error("the key of a removed tenant was accepted")
 	}
 }
 
-func TestWhatCanBeNoKey(t *testing.T) {
+func TestCheckKeyRejectsInvalidKeys(t *testing.T) {
 	for _, key := range []string{"", " k", "k\n", "k\u00e9", strings.Repeat("k", MaximumKeyBytes+1)} {
 		if CheckKey(key) == nil {
-			t.Errorf("%.20q is taken", key)
+			t.Errorf("invalid key %.20q was accepted", key)
 		}
 	}
 	if err := CheckKey(strings.Repeat("k", MaximumKeyBytes)); err != nil {
@@ -115,11 +118,11 @@
 	}
 }
 
-// BenchmarkAuthenticate looks keys up among 10,000 tenants with two keys each.
+// BenchmarkAuthenticate looks up keys among 10,000 tenants with two keys each.
 func BenchmarkAuthenticate(b *testing.B) {
 	const tenants = 10_000
 	changes := []string{required}
-	for first := 0; first < tenants; first += 500 { // a change has bounds
+	for first := 0; first < tenants; first += 500 { // the size of one change is limited
 		var rows []string
 		for number := first; number < first+500; number++ {
 			rows = append(rows, row(fmt.Sprintf("t%d", number), fmt.Sprintf("first-%d", number), fmt.Sprintf("second-%d", number)))
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -1,6 +1,6 @@
-// Package usage counts the requests that began to run, by tenant and by window of true time. A Meter counts in one process, the
-// Ledger of the control group adds up what all processes hand over and seals a window's figures, once, before they leave. Package
-// metering is the runtime of both.
+// Package usage counts the requests that began to run, by tenant and by window of true time. A Meter counts in one
+// process. The Ledger of the control group adds up the counts that all processes hand over, and fixes (seals) the
+// figures of each window once, before they are reported. Package metering runs both.
 //
 // The package is pure.
 package usage
@@ -14,28 +14,29 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of a Ledger, all counts.
+// Limits of a Ledger. All are counts, unless in bytes.
 const (
-	// maximumOpen bounds the windows ahead of the sealed ones: a process whose clock is far wrong opens no more.
-	maximumOpen = 1024
-	// maximumSealed bounds the windows that one command seals.
-	maximumSealed = 64
-	// maximumPending bounds the sealed windows whose report is out: with 5 s windows almost six hours. Nothing is sealed
-	// above it, so that nothing is lost while the receiver is away.
-	maximumPending = 4096
-	// MaximumTenants bounds the tenants of one reporter in one window.
+	// maximumOpenWindows is the maximum number of windows beyond the sealed ones, so that a process whose clock is
+	// far wrong cannot open more.
+	maximumOpenWindows = 1024
+	// maximumSealedAtOnce is the maximum number of windows that one command seals.
+	maximumSealedAtOnce = 64
+	// maximumPendingWindows is the maximum number of sealed windows that are not reported yet: almost six hours of 5
+	// s windows. Nothing is sealed beyond it, so that nothing is lost while the receiver is unavailable.
+	maximumPendingWindows = 4096
+	// MaximumTenants is the maximum number of tenants of one reporter in one window.
 	MaximumTenants = 20_000
-	// maximumNameBytes bounds a reporter's and a tenant's name.
+	// maximumNameBytes is the maximum length of a reporter's or tenant's name, in bytes.
 	maximumNameBytes = 512
 )
 
-// counts are requests by tenant.
+// counts holds the number of requests by tenant.
 type counts map[string]uint64
 
-// Ledger holds the counts of the windows that are not sealed, and the sealed ones whose report is out. Apply commands in
-// log order from one goroutine.
+// Ledger holds the counts of the windows that are not sealed, and the figures of the sealed windows that are not
+// reported yet. Apply commands in log order from one goroutine.
 type Ledger struct {
-	next    uint64 // first window that is not sealed; 0: none is
+	next    uint64 // first window that is not sealed; 0: no window was sealed yet
 	pending []*wire.UsageWindow
 	open    map[uint64]map[string]counts // by window and reporter
 }
@@ -43,17 +44,18 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{open: map[uint64]map[string]counts{}} }
 
-// Add takes over what a reporter has counted so far. Counts of sealed windows are passed over: their figures may have left.
-// Errors: malformed command, nothing changed.
+// Add records the total counts of a reporter so far. Counts of sealed windows are ignored, because their figures may
+// have been reported already. An error is returned for a malformed command or too many windows; the ledger is then
+// unchanged.
 func (l *Ledger) Add(command *wire.UsageAdd) (*wire.UsageView, error) {
-	if err := l.check(command); err != nil {
+	if err := l.validate(command); err != nil {
 		return nil, err
 	}
 	for _, window := range command.GetWindows() {
 		if window.GetWindow() < l.next {
 			continue
 		}
-		held := l.reporter(window.GetWindow(), command.GetReporter())
+		held := l.reporterCounts(window.GetWindow(), command.GetReporter())
 		for _, count := range window.GetCounts() {
 			held[count.GetTenant()] = max(held[count.GetTenant()], count.GetRequests())
 		}
@@ -61,7 +63,7 @@
 	return &wire.UsageView{Next: l.next}, nil
 }
 
-func (l *Ledger) check(command *wire.UsageAdd) error {
+func (l *Ledger) validate(command *wire.UsageAdd) error {
 	if command.GetReporter() == "" || len(command.GetReporter()) > maximumNameBytes {
 		return trace.BadParameter("a reporter's name must have 1 to %d bytes", maximumNameBytes)
 	}
@@ -73,8 +75,8 @@
 		if window.GetWindow() >= l.next && l.open[window.GetWindow()] == nil {
 			opened[window.GetWindow()] = true
 		}
-		if l.next > 0 && window.GetWindow() >= l.next+maximumOpen {
-			return trace.BadParameter("window %d is more than %d ahead of window %d, the next to be sealed", window.GetWindow(), maximumOpen, l.next)
+		if l.next > 0 && window.GetWindow() >= l.next+maximumOpenWindows {
+			return trace.BadParameter("window %d is more than %d ahead of window %d, the next to be sealed", window.GetWindow(), maximumOpenWindows, l.next)
 		}
 		for _, count := range window.GetCounts() {
 			if len(count.GetTenant()) > maximumNameBytes {
@@ -82,13 +84,13 @@
 			}
 		}
 	}
-	if len(l.open)+len(opened) > maximumOpen {
-		return trace.LimitExceeded("more than %d windows are not sealed", maximumOpen)
+	if len(l.open)+len(opened) > maximumOpenWindows {
+		return trace.LimitExceeded("more than %d windows are not sealed", maximumOpenWindows)
 	}
 	return nil
 }
 
-func (l *Ledger) reporter(window uint64, reporter string) counts {
+func (l *Ledger) reporterCounts(window uint64, reporter string) counts {
 	if l.open[window] == nil {
 		l.open[window] = map[string]counts{}
 	}
@@ -98,40 +100,42 @@
 	return l.open[window][reporter]
 }
 
-// Seal fixes the figures of the windows up to one, also of those in which nothing was counted, as far as there is room for
-// them. Errors: malformed command, nothing changed.
+// Seal fixes the figures of the windows up to command.Through, including windows in which nothing was counted, as far
+// as the limits on pending windows and on windows per command permit. An error is returned for a malformed command;
+// the ledger is then unchanged.
 func (l *Ledger) Seal(command *wire.UsageSeal) (*wire.UsageView, error) {
 	if command.GetFirst() == 0 || command.GetThrough() < command.GetFirst() {
 		return nil, trace.BadParameter("windows %d to %d can't be sealed", command.GetFirst(), command.GetThrough())
 	}
 	if l.next == 0 {
-		l.next = l.firstOf(command.GetFirst())
+		l.next = l.firstWindowToSeal(command.GetFirst())
 	}
-	for range maximumSealed {
-		if l.next > command.GetThrough() || len(l.pending) >= maximumPending {
+	for range maximumSealedAtOnce {
+		if l.next > command.GetThrough() || len(l.pending) >= maximumPendingWindows {
 			break
 		}
-		l.pending = append(l.pending, &wire.UsageWindow{Window: l.next, Counts: countsOf(l.total(l.next))})
+		l.pending = append(l.pending, &wire.UsageWindow{Window: l.next, Counts: listCounts(l.sumCounts(l.next))})
 		l.next++
 	}
 	maps.DeleteFunc(l.open, func(window uint64, _ map[string]counts) bool { return window < l.next })
 	return l.View(), nil
 }
 
-// firstOf is the window that the first seal begins with: the named one, or an earlier one with counts. Requests may be counted
-// before any node looks for windows to seal. One far before the named one comes from a wrong clock and is left out.
-func (l *Ledger) firstOf(named uint64) uint64 {
+// firstWindowToSeal returns the window with which the first Seal starts: the one named by the command, or an earlier
+// one with counts, since requests may be counted before any node looks for windows to seal. A window
+// maximumOpenWindows or more before the named one comes from a wrong clock and is left out.
+func (l *Ledger) firstWindowToSeal(named uint64) uint64 {
 	first := named
 	for window := range l.open {
-		if window+maximumOpen > named {
+		if window+maximumOpenWindows > named {
 			first = min(first, window)
 		}
 	}
 	return first
 }
 
-// total is what all reporters counted in a window.
-func (l *Ledger) total(window uint64) counts {
+// sumCounts returns the counts of all reporters in a window.
+func (l *Ledger) sumCounts(window uint64) counts {
 	sums := counts{}
 	for _, counted := range l.open[window] {
 		for tenant, requests := range counted {
@@ -141,8 +145,8 @@
 	return sums
 }
 
-// countsOf lists counts by tenant.
-func countsOf(counted counts) []*wire.UsageCount {
+// listCounts returns the counts as a list sorted by tenant.
+func listCounts(counted counts) []*wire.UsageCount {
 	listed := make([]*wire.UsageCount, 0, len(counted))
 	for _, tenant := range slices.Sorted(maps.Keys(counted)) {
 		listed = append(listed, &wire.UsageCount{Tenant: tenant, Requests: counted[tenant]})
@@ -150,13 +154,15 @@
 	return listed
 }
 
-// Deliver forgets the figures of a sealed window. One that is not pending is no error.
+// Deliver removes the figures of a sealed window that has been reported. It has no effect on a window that is not
+// pending.
 func (l *Ledger) Deliver(command *wire.UsageDeliver) *wire.UsageView {
 	l.pending = slices.DeleteFunc(slices.Clone(l.pending), func(window *wire.UsageWindow) bool { return window.GetWindow() == command.GetWindow() })
 	return l.View()
 }
 
-// View returns what is sealed. Its windows are shared and must not be changed.
+// View returns the first window that is not sealed, the oldest window with counts, and the sealed windows that are
+// not reported yet. The windows are shared with the ledger and must not be modified.
 func (l *Ledger) View() *wire.UsageView {
 	view := &wire.UsageView{Next: l.next, Pending: slices.Clone(l.pending)}
 	for window := range l.open {
@@ -172,13 +178,13 @@
 	snapshot := &wire.UsageSnapshot{Next: l.next, Pending: slices.Clone(l.pending)}
 	for _, window := range slices.Sorted(maps.Keys(l.open)) {
 		for _, reporter := range slices.Sorted(maps.Keys(l.open[window])) {
-			snapshot.Open = append(snapshot.Open, &wire.UsageOpen{Window: window, Reporter: reporter, Counts: countsOf(l.open[window][reporter])})
+			snapshot.Open = append(snapshot.Open, &wire.UsageOpen{Window: window, Reporter: reporter, Counts: listCounts(l.open[window][reporter])})
 		}
 	}
 	return snapshot
 }
 
-// Restore replaces the state with a snapshot's. On an error the ledger is unchanged.
+// Restore replaces the state with that of a snapshot. If it returns an error, the ledger is unchanged.
 func (l *Ledger) Restore(snapshot *wire.UsageSnapshot) error {
 	restored := NewLedger()
 	restored.next, restored.pending = snapshot.GetNext(), snapshot.GetPending()
@@ -186,7 +192,7 @@
 		if open.GetReporter() == "" || open.GetWindow() < restored.next {
 			return trace.BadParameter("snapshot has counts of window %d without a reporter, or after it was sealed", open.GetWindow())
 		}
-		held := restored.reporter(open.GetWindow(), open.GetReporter())
+		held := restored.reporterCounts(open.GetWindow(), open.GetReporter())
 		for _, count := range open.GetCounts() {
 			held[count.GetTenant()] = count.GetRequests()
 		}
--- a/internal/usage/meter_test.go
+++ b/internal/usage/meter_test.go
@@ -10,16 +10,17 @@
 func TestWindowsBeginAtMultiplesOfTheirLength(t *testing.T) {
 	for at, want := range map[time.Time]uint64{time.Unix(0, 0): 0, time.Unix(4, 999_999_999): 0, time.Unix(5, 0): 1, time.Unix(-3, 0): 0} {
 		if got := WindowOf(at, length); got != want {
-			t.Errorf("%v is in window %d", at, got)
+			t.Errorf("%v is in window %d, expected another", at, got)
 		}
 	}
 	if end := EndOf(1, length); !end.Equal(time.Unix(10, 0)) {
-		t.Errorf("window 1 ends at %v", end)
+		t.Errorf("window 1 ends at %v, want 10 s after the epoch", end)
 	}
 }
 
-// TestCountsGoUntilTheyAreTaken, as totals, and what the ledger takes no more of is told.
-func TestCountsGoUntilTheyAreTaken(t *testing.T) {
+// TestLostCountsAreSentAgain guards against counts that are lost with a failed hand-over. They must be sent again as
+// totals, and Sealed must report the requests that can no longer be handed over.
+func TestLostCountsAreSentAgain(t *testing.T) {
 	meter := NewMeter(length)
 	meter.Count("one", time.Unix(5, 0))
 	first := meter.Unsent()
@@ -35,17 +36,17 @@
 	}
 	meter.Count("one", time.Unix(7, 0))
 	if dropped := meter.Sealed(2); dropped != 3 {
-		t.Errorf("%d requests are in no report", dropped)
+		t.Errorf("%d requests were dropped, want 3", dropped)
 	}
 	meter.Lost(first)
 	if left := meter.Unsent(); len(left) != 0 {
-		t.Errorf("a sealed window goes again: %v", left)
+		t.Errorf("a sealed window was returned by Unsent again: %v", left)
 	}
 }
 
-// TestSteppedClockMovesNoRequest: a step of some seconds that is put right again is not followed, slewing is, and so is a
-// step that lasts.
-func TestSteppedClockMovesNoRequest(t *testing.T) {
+// TestClockStepIsFollowedOnlyIfItLasts covers a wall clock that is stepped by seconds. A step that is corrected soon
+// must not move requests to another window, whereas slewing and a lasting step must be followed.
+func TestClockStepIsFollowedOnlyIfItLasts(t *testing.T) {
 	var clock Steady
 	base := time.Unix(1000, 0)
 	at := func(after, step time.Duration) time.Duration {
@@ -58,7 +59,7 @@
 		{69 * time.Second, -2 * time.Second, -2 * time.Second},
 	} {
 		if got := at(test.after, test.step); got != test.want {
-			t.Errorf("after %v with a step of %v: %v off", test.after, test.step, got)
+			t.Errorf("after %v with a step of %v: off by %v, expected another deviation", test.after, test.step, got)
 		}
 	}
 }
