--- a/internal/member/voters_model_test.go
+++ b/internal/member/voters_model_test.go
@@ -20,7 +20,7 @@
 	modelFaultTime       = 60 * time.Second
 	modelFaultFreeTime   = 30 * time.Second // at the end of a run
 	modelVoters          = 5
-	modelCores           = 4 // machines that are control nodes; the others carry standbys
+	modelCores           = 4 // number of regular nodes; the others are standbys
 	modelMachines        = 8
 	modelLosses          = 2
 )
@@ -41,7 +41,7 @@
 type modelMachine struct {
 	id            uint64
 	address       string
-	core          bool          // it is a control node; the other machines carry standbys
+	core          bool          // it is a regular node; the others are standbys
 	startsAt      time.Duration // when the process starts or started to answer
 	awayUntil     time.Duration // until when the process does not answer after that; its disk is kept
 	lostUntil     time.Duration // until when the machine counts as lost
