--- a/internal/wave/planner.go
+++ b/internal/wave/planner.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// Planner keeps one pool's wave. It is not safe for concurrent use.
+// Planner plans the wave of one pool. It is not safe for concurrent use.
 type Planner struct {
-	config     Config
-	target     Version
-	releasedAt time.Duration
-	complete   bool // every replica has served the target
-	lasted     time.Duration
-	replicas   []*replica // sorted by name, so that runs can be repeated
-	orders     map[uint64]*replica
-	lastOrder  uint64
-	staging    int // stage orders under way
-	window     int // most stage orders under way, learned
-	stagePause time.Duration
-	swapTime   time.Duration // learned; 0 when unknown
-	counters   Counters
+	config           Config
+	target           Version
+	releasedAt       time.Duration
+	complete         bool // every replica has served the target
+	lastDuration     time.Duration
+	replicas         []*replica // sorted by name for reproducible runs
+	orders           map[uint64]*replica
+	lastOrder        uint64
+	stagesInFlight   int // stage orders in progress
+	stageLimit       int // maximum number of stage orders in progress; adapts to the weight store
+	stagePausedUntil time.Duration
+	swapTime         time.Duration // smoothed time of a swap; 0 if unknown
+	counters         Counters
 }
 
-// replica is what is known of one replica.
+// replica is the known state of one replica.
 type replica struct {
-	name      string
-	known     bool // it has reported or answered
-	serving   uint64
-	refusing  bool
-	staged    uint64
-	stagedAt  time.Duration // when the staged version is expected to be ready
-	reached   uint64        // highest target that it was seen to serve
-	order     Order         // under way; ID 0 when none
-	orderedAt time.Duration
-	answered  time.Duration // time of the last answer
-	hasAnswer bool
-	notBefore time.Duration
-	failures  int
+	name          string
+	hasReported   bool // it has reported or answered an order
+	serving       uint64
+	refusing      bool
+	staged        uint64
+	stagedAt      time.Duration // expected time at which the staged version is ready
+	highestServed uint64        // highest target that it has served
+	order         Order         // order in progress; its ID is 0 if there is none
+	orderedAt     time.Duration
+	answeredAt    time.Duration // time of the last answer, valid with hasAnswer
+	hasAnswer     bool
+	retryAt       time.Duration
+	failures      int
 }
 
-// New returns a planner of a pool without a release.
+// New returns a planner of a pool without replicas or releases.
 func New(config Config) *Planner {
 	config = config.WithDefaults()
-	return &Planner{config: config, window: config.StageTogether, orders: map[uint64]*replica{}}
+	return &Planner{config: config, stageLimit: config.MinStageLimit, orders: map[uint64]*replica{}}
 }
 
-// Release makes a version the one that all replicas are to serve. It is false for a number that is not
-// above the present target's.
+// Release makes a version the target that all replicas are to serve. It returns false and changes nothing if the
+// number is not above that of the current target.
 func (p *Planner) Release(now time.Duration, version Version) bool {
 	if version.Number <= p.target.Number && p.target.Name != "" {
 		return false
 	}
 	p.target, p.releasedAt, p.complete = version, now, false
 	for _, one := range p.replicas {
-		one.failures, one.notBefore = 0, 0
+		one.failures, one.retryAt = 0, 0
 	}
 	return true
 }
 
-// SetReplicas tells which replicas the pool has now. One that is gone is forgotten, with its order.
+// SetReplicas sets the replicas of the pool. Those no longer in the list are forgotten together with their orders.
 func (p *Planner) SetReplicas(names []string) {
 	names = slices.Sorted(slices.Values(names))
 	if slices.EqualFunc(p.replicas, names, func(one *replica, name string) bool { return one.name == name }) {
 		return
 	}
-	kept := make([]*replica, 0, len(names))
+	replicas := make([]*replica, 0, len(names))
 	for _, name := range names {
-		if position := p.position(name); position >= 0 {
-			kept = append(kept, p.replicas[position])
+		if position := p.findReplica(name); position >= 0 {
+			replicas = append(replicas, p.replicas[position])
 			continue
 		}
-		kept = append(kept, &replica{name: name})
+		replicas = append(replicas, &replica{name: name})
 		p.complete = false
 	}
 	for _, one := range p.replicas {
 		if _, listed := slices.BinarySearch(names, one.name); !listed {
-			p.release(one)
+			p.clearOrder(one)
 		}
 	}
-	p.replicas = kept
+	p.replicas = replicas
 }
 
 func compare(first, second string) int {
@@ -92,7 +92,8 @@
 	return 0
 }
 
-func (p *Planner) position(name string) int {
+// findReplica returns the index of a replica, or -1 if the pool has none of that name.
+func (p *Planner) findReplica(name string) int {
 	position, exists := slices.BinarySearchFunc(p.replicas, name, func(one *replica, name string) int {
 		return compare(one.name, name)
 	})
@@ -102,152 +103,155 @@
 	return position
 }
 
-// release ends a replica's order.
-func (p *Planner) release(one *replica) {
+// clearOrder removes the order in progress of a replica, if any.
+func (p *Planner) clearOrder(one *replica) {
 	if one.order.ID == 0 {
 		return
 	}
 	if one.order.Kind == Stage {
-		p.staging--
+		p.stagesInFlight--
 	}
 	delete(p.orders, one.order.ID)
 	one.order = Order{}
 }
 
-// Report takes a replica's own account of itself.
+// Report processes the status that a replica reports. Reports of unknown replicas are ignored.
 func (p *Planner) Report(now time.Duration, name string, report Report) {
-	position := p.position(name)
+	position := p.findReplica(name)
 	if position < 0 {
 		return
 	}
 	one := p.replicas[position]
 	if one.order.ID != 0 {
-		one.refusing = one.refusing && report.Refusing // from now on its order costs capacity
+		one.refusing = one.refusing && report.Refusing // once it no longer refuses work, its swap costs capacity
 		return
 	}
-	if one.hasAnswer && now < one.answered+p.config.ReportGrace && report.Version.Number != p.target.Number {
+	if one.hasAnswer && now < one.answeredAt+p.config.ReportGrace && report.Version.Number != p.target.Number {
 		return
 	}
-	one.known, one.serving, one.refusing = true, report.Version.Number, report.Refusing
+	one.hasReported, one.serving, one.refusing = true, report.Version.Number, report.Refusing
 	if report.Staged == 0 {
 		one.staged = 0
 	} else if report.Staged != one.staged {
 		one.staged, one.stagedAt = report.Staged, now+p.config.StageTime
 	}
-	p.settle(now, one)
+	p.updateCompletion(now, one)
 }
 
-// Answered takes the end of an order. An unknown order is ignored.
+// Answered processes the end of an order. Unknown orders are ignored.
 func (p *Planner) Answered(now time.Duration, id uint64, answer Answer) {
 	one := p.orders[id]
 	if one == nil {
 		return
 	}
 	order := one.order
-	p.release(one)
+	p.clearOrder(one)
 	switch answer.Outcome {
 	case Done:
-		p.done(now, one, order, answer.Serving)
+		p.completeOrder(now, one, order, answer.Serving)
 	case Throttled:
 		p.counters.Throttled++
-		p.narrow(now)
-		p.stagePause = max(p.stagePause, now+answer.RetryAfter)
-		one.notBefore = now + answer.RetryAfter
+		p.reduceStageLimit(now)
+		p.stagePausedUntil = max(p.stagePausedUntil, now+answer.RetryAfter)
+		one.retryAt = now + answer.RetryAfter
 	default:
-		p.failed(now, one)
+		p.recordFailure(now, one)
 	}
 }
 
-func (p *Planner) done(now time.Duration, one *replica, order Order, serving uint64) {
-	one.known, one.hasAnswer, one.answered, one.serving = true, true, now, serving
+// completeOrder processes an order that was answered as done.
+func (p *Planner) completeOrder(now time.Duration, one *replica, order Order, serving uint64) {
+	one.hasReported, one.hasAnswer, one.answeredAt, one.serving = true, true, now, serving
 	if order.Kind == Stage {
 		one.staged, one.stagedAt = order.Version.Number, now+p.config.StageTime
 		one.failures = 0
-		p.window = min(p.window+1, max(len(p.replicas), p.config.StageTogether))
+		p.stageLimit = min(p.stageLimit+1, max(len(p.replicas), p.config.MinStageLimit))
 		return
 	}
 	one.staged = 0
 	if serving != order.Version.Number {
-		one.hasAnswer = false // nothing is known for sure: the next report counts
-		p.failed(now, one)
+		one.hasAnswer = false // the state is uncertain, so the next report decides
+		p.recordFailure(now, one)
 		return
 	}
 	one.refusing, one.failures = false, 0
 	p.counters.Swaps++
-	p.learnSwap(now - one.orderedAt)
-	p.settle(now, one)
+	p.updateSwapTime(now - one.orderedAt)
+	p.updateCompletion(now, one)
 }
 
-// narrow halves the number of stage orders under way, once per pause of the store.
-func (p *Planner) narrow(now time.Duration) {
-	if now >= p.stagePause {
-		p.window = max(p.window/2, p.config.StageTogether)
+// reduceStageLimit halves the limit of stage orders, once per pause that the weight store asks for.
+func (p *Planner) reduceStageLimit(now time.Duration) {
+	if now >= p.stagePausedUntil {
+		p.stageLimit = max(p.stageLimit/2, p.config.MinStageLimit)
 	}
 }
 
-// learnSwap follows the swap time: quickly up, slowly down.
-func (p *Planner) learnSwap(lasted time.Duration) {
-	if lasted > p.swapTime {
-		p.swapTime = lasted
+// updateSwapTime updates the smoothed swap time. It rises at once and falls slowly.
+func (p *Planner) updateSwapTime(duration time.Duration) {
+	if duration > p.swapTime {
+		p.swapTime = duration
 		return
 	}
-	p.swapTime -= (p.swapTime - lasted) / 8
+	p.swapTime -= (p.swapTime - duration) / 8
 }
 
-func (p *Planner) failed(now time.Duration, one *replica) {
+// recordFailure pauses a replica after a failed order. The pause doubles with each failure in a row.
+func (p *Planner) recordFailure(now time.Duration, one *replica) {
 	p.counters.Failures++
-	pause := p.config.RetryFirst << min(one.failures, 16)
+	pause := p.config.MinRetryPause << min(one.failures, 16)
 	one.failures++
-	one.notBefore = now + min(pause, p.config.RetryMost)
+	one.retryAt = now + min(pause, p.config.MaxRetryPause)
 	one.staged = 0
 }
 
-// settle notes what a replica serves, and whether the wave is whole.
-func (p *Planner) settle(now time.Duration, one *replica) {
-	if !p.serves(one) {
+// updateCompletion records that a replica serves the target, and whether this completes the wave.
+func (p *Planner) updateCompletion(now time.Duration, one *replica) {
+	if !p.servesTarget(one) {
 		return
 	}
-	one.reached = p.target.Number
-	if p.complete || slices.ContainsFunc(p.replicas, func(other *replica) bool { return !p.serves(other) }) {
+	one.highestServed = p.target.Number
+	if p.complete || slices.ContainsFunc(p.replicas, func(other *replica) bool { return !p.servesTarget(other) }) {
 		return
 	}
 	p.complete = true
-	p.lasted = now - p.releasedAt
+	p.lastDuration = now - p.releasedAt
 	p.counters.Waves++
 }
 
-func (p *Planner) serves(one *replica) bool {
-	return one.known && !one.refusing && p.target.Name != "" && one.serving == p.target.Number
+// servesTarget reports whether a replica is known to serve the target and accepts work.
+func (p *Planner) servesTarget(one *replica) bool {
+	return one.hasReported && !one.refusing && p.target.Name != "" && one.serving == p.target.Number
 }
 
-// Next returns the orders to send now.
+// Next returns the orders to send now, and counts them as in progress.
 func (p *Planner) Next(now time.Duration) []Order {
 	if p.target.Name == "" {
 		return nil
 	}
 	var orders []Order
-	places := p.swapPlaces()
-	for _, one := range p.inOrder() {
-		if one.order.ID != 0 || p.serves(one) || now < one.notBefore {
+	available := p.availableSwaps()
+	for _, one := range p.replicasInOrder() {
+		if one.order.ID != 0 || p.servesTarget(one) || now < one.retryAt {
 			continue
 		}
 		switch {
 		case one.refusing:
-			orders = append(orders, p.order(now, one, Swap)) // it serves nothing: a swap costs no capacity
+			orders = append(orders, p.issueOrder(now, one, Swap)) // it serves no requests, so the swap costs no capacity
 		case one.staged == p.target.Number && now >= one.stagedAt:
-			if places > 0 {
-				places--
-				orders = append(orders, p.order(now, one, Swap))
+			if available > 0 {
+				available--
+				orders = append(orders, p.issueOrder(now, one, Swap))
 			}
-		case one.staged != p.target.Number && p.staging < p.window && now >= p.stagePause:
-			orders = append(orders, p.order(now, one, Stage))
+		case one.staged != p.target.Number && p.stagesInFlight < p.stageLimit && now >= p.stagePausedUntil:
+			orders = append(orders, p.issueOrder(now, one, Stage))
 		}
 	}
 	return orders
 }
 
-// inOrder returns the replicas in the order in which they get their orders.
-func (p *Planner) inOrder() []*replica {
+// replicasInOrder returns the replicas in the order in which they get orders.
+func (p *Planner) replicasInOrder() []*replica {
 	if !p.config.OldestFirst {
 		return p.replicas
 	}
@@ -256,57 +260,59 @@
 	return ordered
 }
 
-// SetSwapTogether replaces Config.SwapTogether; swaps under way go on.
-func (p *Planner) SetSwapTogether(count int) { p.config.SwapTogether = count }
+// SetMaxConcurrentSwaps replaces Config.MaxConcurrentSwaps. Swaps in progress continue.
+func (p *Planner) SetMaxConcurrentSwaps(count int) { p.config.MaxConcurrentSwaps = count }
 
-// swapPlaces is how many more replicas may go out for a swap: those that are out already, by a swap or
-// because they take no work, count.
-func (p *Planner) swapPlaces() int {
+// availableSwaps returns the number of further replicas that may be taken out of service for a swap. Replicas that
+// are swapping or refuse work count against the limit.
+func (p *Planner) availableSwaps() int {
 	if p.swapTime > 0 && p.swapTime <= p.config.QuickSwap {
 		return len(p.replicas)
 	}
-	places := max(1, int(float64(len(p.replicas))*p.config.SwapShare))
-	if p.config.SwapTogether > 0 {
-		places = p.config.SwapTogether
+	available := max(1, int(float64(len(p.replicas))*p.config.SwapShare))
+	if p.config.MaxConcurrentSwaps > 0 {
+		available = p.config.MaxConcurrentSwaps
 	}
 	for _, one := range p.replicas {
 		if one.order.Kind == Swap || one.refusing {
-			places--
+			available--
 		}
 	}
-	if places <= 0 && !p.swapping() {
-		return 1 // the others are out for good: go on one by one
+	if available <= 0 && !p.isSwapping() {
+		return 1 // the replicas that refuse work may never come back, so the others swap one at a time
 	}
-	return places
+	return available
 }
 
-func (p *Planner) swapping() bool {
+// isSwapping reports whether a replica that accepts work is being swapped.
+func (p *Planner) isSwapping() bool {
 	return slices.ContainsFunc(p.replicas, func(one *replica) bool { return one.order.Kind == Swap && !one.refusing })
 }
 
-func (p *Planner) order(now time.Duration, one *replica, kind Kind) Order {
+// issueOrder creates an order for a replica and counts it as in progress.
+func (p *Planner) issueOrder(now time.Duration, one *replica, kind Kind) Order {
 	p.lastOrder++
 	one.order = Order{ID: p.lastOrder, Replica: one.name, Version: p.target, Kind: kind}
 	one.orderedAt = now
 	p.orders[p.lastOrder] = one
 	if kind == Stage {
-		p.staging++
+		p.stagesInFlight++
 		p.counters.StageOrders++
 	}
-	if one.reached == p.target.Number && one.reached > 0 {
+	if one.highestServed == p.target.Number && one.highestServed > 0 {
 		p.counters.Repairs++
 	}
 	return one.order
 }
 
-// Target returns the version that all replicas are to serve; its name is empty before the first release.
+// Target returns the version that all replicas are to serve. Its name is empty before the first release.
 func (p *Planner) Target() Version { return p.target }
 
 // Status returns the state of the wave.
 func (p *Planner) Status() Status {
-	status := Status{Target: p.target, Replicas: len(p.replicas), Lasted: p.lasted, Counters: p.counters}
+	status := Status{Target: p.target, Replicas: len(p.replicas), Lasted: p.lastDuration, Counters: p.counters}
 	for _, one := range p.replicas {
-		if p.serves(one) {
+		if p.servesTarget(one) {
 			status.Serving++
 		}
 	}
--- a/internal/wave/planner_test.go
+++ b/internal/wave/planner_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// world is a pool of replicas that obey, fail, lie and restart.
-type world struct {
+// simulatedPool is a pool of replicas that execute orders, fail, claim swaps that they did not make, and restart.
+type simulatedPool struct {
 	planner *Planner
 	now     time.Duration
 	serving map[string]uint64
 	refuses map[string]bool
 	names   []string
-	orders  []Order // under way
+	orders  []Order // in progress
 	target  uint64
 }
 
-func newWorld(config Config, replicas int) *world {
-	w := &world{planner: New(config), serving: map[string]uint64{}, refuses: map[string]bool{}}
+func newSimulatedPool(config Config, replicas int) *simulatedPool {
+	w := &simulatedPool{planner: New(config), serving: map[string]uint64{}, refuses: map[string]bool{}}
 	for index := range replicas {
 		w.names = append(w.names, fmt.Sprintf("r%03d", index))
 	}
@@ -28,27 +28,27 @@
 	return w
 }
 
-func (w *world) release(t interface{ Fatalf(string, ...any) }) {
+func (w *simulatedPool) release(t interface{ Fatalf(string, ...any) }) {
 	w.target++
 	if !w.planner.Release(w.now, Version{Name: fmt.Sprintf("v%d", w.target), Number: w.target}) {
-		t.Fatalf("version %d was refused", w.target)
+		t.Fatalf("Release of version %d was rejected", w.target)
 	}
 }
 
-// next takes the planner's orders and checks them. An order that takes a working replica out must leave the
-// others' capacity, counting all that are out by an order. A replica that refused when it was ordered to swap, and
-// works again before it does, can't be called back: it counts against later orders only.
-func (w *world) next(t interface{ Fatalf(string, ...any) }) {
+// next gets the planner's orders and checks them. When an order takes a working replica out of service, the number of
+// replicas out of service by orders must be within the limit. A replica that refused work when it was ordered to
+// swap, and works again before it has, can't be recalled, so it counts only when later orders are sent.
+func (w *simulatedPool) next(t interface{ Fatalf(string, ...any) }) {
 	costs := false
 	for _, order := range w.planner.Next(w.now) {
 		costs = costs || order.Kind == Swap && !w.refuses[order.Replica]
 		for _, other := range w.orders {
 			if other.Replica == order.Replica {
-				t.Fatalf("%s has two orders: %+v and %+v", order.Replica, other, order)
+				t.Fatalf("replica %s has two orders in progress: %+v and %+v", order.Replica, other, order)
 			}
 		}
 		if order.Version.Number != w.target {
-			t.Fatalf("order %+v for an old version, target %d", order, w.target)
+			t.Fatalf("order %+v is for an old version, want target %d", order, w.target)
 		}
 		w.orders = append(w.orders, order)
 	}
@@ -59,30 +59,31 @@
 		}
 	}
 	if most := max(1, len(w.names)/5); costs && out > most {
-		t.Fatalf("%d replicas swap at once, at most %d may", out, most)
+		t.Fatalf("%d working replicas are out of service by orders, want at most %d", out, most)
 	}
 }
 
-// answer ends the order at a position as the replica decides.
-func (w *world) answer(position int, outcome Outcome, lies bool) {
+// answer ends the order at a position with the given outcome. With ignoresSwap a replica answers a swap with Done but
+// keeps its version.
+func (w *simulatedPool) answer(position int, outcome Outcome, ignoresSwap bool) {
 	order := w.orders[position]
 	w.orders = append(w.orders[:position], w.orders[position+1:]...)
-	if outcome == Done && order.Kind == Swap && !lies {
+	if outcome == Done && order.Kind == Swap && !ignoresSwap {
 		w.serving[order.Replica], w.refuses[order.Replica] = order.Version.Number, false
 	}
 	w.planner.Answered(w.now, order.ID, Answer{Outcome: outcome, Serving: w.serving[order.Replica], RetryAfter: time.Second})
 }
 
-func (w *world) report(name string) {
+func (w *simulatedPool) report(name string) {
 	w.planner.Report(w.now, name, Report{Version: Version{Number: w.serving[name]}, Refusing: w.refuses[name]})
 }
 
-// TestWaveEndsDespiteFailures drives random events and checks that capacity is kept, no order is for an old
-// version, and that every replica serves the newest one in the end. The world answers at once, which must not pass for
-// swaps so quick that all replicas may go out together.
-func TestWaveEndsDespiteFailures(t *testing.T) {
+// TestWaveCompletesDespiteFailures drives random events and checks that capacity is kept, that no order is for an old
+// version and that every replica serves the newest one in the end. Replicas answer immediately, so QuickSwap is set
+// low enough that this does not permit all of them to swap at once.
+func TestWaveCompletesDespiteFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(Config{QuickSwap: time.Nanosecond}, rapid.IntRange(1, 12).Draw(t, "replicas"))
+		w := newSimulatedPool(Config{QuickSwap: time.Nanosecond}, rapid.IntRange(1, 12).Draw(t, "replicas"))
 		w.release(t)
 		for range rapid.IntRange(0, 150).Draw(t, "events") {
 			w.now += time.Duration(rapid.IntRange(0, 800).Draw(t, "elapsed")) * time.Millisecond
@@ -90,7 +91,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				w.release(t)
-			case 1: // the replica comes back with its first weights
+			case 1: // the replica restarts with its initial weights
 				w.serving[name], w.refuses[name] = 0, rapid.Bool().Draw(t, "refuses")
 				w.report(name)
 			case 2, 3:
@@ -108,7 +109,7 @@
 	})
 }
 
-func (w *world) drain(t *rapid.T) {
+func (w *simulatedPool) drain(t *rapid.T) {
 	for range 400 {
 		w.now += 500 * time.Millisecond
 		for len(w.orders) > 0 {
@@ -121,19 +122,19 @@
 	}
 	for _, name := range w.names {
 		if w.serving[name] != w.target {
-			t.Fatalf("%s serves %d, target %d", name, w.serving[name], w.target)
+			t.Fatalf("replica %s serves version %d, want target %d", name, w.serving[name], w.target)
 		}
 	}
 	if status := w.planner.Status(); status.Serving != len(w.names) || status.Counters.Waves == 0 {
-		t.Fatalf("status %+v", status)
+		t.Fatalf("got status %+v, want all replicas serving and at least one complete wave", status)
 	}
 }
 
-// lasts runs one wave in virtual time: stage orders are answered after 300ms, swaps take 500ms.
-func lasts(t *testing.T, replicas int, storeReadsPerSecond float64) time.Duration {
+// waveDuration runs one wave in virtual time and returns its duration. Stage orders take 300ms and swaps 500ms.
+func waveDuration(t *testing.T, replicas int, storeReadsPerSecond float64) time.Duration {
 	t.Helper()
 	const tick = 50 * time.Millisecond
-	w := newWorld(Config{}, replicas)
+	w := newSimulatedPool(Config{}, replicas)
 	w.release(t)
 	due := map[uint64]time.Duration{}
 	budget := 0.0
@@ -163,28 +164,28 @@
 		w.now += tick
 		budget = min(budget+storeReadsPerSecond*tick.Seconds(), 100)
 	}
-	t.Fatal("the wave never ended")
+	t.Fatal("the wave did not complete within 10m")
 	return 0
 }
 
-func TestWaveIsThroughInTenSeconds(t *testing.T) {
+func TestWaveCompletesWithinTenSeconds(t *testing.T) {
 	for _, replicas := range []int{1, 10, 600} {
-		if lasted := lasts(t, replicas, 0); lasted > 10*time.Second {
-			t.Errorf("%d replicas took %s", replicas, lasted)
+		if lasted := waveDuration(t, replicas, 0); lasted > 10*time.Second {
+			t.Errorf("wave over %d replicas took %s, want at most 10s", replicas, lasted)
 		}
 	}
 }
 
-// TestWaveGrowsWithTheReplicasThatPassWeightsOn has a store of 16 streams; each replica that has the weights adds one.
-// A copy takes 500ms, a swap as long.
-func TestWaveGrowsWithTheReplicasThatPassWeightsOn(t *testing.T) {
+// TestStagingScalesWithReplicasServingWeights checks that a wave speeds up as replicas start to pass the weights on.
+// The weight store has 16 streams, each replica that has the weights adds one, and copies and swaps take 500ms each.
+func TestStagingScalesWithReplicasServingWeights(t *testing.T) {
 	const replicas, copyTime = 600, 500 * time.Millisecond
-	w := newWorld(Config{}, replicas)
+	w := newSimulatedPool(Config{}, replicas)
 	w.release(t)
 	due, copies, streams := map[uint64]time.Duration{}, 0, 16
 	for ; w.planner.Status().Serving < replicas; w.now += 50 * time.Millisecond {
 		if w.now > 10*time.Second {
-			t.Fatalf("%d of %d replicas after %s", w.planner.Status().Serving, replicas, w.now)
+			t.Fatalf("%d of %d replicas serve the version after %s, want all within 10s", w.planner.Status().Serving, replicas, w.now)
 		}
 		w.next(t)
 		for position := len(w.orders) - 1; position >= 0; position-- {
@@ -208,13 +209,13 @@
 }
 
 func TestThrottledStoreOnlyDelaysTheWave(t *testing.T) {
-	if lasted := lasts(t, 10, 4); lasted < 2*time.Second || lasted > 10*time.Second {
-		t.Errorf("ten replicas took %s at four reads a second", lasted)
+	if lasted := waveDuration(t, 10, 4); lasted < 2*time.Second || lasted > 10*time.Second {
+		t.Errorf("wave over ten replicas with four store reads per second took %s, want 2s to 10s", lasted)
 	}
 }
 
-func TestReplicaThatComesBackOldIsRepaired(t *testing.T) {
-	w := newWorld(Config{}, 1)
+func TestReplicaRevertingToOldVersionIsRepaired(t *testing.T) {
+	w := newSimulatedPool(Config{}, 1)
 	w.release(t)
 	for w.planner.Status().Serving == 0 {
 		w.next(t)
@@ -226,35 +227,36 @@
 	w.serving["r000"] = 0
 	w.report("r000")
 	if len(w.planner.Next(w.now)) > 0 {
-		t.Fatal("an old report undid the answer")
+		t.Fatal("a report within ReportGrace overrode the answer to an order")
 	}
 	w.now += defaultReportGrace
 	w.report("r000")
 	w.next(t)
 	if len(w.orders) != 1 || w.planner.Status().Counters.Repairs != 1 {
-		t.Fatalf("orders %+v, status %+v", w.orders, w.planner.Status())
+		t.Fatalf("got orders %+v and status %+v, want one order that counts as a repair", w.orders, w.planner.Status())
 	}
 }
 
-func TestOldNumberIsRefused(t *testing.T) {
+func TestReleaseRejectsOldNumber(t *testing.T) {
 	planner := New(Config{})
 	if !planner.Release(0, Version{Name: "a", Number: 5}) || planner.Release(0, Version{Name: "b", Number: 5}) ||
 		planner.Release(0, Version{Name: "c", Number: 4}) {
-		t.Fatal("a number that is not above the last one was taken, or the first one was not")
+		t.Fatal("Release accepted a number that is not above the last one, or rejected the first one")
 	}
 }
 
-// TestNoReplicaStaysBehind releases a version whenever one replica has swapped: each replica gets its turn.
-func TestNoReplicaStaysBehind(t *testing.T) {
-	w := newWorld(Config{SwapTogether: 1, StageTime: 1, OldestFirst: true}, 4)
+// TestFrequentReleasesDoNotStarveReplicas releases a version after each swap and checks that every replica is updated
+// nevertheless.
+func TestFrequentReleasesDoNotStarveReplicas(t *testing.T) {
+	w := newSimulatedPool(Config{MaxConcurrentSwaps: 1, StageTime: 1, OldestFirst: true}, 4)
 	for range 4 {
 		w.release(t)
-		w.next(t) // stage orders
+		w.next(t) // sends stage orders
 		for len(w.orders) > 0 {
 			w.answer(0, Done, false)
 		}
 		w.now += time.Second
-		w.next(t) // one swap
+		w.next(t) // sends one swap
 		w.now += time.Second
 		for len(w.orders) > 0 {
 			w.answer(0, Done, false)
@@ -262,7 +264,7 @@
 	}
 	for _, name := range w.names {
 		if w.serving[name] == 0 {
-			t.Fatalf("%s was left at its first version: %v", name, w.serving)
+			t.Fatalf("replica %s was never updated: serving %v", name, w.serving)
 		}
 	}
 }
--- a/internal/wave/types.go
+++ b/internal/wave/types.go
@@ -1,10 +1,11 @@
-// Package wave plans how a released weight version reaches all replicas of a pool: staged beside the
-// running steps first, then swapped in a few replicas at a time, so that live capacity is kept. It is pure:
-// it has no clock, goroutine or I/O; time is an argument (since an arbitrary start, monotonic). In go
-// releases, replicas' reports and the answers to orders; out come orders. Every order may be sent again.
+// Package wave plans the rollout of a released weight version to all replicas of a pool. The version is staged first,
+// next to the running steps, and then swapped in on a few replicas at a time, so that most of the capacity for live
+// traffic is kept. The package is pure: it has no clock, goroutines or I/O. Times are arguments, measured from an
+// arbitrary start on a monotonic clock. Its inputs are releases, reports of replicas and answers to orders, its
+// output are orders. Every order may be sent repeatedly.
 //
-// The runtime's duties: send what Next returns under a fencing token of the pool, call Answered for each
-// order exactly once, and call Next again after each event and at least every few hundred milliseconds.
+// The caller must send the orders that Next returns under a fencing token of the pool, call Answered exactly once for
+// each order, and call Next again after each event and at least every few hundred milliseconds.
 package wave
 
 import (
@@ -13,22 +14,22 @@
 	"github.com/tamarindring/tamarindring/internal/defaults"
 )
 
-// Version is one weight version of a pool. Numbers rise with each release.
+// Version is a weight version of a pool. Numbers increase with each release.
 type Version struct {
 	Name   string
 	Number uint64
 }
 
-// Kind is what an order asks of a replica.
+// Kind is the action that an order requests.
 type Kind uint8
 
-// The kinds of order.
+// Values of Kind.
 const (
-	Stage Kind = iota + 1 // load the version beside the running steps; serving goes on unchanged
-	Swap                  // serve the version; it is staged first where it is not
+	Stage Kind = iota + 1 // load the version next to the running steps while serving continues unchanged
+	Swap                  // serve the version, after staging it if necessary
 )
 
-// String returns the kind's name for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	if k == Stage {
 		return "stage"
@@ -36,7 +37,7 @@
 	return "swap"
 }
 
-// Order is one command for one replica. A replica has at most one order at a time.
+// Order is a command to one replica. A replica has at most one order at a time.
 type Order struct {
 	ID      uint64
 	Replica string
@@ -44,54 +45,56 @@
 	Kind    Kind
 }
 
-// Report is what a replica says about itself. It may be old.
+// Report is the status that a replica reports. It may be out of date.
 type Report struct {
-	Version  Version // served
-	Staged   uint64  // number of the version that waits for a swap; 0 when none
-	Refusing bool    // takes no work until a swap succeeds
+	Version  Version // version being served
+	Staged   uint64  // number of the version staged for a swap; 0 if none
+	Refusing bool    // whether the replica refuses work until a swap succeeds
 }
 
-// Outcome is how an order ended.
+// Outcome is the result of an order.
 type Outcome uint8
 
-// The outcomes of an order.
+// Values of Outcome.
 const (
-	Done      Outcome = iota + 1 // answered; Answer.Serving tells what is served now
-	Failed                       // refused, failed, or its fate is unknown
-	Throttled                    // the weight store gives nothing before Answer.RetryAfter
+	Done      Outcome = iota + 1 // answered; Answer.Serving is the version served now
+	Failed                       // rejected, failed, or of unknown outcome
+	Throttled                    // the weight store serves no reads until Answer.RetryAfter has passed
 )
 
-// Answer is the end of an order.
+// Answer reports the end of an order.
 type Answer struct {
 	Outcome    Outcome
-	Serving    uint64        // number that the replica says it serves; valid with Done
+	Serving    uint64        // number of the version that the replica reports as served; valid with Done
 	RetryAfter time.Duration // valid with Throttled
 }
 
-// Config holds a Planner's parameters.
+// Config holds the parameters of a Planner.
 type Config struct {
-	// SwapShare is the part of a pool's replicas that may be out for a swap at once, as a fraction; at
-	// least one is. Default 0.2: a pool keeps four fifths of its capacity and is through in five rounds.
+	// SwapShare is the share of a pool's replicas that may be out of service for a swap at the same time. At least one
+	// always may. Default: 0.2, which keeps four fifths of the capacity and completes a wave in five rounds.
 	SwapShare float64
-	// SwapTogether bounds the swaps in place of SwapShare, as a count. Default 0: SwapShare rules.
-	SwapTogether int
-	// OldestFirst gives orders to the replicas that serve the oldest version first, in place of the order of
-	// their names: where versions follow each other faster than all replicas can swap, none stays behind.
+	// MaxConcurrentSwaps bounds the concurrent swaps by a count and replaces SwapShare. Default: 0, which applies
+	// SwapShare.
+	MaxConcurrentSwaps int
+	// OldestFirst gives orders to the replicas with the oldest version first, instead of by name. No replica is
+	// starved then when versions are released faster than all replicas can swap.
 	OldestFirst bool
-	// QuickSwap is the swap time up to which all replicas may swap at once, because the gap is shorter
-	// than a few steps. Default 50ms.
+	// QuickSwap is the swap time up to which all replicas may swap at the same time, because the gap in service is
+	// shorter than a few steps. Default: 50ms.
 	QuickSwap time.Duration
-	// StageTogether bounds the stage orders under way in a pool at first, and at least. Each one that succeeds
-	// raises the bound by one, each pause that the store asks for halves it. Default 32.
-	StageTogether int
-	// StageTime is how long a replica needs after the answer to a stage order; a swap sent earlier would
-	// hold a place among the swapping ones while it waits. Default 1s.
+	// MinStageLimit is the initial and minimum limit of stage orders in progress in a pool. Each success raises the
+	// limit by one, and each pause that the weight store asks for halves it. Default: 32.
+	MinStageLimit int
+	// StageTime is the time that a replica needs to finish staging after it has answered a stage order. A swap sent
+	// earlier would count against the concurrent swaps while it waits. Default: 1s.
 	StageTime time.Duration
-	// RetryFirst and RetryMost bound the growing pause after a failed order. Defaults 250ms and 4s.
-	RetryFirst time.Duration
-	RetryMost  time.Duration
-	// ReportGrace is how long the answer to an order counts more than a report, which may be older than
-	// it. Default 6s: reports lag by up to 5s.
+	// MinRetryPause and MaxRetryPause bound the pause after a failed order, which doubles with each failure. Defaults:
+	// 250ms and 4s.
+	MinRetryPause time.Duration
+	MaxRetryPause time.Duration
+	// ReportGrace is the time for which the answer to an order takes precedence over reports, which may be older.
+	// Default: 6s, since reports lag by up to 5s.
 	ReportGrace time.Duration
 }
 
@@ -99,40 +102,40 @@
 const (
 	defaultSwapShare     = 0.2
 	defaultQuickSwap     = 50 * time.Millisecond
-	defaultStageTogether = 32
+	defaultMinStageLimit = 32
 	defaultStageTime     = time.Second
-	defaultRetryFirst    = 250 * time.Millisecond
-	defaultRetryMost     = 4 * time.Second
+	defaultMinRetryPause = 250 * time.Millisecond
+	defaultMaxRetryPause = 4 * time.Second
 	defaultReportGrace   = 6 * time.Second
 )
 
-// WithDefaults fills unset fields.
+// WithDefaults returns the config with defaults for fields that are not set.
 func (c Config) WithDefaults() Config {
 	defaults.Set(&c.SwapShare, defaultSwapShare)
 	defaults.Set(&c.QuickSwap, defaultQuickSwap)
-	defaults.Set(&c.StageTogether, defaultStageTogether)
+	defaults.Set(&c.MinStageLimit, defaultMinStageLimit)
 	defaults.Set(&c.StageTime, defaultStageTime)
-	defaults.Set(&c.RetryFirst, defaultRetryFirst)
-	defaults.Set(&c.RetryMost, defaultRetryMost)
+	defaults.Set(&c.MinRetryPause, defaultMinRetryPause)
+	defaults.Set(&c.MaxRetryPause, defaultMaxRetryPause)
 	defaults.Set(&c.ReportGrace, defaultReportGrace)
 	return c
 }
 
-// Counters count what happened since the start.
+// Counters counts events since the planner was created.
 type Counters struct {
-	Waves       uint64 // versions that came to be served by every replica of their time
+	Waves       uint64 // versions that were served by every replica of the pool at one time
 	Swaps       uint64
 	StageOrders uint64
-	Failures    uint64 // orders that failed, swaps that changed nothing included
+	Failures    uint64 // orders that failed, including swaps that did not change the version
 	Throttled   uint64
-	Repairs     uint64 // orders to replicas that had served the version and came back with another
+	Repairs     uint64 // orders to replicas that had served the target before and reverted to another version
 }
 
-// Status is the state of a pool's wave.
+// Status is the state of the wave of a pool.
 type Status struct {
 	Target   Version
 	Replicas int
 	Serving  int           // replicas that serve the target
-	Lasted   time.Duration // of the last whole wave, from release to the last replica
+	Lasted   time.Duration // duration of the last complete wave, from the release until the last replica served it
 	Counters Counters
 }
--- a/internal/weights/arrange.go
+++ b/internal/weights/arrange.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// usualLag is how far behind the newest version weights usually may be and still be used: trainers ask for a
-	// step with the weights of the step before.
-	usualLag = 1
-	// scarce is the part of a model's replicas, as one in so many, below which too few can work for its newest step.
-	scarce = 3
-	// greatestDemand bounds how many times as many places a model gets as another one, so that a model with little open
-	// work still finds weights for its next job.
-	greatestDemand = 4
+	// usableStaleness is the staleness in versions up to which weights are usually accepted: trainers request a step
+	// with the weights of the step before.
+	usableStaleness = 1
+	// scarceDivisor defines when a model is scarce: fewer than one in scarceDivisor of its replicas serve a version
+	// that is recent enough for the newest step.
+	scarceDivisor = 3
+	// maxDemandRatio bounds the weight of a model's demand relative to the lowest one, so that a model with little
+	// open work still has current weights for its next job.
+	maxDemandRatio = 4
 )
 
-// supply is how many replicas serve a model.
+// supply counts the replicas of a model.
 type supply struct {
 	replicas int
-	usable   int // for the newest work
-	newest   int // serve the newest version or load: what the next step will find
-	// demand is the model's part of the work, as a multiple of that of the model with the least; at least 1.
+	usable   int // replicas whose version is recent enough for the newest step
+	newest   int // replicas that serve the newest version or are loading it
+	// demand is the open work of the model as a multiple of that of the model with the least; at least 1.
 	demand float64
 }
 
-// supplies counts, by model, the replicas that serve it or load.
-func (d *Driver) supplies() map[string]supply {
+// countSupplies returns the supply of each model. A replica that is loading counts as serving the newest version.
+func (d *Driver) countSupplies() map[string]supply {
 	supplies := make(map[string]supply, len(d.planners))
-	demands := d.demands()
+	ratios := d.demandRatios()
 	for model, planner := range d.planners {
-		of, target := supply{replicas: len(d.serving[model]), demand: max(demands[model], 1)}, planner.Target().Number
+		count, target := supply{replicas: len(d.serving[model]), demand: max(ratios[model], 1)}, planner.Target().Number
 		for _, number := range d.serving[model] {
-			if number+usualLag >= target {
-				of.usable++
+			if number+usableStaleness >= target {
+				count.usable++
 			}
 			if number >= target {
-				of.newest++
+				count.newest++
 			}
 		}
-		supplies[model] = of
+		supplies[model] = count
 	}
-	for _, loading := range d.busy {
-		if of, known := supplies[loading]; known {
-			supplies[loading] = of.withLoad()
+	for _, loading := range d.loadingModels {
+		if count, known := supplies[loading]; known {
+			supplies[loading] = count.withLoad()
 		}
 	}
 	return supplies
 }
 
-// demands is the work of the models' open batch jobs as multiples of the least of them.
-func (d *Driver) demands() map[string]float64 {
+// demandRatios returns the open work of each model as a multiple of the least one, bounded by maxDemandRatio.
+func (d *Driver) demandRatios() map[string]float64 {
 	work := d.config.Demand()
 	least := uint64(0)
 	for _, tokens := range work {
@@ -58,36 +59,38 @@
 			least = tokens
 		}
 	}
-	demands := make(map[string]float64, len(work))
+	ratios := make(map[string]float64, len(work))
 	for model, tokens := range work {
-		demands[model] = min(float64(tokens)/float64(max(least, 1)), greatestDemand)
+		ratios[model] = min(float64(tokens)/float64(max(least, 1)), maxDemandRatio)
 	}
-	return demands
+	return ratios
 }
 
-// withLoad counts one more replica that loads the newest version.
+// withLoad returns the supply with one more replica that loads the newest version.
 func (s supply) withLoad() supply {
 	s.newest++
 	s.usable++
 	return s
 }
 
-// arrange sorts the queue: places are few. Models that too few replicas can work for go first, and otherwise those
-// whose newest version the fewest replicas serve or load for the work of the model's jobs. Among a model's orders the order
-// of its wave stays.
-func (d *Driver) arrange(supplies map[string]supply) {
-	slices.SortStableFunc(d.queue, func(a, b queued) int {
+// sortQueue sorts the queue by urgency, since load slots are limited. Scarce models come first. Among the others
+// those come first whose newest version is served or being loaded by the fewest replicas relative to the demand.
+// Orders of the same model keep the order of their wave.
+func (d *Driver) sortQueue(supplies map[string]supply) {
+	slices.SortStableFunc(d.queue, func(a, b queuedOrder) int {
 		return supplies[a.model].compare(supplies[b.model])
 	})
 }
 
-func (s supply) scarce() int {
-	if scarce*s.usable < s.replicas {
+// scarcityRank returns 0 for a scarce model and 1 for any other.
+func (s supply) scarcityRank() int {
+	if scarceDivisor*s.usable < s.replicas {
 		return 0
 	}
 	return 1
 }
 
+// compare orders supplies by urgency, most urgent first.
 func (s supply) compare(other supply) int {
-	return cmp.Or(cmp.Compare(s.scarce(), other.scarce()), cmp.Compare(float64(s.newest)/s.demand, float64(other.newest)/other.demand))
+	return cmp.Or(cmp.Compare(s.scarcityRank(), other.scarcityRank()), cmp.Compare(float64(s.newest)/s.demand, float64(other.newest)/other.demand))
 }
--- a/internal/weights/driver.go
+++ b/internal/weights/driver.go
@@ -20,146 +20,159 @@
 
 // Defaults of Config.
 const (
-	DefaultLoadsTogether = 2
-	DefaultLoadsShare    = 0.2
-	DefaultPoll          = 100 * time.Millisecond
-	DefaultLoadTimeout   = 10 * time.Second
+	DefaultMaxConcurrentLoads  = 2
+	DefaultConcurrentLoadShare = 0.2
+	DefaultPollInterval        = 100 * time.Millisecond
+	DefaultLoadTimeout         = 10 * time.Second
 )
 
-// controlTimeout bounds one question to the control group.
+// controlTimeout bounds a single request to the control group.
 const controlTimeout = 400 * time.Millisecond
 
 const (
-	// confirmedWithin is how old the knowledge of leading may be: a lease of the control group.
-	confirmedWithin = 1200 * time.Millisecond
-	// orderTime is added for the time that an order is on its way.
-	orderTime = 300 * time.Millisecond
+	// maxLeadershipAge is the maximum age of a confirmed leadership, which is the duration of a control group lease.
+	maxLeadershipAge = 1200 * time.Millisecond
+	// orderTransitTime is the time allowed for an order to reach its replica.
+	orderTransitTime = 300 * time.Millisecond
 )
 
-// TakeoverAfter is the Takeover where two holders may not take turns at a replica within orderLease.
+// TakeoverAfter returns the Config.Takeover for deployments in which two machines must not alternate in sending
+// orders to a replica within orderLease.
 func TakeoverAfter(orderLease time.Duration) time.Duration {
-	return orderLease + confirmedWithin + orderTime
+	return orderLease + maxLeadershipAge + orderTransitTime
 }
 
-// Config says what a Driver works with.
+// Config holds the dependencies and parameters of a Driver.
 type Config struct {
 	Control Control
 	Sender  Sender
-	// View is a view that follows the table and may lag; it may return nil.
+	// View returns the current view of the table. It may lag behind the table, and may be nil.
 	View func() *table.View
-	// Leading says whether this process leads the control group, confirmed within Confirmed.
+	// Leading reports whether this process leads the control group. Its answer may be out of date by up to
+	// maxLeadershipAge.
 	Leading func() bool
-	// Owner names this process's machine, as owner of the orders.
+	// Owner is the name of this machine as the owner of the fenced resource.
 	Owner string
-	// Takeover is how long a new leader waits before its first order if another machine sent the last ones: the
-	// time within which two holders may not take turns, and the time for which Leading may be out of date.
+	// Takeover is the time that a new leader waits before its first order if another machine sent the last ones. It
+	// covers the period within which two machines must not alternate, plus the time for which Leading may be out of
+	// date. See TakeoverAfter.
 	Takeover time.Duration
-	// FencesChecked says that the replicas refuse orders with a lower fencing token than they have seen. Then a new leader
-	// need not wait for an owner that has fallen silent.
+	// FencesChecked states that replicas reject orders whose fencing token is lower than the highest they have seen. A
+	// new leader then need not wait out the Takeover of an owner that has become silent.
 	FencesChecked bool
-	// HandOver asks the machine that owns the orders to lead in this one's place, if it is back: it need not
-	// wait. It returns ErrOwnerSilent when that machine is not heard. Optional.
+	// HandOver asks the machine that owns the orders to take the leadership from this process, since that machine need
+	// not wait. It returns ErrOwnerSilent if that machine can't be reached. Optional.
 	HandOver func(ctx context.Context, owner string) error
-	// LoadsTogether and LoadsShare bound the replicas that load at once, over all models: a count, and a part of the
-	// replicas that hold a model, whichever is more. A load takes longer when too many run, and a replica that loads
-	// begins nothing; but with few places a fleet of many replicas stays behind its trainers. Defaults
-	// DefaultLoadsTogether, DefaultLoadsShare.
-	LoadsTogether int
-	LoadsShare    float64
-	// Poll is how often newly named versions are looked for. Default DefaultPoll.
-	Poll time.Duration
-	// Demand tells the work of the open batch jobs by model, as their expected length in tokens: models share the places in
-	// its proportion. A model that it lacks counts like the least of them. nil, or nothing told: all models count alike.
+	// MaxConcurrentLoads and ConcurrentLoadShare bound the replicas that load at the same time over all models: as a
+	// count and as a share of the replicas that hold a model. The greater of the two applies. Too many concurrent
+	// loads slow each other down, and a loading replica starts no requests, but with too few of them a large fleet
+	// falls behind its trainers. Defaults: DefaultMaxConcurrentLoads, DefaultConcurrentLoadShare.
+	MaxConcurrentLoads  int
+	ConcurrentLoadShare float64
+	// PollInterval is the time between two reads of the newest registered versions. Default: DefaultPollInterval.
+	PollInterval time.Duration
+	// Demand returns the expected total length of the open batch jobs by model, in tokens. Load slots are divided
+	// among the models in proportion to it. A model without an entry counts like the one with the lowest demand. If
+	// Demand is nil or returns no entries, all models count alike.
 	Demand func() map[string]uint64
-	// LoadTimeout bounds one order. Default DefaultLoadTimeout.
+	// LoadTimeout bounds a single order. Default: DefaultLoadTimeout.
 	LoadTimeout time.Duration
 	Clock       monotonic.Clock
 	Log         *logrus.Entry
 }
 
-// Driver drives the waves of all models while its process leads.
+// Driver runs the rollout waves of all models while its process leads the control group.
 type Driver struct {
-	config Config
-	counts *counts
-	kick   chan struct{} // capacity 1: look at once
-	done   chan loaded
-	freed  chan *load // those that are over by the time that loads take
-	looked chan namedVersions
-	orders sync.WaitGroup
+	config       Config
+	metrics      *driverMetrics
+	pollNow      chan struct{} // capacity 1; requests a read of the registered versions
+	results      chan loadResult
+	slotReleases chan *load // loads whose expected load time is over
+	versionReads chan newestVersions
+	background   sync.WaitGroup
 
-	right atomic.Uint64 // the fencing token under which this process may order; 0: none
+	// publishedToken is the fencing token under which this process may send orders, 0 if it may not.
+	publishedToken atomic.Uint64
 
-	known atomic.Pointer[Serving] // nil while this process does not lead, or has not asked the replicas yet
-	// surveyed is the leadership, by its number, in which the replicas were asked first.
-	surveyed atomic.Uint64
-	asking   atomic.Bool // a survey is under way
+	published atomic.Pointer[Serving] // nil while this process does not lead or replicas are yet to be surveyed
+	// surveyedTenure is the number of the last leadership in which a survey of the replicas was completed.
+	surveyedTenure atomic.Uint64
+	// surveyRunning is set while a survey is in progress.
+	surveyRunning atomic.Bool
 
 	mutex sync.Mutex
-	// What follows is kept by instance, the text form of an incarnation: a replica that starts again begins with nothing.
-	heard map[string][]registry.ModelVersion
-	told  map[string]bool          // instances that spoke of themselves under this leadership
-	asked map[string]time.Duration // when an instance was surveyed under it
+	// The following maps are keyed by instance, the text form of an incarnation, so that nothing known of a replica
+	// carries over to its next start.
+	reportedVersions map[string][]registry.ModelVersion
+	reported         map[string]bool          // instances that have reported during this leadership
+	surveyedAt       map[string]time.Duration // time at which an instance was last surveyed during this leadership
 
-	// What follows belongs to Run.
-	tenure     uint64 // number of this leadership or, while there is none, of the next one; from 1
-	token      uint64 // 0 while no orders may be sent
-	takeover   takeover
-	unanswered acquisition
-	planners   map[string]*wave.Planner
-	queue      []queued
-	places     int                          // replicas that may load at once
-	busy       map[string]string            // the model of the order on its way, by replica
-	holding    map[string]*load             // the orders that take a place, by replica
-	underWay   map[string]*load             // the orders that have not ended, by replica
-	loads      loadTimes                    // of the last loads
-	loaded     map[served]uint64            // versions that orders of this leader brought
-	serving    map[string]map[string]uint64 // by model and replica, as far as is known
+	// The following fields are accessed by Run only.
 
-	surveying bool          // the replicas were asked under this leadership
-	looking   bool          // for named versions
-	lookNext  bool          // once more after that
-	restUntil time.Duration // when the next turn may plan again
+	// tenure is the number of the current leadership or, if this process does not lead, of its next one. The first
+	// is 1.
+	tenure         uint64
+	token          uint64 // 0 while no orders may be sent
+	takeover       takeover
+	unconfirmed    acquisition
+	planners       map[string]*wave.Planner
+	queue          []queuedOrder
+	loadSlots      int                          // maximum number of replicas that load at the same time
+	loadingModels  map[string]string            // model of the order being executed, by replica
+	slotHolders    map[string]*load             // orders that occupy a load slot, by replica
+	activeLoads    map[string]*load             // orders that have not ended, by replica
+	recentLoads    loadTimes                    // times of the most recent loads
+	loadedVersions map[replicaModel]uint64      // versions loaded by orders of this leadership
+	serving        map[string]map[string]uint64 // version by model and replica, as far as it is known
+
+	surveyStarted      bool          // a survey was started during this leadership
+	versionReadRunning bool          // a read of the registered versions is in progress
+	readVersionsAgain  bool          // another read is to follow the current one
+	nextCycleAt        time.Duration // earliest time of the next planning cycle
 }
 
-// served names a model at a replica.
-type served struct{ replica, model string }
+// replicaModel identifies a model on a replica.
+type replicaModel struct{ replica, model string }
 
-// queued is an order that waits for a place.
-type queued struct {
+// queuedOrder is an order that waits for a load slot.
+type queuedOrder struct {
 	model string
 	order wave.Order
 }
 
-// loaded is the end of an order.
-type loaded struct {
-	queued
+// loadResult is the outcome of an order.
+type loadResult struct {
+	queuedOrder
 	token   uint64
 	serving uint64
 	err     error
-	took    time.Duration
-	// loading is the time from the acceptance until the replica told that it serves the version; 0 where it wasn't watched.
-	loading time.Duration
+	elapsed time.Duration
+	// loadTime is the time from the acceptance of the order until the replica reported the version as served; 0 if it
+	// was not observed.
+	loadTime time.Duration
 }
 
-func (d *Driver) logEnded(ended *loaded) {
-	d.counts.ended(ended.err, ended.took)
+// recordResult counts the outcome of an order and logs it.
+func (d *Driver) recordResult(ended *loadResult) {
+	d.metrics.recordResult(ended.err, ended.elapsed)
 	logging.Emit(d.config.Log, &events.OrderEnded{Replica: ended.order.Replica, Model: ended.model, Version: ended.order.Version.Number,
-		Token: ended.token, Serving: ended.serving, Cause: events.ErrorText(ended.err), TookMs: events.Millis(ended.took)})
+		Token: ended.token, Serving: ended.serving, Cause: events.ErrorText(ended.err), TookMs: events.Millis(ended.elapsed)})
 }
 
-// NewDriver returns a driver; Run makes it work.
+// NewDriver returns a driver with defaults applied to the config. It does nothing until Run is called. It returns
+// trace.BadParameter if a required field is missing.
 func NewDriver(config Config) (*Driver, error) {
 	if config.Control == nil || config.Sender == nil || config.View == nil || config.Leading == nil || config.Owner == "" {
-		return nil, trace.BadParameter("a weights driver needs control, sender, view, leading and owner")
+		return nil, trace.BadParameter("weights driver config lacks a required field: Control, Sender, View, Leading or Owner")
 	}
-	if config.LoadsTogether <= 0 {
-		config.LoadsTogether = DefaultLoadsTogether
+	if config.MaxConcurrentLoads <= 0 {
+		config.MaxConcurrentLoads = DefaultMaxConcurrentLoads
 	}
-	if config.LoadsShare <= 0 {
-		config.LoadsShare = DefaultLoadsShare
+	if config.ConcurrentLoadShare <= 0 {
+		config.ConcurrentLoadShare = DefaultConcurrentLoadShare
 	}
-	if config.Poll <= 0 {
-		config.Poll = DefaultPoll
+	if config.PollInterval <= 0 {
+		config.PollInterval = DefaultPollInterval
 	}
 	if config.LoadTimeout <= 0 {
 		config.LoadTimeout = DefaultLoadTimeout
@@ -173,126 +186,127 @@
 	if config.Log == nil {
 		config.Log = logging.Discard()
 	}
-	return &Driver{config: config, counts: newCounts(), tenure: 1, kick: make(chan struct{}, 1), done: make(chan loaded, maximumPlaces),
-		freed: make(chan *load, maximumPlaces), looked: make(chan namedVersions, 1), places: config.LoadsTogether,
-		heard: map[string][]registry.ModelVersion{}, told: map[string]bool{}, asked: map[string]time.Duration{}, busy: map[string]string{}, holding: map[string]*load{}, underWay: map[string]*load{}, loaded: map[served]uint64{}}, nil
+	return &Driver{config: config, metrics: newDriverMetrics(), tenure: 1, pollNow: make(chan struct{}, 1), results: make(chan loadResult, maxLoadSlots),
+		slotReleases: make(chan *load, maxLoadSlots), versionReads: make(chan newestVersions, 1), loadSlots: config.MaxConcurrentLoads,
+		reportedVersions: map[string][]registry.ModelVersion{}, reported: map[string]bool{}, surveyedAt: map[string]time.Duration{}, loadingModels: map[string]string{}, slotHolders: map[string]*load{}, activeLoads: map[string]*load{}, loadedVersions: map[replicaModel]uint64{}}, nil
 }
 
-// Right tells whether this process holds the right to order at this instant, and under which fencing token. Whatever else only
-// one process may do for the deployment goes by the same right, so that one takeover settles all of it.
+// Right reports whether this process may send orders at this instant, and under which fencing token. Other work that
+// only one process of the deployment may do depends on the same right, so that a single takeover settles all of it.
 func (d *Driver) Right() (token uint64, held bool) {
-	token = d.right.Load()
+	token = d.publishedToken.Load()
 	return token, token != 0 && d.config.Leading()
 }
 
-// dropToken gives the right to order up.
+// dropToken gives up the right to send orders.
 func (d *Driver) dropToken() {
-	d.right.Store(0)
+	d.publishedToken.Store(0)
 	d.token, d.planners, d.queue, d.takeover = 0, nil, nil, takeover{}
 }
 
-// Heard notes what a replica serves. It is the registry's listener.
+// Heard records the versions that a heartbeat reports. It is registered as a listener of the replica registry.
 func (d *Driver) Heard(heartbeat *registry.Registration) {
 	if len(heartbeat.Models) == 0 {
 		return
 	}
-	d.learn(heartbeat.Incarnation().String(), heartbeat.Models)
+	d.recordReport(heartbeat.Incarnation().String(), heartbeat.Models)
 }
 
-// Look makes the driver look for named versions at once.
+// Look requests an immediate read of the registered versions. It does not block.
 func (d *Driver) Look() {
 	select {
-	case d.kick <- struct{}{}:
+	case d.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// Run drives the waves until ctx ends and every order under way has ended.
+// Run runs the waves until ctx ends, and returns once all orders and reads in progress have ended.
 func (d *Driver) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer d.orders.Wait()
+	defer d.background.Wait()
 	defer cancel()
-	ticker := time.NewTicker(d.config.Poll)
+	ticker := time.NewTicker(d.config.PollInterval)
 	defer ticker.Stop()
-	rested := time.NewTimer(0)
-	defer rested.Stop()
-	look := true // for named versions, with the next turn
+	idle := time.NewTimer(0)
+	defer idle.Stop()
+	readVersions := true // whether the next cycle reads the registered versions
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case ended := <-d.done:
-			d.ended(ended)
-		case over := <-d.freed:
-			d.free(over)
-		case named := <-d.looked:
-			d.release(named)
-			look = look || d.lookNext
-		case <-d.kick:
-			look = true
+		case ended := <-d.results:
+			d.handleResult(ended)
+		case holder := <-d.slotReleases:
+			d.releaseSlot(holder)
+		case versions := <-d.versionReads:
+			d.setTargets(versions)
+			readVersions = readVersions || d.readVersionsAgain
+		case <-d.pollNow:
+			readVersions = true
 		case <-ticker.C:
-			look = true
-		case <-rested.C:
+			readVersions = true
+		case <-idle.C:
 		}
-		d.endedMeanwhile()
-		if now := d.config.Clock(); now < d.restUntil {
+		d.drainEnded()
+		if now := d.config.Clock(); now < d.nextCycleAt {
 			d.sendQueued(ctx)
-			rested.Reset(d.restUntil - now)
+			idle.Reset(d.nextCycleAt - now)
 			continue
 		}
-		d.counts.loading.Set(float64(len(d.holding)))
-		d.counts.waiting.Set(float64(len(d.queue)))
-		spent := d.turn(ctx, look)
-		look = false
-		d.restUntil = d.config.Clock() + min(restShare*spent, maximumRest)
+		d.metrics.loading.Set(float64(len(d.slotHolders)))
+		d.metrics.waiting.Set(float64(len(d.queue)))
+		spent := d.runCycle(ctx, readVersions)
+		readVersions = false
+		d.nextCycleAt = d.config.Clock() + min(idleFactor*spent, maxIdle)
 	}
 }
 
 const (
-	// restShare is how many times as long as a turn's own work the driver rests after it, so that planning for many
-	// replicas takes a tenth of the processor; the work for a few replicas takes microseconds. Orders that are planned
-	// already go out meanwhile: 26 places brought 26 loads a second while they waited for the rest
-	// to end, and 28.4 since (counted in the log of one played day each).
-	restShare   = 9
-	maximumRest = 200 * time.Millisecond
+	// idleFactor is the length of the pause after a planning cycle as a multiple of the time the cycle took, so that
+	// planning for many replicas uses a tenth of one processor. A cycle for a few replicas takes microseconds. Orders
+	// that are already planned are still sent during the pause: 26 slots completed 28.4 loads per second, compared to
+	// 26 when these orders waited for the end of the pause.
+	idleFactor = 9
+	maxIdle    = 200 * time.Millisecond
 )
 
-// sendQueued starts planned orders where places are free, between two turns.
+// sendQueued starts planned orders in free load slots between two planning cycles.
 func (d *Driver) sendQueued(ctx context.Context) {
-	if d.token == 0 || len(d.holding) >= d.places || len(d.queue) == 0 || !d.config.Leading() {
+	if d.token == 0 || len(d.slotHolders) >= d.loadSlots || len(d.queue) == 0 || !d.config.Leading() {
 		return
 	}
-	if view := d.config.View(); view != nil && d.send(ctx, view) {
+	if view := d.config.View(); view != nil && d.sendAll(ctx, view) {
 		d.publish()
 	}
 }
 
-// endedMeanwhile takes the other orders and loads that have ended, so that loads that end together are planned for once.
-func (d *Driver) endedMeanwhile() {
+// drainEnded handles all other orders and loads that have ended, so that one cycle plans for all of them.
+func (d *Driver) drainEnded() {
 	for {
 		select {
-		case ended := <-d.done:
-			d.ended(ended)
-		case over := <-d.freed:
-			d.free(over)
+		case ended := <-d.results:
+			d.handleResult(ended)
+		case holder := <-d.slotReleases:
+			d.releaseSlot(holder)
 		default:
 			return
 		}
 	}
 }
 
-// send starts queued orders while there are places, and reports whether it started any.
-func (d *Driver) send(ctx context.Context, view *table.View) (started bool) {
-	supplies := d.supplies()
+// sendAll starts queued orders while there are free load slots, and reports whether it started any.
+func (d *Driver) sendAll(ctx context.Context, view *table.View) (started bool) {
+	supplies := d.countSupplies()
 	for d.sendNext(ctx, view, supplies) {
 		started = true
 	}
 	return started
 }
 
-// sendNext starts the first queued order that has a place, and reports whether there was one.
+// sendNext starts the first queued order that can be sent now and drops orders that are obsolete. It reports whether
+// it started one.
 func (d *Driver) sendNext(ctx context.Context, view *table.View, supplies map[string]supply) bool {
-	d.arrange(supplies)
+	d.sortQueue(supplies)
 	waiting, started := d.queue[:0], false
 	for _, next := range d.queue {
 		planner := d.planners[next.model]
@@ -300,10 +314,10 @@
 		switch {
 		case row == nil || row.State != table.Active || planner.Target().Number != next.order.Version.Number:
 			planner.Answered(d.config.Clock(), next.order.ID, wave.Answer{Outcome: wave.Failed})
-		case started || len(d.holding) >= d.places || d.busy[row.Instance] != "":
+		case started || len(d.slotHolders) >= d.loadSlots || d.loadingModels[row.Instance] != "":
 			waiting = append(waiting, next)
 		default:
-			d.start(ctx, next, row)
+			d.startLoad(ctx, next, row)
 			supplies[next.model] = supplies[next.model].withLoad()
 			started = true
 		}
@@ -312,15 +326,16 @@
 	return started
 }
 
-// ended takes the end of an order; of one that was sent under an earlier token only the place counts.
-func (d *Driver) ended(ended loaded) {
-	delete(d.busy, ended.order.Replica)
-	delete(d.holding, ended.order.Replica)
-	delete(d.underWay, ended.order.Replica)
-	if ended.loading > 0 {
-		d.loads.add(ended.loading)
+// handleResult processes the outcome of an order. If the order was sent under an earlier token, only its load slot
+// and its load time are taken into account.
+func (d *Driver) handleResult(ended loadResult) {
+	delete(d.loadingModels, ended.order.Replica)
+	delete(d.slotHolders, ended.order.Replica)
+	delete(d.activeLoads, ended.order.Replica)
+	if ended.loadTime > 0 {
+		d.recentLoads.add(ended.loadTime)
 	}
-	d.logEnded(&ended)
+	d.recordResult(&ended)
 	if ended.token != d.token || d.planners[ended.model] == nil {
 		return
 	}
@@ -331,7 +346,7 @@
 	}
 	answer := wave.Answer{Outcome: wave.Done, Serving: ended.serving}
 	if ended.err == nil {
-		d.loaded[served{ended.order.Replica, ended.model}] = ended.serving
+		d.loadedVersions[replicaModel{ended.order.Replica, ended.model}] = ended.serving
 	} else {
 		answer = wave.Answer{Outcome: wave.Failed}
 	}
--- a/internal/weights/load.go
+++ b/internal/weights/load.go
@@ -13,73 +13,77 @@
 )
 
 const (
-	// firstLook is how long after an order its replica is asked for the first time, and nextLook the pause
-	// until each further question: places are few, and the next replica waits for the place.
-	firstLook = 900 * time.Millisecond
-	nextLook  = 50 * time.Millisecond
-	// carriedOutWithin is how long after an order an account without an order under way counts as not carried
-	// out: a replica's account may be older than the order.
-	carriedOutWithin = 2100 * time.Millisecond
+	// firstReportDelay is the time from an order until the replica's first status request, and reportInterval the time
+	// between further ones. The interval is short because the load slot stays occupied until the end of the load is
+	// noticed.
+	firstReportDelay = 900 * time.Millisecond
+	reportInterval   = 50 * time.Millisecond
+	// executionGrace is the time after an order from which a report without an order in progress means that the order
+	// was not executed. Earlier reports may be older than the order.
+	executionGrace = 2100 * time.Millisecond
 )
 
-// progress is what a replica's account says of an order.
-type progress uint8
+// orderState is the state of an order according to a report of its replica.
+type orderState uint8
 
 const (
-	pending progress = iota
+	pending orderState = iota
 	finished
-	notCarriedOut
+	notExecuted
 )
 
-// judge says how an order stands by the answer to a question asked some time after it.
-func judge(order *Order, after time.Duration, report Report, err error) progress {
+// evaluateReport returns the state of an order given the result of a status request that was sent the given time
+// after it.
+func evaluateReport(order *Order, after time.Duration, report Report, err error) orderState {
 	switch {
 	case err == nil && report.Serving >= order.Number:
 		return finished
 	case errors.Is(err, ErrRestarted):
-		return notCarriedOut
-	case (err != nil || !report.Busy) && after >= carriedOutWithin:
-		return notCarriedOut
+		return notExecuted
+	case (err != nil || !report.Busy) && after >= executionGrace:
+		return notExecuted
 	}
 	return pending
 }
 
-func (d *Driver) start(ctx context.Context, next queued, row *table.Row) {
+// startLoad executes an order in the background. The order occupies its replica until it ends, and a load slot until the
+// load is expected to be over or it ends, whichever is first.
+func (d *Driver) startLoad(ctx context.Context, next queuedOrder, row *table.Row) {
 	order := Order{Model: next.model, Number: next.order.Version.Number, Fence: d.token}
 	order.Instance, order.Address = row.Instance, row.Address
 	ctx, cancel := context.WithTimeout(ctx, d.config.LoadTimeout)
-	one := &load{driver: d, order: order, expected: d.loads.expected(), cancel: cancel}
-	d.busy[row.Instance], d.holding[row.Instance], d.underWay[row.Instance] = next.model, one, one
+	one := &load{driver: d, order: order, expectedTime: d.recentLoads.expected(), cancel: cancel}
+	d.loadingModels[row.Instance], d.slotHolders[row.Instance], d.activeLoads[row.Instance] = next.model, one, one
 	began := d.config.Clock()
 	logging.Emit(d.config.Log, &events.OrderSent{Replica: row.Instance, Model: next.model, Version: order.Number, Token: d.token,
-		Loading: len(d.holding), Most: d.places, Waiting: len(d.queue)})
-	d.orders.Go(func() {
+		Loading: len(d.slotHolders), Most: d.loadSlots, Waiting: len(d.queue)})
+	d.background.Go(func() {
 		defer cancel()
 		serving, err := one.run(ctx)
-		d.done <- loaded{next, order.Fence, serving, err, d.config.Clock() - began, one.took}
+		d.results <- loadResult{next, order.Fence, serving, err, d.config.Clock() - began, one.loadTime}
 	})
 }
 
-// endLoads ends the loads of replicas that have started again, which may not be known to them behind a cut: their places are
-// for others.
-func (d *Driver) endLoads(view *table.View) {
-	for instance, underWay := range d.underWay {
+// cancelObsoleteLoads cancels loads whose replica has restarted, and so frees their slots. Behind a network partition
+// the loads themselves can't notice the restart.
+func (d *Driver) cancelObsoleteLoads(view *table.View) {
+	for instance, active := range d.activeLoads {
 		if view.Ended(instance) {
-			underWay.cancel()
+			active.cancel()
 		}
 	}
 }
 
-// load is one order on its way.
+// load is an order in progress.
 type load struct {
-	driver   *Driver
-	order    Order
-	expected time.Duration // that the replica loads; 0: not known
-	cancel   context.CancelFunc
-	took     time.Duration // from the acceptance until the replica told of the end, where that was watched
+	driver       *Driver
+	order        Order
+	expectedTime time.Duration // expected time of a load; 0 if unknown
+	cancel       context.CancelFunc
+	loadTime     time.Duration // time from the acceptance until the replica reported the end; 0 if it was not observed
 }
 
-// run carries the order through and returns the version that the replica then serves.
+// run executes the order and returns the version that the replica then serves.
 func (l *load) run(ctx context.Context) (uint64, error) {
 	config, order := &l.driver.config, &l.order
 	report, err := config.Sender.Report(ctx, order.Target, order.Model)
@@ -107,16 +111,16 @@
 	return l.await(ctx, accepted)
 }
 
-// await asks the replica until it serves the version. The place of an order that was accepted is free once a load of the
-// usual length is over.
+// await polls the replica until it serves the version. If the order was accepted, its load slot is freed once the
+// expected load time is over.
 func (l *load) await(ctx context.Context, accepted bool) (uint64, error) {
 	config := &l.driver.config
-	ordered := config.Clock()
-	if accepted && l.expected > 0 {
-		free := time.AfterFunc(l.expected, l.freePlace)
-		defer free.Stop()
+	orderedAt := config.Clock()
+	if accepted && l.expectedTime > 0 {
+		release := time.AfterFunc(l.expectedTime, l.signalExpectedEnd)
+		defer release.Stop()
 	}
-	timer := time.NewTimer(firstLook)
+	timer := time.NewTimer(firstReportDelay)
 	defer timer.Stop()
 	for {
 		select {
@@ -124,33 +128,33 @@
 			return 0, ctx.Err()
 		case <-timer.C:
 		}
-		asked := config.Clock()
+		sentAt := config.Clock()
 		report, err := config.Sender.Report(ctx, l.order.Target, l.order.Model)
-		switch judge(&l.order, asked-ordered, report, err) {
+		switch evaluateReport(&l.order, sentAt-orderedAt, report, err) {
 		case finished:
 			if accepted {
-				l.took = asked - ordered
+				l.loadTime = sentAt - orderedAt
 			}
 			return report.Serving, nil
-		case notCarriedOut:
+		case notExecuted:
 			return 0, trace.ConnectionProblem(err, "the order was not carried out")
 		}
-		timer.Reset(nextLook)
+		timer.Reset(reportInterval)
 	}
 }
 
-// freePlace tells Run that the load is over by the time that loads take. A place that Run has no time to take back is free
-// with the end of the order.
-func (l *load) freePlace() {
+// signalExpectedEnd tells Run that the expected load time is over. If Run is too busy to receive the signal, the slot
+// is freed when the order ends.
+func (l *load) signalExpectedEnd() {
 	select {
-	case l.driver.freed <- l:
+	case l.driver.slotReleases <- l:
 	default:
 	}
 }
 
-// free gives back the place of a load, if it still holds one.
-func (d *Driver) free(over *load) {
-	if d.holding[over.order.Instance] == over {
-		delete(d.holding, over.order.Instance)
+// releaseSlot frees the load slot of a load, if the load still occupies it.
+func (d *Driver) releaseSlot(holder *load) {
+	if d.slotHolders[holder.order.Instance] == holder {
+		delete(d.slotHolders, holder.order.Instance)
 	}
 }
--- a/internal/weights/load_test.go
+++ b/internal/weights/load_test.go
@@ -6,51 +6,52 @@
 	"time"
 )
 
-// TestLoadIsSeenSoon plays a load of 0.9 s at a replica whose accounts are 100 ms old: its place is free again within
-// two looks, and not before the replica says so.
-func TestLoadIsSeenSoon(t *testing.T) {
+// TestCompletedLoadIsDetectedPromptly checks that a load of 0.9 s on a replica whose reports are 100 ms old is
+// detected as finished within two report intervals, and not before the replica reports it.
+func TestCompletedLoadIsDetectedPromptly(t *testing.T) {
 	const loadTime, accountAge = 900 * time.Millisecond, 100 * time.Millisecond
 	order := &Order{Number: 2}
-	at := firstLook
+	at := firstReportDelay
 	for {
 		report := Report{Busy: true, Serving: 1}
 		if at-accountAge >= loadTime {
 			report = Report{Serving: 2}
 		}
-		seen := judge(order, at, report, nil)
+		seen := evaluateReport(order, at, report, nil)
 		if seen == finished {
 			break
 		}
 		if seen != pending {
-			t.Fatalf("after %s: %d", at, seen)
+			t.Fatalf("order state after %s: got %d, want pending or finished", at, seen)
 		}
-		at += nextLook
+		at += reportInterval
 	}
-	if earliest := loadTime + accountAge; at < earliest || at > earliest+2*nextLook {
-		t.Fatalf("the load was seen after %s", at)
+	if earliest := loadTime + accountAge; at < earliest || at > earliest+2*reportInterval {
+		t.Fatalf("load detected as finished after %s, outside the expected interval", at)
 	}
 }
 
-// TestOrderNotCarriedOut: an old account is no proof, a long load is no failure, and silence ends the wait.
-func TestOrderNotCarriedOut(t *testing.T) {
+// TestOrderStateFollowsReports checks that a report that may be older than the order does not end it, that a long
+// load does not count as failed, and that a lack of reports ends the wait.
+func TestOrderStateFollowsReports(t *testing.T) {
 	order, idle, busy := &Order{Number: 2}, Report{Serving: 1}, Report{Serving: 1, Busy: true}
 	silent := errors.New("no answer")
-	for _, question := range []struct {
+	for _, test := range []struct {
 		after  time.Duration
 		report Report
 		err    error
-		want   progress
+		want   orderState
 	}{
-		{firstLook, idle, nil, pending},
-		{firstLook, Report{}, silent, pending},
-		{carriedOutWithin, busy, nil, pending},
-		{2 * carriedOutWithin, busy, nil, pending},
-		{carriedOutWithin, idle, nil, notCarriedOut},
-		{carriedOutWithin, Report{}, silent, notCarriedOut},
-		{carriedOutWithin, Report{Serving: 3}, nil, finished},
+		{firstReportDelay, idle, nil, pending},
+		{firstReportDelay, Report{}, silent, pending},
+		{executionGrace, busy, nil, pending},
+		{2 * executionGrace, busy, nil, pending},
+		{executionGrace, idle, nil, notExecuted},
+		{executionGrace, Report{}, silent, notExecuted},
+		{executionGrace, Report{Serving: 3}, nil, finished},
 	} {
-		if got := judge(order, question.after, question.report, question.err); got != question.want {
-			t.Errorf("%+v: %d", question, got)
+		if got := evaluateReport(order, test.after, test.report, test.err); got != test.want {
+			t.Errorf("case %+v: got order state %d", test, got)
 		}
 	}
 }
--- a/internal/weights/loadtime.go
+++ b/internal/weights/loadtime.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// reportAge is how old a replica's account of itself is at least: what it tells happened so long before.
-	reportAge = 100 * time.Millisecond
-	// loadTimesKept is how many loads the expectation looks back: a few seconds' worth on a large fleet, so that loads
-	// which take longer, because too many run, are believed soon.
-	loadTimesKept = 16
+	// minReportAge is the minimum age of a replica's report, so an event is reported at least this long after it
+	// happened.
+	minReportAge = 100 * time.Millisecond
+	// loadTimeWindow is the number of recent loads that determine the expected load time. It spans a few seconds on a
+	// large fleet, so that the expectation soon follows loads that slow down because too many run at once.
+	loadTimeWindow = 16
 )
 
-// loadTimes is how long the last loads took from their acceptance until a replica's account told of their end.
+// loadTimes holds the times of the most recent loads, each from the acceptance of the order until a report of the
+// replica showed its end.
 type loadTimes struct {
-	kept []time.Duration
-	next int
+	recent []time.Duration
+	next   int
 }
 
-// add notes a load.
+// add records a load time.
 func (l *loadTimes) add(took time.Duration) {
-	if len(l.kept) < loadTimesKept {
-		l.kept = append(l.kept, took)
+	if len(l.recent) < loadTimeWindow {
+		l.recent = append(l.recent, took)
 		return
 	}
-	l.kept[l.next] = took
-	l.next = (l.next + 1) % loadTimesKept
+	l.recent[l.next] = took
+	l.next = (l.next + 1) % loadTimeWindow
 }
 
-// expected is after what time a load that is under way is over, whatever the accounts that are still to come; 0: not known.
-// A place that waits for the account stands idle for a tenth of its time: accounts told of loads of 0.9 s after 1.02 s in the
-// middle (857 loads in the log of a played day).
+// expected returns the time after which a load is expected to be over, without waiting for the report that confirms
+// it. It returns 0 if no load time is known. Reports of loads of 0.9 s arrived after 1.02 s (median of 857 loads), so
+// a slot that waits for the report is unused for a tenth of the time.
 func (l *loadTimes) expected() time.Duration {
-	if len(l.kept) == 0 {
+	if len(l.recent) == 0 {
 		return 0
 	}
-	return max(slices.Min(l.kept)-reportAge, 0)
+	return max(slices.Min(l.recent)-minReportAge, 0)
 }
--- a/internal/weights/loadtime_test.go
+++ b/internal/weights/loadtime_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// TestExpectedLoadFollowsTheShortestOfTheLast: nothing is expected before a load was seen; loads that take longer together
-// raise the expectation once the quick ones are forgotten.
-func TestExpectedLoadFollowsTheShortestOfTheLast(t *testing.T) {
+// TestExpectedLoadTimeIsMinimumOfRecentLoads checks that nothing is expected before the first load, and that slower
+// loads raise the expected time once the faster ones have left the window.
+func TestExpectedLoadTimeIsMinimumOfRecentLoads(t *testing.T) {
 	var times loadTimes
 	if times.expected() != 0 {
-		t.Fatal("a load is expected that was never seen")
+		t.Fatal("expected load time is not 0 before the first load")
 	}
 	times.add(1050 * time.Millisecond)
 	times.add(time.Second)
-	if got := times.expected(); got != time.Second-reportAge {
-		t.Fatalf("expected after %s", got)
+	if got := times.expected(); got != time.Second-minReportAge {
+		t.Fatalf("expected load time: got %s, want the shortest recent load less minReportAge, at least 0", got)
 	}
-	for range loadTimesKept {
+	for range loadTimeWindow {
 		times.add(3 * time.Second)
 	}
-	if got := times.expected(); got != 3*time.Second-reportAge {
-		t.Fatalf("expected after %s", got)
+	if got := times.expected(); got != 3*time.Second-minReportAge {
+		t.Fatalf("expected load time: got %s, want the shortest recent load less minReportAge, at least 0", got)
 	}
-	times.add(reportAge / 2)
+	times.add(minReportAge / 2)
 	if got := times.expected(); got != 0 {
-		t.Fatalf("expected after %s", got)
+		t.Fatalf("expected load time: got %s, want the shortest recent load less minReportAge, at least 0", got)
 	}
 }
--- a/internal/weights/metrics.go
+++ b/internal/weights/metrics.go
@@ -8,14 +8,14 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// Outcomes of orders.
+// Values of the outcome label.
 const (
 	orderLoaded = "loaded"
 	orderFailed = "failed"
 )
 
-// counts are the driver's metrics, of this node since its start.
-type counts struct {
+// driverMetrics holds the metrics of the driver of this node since the process started.
+type driverMetrics struct {
 	metrics.Set
 	orders  *prometheus.CounterVec
 	latency *prometheus.HistogramVec
@@ -23,9 +23,9 @@
 	waiting prometheus.Gauge
 }
 
-func newCounts() *counts {
+func newDriverMetrics() *driverMetrics {
 	part := metrics.Part("weights")
-	c := &counts{
+	c := &driverMetrics{
 		orders:  part.Counter("orders_total", "Orders to load a version that are over, by outcome: loaded or failed.", "outcome"),
 		latency: part.Latency("order_duration_seconds", "Time from an order to its end, by outcome.", "outcome"),
 		loading: part.Gauge("orders_in_flight", "Back ends that load now; 0 where the control group is not led."),
@@ -35,7 +35,7 @@
 	return c
 }
 
-func (c *counts) ended(err error, took time.Duration) {
+func (c *driverMetrics) recordResult(err error, took time.Duration) {
 	outcome := orderLoaded
 	if err != nil {
 		outcome = orderFailed
@@ -44,5 +44,5 @@
 	c.latency.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// Collector returns the driver's metrics.
-func (d *Driver) Collector() prometheus.Collector { return d.counts }
+// Collector returns the metrics of the driver for registration.
+func (d *Driver) Collector() prometheus.Collector { return d.metrics }
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -14,57 +14,58 @@
 	"github.com/tamarindring/tamarindring/internal/wave"
 )
 
-// turn plans, sends and publishes once, while this process leads. It returns how long its own work took, without the
-// questions to the control group.
-func (d *Driver) turn(ctx context.Context, look bool) (spent time.Duration) {
+// runCycle plans orders, sends them and publishes the serving state once, if this process leads. It returns the time
+// spent on its own work, without the requests to the control group.
+func (d *Driver) runCycle(ctx context.Context, readVersions bool) (spent time.Duration) {
 	if !d.config.Leading() {
 		d.dropToken()
-		d.known.Store(nil)
-		d.forgetSurvey()
+		d.published.Store(nil)
+		d.resetSurvey()
 		return 0
 	}
 	if d.planners == nil {
-		d.planners, d.loaded, d.serving = map[string]*wave.Planner{}, map[served]uint64{}, map[string]map[string]uint64{}
+		d.planners, d.loadedVersions, d.serving = map[string]*wave.Planner{}, map[replicaModel]uint64{}, map[string]map[string]uint64{}
 	}
 	view := d.config.View()
 	if view == nil {
 		return 0
 	}
-	d.endLoads(view)
+	d.cancelObsoleteLoads(view)
 	d.survey(ctx, view)
-	work := func(step func()) {
+	measure := func(step func()) {
 		began := d.config.Clock()
 		step()
 		spent += d.config.Clock() - began
 	}
 	var replicas map[string]map[string]uint64
-	work(func() {
-		replicas = d.replicas(view)
-		look = d.observe(replicas) || look
+	measure(func() {
+		replicas = d.activeReplicas(view)
+		readVersions = d.updatePlanners(replicas) || readVersions
 	})
-	if look {
-		d.lookForVersions(ctx, slices.Collect(maps.Keys(replicas)))
+	if readVersions {
+		d.startVersionRead(ctx, slices.Collect(maps.Keys(replicas)))
 	}
-	work(func() { d.takeOrders(replicas) })
+	measure(func() { d.queueOrders(replicas) })
 	if d.token != 0 || d.takeOver(ctx) {
-		work(func() { d.send(ctx, view) })
+		measure(func() { d.sendAll(ctx, view) })
 	}
-	work(d.publish)
+	measure(d.publish)
 	return spent
 }
 
-// observe tells the planners what the replicas serve, and reports whether there is a new planner.
-func (d *Driver) observe(replicas map[string]map[string]uint64) (added bool) {
-	d.places = d.placesFor(replicas)
+// updatePlanners passes the reported versions to the planners, creates missing planners and reports whether it
+// created any.
+func (d *Driver) updatePlanners(replicas map[string]map[string]uint64) (added bool) {
+	d.loadSlots = d.loadSlotsFor(replicas)
 	now := d.config.Clock()
 	for model, reports := range replicas {
 		planner := d.planners[model]
 		if planner == nil {
-			planner = wave.New(wave.Config{SwapTogether: d.places, StageTime: 1, OldestFirst: true})
+			planner = wave.New(wave.Config{MaxConcurrentSwaps: d.loadSlots, StageTime: 1, OldestFirst: true})
 			d.planners[model] = planner
 			added = true
 		}
-		planner.SetSwapTogether(d.places)
+		planner.SetMaxConcurrentSwaps(d.loadSlots)
 		planner.SetReplicas(slices.Collect(maps.Keys(reports)))
 		for name, number := range reports {
 			planner.Report(now, name, wave.Report{Version: wave.Version{Number: number}})
@@ -73,48 +74,49 @@
 	return added
 }
 
-// namedVersions are the newest named versions by model, as of one look.
-type namedVersions map[string]wave.Version
+// newestVersions holds the newest registered version of each model as of one read.
+type newestVersions map[string]wave.Version
 
-// lookForVersions asks the control group for the newest named versions beside the work of Run, which takes the answer from
-// looked; a look that is under way is followed by another one. One question takes some milliseconds of a quorum's time: asked one
-// after the other, those of six models kept freed places empty for a sixth of the time.
-func (d *Driver) lookForVersions(ctx context.Context, models []string) {
-	if d.looking {
-		d.lookNext = true
+// startVersionRead reads the newest registered versions from the control group in the background and delivers them to
+// Run through versionReads. A request during a read causes one more read after it. A single request takes a quorum
+// round trip of some milliseconds: when the requests were sent one after the other, those for six models left free
+// slots unused for a sixth of the time.
+func (d *Driver) startVersionRead(ctx context.Context, models []string) {
+	if d.versionReadRunning {
+		d.readVersionsAgain = true
 		return
 	}
-	d.looking, d.lookNext = true, false
-	d.orders.Go(func() { d.looked <- d.newest(ctx, models) })
+	d.versionReadRunning, d.readVersionsAgain = true, false
+	d.background.Go(func() { d.versionReads <- d.readNewestVersions(ctx, models) })
 }
 
-// newest asks for the newest versions of models, all at once; those that can't be had are left out.
-func (d *Driver) newest(ctx context.Context, models []string) namedVersions {
+// readNewestVersions reads the newest versions of the models concurrently. Models whose read fails are omitted.
+func (d *Driver) readNewestVersions(ctx context.Context, models []string) newestVersions {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var mutex sync.Mutex
-	var questions sync.WaitGroup
-	named := namedVersions{}
+	var requests sync.WaitGroup
+	versions := newestVersions{}
 	for _, model := range models {
-		questions.Go(func() {
-			newest, err := Newest(ctx, d.config.Control, model)
+		requests.Go(func() {
+			newest, err := NewestVersion(ctx, d.config.Control, model)
 			if err != nil {
-				d.config.Log.WithError(err).Debugf("the newest version of model %s could not be read", model)
+				d.config.Log.WithError(err).Debugf("failed to read the newest version of model %q", model)
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			named[model] = newest
+			versions[model] = newest
 		})
 	}
-	questions.Wait()
-	return named
+	requests.Wait()
+	return versions
 }
 
-// release makes named versions the ones that the replicas are to serve.
-func (d *Driver) release(named namedVersions) {
-	d.looking = false
-	for model, newest := range named {
+// setTargets sets the versions as the targets of their planners if they are newer.
+func (d *Driver) setTargets(versions newestVersions) {
+	d.versionReadRunning = false
+	for model, newest := range versions {
 		planner := d.planners[model]
 		if planner == nil || newest.Number <= planner.Target().Number {
 			continue
@@ -124,34 +126,35 @@
 	}
 }
 
-// takeOrders queues the planners' orders.
-func (d *Driver) takeOrders(replicas map[string]map[string]uint64) {
+// queueOrders queues the next orders of all planners.
+func (d *Driver) queueOrders(replicas map[string]map[string]uint64) {
 	for model, reports := range replicas {
-		d.take(model, d.planners[model], reports)
+		d.queueModelOrders(model, d.planners[model], reports)
 	}
 }
 
-// maximumPlaces bounds the replicas that load at once, however many there are.
-const maximumPlaces = 64
+// maxLoadSlots bounds the replicas that load at the same time, whatever the size of the fleet.
+const maxLoadSlots = 64
 
-// placesFor is how many of the replicas may load at once.
-func (d *Driver) placesFor(byModel map[string]map[string]uint64) int {
+// loadSlotsFor returns the number of replicas that may load at the same time.
+func (d *Driver) loadSlotsFor(byModel map[string]map[string]uint64) int {
 	holders := map[string]bool{}
 	for _, replicas := range byModel {
 		for name := range replicas {
 			holders[name] = true
 		}
 	}
-	share := int(math.Round(d.config.LoadsShare * float64(len(holders))))
-	return min(max(share, d.config.LoadsTogether), maximumPlaces)
+	share := int(math.Round(d.config.ConcurrentLoadShare * float64(len(holders))))
+	return min(max(share, d.config.MaxConcurrentLoads), maxLoadSlots)
 }
 
-// replicas returns, by model, the active replicas and the version that each last spoke of.
-func (d *Driver) replicas(view *table.View) map[string]map[string]uint64 {
+// activeReplicas returns the last reported version of each active replica by model. It also removes the state of
+// instances that were removed or have restarted.
+func (d *Driver) activeReplicas(view *table.View) map[string]map[string]uint64 {
 	found := map[string]map[string]uint64{}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for instance, models := range d.heard {
+	for instance, models := range d.reportedVersions {
 		row := view.Backend(instance)
 		if view.Ended(instance) || row != nil && row.State == table.Removed {
 			d.forget(instance)
@@ -172,21 +175,22 @@
 	return found
 }
 
-// forget drops what is believed of an instance that has left or ended. The caller holds the mutex.
+// forget removes the state of an instance that was removed or has ended. The caller holds the mutex.
 func (d *Driver) forget(instance string) {
-	delete(d.heard, instance)
-	delete(d.told, instance)
-	delete(d.asked, instance)
-	maps.DeleteFunc(d.loaded, func(key served, _ uint64) bool { return key.replica == instance })
+	delete(d.reportedVersions, instance)
+	delete(d.reported, instance)
+	delete(d.surveyedAt, instance)
+	maps.DeleteFunc(d.loadedVersions, func(key replicaModel, _ uint64) bool { return key.replica == instance })
 }
 
-// take queues a planner's orders. These replicas have no staging: a stage order is done without being sent.
-// Each answer names what the replica serves, from its last load or its own account, whichever is newer.
-func (d *Driver) take(model string, planner *wave.Planner, reports map[string]uint64) {
+// queueModelOrders queues the next orders of a planner. These replicas have no staging, so stage orders are answered
+// as done without being sent. The answer names the version that the replica serves according to its last load or its
+// last report, whichever is newer.
+func (d *Driver) queueModelOrders(model string, planner *wave.Planner, reports map[string]uint64) {
 	now := d.config.Clock()
 	d.serving[model] = make(map[string]uint64, len(reports))
 	for name, number := range reports {
-		d.serving[model][name] = max(number, d.loaded[served{name, model}])
+		d.serving[model][name] = max(number, d.loadedVersions[replicaModel{name, model}])
 	}
 	for _, order := range planner.Next(now) {
 		if order.Kind == wave.Stage {
@@ -194,9 +198,9 @@
 			planner.Answered(now, order.ID, wave.Answer{Outcome: wave.Done, Serving: serving})
 			continue
 		}
-		d.queue = append(d.queue, queued{model, order})
+		d.queue = append(d.queue, queuedOrder{model, order})
 	}
 	for _, order := range planner.Next(now + 1) {
-		d.queue = append(d.queue, queued{model, order})
+		d.queue = append(d.queue, queuedOrder{model, order})
 	}
 }
--- a/internal/weights/serving.go
+++ b/internal/weights/serving.go
@@ -2,57 +2,59 @@
 
 import "github.com/tamarindring/tamarindring/internal/registry"
 
-// Serving is what the replicas serve as the driver knows it: from their own accounts and from the orders that they have
-// carried out. It is immutable.
+// Serving is the versions served by the replicas as known to the driver from their reports and from completed orders.
+// It is immutable.
 type Serving struct {
-	// Versions holds the version of each model at each replica.
+	// Versions maps each model to the versions served, by replica instance.
 	Versions map[string]map[string]uint64
-	// Loading names, by replica, the model that it loads now: it begins no request for that one meanwhile.
+	// Loading maps a replica instance to the model that it is loading. The replica starts no requests for that model
+	// in the meantime.
 	Loading map[string]string
 }
 
-// Knows reports whether it tells of any replica.
+// Knows reports whether the state of any replica is known. It may be called on nil.
 func (s *Serving) Knows() bool { return s != nil && len(s.Versions) > 0 }
 
-// Serving returns what the replicas serve, while this process leads; nil otherwise. It is safe for concurrent use.
+// Serving returns the versions served by the replicas while this process leads, and nil otherwise. It is safe for
+// concurrent use.
 func (d *Driver) Serving() *Serving {
 	if !d.config.Leading() {
 		return nil
 	}
-	return d.known.Load()
+	return d.published.Load()
 }
 
-// ServingOf makes a Serving of what replicas told of themselves, by instance. What they load is not known of them.
-func ServingOf(told map[string][]registry.ModelVersion) *Serving {
-	made := &Serving{Versions: map[string]map[string]uint64{}, Loading: map[string]string{}}
-	for instance, models := range told {
+// ServingOf builds a Serving from reported versions by instance. It contains no loads, since reports don't tell them.
+func ServingOf(reports map[string][]registry.ModelVersion) *Serving {
+	serving := &Serving{Versions: map[string]map[string]uint64{}, Loading: map[string]string{}}
+	for instance, models := range reports {
 		for _, one := range models {
-			if made.Versions[one.Model] == nil {
-				made.Versions[one.Model] = map[string]uint64{}
+			if serving.Versions[one.Model] == nil {
+				serving.Versions[one.Model] = map[string]uint64{}
 			}
-			made.Versions[one.Model][instance] = one.Number
+			serving.Versions[one.Model][instance] = one.Number
 		}
 	}
-	return made
+	return serving
 }
 
-// publish makes a new Serving of what Run holds, once the replicas were asked under this leadership: who takes the few that were
-// heard by then for all would try out the others. Until then nothing is told, also where it was told before that no replica was
-// heard.
+// publish publishes the current state as a Serving once the replicas were surveyed during this leadership. Before the
+// survey only a few replicas have reported. A reader that took these for all of them would try the remaining ones
+// needlessly, so nothing is published until then and an earlier, empty Serving is withdrawn.
 func (d *Driver) publish() {
-	if len(d.serving) > 0 && d.surveyed.Load() != d.tenure {
-		d.known.Store(nil)
+	if len(d.serving) > 0 && d.surveyedTenure.Load() != d.tenure {
+		d.published.Store(nil)
 		return
 	}
-	made := &Serving{Versions: make(map[string]map[string]uint64, len(d.serving)), Loading: make(map[string]string, len(d.busy))}
+	serving := &Serving{Versions: make(map[string]map[string]uint64, len(d.serving)), Loading: make(map[string]string, len(d.loadingModels))}
 	for model, replicas := range d.serving {
-		made.Versions[model] = make(map[string]uint64, len(replicas))
+		serving.Versions[model] = make(map[string]uint64, len(replicas))
 		for replica, number := range replicas {
-			made.Versions[model][replica] = max(number, d.loaded[served{replica, model}])
+			serving.Versions[model][replica] = max(number, d.loadedVersions[replicaModel{replica, model}])
 		}
 	}
-	for replica, model := range d.busy {
-		made.Loading[replica] = model
+	for replica, model := range d.loadingModels {
+		serving.Loading[replica] = model
 	}
-	d.known.Store(made)
+	d.published.Store(serving)
 }
--- a/internal/weights/serving_test.go
+++ b/internal/weights/serving_test.go
@@ -2,18 +2,19 @@
 
 import "testing"
 
-// TestServingFollowsTheLoads: what the replicas serve is known while this process leads, a load from its order on.
-func TestServingFollowsTheLoads(t *testing.T) {
-	f := start(t, 5)
+// TestServingReflectsLoads checks that Serving returns current loads and served versions while this process leads,
+// and nil after it has lost the leadership.
+func TestServingReflectsLoads(t *testing.T) {
+	f := startFixture(t, 5)
 	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	f.driver.Look()
-	eventually(t, "a load that is known", func() bool {
+	eventually(t, "timed out waiting for Serving to contain a load", func() bool {
 		serving := f.driver.Serving()
 		return serving != nil && len(serving.Loading) > 0
 	})
-	eventually(t, "all replicas at the version", func() bool {
+	eventually(t, "timed out waiting for Serving to contain all replicas at version 2", func() bool {
 		serving := f.driver.Serving()
 		if serving == nil || len(serving.Versions["m0"]) != 5 || len(serving.Loading) > 0 {
 			return false
@@ -27,25 +28,26 @@
 	})
 	f.leading.Store(false)
 	if serving := f.driver.Serving(); serving != nil {
-		t.Fatalf("a process that does not lead knows %v", serving)
+		t.Fatalf("Serving() of a process that does not lead: got %v, want nil", serving)
 	}
 }
 
-// TestNothingIsToldWhileReplicasAreAsked, also by a leader that told before that it had heard none.
-func TestNothingIsToldWhileReplicasAreAsked(t *testing.T) {
-	d := prepare(t, 1).driver
+// TestNothingIsPublishedBeforeSurvey checks that versions are withheld until the replicas were surveyed, also if the
+// leader published an empty Serving before.
+func TestNothingIsPublishedBeforeSurvey(t *testing.T) {
+	d := newFixture(t, 1).driver
 	d.publish()
 	if serving := d.Serving(); serving == nil || serving.Knows() {
-		t.Fatalf("a leader that has heard no replica tells %v", serving)
+		t.Fatalf("Serving() before any report: got %v, want an empty Serving", serving)
 	}
 	d.serving = map[string]map[string]uint64{"m0": {"i-0": 1}}
 	d.publish()
 	if serving := d.Serving(); serving != nil {
-		t.Fatalf("%v is told before the replicas were asked", serving)
+		t.Fatalf("Serving() before the survey: got %v, want nil", serving)
 	}
-	d.noteSurveyed(d.tenure)
+	d.markSurveyed(d.tenure)
 	d.publish()
 	if !d.Serving().Knows() {
-		t.Fatal("nothing is told once they were asked")
+		t.Fatal("Serving() contains no versions after the survey")
 	}
 }
--- a/internal/weights/survey.go
+++ b/internal/weights/survey.go
@@ -15,33 +15,35 @@
 )
 
 const (
-	// surveyTogether bounds the replicas that are asked at once: surveys of 114 to 127 replicas took 24 to 60 ms on machines
-	// at rest, and 315 to 690 ms on one that had just started.
-	surveyTogether = 32
-	// surveyMost bounds the replicas of one survey. Heartbeats tell of the others within their interval; asked one after the
-	// other, 3,000 replicas kept a new leader busy for 2 to 5 s, in which it lost its leadership.
-	surveyMost = 256
-	// surveyTime bounds one question, so that silent replicas hold the others up for no longer.
-	surveyTime = 300 * time.Millisecond
-	// surveyAgain is how long a replica that did not answer is left to its heartbeats before it is asked again.
-	surveyAgain = time.Second
+	// surveyConcurrency bounds the replicas that are queried at the same time. With it, surveys of 114 to 127 replicas
+	// took 24 to 60 ms on idle machines, and 315 to 690 ms on a machine that had just started.
+	surveyConcurrency = 32
+	// maxSurveyed bounds the replicas of one survey. The others report by heartbeat within the heartbeat interval.
+	// Querying 3,000 replicas one after the other kept a new leader busy for 2 to 5 s, in which it lost its
+	// leadership.
+	maxSurveyed = 256
+	// surveyTimeout bounds the request to a single replica, and so the delay that unresponsive replicas cause.
+	surveyTimeout = 300 * time.Millisecond
+	// surveyRetryDelay is the time after which a replica that has neither answered nor sent a heartbeat is queried
+	// again.
+	surveyRetryDelay = time.Second
 )
 
-// Survey asks replicas, surveyMost of them at most, for their accounts of themselves and returns the weight versions of those
-// that answered, by instance.
+// Survey queries up to maxSurveyed replicas for their status and returns the weight versions of those that answered,
+// by instance. Replicas that fail to answer or serve no model are omitted.
 func Survey(ctx context.Context, sender Sender, targets []replica.Target) map[string][]registry.ModelVersion {
-	targets = targets[:min(len(targets), surveyMost)]
+	targets = targets[:min(len(targets), maxSurveyed)]
 	var mutex sync.Mutex
 	found := make(map[string][]registry.ModelVersion, len(targets))
-	var questions errgroup.Group
-	questions.SetLimit(surveyTogether)
+	var requests errgroup.Group
+	requests.SetLimit(surveyConcurrency)
 	for _, target := range targets {
-		questions.Go(func() error {
-			limited, cancel := context.WithTimeout(ctx, surveyTime)
+		requests.Go(func() error {
+			limited, cancel := context.WithTimeout(ctx, surveyTimeout)
 			defer cancel()
 			report, err := sender.Report(limited, target, "")
 			if err != nil || len(report.Models) == 0 {
-				return nil // its heartbeat will tell
+				return nil // the next heartbeat will report the versions
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -49,56 +51,59 @@
 			return nil
 		})
 	}
-	_ = questions.Wait() // no question returns an error
+	_ = requests.Wait() // the functions return no errors
 	return found
 }
 
-// survey asks the replicas that were not heard since this process leads, beside the work of Run. Heartbeats tell the same, but
-// the last of them an interval later, and until then items are tried at replicas whose weights turn out too old: in the first four
-// seconds of new leaders 57 to 560 such runs were counted in the logs of a fleet of 128 replicas.
+// survey queries the replicas that have not reported during this leadership, in the background. Heartbeats carry the
+// same information, but the last one arrives a full interval later. Until then items are sent to replicas whose
+// weights turn out to be too old: logs of a fleet of 128 replicas showed 57 to 560 such runs in the first four
+// seconds of a new leader.
 func (d *Driver) survey(ctx context.Context, view *table.View) {
-	if d.asking.Load() {
-		return // one at a time: those that are registered meanwhile are asked next
+	if d.surveyRunning.Load() {
+		return // one survey at a time; replicas registered since its start are queried by the next one
 	}
-	targets, heard := d.unheard(view)
+	targets, anyReported := d.nextSurveyTargets(view)
 	tenure := d.tenure
 	if len(targets) == 0 {
-		if heard && d.surveyed.Load() != tenure && !d.surveying {
-			d.noteSurveyed(tenure)
+		if anyReported && d.surveyedTenure.Load() != tenure && !d.surveyStarted {
+			d.markSurveyed(tenure)
 		}
 		return
 	}
-	d.surveying = true
-	d.asking.Store(true)
-	d.orders.Go(func() {
-		defer d.asking.Store(false)
+	d.surveyStarted = true
+	d.surveyRunning.Store(true)
+	d.background.Go(func() {
+		defer d.surveyRunning.Store(false)
 		began := d.config.Clock()
 		found := Survey(ctx, d.config.Sender, targets)
 		for instance, models := range found {
-			d.learn(instance, models)
+			d.recordReport(instance, models)
 		}
-		d.noteSurveyed(tenure)
+		d.markSurveyed(tenure)
 		logging.Emit(d.config.Log, &events.ReplicasSurveyed{Asked: len(targets), Answered: len(found), TookMs: events.Millis(d.config.Clock() - began)})
 		d.Look()
 	})
 }
 
-// noteSurveyed notes that the replicas were asked under a leadership; the end of an earlier one's survey changes nothing.
-func (d *Driver) noteSurveyed(tenure uint64) {
-	for known := d.surveyed.Load(); known < tenure; known = d.surveyed.Load() {
-		if d.surveyed.CompareAndSwap(known, tenure) {
+// markSurveyed records that the replicas were surveyed in the given leadership. The number never decreases, so the
+// late end of an earlier survey has no effect.
+func (d *Driver) markSurveyed(tenure uint64) {
+	for known := d.surveyedTenure.Load(); known < tenure; known = d.surveyedTenure.Load() {
+		if d.surveyedTenure.CompareAndSwap(known, tenure) {
 			return
 		}
 	}
 }
 
-// unheard returns active replicas, surveyMost at most, of pools that hold models, that were neither heard nor asked lately under this
-// leadership, and notes that they are asked. heard says that any replica was ever heard, so that such pools are known.
-func (d *Driver) unheard(view *table.View) (targets []replica.Target, heard bool) {
+// nextSurveyTargets returns up to maxSurveyed active replicas, of pools that hold models, that have not reported
+// during this leadership and were not queried within surveyRetryDelay. It records them as queried. anyReported
+// reports whether any replica has ever reported, without which no such pool is known.
+func (d *Driver) nextSurveyTargets(view *table.View) (targets []replica.Target, anyReported bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	pools := map[string]bool{}
-	for instance := range d.heard {
+	for instance := range d.reportedVersions {
 		if row := view.Backend(instance); row != nil {
 			pools[row.Pool] = true
 		}
@@ -106,27 +111,27 @@
 	now := d.config.Clock()
 	for pool := range pools {
 		for _, row := range view.Backends(pool) {
-			asked, before := d.asked[row.Instance]
-			if row.State != table.Active || d.told[row.Instance] || before && now < asked+surveyAgain {
+			last, surveyed := d.surveyedAt[row.Instance]
+			if row.State != table.Active || d.reported[row.Instance] || surveyed && now < last+surveyRetryDelay {
 				continue
 			}
-			if len(targets) == surveyMost {
+			if len(targets) == maxSurveyed {
 				return targets, true
 			}
-			d.asked[row.Instance] = now
+			d.surveyedAt[row.Instance] = now
 			targets = append(targets, replica.Target{Instance: row.Instance, Address: row.Address})
 		}
 	}
 	return targets, len(pools) > 0
 }
 
-// learn notes the versions that a replica told. They only rise, so that of two accounts in any order the higher one
-// counts.
-func (d *Driver) learn(instance string, models []registry.ModelVersion) {
+// recordReport merges the reported versions of an instance with those already known. Versions of an instance only
+// increase, so the higher number is the newer one whatever the order of the reports.
+func (d *Driver) recordReport(instance string, models []registry.ModelVersion) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.told[instance] = true
-	known := d.heard[instance]
+	d.reported[instance] = true
+	known := d.reportedVersions[instance]
 	merged := make([]registry.ModelVersion, 0, len(models))
 	for _, one := range models {
 		for _, other := range known {
@@ -136,17 +141,17 @@
 		}
 		merged = append(merged, one)
 	}
-	d.heard[instance] = merged
+	d.reportedVersions[instance] = merged
 }
 
-// forgetSurvey makes the next leadership ask anew: what was heard before it may be long past.
-func (d *Driver) forgetSurvey() {
-	if d.surveying || d.surveyed.Load() == d.tenure {
+// resetSurvey makes the next leadership survey the replicas again, since earlier reports may be long out of date.
+func (d *Driver) resetSurvey() {
+	if d.surveyStarted || d.surveyedTenure.Load() == d.tenure {
 		d.tenure++
-		d.surveying = false
+		d.surveyStarted = false
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	clear(d.told)
-	clear(d.asked)
+	clear(d.reported)
+	clear(d.surveyedAt)
 }
--- a/internal/weights/survey_test.go
+++ b/internal/weights/survey_test.go
@@ -8,31 +8,31 @@
 	"github.com/tamarindring/tamarindring/internal/replica"
 )
 
-// TestSurveysAreBounded: a leader of a large fleet asks some hundred replicas at a time and leaves the others to their
-// heartbeats, and begins no survey while one is under way.
+// TestSurveysAreBounded checks that a survey of a large fleet queries at most maxSurveyed replicas, and that no
+// survey starts while another one is in progress.
 func TestSurveysAreBounded(t *testing.T) {
-	const replicas = 3 * surveyMost
-	f := prepare(t, replicas)
-	f.driver.heard, f.driver.told = map[string][]registry.ModelVersion{}, map[string]bool{}
+	const replicas = 3 * maxSurveyed
+	f := newFixture(t, replicas)
+	f.driver.reportedVersions, f.driver.reported = map[string][]registry.ModelVersion{}, map[string]bool{}
 	f.driver.Heard(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 1}}})
 	view := f.driver.config.View()
-	f.driver.asking.Store(true)
+	f.driver.surveyRunning.Store(true)
 	f.driver.survey(t.Context(), view)
-	f.driver.orders.Wait()
-	if f.fleet.reports != 0 {
-		t.Errorf("%d replicas were asked beside another survey", f.fleet.reports)
+	f.driver.background.Wait()
+	if f.sender.reports != 0 {
+		t.Errorf("%d replicas were queried during another survey, want 0", f.sender.reports)
 	}
-	f.driver.asking.Store(false)
+	f.driver.surveyRunning.Store(false)
 	f.driver.survey(t.Context(), view)
-	f.driver.orders.Wait()
-	if f.fleet.reports != surveyMost || f.driver.asking.Load() {
-		t.Errorf("%d replicas were asked in one survey", f.fleet.reports)
+	f.driver.background.Wait()
+	if f.sender.reports != maxSurveyed || f.driver.surveyRunning.Load() {
+		t.Errorf("%d replicas were queried by one survey, want maxSurveyed, or the survey did not end", f.sender.reports)
 	}
 	targets := make([]replica.Target, 0, replicas)
 	for number := range replicas {
 		targets = append(targets, replica.Target{Instance: fmt.Sprint("i-", number)})
 	}
-	if found := Survey(t.Context(), f.fleet, targets); len(found) != surveyMost {
-		t.Errorf("%d replicas answered a survey of %d", len(found), replicas)
+	if found := Survey(t.Context(), f.sender, targets); len(found) != maxSurveyed {
+		t.Errorf("%d replicas answered a survey of %d, want maxSurveyed", len(found), replicas)
 	}
 }
--- a/internal/weights/takeover.go
+++ b/internal/weights/takeover.go
@@ -15,134 +15,137 @@
 )
 
 const (
-	// handOverAfter is how long a new leader leads before it gives the leadership away again, and
-	// handOverWorth the least time of waiting that this must save.
-	handOverAfter = 200 * time.Millisecond
-	handOverWorth = 1500 * time.Millisecond
-	// silentOwner is for how long the owner of the orders must not have been heard until they are taken from it before
-	// its time is over, where replicas check fencing tokens.
-	silentOwner = 500 * time.Millisecond
+	// handOverDelay is the time that a new leader keeps the leadership before it offers it to the owner of the orders.
+	// minHandOverGain is the minimum remaining wait for which an offer is worthwhile.
+	handOverDelay   = 200 * time.Millisecond
+	minHandOverGain = 1500 * time.Millisecond
+	// ownerSilenceTimeout is the time for which the owner must have been silent before the orders are taken from it
+	// ahead of Config.Takeover. It applies only if replicas check fencing tokens.
+	ownerSilenceTimeout = 500 * time.Millisecond
 )
 
-// ErrOwnerSilent is returned by Config.HandOver when the owner of the orders is not heard, although it has not said that it
-// stops: it is down, frozen or cut off.
+// ErrOwnerSilent is returned by Config.HandOver if the owner of the orders can't be reached although it has not
+// announced that it stops: it is down, frozen or partitioned.
 var ErrOwnerSilent = errors.New("the owner of the orders is silent")
 
-// takeover is what a leader without a token knows of the owner of the orders.
+// takeover is the state of a leader that is taking over the orders and has no token yet.
 type takeover struct {
-	looked  bool
-	since   time.Duration // from when on the owner is known to be this one
-	owner   string        // empty: a machine that is not known
-	token   uint64
-	offered bool // the leadership was offered to the owner
-	failed  bool // it was, and the owner did not take it
-	// silent says that the owner was not heard when it was asked last, and silentSince since when.
+	ownerRead   bool
+	ownedSince  time.Duration // time since which this owner is known
+	owner       string        // empty if the machine is unknown
+	token       uint64
+	offered     bool // the owner has accepted the leadership
+	offerFailed bool // the last offer failed
+	// silent reports whether the owner was silent at the last offer, and silentSince the time of the first such offer
+	// in a row.
 	silent      bool
 	silentSince time.Duration
 }
 
-// takeOver acquires the right to send orders and reports whether it is held. The machine that owns them goes on at
-// once; any other one waits, counted from when it saw the present owner for the first time: a leader that does not
-// know yet that it leads no more must not take the orders from the one that does.
+// takeOver acquires the right to send orders and reports whether this process holds it. The machine that already owns
+// the orders continues at once. Any other machine waits for Config.Takeover, counted from the time at which it first
+// saw the current owner, and so a deposed leader that does not know its state yet can't take the orders from the new
+// one.
 func (d *Driver) takeOver(ctx context.Context) bool {
-	held, err := d.fence(ctx)
+	held, err := d.readFence(ctx)
 	if err != nil {
 		return false
 	}
 	now := d.config.Clock()
-	if d.unanswered.tookEffect(held, d.config.Owner) {
-		d.hold(held.GetToken(), now)
+	if d.unconfirmed.hasTakenEffect(held, d.config.Owner) {
+		d.recordOwnership(held.GetToken(), now)
 		return true
 	}
-	if t := &d.takeover; !t.looked || held.GetToken() != t.token {
-		*t = takeover{looked: true, since: now, owner: held.GetOwner(), token: held.GetToken(), offered: t.offered}
+	if t := &d.takeover; !t.ownerRead || held.GetToken() != t.token {
+		*t = takeover{ownerRead: true, ownedSince: now, owner: held.GetOwner(), token: held.GetToken(), offered: t.offered}
 	}
-	if wait := d.takeover.wait(now, &d.config); wait > 0 {
-		d.offer(ctx, now, wait)
-		if !d.takeover.ownerLost(d.config.Clock(), &d.config) {
+	if wait := d.takeover.remainingWait(now, &d.config); wait > 0 {
+		d.offerLeadership(ctx, now, wait)
+		if !d.takeover.isOwnerLost(d.config.Clock(), &d.config) {
 			return false
 		}
 	}
-	acquired, err := d.acquire(ctx, d.takeover.token)
+	acquired, err := d.acquireFence(ctx, d.takeover.token)
 	if err != nil {
-		d.unanswered = acquisition{sent: true, follows: d.takeover.token}
+		d.unconfirmed = acquisition{sent: true, previousToken: d.takeover.token}
 		return false
 	}
-	d.unanswered = acquisition{}
+	d.unconfirmed = acquisition{}
 	if acquired.GetRefused() {
-		// Another machine acquired them since the look, and may have sent orders: its time is waited out from now. It stays
-		// the owner, so that this machine waits also if it starts again meanwhile.
-		d.takeover = takeover{looked: true, since: now, owner: acquired.GetOwner(), token: acquired.GetToken(), offered: d.takeover.offered}
+		// Another machine acquired the orders after they were read and may have sent some, so the wait starts again
+		// from now. That machine stays the owner, so that this one also waits if it restarts in the meantime.
+		d.takeover = takeover{ownerRead: true, ownedSince: now, owner: acquired.GetOwner(), token: acquired.GetToken(), offered: d.takeover.offered}
 		return false
 	}
-	d.hold(acquired.GetToken(), now)
+	d.recordOwnership(acquired.GetToken(), now)
 	return true
 }
 
-// hold notes the token under which this machine sends orders.
-func (d *Driver) hold(token uint64, now time.Duration) {
-	d.token, d.unanswered = token, acquisition{}
-	d.right.Store(token)
+// recordOwnership records the token under which this machine now sends orders.
+func (d *Driver) recordOwnership(token uint64, now time.Duration) {
+	d.token, d.unconfirmed = token, acquisition{}
+	d.publishedToken.Store(token)
 	event := events.OrdersTaken{Token: token, Owner: d.takeover.owner}
 	if d.takeover.token > 0 && d.takeover.owner != d.config.Owner {
-		event.WaitedMs = events.Millis(now - d.takeover.since)
+		event.WaitedMs = events.Millis(now - d.takeover.ownedSince)
 	}
 	logging.Emit(d.config.Log, &event)
 }
 
-// acquisition is an attempt to take the orders whose answer did not come in time.
+// acquisition is an attempt to acquire the orders whose reply did not arrive in time.
 type acquisition struct {
-	sent    bool
-	follows uint64 // token that it was to follow
+	sent          bool
+	previousToken uint64 // token that the acquired one was to follow
 }
 
-// tookEffect reports whether the attempt was carried out after all: this machine owns the orders by a token above the one that the
-// attempt followed. Where commits take longer than controlTimeout no answer ever comes in time, and whoever asked anew each time
-// would never hold the orders.
-func (a *acquisition) tookEffect(held *wire.FenceResult, owner string) bool {
-	return a.sent && held.GetOwner() == owner && held.GetToken() > a.follows
+// hasTakenEffect reports whether the attempt was applied after all: this machine owns the orders under a higher token
+// than the one the attempt was to follow. If commits take longer than controlTimeout, no reply ever arrives in time,
+// and a leader that only retried would never hold the orders.
+func (a *acquisition) hasTakenEffect(held *wire.FenceResult, owner string) bool {
+	return a.sent && held.GetOwner() == owner && held.GetToken() > a.previousToken
 }
 
-// wait is how much longer the orders must rest.
-func (t *takeover) wait(now time.Duration, config *Config) time.Duration {
+// remainingWait returns how much longer this machine must not send orders.
+func (t *takeover) remainingWait(now time.Duration, config *Config) time.Duration {
 	if t.token == 0 || t.owner == config.Owner {
 		return 0
 	}
-	return t.since + config.Takeover - now
+	return t.ownedSince + config.Takeover - now
 }
 
-// ownerLost reports whether the orders may be taken before the owner's time is over: it was silent for a while, and the
-// replicas refuse what it may still send, since its token is lower. Where they don't check tokens only time protects them.
-func (t *takeover) ownerLost(now time.Duration, config *Config) bool {
-	return config.FencesChecked && t.silent && now >= t.silentSince+silentOwner
+// isOwnerLost reports whether the orders may be taken before the wait for the owner is over: the owner has been
+// silent for a while, and replicas reject what it may still send because its token is lower. If replicas don't check
+// tokens, only the full wait is safe.
+func (t *takeover) isOwnerLost(now time.Duration, config *Config) bool {
+	return config.FencesChecked && t.silent && now >= t.silentSince+ownerSilenceTimeout
 }
 
-// offer offers the leadership to the owner of the orders, once.
-func (d *Driver) offer(ctx context.Context, now, wait time.Duration) {
+// offerLeadership offers the leadership to the owner of the orders until one offer succeeds.
+func (d *Driver) offerLeadership(ctx context.Context, now, wait time.Duration) {
 	t := &d.takeover
-	if d.config.HandOver == nil || t.owner == "" || t.offered || now < t.since+handOverAfter || wait < handOverWorth {
+	if d.config.HandOver == nil || t.owner == "" || t.offered || now < t.ownedSince+handOverDelay || wait < minHandOverGain {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	err := d.config.HandOver(ctx, t.owner)
-	if err == nil || !t.failed {
+	if err == nil || !t.offerFailed {
 		logging.Emit(d.config.Log, &events.OrdersOffered{Owner: t.owner, Cause: events.ErrorText(err)})
 	}
-	t.offered, t.failed = err == nil, err != nil
-	t.heard(errors.Is(err, ErrOwnerSilent), now)
+	t.offered, t.offerFailed = err == nil, err != nil
+	t.recordSilence(errors.Is(err, ErrOwnerSilent), now)
 }
 
-// heard notes whether the owner was silent when it was asked.
-func (t *takeover) heard(silent bool, now time.Duration) {
+// recordSilence records whether the owner was silent at the last offer.
+func (t *takeover) recordSilence(silent bool, now time.Duration) {
 	if silent && !t.silent {
 		t.silentSince = now
 	}
 	t.silent = silent
 }
 
-// fence reads who owns the orders.
-func (d *Driver) fence(ctx context.Context) (*wire.FenceResult, error) {
+// readFence reads the owner and the token of the orders.
+func (d *Driver) readFence(ctx context.Context) (*wire.FenceResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	view, err := d.config.Control.Query(ctx, state.ControlGroup, &wire.Query{Kind: &wire.Query_Fence{
@@ -151,22 +154,23 @@
 		return nil, trace.Wrap(err)
 	}
 	if view.GetFence() == nil {
-		return nil, trace.BadParameter("the control group does not tell the owner of the orders")
+		return nil, trace.BadParameter("the control group returned no owner of the orders")
 	}
 	return view.GetFence(), nil
 }
 
-// acquire takes the orders from the owner with a token; refused if there is another one by now.
-func (d *Driver) acquire(ctx context.Context, follows uint64) (*wire.FenceResult, error) {
+// acquireFence acquires the orders for this machine if previousToken is still the current token. Otherwise the result
+// is marked as refused and names the current owner.
+func (d *Driver) acquireFence(ctx context.Context, previousToken uint64) (*wire.FenceResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	result, err := d.config.Control.Execute(ctx, state.ControlGroup, &wire.Command{Kind: &wire.Command_FenceAcquire{
-		FenceAcquire: &wire.FenceAcquire{Resource: fenceResource, Owner: d.config.Owner, RequestId: rand.Text(), IfFollows: true, Follows: follows}}})
+		FenceAcquire: &wire.FenceAcquire{Resource: fenceResource, Owner: d.config.Owner, RequestId: rand.Text(), IfFollows: true, Follows: previousToken}}})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if result.GetFence().GetToken() == 0 {
-		return nil, trace.BadParameter("the orders can't be owned: %s", result.GetInvalid())
+		return nil, trace.BadParameter("failed to acquire the orders: %s", result.GetInvalid())
 	}
 	return result.GetFence(), nil
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,10 +1,10 @@
-// Package weights names weight versions of models and brings the registered replicas to them. A version is
-// named in the release registry of the control group. The process that leads the control group drives a wave
-// over the replicas of each model, with orders under a fencing token.
+// Package weights registers weight versions of models and rolls them out to the registered replicas. A version is
+// registered in the release registry of the control group. The process that leads the control group runs one rollout
+// wave per model over its replicas and sends them load orders under a fencing token.
 //
-// Two machines never take turns at a replica: orders are sent only while the leadership is confirmed, and a
-// new leader waits until every order of the one before it must have arrived. The machine that sent the last
-// orders need not wait; when it is back, it is offered the leadership.
+// Two machines must never alternate in sending orders to the same replica. Orders are therefore sent only while the
+// leadership is confirmed, and a new leader waits until every order of its predecessor must have arrived. The machine
+// that sent the last orders need not wait, so the leadership is offered to it once it is back.
 package weights
 
 import (
@@ -22,64 +22,64 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// fenceResource is what the process that sends orders to replicas owns.
+// fenceResource is the fenced resource that a process must own to send orders to replicas.
 const fenceResource = "replica-orders"
 
-// resourcePrefix makes a model's entry in the release registry differ from a pool's.
+// resourcePrefix separates the entries of models from those of pools in the release registry.
 const resourcePrefix = "model/"
 
-// Control is what this package needs of a client of the control nodes.
+// Control is the part of the control node client that this package uses.
 type Control interface {
 	Execute(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, error)
 	Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
 }
 
-// ErrSuperseded means that a replica has seen a higher token: another process sends the orders now.
+// ErrSuperseded means that the replica has seen a higher fencing token, so another process now sends the orders.
 var ErrSuperseded = errors.New("weights: another process orders this replica")
 
-// ErrRestarted means that the replica started again since the start that was asked: that one has ended.
+// ErrRestarted means that the addressed incarnation of the replica has ended because the replica has restarted.
 var ErrRestarted = errors.New("weights: the replica has started again")
 
-// Order asks a replica to serve a version.
+// Order asks a replica to load and serve a version of a model.
 type Order struct {
 	replica.Target
 	Model  string
 	Number uint64
 	Fence  uint64
-	// Expected is how many orders the replica has taken: with any other number it takes this one no more,
-	// however late it arrives.
+	// Expected is the number of orders that the replica must have accepted so far. The replica rejects the order at
+	// any other number, which keeps a delayed order from taking effect after a later one.
 	Expected uint64
 }
 
-// Report is a replica's account of itself, some hundred milliseconds old.
+// Report is the status that a replica reports. It may be some hundred milliseconds old.
 type Report struct {
-	Taken   uint64 // orders taken
-	Busy    bool   // an order is under way
-	Serving uint64 // version of the model that was asked for; 0 when it has none
+	Taken   uint64 // number of orders accepted since the replica started
+	Busy    bool   // whether an order is being executed
+	Serving uint64 // version of the requested model; 0 if the replica does not serve it
 	Models  []registry.ModelVersion
 }
 
-// Acceptance is a replica's answer to an order.
+// Acceptance is the answer of a replica to an order.
 type Acceptance uint8
 
-// The answers.
+// Values of Acceptance.
 const (
-	Underway Acceptance = iota + 1 // taken; it will serve the version
-	Holds                          // it serves the version already
-	Conflict                       // not taken: another order is under way, or was taken since
+	Underway Acceptance = iota + 1 // the order was accepted and the replica will serve the version
+	Holds                          // the replica already serves the version
+	Conflict                       // rejected: another order is being executed or was accepted in the meantime
 )
 
-// Sender speaks to replicas. An error other than ErrSuperseded says that an order may have been taken. ErrRestarted says that the
-// start of the replica that was asked is over.
+// Sender calls replicas. Its methods return ErrSuperseded if the order was rejected for its fencing token, and
+// ErrRestarted if the addressed incarnation has ended. After any other error the order may have been accepted.
 type Sender interface {
-	// Report asks a replica for its account of itself. model may be empty.
+	// Report requests the status of a replica. The model may be empty.
 	Report(ctx context.Context, target replica.Target, model string) (Report, error)
 	Order(ctx context.Context, order Order) (Acceptance, error)
 }
 
-// Put names a version of a model, for good once nil is returned. A version that is not above the newest is
-// taken as named before. Errors: trace.BadParameter for one that can't be named; any other says that its fate
-// is not known.
+// Put registers a version of a model. The registration is durable once Put returns nil. A version that is not newer
+// than the newest one counts as registered already. It returns trace.BadParameter if the version can't be registered.
+// After any other error the outcome is unknown.
 func Put(ctx context.Context, control Control, model string, number uint64, trainer string) error {
 	if model == "" || number == 0 {
 		return trace.BadParameter("a version needs a model and a number above 0")
@@ -100,8 +100,9 @@
 	return trace.BadParameter("the version can't be named: %s", answer.GetReason())
 }
 
-// Newest returns the newest named version of a model by a linearizable read; number 0 if none was named.
-func Newest(ctx context.Context, control Control, model string) (wave.Version, error) {
+// NewestVersion returns the newest registered version of a model by a linearizable read. The number is 0 if the model
+// has none.
+func NewestVersion(ctx context.Context, control Control, model string) (wave.Version, error) {
 	view, err := control.Query(ctx, state.ControlGroup, &wire.Query{Kind: &wire.Query_Versions{
 		Versions: &wire.VersionsQuery{Pool: resourcePrefix + model}}})
 	if err != nil {
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -23,14 +23,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeControl is the control group's state machine without consensus.
+// fakeControl runs the state machine of the control group without consensus.
 type fakeControl struct {
 	mutex   sync.Mutex
 	machine *state.Machine
 	index   uint64
 	queries atomic.Int64
-	// lateFences: commands that acquire a token are applied after their callers have given up.
-	lateFences atomic.Bool
+	// loseFenceReplies makes fence acquisitions time out for their caller although they are applied.
+	loseFenceReplies atomic.Bool
 }
 
 func (f *fakeControl) Execute(_ context.Context, _ uint32, command *wire.Command) (*wire.Result, error) {
@@ -38,7 +38,7 @@
 	defer f.mutex.Unlock()
 	f.index++
 	result := f.machine.Apply(f.index, command)
-	if f.lateFences.Load() && command.GetFenceAcquire() != nil {
+	if f.loseFenceReplies.Load() && command.GetFenceAcquire() != nil {
 		return nil, context.DeadlineExceeded
 	}
 	return result, nil
@@ -51,21 +51,21 @@
 	return f.machine.Query(query), nil
 }
 
-// fleet is replicas that load at once, and check what they are ordered.
-type fleet struct {
-	t        *testing.T
-	mutex    sync.Mutex
-	replicas map[string]*engine
-	loading  int
-	most     int
-	highest  uint64         // fence
-	refused  map[uint64]int // orders with a lower one, by fence
-	reports  int            // that were asked for
-	held     chan struct{}  // reports wait until it is closed; nil: they don't
+// fakeSender simulates replicas that execute orders immediately, and checks the orders that they get.
+type fakeSender struct {
+	t              *testing.T
+	mutex          sync.Mutex
+	replicas       map[string]*fakeReplica
+	loading        int
+	maxLoading     int
+	highestFence   uint64         // highest fencing token seen
+	refusedByFence map[uint64]int // orders rejected because of a lower fencing token, by token
+	reports        int            // number of status requests
+	reportGate     chan struct{}  // if not nil, status requests block until it is closed
 }
 
-// asked waits until so many reports were asked for.
-func (f *fleet) asked(count int) {
+// waitForReports waits until the given number of status requests were sent.
+func (f *fakeSender) waitForReports(count int) {
 	for {
 		f.mutex.Lock()
 		reached := f.reports >= count
@@ -77,18 +77,18 @@
 	}
 }
 
-type engine struct {
-	taken   uint64
-	serving map[string]uint64
-	lose    int // answers of orders that are lost after they were taken
+type fakeReplica struct {
+	taken         uint64
+	serving       map[string]uint64
+	answersToLose int // number of further accepted orders whose answer is lost
 }
 
-func (f *fleet) Report(_ context.Context, target replica.Target, model string) (Report, error) {
+func (f *fakeSender) Report(_ context.Context, target replica.Target, model string) (Report, error) {
 	f.mutex.Lock()
 	f.reports++
 	f.mutex.Unlock()
-	if f.held != nil {
-		<-f.held
+	if f.reportGate != nil {
+		<-f.reportGate
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -100,10 +100,10 @@
 	return report, nil
 }
 
-func (f *fleet) Order(_ context.Context, order Order) (Acceptance, error) {
+func (f *fakeSender) Order(_ context.Context, order Order) (Acceptance, error) {
 	f.mutex.Lock()
 	f.loading++
-	f.most = max(f.most, f.loading)
+	f.maxLoading = max(f.maxLoading, f.loading)
 	f.mutex.Unlock()
 	time.Sleep(5 * time.Millisecond)
 	f.mutex.Lock()
@@ -111,26 +111,26 @@
 	f.loading--
 	one := f.replicas[order.Instance]
 	switch {
-	case order.Fence < f.highest:
-		f.refused[order.Fence]++
+	case order.Fence < f.highestFence:
+		f.refusedByFence[order.Fence]++
 		return 0, ErrSuperseded
 	case order.Expected != one.taken:
 		return Conflict, nil
 	}
-	f.highest = order.Fence
+	f.highestFence = order.Fence
 	one.taken++
 	if one.serving[order.Model] > order.Number {
-		f.t.Errorf("%s was ordered back to %d", order.Instance, order.Number)
+		f.t.Errorf("%s was ordered to load the older version %d", order.Instance, order.Number)
 	}
 	one.serving[order.Model] = order.Number
-	if one.lose > 0 {
-		one.lose--
+	if one.answersToLose > 0 {
+		one.answersToLose--
 		return 0, errors.New("answer lost")
 	}
 	return Holds, nil
 }
 
-func (f *fleet) serve(model string, number uint64) bool {
+func (f *fakeSender) serve(model string, number uint64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, one := range f.replicas {
@@ -141,8 +141,8 @@
 	return true
 }
 
-// count returns how many replicas serve a version.
-func (f *fleet) count(model string, number uint64) int {
+// count returns the number of replicas that serve the version.
+func (f *fakeSender) count(model string, number uint64) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	count := 0
@@ -156,14 +156,14 @@
 
 type fixture struct {
 	control *fakeControl
-	fleet   *fleet
+	sender  *fakeSender
 	leading atomic.Bool
 	driver  *Driver
 }
 
-func start(t *testing.T, replicas int) *fixture {
+func startFixture(t *testing.T, replicas int) *fixture {
 	t.Helper()
-	f := prepare(t, replicas)
+	f := newFixture(t, replicas)
 	f.run(t)
 	return f
 }
@@ -175,15 +175,15 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-func prepare(t *testing.T, replicas int) *fixture {
+func newFixture(t *testing.T, replicas int) *fixture {
 	t.Helper()
-	f := &fixture{control: &fakeControl{machine: state.New()}, fleet: &fleet{t: t, replicas: map[string]*engine{}, refused: map[uint64]int{}}}
+	f := &fixture{control: &fakeControl{machine: state.New()}, sender: &fakeSender{t: t, replicas: map[string]*fakeReplica{}, refusedByFence: map[uint64]int{}}}
 	f.leading.Store(true)
 	made := table.New()
 	change := &wire.TableChange{ChangeId: "make", Operator: "test", Cells: []*wire.CellChange{{Row: "pool", Column: "kind", Value: "pool"}}}
 	for number := range replicas {
 		name := fmt.Sprint("i-", number)
-		f.fleet.replicas[name] = &engine{serving: map[string]uint64{"m0": 1, "m1": 1}, lose: number % 2}
+		f.sender.replicas[name] = &fakeReplica{serving: map[string]uint64{"m0": 1, "m1": 1}, answersToLose: number % 2}
 		for column, value := range map[string]string{"kind": "backend", "pool": "pool", "address": fmt.Sprint("10.0.0.1:", number+1)} {
 			change.Cells = append(change.Cells, &wire.CellChange{Row: name, Column: column, Value: value})
 		}
@@ -193,13 +193,13 @@
 	if err != nil || len(view.Backends("pool")) != replicas {
 		t.Fatal(err, view.Rows())
 	}
-	driver, err := NewDriver(Config{Control: f.control, Sender: f.fleet, View: func() *table.View { return view },
-		Leading: f.leading.Load, Owner: "node", Poll: 5 * time.Millisecond, Takeover: time.Hour})
+	driver, err := NewDriver(Config{Control: f.control, Sender: f.sender, View: func() *table.View { return view },
+		Leading: f.leading.Load, Owner: "node", PollInterval: 5 * time.Millisecond, Takeover: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.driver = driver
-	for name := range f.fleet.replicas {
+	for name := range f.sender.replicas {
 		driver.Heard(&registry.Registration{Instance: name, Models: []registry.ModelVersion{{Model: "m0", Number: 1}, {Model: "m1", Number: 1}}})
 	}
 	return f
@@ -215,10 +215,10 @@
 	}
 }
 
-// TestAllReplicasComeToTheNewestVersion: two at a time over both models, also where answers are lost; the first
-// leader of all does not wait.
-func TestAllReplicasComeToTheNewestVersion(t *testing.T) {
-	f := start(t, 5)
+// TestAllReplicasReachNewestVersion checks that all replicas reach the newest version of two models with at most
+// DefaultMaxConcurrentLoads loads at a time, also if answers are lost, and that the first leader ever does not wait.
+func TestAllReplicasReachNewestVersion(t *testing.T) {
+	f := startFixture(t, 5)
 	for _, version := range []struct {
 		model  string
 		number uint64
@@ -228,72 +228,74 @@
 		}
 		f.driver.Look()
 	}
-	eventually(t, "m0", func() bool { return f.fleet.serve("m0", 3) })
-	eventually(t, "m1", func() bool { return f.fleet.serve("m1", 2) })
-	if f.fleet.most > DefaultLoadsTogether {
-		t.Fatalf("%d loads at once", f.fleet.most)
+	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 3) })
+	eventually(t, "timed out waiting for all replicas to serve the newest version of m1", func() bool { return f.sender.serve("m1", 2) })
+	if f.sender.maxLoading > DefaultMaxConcurrentLoads {
+		t.Fatalf("%d concurrent loads, outside the allowed range", f.sender.maxLoading)
 	}
 	if err := Put(t.Context(), f.control, "", 1, "trainer"); !trace.IsBadParameter(err) {
-		t.Fatalf("a version without a model: %v", err)
+		t.Fatalf("Put without a model: got error %v, want BadParameter", err)
 	}
 }
 
-// TestPlacesGrowWithTheReplicas: with few places a fleet of many replicas falls behind its trainers.
-func TestPlacesGrowWithTheReplicas(t *testing.T) {
+// TestLoadSlotsScaleWithReplicas checks that the number of load slots grows with the fleet. With a fixed number a
+// large fleet falls behind its trainers.
+func TestLoadSlotsScaleWithReplicas(t *testing.T) {
 	for replicas, want := range map[int]int{1: 2, 5: 2, 9: 2, 11: 2, 30: 6, 45: 9, 48: 10} {
-		f := prepare(t, replicas)
-		if got := f.driver.placesFor(f.driver.replicas(f.driver.config.View())); got != want {
-			t.Errorf("%d replicas load at once of %d, want %d", got, replicas, want)
+		f := newFixture(t, replicas)
+		if got := f.driver.loadSlotsFor(f.driver.activeReplicas(f.driver.config.View())); got != want {
+			t.Errorf("got %d load slots for %d replicas, want %d", got, replicas, want)
 		}
 	}
-	f := start(t, 30)
+	f := startFixture(t, 30)
 	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	f.driver.Look()
-	eventually(t, "m0", func() bool { return f.fleet.serve("m0", 2) })
-	if f.fleet.most <= DefaultLoadsTogether || f.fleet.most > 6 {
-		t.Fatalf("%d loads at once", f.fleet.most)
+	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 2) })
+	if f.sender.maxLoading <= DefaultMaxConcurrentLoads || f.sender.maxLoading > 6 {
+		t.Fatalf("%d concurrent loads, outside the allowed range", f.sender.maxLoading)
 	}
 }
 
-// TestEndsOfLoadsAskNothing: named versions are looked for at each interval and when one is named, not whenever one of
-// many loads ends.
-func TestEndsOfLoadsAskNothing(t *testing.T) {
-	f := prepare(t, 60)
-	f.driver.config.Poll = time.Hour
+// TestFinishedLoadsDoNotQueryVersions checks that versions are read at each poll interval and on request, but not
+// after each of many loads.
+func TestFinishedLoadsDoNotQueryVersions(t *testing.T) {
+	f := newFixture(t, 60)
+	f.driver.config.PollInterval = time.Hour
 	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	f.run(t)
 	before := f.control.queries.Load()
 	f.driver.Look()
-	eventually(t, "m0", func() bool { return f.fleet.serve("m0", 2) })
+	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 2) })
 	if asked := f.control.queries.Load() - before; asked > 8 {
-		t.Fatalf("60 loads asked the control group %d times", asked)
+		t.Fatalf("60 loads caused %d queries to the control group, want at most 8", asked)
 	}
 }
 
-// TestNoReplicaStaysBehind names a version whenever a replica serves the last one: still each gets its turn.
-func TestNoReplicaStaysBehind(t *testing.T) {
+// TestFrequentReleasesDoNotStarveReplicas registers a new version as soon as one replica serves the last one, and
+// checks that each replica is updated nevertheless.
+func TestFrequentReleasesDoNotStarveReplicas(t *testing.T) {
 	const replicas = 6
-	f := start(t, replicas)
+	f := startFixture(t, replicas)
 	for number := uint64(2); number < 2+2*replicas; number++ {
 		if err := Put(t.Context(), f.control, "m0", number, "trainer"); err != nil {
 			t.Fatal(err)
 		}
 		f.driver.Look()
-		eventually(t, "a replica with the version", func() bool { return f.fleet.count("m0", number) > 0 })
+		eventually(t, "timed out waiting for a replica to serve the version", func() bool { return f.sender.count("m0", number) > 0 })
 	}
-	if left := f.fleet.count("m0", 1); left > 0 {
-		t.Fatalf("%d replicas still serve the first version", left)
+	if left := f.sender.count("m0", 1); left > 0 {
+		t.Fatalf("%d replicas still serve the first version, want 0", left)
 	}
 }
 
-// TestNewLeaderWaits: once another machine has sent orders, this one waits before its first and offers the leadership
-// to that one until it was asked.
+// TestNewLeaderWaits checks that a leader sends no orders before the takeover time has passed if another machine sent
+// the last ones, and that it offers the leadership to that machine until an offer succeeds.
 func TestNewLeaderWaits(t *testing.T) {
-	f := prepare(t, 2)
+	f := newFixture(t, 2)
 	acquire := &wire.FenceAcquire{Resource: fenceResource, Owner: "other", RequestId: "other"}
 	if _, err := f.control.Execute(t.Context(), 0, &wire.Command{Kind: &wire.Command_FenceAcquire{FenceAcquire: acquire}}); err != nil {
 		t.Fatal(err)
@@ -302,7 +304,7 @@
 	var offered atomic.Int64
 	f.driver.config.HandOver = func(_ context.Context, owner string) error {
 		if owner != "other" {
-			t.Errorf("the leadership was offered to %q", owner)
+			t.Errorf("the leadership was offered to %q, want other", owner)
 		}
 		if offered.Add(1) == 1 {
 			return errors.New("not back yet")
@@ -310,41 +312,42 @@
 		return nil
 	}
 	f.run(t)
-	eventually(t, "two offers", func() bool { return offered.Load() == 2 })
-	eventually(t, "polls", func() bool { return f.control.queries.Load() > 10 })
-	f.fleet.mutex.Lock()
-	defer f.fleet.mutex.Unlock()
-	if f.fleet.highest != 0 || offered.Load() != 2 {
-		t.Fatalf("a new leader did not wait, or made %d offers", offered.Load())
+	eventually(t, "timed out waiting for two offers of the leadership", func() bool { return offered.Load() == 2 })
+	eventually(t, "timed out waiting for more than 10 queries to the control group", func() bool { return f.control.queries.Load() > 10 })
+	f.sender.mutex.Lock()
+	defer f.sender.mutex.Unlock()
+	if f.sender.highestFence != 0 || offered.Load() != 2 {
+		t.Fatalf("a new leader sent orders within the takeover time, or made %d offers instead of 2", offered.Load())
 	}
 }
 
-// TestRefusedTokenIsNotUsedAgain: once a replica has seen a higher token than this leader's, only the orders that were on
-// their way are refused; the next ones carry a new token.
-func TestRefusedTokenIsNotUsedAgain(t *testing.T) {
+// TestSupersededTokenIsNotReused checks that after a replica has seen a higher token than that of this leader, only
+// the orders already sent are rejected and later ones carry a new token.
+func TestSupersededTokenIsNotReused(t *testing.T) {
 	const seen = 4
-	f := prepare(t, 6)
-	f.fleet.highest = seen
+	f := newFixture(t, 6)
+	f.sender.highestFence = seen
 	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	f.run(t)
-	eventually(t, "the version", func() bool { return f.fleet.serve("m0", 2) })
-	f.fleet.mutex.Lock()
-	defer f.fleet.mutex.Unlock()
-	if len(f.fleet.refused) == 0 {
-		t.Fatal("no order was refused")
-	}
-	for token, times := range f.fleet.refused {
-		if token >= seen || times > DefaultLoadsTogether {
-			t.Errorf("token %d was refused %d times", token, times)
+	eventually(t, "timed out waiting for all replicas to serve the version", func() bool { return f.sender.serve("m0", 2) })
+	f.sender.mutex.Lock()
+	defer f.sender.mutex.Unlock()
+	if len(f.sender.refusedByFence) == 0 {
+		t.Fatal("no order was rejected, want some with the old token")
+	}
+	for token, times := range f.sender.refusedByFence {
+		if token >= seen || times > DefaultMaxConcurrentLoads {
+			t.Errorf("token %d was rejected %d times, want only older tokens and at most one rejection per load slot", token, times)
 		}
 	}
 }
 
-// TestOwnerOfTheOrdersGoesOn: the machine that sent the last orders does not wait when it leads again.
-func TestOwnerOfTheOrdersGoesOn(t *testing.T) {
-	f := prepare(t, 3)
+// TestPreviousOwnerResumesWithoutWaiting checks that the machine that sent the last orders does not wait when it
+// leads again.
+func TestPreviousOwnerResumesWithoutWaiting(t *testing.T) {
+	f := newFixture(t, 3)
 	for _, owner := range []string{"other", "node"} {
 		acquire := &wire.FenceAcquire{Resource: fenceResource, Owner: owner, RequestId: owner}
 		if _, err := f.control.Execute(t.Context(), 0, &wire.Command{Kind: &wire.Command_FenceAcquire{FenceAcquire: acquire}}); err != nil {
@@ -353,12 +356,13 @@
 	}
 	_ = Put(t.Context(), f.control, "m0", 2, "trainer")
 	f.run(t)
-	eventually(t, "the version", func() bool { return f.fleet.serve("m0", 2) })
+	eventually(t, "timed out waiting for all replicas to serve the version", func() bool { return f.sender.serve("m0", 2) })
 }
 
-// TestWaitCountsFromTheLastOwner: a leader that takes over while another one does waits anew.
-func TestWaitCountsFromTheLastOwner(t *testing.T) {
-	f := prepare(t, 1)
+// TestTakeoverWaitRestartsWithNewOwner checks that the takeover wait starts again if another machine acquires the
+// orders during it.
+func TestTakeoverWaitRestartsWithNewOwner(t *testing.T) {
+	f := newFixture(t, 1)
 	now := time.Duration(0)
 	f.driver.config.Clock, f.driver.config.Takeover = func() time.Duration { return now }, 4*time.Second
 	owned := func(owner string) {
@@ -373,17 +377,18 @@
 			owned("second")
 		}
 		if f.driver.takeOver(t.Context()) {
-			t.Fatalf("took the orders over after %s", now)
+			t.Fatalf("took over the orders after %s, want 7s", now)
 		}
 	}
 	if now = 7 * time.Second; !f.driver.takeOver(t.Context()) {
-		t.Fatal("did not take the orders over")
+		t.Fatal("did not take over the orders after 7s")
 	}
 }
 
-// TestOrdersOfALostOwnerAreTaken: an owner that is silent loses the orders soon where replicas check fencing tokens; one
-// that stops by plan, that was heard meanwhile, or whose replicas check nothing keeps them for its time.
-func TestOrdersOfALostOwnerAreTaken(t *testing.T) {
+// TestSilentOwnerIsReplacedEarly checks that the orders of a silent owner are taken early if replicas check fencing
+// tokens. The full takeover time applies if the owner stops by plan or if replicas check no tokens, and an answer of
+// the owner restarts the silence timeout.
+func TestSilentOwnerIsReplacedEarly(t *testing.T) {
 	stops := errors.New("the owner stops")
 	const step = 100 * time.Millisecond
 	for name, one := range map[string]struct {
@@ -391,7 +396,7 @@
 		answers   func(now time.Duration) error
 		want      time.Duration
 	}{
-		"silent":              {false, func(time.Duration) error { return ErrOwnerSilent }, handOverAfter + silentOwner},
+		"silent":              {false, func(time.Duration) error { return ErrOwnerSilent }, handOverDelay + ownerSilenceTimeout},
 		"silent, not checked": {true, func(time.Duration) error { return ErrOwnerSilent }, 4 * time.Second},
 		"stops":               {false, func(time.Duration) error { return stops }, 4 * time.Second},
 		"heard in between": {false, func(now time.Duration) error {
@@ -399,10 +404,10 @@
 				return stops
 			}
 			return ErrOwnerSilent
-		}, time.Second + silentOwner},
+		}, time.Second + ownerSilenceTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := prepare(t, 1)
+			f := newFixture(t, 1)
 			now := time.Duration(0)
 			f.driver.config.Clock, f.driver.config.Takeover = func() time.Duration { return now }, 4*time.Second
 			f.driver.config.FencesChecked = !one.unchecked
@@ -413,51 +418,52 @@
 			}
 			for !f.driver.takeOver(t.Context()) {
 				if now += step; now > one.want {
-					t.Fatalf("not taken after %s", now)
+					t.Fatalf("orders not taken after %s", now)
 				}
 			}
 			if now < one.want {
-				t.Fatalf("taken after %s, want %s", now, one.want)
+				t.Fatalf("orders taken after %s, want %s", now, one.want)
 			}
 		})
 	}
 }
 
-// TestPlacesAreFreeOnceLoadsAreOver: an order takes a place until its load is over by the time that loads take, and its
-// replica gets no other order before its own has ended.
-func TestPlacesAreFreeOnceLoadsAreOver(t *testing.T) {
-	f := prepare(t, 3)
+// TestLoadSlotIsFreedAtExpectedEndOfLoad checks that an order occupies its load slot until the expected end of its
+// load, and that its replica gets no other order before the first has ended.
+func TestLoadSlotIsFreedAtExpectedEndOfLoad(t *testing.T) {
+	f := newFixture(t, 3)
 	d := f.driver
 	view := d.config.View()
 	d.planners = map[string]*wave.Planner{"m0": wave.New(wave.Config{})}
 	d.planners["m0"].Release(0, wave.Version{Name: "newest", Number: 2})
 	first, later := &load{order: Order{Target: replica.Target{Instance: "i-0"}}}, &load{order: Order{Target: replica.Target{Instance: "i-0"}}}
-	d.places, d.busy["i-0"], d.holding["i-0"] = 1, "m0", first
-	next := func(instance string) queued {
-		return queued{"m0", wave.Order{Replica: instance, Version: d.planners["m0"].Target()}}
+	d.loadSlots, d.loadingModels["i-0"], d.slotHolders["i-0"] = 1, "m0", first
+	next := func(instance string) queuedOrder {
+		return queuedOrder{"m0", wave.Order{Replica: instance, Version: d.planners["m0"].Target()}}
 	}
-	d.queue = []queued{next("i-0"), next("i-1")}
-	if d.sendNext(t.Context(), view, d.supplies()) {
-		t.Fatal("an order was sent without a place")
+	d.queue = []queuedOrder{next("i-0"), next("i-1")}
+	if d.sendNext(t.Context(), view, d.countSupplies()) {
+		t.Fatal("an order was sent without a free load slot")
 	}
-	d.free(later)
-	if d.sendNext(t.Context(), view, d.supplies()) {
-		t.Fatal("the place of another order was given away")
+	d.releaseSlot(later)
+	if d.sendNext(t.Context(), view, d.countSupplies()) {
+		t.Fatal("a load that holds no slot freed the slot of another load")
 	}
-	d.free(first)
-	if !d.sendNext(t.Context(), view, d.supplies()) || d.holding["i-1"] == nil || d.busy["i-0"] == "" {
-		t.Fatalf("holding %v, busy %v", d.holding, d.busy)
+	d.releaseSlot(first)
+	if !d.sendNext(t.Context(), view, d.countSupplies()) || d.slotHolders["i-1"] == nil || d.loadingModels["i-0"] == "" {
+		t.Fatalf("no order was sent to i-1, or i-0 is no longer loading: slot holders %v, loading models %v", d.slotHolders, d.loadingModels)
 	}
-	d.orders.Wait()
-	d.ended(<-d.done)
-	if d.sendNext(t.Context(), view, d.supplies()) {
-		t.Fatal("a replica got a second order before the end of its first")
+	d.background.Wait()
+	d.handleResult(<-d.results)
+	if d.sendNext(t.Context(), view, d.countSupplies()) {
+		t.Fatal("an order was sent to a replica whose previous order has not ended")
 	}
 }
 
-// TestLooksForVersionsHoldNothingUp: while the control group answers no question, loads go on.
-func TestLooksForVersionsHoldNothingUp(t *testing.T) {
-	f := prepare(t, 8)
+// TestBlockedVersionReadsDoNotDelayLoads checks that loads continue while the control group answers no read of
+// versions.
+func TestBlockedVersionReadsDoNotDelayLoads(t *testing.T) {
+	f := newFixture(t, 8)
 	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
@@ -465,19 +471,19 @@
 	release := make(chan struct{})
 	f.driver.config.Control = &silentControl{fakeControl: f.control, answers: 6, blocked: blocked, release: release}
 	f.run(t)
-	t.Cleanup(func() { close(release) }) // before the driver is stopped
+	t.Cleanup(func() { close(release) }) // registered last, so that it runs before the driver is stopped
 	f.driver.Look()
 	<-blocked
-	eventually(t, "m0", func() bool { return f.fleet.serve("m0", 2) })
+	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 2) })
 }
 
-// silentControl answers some questions, and then none.
+// silentControl answers the given number of reads of versions and blocks the later ones.
 type silentControl struct {
 	*fakeControl
 	mutex   sync.Mutex
 	answers int
-	blocked chan struct{} // closed with the first question without an answer
-	release chan struct{} // closed when the questions may end
+	blocked chan struct{} // closed when the first read blocks
+	release chan struct{} // closed to end the blocked reads
 }
 
 func (s *silentControl) Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error) {
@@ -495,14 +501,15 @@
 	return nil, errors.New("no answer")
 }
 
-// TestNewLeaderAsksTheReplicas: one heartbeat tells which pool holds models, and the replicas tell the rest; what they told
-// a leadership ago is asked anew, and an older account changes nothing.
-func TestNewLeaderAsksTheReplicas(t *testing.T) {
-	f := prepare(t, 6)
-	f.driver.heard, f.driver.told = map[string][]registry.ModelVersion{}, map[string]bool{}
-	f.fleet.held = make(chan struct{})
+// TestNewLeaderSurveysReplicas checks that a single heartbeat reveals which pool holds models and that the replicas
+// themselves supply the rest. A new leadership surveys them again, and a report with an older version changes
+// nothing.
+func TestNewLeaderSurveysReplicas(t *testing.T) {
+	f := newFixture(t, 6)
+	f.driver.reportedVersions, f.driver.reported = map[string][]registry.ModelVersion{}, map[string]bool{}
+	f.sender.reportGate = make(chan struct{})
 	for number := range 6 {
-		f.fleet.replicas[fmt.Sprint("i-", number)].serving["m0"] = 3
+		f.sender.replicas[fmt.Sprint("i-", number)].serving["m0"] = 3
 	}
 	f.run(t)
 	known := func(number uint64) bool {
@@ -518,78 +525,78 @@
 		return true
 	}
 	f.driver.Heard(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 3}}})
-	f.fleet.asked(5)
+	f.sender.waitForReports(5)
 	if serving := f.driver.Serving(); serving != nil && len(serving.Versions) > 0 {
-		t.Error("one replica of six is taken for all")
+		t.Error("versions are published after a report of one replica of six")
 	}
-	eventually(t, "nothing told while replicas are asked", func() bool { return f.driver.Serving() == nil })
-	close(f.fleet.held)
-	eventually(t, "all replicas known", func() bool { return known(3) })
+	eventually(t, "timed out waiting for Serving to be nil during the survey", func() bool { return f.driver.Serving() == nil })
+	close(f.sender.reportGate)
+	eventually(t, "timed out waiting for all replicas to be known", func() bool { return known(3) })
 	f.driver.Heard(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 1}}})
 	f.driver.mutex.Lock()
-	if held := f.driver.heard["i-0"]; len(held) != 1 || held[0].Number != 3 {
-		t.Errorf("an older account changed what is known to %v", held)
+	if held := f.driver.reportedVersions["i-0"]; len(held) != 1 || held[0].Number != 3 {
+		t.Errorf("versions after an older report: got %v, want version 3", held)
 	}
 	f.driver.mutex.Unlock()
 	f.leading.Store(false)
-	eventually(t, "the loss of the leadership", func() bool { return f.driver.known.Load() == nil })
-	f.fleet.mutex.Lock()
-	for _, one := range f.fleet.replicas {
+	eventually(t, "timed out waiting for the Serving to be withdrawn after the loss of the leadership", func() bool { return f.driver.published.Load() == nil })
+	f.sender.mutex.Lock()
+	for _, one := range f.sender.replicas {
 		one.serving["m0"] = 4
 	}
-	f.fleet.mutex.Unlock()
+	f.sender.mutex.Unlock()
 	f.leading.Store(true)
-	eventually(t, "all replicas known again", func() bool { return known(4) })
+	eventually(t, "timed out waiting for all replicas to be known after the second survey", func() bool { return known(4) })
 }
 
-// TestLoadsThatAreNeededGoFirst: a model that too few replicas can work for goes first, then the one whose newest
-// version fewer replicas serve or load.
-func TestLoadsThatAreNeededGoFirst(t *testing.T) {
+// TestQueueOrderFollowsScarcityAndDemand checks that orders of scarce models come first, and then those of the model
+// whose newest version is served or being loaded by fewer replicas relative to its demand.
+func TestQueueOrderFollowsScarcityAndDemand(t *testing.T) {
 	for name, one := range map[string]struct {
 		serving map[string]map[string]uint64
-		busy    map[string]string
+		loading map[string]string
 		demand  map[string]uint64
 		want    []string
 	}{
-		"too few can work for m1": {map[string]map[string]uint64{
+		"m1 is scarce": {map[string]map[string]uint64{
 			"m0": {"i-0": 8, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 9, "i-1": 9, "i-2": 11, "i-3": 9}},
 			nil, nil, []string{"m1", "m1", "m0", "m0"}},
-		"m0's next step would find none": {map[string]map[string]uint64{
+		"neither is scarce and no replica serves the newest version of m0": {map[string]map[string]uint64{
 			"m0": {"i-0": 8, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 9, "i-1": 10, "i-2": 11, "i-3": 9}},
 			nil, nil, []string{"m0", "m0", "m1", "m1"}},
-		"m1 has three times the work": {map[string]map[string]uint64{
+		"m1 has three times the demand": {map[string]map[string]uint64{
 			"m0": {"i-0": 9, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 11, "i-1": 11, "i-2": 10, "i-3": 10}},
 			nil, map[string]uint64{"m0": 100, "m1": 300}, []string{"m1", "m1", "m0", "m0"}},
-		"m1 has the same work": {map[string]map[string]uint64{
+		"m1 has the same demand": {map[string]map[string]uint64{
 			"m0": {"i-0": 9, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 11, "i-1": 11, "i-2": 10, "i-3": 10}},
 			nil, map[string]uint64{"m0": 300, "m1": 300}, []string{"m0", "m0", "m1", "m1"}},
-		"m1 had so much more work that m0 would find nothing": {map[string]map[string]uint64{
+		"m1 has far more demand but no replica serves the newest version of m0": {map[string]map[string]uint64{
 			"m0": {"i-0": 8, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 11, "i-1": 10, "i-2": 10, "i-3": 10}},
 			nil, map[string]uint64{"m0": 1, "m1": 1_000_000}, []string{"m0", "m0", "m1", "m1"}},
-		"m1 has so much more work, and four times the replicas": {map[string]map[string]uint64{
+		"the ratio of demands is bounded at four": {map[string]map[string]uint64{
 			"m0": {"i-0": 9, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 11, "i-1": 11, "i-2": 11, "i-3": 11}},
 			map[string]string{"i-0": "m1"}, map[string]uint64{"m0": 1, "m1": 1_000_000}, []string{"m0", "m0", "m1", "m1"}},
 		"m0 is loading": {map[string]map[string]uint64{
 			"m0": {"i-0": 8, "i-1": 8, "i-2": 8, "i-3": 8}, "m1": {"i-0": 9, "i-1": 10, "i-2": 11, "i-3": 9}},
 			map[string]string{"i-0": "m0", "i-1": "m0"}, nil, []string{"m1", "m1", "m0", "m0"}},
 	} {
-		d := prepare(t, 4).driver
-		d.planners, d.serving, d.busy = map[string]*wave.Planner{}, one.serving, one.busy
+		d := newFixture(t, 4).driver
+		d.planners, d.serving, d.loadingModels = map[string]*wave.Planner{}, one.serving, one.loading
 		d.config.Demand = func() map[string]uint64 { return one.demand }
 		for model, target := range map[string]uint64{"m0": 9, "m1": 11} {
 			d.planners[model] = wave.New(wave.Config{})
 			d.planners[model].Release(0, wave.Version{Name: "newest", Number: target})
 		}
 		for _, model := range []string{"m0", "m1", "m0", "m1"} {
-			d.queue = append(d.queue, queued{model, wave.Order{Version: d.planners[model].Target()}})
+			d.queue = append(d.queue, queuedOrder{model, wave.Order{Version: d.planners[model].Target()}})
 		}
-		d.arrange(d.supplies())
+		d.sortQueue(d.countSupplies())
 		var got []string
 		for _, next := range d.queue {
 			got = append(got, next.model)
 		}
 		if !slices.Equal(got, one.want) {
-			t.Errorf("%s: %v, want %v", name, got, one.want)
+			t.Errorf("case %q: got order %v, want %v", name, got, one.want)
 		}
 	}
 }
