--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,26 +1,30 @@
-// Package progress judges whether a transfer still moves, by the least bytes in a window. It answers peers that read or send a byte
-// now and then: they are never silent for long, and a bound on the whole transfer would end slow and steady ones with them.
+// Package progress detects transfers that are too slow: those that move less than a minimum number of bytes within a
+// time window. It guards against peers that read or send a byte now and then. An idle timeout never fires for such
+// peers, and a limit on the whole transfer would also end slow but steady ones.
 package progress
 
 import "time"
 
-// Meter measures one transfer. Times are on any steady clock.
+// Meter measures the progress of one transfer. All times passed to it are readings of the same monotonic clock. It is
+// not safe for concurrent use.
 type Meter struct {
-	least int64
-	began time.Duration // of the window
-	bytes int64         // in the window
+	minBytes    int64
+	start       time.Duration // start of the window
+	windowBytes int64         // bytes transferred in the window
 }
 
-// NewMeter returns a meter of a transfer that begins now. So many bytes begin the next window.
-func NewMeter(least int64, now time.Duration) Meter { return Meter{least: least, began: now} }
+// NewMeter returns a meter for a transfer that starts now. A new window starts whenever minBytes were transferred in
+// the current one.
+func NewMeter(minBytes int64, now time.Duration) Meter { return Meter{minBytes: minBytes, start: now} }
 
-// Moved notes bytes that were transferred.
+// Moved records transferred bytes.
 func (m *Meter) Moved(now time.Duration, bytes int64) {
-	m.bytes += bytes
-	if m.bytes >= m.least {
-		m.began, m.bytes = now, 0
+	m.windowBytes += bytes
+	if m.windowBytes >= m.minBytes {
+		m.start, m.windowBytes = now, 0
 	}
 }
 
-// Still is how long the transfer has not made the least progress.
-func (m *Meter) Still(now time.Duration) time.Duration { return now - m.began }
+// Still returns how long the current window has lasted, that is, the time in which the transfer has moved less than
+// minBytes. The caller compares it with the window that it allows.
+func (m *Meter) Still(now time.Duration) time.Duration { return now - m.start }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -7,32 +7,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestSteadyTransfersMove: those that bring the least bytes in a window are never still for longer, however their bytes are cut, and
-// those that bring half of them are.
-func TestSteadyTransfersMove(t *testing.T) {
+// TestOnlySlowTransfersAreStill checks that a transfer that moves minBytes per window is never still for a whole
+// window, however its bytes are split, and that one that moves half as much is.
+func TestOnlySlowTransfersAreStill(t *testing.T) {
 	const window = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		least := rapid.Int64Range(100, 1000).Draw(t, "least")
+		minBytes := rapid.Int64Range(100, 1000).Draw(t, "least")
 		pieces := rapid.Int64Range(1, 20).Draw(t, "pieces")
 		steady := rapid.Bool().Draw(t, "steady")
-		piece, pause := (least+pieces-1)/pieces, window/time.Duration(pieces+1)
+		piece, pause := (minBytes+pieces-1)/pieces, window/time.Duration(pieces+1)
 		if !steady {
-			piece, pause = least/pieces, 2*window/time.Duration(pieces)+1
+			piece, pause = minBytes/pieces, 2*window/time.Duration(pieces)+1
 		}
 		now := 5 * time.Second
-		meter := NewMeter(least, now)
+		meter := NewMeter(minBytes, now)
 		for range 4 * pieces {
 			now += pause
 			if meter.Still(now) >= window {
 				if steady {
-					t.Fatalf("still after %s", now)
+					t.Fatalf("steady transfer was still for a whole window at %s", now)
 				}
 				return
 			}
 			meter.Moved(now, piece)
 		}
 		if !steady {
-			t.Fatal("never still")
+			t.Fatal("slow transfer was never still for a whole window")
 		}
 	})
 }
