--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -5,81 +5,82 @@
 	"time"
 )
 
-// Learning constants.
+// Parameters of the learned estimates.
 const (
-	trainTimeWeight  = 0.5 // weight of the newest training time
-	spreadTimeWeight = 0.3 // weight of the newest time from a fetch until its version is available
-	defaultMargin    = 0.3
-	marginDecay      = 0.97 // factor after a step that did not make its trainer wait
-	marginLeast      = 0.02
-	marginMost       = 1.0
-	tolerableWait    = 0.01 // share of the training time that counts as no wait
-	rateWeight       = 0.05 // weight of the newest sample's token time
-	rateLeastSamples = 4
+	trainTimeWeight         = 0.5 // weight of the latest training time
+	availabilityDelayWeight = 0.3 // weight of the latest time from a fetch until its version is available
+	defaultMargin           = 0.3
+	marginDecay             = 0.97 // factor applied after a step that did not make its trainer wait
+	minMargin               = 0.02
+	maxMargin               = 1.0
+	toleratedWaitShare      = 0.01 // share of the training time up to which a wait is ignored
+	tokenTimeWeight         = 0.05 // weight of the latest sample's time per token
+	minTokenTimeSamples     = 4
 )
 
-// rateEstimate learns the time per token of one running sample.
-type rateEstimate struct {
-	perToken float64 // seconds
+// tokenTimeEstimate learns the time per token of one running sample.
+type tokenTimeEstimate struct {
+	perToken float64 // in seconds
 	samples  int
 }
 
-func (r *rateEstimate) learn(elapsed time.Duration, tokens int) {
+func (r *tokenTimeEstimate) learn(elapsed time.Duration, tokens int) {
 	if tokens <= 0 || elapsed <= 0 {
 		return
 	}
 	newest := elapsed.Seconds() / float64(tokens)
 	r.samples++
-	weight := max(rateWeight, 1/float64(r.samples))
+	weight := max(tokenTimeWeight, 1/float64(r.samples))
 	r.perToken += (newest - r.perToken) * weight
 }
 
-func (r *rateEstimate) known() bool { return r.samples >= rateLeastSamples }
+func (r *tokenTimeEstimate) isReliable() bool { return r.samples >= minTokenTimeSamples }
 
-func (r *rateEstimate) time(tokens int) time.Duration {
+func (r *tokenTimeEstimate) estimate(tokens int) time.Duration {
 	return time.Duration(r.perToken * float64(tokens) * float64(time.Second))
 }
 
-// Wanted records a fetch: the trainer waits now, at the given weight version.
+// Wanted records that a trainer fetches its next step and waits for it. The trainer now uses the given weight
+// version.
 func (s *Scheduler) Wanted(now time.Duration, name string, version uint64) {
 	trainer := s.trainer(name)
-	if version > trainer.using {
-		trainer.using, trainer.fetchedAt = version, now
+	if version > trainer.fetchedVersion {
+		trainer.fetchedVersion, trainer.fetchedAt = version, now
 	}
-	trainer.pending = 0
-	if trainer.waitingNow {
+	trainer.versionsInTraining = 0
+	if trainer.isWaiting {
 		return
 	}
-	trainer.waitingNow = true
-	trainer.waitedFrom = now
-	if !trainer.delivered {
+	trainer.isWaiting = true
+	trainer.waitingSince = now
+	if !trainer.awaitingFetch {
 		return
 	}
-	trainer.delivered = false
+	trainer.awaitingFetch = false
 	newest := now - trainer.deliveredAt
-	if !trainer.hasTrain {
+	if !trainer.hasTrainTime {
 		trainer.trainTime = newest
-		trainer.hasTrain = true
+		trainer.hasTrainTime = true
 		return
 	}
 	trainer.trainTime += time.Duration(float64(newest-trainer.trainTime) * trainTimeWeight)
 }
 
-// Released records that a trainer's new weights are available to the pool. That may be long after the
-// trainer fetched with them, and after it received the next step.
+// Released records that new weights of a trainer are available to the pool. That may be long after the fetch with
+// this version, and even after the trainer received the step it fetched.
 func (s *Scheduler) Released(now time.Duration, name string, version uint64) {
 	trainer := s.trainer(name)
-	if version <= trainer.released {
+	if version <= trainer.availableVersion {
 		return
 	}
-	if version == trainer.using {
-		trainer.spreadTime += time.Duration(float64(now-trainer.fetchedAt-trainer.spreadTime) * spreadTimeWeight)
+	if version == trainer.fetchedVersion {
+		trainer.availabilityDelay += time.Duration(float64(now-trainer.fetchedAt-trainer.availabilityDelay) * availabilityDelayWeight)
 	}
-	trainer.released = version
+	trainer.availableVersion = version
 }
 
-// Delivered records that a whole step was handed over and closes it. Samples of it that are not finished
-// are forgotten. The trainer now computes the next version.
+// Delivered records that a complete step was handed over to its trainer, and closes it. Its unfinished samples are
+// dropped. The trainer is assumed to compute its next version from now on.
 func (s *Scheduler) Delivered(now time.Duration, name string, number uint64) {
 	trainer := s.trainer(name)
 	position, exists := slices.BinarySearchFunc(trainer.steps, number, compareStep)
@@ -87,15 +88,15 @@
 		return
 	}
 	trainer.adaptMargin(now)
-	trainer.pending = 1
-	trainer.waitingNow = false
-	trainer.delivered = true
+	trainer.versionsInTraining = 1
+	trainer.isWaiting = false
+	trainer.awaitingFetch = true
 	trainer.deliveredAt = now
 	s.removeStep(trainer, position)
 }
 
-// Closed drops a step that its trainer turns out to have already, because another coordinator handed it
-// over. Nothing is learned from it. A step that is not open is left alone.
+// Closed drops a step that its trainer already has because another coordinator handed it over. Estimates are not
+// updated. A step that is not open is ignored.
 func (s *Scheduler) Closed(name string, number uint64) {
 	trainer := s.trainer(name)
 	if position, exists := slices.BinarySearchFunc(trainer.steps, number, compareStep); exists {
@@ -103,31 +104,33 @@
 	}
 }
 
-// removeStep forgets a step; what runs of it stops.
+// removeStep drops a step and stops counting its running samples.
 func (s *Scheduler) removeStep(trainer *trainerState, position int) {
 	for _, one := range trainer.steps[position].samples {
 		if one.phase == running {
-			s.stop(one)
+			s.markStopped(one)
 		}
 		delete(s.samples, one.id)
 	}
 	trainer.steps = slices.Delete(trainer.steps, position, position+1)
 }
 
-// adaptMargin follows what the trainer sees: a wait is added to the margin, no wait shrinks it.
+// adaptMargin adapts the margin to the wait of the trainer for the step delivered now. A wait is added to the margin,
+// and a step in time shrinks it.
 func (t *trainerState) adaptMargin(now time.Duration) {
-	if !t.hasTrain || !t.waitingNow {
+	if !t.hasTrainTime || !t.isWaiting {
 		return
 	}
-	waited := float64(now-t.waitedFrom) / float64(max(t.trainTime, 1))
-	if waited > tolerableWait {
-		t.margin = min(t.margin+waited, marginMost)
+	waited := float64(now-t.waitingSince) / float64(max(t.trainTime, 1))
+	if waited > toleratedWaitShare {
+		t.margin = min(t.margin+waited, maxMargin)
 		return
 	}
-	t.margin = max(t.margin*marginDecay, marginLeast)
+	t.margin = max(t.margin*marginDecay, minMargin)
 }
 
-// Progress records a running sample's tokens so far and the version that made the newest of them.
+// Progress records the number of tokens that a running sample has so far, and the version that generated the latest
+// ones.
 func (s *Scheduler) Progress(_ time.Duration, id SampleID, tokens int, version uint64) {
 	one := s.samples[id]
 	if one == nil || one.phase != running || tokens <= one.generated {
@@ -135,61 +138,61 @@
 	}
 	one.generated = tokens
 	one.group.longestSoFar = max(one.group.longestSoFar, tokens)
-	if !one.hasVersion || version < one.oldest {
-		one.oldest = version
+	if !one.hasVersion || version < one.oldestVersion {
+		one.oldestVersion = version
 	}
 	one.hasVersion = true
 }
 
-// Finished records a sample that is generated, scored and stored. It is also used to tell a scheduler
-// about stored samples after a takeover.
-func (s *Scheduler) Finished(now time.Duration, id SampleID, tokens int, oldest uint64) {
+// Finished records that a sample was generated, scored and stored. After a takeover it is also used to record samples
+// that were stored before.
+func (s *Scheduler) Finished(now time.Duration, id SampleID, tokens int, oldestVersion uint64) {
 	one := s.samples[id]
 	if one == nil || one.phase == finished {
 		return
 	}
 	if one.phase == running {
-		s.rate.learn(now-one.startedAt, tokens-one.startedOn)
-		s.stop(one)
+		s.tokenTime.learn(now-one.startedAt, tokens-one.tokensAtStart)
+		s.markStopped(one)
 		s.counters.Finished++
 		s.counters.FinishedTokens += uint64(tokens)
 	} else {
-		one.step.unqueue(one)
+		one.step.dequeue(one)
 	}
 	one.phase = finished
 	one.generated = tokens
-	one.oldest = oldest
+	one.oldestVersion = oldestVersion
 	one.hasVersion = true
 	one.step.finished++
 	one.group.finished++
-	one.group.finishedTotal += tokens
+	one.group.finishedTokens += tokens
 	one.group.longestSoFar = max(one.group.longestSoFar, tokens)
 	one.step.trainer.history.learn(tokens)
-	one.step.changes++
+	one.step.finishedSinceSort++
 	if one.group.finished == 1 {
-		one.step.dirty = true // the group's length is known now
+		one.step.needsSort = true // the expected length of the group changes with its first result
 	}
 	one.step.estimate.changes++
 }
 
-// Interrupted records that a running sample was cut; it waits again, with its tokens if the policy keeps
-// them. The returned number of tokens is where generation will go on.
+// Interrupted records that a running sample was interrupted. The sample waits again, and keeps its tokens if the
+// policy keeps prefixes. It returns the number of tokens from which generation continues.
 func (s *Scheduler) Interrupted(_ time.Duration, id SampleID) int {
 	one := s.samples[id]
 	if one == nil || one.phase != running {
 		return 0
 	}
-	s.stop(one)
+	s.markStopped(one)
 	s.counters.Interrupted++
 	if !s.policy.KeepsPrefix() {
-		s.drop(one)
+		s.discardTokens(one)
 	}
 	one.enqueue()
 	return one.generated
 }
 
-// Discarded records that a sample was too old: its tokens are dropped, its edition is the given one, and
-// it waits again.
+// Discarded records that a sample was discarded for its staleness. Its tokens are dropped, and it waits again under
+// the given edition.
 func (s *Scheduler) Discarded(_ time.Duration, id SampleID, edition uint32) {
 	one := s.samples[id]
 	if one == nil {
@@ -197,23 +200,24 @@
 	}
 	switch one.phase {
 	case running:
-		s.stop(one)
+		s.markStopped(one)
 	case finished:
 		one.step.finished--
 		one.group.finished--
-		one.group.finishedTotal -= one.generated
+		one.group.finishedTokens -= one.generated
 	case waiting:
-		one.step.unqueue(one)
+		one.step.dequeue(one)
 	}
 	one.edition = edition
 	s.counters.Discarded++
-	s.drop(one)
+	s.discardTokens(one)
 	one.enqueue()
 }
 
-// Yield chooses count running samples to interrupt so that live traffic gets their room: those of the
-// latest steps and with the fewest tokens first. The caller interrupts them and calls Interrupted.
-func (s *Scheduler) Yield(count int) []SampleID {
+// PreemptionCandidates returns up to count running samples to interrupt in favour of live traffic. Samples of later
+// steps come first, and among those the ones with the fewest tokens. The caller interrupts them and calls
+// Interrupted.
+func (s *Scheduler) PreemptionCandidates(count int) []SampleID {
 	var candidates []*sample
 	for _, trainer := range s.trainers {
 		for _, step := range trainer.steps {
@@ -239,15 +243,15 @@
 	return chosen
 }
 
-// Expired returns the samples whose tokens will be older than the bound when they are used: the caller
-// stops or discards them durably and calls Discarded.
+// Expired returns the samples whose tokens will exceed the staleness bound when they are used. The caller durably
+// stops or discards them and calls Discarded.
 func (s *Scheduler) Expired(bound uint64) []SampleID {
 	var expired []SampleID
 	for _, trainer := range s.trainers {
 		for _, step := range trainer.steps {
-			use := trainer.useVersion(step)
+			use := trainer.expectedUseVersion(step)
 			for _, one := range step.samples {
-				if one.hasVersion && use > one.oldest+bound {
+				if one.hasVersion && use > one.oldestVersion+bound {
 					expired = append(expired, one.id)
 				}
 			}
@@ -266,7 +270,7 @@
 	return false
 }
 
-// Forget drops a trainer with its open steps, because another coordinator schedules them now.
+// Forget drops a trainer and its open steps because another coordinator schedules them now.
 func (s *Scheduler) Forget(name string) {
 	s.trainers = slices.DeleteFunc(s.trainers, func(trainer *trainerState) bool {
 		if trainer.name != name {
@@ -282,27 +286,31 @@
 	})
 }
 
-func (s *Scheduler) stop(one *sample) {
+// markStopped counts a running sample as waiting again, without queueing it.
+func (s *Scheduler) markStopped(one *sample) {
 	one.phase = waiting
 	one.step.running--
 	one.step.trainer.running--
 	s.running--
 }
 
-func (s *Scheduler) drop(one *sample) {
+// discardTokens drops the tokens of a sample.
+func (s *Scheduler) discardTokens(one *sample) {
 	s.counters.DiscardedTokens += uint64(one.generated)
 	one.generated = 0
 	one.hasVersion = false
 }
 
+// enqueue adds the sample to the waiting ones of its step.
 func (s *sample) enqueue() {
 	s.phase = waiting
 	s.step.waiting = append(s.step.waiting, s)
-	s.step.dirty = true
+	s.step.needsSort = true
 	s.step.estimate.valid = false
 }
 
-func (s *openStep) unqueue(one *sample) {
+// dequeue removes a sample from the waiting ones, if it is among them.
+func (s *openStep) dequeue(one *sample) {
 	if position := slices.Index(s.waiting, one); position >= 0 {
 		s.waiting = slices.Delete(s.waiting, position, position+1)
 	}
--- a/internal/rollout/identity.go
+++ b/internal/rollout/identity.go
@@ -8,20 +8,20 @@
 	"github.com/gravitational/trace"
 )
 
-// SampleID names one slot of a step; exactly one sample is delivered for it.
+// SampleID identifies a slot of a step. Exactly one sample is delivered for each slot.
 type SampleID struct {
-	Trainer string // no slash
+	Trainer string // must not contain a slash
 	Step    uint64
-	Prompt  string // no slash
-	Index   uint32 // within the prompt's group, from 0
+	Prompt  string // must not contain a slash
+	Index   uint32 // position within the group of the prompt, from 0
 }
 
-// String returns trainer/step/prompt/index.
+// String returns the ID as trainer/step/prompt/index.
 func (id SampleID) String() string {
 	return fmt.Sprintf("%s/%d/%s/%d", id.Trainer, id.Step, id.Prompt, id.Index)
 }
 
-// ParseSampleID reads the form that String writes.
+// ParseSampleID parses the output of SampleID.String. It returns trace.BadParameter if the text has another form.
 func ParseSampleID(text string) (SampleID, error) {
 	parts := strings.Split(text, "/")
 	if len(parts) != 4 {
@@ -38,13 +38,13 @@
 	return SampleID{Trainer: parts[0], Step: step, Prompt: parts[2], Index: uint32(index)}, nil
 }
 
-// Prompt is one prompt of a step.
+// Prompt is a prompt of a step.
 type Prompt struct {
 	ID        string
-	MaxTokens int // upper limit of a sample's length, in tokens; 0 when unknown
+	MaxTokens int // upper limit of the sample length in tokens; 0 if unknown
 }
 
-// Step is one training step's demand for samples.
+// Step is the demand of one training step for samples.
 type Step struct {
 	Trainer          string
 	Number           uint64
@@ -52,19 +52,18 @@
 	SamplesPerPrompt int
 }
 
-// Start is one sample to generate now.
+// Start is an instruction to generate a sample now.
 type Start struct {
 	ID      SampleID
 	Edition uint32
-	// PrefixTokens is the number of tokens that an earlier attempt generated and that are kept; 0 starts
-	// from the prompt.
+	// PrefixTokens is the number of tokens kept from earlier attempts. Generation starts from the prompt if it is 0.
 	PrefixTokens int
-	// PredictedTokens is the expected whole length, for the choice of a replica.
+	// PredictedTokens is the expected total length, used to choose a replica.
 	PredictedTokens int
 }
 
-// Room is what a pool grants to rollouts at this moment.
+// Room is the capacity that a pool currently grants to rollouts.
 type Room struct {
-	Slots          int    // samples that may be in generation at once
+	Slots          int    // samples that may be in generation at the same time
 	StalenessBound uint64 // in versions, from the table in force
 }
--- a/internal/rollout/predictor.go
+++ b/internal/rollout/predictor.go
@@ -2,24 +2,24 @@
 
 import "math/bits"
 
-// Buckets of lengths: each power of two is cut into four, up to 2^31 tokens.
+// Parameters of the length histogram. Each power of two is divided into four buckets, up to 2^31 tokens.
 const (
 	bucketBits       = 2
 	predictorBuckets = 32 << bucketBits
 )
 
-// defaultLength is predicted, in tokens, before any sample has finished.
+// defaultLength is the predicted length in tokens before any sample has finished.
 const defaultLength = 256
 
-// historyDecay halves the history's weight about every 2,800 samples, so that it follows a drift.
+// historyDecay halves the weight of a sample after about 2,800 further ones, so that predictions follow a drift.
 const historyDecay = 0.99975
 
-// predictor learns lengths over all samples of a trainer, in buckets.
+// predictor learns the distribution of sample lengths of a trainer as a histogram with decaying weights.
 type predictor struct {
 	count [predictorBuckets]float64
 	total [predictorBuckets]float64
-	// learned counts the samples.
-	learned int
+	// sampleCount is the number of samples learned.
+	sampleCount int
 }
 
 func bucketOf(tokens int) int {
@@ -29,20 +29,21 @@
 	return min(power<<bucketBits|int(part), predictorBuckets-1)
 }
 
-// learn records a finished sample's length.
+// learn records the length of a finished sample.
 func (p *predictor) learn(tokens int) {
 	for index := range p.count {
 		p.count[index] *= historyDecay
 		p.total[index] *= historyDecay
 	}
-	p.learned++
+	p.sampleCount++
 	bucket := bucketOf(tokens)
 	p.count[bucket]++
 	p.total[bucket] += float64(tokens)
 }
 
-// above predicts a length from history, given that it exceeds generated tokens.
-func (p *predictor) above(generated int) int {
+// expectedLength predicts the total length of a sample that has generated the given number of tokens, from all
+// samples that were at least as long.
+func (p *predictor) expectedLength(generated int) int {
 	var count, total float64
 	for bucket := bucketOf(generated); bucket < predictorBuckets; bucket++ {
 		count += p.count[bucket]
@@ -54,8 +55,8 @@
 	return max(int(total/count), generated+1)
 }
 
-// upper predicts a length that only the given share of those that exceed generated tokens surpasses.
-func (p *predictor) upper(generated int, share float64) int {
+// lengthExceededBy predicts the total length that only the given share of the samples longer than generated exceeds.
+func (p *predictor) lengthExceededBy(generated int, share float64) int {
 	lowest := bucketOf(generated)
 	count := 0.0
 	for bucket := lowest; bucket < predictorBuckets; bucket++ {
@@ -74,27 +75,29 @@
 			return max(int(p.total[bucket]/p.count[bucket]), generated+1)
 		}
 	}
-	return p.above(generated)
+	return p.expectedLength(generated)
 }
 
-// groupHistory is what is known about one prompt's group.
+// groupHistory is the known state of the samples of one prompt.
 type groupHistory struct {
-	finished      int
-	finishedTotal int
-	longestSoFar  int // tokens of the longest sample, finished or not
+	finished       int
+	finishedTokens int
+	longestSoFar   int // tokens of the longest sample, finished or not
 }
 
-// known reports whether the group says more than the history does.
-func (g *groupHistory) known() bool { return g.finished > 0 }
+// hasFinished reports whether a sample of the group has finished, so that the group is a better predictor than the
+// history.
+func (g *groupHistory) hasFinished() bool { return g.finished > 0 }
 
-// groupMargin is how much longer than the mean of its group's finished samples a sample may be.
-const groupMargin = 1.5
+// groupLengthFactor is the factor by which a sample may exceed the mean length of its group's finished samples.
+const groupLengthFactor = 1.5
 
-// mayReach returns a length that a sample of the group hardly surpasses; longest is that of the whole step.
-func (g *groupHistory) mayReach(longest, generated, maxTokens int) int {
+// maxLikelyLength returns a total length that a sample of the group is unlikely to exceed. The length of the longest
+// sample of the step is used while no sample of the group has finished.
+func (g *groupHistory) maxLikelyLength(longest, generated, maxTokens int) int {
 	most := longest
 	if g.finished > 0 {
-		most = max(int(groupMargin*float64(g.finishedTotal)/float64(g.finished)), g.longestSoFar)
+		most = max(int(groupLengthFactor*float64(g.finishedTokens)/float64(g.finished)), g.longestSoFar)
 	}
 	if maxTokens > 0 {
 		most = min(most, maxTokens)
@@ -102,16 +105,17 @@
 	return max(most, generated+1)
 }
 
-// predict returns the expected whole length of one sample of the group that has generated tokens so far.
-// Samples of one prompt resemble each other, so the group's mean counts as much as two samples of history.
+// predict returns the expected total length of a sample of the group that has generated the given number of tokens.
+// Samples of one prompt are similar in length, so each finished sample of the group weighs twice as much as the
+// prediction from history.
 func (g *groupHistory) predict(history *predictor, generated, maxTokens int) int {
-	prior := history.above(max(generated, g.longestSoFar/2))
+	prior := history.expectedLength(max(generated, g.longestSoFar/2))
 	estimate := prior
 	if g.finished > 0 {
-		estimate = (g.finishedTotal*2 + prior) / (g.finished*2 + 1)
+		estimate = (g.finishedTokens*2 + prior) / (g.finished*2 + 1)
 	}
 	if estimate <= generated {
-		estimate = history.above(generated)
+		estimate = history.expectedLength(generated)
 	}
 	if maxTokens > 0 {
 		estimate = min(estimate, maxTokens)
--- a/internal/rollout/scheduler.go
+++ b/internal/rollout/scheduler.go
@@ -7,37 +7,37 @@
 	"github.com/gravitational/trace"
 )
 
-// Config holds a Scheduler's fixed parameters.
+// Config holds the parameters of a Scheduler.
 type Config struct {
-	// Policy decides on start times and order. Default Paced{}.
+	// Policy decides when and in which order samples start. Default: Paced{}.
 	Policy Policy
-	// InitialMargin is how much earlier than its trainer wants it a step is to be whole at first, as a part
-	// of the training time; the margin then follows what trainers see. Default 0.3.
+	// InitialMargin is how long before the expected fetch a step is to be complete at first, as a share of the
+	// training time. The margin then adapts to the waits of the trainer. Default: 0.3.
 	InitialMargin float64
 }
 
-// Scheduler keeps the open steps of one pool's trainers. It is not safe for concurrent use.
+// Scheduler schedules the open steps of the trainers of one pool. It is not safe for concurrent use.
 type Scheduler struct {
-	policy   Policy
-	margin   float64
-	trainers []*trainerState // sorted by name, so that runs can be repeated
-	samples  map[SampleID]*sample
-	running  int
-	rate     rateEstimate
-	counters Counters
+	policy    Policy
+	margin    float64
+	trainers  []*trainerState // sorted by name for reproducible runs
+	samples   map[SampleID]*sample
+	running   int
+	tokenTime tokenTimeEstimate
+	counters  Counters
 }
 
-// Counters count what happened since the start.
+// Counters counts events since the scheduler was created.
 type Counters struct {
 	Started         uint64
 	Finished        uint64
 	Interrupted     uint64
 	Discarded       uint64
 	FinishedTokens  uint64
-	DiscardedTokens uint64 // generated and thrown away
+	DiscardedTokens uint64 // tokens that were generated and then dropped
 }
 
-// New returns a scheduler without steps.
+// New returns a scheduler without trainers or steps.
 func New(config Config) *Scheduler {
 	if config.Policy == nil {
 		config.Policy = Paced{}
@@ -51,13 +51,14 @@
 // Policy returns the policy in use.
 func (s *Scheduler) Policy() Policy { return s.policy }
 
-// Counters returns what happened so far.
+// Counters returns the events counted so far.
 func (s *Scheduler) Counters() Counters { return s.counters }
 
 // Running returns the number of samples in generation.
 func (s *Scheduler) Running() int { return s.running }
 
-// SetShare sets a trainer's relative share of the room, above 0. Default 1.
+// SetShare sets the relative share of the capacity that a trainer gets. The default is 1. It returns
+// trace.BadParameter if the share is not above 0.
 func (s *Scheduler) SetShare(trainer string, share float64) error {
 	if share <= 0 {
 		return trace.BadParameter("share %v of trainer %q is not above 0", share, trainer)
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// OpenStep adds a step. A step that is open already is left as it is.
+// OpenStep adds a step. It has no effect if the step is open already. It returns trace.BadParameter if the step has
+// no samples.
 func (s *Scheduler) OpenStep(now time.Duration, step Step) error {
 	if step.SamplesPerPrompt <= 0 || len(step.Prompts) == 0 {
 		return trace.BadParameter("step %d of trainer %q has no samples", step.Number, step.Trainer)
@@ -76,7 +78,7 @@
 	if exists {
 		return nil
 	}
-	opened := &openStep{trainer: trainer, number: step.Number, openedAt: now, dirty: true}
+	opened := &openStep{trainer: trainer, number: step.Number, openedAt: now, needsSort: true}
 	for _, prompt := range step.Prompts {
 		s.addGroup(opened, prompt, step.SamplesPerPrompt)
 	}
@@ -106,6 +108,7 @@
 	return 0
 }
 
+// trainer returns the state of a trainer, which it creates if necessary.
 func (s *Scheduler) trainer(name string) *trainerState {
 	position, exists := slices.BinarySearchFunc(s.trainers, name, func(t *trainerState, name string) int {
 		switch {
@@ -124,28 +127,29 @@
 	return added
 }
 
-// Next returns the samples to start now, already counted as running. Samples that could not be fresh when
-// they are used are not started; trainers get equal parts of the room by their share.
-func (s *Scheduler) Next(now time.Duration, room Room) []Start {
+// Next returns the samples to start now and counts them as running. Steps that would exceed the staleness bound when
+// used are not started. Trainers share the capacity in proportion to their shares.
+func (s *Scheduler) Next(now time.Duration, capacity Room) []Start {
 	var starts []Start
 	blocked := make([]bool, len(s.trainers))
-	for s.running < room.Slots {
-		position := s.neediest(blocked)
+	for s.running < capacity.Slots {
+		position := s.leastLoadedTrainer(blocked)
 		if position < 0 {
 			break
 		}
-		one := s.pick(now, s.trainers[position], room)
+		one := s.nextSample(now, s.trainers[position], capacity)
 		if one == nil {
 			blocked[position] = true
 			continue
 		}
-		starts = append(starts, s.start(now, one))
+		starts = append(starts, s.markStarted(now, one))
 	}
 	return starts
 }
 
-// neediest returns the position of the trainer with the least running work for its share, or -1.
-func (s *Scheduler) neediest(blocked []bool) int {
+// leastLoadedTrainer returns the index of the trainer with the fewest running samples relative to its share, or -1 if
+// all trainers are blocked.
+func (s *Scheduler) leastLoadedTrainer(blocked []bool) int {
 	best := -1
 	for position, trainer := range s.trainers {
 		if blocked[position] {
@@ -158,13 +162,14 @@
 	return best
 }
 
+// load returns the number of running samples relative to the trainer's share.
 func (t *trainerState) load() float64 { return float64(t.running) / t.share }
 
-// pick returns the trainer's next sample, or nil.
-func (s *Scheduler) pick(now time.Duration, trainer *trainerState, room Room) *sample {
+// nextSample returns the next sample of the trainer to start, or nil if none may start now.
+func (s *Scheduler) nextSample(now time.Duration, trainer *trainerState, capacity Room) *sample {
 	for rank, step := range trainer.steps {
-		lag := trainer.useVersion(step) - trainer.released
-		if lag > room.StalenessBound {
+		staleness := trainer.expectedUseVersion(step) - trainer.availableVersion
+		if staleness > capacity.StalenessBound {
 			return nil
 		}
 		if len(step.waiting) == 0 {
@@ -172,40 +177,42 @@
 		}
 		s.sortWaiting(step)
 		first := step.waiting[0]
-		if s.policy.Eligible(now, s.view(trainer, step, rank, lag, room), s.sampleView(first)) {
+		if s.policy.IsEligible(now, s.stepView(trainer, step, rank, staleness, capacity), s.sampleView(first)) {
 			return first
 		}
 	}
 	return nil
 }
 
-func (s *Scheduler) view(trainer *trainerState, step *openStep, rank int, lag uint64, room Room) StepView {
-	view := StepView{Rank: rank, Lag: lag, TrainerWaiting: trainer.waitingNow, Running: trainer.running}
-	if !trainer.hasTrain || !s.rate.known() {
+// stepView returns the information on a step for the policy.
+func (s *Scheduler) stepView(trainer *trainerState, step *openStep, rank int, staleness uint64, capacity Room) StepView {
+	view := StepView{Rank: rank, Staleness: staleness, TrainerWaiting: trainer.isWaiting, Running: trainer.running}
+	if !trainer.hasTrainTime || !s.tokenTime.isReliable() {
 		return view
 	}
-	view.Known = true
-	view.Due = trainer.due(rank)
+	view.HasEstimates = true
+	view.ExpectedFetch = trainer.expectedFetch(rank)
 	view.Margin = time.Duration(trainer.margin * float64(trainer.trainTime))
-	view.NextVersion = trainer.nextVersion()
+	view.NextVersionAt = trainer.expectedNextVersion()
 	total := 0
 	for _, before := range trainer.steps[:rank+1] {
 		total += before.remainingTokens()
 	}
-	view.Work = s.rate.time(total)
-	view.Level = trainer.level(step, &s.rate)
-	view.Room = int(float64(room.Slots) * trainer.share / s.shares())
-	view.LongestLead = s.rate.time(step.longestTokens())
+	view.RemainingWork = s.tokenTime.estimate(total)
+	view.MeanConcurrency = trainer.meanConcurrency(step, &s.tokenTime)
+	view.FairShare = int(float64(capacity.Slots) * trainer.share / s.totalShare())
+	view.LongestSampleTime = s.tokenTime.estimate(step.longestTokens())
 	return view
 }
 
-// level is how many samples of steps like this one must run at once, on average, for one step per training time.
-func (t *trainerState) level(step *openStep, rate *rateEstimate) int {
-	return int(rate.time(t.history.above(0)*len(step.samples)) / max(t.trainTime, 1))
+// meanConcurrency returns the mean number of samples that must run concurrently to complete one step like the given
+// one per training time.
+func (t *trainerState) meanConcurrency(step *openStep, tokenTime *tokenTimeEstimate) int {
+	return int(tokenTime.estimate(t.history.expectedLength(0)*len(step.samples)) / max(t.trainTime, 1))
 }
 
-// shares is the sum of all trainers' shares.
-func (s *Scheduler) shares() float64 {
+// totalShare returns the sum of the shares of all trainers.
+func (s *Scheduler) totalShare() float64 {
 	sum := 0.0
 	for _, trainer := range s.trainers {
 		sum += trainer.share
@@ -213,35 +220,38 @@
 	return sum
 }
 
-// due is when the trainer is expected to fetch its open step of the given rank. Needs a training time.
-func (t *trainerState) due(rank int) time.Duration {
-	if t.waitingNow {
-		return t.waitedFrom + t.trainTime*time.Duration(rank)
+// expectedFetch returns the time at which the trainer is expected to fetch its open step of the given rank. It
+// requires a known training time.
+func (t *trainerState) expectedFetch(rank int) time.Duration {
+	if t.isWaiting {
+		return t.waitingSince + t.trainTime*time.Duration(rank)
 	}
 	return t.deliveredAt + t.trainTime*time.Duration(rank+1)
 }
 
-// nextVersion is when weights newer than the newest available ones are expected. Each is announced with the
-// fetch that it is made for and available a while later. It may be in the past. Needs a training time.
-func (t *trainerState) nextVersion() time.Duration {
-	next := t.released + 1
-	if next <= t.using {
-		return t.fetchedAt + t.spreadTime
+// expectedNextVersion returns the time at which weights newer than the available ones are expected, which may be in
+// the past. A version is announced with the fetch that uses it and becomes available a while later. It requires a
+// known training time.
+func (t *trainerState) expectedNextVersion() time.Duration {
+	next := t.availableVersion + 1
+	if next <= t.fetchedVersion {
+		return t.fetchedAt + t.availabilityDelay
 	}
-	ahead := int(next - t.using)
-	if t.waitingNow {
-		return t.due(ahead) + t.spreadTime
+	ahead := int(next - t.fetchedVersion)
+	if t.isWaiting {
+		return t.expectedFetch(ahead) + t.availabilityDelay
 	}
-	return t.due(ahead-1) + t.spreadTime
+	return t.expectedFetch(ahead-1) + t.availabilityDelay
 }
 
-// sortWaiting brings the waiting samples into the policy's order, if enough has been learned since.
+// sortWaiting sorts the waiting samples in the order of the policy if enough samples have finished since the last
+// time.
 func (s *Scheduler) sortWaiting(step *openStep) {
-	if !step.dirty && step.changes <= len(step.samples)/refreshShare {
+	if !step.needsSort && step.finishedSinceSort <= len(step.samples)/refreshDivisor {
 		return
 	}
-	step.dirty = false
-	step.changes = 0
+	step.needsSort = false
+	step.finishedSinceSort = 0
 	type entry struct {
 		view SampleView
 		one  *sample
@@ -251,10 +261,10 @@
 		entries[position] = entry{view: s.sampleView(one), one: one}
 	}
 	slices.SortStableFunc(entries, func(first, second entry) int {
-		if s.policy.Before(first.view, second.view) {
+		if s.policy.StartsBefore(first.view, second.view) {
 			return -1
 		}
-		if s.policy.Before(second.view, first.view) {
+		if s.policy.StartsBefore(second.view, first.view) {
 			return 1
 		}
 		return 0
@@ -264,32 +274,34 @@
 	}
 }
 
-// revealFactor is how many mean lengths a probe runs until its group can be called long.
-const revealFactor = 2
+// probeLengthFactor is the multiple of the mean length that a probe runs until its group is known to be long.
+const probeLengthFactor = 2
 
+// sampleView returns the information on a sample for the policy.
 func (s *Scheduler) sampleView(one *sample) SampleView {
-	view := SampleView{Index: one.id.Index, Generated: one.generated, GroupKnown: one.group.known()}
-	view.MayNeed = one.group.mayReach(one.step.longestTokens(), one.generated, one.maxTokens) - one.generated
-	if view.probe() {
-		view.MayNeed += one.step.trainer.history.above(0) * revealFactor
+	view := SampleView{Index: one.id.Index, Generated: one.generated, GroupHasFinished: one.group.hasFinished()}
+	view.MaxRemainingTokens = one.group.maxLikelyLength(one.step.longestTokens(), one.generated, one.maxTokens) - one.generated
+	if view.isProbe() {
+		view.MaxRemainingTokens += one.step.trainer.history.expectedLength(0) * probeLengthFactor
 	}
-	if s.rate.known() {
-		view.Lead = s.rate.time(view.MayNeed)
+	if s.tokenTime.isReliable() {
+		view.MaxRemainingTime = s.tokenTime.estimate(view.MaxRemainingTokens)
 	}
 	return view
 }
 
-func (s *Scheduler) start(now time.Duration, one *sample) Start {
+// markStarted counts the first waiting sample of its step as running.
+func (s *Scheduler) markStarted(now time.Duration, one *sample) Start {
 	one.step.waiting = slices.Delete(one.step.waiting, 0, 1)
 	one.phase = running
 	one.startedAt = now
-	one.startedOn = one.generated
+	one.tokensAtStart = one.generated
 	one.step.estimate.changes++
 	one.step.running++
 	one.step.trainer.running++
 	s.running++
 	s.counters.Started++
 	return Start{
-		ID: one.id, Edition: one.edition, PrefixTokens: one.generated, PredictedTokens: one.predicted(),
+		ID: one.id, Edition: one.edition, PrefixTokens: one.generated, PredictedTokens: one.predictedTokens(),
 	}
 }
--- a/internal/rollout/scheduler_test.go
+++ b/internal/rollout/scheduler_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// model repeats what the runtime must hold: each slot is waiting, running or finished, and never lost.
+// model is a reference model of the caller's state. Each slot is waiting, running or finished, and never lost.
 type model struct {
-	running  map[SampleID]int // tokens
+	running  map[SampleID]int // tokens by sample
 	finished map[SampleID]int
 	oldest   map[SampleID]uint64
 	slots    map[SampleID]bool
@@ -43,9 +43,10 @@
 	}
 }
 
-// TestSchedulerKeepsItsPromises drives random events and checks, for every policy: the room is never
-// exceeded, nothing is started twice or lost, no work starts that cannot be fresh, and every step can end.
-func TestSchedulerKeepsItsPromises(t *testing.T) {
+// TestSchedulerInvariants drives random events and checks for every policy that the capacity is never exceeded, that
+// no sample is started twice or lost, that no sample starts that would be too stale when used, and that every step
+// can complete.
+func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom(policies()).Draw(t, "policy")
 		s := New(Config{Policy: policy})
@@ -73,7 +74,7 @@
 	case 3:
 		m.finishOne(t, s)
 	case 4:
-		for _, id := range s.Yield(rapid.IntRange(0, 3).Draw(t, "yield")) {
+		for _, id := range s.PreemptionCandidates(rapid.IntRange(0, 3).Draw(t, "yield")) {
 			m.interrupt(t, s, id)
 		}
 	case 5:
@@ -94,14 +95,14 @@
 	m.next++
 }
 
-func (m *model) startSome(t *rapid.T, s *Scheduler, room Room) {
+func (m *model) startSome(t *rapid.T, s *Scheduler, capacity Room) {
 	before := len(m.running)
-	for _, start := range s.Next(m.now, room) {
+	for _, start := range s.Next(m.now, capacity) {
 		if _, twice := m.running[start.ID]; twice || !m.slots[start.ID] {
-			t.Fatalf("sample %v started twice or unknown", start.ID)
+			t.Fatalf("sample %v was started twice or belongs to no open step", start.ID)
 		}
 		if _, done := m.finished[start.ID]; done {
-			t.Fatalf("finished sample %v started", start.ID)
+			t.Fatalf("finished sample %v was started", start.ID)
 		}
 		rank := uint64(0)
 		for _, step := range m.steps {
@@ -109,13 +110,13 @@
 				rank++
 			}
 		}
-		if rank > room.StalenessBound {
-			t.Fatalf("sample %v started %d steps ahead with bound %d", start.ID, rank, room.StalenessBound)
+		if rank > capacity.StalenessBound {
+			t.Fatalf("sample %v was started %d steps ahead, want at most the staleness bound %d", start.ID, rank, capacity.StalenessBound)
 		}
 		m.running[start.ID] = start.PrefixTokens
 	}
-	if len(m.running) > max(room.Slots, before) || len(m.running) != s.Running() {
-		t.Fatalf("%d running (scheduler says %d), room %d", len(m.running), s.Running(), room.Slots)
+	if len(m.running) > max(capacity.Slots, before) || len(m.running) != s.Running() {
+		t.Fatalf("%d samples are running and the scheduler counts %d, want equal counts within the capacity %d", len(m.running), s.Running(), capacity.Slots)
 	}
 }
 
@@ -183,11 +184,11 @@
 func (m *model) interrupt(t *rapid.T, s *Scheduler, id SampleID) {
 	tokens, ok := m.running[id]
 	if !ok {
-		t.Fatalf("yielded sample %v is not running", id)
+		t.Fatalf("preemption candidate %v is not running", id)
 	}
 	kept := s.Interrupted(m.now, id)
 	if s.Policy().KeepsPrefix() && kept != tokens || !s.Policy().KeepsPrefix() && kept != 0 {
-		t.Fatalf("kept %d of %d tokens", kept, tokens)
+		t.Fatalf("interrupted sample kept %d of %d tokens, want all or none as the policy says", kept, tokens)
 	}
 	delete(m.running, id)
 }
@@ -202,11 +203,11 @@
 	}
 }
 
-// drain finishes all open steps with a waiting trainer: every slot must come to its end.
+// drain runs until all open steps are complete while the trainer waits. Every slot must finish.
 func (m *model) drain(t *rapid.T, s *Scheduler, bound uint64) {
 	for round := 0; len(m.steps) > 0; round++ {
 		if round > 400 {
-			t.Fatalf("steps %v never end (bound %d, policy %s)", m.steps, bound, s.Policy().Name())
+			t.Fatalf("steps %v did not complete with staleness bound %d and policy %s", m.steps, bound, s.Policy().Name())
 		}
 		m.now += time.Minute
 		s.Wanted(m.now, "a", m.released)
@@ -216,7 +217,7 @@
 	}
 }
 
-func TestTrainersShareTheRoom(t *testing.T) {
+func TestTrainersShareCapacity(t *testing.T) {
 	s := New(Config{})
 	mustOpen(t, s, 0, "large", 1, 100, 8)
 	mustOpen(t, s, 0, "small", 1, 10, 8)
@@ -228,7 +229,7 @@
 		perTrainer[start.ID.Trainer]++
 	}
 	if perTrainer["large"] != 30 || perTrainer["small"] != 10 {
-		t.Fatalf("shares %v, want 30 and 10", perTrainer)
+		t.Fatalf("started samples by trainer: got %v, want 30 for large and 10 for small", perTrainer)
 	}
 }
 
@@ -237,7 +238,7 @@
 	mustOpen(t, s, 0, "a", 1, 2, 4)
 	probes := s.Next(0, Room{Slots: 2, StalenessBound: 1})
 	if len(probes) != 2 || probes[0].ID.Prompt == probes[1].ID.Prompt {
-		t.Fatalf("the first starts %v do not probe each group", probes)
+		t.Fatalf("first starts: got %v, want one probe of each group", probes)
 	}
 	for _, probe := range probes {
 		tokens := 10
@@ -248,13 +249,13 @@
 	}
 	for _, start := range s.Next(time.Second, Room{Slots: 3, StalenessBound: 1}) {
 		if start.ID.Prompt != "p1" {
-			t.Fatalf("short group's %v started before the long group", start.ID)
+			t.Fatalf("sample %v of the short group was started before those of the long group", start.ID)
 		}
 	}
 }
 
-// trained returns a paced scheduler that has seen steps of 16 samples of 100 tokens, each trained on for
-// 100 s, and the time at which the last of them was delivered; step 4 is next.
+// trained returns a paced scheduler that has processed three steps of 16 samples with 100 tokens each and a training
+// time of 100 s, and the time at which the last step was delivered. The next step is number 4.
 func trained(t *testing.T) (*Scheduler, time.Duration) {
 	s := New(Config{})
 	now := time.Duration(0)
@@ -279,67 +280,70 @@
 	}
 }
 
-func TestPacedWaitsForTheNewestVersionThatIsInTime(t *testing.T) {
+func TestPacedWaitsForNewerVersion(t *testing.T) {
 	s, now := trained(t)
 	mustOpen(t, s, now, "a", 4, 4, 4)
-	mustOpen(t, s, now, "a", 5, 4, 4) // wanted 200 s from now, and a newer version comes in 100 s
+	mustOpen(t, s, now, "a", 5, 4, 4) // expected in 200 s, while a newer version is expected in 100 s
 	examined := 0
 	for range 90 {
 		now += time.Second
 		for _, start := range s.Next(now, Room{Slots: 16, StalenessBound: 2}) {
 			examined++
 			if start.ID.Step == 5 {
-				t.Fatalf("%v was started on weights that are old when it is used", start.ID)
+				t.Fatalf("sample %v was started although newer weights are expected in time", start.ID)
 			}
 			s.Finished(now, start.ID, 100, 3)
 		}
 	}
 	if examined != 16 {
-		t.Fatalf("%d samples of the step before were started, want 16", examined)
+		t.Fatalf("got %d started samples of step 4, want 16", examined)
 	}
 }
 
-func TestPacedStartsNoMoreAtOnceThanTheStepNeeds(t *testing.T) {
+func TestPacedLimitsConcurrencyToStepNeeds(t *testing.T) {
 	s, now := trained(t)
-	mustOpen(t, s, now, "a", 4, 4, 4) // 16 samples of about a second each, wanted in 100 s
-	room := Room{Slots: 16, StalenessBound: 2}
-	if starts := s.Next(now, room); len(starts) != 1 {
-		t.Fatalf("%d samples were started at once, one is enough", len(starts))
+	mustOpen(t, s, now, "a", 4, 4, 4) // 16 samples of about one second each, expected in 100 s
+	capacity := Room{Slots: 16, StalenessBound: 2}
+	if starts := s.Next(now, capacity); len(starts) != 1 {
+		t.Fatalf("got %d samples started at once, want 1", len(starts))
 	}
-	if starts := s.Next(now+99*time.Second, room); len(starts) != 15 {
-		t.Fatalf("%d samples were started when the step is due, want the other 15", len(starts))
+	if starts := s.Next(now+99*time.Second, capacity); len(starts) != 15 {
+		t.Fatalf("got %d samples started shortly before the step is due, want 15", len(starts))
 	}
 }
 
-// TestLateAvailabilityDoesNotHideTheNextVersion: weights become available after the step that they were
-// fetched for is delivered already; the trainer is then about to make the next version.
-func TestPacedHoldsACrowdedPoolSteady(t *testing.T) {
-	// Newer weights would come in time, so the sample waits unless the running ones are fewer than on average.
-	step := StepView{Known: true, Due: 1000 * time.Second, NextVersion: 10 * time.Second, Level: 40, Room: 100}
+// TestPacedKeepsMeanConcurrencyInCrowdedPool checks that in a crowded pool samples start whenever fewer than the mean
+// number are running, instead of waiting for newer weights and catching up in a peak.
+func TestPacedKeepsMeanConcurrencyInCrowdedPool(t *testing.T) {
+	// Newer weights would be available in time, so the sample waits unless fewer samples than the mean are running.
+	step := StepView{HasEstimates: true, ExpectedFetch: 1000 * time.Second, NextVersionAt: 10 * time.Second, MeanConcurrency: 40, FairShare: 100}
 	for _, one := range []struct {
-		running, room int
-		want          bool
+		running, capacity int
+		want              bool
 	}{{39, 100, true}, {40, 100, false}, {39, 200, false}} {
-		step.Running, step.Room = one.running, one.room
-		if got := (Paced{}).Eligible(0, step, SampleView{Lead: time.Second}); got != one.want {
-			t.Errorf("%d of 40 running in a room of %d: eligible %v, want %v", one.running, one.room, got, one.want)
+		step.Running, step.FairShare = one.running, one.capacity
+		if got := (Paced{}).IsEligible(0, step, SampleView{MaxRemainingTime: time.Second}); got != one.want {
+			t.Errorf("%d samples running at a mean of 40 with a fair share of %d: got eligible %v, want %v", one.running, one.capacity, got, one.want)
 		}
 	}
 }
 
+// TestLateAvailabilityDoesNotHideTheNextVersion checks that a version that becomes available only after the step it was
+// fetched for was delivered is not taken for the version that the next step is used with. At that time the trainer is
+// already computing the next version.
 func TestLateAvailabilityDoesNotHideTheNextVersion(t *testing.T) {
 	s := New(Config{Policy: Asynchronous{}})
 	mustOpen(t, s, 0, "a", 1, 1, 1)
 	s.Wanted(0, "a", 5)
 	s.Released(0, "a", 4)
-	s.Delivered(time.Second, "a", 1) // leads to version 6
+	s.Delivered(time.Second, "a", 1) // results in version 6
 	mustOpen(t, s, time.Second, "a", 2, 1, 1)
 	s.Released(2*time.Second, "a", 5)
 	if starts := s.Next(2*time.Second, Room{Slots: 1, StalenessBound: 0}); len(starts) > 0 {
-		t.Fatalf("%v was started on version 5 though version 6 will use it and the bound is 0", starts)
+		t.Fatalf("samples %v were started on version 5 although version 6 will use them and the staleness bound is 0", starts)
 	}
 	if starts := s.Next(2*time.Second, Room{Slots: 1, StalenessBound: 1}); len(starts) != 1 {
-		t.Fatal("nothing was started though the bound permits it")
+		t.Fatal("no single sample was started although the staleness bound 1 permits it")
 	}
 }
 
@@ -347,11 +351,11 @@
 	id := SampleID{Trainer: "t", Step: 7, Prompt: "p", Index: 3}
 	parsed, err := ParseSampleID(id.String())
 	if err != nil || parsed != id {
-		t.Fatalf("parsed %v, %v", parsed, err)
+		t.Fatalf("parsing the text of a sample ID: got %v and error %v, want the original ID", parsed, err)
 	}
 	for _, bad := range []string{"", "a/b/c/d", "a/1/c", "a/1/c/-1", "a/1/c/d/e"} {
 		if _, err := ParseSampleID(bad); err == nil {
-			t.Errorf("%q was accepted", bad)
+			t.Errorf("ParseSampleID(%q) succeeded, want an error", bad)
 		}
 	}
 }
