--- a/internal/gateway/api_test.go
+++ b/internal/gateway/api_test.go
@@ -15,8 +15,9 @@
 	callersSection = "Callers"
 )
 
-// TestExamplesOfTheAPIPageAreTrue runs the callers' examples of docs/API.md in their order.
-func TestExamplesOfTheAPIPageAreTrue(t *testing.T) {
+// TestAPIPageExamples runs the callers' examples of docs/API.md in order, against a gateway, so that the page does
+// not drift from the code.
+func TestAPIPageExamples(t *testing.T) {
 	page, err := os.ReadFile(apiPage)
 	if err != nil {
 		t.Fatal(err)
@@ -38,11 +39,11 @@
 		}
 	}
 	if ran == 0 {
-		t.Fatal("the page has no examples for callers")
+		t.Fatal("the page has no examples in the section for callers")
 	}
 }
 
-// TestAPIPageListsEveryErrorCode looks for the codes in the sources.
+// TestAPIPageListsEveryErrorCode collects the error codes from the sources and fails if docs/API.md omits one.
 func TestAPIPageListsEveryErrorCode(t *testing.T) {
 	page, err := os.ReadFile(apiPage)
 	if err != nil {
@@ -59,13 +60,13 @@
 			codes[match[1]] = true
 		}
 	}
-	delete(codes, CodeCallerGone) // nobody reads it
+	delete(codes, CodeCallerGone) // never sent to a caller
 	if len(codes) < 20 {
-		t.Fatalf("found only %d codes: %v", len(codes), codes)
+		t.Fatalf("found %d error codes in the sources, want at least 20: %v", len(codes), codes)
 	}
 	for code := range codes {
 		if !strings.Contains(string(page), "`"+code+"`") {
-			t.Errorf("%s does not tell of the code %s", apiPage, code)
+			t.Errorf("%s does not list the error code %s", apiPage, code)
 		}
 	}
 }
--- a/internal/gateway/authorization.go
+++ b/internal/gateway/authorization.go
@@ -9,40 +9,40 @@
 	"github.com/tamarindring/tamarindring/internal/auth"
 )
 
-// Error codes of the tokens.
+// Error codes of token checks.
 const (
 	CodeUnauthenticated = "unauthenticated"
 	CodeForbidden       = "forbidden"
 )
 
-// Who may do what at a gateway.
+// Roles that may use each kind of request at a gateway.
 var (
-	mayCall    = []auth.Role{auth.Caller, auth.Node}
-	mayObserve = []auth.Role{auth.Operator, auth.Node}
-	mayList    = []auth.Role{auth.Caller, auth.Node, auth.Operator}
+	callRoles    = []auth.Role{auth.Caller, auth.Node}
+	observeRoles = []auth.Role{auth.Operator, auth.Node}
+	listRoles    = []auth.Role{auth.Caller, auth.Node, auth.Operator}
 )
 
-// permitted returns the roles that a request is open to; nil for everybody.
-func permitted(ctx *fasthttp.RequestCtx) []auth.Role {
+// allowedRoles returns the roles that may make a request, or nil if it needs no token.
+func allowedRoles(ctx *fasthttp.RequestCtx) []auth.Role {
 	if ctx.IsPost() {
-		return mayCall
+		return callRoles
 	}
 	switch string(ctx.Path()) {
 	case "/healthz", "/readyz":
 		return nil
 	case "/v1/models":
-		return mayList
+		return listRoles
 	}
-	return mayObserve
+	return observeRoles
 }
 
-// admitToken answers a request whose token does not permit it and returns false. Nothing of its body is
-// read.
-func (s *Server) admitToken(ctx *fasthttp.RequestCtx) bool {
+// authorize checks the request's token. If the token does not permit the request, it answers the request without
+// reading its body and returns false.
+func (s *Server) authorize(ctx *fasthttp.RequestCtx) bool {
 	if s.config.Guard == nil {
 		return true
 	}
-	roles := permitted(ctx)
+	roles := allowedRoles(ctx)
 	if roles == nil {
 		return true
 	}
@@ -56,7 +56,7 @@
 	}
 	ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, "Bearer")
 	writeRefusal(ctx, status, code, err.Error())
-	s.counts.refusedTokens.WithLabelValues(code).Inc()
-	s.linger(ctx)
+	s.metrics.refusedTokens.WithLabelValues(code).Inc()
+	s.answerAndDiscardBody(ctx)
 	return false
 }
--- a/internal/gateway/authorization_test.go
+++ b/internal/gateway/authorization_test.go
@@ -13,8 +13,8 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// guardWithAllRoles returns a guard and a token of each role.
-func guardWithAllRoles(t *testing.T) (*credentials.Guard, map[auth.Role]string) {
+// newGuardWithAllRoles returns a guard and a token for each role.
+func newGuardWithAllRoles(t *testing.T) (*credentials.Guard, map[auth.Role]string) {
 	t.Helper()
 	path, byName := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneOfEach())
 	tokens := map[auth.Role]string{}
@@ -28,8 +28,10 @@
 	return guard, tokens
 }
 
+// TestOnlyTokensOfTheRightRoleAreAdmitted guards against requests that run, or reveal state, with a missing, wrong
+// or insufficient token.
 func TestOnlyTokensOfTheRightRoleAreAdmitted(t *testing.T) {
-	guard, tokens := guardWithAllRoles(t)
+	guard, tokens := newGuardWithAllRoles(t)
 	f := newFixture(t, 0, 1, 1, func(c *Config) { c.Guard = guard })
 	tokens["nobody"], tokens["wrong"] = "", tokens[auth.Caller]+"x"
 	for path, permitted := range map[string][]auth.Role{
@@ -41,26 +43,26 @@
 		"GET /readyz":              {auth.Caller, auth.Node, auth.Operator, auth.Trainer, "nobody", "wrong"},
 	} {
 		for role, token := range tokens {
-			open := false
+			allowed := false
 			for _, one := range permitted {
-				open = open || one == role
+				allowed = allowed || one == role
 			}
 			key := fmt.Sprintf("%s-%s", strings.ReplaceAll(path, "/", "_"), role)
-			f.expectAdmission(t, path, key, token, open)
+			f.requireAdmission(t, path, key, token, allowed)
 		}
 	}
 	for _, execution := range f.apps[0].Log() {
 		if !strings.HasSuffix(execution.Key, string(auth.Caller)) && !strings.HasSuffix(execution.Key, string(auth.Node)) {
-			t.Errorf("a request of %s ran", execution.Key)
+			t.Errorf("the request with key %s ran without permission", execution.Key)
 		}
 	}
 	if len(f.apps[0].Log()) != 2 {
-		t.Errorf("%d requests ran, want those of the caller and the node", len(f.apps[0].Log()))
+		t.Errorf("%d requests ran, want 2: the caller's and the node's", len(f.apps[0].Log()))
 	}
 }
 
-// expectAdmission sends a request and fails unless it was let in or refused as it should be.
-func (f *fixture) expectAdmission(t *testing.T, target, key, token string, open bool) {
+// requireAdmission sends a request and fails unless it is admitted or refused as expected.
+func (f *fixture) requireAdmission(t *testing.T, target, key, token string, allowed bool) {
 	t.Helper()
 	method, path, _ := strings.Cut(target, " ")
 	request, err := http.NewRequest(method, "http://"+f.gateways[0].Address()+path, strings.NewReader(`{"model":"copy"}`))
@@ -76,11 +78,11 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	shut := response.StatusCode == http.StatusUnauthorized || response.StatusCode == http.StatusForbidden
-	if shut == open {
-		t.Errorf("%s with %q: status %d", target, key, response.StatusCode)
+	refused := response.StatusCode == http.StatusUnauthorized || response.StatusCode == http.StatusForbidden
+	if refused == allowed {
+		t.Errorf("%s with key %q: got status %d, which does not match the permitted roles", target, key, response.StatusCode)
 	}
-	if shut && response.Header.Get(verdict.Header) != verdict.DidNotRun.String() {
-		t.Errorf("%s with %q: verdict %q", target, key, response.Header.Get(verdict.Header))
+	if refused && response.Header.Get(verdict.Header) != verdict.DidNotRun.String() {
+		t.Errorf("%s with key %q: got verdict %q, want did-not-run", target, key, response.Header.Get(verdict.Header))
 	}
 }
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -14,12 +14,13 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// rawBackend answers each request on a connection with what answer writes; requests counts them.
+// rawBackend is a back end that writes raw bytes as answers and counts the requests it gets.
 type rawBackend struct {
-	listener net.Listener
-	requests atomic.Int64
+	listener     net.Listener
+	requestCount atomic.Int64
 }
 
+// newRawBackend starts a back end that calls answer with the number of each request, from 1.
 func newRawBackend(t *testing.T, answer func(conn net.Conn, request *http.Request, n int64)) *rawBackend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,12 +55,13 @@
 		}
 		var body strings.Builder
 		_, _ = bufio.NewReader(request.Body).WriteTo(&body)
-		answer(conn, request, b.requests.Add(1))
+		answer(conn, request, b.requestCount.Add(1))
 	}
 }
 
-// rawFixture is a gateway in front of raw back ends of one application pool and one model pool.
-func rawFixture(t *testing.T, backends ...*rawBackend) *fixture {
+// newRawFixture returns a gateway in front of raw back ends, each of which serves an application pool and a model
+// pool.
+func newRawFixture(t *testing.T, backends ...*rawBackend) *fixture {
 	t.Helper()
 	f := newFixture(t, 0, 0, 1, nil)
 	for i, backend := range backends {
@@ -72,22 +74,24 @@
 	return f
 }
 
-func whole(conn net.Conn, request *http.Request, body string) {
+// writeAnswer writes a complete answer that names its request.
+func writeAnswer(conn net.Conn, request *http.Request, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
 		request.Header.Get("X-Request-Id"), len(body), body)
 }
 
-// TestLateAnswerNeverReachesAnotherRequest has a back end that answers each request a second time, late.
+// TestLateAnswerNeverReachesAnotherRequest guards against an answer that is taken for the next request's on the
+// same connection. The back end answers each request a second time, late.
 func TestLateAnswerNeverReachesAnotherRequest(t *testing.T) {
 	backend := newRawBackend(t, func(conn net.Conn, request *http.Request, n int64) {
-		whole(conn, request, request.Header.Get(HeaderKey))
+		writeAnswer(conn, request, request.Header.Get(HeaderKey))
 		stale := request.Clone(request.Context())
 		go func() {
 			time.Sleep(time.Duration(n%3) * time.Millisecond)
-			whole(conn, stale, stale.Header.Get(HeaderKey))
+			writeAnswer(conn, stale, stale.Header.Get(HeaderKey))
 		}()
 	})
-	f := rawFixture(t, backend)
+	f := newRawFixture(t, backend)
 	answered := 0
 	for i := range 60 {
 		key := fmt.Sprintf("key-%d", i)
@@ -95,19 +99,20 @@
 		if got.status == http.StatusOK {
 			answered++
 			if got.body != key {
-				t.Fatalf("request %s got the answer %q", key, got.body)
+				t.Fatalf("request with key %s got the answer %q, want its own key", key, got.body)
 			}
 		} else if got.header.Get(verdict.Header) != "may-have-run" {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, want status 200 or the verdict may-have-run", got)
 		}
 	}
 	if answered < 20 {
-		t.Fatalf("only %d of 60 requests were answered", answered)
+		t.Fatalf("%d of 60 requests were answered, want at least 20", answered)
 	}
 }
 
-// TestBrokenAnswersAreNeverTakenForWhole covers answers whose end cannot be told, and garbage.
-func TestBrokenAnswersAreNeverTakenForWhole(t *testing.T) {
+// TestIncompleteAnswerIsAnError guards against an answer that is passed on although its end cannot be determined or
+// it is not valid HTTP.
+func TestIncompleteAnswerIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"short body":      "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
 		"no length":       "HTTP/1.1 200 OK\r\n\r\nuntil the connection closes",
@@ -124,109 +129,113 @@
 				fmt.Fprint(conn, text)
 				_ = conn.Close()
 			})
-			f := rawFixture(t, backend)
+			f := newRawFixture(t, backend)
 			got := f.push(t, 0, "k", "{}")
 			if got.status != http.StatusBadGateway || got.header.Get(verdict.Header) != "may-have-run" {
-				t.Fatalf("%+v", got)
+				t.Fatalf("got %+v, want status 502 with the verdict may-have-run", got)
 			}
-			if n := backend.requests.Load(); n != 1 {
-				t.Fatalf("a request that must not run twice was sent %d times", n)
+			if n := backend.requestCount.Load(); n != 1 {
+				t.Fatalf("a non-repeatable request was sent %d times, want 1", n)
 			}
 		})
 	}
 }
 
-// TestRepeatableRequestIsRetriedElsewhere has one back end that breaks every answer.
+// TestRepeatableRequestIsRetriedElsewhere has one back end that closes every connection. Its requests must be
+// retried at the other one, and it must be quarantined.
 func TestRepeatableRequestIsRetriedElsewhere(t *testing.T) {
 	broken := newRawBackend(t, func(conn net.Conn, _ *http.Request, _ int64) { _ = conn.Close() })
-	sound := newRawBackend(t, func(conn net.Conn, request *http.Request, _ int64) { whole(conn, request, "{}") })
-	f := rawFixture(t, broken, sound)
+	healthy := newRawBackend(t, func(conn net.Conn, request *http.Request, _ int64) { writeAnswer(conn, request, "{}") })
+	f := newRawFixture(t, broken, healthy)
 	for range 20 {
 		if got := f.post(t, 0, "/v1/completions", completion(false)); got.status != http.StatusOK {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, want status 200", got)
 		}
 	}
-	if broken.requests.Load() == 0 || broken.requests.Load() > 10 {
-		t.Fatalf("the broken back end got %d requests; it should be tried and then quarantined", broken.requests.Load())
+	if broken.requestCount.Load() == 0 || broken.requestCount.Load() > 10 {
+		t.Fatalf("the broken back end got %d requests, want 1 to 10 before it is quarantined", broken.requestCount.Load())
 	}
 }
 
 const sseHeader = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func chunkOf(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func formatChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func tokenEvent(offset int, words string) string {
+func formatTokenEvent(offset int, words string) string {
 	return fmt.Sprintf("data: {\"choices\":[{\"text\":%q,\"finish_reason\":null,\"token_offset\":%d,\"token_count\":%d}]}\n\n",
 		words, offset, strings.Count(words, " "))
 }
 
-// TestStreamThatNeverEndsProperlyEndsInAnError covers streams that no replica completes.
-func TestStreamThatNeverEndsProperlyEndsInAnError(t *testing.T) {
+// TestIncompleteStreamEndsInAnError guards against an incomplete stream that looks finished to its caller when no
+// replica can complete it.
+func TestIncompleteStreamEndsInAnError(t *testing.T) {
 	for name, tail := range map[string]string{
-		"done without finish reason": chunkOf("data: [DONE]\n\n") + "0\r\n\r\n",
+		"done without finish reason": formatChunk("data: [DONE]\n\n") + "0\r\n\r\n",
 		"proper end without done":    "0\r\n\r\n",
-		"cut in an event":            chunkOf("data: {\"choices\":[{\"te"),
-		"error event":                chunkOf("data: {\"error\":{\"message\":\"x\"}}\n\n"),
-		"gap":                        chunkOf(tokenEvent(9, "later ")),
+		"cut in an event":            formatChunk("data: {\"choices\":[{\"te"),
+		"error event":                formatChunk("data: {\"error\":{\"message\":\"x\"}}\n\n"),
+		"gap":                        formatChunk(formatTokenEvent(9, "later ")),
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend := newRawBackend(t, func(conn net.Conn, _ *http.Request, _ int64) {
-				fmt.Fprint(conn, sseHeader+chunkOf(tokenEvent(0, "one two "))+tail)
+				fmt.Fprint(conn, sseHeader+formatChunk(formatTokenEvent(0, "one two "))+tail)
 				_ = conn.Close()
 			})
-			f := rawFixture(t, backend)
+			f := newRawFixture(t, backend)
 			got := f.post(t, 0, "/v1/completions", completion(true))
 			if strings.Contains(got.body, "[DONE]") || !strings.Contains(got.body, `"error"`) {
-				t.Fatalf("%+v", got)
+				t.Fatalf("got %+v, want an error event and no end mark", got)
 			}
 			if strings.Count(got.body, "one two") != 1 {
-				t.Fatalf("tokens were lost or doubled: %s", got.body)
+				t.Fatalf("want the first two tokens exactly once, got %s", got.body)
 			}
 		})
 	}
 }
 
-// TestOverlapAfterReplayIsTrimmed has a second replica that repeats tokens in chunks of another size.
+// TestOverlapAfterReplayIsTrimmed guards against tokens that the caller gets twice. After a cut, the second replica
+// repeats tokens in chunks of other sizes.
 func TestOverlapAfterReplayIsTrimmed(t *testing.T) {
 	backend := newRawBackend(t, func(conn net.Conn, _ *http.Request, n int64) {
 		switch n {
 		case 1:
-			fmt.Fprint(conn, sseHeader+chunkOf(tokenEvent(0, "a b c ")))
+			fmt.Fprint(conn, sseHeader+formatChunk(formatTokenEvent(0, "a b c ")))
 			_ = conn.Close()
-		case 2: // the resume: this replica knows nothing
+		case 2: // the resume, of a stream that this replica no longer holds
 			fmt.Fprint(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		default:
 			finish := "data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"stop\",\"token_offset\":6,\"token_count\":0,\"checksum\":\"x\"}]}\n\n"
-			fmt.Fprint(conn, sseHeader+chunkOf(tokenEvent(0, "a b "))+chunkOf(tokenEvent(2, "c d e "))+
-				chunkOf(tokenEvent(5, "f ")+finish+"data: [DONE]\n\n")+"0\r\n\r\n")
+			fmt.Fprint(conn, sseHeader+formatChunk(formatTokenEvent(0, "a b "))+formatChunk(formatTokenEvent(2, "c d e "))+
+				formatChunk(formatTokenEvent(5, "f ")+finish+"data: [DONE]\n\n")+"0\r\n\r\n")
 		}
 	})
-	f := rawFixture(t, backend)
+	f := newRawFixture(t, backend)
 	got := f.post(t, 0, "/v1/completions", completion(true))
 	for _, want := range []string{`"a b c "`, `"d e "`, `"token_offset":3,"token_count":2`, `"f "`, "[DONE]"} {
 		if strings.Count(got.body, want) != 1 {
-			t.Fatalf("want %s once in %s", want, got.body)
+			t.Fatalf("want %s exactly once in %s", want, got.body)
 		}
 	}
 }
 
-// TestDeadlineTravelsToTheBackEnd compares what the back end is told with what the caller asked for.
-func TestDeadlineTravelsToTheBackEnd(t *testing.T) {
-	told := make(chan string, 1)
+// TestDeadlineIsForwardedToBackEnd compares the deadline that the back end receives with the caller's.
+func TestDeadlineIsForwardedToBackEnd(t *testing.T) {
+	sentDeadline := make(chan string, 1)
 	backend := newRawBackend(t, func(conn net.Conn, request *http.Request, _ int64) {
-		told <- request.Header.Get(HeaderDeadline)
-		whole(conn, request, "{}")
+		sentDeadline <- request.Header.Get(HeaderDeadline)
+		writeAnswer(conn, request, "{}")
 	})
-	f := rawFixture(t, backend)
+	f := newRawFixture(t, backend)
 	if got := f.push(t, 0, "k", "{}", HeaderDeadline, "20s"); got.status != http.StatusOK {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want status 200", got)
 	}
-	if millis, err := strconv.Atoi(<-told); err != nil || millis > 20_000 || millis <= 0 {
-		t.Fatalf("the back end was told %d ms, the caller gave 20 s (%v)", millis, err)
+	if millis, err := strconv.Atoi(<-sentDeadline); err != nil || millis > 20_000 || millis <= 0 {
+		t.Fatalf("the back end got a deadline of %d ms, want 1 to 20000 (%v)", millis, err)
 	}
 }
 
-// TestRetriesStayWithinTheBudget has a pool in which every answer breaks.
+// TestRetriesStayWithinTheBudget guards against retries that overload a failing pool. All back ends break every
+// answer.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	const requests, burst = 30, 5
 	broken := newRawBackend(t, func(conn net.Conn, _ *http.Request, _ int64) { _ = conn.Close() })
@@ -238,10 +247,10 @@
 	}
 	for range requests {
 		if got := f.post(t, 0, "/v1/completions", completion(false)); got.status != http.StatusBadGateway {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, want status 502", got)
 		}
 	}
-	if sends := broken.requests.Load(); sends != requests+burst {
-		t.Fatalf("%d sends for %d requests, want a burst of %d retries in all", sends, requests, burst)
+	if sends := broken.requestCount.Load(); sends != requests+burst {
+		t.Fatalf("%d sends for %d requests, want one per request and %d retries in total", sends, requests, burst)
 	}
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -13,23 +13,24 @@
 	"github.com/tamarindring/tamarindring/internal/dispatch"
 )
 
-// Error codes of bodies.
+// Error codes of request bodies.
 const (
 	codeBodyIncomplete = "body_incomplete"
 	codeBodyTooLarge   = "body_too_large"
 )
 
-// errBodyBroken means that the caller's body ended early or came too slowly.
+// errBodyBroken means that the caller's body ended early or arrived too slowly.
 var errBodyBroken = errors.New("the request's body ended early or came too slowly")
 
-// errBodyTooLarge stops a body of unknown length at the limit.
+// errBodyTooLarge means that a body of unknown length exceeded the limit.
 var errBodyTooLarge = errors.New("the body is larger than the limit")
 
-// readBody takes over the beginning of the body, and the whole of it when it fits the buffer.
+// readBody buffers the body if it fits BufferBytes. Otherwise it buffers the beginning and sets up a reader for the
+// remainder.
 func (s *Server) readBody(ctx *fasthttp.RequestCtx, c *call) error {
 	c.bodyLength = int64(ctx.Request.Header.ContentLength())
 	if c.bodyLength > s.config.MaxBodyBytes {
-		return bad(http.StatusRequestEntityTooLarge, codeBodyTooLarge,
+		return newCallError(http.StatusRequestEntityTooLarge, codeBodyTooLarge,
 			"the body has more than "+strconv.FormatInt(s.config.MaxBodyBytes, 10)+" bytes")
 	}
 	stream := ctx.RequestBodyStream()
@@ -57,23 +58,24 @@
 	} else {
 		c.bodyLength = -1
 	}
-	c.paced = &pacedBody{reader: stream, conn: ctx.Conn(), left: s.config.MaxBodyBytes - int64(len(held)), expected: expected,
-		patience: s.config.ReadTimeout, rate: s.config.MinBodyRate, began: time.Now()}
-	c.rest = c.paced
+	c.pacedRemainder = &pacedBody{reader: stream, conn: ctx.Conn(), remainingLimit: s.config.MaxBodyBytes - int64(len(held)),
+		expectedBytes: expected,
+		gracePeriod:   s.config.ReadTimeout, minRate: s.config.MinBodyRate, began: time.Now()}
+	c.remainder = c.pacedRemainder
 	return nil
 }
 
-// reserve takes bytes of the memory budget for the call; finishExchange gives them back.
+// reserve takes bytes from the memory budget for the call. finishExchange returns them.
 func (s *Server) reserve(c *call, bytes int64) bool {
-	if !s.memory.take(bytes) {
+	if !s.memory.reserve(bytes) {
 		return false
 	}
-	c.reserved += bytes
+	c.reservedBytes += bytes
 	return true
 }
 
-// readBeginning reads up to limit bytes and tells whether the body ends there. The buffer grows with what
-// has come, never with what the caller has announced, so that a slow sender holds little of the budget.
+// readBeginning reads up to limit bytes and reports whether the body ends there. The buffer grows with the bytes
+// received and not with the announced length, so that a slow sender holds little of the memory budget.
 func (s *Server) readBeginning(c *call, stream io.Reader, limit int64) (held []byte, whole bool, err error) {
 	for {
 		if len(held) == cap(held) {
@@ -94,34 +96,34 @@
 	}
 }
 
-// growBody doubles the buffer within the limit and the memory budget. A body that is exactly as long as
-// the limit gets one byte more, so that its end is seen.
+// growBody doubles the buffer within the limit and the memory budget. At the limit the buffer gets one more byte if
+// it is full, so that the end of a body of exactly that length is seen.
 func (s *Server) growBody(c *call, held []byte, limit int64) ([]byte, error) {
 	size := max(2*int64(cap(held)), memoryStep)
 	if size > limit {
 		size = max(limit, int64(len(held))+1)
 	}
-	if !s.reserve(c, size-c.reserved) {
-		return nil, bad(http.StatusServiceUnavailable, CodeOverloaded, "too many bodies are held")
+	if !s.reserve(c, size-c.reservedBytes) {
+		return nil, newCallError(http.StatusServiceUnavailable, CodeOverloaded, "too many bodies are held")
 	}
 	grown := make([]byte, len(held), size)
 	copy(grown, held)
 	return grown, nil
 }
 
-// pacedBody passes on the part of a body that is not held. It fails when the limit is passed, and when
-// the caller sends more slowly than the least rate over the time since it began, after some patience.
+// pacedBody streams the unbuffered part of a body. It fails when the body exceeds the size limit, and when its mean
+// rate since it began falls below the minimum after the grace period.
 type pacedBody struct {
-	reader   io.Reader
-	conn     net.Conn
-	left     int64 // up to the size limit
-	expected int64 // announced bytes; -1 when not known
-	patience time.Duration
-	rate     int // bytes per second
-	began    time.Time
-	until    time.Time // the request's deadline
-	passed   int64
-	failure  error // what was wrong with the body; nil while nothing is
+	reader         io.Reader
+	conn           net.Conn
+	remainingLimit int64 // bytes that may still follow under the size limit
+	expectedBytes  int64 // announced bytes; -1 when unknown
+	gracePeriod    time.Duration
+	minRate        int // bytes per second
+	began          time.Time
+	deadline       time.Time // deadline of the request
+	forwarded      int64     // bytes read so far
+	failure        error     // error of the caller's body; nil without one
 }
 
 // Read implements io.Reader.
@@ -134,21 +136,21 @@
 }
 
 func (b *pacedBody) read(p []byte) (int, error) {
-	allowed := b.patience + time.Duration(float64(b.passed)/float64(b.rate)*float64(time.Second))
+	allowed := b.gracePeriod + time.Duration(float64(b.forwarded)/float64(b.minRate)*float64(time.Second))
 	limit := b.began.Add(allowed)
-	if b.until.Before(limit) {
-		limit = b.until
+	if b.deadline.Before(limit) {
+		limit = b.deadline
 	}
 	if err := b.conn.SetReadDeadline(limit); err != nil {
 		return 0, errBodyBroken
 	}
 	n, err := b.reader.Read(p)
-	b.passed += int64(n)
-	b.left -= int64(n)
+	b.forwarded += int64(n)
+	b.remainingLimit -= int64(n)
 	switch {
-	case b.left < 0:
+	case b.remainingLimit < 0:
 		return 0, errBodyTooLarge
-	case err == io.EOF && b.expected >= 0 && b.passed < b.expected:
+	case err == io.EOF && b.expectedBytes >= 0 && b.forwarded < b.expectedBytes:
 		return n, errBodyBroken
 	case err != nil && err != io.EOF:
 		return n, errBodyBroken
@@ -156,19 +158,19 @@
 	return n, err
 }
 
-// blameBody reports a send that ended because of the caller's body. The back end is not to blame, and as
-// it got the beginning of the request, nothing is known of what it did.
-func (x *exchange) blameBody(cause error) {
+// failForCallerBody reports a send that failed because of the caller's body. The failure does not count against the
+// back end. As the back end received the beginning of the request, it is unknown what it did.
+func (x *exchange) failForCallerBody(cause error) {
 	x.dropUpstream()
-	x.leaveBackend(outcomeNeutral)
-	x.unread = true
+	x.releaseBackend(outcomeNeutral)
+	x.bodyUnread = true
 	if x.server.now() >= x.deadline {
-		x.feed(dispatch.Event{Kind: dispatch.DeadlinePassed})
+		x.queueEvent(dispatch.Event{Kind: dispatch.DeadlinePassed})
 		return
 	}
 	event := dispatch.Event{Kind: dispatch.SendUnknown, Status: http.StatusBadRequest, Code: codeBodyIncomplete, Reason: cause.Error()}
 	if errors.Is(cause, errBodyTooLarge) {
 		event.Status, event.Code = http.StatusRequestEntityTooLarge, codeBodyTooLarge
 	}
-	x.feed(event)
+	x.queueEvent(event)
 }
--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -17,7 +17,9 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-func TestBadCallsAreRefusedAsNotRun(t *testing.T) {
+// TestInvalidCallsAreRefusedAsNotRun guards against invalid calls that run or get another verdict than "did not
+// run".
+func TestInvalidCallsAreRefusedAsNotRun(t *testing.T) {
 	f := newFixture(t, 1, 1, 1, func(c *Config) { c.MaxBodyBytes = 1 << 20 })
 	for name, try := range map[string]struct {
 		path    string
@@ -45,17 +47,18 @@
 		t.Run(name, func(t *testing.T) {
 			got := f.post(t, 0, try.path, try.body, try.headers...)
 			if got.status != try.status || got.header.Get(verdict.Header) != "did-not-run" || !strings.Contains(got.body, `"error"`) {
-				t.Fatalf("%d %v %s", got.status, got.header, got.body)
+				t.Fatalf("got status %d, header %v, body %s, want an error with the verdict did-not-run", got.status, got.header, got.body)
 			}
 		})
 	}
 	if len(f.apps[0].Log()) != 0 {
-		t.Fatal("a refused call reached a back end")
+		t.Fatal("a refused call reached the back end, want none")
 	}
 }
 
-// TestMalformedAndSlowCallersHarmNobody sends bytes that are no request while others are served.
-func TestMalformedAndSlowCallersHarmNobody(t *testing.T) {
+// TestMalformedAndSlowCallersDoNotAffectOthers sends malformed and slow requests. They must not run, and another
+// caller must still be served.
+func TestMalformedAndSlowCallersDoNotAffectOthers(t *testing.T) {
 	f := newFixture(t, 0, 1, 1, func(c *Config) { c.ReadTimeout, c.IdleTimeout = 100*time.Millisecond, 100*time.Millisecond })
 	for name, text := range map[string]string{
 		"garbage":        "\x16\x03\x01 hello\r\n\r\n",
@@ -75,53 +78,59 @@
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 			go func() { _, _ = io.WriteString(conn, text) }()
-			content, _ := io.ReadAll(bufio.NewReader(conn)) // the gateway answers, closes, or both
+			content, _ := io.ReadAll(bufio.NewReader(conn)) // the gateway answers, closes the connection, or does both
 			if strings.Contains(string(content), "200 OK") {
-				t.Fatalf("answered with %q", content)
+				t.Fatalf("a malformed request was answered with %q, want no 200", content)
 			}
 			if got := f.push(t, 0, "k-"+name, "{}"); got.status != http.StatusOK {
-				t.Fatalf("another caller got %+v", got)
+				t.Fatalf("another caller got %+v, want status 200", got)
 			}
 		})
 	}
-	if f.ran("slow") != 0 || f.ran("c") != 0 {
-		t.Fatal("an incomplete request ran")
+	if f.executions("slow") != 0 || f.executions("c") != 0 {
+		t.Fatal("an incomplete request ran, want none")
 	}
 }
 
-// TestLargeBodyStreamsThrough sends a body far beyond the buffer.
+// TestLargeBodyStreamsThrough sends a body far larger than the buffer. It must arrive complete and leave no memory
+// reserved.
 func TestLargeBodyStreamsThrough(t *testing.T) {
 	f := newFixture(t, 0, 1, 1, func(c *Config) { c.BufferBytes = 64 << 10 })
 	body := strings.Repeat("audio...", 1<<18) // 2 MiB
 	got := f.push(t, 0, "large", body)
 	if got.status != 200 || !strings.Contains(got.body, application.BodyHash([]byte(body))) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want status 200 and the hash of the whole body", got)
 	}
 	if held := f.gateways[0].memory.used.Load(); held != 0 {
-		t.Fatalf("%d bytes are still reserved", held)
+		t.Fatalf("%d bytes are still reserved, want 0", held)
 	}
 }
 
+// TestFullMemoryRefusesBodies sends a body larger than the memory budget. It must be refused as not run, and a
+// small body must still be accepted.
 func TestFullMemoryRefusesBodies(t *testing.T) {
 	f := newFixture(t, 0, 1, 1, func(c *Config) { c.MaxBufferedBytes = 64 << 10 })
 	got := f.push(t, 0, "large", strings.Repeat("x", 100<<10))
 	if got.status != 503 || got.header.Get(verdict.Header) != "did-not-run" || got.header.Get(HeaderRetryAfter) == "" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want status 503 with the verdict did-not-run and a Retry-After", got)
 	}
 	if got = f.push(t, 0, "small", "{}"); got.status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("small body: got %+v, want status 200", got)
 	}
 }
 
-func TestDeadlineEndsAStreamWithAnError(t *testing.T) {
+// TestPassedDeadlineEndsStreamWithError guards against a stream that looks finished when its deadline has cut it.
+func TestPassedDeadlineEndsStreamWithError(t *testing.T) {
 	f := newFixture(t, 1, 0, 1, nil)
 	body := `{"model":"copy","prompt":"x [tokens=5000]","stream":true}`
 	got := f.post(t, 0, "/v1/completions", body, HeaderDeadline, "100ms")
 	if strings.Contains(got.body, "[DONE]") || !strings.Contains(got.body, "deadline_passed") {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want an error event with deadline_passed and no end mark", got)
 	}
 }
 
+// TestResendWaitsForTheRunningAttempt guards against a second execution when a key is sent again, at either of two
+// gateways, while its first attempt is still running.
 func TestResendWaitsForTheRunningAttempt(t *testing.T) {
 	f := newFixture(t, 0, 1, 2, nil)
 	f.apps[0].SetFaults(application.Faults{Stall: 150 * time.Millisecond})
@@ -133,15 +142,16 @@
 	group.Wait()
 	for _, got := range answers {
 		if got.status != 200 || got.body != answers[0].body {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, want status 200 and the same answer for all", got)
 		}
 	}
-	if f.ran("k") != 1 {
-		t.Fatalf("ran %d times", f.ran("k"))
+	if f.executions("k") != 1 {
+		t.Fatalf("ran %d times, want 1", f.executions("k"))
 	}
 }
 
-// TestOverloadRefusesEarly fills the only slot and the queue.
+// TestOverloadRefusesEarly fills the only slot and the queue. Further requests must be refused as not run, with a
+// Retry-After.
 func TestOverloadRefusesEarly(t *testing.T) {
 	f := newFixture(t, 0, 1, 1, nil)
 	f.cluster.change(t, [3]string{"push", "max_in_flight", "1"}, [3]string{"push", "queue_limit", "1"})
@@ -156,12 +166,12 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			switch {
-			case got.status == 200 && f.ran(key) == 1:
+			case got.status == 200 && f.executions(key) == 1:
 				ran++
-			case got.status == 503 && got.header.Get(verdict.Header) == "did-not-run" && got.header.Get(HeaderRetryAfter) != "" && f.ran(key) == 0:
+			case got.status == 503 && got.header.Get(verdict.Header) == "did-not-run" && got.header.Get(HeaderRetryAfter) != "" && f.executions(key) == 0:
 				refused++
 			default:
-				t.Errorf("%+v, ran %d times", got, f.ran(key))
+				t.Errorf("got %+v, ran %d times, want an answer after one run or a 503 with did-not-run, a Retry-After and no run", got, f.executions(key))
 			}
 		})
 	}
@@ -171,38 +181,40 @@
 	}
 }
 
-// TestRolloutYieldsToLiveTraffic has a rollout stream in the only slot, held behind its first token so that it
-// cannot end before the live request comes; it must still end whole.
-func TestRolloutYieldsToLiveTraffic(t *testing.T) {
-	f, freezers := frozenFixture(t, 1, 0)
-	freezers["e0"].holding.Store(true)
+// TestLiveRequestPreemptsRollout guards against a live request that waits for a rollout stream in the only slot.
+// The stream is held after its first token, so that it cannot end before the live request comes. The preempted
+// stream must still be completed by a replay.
+func TestLiveRequestPreemptsRollout(t *testing.T) {
+	f, proxies := newProxiedFixture(t, 1, 0)
+	proxies["e0"].holdAnswers.Store(true)
 	f.cluster.change(t, [3]string{"copy", "max_in_flight", "1"})
 	long := "Roll out. [tokens=400]"
 	begun, rollout := make(chan struct{}), make(chan answer)
 	go func() {
-		rollout <- f.postNoting(t, 0, "/v1/completions", `{"model":"copy","prompt":"`+long+`","stream":true}`,
+		rollout <- f.postAndNotify(t, 0, "/v1/completions", `{"model":"copy","prompt":"`+long+`","stream":true}`,
 			func() { close(begun) }, HeaderClass, ClassRollout)
 	}()
 	<-begun
-	freezers["e0"].holding.Store(false)
+	proxies["e0"].holdAnswers.Store(false)
 	live := f.post(t, 0, "/v1/completions", completion(true), HeaderClass, ClassLive)
-	streamedText(t, prompt, live.body)
+	checkStreamedText(t, prompt, live.body)
 	select {
 	case <-rollout:
-		t.Fatal("the rollout ended before the live request; nothing was shown")
+		t.Fatal("the rollout ended before the live request, so that nothing was preempted")
 	default:
 	}
-	streamedText(t, long, (<-rollout).body)
+	checkStreamedText(t, long, (<-rollout).body)
 	kinds := map[string]int{}
 	for _, entry := range f.gateways[0].Dispatches(0) {
 		kinds[entry.Class+" "+entry.Kind]++
 	}
 	if kinds["rollout replay"] != 1 || kinds["live send"] != 1 {
-		t.Fatalf("dispatches: %v", kinds)
+		t.Fatalf("got dispatches %v, want one rollout replay and one live send", kinds)
 	}
 }
 
-// TestDrainFinishesStreamsAndRefusesNewWork stops a gateway under a running stream.
+// TestDrainFinishesStreamsAndRefusesNewWork drains a gateway with a running stream. The stream must be completed,
+// and new requests must be refused as not run.
 func TestDrainFinishesStreamsAndRefusesNewWork(t *testing.T) {
 	f := newFixture(t, 1, 1, 1, nil)
 	f.engines[0].SetFaults(enginestandin.Faults{})
@@ -212,7 +224,7 @@
 		streamed <- f.post(t, 0, "/v1/completions", `{"model":"copy","prompt":"`+long+`","stream":true}`)
 	}()
 	f.awaitDispatch(t)
-	f.gateways[0].inFlight.Add(1) // keeps the drain from ending before the new work came
+	f.gateways[0].inFlight.Add(1) // keeps the drain from ending before the new request arrives
 	drained := make(chan error)
 	go func() { drained <- f.gateways[0].Drain(context.Background()) }()
 	for !f.gateways[0].draining.Load() {
@@ -220,42 +232,43 @@
 	}
 	refused := f.push(t, 0, "k", "{}")
 	if refused.status != 503 || refused.header.Get(verdict.Header) != "did-not-run" || refused.header.Get(HeaderRetryAfter) == "" {
-		t.Fatalf("%+v", refused)
+		t.Fatalf("got %+v, want status 503 with the verdict did-not-run and a Retry-After", refused)
 	}
-	f.expectNotReady(t, errDraining)
+	f.requireNotReady(t, errDraining)
 	f.gateways[0].inFlight.Add(-1)
-	streamedText(t, long, (<-streamed).body)
+	checkStreamedText(t, long, (<-streamed).body)
 	if err := <-drained; err != nil {
 		t.Fatal(err)
 	}
-	if !f.controls[0].left || f.ran("k") != 0 {
-		t.Fatal("the gateway did not leave, or a refused request ran")
+	if !f.controls[0].left || f.executions("k") != 0 {
+		t.Fatal("the gateway did not leave the membership, or a refused request ran")
 	}
 }
 
-// TestCallerThatLeavesFreesItsSlot closes a stream early.
+// TestCallerThatLeavesFreesItsSlot guards against a slot that stays occupied after its caller closed the stream
+// early.
 func TestCallerThatLeavesFreesItsSlot(t *testing.T) {
 	f := newFixture(t, 1, 0, 1, nil)
 	f.cluster.change(t, [3]string{"copy", "max_in_flight", "1"})
-	f.leaveStream(t, "x [tokens=20000]")
-	streamedText(t, prompt, f.post(t, 0, "/v1/completions", completion(true)).body)
+	f.abandonStream(t, "x [tokens=20000]")
+	checkStreamedText(t, prompt, f.post(t, 0, "/v1/completions", completion(true)).body)
 	f.awaitCancelled(t, "x [tokens=20000]")
 }
 
-// TestCancelReachesARestartedEngine has the engine restart on its address between two cancels, so that the
-// connection that the gateway kept from the first is dead at the second.
+// TestCancelReachesARestartedEngine guards against a cancel that is lost on a dead connection. The engine restarts
+// on its address between two cancels, so that the connection kept from the first one is dead at the second.
 func TestCancelReachesARestartedEngine(t *testing.T) {
 	f := newFixture(t, 1, 0, 1, nil)
-	f.leaveStream(t, "x [tokens=20000]")
+	f.abandonStream(t, "x [tokens=20000]")
 	f.awaitCancelled(t, "x [tokens=20000]")
 	f.engines[0].Crash()
 	f.engines[0].Restart("w1", 1)
-	f.leaveStream(t, "y [tokens=20000]")
+	f.abandonStream(t, "y [tokens=20000]")
 	f.awaitCancelled(t, "y [tokens=20000]")
 }
 
-// leaveStream calls for a stream and leaves once it has begun.
-func (f *fixture) leaveStream(t *testing.T, prompt string) {
+// abandonStream requests a stream and disconnects after its first bytes.
+func (f *fixture) abandonStream(t *testing.T, prompt string) {
 	t.Helper()
 	response, err := http.Post("http://"+f.gateways[0].Address()+"/v1/completions", "application/json",
 		strings.NewReader(`{"model":"copy","prompt":"`+prompt+`","stream":true}`))
@@ -266,16 +279,16 @@
 	_ = response.Body.Close()
 }
 
-// awaitCancelled waits for the end of a prompt's stream, which must be a cancel.
+// awaitCancelled waits until the stream of a prompt has ended, and fails unless it was cancelled.
 func (f *fixture) awaitCancelled(t *testing.T, prompt string) {
 	t.Helper()
-	for { // the stream's own end bounds it
+	for { // bounded, because the stream ends by itself
 		for _, entry := range f.engines[0].Log() {
 			if entry.Prompt != prompt {
 				continue
 			}
 			if entry.Outcome != enginestandin.OutcomeCancelled {
-				t.Fatalf("the abandoned stream was not cancelled: %+v", entry)
+				t.Fatalf("got %+v, want the abandoned stream cancelled", entry)
 			}
 			return
 		}
--- a/internal/gateway/collector.go
+++ b/internal/gateway/collector.go
@@ -10,13 +10,13 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// The reasons why a gateway is not ready.
+// Reasons why a gateway is not ready.
 var (
 	errDraining = errors.New("draining: what is in flight is finished, new requests are refused")
 	errNoLease  = errors.New("out of touch with the control nodes: the lease on the table has lapsed")
 )
 
-// Ready implements metrics.Process: a gateway takes requests while it holds a lease and does not drain.
+// Ready implements metrics.Process. A gateway is ready while it holds a lease and is not draining.
 func (s *Server) Ready(context.Context) error {
 	if s.draining.Load() {
 		return errDraining
@@ -30,7 +30,7 @@
 // Collector implements metrics.Process.
 func (s *Server) Collector() prometheus.Collector { return &collector{server: s} }
 
-// collector reads the gateway's state at each scrape, and its counters.
+// collector exports the gateway's counters and, at each scrape, gauges of its state.
 type collector struct{ server *Server }
 
 func describe(name, help string, labels ...string) *prometheus.Desc {
@@ -53,25 +53,25 @@
 	backendsDesc     = describe("pool_backends", "Back ends of the pool by condition: serving, draining (by table, load report or refusal), quarantined after failures, or silent: it answers no load poll.", "pool", "condition")
 )
 
-// stateDescs are the metrics that collect makes itself.
+// stateDescs are the descriptions of the gauges that Collect reads from the gateway's state.
 var stateDescs = []*prometheus.Desc{inFlightDesc, settlementsDesc, connectionsDesc, bufferedDesc, bufferLimitDesc, leaseDesc,
 	tableVersionDesc, drainingDesc, slotsDesc, slotsInUseDesc, rolloutsDesc, queueDesc, backendsDesc}
 
 // Describe implements prometheus.Collector.
-func (c *collector) Describe(descs chan<- *prometheus.Desc) {
+func (c *collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, desc := range stateDescs {
-		descs <- desc
+		ch <- desc
 	}
-	for _, counter := range c.server.counts.all() {
-		counter.Describe(descs)
+	for _, counter := range c.server.metrics.collectors() {
+		counter.Describe(ch)
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (c *collector) Collect(found chan<- prometheus.Metric) {
+func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	s := c.server
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
-		found <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
+		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
 	version, leased := s.config.Control.Admit()
 	gauge(inFlightDesc, float64(s.inFlight.Load()))
@@ -93,12 +93,12 @@
 		gauge(backendsDesc, float64(status.quarantined), name, "quarantined")
 		gauge(backendsDesc, float64(status.silent), name, "silent")
 	}
-	for _, counter := range s.counts.all() {
-		counter.Collect(found)
+	for _, counter := range s.metrics.collectors() {
+		counter.Collect(ch)
 	}
 }
 
-// poolStatus is what operators see of a pool at this gateway.
+// poolStatus is a snapshot of a pool's slots and back ends, as exported in metrics.
 type poolStatus struct {
 	slots, inFlight, rollouts, waiting     int
 	serving, draining, quarantined, silent int
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,6 +1,6 @@
-// Package gateway is the server that callers talk to. It drives admission, routing and one dispatch
-// machine per request under the lease of a control session, streams answers back, and keeps claims of
-// non-repeatable requests in the ledger.
+// Package gateway implements the HTTP server that callers talk to. For each request it runs admission, routing and
+// one dispatch state machine under the lease of a control session, streams the answer back, and records the claims
+// of non-repeatable requests in the ledger.
 package gateway
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/tamarindring/tamarindring/internal/routing"
 )
 
-// Defaults of Config.
+// Defaults of Config, and fixed limits of the server.
 const (
 	DefaultMaxBodyBytes   = 256 << 20
 	DefaultBufferBytes    = 1 << 20
@@ -40,89 +40,92 @@
 	DefaultMaxSettling    = 256
 	defaultShutdownRetry  = time.Second
 	maxHeaderBytes        = 16 << 10
-	refreshInterval       = 200 * time.Millisecond
-	// loadPollsPerSecond bounds the load polls of one gateway: with more back ends than it allows at
-	// LoadInterval each is polled less often, down to maximumLoadInterval.
+	gatewayCheckInterval  = 200 * time.Millisecond
+	// loadPollsPerSecond bounds the load polls of one gateway. With more back ends than it allows at LoadInterval,
+	// each is polled less often, down to once per maxLoadInterval.
 	loadPollsPerSecond = 48
-	// loadBytesPerSecond bounds their traffic where reports are large: two thirds of a node's 21 KB/s.
-	loadBytesPerSecond  = 14_000
-	maximumLoadInterval = 2 * time.Second
+	// loadBytesPerSecond bounds the traffic of load polls where reports are large. It is two thirds of a node's 21
+	// KB/s.
+	loadBytesPerSecond = 14_000
+	maxLoadInterval    = 2 * time.Second
 )
 
-// Config holds a gateway's settings. Control is required, everything else has a default.
+// Config holds a gateway's settings. Name and Control are required. Every other field has a default.
 type Config struct {
 	// Name is the gateway's unique member name. Required.
 	Name string
-	// Listen is the callers' IP:port; port 0 takes a free one. Ignored when Listener is set.
+	// Listen is the IP:port for callers. Port 0 selects a free port. Ignored when Listener is set.
 	Listen string
-	// Listener is an already bound listener; the gateway closes it.
+	// Listener is an already bound listener. The gateway closes it.
 	Listener net.Listener
-	// Zone and Region of this gateway; back ends of the same zone are preferred.
+	// Zone and Region locate this gateway. Back ends in the same zone are preferred.
 	Zone   string
 	Region string
 	// Control is the session with the control group. Required.
 	Control Control
-	// Guard checks the tokens of callers, nodes and operators. Nil: none are asked for.
+	// Guard checks the bearer tokens of callers, nodes and operators. Nil disables authorization.
 	Guard *credentials.Guard
-	// Suspects permits the runs of requests and is told how they ended; set by Open. Nil: all are permitted.
+	// Suspects decides whether a request may run, given the back ends that crashed under it, and is told how each
+	// run ended. Open sets it. Nil permits every run.
 	Suspects *poisonguard.Guard
-	// Policy chooses among replicas. Default routing.Balanced.
+	// Policy selects a replica for each request. Default routing.Balanced.
 	Policy routing.Policy
-	// Routing are the parameters of the choice; zero fields take their defaults.
+	// Routing holds the routing parameters. Zero fields take their defaults.
 	Routing routing.Settings
-	// Subset says how many back ends of a large pool this gateway uses. All gateways must agree on it;
-	// zero fields take their defaults.
+	// Subset determines how many back ends of a large pool this gateway uses. All gateways must have the same
+	// settings. Zero fields take their defaults.
 	Subset routing.SubsetSettings
-	// MaxBodyBytes bounds a request's body. Default 256 MiB: an hour of call audio.
+	// MaxBodyBytes bounds the size of a request body. Default 256 MiB, which holds an hour of call audio.
 	MaxBodyBytes int64
-	// BufferBytes is how much of a body is held, so that it can be sent again; a larger body is streamed
-	// through and sent once. Default 1 MiB.
+	// BufferBytes is the largest body that is buffered, so that it can be sent more than once. A larger body is
+	// streamed through and sent only once. Default 1 MiB.
 	BufferBytes int
-	// MaxBufferedBytes bounds what all requests together hold of bodies and streamed texts. At the bound
-	// a new body is refused as not run, and a stream that grows is no longer held for a replay. Default
-	// 512 MiB.
+	// MaxBufferedBytes bounds the memory for bodies and streamed texts of all requests together. At the bound a new
+	// body is refused with the verdict that it did not run, and the text of a growing stream is no longer held for
+	// a replay. Default 512 MiB.
 	MaxBufferedBytes int64
-	// MaxAnswerBytes bounds an answer that is not streamed. Default 16 MiB.
+	// MaxAnswerBytes bounds the size of an answer that is not streamed. Default 16 MiB.
 	MaxAnswerBytes int
-	// StoredAnswerBytes bounds the answers that are kept under a key; a larger one is not kept, and a
-	// resend of its key learns only that it ran. Default 64 KiB.
+	// StoredAnswerBytes is the largest answer that the ledger stores under an idempotency key. A larger answer is
+	// not stored, and a resend of the key learns only that the request ran. Default 64 KiB.
 	StoredAnswerBytes int
-	// MaxConnections bounds the callers' connections; more are closed at once. Default 16384.
+	// MaxConnections bounds the open connections of callers. Further connections are refused and closed. Default
+	// 16384.
 	MaxConnections int
-	// MaxConnectionsPerAddress bounds the connections from one IP number, so that one machine cannot shut
-	// others out. Default a quarter of MaxConnections.
+	// MaxConnectionsPerAddress bounds the connections from one IP address, so that a single machine cannot use up
+	// MaxConnections. Default a quarter of MaxConnections.
 	MaxConnectionsPerAddress int
-	// ReadTimeout bounds reading one request, so that a slow sender holds a connection no longer; a body
-	// larger than BufferBytes may take longer while it keeps up MinBodyRate. Default 30s.
+	// ReadTimeout bounds reading one request, so that a slow sender does not hold a connection indefinitely. A body
+	// larger than BufferBytes may take longer as long as it keeps up MinBodyRate. Default 30s.
 	ReadTimeout time.Duration
-	// MinBodyRate is the least mean rate of a body larger than BufferBytes, in bytes per second. Default
-	// 64 KiB/s: four times the rate of uncompressed call audio.
+	// MinBodyRate is the minimum mean rate of a body larger than BufferBytes, in bytes per second. Default 64
+	// KiB/s, four times the rate of uncompressed call audio.
 	MinBodyRate int
-	// IdleTimeout closes connections without requests. Default 2m.
+	// IdleTimeout is the time after which an idle keep-alive connection is closed. Default 2m.
 	IdleTimeout time.Duration
 	// WriteTimeout bounds writing one part of an answer to a caller that does not read. Default 30s.
 	WriteTimeout time.Duration
 	// ConnectTimeout bounds connecting to a back end. Default 500ms.
 	ConnectTimeout time.Duration
-	// ClaimTimeout bounds one ledger command. Default 2s.
+	// ClaimTimeout bounds the execution of one ledger command. Default 2s.
 	ClaimTimeout time.Duration
-	// LoadInterval is the least time between two polls of a back end's load report. Default 250ms.
+	// LoadInterval is the minimum time between two load polls of one back end. Default 250ms.
 	LoadInterval time.Duration
-	// RetriesPerSecond and RetryBurst are the budget of retries over all requests. Defaults 50 and 200: a
-	// crash of an engine with 200 streams is survived at once, a failing pool is not buried.
+	// RetriesPerSecond and RetryBurst set the retry budget of all requests together. Defaults 50 and 200: the crash
+	// of an engine with 200 streams is absorbed at once, and a failing pool is not overloaded by retries.
 	RetriesPerSecond float64
 	RetryBurst       float64
-	// LogEntries is how many dispatches GET /v1/log remembers. Default 65536.
+	// LogEntries is the number of dispatches that GET /v1/log keeps. Default 65536.
 	LogEntries int
-	// MaxSettlements bounds the requests that are answered but still have to tell the ledger how they
-	// ended; at the bound new requests with a key are refused. Default 8192.
+	// MaxSettlements bounds the answered requests whose outcome is not yet recorded in the ledger. At the bound,
+	// new requests with an idempotency key are refused. Default 8192.
 	MaxSettlements int
-	// MaxSettling bounds how many of them tell a ledger group at once; while the group does not answer, they are
-	// fewer, down to one. Default 256: 10,000 a second at 25 ms each.
+	// MaxSettling bounds how many of those requests send commands to one ledger group concurrently. While the group
+	// does not respond, the limit falls, down to one. Default 256: 10,000 a second at 25 ms each.
 	MaxSettling int
-	// Dispatch are the parameters of a request's life; Random and Budget are set by the gateway.
+	// Dispatch holds the settings of the dispatch machine. The gateway sets Random and Budget.
 	Dispatch dispatch.Settings
-	// Log receives short sentences. Default: nothing.
+	// Log receives the gateway's log. Default: logging is discarded.
 	Log *logrus.Entry
 }
 
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -7,27 +7,27 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Control is what a gateway needs of the control group: a lease on a table view, and the ledger.
+// Control is the part of a control session that a gateway uses: a lease on a table view, and the ledger.
 type Control interface {
-	// Admit says whether the lease holds at this instant and for which table version.
+	// Admit reports whether the lease is valid now, and the table version it holds for.
 	Admit() (version uint64, ok bool)
-	// View returns the current table.
+	// View returns the current table view.
 	View() *table.View
-	// OnUpdate calls listener with each new view before it is acknowledged.
+	// OnUpdate registers a listener, which is called with each new view before the view is acknowledged.
 	OnUpdate(listener func(*table.View))
-	// Members returns the members as last heard.
+	// Members returns the latest member list.
 	Members() *wire.MembersView
-	// Owner is the name under which this process owns claims.
+	// Owner returns the name under which this process owns claims.
 	Owner() string
-	// ClaimGroup returns the ledger group of a key.
+	// ClaimGroup returns the ledger group of an idempotency key.
 	ClaimGroup(key string) uint32
 	// Ticket returns the highest ledger index of a group that this process knows.
 	Ticket(group uint32) uint64
-	// Execute applies a command in a group; it goes on until ctx ends.
+	// Execute applies a command in a group. It retries until ctx ends.
 	Execute(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, error)
-	// Query reads a group linearizably.
+	// Query reads from a group linearizably.
 	Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
-	// Leave gives up membership for a planned stop.
+	// Leave ends the membership as part of a planned shutdown.
 	Leave(ctx context.Context) error
 	// Close ends the session abruptly.
 	Close() error
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -23,20 +23,20 @@
 // ledgerGroup is the fake's only ledger group.
 const ledgerGroup = 1
 
-// fakeCluster is a control group in memory: the real state machine behind one lock, without consensus.
+// fakeCluster is an in-memory control group: the real state machines behind one lock, without consensus.
 type fakeCluster struct {
-	mutex   sync.Mutex
-	machine *state.Machine
-	ledger  *state.Machine
-	index   uint64
-	holders []*fakeControl
+	mutex    sync.Mutex
+	machine  *state.Machine
+	ledger   *state.Machine
+	index    uint64
+	controls []*fakeControl
 }
 
 func newFakeCluster() *fakeCluster {
 	return &fakeCluster{machine: state.New(), ledger: state.New()}
 }
 
-// change makes a table change and passes it to every holder.
+// change applies a table change and passes the update to every control session.
 func (c *fakeCluster) change(t *testing.T, cells ...[3]string) {
 	t.Helper()
 	change := &wire.TableChange{ChangeId: time.Now().String(), Operator: "test", Note: table.ForceNote}
@@ -49,10 +49,10 @@
 	c.index++
 	result := c.machine.Apply(c.index, &wire.Command{Kind: &wire.Command_TableChange{TableChange: change}})
 	if result.GetTable().GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
-		t.Fatalf("table change: %v", result)
+		t.Fatalf("table change was not accepted: %v", result)
 	}
-	for _, holder := range c.holders {
-		holder.take(c.machine)
+	for _, control := range c.controls {
+		control.applyUpdate(c.machine)
 	}
 }
 
@@ -60,8 +60,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	control := &fakeControl{cluster: c, name: name, view: table.NewView(), leased: true}
-	control.take(c.machine)
-	c.holders = append(c.holders, control)
+	control.applyUpdate(c.machine)
+	c.controls = append(c.controls, control)
 	return control
 }
 
@@ -70,19 +70,19 @@
 	cluster *fakeCluster
 	name    string
 
-	mutex     sync.Mutex
-	view      *table.View
-	listeners []func(*table.View)
-	leased    bool
-	ticket    uint64
-	left      bool
-	lost      map[string]int // kinds of ledger command whose replies are lost, and how often
-	down      bool           // the ledger does not answer at all
-	settling  int            // releases and outcomes under way
-	settled   int            // most of them at once
+	mutex                  sync.Mutex
+	view                   *table.View
+	listeners              []func(*table.View)
+	leased                 bool
+	ticket                 uint64
+	left                   bool
+	lostReplies            map[string]int // by kind of ledger command: replies still to be lost
+	ledgerDown             bool           // the ledger answers no command
+	settlementsInFlight    int            // finish and release commands in flight
+	maxSettlementsInFlight int            // highest value of settlementsInFlight so far
 }
 
-func (f *fakeControl) take(machine *state.Machine) {
+func (f *fakeControl) applyUpdate(machine *state.Machine) {
 	f.mutex.Lock()
 	view, err := f.view.Apply(machine.TableUpdate(f.view.Version()))
 	if err != nil {
@@ -121,7 +121,7 @@
 func (f *fakeControl) Close() error                { return nil }
 func (f *fakeControl) set(change func())           { f.mutex.Lock(); defer f.mutex.Unlock(); change() }
 func (f *fakeControl) loseReplies(kind string, n int) {
-	f.set(func() { f.lost = map[string]int{kind: n} })
+	f.set(func() { f.lostReplies = map[string]int{kind: n} })
 }
 
 func (f *fakeControl) Ticket(uint32) uint64 {
@@ -130,7 +130,7 @@
 	return f.ticket
 }
 
-func kindOf(command *wire.Command) string {
+func commandKind(command *wire.Command) string {
 	switch command.Kind.(type) {
 	case *wire.Command_ClaimBegin:
 		return "begin"
@@ -146,14 +146,14 @@
 
 func (f *fakeControl) Execute(ctx context.Context, _ uint32, command *wire.Command) (*wire.Result, error) {
 	f.mutex.Lock()
-	down, lose := f.down, f.lost[kindOf(command)] > 0
+	down, lose := f.ledgerDown, f.lostReplies[commandKind(command)] > 0
 	if lose {
-		f.lost[kindOf(command)]--
+		f.lostReplies[commandKind(command)]--
 	}
-	if kind := kindOf(command); kind == "release" || kind == "finish" {
-		f.settling++
-		f.settled = max(f.settled, f.settling)
-		defer f.set(func() { f.settling-- })
+	if kind := commandKind(command); kind == "release" || kind == "finish" {
+		f.settlementsInFlight++
+		f.maxSettlementsInFlight = max(f.maxSettlementsInFlight, f.settlementsInFlight)
+		defer f.set(func() { f.settlementsInFlight-- })
 	}
 	f.mutex.Unlock()
 	if down {
@@ -177,7 +177,7 @@
 	return f.cluster.ledger.Query(query), nil
 }
 
-// fixture is a small fleet on loopback.
+// fixture is a small fleet on the loopback interface.
 type fixture struct {
 	cluster  *fakeCluster
 	engines  []*enginestandin.Server
@@ -186,19 +186,21 @@
 	controls []*fakeControl
 }
 
-// stepTime keeps the emulated engines quick.
-const stepTime = time.Millisecond
+// engineStepTime keeps the emulated engines fast.
+const engineStepTime = time.Millisecond
 
-// detachGrace is so long that only a gateway's cancel ends a stream that nobody reads.
+// detachGrace is so long that an unread stream ends only when a gateway cancels it.
 const detachGrace = time.Hour
 
-func quickEngine() engine.Parameters {
+func fastEngineParameters() engine.Parameters {
 	parameters := engine.DefaultParameters()
-	parameters.StepBase = stepTime
+	parameters.StepBase = engineStepTime
 	return parameters
 }
 
-func newFixture(t *testing.T, engines, apps, gateways int, tune func(*Config)) *fixture {
+// newFixture starts the given numbers of engines in the pool copy, applications in the pool push, and gateways.
+// configure, unless nil, adjusts the settings of each gateway.
+func newFixture(t *testing.T, engines, apps, gateways int, configure func(*Config)) *fixture {
 	t.Helper()
 	f := &fixture{cluster: newFakeCluster()}
 	cells := [][3]string{{"copy", "kind", "pool"}, {"push", "kind", "pool"}, {"push", "service", "application"}}
@@ -207,7 +209,7 @@
 	}
 	for i := range engines {
 		server, err := enginestandin.New(enginestandin.Config{Name: "e" + string(rune('0'+i)), Listen: "127.0.0.1:0",
-			Parameters: quickEngine(), DetachGrace: detachGrace, InitialVersion: "w1", InitialVersionNumber: 1, Log: logging.Discard()})
+			Parameters: fastEngineParameters(), DetachGrace: detachGrace, InitialVersion: "w1", InitialVersionNumber: 1, Log: logging.Discard()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,8 +231,8 @@
 		name := "g" + string(rune('0'+i))
 		control := f.cluster.control(name)
 		config := Config{Name: name, Listen: "127.0.0.1:0", Control: control, LoadInterval: 20 * time.Millisecond}
-		if tune != nil {
-			tune(&config)
+		if configure != nil {
+			configure(&config)
 		}
 		server, err := New(config)
 		if err != nil {
@@ -243,13 +245,13 @@
 	return f
 }
 
-type runner interface {
+type runnable interface {
 	Run(context.Context) error
 	Close() error
 }
 
 // run serves until the test ends.
-func run(t *testing.T, server runner) {
+func run(t *testing.T, server runnable) {
 	t.Helper()
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -264,21 +266,22 @@
 	})
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller got.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// post calls a gateway; headers are pairs of name and value.
+// post sends a request to a gateway. headers are pairs of name and value.
 func (f *fixture) post(t *testing.T, gateway int, path, body string, headers ...string) answer {
 	t.Helper()
-	return f.postNoting(t, gateway, path, body, func() {}, headers...)
+	return f.postAndNotify(t, gateway, path, body, func() {}, headers...)
 }
 
-// postNoting calls a gateway and then begun, once the first bytes of the answer's body are here.
-func (f *fixture) postNoting(t *testing.T, gateway int, path, body string, begun func(), headers ...string) answer {
+// postAndNotify sends a request to a gateway and calls onFirstByte once the first bytes of the answer's body have
+// arrived.
+func (f *fixture) postAndNotify(t *testing.T, gateway int, path, body string, onFirstByte func(), headers ...string) answer {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.gateways[gateway].Address()+path, strings.NewReader(body))
 	if err != nil {
@@ -294,8 +297,8 @@
 	}
 	defer response.Body.Close()
 	reader := bufio.NewReader(response.Body)
-	_, _ = reader.Peek(1) // what fails here fails below
-	begun()
+	_, _ = reader.Peek(1) // an error here recurs in the read below
+	onFirstByte()
 	content, err := io.ReadAll(reader)
 	if err != nil {
 		t.Fatalf("reading the answer: %v", err)
@@ -303,13 +306,14 @@
 	return answer{status: response.StatusCode, header: response.Header, body: string(content)}
 }
 
+// push sends a request with an idempotency key to the application pool.
 func (f *fixture) push(t *testing.T, gateway int, key, body string, headers ...string) answer {
 	t.Helper()
 	return f.post(t, gateway, "/v1/pools/push/push", body, append([]string{HeaderKey, key}, headers...)...)
 }
 
-// ran returns how often a key ran over all application replicas.
-func (f *fixture) ran(key string) int {
+// executions returns how often a key ran, summed over all application replicas.
+func (f *fixture) executions(key string) int {
 	count := 0
 	for _, app := range f.apps {
 		count += app.Executions(key)
--- a/internal/gateway/firstpoll.go
+++ b/internal/gateway/firstpoll.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// firstPollLimit bounds how long callers wait at the start for the first load reports.
-	firstPollLimit = 500 * time.Millisecond
-	firstPollPause = 2 * time.Millisecond
+	// firstPollTimeout bounds how long a starting gateway waits for the first load reports before it serves
+	// callers.
+	firstPollTimeout       = 500 * time.Millisecond
+	firstPollCheckInterval = 2 * time.Millisecond
 )
 
-// awaitFirstPolls waits until every back end was asked for its load once, so that a gateway that starts while
-// a back end is leaving sends nothing to it. One that does not answer in time is not waited for. It returns
-// false when ctx ends.
+// awaitFirstPolls waits until every back end in use was polled for its load once, so that a gateway that starts
+// while a back end is leaving sends nothing to it. It stops waiting after firstPollTimeout. It returns false if ctx
+// ends.
 func (s *Server) awaitFirstPolls(ctx context.Context) bool {
-	limit := time.NewTimer(firstPollLimit)
+	limit := time.NewTimer(firstPollTimeout)
 	defer limit.Stop()
-	ticker := time.NewTicker(firstPollPause)
+	ticker := time.NewTicker(firstPollCheckInterval)
 	defer ticker.Stop()
-	for s.unasked() {
+	for s.hasUnpolledReplica() {
 		select {
 		case <-ctx.Done():
 			return false
@@ -31,10 +32,10 @@
 	return ctx.Err() == nil
 }
 
-// unasked tells whether some back end in use was not asked for its load yet.
-func (s *Server) unasked() bool {
+// hasUnpolledReplica reports whether some back end in use was not polled for its load yet.
+func (s *Server) hasUnpolledReplica() bool {
 	for _, p := range s.pools.Load().byName {
-		if p.unasked() {
+		if p.hasUnpolledReplica() {
 			return true
 		}
 	}
--- a/internal/gateway/foreign_test.go
+++ b/internal/gateway/foreign_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// streamHead begins a streamed answer that names a request, or none when id is empty.
+// streamHead returns the beginning of a streamed answer that names a request, or names none if id is empty.
 func streamHead(id string) string {
 	if id == "" {
 		return sseHeader
@@ -22,31 +22,32 @@
 	"data: [DONE]\n\n"
 
 func streamBody(words string) string {
-	return chunkOf(tokenEvent(0, words)) + chunkOf(streamFinish) + "0\r\n\r\n"
+	return formatChunk(formatTokenEvent(0, words)) + formatChunk(streamFinish) + "0\r\n\r\n"
 }
 
-// checkStreams sends requests one after the other; each whole answer must be its own. It returns how many
-// were whole.
+// checkStreams sends requests one after another, fails if an answer contains tokens of another request, and returns
+// the number of complete answers.
 func checkStreams(t *testing.T, f *fixture, requests int) int {
 	t.Helper()
-	wholeOnes := 0
+	complete := 0
 	for range requests {
 		got := f.post(t, 0, "/v1/completions", completion(true))
 		if strings.Contains(got.body, "stale") {
-			t.Fatalf("another request's tokens: %s", got.body)
+			t.Fatalf("got another request's tokens: %s", got.body)
 		}
 		if strings.Contains(got.body, "[DONE]") {
-			wholeOnes++
+			complete++
 			if strings.Count(got.body, "own") != 1 {
-				t.Fatalf("not its own tokens once: %s", got.body)
+				t.Fatalf("want the request's own tokens exactly once, got %s", got.body)
 			}
 		}
 	}
-	return wholeOnes
+	return complete
 }
 
-// TestBytesBehindAStreamReachNobodyElse has a back end that goes on writing behind a stream's end.
-func TestBytesBehindAStreamReachNobodyElse(t *testing.T) {
+// TestBytesAfterStreamEndAreNotDelivered guards against tokens that reach another request because the back end goes
+// on writing after the end of a stream.
+func TestBytesAfterStreamEndAreNotDelivered(t *testing.T) {
 	for name, naming := range map[string]bool{"names no request": false, "names the request": true} {
 		t.Run(name, func(t *testing.T) {
 			backend := newRawBackend(t, func(conn net.Conn, request *http.Request, n int64) {
@@ -55,12 +56,12 @@
 					head = streamHead(request.Header.Get(HeaderRequestID))
 				}
 				late := streamBody("stale ")
-				fmt.Fprint(conn, head+chunkOf(tokenEvent(0, fmt.Sprintf("own%d ", n))+streamFinish))
+				fmt.Fprint(conn, head+formatChunk(formatTokenEvent(0, fmt.Sprintf("own%d ", n))+streamFinish))
 				switch n % 3 {
 				case 0:
-					fmt.Fprint(conn, late) // in the same body
+					fmt.Fprint(conn, late) // within the same body
 				case 1:
-					fmt.Fprint(conn, "0\r\n\r\n"+head+late) // as an answer that nobody asked for
+					fmt.Fprint(conn, "0\r\n\r\n"+head+late) // as an answer without a request
 				default:
 					fmt.Fprint(conn, "0\r\n\r\n")
 					go func() {
@@ -69,16 +70,17 @@
 					}()
 				}
 			})
-			if wholeOnes := checkStreams(t, rawFixture(t, backend), 40); wholeOnes < 20 {
-				t.Fatalf("only %d of 40 streams were whole", wholeOnes)
+			if complete := checkStreams(t, newRawFixture(t, backend), 40); complete < 20 {
+				t.Fatalf("%d of 40 streams were complete, want at least 20", complete)
 			}
 		})
 	}
 }
 
-// TestLateStreamInFrontOfAnAnswerReachesNobody has a back end that answers the earlier request of a connection
-// once more when it has read the next one: behind every check of the idle connection.
-func TestLateStreamInFrontOfAnAnswerReachesNobody(t *testing.T) {
+// TestLateStreamBeforeAnswerIsNotDelivered guards against a second answer to an earlier request that is taken for
+// the next one's. The back end writes it only after it has read the next request, so that no check of the idle
+// connection can detect it.
+func TestLateStreamBeforeAnswerIsNotDelivered(t *testing.T) {
 	for name, heads := range map[string]struct{ own, late func(id string) string }{
 		"no answer names its request":   {func(string) string { return sseHeader }, func(string) string { return sseHeader }},
 		"the late answer names none":    {streamHead, func(string) string { return sseHeader }},
@@ -98,14 +100,15 @@
 				}
 				fmt.Fprint(conn, heads.own(id)+streamBody("own "))
 			})
-			if wholeOnes := checkStreams(t, rawFixture(t, backend), 10); wholeOnes < 5 {
-				t.Fatalf("only %d of 10 streams were whole", wholeOnes)
+			if complete := checkStreams(t, newRawFixture(t, backend), 10); complete < 5 {
+				t.Fatalf("%d of 10 streams were complete, want at least 5", complete)
 			}
 		})
 	}
 }
 
-// TestChunkOfAnotherRequestEndsTheStream has chunks that name another request within one answer.
+// TestChunkOfAnotherRequestEndsTheStream guards against tokens of another request within one answer. The second
+// chunk names another request than the first.
 func TestChunkOfAnotherRequestEndsTheStream(t *testing.T) {
 	named := func(id, event string) string { return strings.Replace(event, "{", `{"id":"`+id+`",`, 1) }
 	for name, ids := range map[string]func(own string) (string, string){
@@ -115,29 +118,31 @@
 		t.Run(name, func(t *testing.T) {
 			backend := newRawBackend(t, func(conn net.Conn, request *http.Request, _ int64) {
 				own, other := ids(request.Header.Get(HeaderRequestID))
-				fmt.Fprint(conn, sseHeader+chunkOf(named(own, tokenEvent(0, "own ")))+
-					chunkOf(named(other, tokenEvent(1, "stale ")))+chunkOf(streamFinish)+"0\r\n\r\n")
+				fmt.Fprint(conn, sseHeader+formatChunk(named(own, formatTokenEvent(0, "own ")))+
+					formatChunk(named(other, formatTokenEvent(1, "stale ")))+formatChunk(streamFinish)+"0\r\n\r\n")
 			})
-			got := rawFixture(t, backend).post(t, 0, "/v1/completions", completion(true))
+			got := newRawFixture(t, backend).post(t, 0, "/v1/completions", completion(true))
 			if strings.Contains(got.body, "stale") || strings.Contains(got.body, "[DONE]") || !strings.Contains(got.body, `"error"`) {
-				t.Fatalf("%+v", got)
+				t.Fatalf("got %+v, want an error event and neither foreign tokens nor an end mark", got)
 			}
 		})
 	}
 }
 
-// TestChunkIdentityIsComparedWhole covers the forms in which engines give a request's identity back.
-func TestChunkIdentityIsComparedWhole(t *testing.T) {
+// TestChunkIDIsComparedWhole covers the forms in which engines return a request's ID, and IDs of which the
+// request's own ID is a prefix.
+func TestChunkIDIsComparedWhole(t *testing.T) {
 	const prefix, own = "p-", "p-1"
 	for id, other := range map[string]bool{"p-1": false, "cmpl-p-1": false, "cmpl-p-1-0": false, "chatcmpl-x": false,
 		"p-12": true, "p-1.1": true, "cmpl-p-2": true} {
-		if namesOther([]byte(id), prefix, own) != other {
-			t.Errorf("%s: named as another's: %v", id, !other)
+		if namesOtherRequest([]byte(id), prefix, own) != other {
+			t.Errorf("ID %s: got %v for naming another request, want the opposite", id, !other)
 		}
 	}
 }
 
-// TestConnectionIsKeptOnlyWhenAnswersNameTheirRequest counts connections.
+// TestConnectionIsKeptOnlyWhenAnswersNameTheirRequest guards against the reuse of a connection on which a late
+// answer could not be recognized.
 func TestConnectionIsKeptOnlyWhenAnswersNameTheirRequest(t *testing.T) {
 	const requests = 5
 	for name, want := range map[string]int{"names the request": 1, "names no request": requests} {
@@ -152,12 +157,12 @@
 					fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
 					return
 				}
-				whole(conn, request, "{}")
+				writeAnswer(conn, request, "{}")
 			})
-			f := rawFixture(t, backend)
+			f := newRawFixture(t, backend)
 			for i := range requests {
 				if got := f.push(t, 0, fmt.Sprint("key-", i), "{}"); got.status != http.StatusOK {
-					t.Fatalf("%+v", got)
+					t.Fatalf("got %+v, want status 200", got)
 				}
 			}
 			mutex.Lock()
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -15,9 +15,9 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// handle routes one request of a caller or an operator.
+// handle routes one HTTP request of a caller or an operator.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if !s.admitToken(ctx) {
+	if !s.authorize(ctx) {
 		return
 	}
 	if ctx.IsPost() {
@@ -34,12 +34,12 @@
 	case "/readyz":
 		metrics.WriteReady(ctx, s.Ready(context.Background()))
 	case "/metrics":
-		s.scrape(ctx)
+		s.metricsHandler(ctx)
 	case "/v1/models":
 		s.handleModels(ctx)
 	case "/v1/log":
 		after, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
-		writeJSON(ctx, logAnswer{Dispatches: s.log.after(after)})
+		writeJSON(ctx, logAnswer{Dispatches: s.dispatchLog.entriesAfter(after)})
 	default:
 		writeRefusal(ctx, http.StatusNotFound, "not_found", "no such path")
 	}
@@ -60,7 +60,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// handleModels lists the model pools, as OpenAI clients ask for them.
+// handleModels lists the model pools in the form of OpenAI's GET /v1/models.
 func (s *Server) handleModels(ctx *fasthttp.RequestCtx) {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for _, row := range s.config.Control.View().Pools() {
@@ -71,7 +71,8 @@
 	writeJSON(ctx, list)
 }
 
-// handleMalformed answers bytes that are no HTTP request, too large headers and slow senders.
+// handleMalformed answers input that fasthttp could not read as a request: invalid HTTP, headers that are too large
+// and senders that are too slow.
 func (s *Server) handleMalformed(ctx *fasthttp.RequestCtx, err error) {
 	status := http.StatusBadRequest
 	var small *fasthttp.ErrSmallBuffer
@@ -86,16 +87,17 @@
 	writeRefusal(ctx, status, CodeMalformed, "the request could not be read: "+err.Error())
 }
 
-// handleCall runs one request's life up to its answer, or up to the opened stream.
+// handleCall processes one request until its answer is written, or until its stream is open.
 func (s *Server) handleCall(ctx *fasthttp.RequestCtx) {
 	c, err := s.readCall(ctx)
 	s.inFlight.Add(1)
-	draining := s.draining.Load() // after the count: Drain sees every request that did not see it
+	// Read after inFlight was incremented, so that Drain waits for every request that reads false.
+	draining := s.draining.Load()
 	if draining {
 		s.inFlight.Add(-1)
 	}
 	if errors.Is(err, errBodyBroken) {
-		s.memory.give(c.reserved)
+		s.memory.release(c.reservedBytes)
 		if !draining {
 			s.inFlight.Add(-1)
 		}
@@ -104,18 +106,18 @@
 		return
 	}
 	x := s.newExchange(ctx, c, s.pool(c.pool))
-	x.late = draining
-	if refusal := s.refusal(x, err); refusal != nil {
-		x.feed(*refusal)
+	x.arrivedDraining = draining
+	if refusal := s.checkCall(x, err); refusal != nil {
+		x.queueEvent(*refusal)
 	} else {
-		x.feed(dispatch.Event{Kind: dispatch.Arrived})
+		x.queueEvent(dispatch.Event{Kind: dispatch.Arrived})
 	}
 	x.drive()
 	if x.answered {
 		x.writeOutcome()
 		x.finishExchange()
-		if x.unread {
-			s.linger(ctx)
+		if x.bodyUnread {
+			s.answerAndDiscardBody(ctx)
 			return
 		}
 		_ = ctx.Conn().SetWriteDeadline(time.Now().Add(s.config.WriteTimeout))
@@ -124,23 +126,24 @@
 	x.startStream()
 }
 
-// refusal returns the event that refuses a request before anything is done with it, or nil.
-func (s *Server) refusal(x *exchange, err error) *dispatch.Event {
-	var wrong *badCall
+// checkCall returns the event that refuses a request before any work is done for it, or nil if the request may
+// proceed. err is the error of reading the call.
+func (s *Server) checkCall(x *exchange, err error) *dispatch.Event {
+	var rejected *callError
 	switch {
-	case errors.As(err, &wrong):
-		if x.call.rest != nil || (len(x.call.body) == 0 && x.call.bodyLength != 0) {
-			x.unread = true
+	case errors.As(err, &rejected):
+		if x.call.remainder != nil || (len(x.call.body) == 0 && x.call.bodyLength != 0) {
+			x.bodyUnread = true
 		}
-		event := &dispatch.Event{Kind: dispatch.Refused, Status: wrong.status, Code: wrong.code, Reason: wrong.reason}
-		if wrong.status == http.StatusServiceUnavailable {
+		event := &dispatch.Event{Kind: dispatch.Refused, Status: rejected.status, Code: rejected.code, Reason: rejected.reason}
+		if rejected.status == http.StatusServiceUnavailable {
 			event.RetryAfter = defaultShutdownRetry
 		}
 		return event
-	case x.late:
+	case x.arrivedDraining:
 		return &dispatch.Event{Kind: dispatch.Refused, Status: http.StatusServiceUnavailable, Code: CodeDraining,
 			Reason: "this gateway is stopping; use another one", RetryAfter: defaultShutdownRetry}
-	case x.pool == nil || x.pool.settings().Service != x.call.service || x.pool.settings().State == table.Removed:
+	case x.pool == nil || x.pool.tableRow().Service != x.call.service || x.pool.tableRow().State == table.Removed:
 		return &dispatch.Event{Kind: dispatch.Refused, Status: http.StatusNotFound, Code: CodeUnknownPool,
 			Reason: "the table has no pool " + strconv.Quote(x.call.pool) + " for this path"}
 	case x.machine.Request().Key != "" && s.settlements.Load() >= int64(s.config.MaxSettlements):
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// startStream hands the rest of the answer to the HTTP library, which reads it from the exchange.
+// startStream opens a streamed answer. fasthttp reads its body from the exchange.
 func (x *exchange) startStream() {
 	x.stream.opened = true
 	x.writeHeaders()
@@ -162,15 +165,16 @@
 	ctx.SetBodyStream(x, -1)
 }
 
-// finishExchange ends the caller's part of a request.
+// finishExchange releases what the request holds, and records it in metrics and log, once its caller has been
+// answered.
 func (x *exchange) finishExchange() {
 	x.dropUpstream()
-	x.leaveBackend(outcomeNeutral)
-	x.server.counts.count(x, x.server.now()-x.arrived)
-	x.logEnd(x.server.now() - x.arrived)
-	x.server.memory.give(x.call.reserved + x.stream.reserved)
-	x.call.body = nil // what waits for the ledger needs only its digest
-	if !x.late {
+	x.releaseBackend(outcomeNeutral)
+	x.server.metrics.recordRequest(x, x.server.now()-x.arrived)
+	x.logOutcome(x.server.now() - x.arrived)
+	x.server.memory.release(x.call.reservedBytes + x.stream.reservedBytes)
+	x.call.body = nil // ledger commands that are still pending need only its digest
+	if !x.arrivedDraining {
 		x.server.inFlight.Add(-1)
 	}
 }
--- a/internal/gateway/linger.go
+++ b/internal/gateway/linger.go
@@ -8,32 +8,32 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Limits of the reading behind an answer that was given before the whole body was read. Closing at once
-// would reset the connection, and the caller would lose the answer.
+// Limits of reading the rest of a body after an early answer. If the connection were closed at once, unread bytes
+// would reset it and the caller would lose the answer.
 const (
-	lingerTime  = 2 * time.Second
-	lingerBytes = 64 << 20
-	maxLingers  = 256
+	discardTimeout  = 2 * time.Second
+	maxDiscardBytes = 64 << 20
+	maxDiscards     = 256
 )
 
-// linger writes the answer that is set, which says that the connection closes, then has the rest of the
-// unread body discarded and closes. When too many connections linger already, this one is closed at once.
-func (s *Server) linger(ctx *fasthttp.RequestCtx) {
+// answerAndDiscardBody writes the prepared answer with "Connection: close", discards the rest of the unread body
+// and closes the connection. If too many connections are being discarded already, this one is closed at once.
+func (s *Server) answerAndDiscardBody(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
 	answer := []byte(ctx.Response.String())
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(conn net.Conn) {
-		_ = conn.SetWriteDeadline(time.Now().Add(lingerTime))
+		_ = conn.SetWriteDeadline(time.Now().Add(discardTimeout))
 		if _, err := conn.Write(answer); err != nil {
 			return
 		}
 		select {
-		case s.lingers <- struct{}{}:
+		case s.discardSlots <- struct{}{}:
 		default:
 			return
 		}
-		defer func() { <-s.lingers }()
-		_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
-		_, _ = io.CopyN(io.Discard, conn, lingerBytes)
+		defer func() { <-s.discardSlots }()
+		_ = conn.SetReadDeadline(time.Now().Add(discardTimeout))
+		_, _ = io.CopyN(io.Discard, conn, maxDiscardBytes)
 	})
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// limitedListener accepts callers up to a number of connections in all and from one IP number. More are
-// told so, with the verdict "did not run", and closed.
+// limitedListener bounds the connections of callers in total and per IP address. Further connections are answered
+// with the verdict "did not run" and closed.
 type limitedListener struct {
 	net.Listener
 	limit      int
 	perAddress int
-	refused    func(reason string)
+	onRefused  func(reason string)
 
-	mutex     sync.Mutex
-	open      int
-	byAddress map[netip.Addr]int
-	farewells chan struct{} // bounds refused connections that are still being answered
+	mutex      sync.Mutex
+	open       int
+	byAddress  map[netip.Addr]int
+	rejections chan struct{} // bounds refused connections that are still being answered
 }
 
 const (
-	maxFarewells = 64
-	farewellTime = 500 * time.Millisecond
+	maxConcurrentRejections = 64
+	rejectionTimeout        = 500 * time.Millisecond
 )
 
-func newLimitedListener(listener net.Listener, limit, perAddress int, refused func(reason string)) *limitedListener {
-	return &limitedListener{Listener: listener, limit: limit, perAddress: perAddress, refused: refused,
-		byAddress: map[netip.Addr]int{}, farewells: make(chan struct{}, maxFarewells)}
+func newLimitedListener(listener net.Listener, limit, perAddress int, onRefused func(reason string)) *limitedListener {
+	return &limitedListener{Listener: listener, limit: limit, perAddress: perAddress, onRefused: onRefused,
+		byAddress: map[netip.Addr]int{}, rejections: make(chan struct{}, maxConcurrentRejections)}
 }
 
-// The reasons for which a connection is refused, as label values.
+// Reasons for refusing a connection, used as metric label values.
 const (
 	refusedTotal   = "total"
 	refusedAddress = "address"
@@ -47,19 +47,19 @@
 		}
 		tcp, ok := conn.(*net.TCPConn)
 		if !ok {
-			return conn, nil // a test's listener
+			return conn, nil // only with a listener that a test provides
 		}
-		address := addressOf(tcp)
-		reason := l.take(address)
+		address := remoteAddress(tcp)
+		reason := l.register(address)
 		if reason == "" {
-			return &countedConn{TCPConn: tcp, release: sync.OnceFunc(func() { l.give(address) })}, nil
+			return &countedConn{TCPConn: tcp, release: sync.OnceFunc(func() { l.unregister(address) })}, nil
 		}
-		l.refused(reason)
-		l.sendAway(tcp)
+		l.onRefused(reason)
+		l.rejectConnection(tcp)
 	}
 }
 
-func addressOf(conn *net.TCPConn) netip.Addr {
+func remoteAddress(conn *net.TCPConn) netip.Addr {
 	remote, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return netip.Addr{}
@@ -67,8 +67,8 @@
 	return remote.AddrPort().Addr().Unmap()
 }
 
-// take counts a connection, or returns why it may not be opened.
-func (l *limitedListener) take(address netip.Addr) string {
+// register counts a connection, or returns the reason why it is refused.
+func (l *limitedListener) register(address netip.Addr) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
@@ -82,7 +82,7 @@
 	return ""
 }
 
-func (l *limitedListener) give(address netip.Addr) {
+func (l *limitedListener) unregister(address netip.Addr) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.open--
@@ -91,25 +91,25 @@
 	}
 }
 
-const tooManyBody = `{"error":{"message":"too many connections are open","type":"server_error","code":"overloaded","verdict":"did-not-run","retry_after_seconds":1}}`
+const tooManyConnectionsBody = `{"error":{"message":"too many connections are open","type":"server_error","code":"overloaded","verdict":"did-not-run","retry_after_seconds":1}}`
 
-var tooManyAnswer = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\n" +
-	"Retry-After: 1\r\nTamarindring-Verdict: did-not-run\r\nContent-Length: " + strconv.Itoa(len(tooManyBody)) + "\r\n\r\n" + tooManyBody)
+var tooManyConnectionsAnswer = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nConnection: close\r\n" +
+	"Retry-After: 1\r\nTamarindring-Verdict: did-not-run\r\nContent-Length: " + strconv.Itoa(len(tooManyConnectionsBody)) + "\r\n\r\n" + tooManyConnectionsBody)
 
-// sendAway answers before anything is read. The caller's bytes are then discarded for a moment, because a
-// close with unread bytes would reset the connection and lose the answer.
-func (l *limitedListener) sendAway(conn *net.TCPConn) {
+// rejectConnection answers a connection before anything is read from it. It then discards the caller's bytes for up
+// to rejectionTimeout, because closing with unread bytes would reset the connection and lose the answer.
+func (l *limitedListener) rejectConnection(conn *net.TCPConn) {
 	select {
-	case l.farewells <- struct{}{}:
+	case l.rejections <- struct{}{}:
 	default:
 		_ = conn.Close()
 		return
 	}
 	go func() {
-		defer func() { <-l.farewells }()
+		defer func() { <-l.rejections }()
 		defer conn.Close()
-		_ = conn.SetDeadline(time.Now().Add(farewellTime))
-		if _, err := conn.Write(tooManyAnswer); err != nil {
+		_ = conn.SetDeadline(time.Now().Add(rejectionTimeout))
+		if _, err := conn.Write(tooManyConnectionsAnswer); err != nil {
 			return
 		}
 		_ = conn.CloseWrite()
@@ -122,7 +122,7 @@
 	}()
 }
 
-// countedConn is a caller's connection that counts until it is closed.
+// countedConn is a caller's connection that counts towards the listener's limits until it is closed.
 type countedConn struct {
 	*net.TCPConn
 	release func()
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -13,7 +13,8 @@
 	"github.com/tamarindring/tamarindring/internal/routing"
 )
 
-// loadReport is what the gateway reads of a back end's GET /v1/load; engines and applications state it alike.
+// loadReport holds the fields of a back end's GET /v1/load that the gateway uses. Engines and applications use the
+// same format.
 type loadReport struct {
 	Leaving bool `json:"leaving"`
 	Running int  `json:"running"`
@@ -23,44 +24,44 @@
 const (
 	maxLoadBytes = 1 << 20
 	loadTimeout  = time.Second
-	// loadPath asks for the brief report. A back end that knows no brief one gives all of it.
+	// loadPath requests the brief report. A back end that does not support it returns the full report.
 	loadPath = "/v1/load?brief=true"
-	// loadHeaderBytes is what one poll costs beside the report's body, about.
+	// loadHeaderBytes is the approximate traffic of one poll besides the report's body.
 	loadHeaderBytes = 180
-	// loadSizeWeight is the inverse of one report's weight in the mean size.
+	// loadSizeWeight is the inverse of the weight of one report in the mean report size.
 	loadSizeWeight = 16
 )
 
-// loadSource is one back end of one pool that is polled.
+// loadSource identifies a polled back end of a pool.
 type loadSource struct {
 	pool    *pool
 	name    string
 	address string
 }
 
-// loadPollers asks the back ends of this gateway's subsets for their load, each at its own pace: one that
-// hangs delays no other. A back end that does not answer keeps its last report, which loses weight as it
-// ages; after a few times it counts as silent.
+// loadPollers polls the back ends of this gateway's subsets for their load. Each back end is polled by its own
+// goroutine, so that one that hangs does not delay the others. A back end that does not answer keeps its last
+// report, which loses weight as it ages, and counts as silent after several unanswered polls.
 type loadPollers struct {
-	server   *Server
-	client   *fasthttp.Client
-	interval atomic.Int64 // between two polls of one back end, in nanoseconds
-	size     atomic.Int64 // mean of the reports' bodies, in bytes; concurrent updates may be lost
-	open     map[loadSource]context.CancelFunc
-	running  sync.WaitGroup
+	server          *Server
+	client          *fasthttp.Client
+	interval        atomic.Int64 // between two polls of one back end, in nanoseconds
+	meanReportBytes atomic.Int64 // mean size of the reports' bodies; concurrent updates may be lost
+	cancels         map[loadSource]context.CancelFunc
+	polls           sync.WaitGroup
 }
 
-// pollLoads polls until ctx ends.
+// pollLoads polls the back ends until ctx ends.
 func (s *Server) pollLoads(ctx context.Context) error {
-	pollers := &loadPollers{server: s, open: map[loadSource]context.CancelFunc{},
+	pollers := &loadPollers{server: s, cancels: map[loadSource]context.CancelFunc{},
 		client: &fasthttp.Client{MaxResponseBodySize: maxLoadBytes, ReadTimeout: loadTimeout, WriteTimeout: loadTimeout,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true}}
 	defer pollers.client.CloseIdleConnections()
-	defer pollers.running.Wait()
-	ticker := time.NewTicker(refreshInterval)
+	defer pollers.polls.Wait()
+	ticker := time.NewTicker(gatewayCheckInterval)
 	defer ticker.Stop()
 	for {
-		pollers.follow(ctx)
+		pollers.syncPolls(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -69,38 +70,40 @@
 	}
 }
 
-// follow starts and ends pollers so that the back ends in use are polled, and no others.
-func (l *loadPollers) follow(ctx context.Context) {
+// syncPolls starts and stops poll goroutines so that exactly the back ends in use are polled.
+func (l *loadPollers) syncPolls(ctx context.Context) {
 	wanted := map[loadSource]bool{}
 	for _, p := range l.server.pools.Load().byName {
-		for name, address := range p.polled() {
+		for name, address := range p.polledBackends() {
 			wanted[loadSource{pool: p, name: name, address: address}] = true
 		}
 	}
-	l.interval.Store(int64(loadInterval(l.server.config.LoadInterval, len(wanted), int(l.size.Load()))))
-	for source, stop := range l.open {
+	l.interval.Store(int64(loadInterval(l.server.config.LoadInterval, len(wanted), int(l.meanReportBytes.Load()))))
+	for source, stop := range l.cancels {
 		if !wanted[source] {
 			stop()
-			delete(l.open, source)
+			delete(l.cancels, source)
 		}
 	}
 	for source := range wanted {
-		if l.open[source] != nil {
+		if l.cancels[source] != nil {
 			continue
 		}
 		pollContext, stop := context.WithCancel(ctx)
-		l.open[source] = stop
-		l.running.Go(func() { l.poll(pollContext, source) })
+		l.cancels[source] = stop
+		l.polls.Go(func() { l.poll(pollContext, source) })
 	}
 }
 
-// loadInterval is the time between two polls of each of count back ends whose reports have size bytes.
-func loadInterval(least time.Duration, count, size int) time.Duration {
+// loadInterval returns the time between two polls of a back end when count back ends are polled and their reports
+// have size bytes.
+func loadInterval(minimum time.Duration, count, size int) time.Duration {
 	paced := max(time.Duration(count)*time.Second/loadPollsPerSecond, time.Duration(count*(size+loadHeaderBytes))*time.Second/loadBytesPerSecond)
-	return max(least, min(paced, maximumLoadInterval))
+	return max(minimum, min(paced, maxLoadInterval))
 }
 
-// poll polls one back end until ctx ends. The first poll comes at once; the next are spread.
+// poll polls one back end until ctx ends. The first poll is immediate. The second follows after a random part of
+// the interval, which spreads the polls.
 func (l *loadPollers) poll(ctx context.Context, source loadSource) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -111,7 +114,7 @@
 		case <-timer.C:
 		}
 		began := time.Now()
-		l.ask(source)
+		l.pollOnce(source)
 		interval := time.Duration(l.interval.Load())
 		if spread {
 			interval = rand.N(interval) + 1
@@ -120,19 +123,19 @@
 	}
 }
 
-// ask polls one back end once.
-func (l *loadPollers) ask(source loadSource) {
+// pollOnce polls one back end once.
+func (l *loadPollers) pollOnce(source loadSource) {
 	status, body, err := l.client.GetTimeout(nil, "http://"+source.address+loadPath, loadTimeout)
 	if err != nil {
-		source.pool.unanswered(l.server.now(), source.name)
+		source.pool.recordUnansweredPoll(l.server.now(), source.name)
 		return
 	}
 	var report loadReport
 	if status != fasthttp.StatusOK || json.Unmarshal(body, &report) != nil {
-		source.pool.asked(source.name)
+		source.pool.recordEmptyPoll(source.name)
 		return
 	}
-	mean := l.size.Load()
-	l.size.Store(mean + (int64(len(body))-mean)/loadSizeWeight)
-	source.pool.report(l.server.now(), source.name, routing.LoadReport{Requests: float64(report.Running + report.Waiting), Leaving: report.Leaving})
+	mean := l.meanReportBytes.Load()
+	l.meanReportBytes.Store(mean + (int64(len(body))-mean)/loadSizeWeight)
+	source.pool.recordLoad(l.server.now(), source.name, routing.LoadReport{Requests: float64(report.Running + report.Waiting), Leaving: report.Leaving})
 }
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -14,21 +14,22 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// reporter is a back end that only reports its load; hang makes each report wait until the test ends.
-type reporter struct {
+// loadReporter is a back end that only reports its load. It counts the polls.
+type loadReporter struct {
 	address string
-	asked   atomic.Int64
+	polls   atomic.Int64
 }
 
-func newReporter(t *testing.T, hang bool) *reporter {
+// newLoadReporter starts a reporter. With hang, its answers are delayed until the test ends.
+func newLoadReporter(t *testing.T, hang bool) *loadReporter {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, ended := &reporter{address: listener.Addr().String()}, make(chan struct{})
+	r, ended := &loadReporter{address: listener.Addr().String()}, make(chan struct{})
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
-		r.asked.Add(1)
+		r.polls.Add(1)
 		if hang {
 			<-ended
 		}
@@ -47,38 +48,43 @@
 	return r
 }
 
+// TestHungBackendDelaysNoOtherReport guards against a back end that does not answer its load polls and delays the
+// polls of others.
 func TestHungBackendDelaysNoOtherReport(t *testing.T) {
 	fixture := newFixture(t, 0, 0, 1, func(config *Config) { config.LoadInterval = time.Millisecond })
-	sound, hung := newReporter(t, false), newReporter(t, true)
+	healthy, hung := newLoadReporter(t, false), newLoadReporter(t, true)
 	fixture.cluster.change(t, [3]string{"p", "kind", "pool"}, [3]string{"p", "service", "application"},
-		[3]string{"p-sound", "kind", "backend"}, [3]string{"p-sound", "pool", "p"}, [3]string{"p-sound", "address", sound.address},
+		[3]string{"p-sound", "kind", "backend"}, [3]string{"p-sound", "pool", "p"}, [3]string{"p-sound", "address", healthy.address},
 		[3]string{"p-hung", "kind", "backend"}, [3]string{"p-hung", "pool", "p"}, [3]string{"p-hung", "address", hung.address})
-	for sound.asked.Load() < 8 {
+	for healthy.polls.Load() < 8 {
 		time.Sleep(time.Millisecond)
 	}
-	if asked := hung.asked.Load(); asked > 2 {
-		t.Fatalf("the hung back end was asked %d times before the sound one had 8 turns", asked)
+	if asked := hung.polls.Load(); asked > 2 {
+		t.Fatalf("the hung back end was polled %d times while the healthy one had 8 polls, want at most 2", asked)
 	}
 }
 
+// TestLoadIntervalKeepsToTheBudgetAndItsBounds guards against load polls that exceed the bounds on their number or
+// traffic.
 func TestLoadIntervalKeepsToTheBudgetAndItsBounds(t *testing.T) {
 	const brief, whole = 110, 450
 	for count, want := range map[int]time.Duration{0: 250 * time.Millisecond, 12: 250 * time.Millisecond, 24: 500 * time.Millisecond,
-		48: time.Second, 600: maximumLoadInterval} {
+		48: time.Second, 600: maxLoadInterval} {
 		if got := loadInterval(250*time.Millisecond, count, brief); got != want {
-			t.Errorf("%d back ends: every %v, want %v", count, got, want)
+			t.Errorf("%d back ends: got interval %v, want %v", count, got, want)
 		}
 	}
 	for _, count := range []int{6, 24, 44} {
 		interval := loadInterval(250*time.Millisecond, count, whole)
 		if traffic := float64(count*(whole+loadHeaderBytes)) / interval.Seconds(); traffic > loadBytesPerSecond+1 {
-			t.Errorf("%d back ends with large reports: every %v, %v bytes a second", count, interval, traffic)
+			t.Errorf("%d back ends with large reports: interval %v gives %v bytes a second, above the bound", count, interval, traffic)
 		}
 	}
 }
 
-// TestBackendsAreAskedForBriefReports measures what a whole round of polls teaches of their size.
-func TestBackendsAreAskedForBriefReports(t *testing.T) {
+// TestBackEndsArePolledForBriefReports checks that polls request the brief report, and that the mean report size
+// converges to the size of the reports.
+func TestBackEndsArePolledForBriefReports(t *testing.T) {
 	var queries sync.Map
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,17 +107,18 @@
 	defer pollers.client.CloseIdleConnections()
 	source := loadSource{pool: &pool{replicas: routing.NewPool(routing.Settings{})}, name: "b", address: listener.Addr().String()}
 	for range 4 * loadSizeWeight {
-		pollers.ask(source)
+		pollers.pollOnce(source)
 	}
 	if _, brief := queries.Load("brief=true"); !brief {
-		t.Error("no brief report was asked for")
+		t.Error("no poll requested the brief report")
 	}
-	if size := pollers.size.Load(); size < 20 || size > 41 {
-		t.Errorf("reports of 41 bytes are taken for %d", size)
+	if size := pollers.meanReportBytes.Load(); size < 20 || size > 41 {
+		t.Errorf("mean size of reports of 41 bytes is %d, want 20 to 41", size)
 	}
 }
 
-// TestSharesOfALargePoolAddUpToTheLimit looks at one pool from every gateway of a fleet.
+// TestSharesOfALargePoolAddUpToTheLimit guards against slots that no gateway, or more than one, uses. It sums the
+// shares that all gateways of a fleet take of one pool.
 func TestSharesOfALargePoolAddUpToTheLimit(t *testing.T) {
 	const gateways, backends, limit = 40, 100, 50
 	var rows []*table.Row
@@ -119,16 +126,16 @@
 		rows = append(rows, &table.Row{Name: fmt.Sprintf("b-%03d", i), State: table.Active, Zone: fmt.Sprintf("z-%d", i%3),
 			MaxInFlight: limit, Weight: 100, RolloutShare: 100})
 	}
-	all := group{}
+	all := gatewaySet{}
 	for i := range gateways {
-		all.gateways = append(all.gateways, routing.Place{Name: fmt.Sprintf("g-%02d", i), Zone: fmt.Sprintf("z-%d", i%3)})
+		all.members = append(all.members, routing.Place{Name: fmt.Sprintf("g-%02d", i), Zone: fmt.Sprintf("z-%d", i%3)})
 	}
 	slots, used := map[string]int{}, 0
 	for rank := range gateways {
-		own, assignment := group{gateways: all.gateways, rank: rank}, subset{}
-		shares := assignment.shares(own, rows)
+		own, assignment := gatewaySet{members: all.members, rank: rank}, subset{}
+		shares := assignment.ownShares(own, rows)
 		for _, row := range rows {
-			if config := replicaConfig(row, shares[row.Name], own.place()); !config.Reserve {
+			if config := replicaConfig(row, shares[row.Name], own.ownPlace()); !config.Reserve {
 				slots[row.Name] += config.MaxInFlight
 				used++
 			}
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -7,7 +7,7 @@
 	"github.com/tamarindring/tamarindring/internal/dispatch"
 )
 
-// Dispatch is one entry of GET /v1/log: one send to a back end and the table version it was decided on.
+// Dispatch is one entry of GET /v1/log: a send to a back end and the table version it was decided on.
 type Dispatch struct {
 	Sequence     uint64    `json:"sequence"`
 	At           time.Time `json:"at"`
@@ -22,10 +22,10 @@
 	TableVersion uint64    `json:"table_version"`
 }
 
-// dispatchLog remembers the last dispatches.
+// dispatchLog keeps the latest dispatches.
 type dispatchLog struct {
 	mutex    sync.Mutex
-	entries  []Dispatch // a ring once it is full
+	entries  []Dispatch // a ring buffer once it has limit entries
 	limit    int
 	sequence uint64
 }
@@ -48,17 +48,17 @@
 	l.entries[int((l.sequence-1)%uint64(l.limit))] = entry
 }
 
-// after returns the remembered entries above a sequence number, oldest first.
-func (l *dispatchLog) after(sequence uint64) []Dispatch {
+// entriesAfter returns the kept entries with a higher sequence number, oldest first.
+func (l *dispatchLog) entriesAfter(sequence uint64) []Dispatch {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	found := []Dispatch{}
+	entries := []Dispatch{}
 	first := l.sequence - uint64(len(l.entries)) + 1
 	for n := max(first, sequence+1); n <= l.sequence; n++ {
-		found = append(found, l.entries[int((n-1)%uint64(l.limit))])
+		entries = append(entries, l.entries[int((n-1)%uint64(l.limit))])
 	}
-	return found
+	return entries
 }
 
-// Dispatches returns the remembered dispatches after a sequence number, oldest first.
-func (s *Server) Dispatches(after uint64) []Dispatch { return s.log.after(after) }
+// Dispatches returns the kept dispatches with a sequence number above after, oldest first.
+func (s *Server) Dispatches(after uint64) []Dispatch { return s.dispatchLog.entriesAfter(after) }
--- a/internal/gateway/memory.go
+++ b/internal/gateway/memory.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// memoryBudget bounds the bytes that requests hold together.
+// memoryBudget bounds the bytes that all requests together hold.
 type memoryBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// take reserves n bytes, or nothing when the limit would be passed.
-func (b *memoryBudget) take(n int64) bool {
+// reserve takes n bytes from the budget. It takes nothing and returns false if the limit would be exceeded.
+func (b *memoryBudget) reserve(n int64) bool {
 	if b.used.Add(n) <= b.limit {
 		return true
 	}
@@ -17,7 +17,7 @@
 	return false
 }
 
-func (b *memoryBudget) give(n int64) { b.used.Add(-n) }
+func (b *memoryBudget) release(n int64) { b.used.Add(-n) }
 
-// memoryStep is the unit in which a growing text is reserved.
+// memoryStep is the smallest size of a body buffer and the unit in which memory for stream text is reserved.
 const memoryStep = 16 << 10
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -10,40 +10,40 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// pool is one pool of back ends at this gateway.
+// pool is one pool of back ends as this gateway uses it: replicas, admission queue and current limits.
 type pool struct {
 	policy routing.Policy
 
-	mutex     sync.Mutex // guards what follows
-	row       *table.Row
-	version   uint64 // of the table that the replicas come from
-	replicas  *routing.Pool
-	queue     *admission.Queue
-	addresses map[string]string // by row name
-	exchanges map[uint64]*exchange
-	random    *rand.PCG
-	limits    admission.Limits // by the table
-	away      int              // slots less than that, as of followed
-	followed  time.Duration
+	mutex            sync.Mutex // guards the fields below, except subset
+	row              *table.Row
+	version          uint64 // table version that the replicas come from
+	replicas         *routing.Pool
+	queue            *admission.Queue
+	addresses        map[string]string    // addresses by the back end's row name
+	exchanges        map[uint64]*exchange // by request ID; waiting for a slot or holding one
+	random           *rand.PCG
+	tableLimits      admission.Limits // this gateway's limits according to the table
+	unavailableSlots int              // slots subtracted from tableLimits at limitsAdjustedAt
+	limitsAdjustedAt time.Duration
 
-	subset subset // guarded by the server's update mutex
+	subset subset // guarded by Server.updateMutex
 }
 
-func newPool(policy routing.Policy, settings routing.Settings, subsets routing.SubsetSettings) *pool {
+func newPool(policy routing.Policy, settings routing.Settings, subsetSettings routing.SubsetSettings) *pool {
 	return &pool{policy: policy, replicas: routing.NewPool(settings), queue: admission.New(admission.Limits{}),
 		addresses: map[string]string{}, exchanges: map[uint64]*exchange{}, random: rand.NewPCG(rand.Uint64(), rand.Uint64()),
-		subset: subset{settings: subsets}}
+		subset: subset{settings: subsetSettings}}
 }
 
-// update takes over the table's rows of the pool.
-func (p *pool) update(now time.Duration, view *table.View, row *table.Row, own group) {
+// update applies the table's rows of the pool.
+func (p *pool) update(now time.Duration, view *table.View, row *table.Row, gateways gatewaySet) {
 	backends := view.Backends(row.Name)
-	shares := p.subset.shares(own, backends)
+	shares := p.subset.ownShares(gateways, backends)
 	configs := make([]routing.ReplicaConfig, 0, len(backends))
 	addresses := make(map[string]string, len(backends))
-	limits := admission.Limits{QueueLimit: own.of(row.QueueLimit, row.Name), QueueWait: row.QueueWait, ClassOrder: row.ClassOrder}
+	limits := admission.Limits{QueueLimit: gateways.shareOf(row.QueueLimit, row.Name), QueueWait: row.QueueWait, ClassOrder: row.ClassOrder}
 	for _, backend := range backends {
-		config := replicaConfig(backend, shares[backend.Name], own.place())
+		config := replicaConfig(backend, shares[backend.Name], gateways.ownPlace())
 		configs = append(configs, config)
 		addresses[backend.Name] = backend.Address
 		if backend.Serving() && !config.Reserve {
@@ -55,48 +55,50 @@
 	defer p.mutex.Unlock()
 	p.row, p.version, p.addresses = row, view.Version(), addresses
 	p.replicas.SetReplicas(configs)
-	p.limits, p.away, p.followed = limits, 0, 0
-	p.apply(p.queue.SetLimits(now, limits))
-	p.follow(now)
+	p.tableLimits, p.unavailableSlots, p.limitsAdjustedAt = limits, 0, 0
+	p.applyEffects(p.queue.SetLimits(now, limits))
+	p.adjustLimits(now)
 }
 
-// followInterval is the least time between two looks for replicas that take no work.
-const followInterval = 200 * time.Millisecond
+// adjustInterval is the minimum time between two adjustments of the limits to the condition of the replicas.
+const adjustInterval = 200 * time.Millisecond
 
-// follow takes the slots of replicas that take no work off the limits: else rollouts fill the others, and live requests
-// find no place. While no replica takes work the limits stay, since it is still tried. The caller holds the mutex.
-func (p *pool) follow(now time.Duration) {
-	if p.followed > 0 && now < p.followed+followInterval {
+// adjustLimits subtracts the slots of replicas that take no work from the limits. Otherwise rollout requests would
+// fill the slots of the remaining replicas and live requests would find none free. If no replica takes work, the
+// limits stay as they are, because the pool is still tried. The caller holds the mutex.
+func (p *pool) adjustLimits(now time.Duration) {
+	if p.limitsAdjustedAt > 0 && now < p.limitsAdjustedAt+adjustInterval {
 		return
 	}
-	p.followed = now
+	p.limitsAdjustedAt = now
 	slots, background := p.replicas.Away(now)
-	if slots >= p.limits.Slots {
+	if slots >= p.tableLimits.Slots {
 		slots, background = 0, 0
 	}
-	if slots == p.away {
+	if slots == p.unavailableSlots {
 		return
 	}
-	p.away = slots
-	limits := p.limits
+	p.unavailableSlots = slots
+	limits := p.tableLimits
 	limits.Slots -= slots
 	limits.RolloutSlots = max(limits.RolloutSlots-background, 0)
-	p.apply(p.queue.SetLimits(now, limits))
+	p.applyEffects(p.queue.SetLimits(now, limits))
 }
 
-// reserveSlots is what a gateway may have in flight at a back end that is not of its subset.
-const reserveSlots = 1
+// maxReserveInFlight bounds this gateway's requests in flight at a back end outside its subset.
+const maxReserveInFlight = 1
 
-// replicaConfig is what the table says of a back end to the gateway at a place with a share of it.
+// replicaConfig returns the routing configuration of a back end for a gateway that has the given place and the
+// given share of the back end.
 func replicaConfig(backend *table.Row, share routing.Share, place routing.Place) routing.ReplicaConfig {
 	config := routing.ReplicaConfig{Name: backend.Name, Weight: float64(backend.Weight), Draining: backend.State != table.Active,
 		Distance: routing.DistanceBetween(place.Zone, backend.Zone), Polled: share.Rank >= 0, Reserve: share.Rank < 0}
-	config.MaxInFlight = part(backend.MaxInFlight, share, backend.Name)
+	config.MaxInFlight = shareOfLimit(backend.MaxInFlight, share, backend.Name)
 	if config.Reserve {
-		config.MaxInFlight = min(reserveSlots, int(backend.MaxInFlight))
+		config.MaxInFlight = min(maxReserveInFlight, int(backend.MaxInFlight))
 	}
 	if config.MaxInFlight == 0 {
-		config.Weight = 0 // other gateways hold all of its slots
+		config.Weight = 0 // the other gateways share all of its slots
 	}
 	config.MaxBackground = rolloutSlots(backend, config.MaxInFlight)
 	if config.MaxBackground == 0 {
@@ -105,7 +107,7 @@
 	return config
 }
 
-// rolloutSlots is the part of this gateway's slots at a back end that rollout work may hold.
+// rolloutSlots returns how many of this gateway's slots at a back end rollout requests may hold.
 func rolloutSlots(backend *table.Row, slots int) int {
 	if backend.MaxInFlight == 0 {
 		return 0
@@ -114,74 +116,75 @@
 	return max(allowed, 0) * slots / int(backend.MaxInFlight)
 }
 
-// apply passes the queue's decisions on. The caller holds the mutex.
-func (p *pool) apply(effects *admission.Effects) {
+// applyEffects delivers the queue's decisions to the exchanges. The caller holds the mutex.
+func (p *pool) applyEffects(effects *admission.Effects) {
 	for _, id := range effects.Granted {
 		if x := p.exchanges[id]; x != nil {
-			x.admission <- admissionAnswer{granted: true}
+			x.admissionDecisions <- admissionDecision{granted: true}
 		}
 	}
 	for _, refusal := range effects.Refused {
 		if x := p.exchanges[refusal.ID]; x != nil {
-			x.admission <- admissionAnswer{refusal: refusal}
+			x.admissionDecisions <- admissionDecision{refusal: refusal}
 		}
 	}
 	for _, id := range effects.Yield {
 		if x := p.exchanges[id]; x != nil {
-			x.askToYield()
+			x.preempt()
 		}
 	}
 }
 
-// admissionAnswer is what the queue decided about one request.
-type admissionAnswer struct {
+// admissionDecision is the queue's decision about one request.
+type admissionDecision struct {
 	granted bool
 	refusal admission.Refusal
 }
 
-// arrive asks for a slot; the answer comes on the exchange's channel, until the returned time at most.
-func (p *pool) arrive(now time.Duration, x *exchange, request admission.Request) time.Duration {
+// requestSlot asks for a slot. The decision is sent on the exchange's channel. If it has not come by the returned
+// time, the exchange must call expireWait.
+func (p *pool) requestSlot(now time.Duration, x *exchange, request admission.Request) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.follow(now)
+	p.adjustLimits(now)
 	p.exchanges[request.ID] = x
 	effects, until := p.queue.Arrive(now, request)
-	p.apply(effects)
+	p.applyEffects(effects)
 	return until
 }
 
-// expire ends a request's wait.
-func (p *pool) expire(now time.Duration, id uint64) {
+// expireWait ends a request's wait for a slot.
+func (p *pool) expireWait(now time.Duration, id uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.apply(p.queue.Expire(now, id))
+	p.applyEffects(p.queue.Expire(now, id))
 }
 
-// done gives a slot back.
-func (p *pool) done(now time.Duration, id uint64) {
+// releaseSlot returns a request's slot.
+func (p *pool) releaseSlot(now time.Duration, id uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.exchanges, id)
-	p.apply(p.queue.Done(now, id))
-	p.follow(now)
+	p.applyEffects(p.queue.Done(now, id))
+	p.adjustLimits(now)
 }
 
-// leave takes a waiting request out.
-func (p *pool) leave(now time.Duration, id uint64) {
+// withdraw removes a waiting request from the queue.
+func (p *pool) withdraw(now time.Duration, id uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.exchanges, id)
-	p.apply(p.queue.Leave(now, id))
+	p.applyEffects(p.queue.Leave(now, id))
 }
 
-// choice is a chosen back end and the table version that the choice was made on.
+// choice is a chosen back end and the table version it was chosen on.
 type choice struct {
 	name    string
 	address string
 	version uint64
 }
 
-// choose chooses a back end and counts the request there; ok is false when none may take it.
+// choose selects a back end and counts the request as in flight there. ok is false if no back end can take it.
 func (p *pool) choose(now time.Duration, request *routing.Request, excluded []string, preferred string) (chosen choice, ok bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -201,22 +204,22 @@
 	return choice{name: name, address: p.addresses[name], version: p.version}, true
 }
 
-// outcome says how a send at a back end ended, for routing.
-type outcome uint8
+// sendOutcome is the result of a send as it affects the back end's routing.
+type sendOutcome uint8
 
 const (
-	outcomeNeutral outcome = iota
+	outcomeNeutral sendOutcome = iota
 	outcomeGood
 	outcomeBad
 	outcomeLeaving
 )
 
-// ended takes a request off its back end.
-func (p *pool) ended(now time.Duration, name string, request *routing.Request, how outcome) {
+// recordEnd ends a request at its back end and records the result of the send.
+func (p *pool) recordEnd(now time.Duration, name string, request *routing.Request, result sendOutcome) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.replicas.Ended(name, request, now)
-	switch how {
+	switch result {
 	case outcomeGood:
 		p.replicas.Succeeded(name, now)
 	case outcomeBad:
@@ -226,43 +229,43 @@
 	}
 }
 
-// failed notes a failure of a back end at which the request still counts.
-func (p *pool) failed(now time.Duration, name string) {
+// recordFailure records a failure of a back end at which the request still counts as in flight.
+func (p *pool) recordFailure(now time.Duration, name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.replicas.Failed(name, now)
 }
 
-// report takes over a back end's load report.
-func (p *pool) report(now time.Duration, name string, report routing.LoadReport) {
+// recordLoad records a back end's load report.
+func (p *pool) recordLoad(now time.Duration, name string, report routing.LoadReport) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.replicas.Report(name, report, now)
 }
 
-// asked notes that a replica answered its load poll with nothing of use.
-func (p *pool) asked(name string) {
+// recordEmptyPoll records that a replica answered its load poll without a usable report.
+func (p *pool) recordEmptyPoll(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.replicas.Asked(name)
 }
 
-// unasked tells whether some replica was not asked for its load yet.
-func (p *pool) unasked() bool {
+// hasUnpolledReplica reports whether some polled replica was not polled for its load yet.
+func (p *pool) hasUnpolledReplica() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.replicas.Unasked()
 }
 
-// settings returns the pool's row.
-func (p *pool) settings() *table.Row {
+// tableRow returns the pool's row of the table.
+func (p *pool) tableRow() *table.Row {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.row
 }
 
-// polled returns the addresses, by row name, of the back ends that this gateway uses.
-func (p *pool) polled() map[string]string {
+// polledBackends returns the addresses, by row name, of the back ends in this gateway's subset.
+func (p *pool) polledBackends() map[string]string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	used := make(map[string]string)
--- a/internal/gateway/quiet_linux.go
+++ b/internal/gateway/quiet_linux.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// connectionQuiet tells whether a connection is open and nothing is waiting to be read from it.
-func connectionQuiet(conn net.Conn) bool {
+// isConnectionIdle reports whether a connection is open and has no bytes to read.
+func isConnectionIdle(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -17,18 +17,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = control.Read(func(descriptor uintptr) bool {
 		var buffer [1]byte
 		_, _, receiveErr := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = receiveErr == unix.EAGAIN || receiveErr == unix.EWOULDBLOCK
+		idle = receiveErr == unix.EAGAIN || receiveErr == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// callerGone tells whether the other side has closed the connection.
-func callerGone(conn net.Conn) bool {
+// isCallerGone reports whether the caller has closed the connection.
+func isCallerGone(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/gateway/quiet_other.go
+++ b/internal/gateway/quiet_other.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// connectionQuiet tells whether a connection is open and nothing is waiting to be read from it.
-func connectionQuiet(conn net.Conn) bool {
+// isConnectionIdle reports whether a connection is open and has no bytes to read.
+func isConnectionIdle(conn net.Conn) bool {
 	if conn.SetReadDeadline(time.Now().Add(time.Millisecond)) != nil {
 		return false
 	}
@@ -18,5 +18,5 @@
 	return ok && timeout.Timeout() && conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// callerGone tells whether the other side has closed the connection; it is not known here.
-func callerGone(net.Conn) bool { return false }
+// isCallerGone always returns false: closed connections are not detected on this platform.
+func isCallerGone(net.Conn) bool { return false }
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// Error codes of the gateway besides those of package dispatch.
+// Error codes of the gateway, in addition to those of package dispatch.
 const (
 	CodeOverloaded  = "overloaded"
 	CodeDraining    = "draining"
@@ -22,12 +22,12 @@
 	CodeCallerGone  = "caller_gone"
 )
 
-// ErrorBody is the OpenAI form of an error.
+// ErrorBody is an error in the format of the OpenAI API.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong, whether the request ran and when to come back.
+// ErrorDetail describes an error: its cause, whether the request ran, and when to retry.
 type ErrorDetail struct {
 	Message           string  `json:"message"`
 	Type              string  `json:"type"`
@@ -45,16 +45,16 @@
 		Verdict: outcome.Verdict.String(), RetryAfterSeconds: outcome.RetryAfter.Seconds()}}
 }
 
-// reply takes the final answer. A stream gets its error as an event; everything else is written when the
-// handler returns.
+// reply records the final answer. An error after the stream was opened is appended to it as an event. Any other
+// answer is written when the handler returns.
 func (x *exchange) reply(outcome dispatch.Outcome) {
 	x.outcome, x.answered = outcome, true
 	if x.stream.opened && outcome.Failed() {
-		x.stream.out = appendErrorEvent(x.stream.out, &outcome)
+		x.stream.output = appendErrorEvent(x.stream.output, &outcome)
 	}
 }
 
-// writeOutcome answers a request whose answer is whole or failed.
+// writeOutcome writes an answer that is not streamed, or an error.
 func (x *exchange) writeOutcome() {
 	ctx, outcome := x.caller, &x.outcome
 	x.writeHeaders()
@@ -76,7 +76,7 @@
 	ctx.Response.SetBodyRaw(outcome.Answer.Body)
 }
 
-// writeHeaders sets what is known before the answer's body.
+// writeHeaders sets the headers that are known before the answer's body.
 func (x *exchange) writeHeaders() {
 	header := &x.caller.Response.Header
 	if x.call.requestID != "" {
@@ -85,14 +85,14 @@
 	if x.answered {
 		header.Set(verdict.Header, x.outcome.Verdict.String())
 	}
-	if x.sends > 0 {
+	if x.sendCount > 0 {
 		header.Set(HeaderBackend, x.chosen.name)
 		header.Set(HeaderTableVersion, strconv.FormatUint(x.chosen.version, 10))
 	}
 	header.Set(HeaderServerTiming, x.stages.header(x.server.now()-x.arrived))
 }
 
-// wholeSeconds rounds up, as Retry-After has whole seconds.
+// wholeSeconds rounds up to whole seconds, the unit of Retry-After.
 func wholeSeconds(duration time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(duration.Seconds())))
 }
@@ -107,7 +107,7 @@
 	ctx.Response.SetBodyRaw(body)
 }
 
-// writeRefusal answers a request that has no life of its own, such as a malformed one.
+// writeRefusal answers a request for which no exchange was created, such as a malformed one.
 func writeRefusal(ctx *fasthttp.RequestCtx, status int, code, reason string) {
 	outcome := dispatch.Outcome{Status: status, Verdict: verdict.DidNotRun, Code: code, Reason: reason}
 	ctx.Response.Header.Set(verdict.Header, outcome.Verdict.String())
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -16,13 +16,13 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// The headers of the callers' interface.
+// HTTP headers of the callers' API.
 const (
 	HeaderKey          = "Idempotency-Key"
 	HeaderRepeatable   = "Tamarindring-Repeatable"
 	HeaderClass        = "Tamarindring-Class"
 	HeaderDeadline     = "Tamarindring-Deadline"
-	HeaderReplica      = "Tamarindring-Replica" // back end to prefer, which holds the request's KV cache
+	HeaderReplica      = "Tamarindring-Replica" // back end to prefer because it holds the request's KV cache
 	HeaderRequestID    = "X-Request-Id"
 	HeaderBackend      = "Tamarindring-Backend"
 	HeaderTableVersion = "Tamarindring-Table-Version"
@@ -31,7 +31,7 @@
 	HeaderRetryAfter   = "Retry-After"
 )
 
-// Caller classes with a meaning of their own.
+// Caller classes that the gateway treats specially.
 const (
 	ClassLive    = "live"
 	ClassRollout = "rollout"
@@ -41,9 +41,9 @@
 	maxKeyBytes       = 200
 	maxIDBytes        = 200
 	maxClassBytes     = 100
-	defaultWork       = 128.0 // tokens expected of a request that names no bound
+	defaultWorkTokens = 128.0 // tokens assumed for a request without max_tokens
 	applicationWork   = 1.0
-	bytesPerBlock     = 512 // of prompt text per prefix block: about 128 tokens
+	bytesPerBlock     = 512 // bytes of prompt text per prefix block, about 128 tokens
 	completionsPath   = "/v1/completions"
 	chatPath          = "/v1/chat/completions"
 	poolsPath         = "/v1/pools/"
@@ -53,29 +53,29 @@
 	applicationStream = "application/octet-stream"
 )
 
-// call is one caller's request, read and checked.
+// call is one request of a caller, parsed and validated.
 type call struct {
-	pool        string
-	path        string // at the back end
-	service     table.Service
-	chat        bool
-	class       string
-	key         string
-	repeatable  bool
-	requestID   string
-	preferred   string // back end to choose first, if it may take the request
-	contentType string
-	timeout     time.Duration // 0: the pool's own
-	fields      completionFields
-	body        []byte     // the whole body, or its beginning when rest is set
-	rest        io.Reader  // what follows body; nil when body is whole
-	paced       *pacedBody // the same as rest
-	bodyLength  int64      // -1 when not known
-	reserved    int64      // bytes of the memory budget
-	blocks      []uint64
+	pool           string
+	path           string // request path at the back end
+	service        table.Service
+	chat           bool
+	class          string
+	key            string
+	repeatable     bool
+	requestID      string
+	preferred      string // back end to use if it can take the request
+	contentType    string
+	timeout        time.Duration // 0: the deadline of the pool
+	fields         completionFields
+	body           []byte     // the whole body, or its beginning when remainder is set
+	remainder      io.Reader  // what follows body; nil when the whole body is buffered
+	pacedRemainder *pacedBody // the same reader as remainder
+	bodyLength     int64      // -1 when unknown
+	reservedBytes  int64      // taken from the memory budget for the body
+	prefixBlocks   []uint64   // chained hashes of the prompt, for prefix-aware routing
 }
 
-// completionFields are the fields of a completion that the gateway looks at.
+// completionFields holds the fields of a completion request that the gateway uses.
 type completionFields struct {
 	Model        string          `json:"model"`
 	Prompt       json.RawMessage `json:"prompt"`
@@ -88,21 +88,22 @@
 	RequestID    string          `json:"request_id"`
 }
 
-// badCall is a request that is refused before anything else is done with it.
-type badCall struct {
+// callError rejects a call that is invalid or cannot be read. Its fields go into the answer.
+type callError struct {
 	status int
 	code   string
 	reason string
 }
 
 // Error implements error.
-func (b *badCall) Error() string { return b.reason }
+func (b *callError) Error() string { return b.reason }
 
-func bad(status int, code, reason string) *badCall {
-	return &badCall{status: status, code: code, reason: reason}
+func newCallError(status int, code, reason string) *callError {
+	return &callError{status: status, code: code, reason: reason}
 }
 
-// readCall reads headers and body. On a *badCall the call holds what was understood so far.
+// readCall parses the headers and the body of a request. If it returns a *callError, the call holds what was parsed
+// so far.
 func (s *Server) readCall(ctx *fasthttp.RequestCtx) (*call, error) {
 	c := &call{}
 	if err := c.readHeaders(ctx); err != nil {
@@ -114,12 +115,12 @@
 		c.path, c.service, c.chat = path, table.Engine, path == chatPath
 	case strings.HasPrefix(path, poolsPath):
 		pool, operation, found := strings.Cut(path[len(poolsPath):], "/")
-		if !found || pool == "" || !validOperation(operation) {
-			return c, bad(http.StatusNotFound, "not_found", "the path is /v1/pools/{pool}/{operation}")
+		if !found || pool == "" || !isValidOperation(operation) {
+			return c, newCallError(http.StatusNotFound, "not_found", "the path is /v1/pools/{pool}/{operation}")
 		}
 		c.pool, c.path, c.service = pool, invokePath+operation, table.Application
 	default:
-		return c, bad(http.StatusNotFound, "not_found", "no such path")
+		return c, newCallError(http.StatusNotFound, "not_found", "no such path")
 	}
 	if err := s.readBody(ctx, c); err != nil {
 		return c, err
@@ -132,8 +133,8 @@
 	return c, c.readRepeatable(ctx)
 }
 
-// validOperation accepts the names that can stand in a path as they are.
-func validOperation(operation string) bool {
+// isValidOperation reports whether an operation name can be used in a URL path without escaping.
+func isValidOperation(operation string) bool {
 	if operation == "" || len(operation) > maxIDBytes {
 		return false
 	}
@@ -159,7 +160,7 @@
 	if len(c.key) > maxKeyBytes || len(c.requestID) > maxIDBytes || len(c.class) > maxClassBytes ||
 		len(c.preferred) > maxIDBytes {
 		c.key = ""
-		return bad(http.StatusBadRequest, "header_too_long", "Idempotency-Key, X-Request-Id, Tamarindring-Class or Tamarindring-Replica is too long")
+		return newCallError(http.StatusBadRequest, "header_too_long", "Idempotency-Key, X-Request-Id, Tamarindring-Class or Tamarindring-Replica is too long")
 	}
 	text := string(header.Peek(HeaderDeadline))
 	if text == "" {
@@ -167,12 +168,13 @@
 	}
 	timeout, err := parseDeadline(text)
 	if err != nil {
-		return bad(http.StatusBadRequest, "bad_deadline", "Tamarindring-Deadline must be a positive duration such as 1500ms, or a number of milliseconds")
+		return newCallError(http.StatusBadRequest, "bad_deadline", "Tamarindring-Deadline must be a positive duration such as 1500ms, or a number of milliseconds")
 	}
 	c.timeout = timeout
 	return nil
 }
 
+// parseDeadline parses a positive number of milliseconds or a positive Go duration.
 func parseDeadline(text string) (time.Duration, error) {
 	if millis, err := strconv.ParseInt(text, 10, 32); err == nil {
 		if millis <= 0 {
@@ -187,7 +189,8 @@
 	return timeout, err
 }
 
-// readRepeatable decides whether the request may run twice.
+// readRepeatable determines whether the request may run more than once. Completions may by default. A request that
+// may not must have an idempotency key.
 func (c *call) readRepeatable(ctx *fasthttp.RequestCtx) error {
 	c.repeatable = c.service == table.Engine
 	switch text := string(ctx.Request.Header.Peek(HeaderRepeatable)); text {
@@ -195,51 +198,51 @@
 	case "true", "false":
 		c.repeatable = text == "true"
 	default:
-		return bad(http.StatusBadRequest, "bad_repeatable", "Tamarindring-Repeatable must be true or false")
+		return newCallError(http.StatusBadRequest, "bad_repeatable", "Tamarindring-Repeatable must be true or false")
 	}
 	if !c.repeatable && c.key == "" {
-		return bad(http.StatusBadRequest, "key_required", "a request that must not run twice needs an Idempotency-Key")
+		return newCallError(http.StatusBadRequest, "key_required", "a request that must not run twice needs an Idempotency-Key")
 	}
 	return nil
 }
 
-// whole tells whether the body is held and can be sent again.
-func (c *call) whole() bool { return c.rest == nil }
+// isBuffered reports whether the whole body is held in memory, so that it can be sent again.
+func (c *call) isBuffered() bool { return c.remainder == nil }
 
-// readCompletion reads the fields of an OpenAI request. Of a body that is not whole only the beginning is
-// searched, so that model and stream have to stand before the large field.
+// readCompletion parses the fields of an OpenAI completion request. If the body is not fully buffered, only its
+// beginning is searched, so the fields model and stream must come before the large field.
 func (c *call) readCompletion() error {
-	if c.whole() {
+	if c.isBuffered() {
 		if err := json.Unmarshal(c.body, &c.fields); err != nil {
-			return bad(http.StatusBadRequest, "bad_body", "the body is no valid JSON of this form: "+err.Error())
+			return newCallError(http.StatusBadRequest, "bad_body", "the body is no valid JSON of this form: "+err.Error())
 		}
-	} else if err := c.scanBeginning(); err != nil {
+	} else if err := c.scanPartialBody(); err != nil {
 		return err
 	}
 	if c.fields.Model == "" {
-		return bad(http.StatusBadRequest, "bad_body", "the field model must name a pool")
+		return newCallError(http.StatusBadRequest, "bad_body", "the field model must name a pool")
 	}
 	if c.fields.PrefixTokens < 0 || c.fields.MaxTokens < 0 {
-		return bad(http.StatusBadRequest, "bad_body", "prefix_tokens and max_tokens must not be negative")
+		return newCallError(http.StatusBadRequest, "bad_body", "prefix_tokens and max_tokens must not be negative")
 	}
 	c.pool = c.fields.Model
 	if c.requestID == "" && len(c.fields.RequestID) <= maxIDBytes {
 		c.requestID = c.fields.RequestID
 	}
-	c.blocks = promptBlocks(c.fields.Prompt, c.fields.Messages)
+	c.prefixBlocks = promptBlocks(c.fields.Prompt, c.fields.Messages)
 	return nil
 }
 
-// scanBeginning reads the top-level fields of an object whose end is not here.
-func (c *call) scanBeginning() error {
+// scanPartialBody parses the top-level fields of a JSON object of which only the beginning is buffered.
+func (c *call) scanPartialBody() error {
 	decoder := json.NewDecoder(bytes.NewReader(c.body))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
-		return bad(http.StatusBadRequest, "bad_body", "the body must be a JSON object")
+		return newCallError(http.StatusBadRequest, "bad_body", "the body must be a JSON object")
 	}
 	for {
 		name, err := decoder.Token()
 		if err != nil {
-			return nil // the end of what is held
+			return nil // end of the buffered part
 		}
 		var value json.RawMessage
 		if err := decoder.Decode(&value); err != nil {
@@ -260,9 +263,9 @@
 	}
 }
 
-// bodyHash identifies the request under its key: path and body, or path, length and beginning of a body
-// that is not held.
-func (c *call) bodyHash() []byte {
+// hashBody returns a digest that identifies the request under its idempotency key. It covers the path, the length
+// and the buffered part of the body, which is the whole body where it is buffered.
+func (c *call) hashBody() []byte {
 	digest := sha256.New()
 	digest.Write([]byte(c.path))
 	var length [9]byte
@@ -272,14 +275,14 @@
 	return digest.Sum(nil)
 }
 
-// work estimates the tokens that the request will occupy a replica with.
-func (c *call) work() float64 {
+// estimateWork returns the expected cost of the request at a replica, in tokens.
+func (c *call) estimateWork() float64 {
 	if c.service == table.Application {
 		return applicationWork
 	}
-	prefill := float64(len(c.body)) / 32 // four bytes a token, an eighth of a decode step each
+	prefill := float64(len(c.body)) / 32 // four bytes per token, and an eighth of a decode step per token
 	if c.fields.MaxTokens > 0 {
 		return prefill + float64(max(c.fields.MaxTokens-c.fields.PrefixTokens, 1))
 	}
-	return prefill + defaultWork
+	return prefill + defaultWorkTokens
 }
--- a/internal/gateway/rewrite.go
+++ b/internal/gateway/rewrite.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// promptBlocks returns the chained hashes of the prompt's whole blocks, or none for a short one.
+// promptBlocks returns the chained hashes of the prompt's complete blocks. A prompt shorter than a block has none.
 func promptBlocks(prompt, messages json.RawMessage) []uint64 {
 	text := []byte(prompt)
 	if len(text) == 0 {
@@ -31,22 +31,22 @@
 	return blocks
 }
 
-// outgoing is the beginning of a request body for a back end.
-func (c *call) outgoing(streamID string, priority int) ([]byte, error) {
+// buildBody returns the buffered part of the request body as it is sent to a back end.
+func (c *call) buildBody(streamID string, priority int) ([]byte, error) {
 	if c.service != table.Engine {
 		return c.body, nil
 	}
-	if c.whole() && (len(c.fields.Priority) > 0 || c.fields.RequestID != "") {
-		return c.rewritten(streamID, priority, nil, 0)
+	if c.isBuffered() && (len(c.fields.Priority) > 0 || c.fields.RequestID != "") {
+		return c.rewriteBody(streamID, priority, nil, 0)
 	}
 	return insertFields(c.body, streamID, priority)
 }
 
-// insertFields puts the gateway's fields first into a JSON object.
+// insertFields inserts the gateway's fields at the beginning of a JSON object.
 func insertFields(body []byte, streamID string, priority int) ([]byte, error) {
 	start := bytes.IndexByte(body, '{')
 	if start < 0 {
-		return nil, trace.BadParameter("the body is no JSON object")
+		return nil, trace.BadParameter("request body is not a JSON object")
 	}
 	out := make([]byte, 0, len(body)+len(streamID)+48)
 	out = append(out, body[:start+1]...)
@@ -58,9 +58,9 @@
 	return append(out, body[start+1:]...), nil
 }
 
-// rewritten returns the body with other fields; generated is text, escaped as in JSON, that continues the
-// prompt, and tokens counts the whole continuation.
-func (c *call) rewritten(streamID string, priority int, generated []byte, tokens uint64) ([]byte, error) {
+// rewriteBody returns the body with the gateway's fields replaced. generated is JSON-escaped text that is appended
+// to the prompt, and tokens is the length of the whole continuation.
+func (c *call) rewriteBody(streamID string, priority int, generated []byte, tokens uint64) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(c.body, &fields); err != nil {
 		return nil, trace.Wrap(err)
@@ -82,32 +82,32 @@
 	return json.Marshal(fields)
 }
 
-// continuePrompt appends escaped text to a prompt, which is a string or a list of one string.
+// continuePrompt appends escaped text to a prompt, which is a string or a list with one string.
 func continuePrompt(prompt json.RawMessage, generated []byte) (json.RawMessage, error) {
 	text := bytes.TrimSpace(prompt)
 	if len(text) > 0 && text[0] == '[' {
 		var list []json.RawMessage
 		if err := json.Unmarshal(text, &list); err != nil || len(list) != 1 {
-			return nil, trace.BadParameter("only a single prompt can be continued")
+			return nil, trace.BadParameter("prompt list cannot be continued: want exactly one string")
 		}
 		text = list[0]
 	}
 	if len(text) < 2 || text[0] != '"' {
-		return nil, trace.BadParameter("only a text prompt can be continued")
+		return nil, trace.BadParameter("prompt cannot be continued: want a JSON string")
 	}
 	continued := append([]byte(nil), text[:len(text)-1]...)
 	continued = append(continued, generated...)
 	return append(continued, '"'), nil
 }
 
-// continueMessages appends escaped text to the last message, which is the assistant's when the caller
-// brought a continuation, or as a new one.
-func continueMessages(messages json.RawMessage, generated []byte, brought bool) (json.RawMessage, error) {
+// continueMessages appends escaped text to a conversation. If the caller's last message already is a continuation,
+// the text is appended to it. Otherwise it becomes a new assistant message.
+func continueMessages(messages json.RawMessage, generated []byte, hasContinuation bool) (json.RawMessage, error) {
 	var list []map[string]json.RawMessage
 	if err := json.Unmarshal(messages, &list); err != nil || len(list) == 0 {
-		return nil, trace.BadParameter("the messages cannot be continued")
+		return nil, trace.BadParameter("messages cannot be continued: want a non-empty list of objects")
 	}
-	if brought {
+	if hasContinuation {
 		last := list[len(list)-1]
 		continued, err := continuePrompt(last["content"], generated)
 		if err != nil {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -19,98 +19,100 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// errForeignAnswer means that a back end answered another request than the one that was sent.
-var errForeignAnswer = errors.New("the back end's answer names another request")
+// errForeignAnswer means that an answer, or a chunk of a stream, cannot be attributed to the request that was sent.
+var errForeignAnswer = errors.New("back end answer does not name the request that was sent")
 
-// errUnframed means that an answer's end cannot be told from a cut connection.
-var errUnframed = errors.New("the back end's answer states no length")
+// errUnframed means that an answer has neither a length nor chunks, so that its end looks the same as a cut
+// connection.
+var errUnframed = errors.New("back end answer has neither a content length nor chunks")
 
-// errAnswerTooLarge means that an answer that is not streamed is larger than the limit.
-var errAnswerTooLarge = errors.New("the back end's answer is larger than the limit")
+// errAnswerTooLarge means that an answer, or the text of a stream, exceeds its size limit.
+var errAnswerTooLarge = errors.New("back end answer exceeds the size limit")
 
-// send makes one dispatch. The lease is checked at the last moment before the first byte, against the very
-// table version that the choice was made on.
+// send performs one dispatch. The lease is checked immediately before the first byte is written, and the table must
+// still have the version on which the back end was chosen.
 func (x *exchange) send(action *dispatch.Action) {
 	x.dropUpstream()
-	payload, err := x.payload(action)
+	out, err := x.buildPayload(action)
 	if err != nil || (action.Kind == dispatch.Resume && x.abandoned.Load()) {
 		x.endRun(poisonguard.NotRun)
-		x.feed(dispatch.Event{Kind: dispatch.SendFailed})
+		x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed})
 		return
 	}
 	began := x.server.now()
-	up, err := x.server.transport.acquire(x.chosen.address, x.wallLimit)
+	up, err := x.server.transport.acquire(x.chosen.address, x.wallDeadline)
 	x.stages.add(stageConnect, x.server.now()-began)
 	if err != nil {
 		x.endRun(poisonguard.NotRun)
-		x.leaveBackend(outcomeBad)
-		x.feed(dispatch.Event{Kind: dispatch.SendFailed})
+		x.releaseBackend(outcomeBad)
+		x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed})
 		return
 	}
 	version, leased := x.server.config.Control.Admit()
 	if !leased && !action.Unchecked {
 		x.server.transport.release(up)
 		x.endRun(poisonguard.NotRun)
-		x.feed(dispatch.Event{Kind: dispatch.LeaseLapsed})
+		x.queueEvent(dispatch.Event{Kind: dispatch.LeaseLapsed})
 		return
 	}
 	if version != x.chosen.version && action.Kind != dispatch.Resume && leased {
 		x.server.transport.release(up)
-		x.putOff()
-		x.feed(dispatch.Event{Kind: dispatch.TableMoved})
+		x.postponeRun()
+		x.queueEvent(dispatch.Event{Kind: dispatch.TableMoved})
 		return
 	}
-	x.sends++
-	x.server.log.add(x, action, version)
-	x.server.counts.countDispatch(x, action.Kind)
-	x.exchangeWith(up, payload, action)
+	x.sendCount++
+	x.server.dispatchLog.add(x, action, version)
+	x.server.metrics.recordDispatch(x, action.Kind)
+	x.roundTrip(up, out, action)
 }
 
-// payload is what one dispatch sends.
+// payload is the path and the body of one dispatch.
 type payload struct {
-	path   string
-	body   []byte
-	rest   io.Reader
-	length int64
+	path      string
+	body      []byte
+	remainder io.Reader // unbuffered part of the body, after body; may be nil
+	length    int64     // of the whole body; -1 when unknown
 }
 
-func (x *exchange) payload(action *dispatch.Action) (payload, error) {
+// buildPayload returns what a dispatch sends, and assigns the stream ID unless the dispatch resumes a stream.
+func (x *exchange) buildPayload(action *dispatch.Action) (payload, error) {
 	c := x.call
 	if action.Kind == dispatch.Resume {
 		return payload{path: "/v1/streams/" + x.streamID + "/resume?from=" + strconv.FormatUint(action.Offset, 10)}, nil
 	}
 	x.streamID = x.server.streamPrefix + strconv.FormatUint(x.id, 10)
-	if x.sends > 0 {
-		x.streamID += "." + strconv.Itoa(x.sends)
+	if x.sendCount > 0 {
+		x.streamID += "." + strconv.Itoa(x.sendCount)
 	}
 	var body []byte
 	var err error
 	if action.Kind == dispatch.Replay {
-		if x.stream.overflow {
+		if x.stream.textIncomplete {
 			return payload{}, errAnswerTooLarge
 		}
-		body, err = c.rewritten(x.streamID, x.priority, x.stream.text, action.Offset)
+		body, err = c.rewriteBody(x.streamID, x.priority, x.stream.heldText, action.Offset)
 	} else {
-		body, err = c.outgoing(x.streamID, x.priority)
+		body, err = c.buildBody(x.streamID, x.priority)
 	}
 	length := int64(len(body))
-	if !c.whole() {
+	if !c.isBuffered() {
 		length = -1
 		if c.bodyLength >= 0 {
 			length = c.bodyLength + int64(len(body)-len(c.body))
 		}
 	}
-	return payload{path: c.path, body: body, rest: c.rest, length: length}, err
+	return payload{path: c.path, body: body, remainder: c.remainder, length: length}, err
 }
 
-// exchangeWith writes the request and reads the answer, or its header when it is streamed.
-func (x *exchange) exchangeWith(up *upstream, out payload, action *dispatch.Action) {
+// roundTrip writes the request and reads the answer. Of a streamed answer it reads only the header.
+func (x *exchange) roundTrip(up *upstream, out payload, action *dispatch.Action) {
 	began := x.server.now()
-	_ = up.conn.SetDeadline(x.wallLimit)
-	if !x.holdUpstream(up) {
+	_ = up.conn.SetDeadline(x.wallDeadline)
+	if !x.setUpstream(up) {
 		x.server.transport.release(x.takeUpstream())
-		x.feed(dispatch.Event{Kind: dispatch.Yield})
-		x.feed(dispatch.Event{Kind: dispatch.SendFailed}) // ignored when the yield is obeyed
+		x.queueEvent(dispatch.Event{Kind: dispatch.Yield})
+		x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed}) // ignored if the machine acts on the yield
 		return
 	}
 	if x.abandoned.Load() {
@@ -118,8 +120,8 @@
 		return
 	}
 	if err := x.write(up, out); err != nil {
-		if paced := x.call.paced; paced != nil && paced.failure != nil {
-			x.blameBody(paced.failure)
+		if paced := x.call.pacedRemainder; paced != nil && paced.failure != nil {
+			x.failForCallerBody(paced.failure)
 			return
 		}
 		x.failSend(up.counter.written > 0, err)
@@ -127,55 +129,57 @@
 	}
 	up.response.Reset()
 	up.response.StreamBody = true
-	x.setHeaderLimit(up, action.Kind)
+	x.setHeaderTimeout(up, action.Kind)
 	err := up.response.ReadLimitBody(up.reader, 0)
 	x.stages.add(stageBackend, x.server.now()-began)
-	if err == nil && !x.answersThis(up) {
+	if err == nil && !x.isOwnAnswer(up) {
 		err = errForeignAnswer
 	}
 	if err != nil {
 		x.failSend(true, err)
 		return
 	}
-	x.liftHeaderLimit(up, action.Kind)
+	x.clearHeaderTimeout(up, action.Kind)
 	x.classify(up, action)
 }
 
-// answersThis tells whether the answer belongs to the request that was sent. An answer that names no request
-// is accepted only as the first one of a connection, where no other request can have caused it.
-func (x *exchange) answersThis(up *upstream) bool {
+// isOwnAnswer reports whether the answer belongs to the request that was sent. An answer without a request ID is
+// accepted only as the first one on its connection, where no earlier request can have caused it.
+func (x *exchange) isOwnAnswer(up *upstream) bool {
 	echoed := up.response.Header.Peek(HeaderRequestID)
 	if len(echoed) == 0 {
-		return !up.named
+		return !up.namesRequests
 	}
-	up.named = true
+	up.namesRequests = true
 	return string(echoed) == x.streamID
 }
 
-// holdUpstream makes the connection interruptible; it is false when a yield came first.
-func (x *exchange) holdUpstream(up *upstream) bool {
-	x.upMutex.Lock()
-	defer x.upMutex.Unlock()
-	x.up = up
-	return !x.yield.Load() || !x.machine.Preemptible()
+// setUpstream makes the connection visible to preempt and abandonBackend, which interrupt it. It returns false if
+// the request was preempted before and the machine can still act on that.
+func (x *exchange) setUpstream(up *upstream) bool {
+	x.upstreamMutex.Lock()
+	defer x.upstreamMutex.Unlock()
+	x.upstream = up
+	return !x.preempted.Load() || !x.machine.Preemptible()
 }
 
+// takeUpstream detaches the current connection, if there is one, and returns it.
 func (x *exchange) takeUpstream() *upstream {
-	x.upMutex.Lock()
-	defer x.upMutex.Unlock()
-	up := x.up
-	x.up = nil
+	x.upstreamMutex.Lock()
+	defer x.upstreamMutex.Unlock()
+	up := x.upstream
+	x.upstream = nil
 	return up
 }
 
-// dropUpstream closes the connection of a send that is over.
+// dropUpstream closes the current connection, if there is one.
 func (x *exchange) dropUpstream() {
 	if up := x.takeUpstream(); up != nil {
 		up.close()
 	}
 }
 
-// write sends the request. A body that is not held is passed through in bounded memory.
+// write sends the request. An unbuffered body is streamed through in bounded memory.
 func (x *exchange) write(up *upstream, out payload) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -193,7 +197,7 @@
 		header.Set(HeaderKey, x.call.key)
 	}
 	header.Set(HeaderDeadline, strconv.FormatInt(max(int64((x.deadline-x.server.now())/time.Millisecond), 1), 10))
-	if out.rest == nil {
+	if out.remainder == nil {
 		header.SetContentLength(len(out.body))
 		if err := header.Write(up.writer); err != nil {
 			return err
@@ -203,60 +207,63 @@
 		}
 		return up.writer.Flush()
 	}
-	request.SetBodyStream(io.MultiReader(bytes.NewReader(out.body), out.rest), int(out.length))
+	request.SetBodyStream(io.MultiReader(bytes.NewReader(out.body), out.remainder), int(out.length))
 	if err := request.Write(up.writer); err != nil {
 		return err
 	}
 	return up.writer.Flush()
 }
 
-// failSend reports a send that ended without an answer.
+// failSend reports a send that ended without an answer. reached means that the back end may have received a part of
+// the request.
 func (x *exchange) failSend(reached bool, cause error) {
 	x.dropUpstream()
-	if x.feedInterruption(cause) {
+	if x.handleTimeout(cause) {
 		x.endRun(poisonguard.Stopped)
-		x.leaveBackend(outcomeNeutral)
+		x.releaseBackend(outcomeNeutral)
 		return
 	}
 	if reached {
-		x.breakOff(cause)
+		x.endBrokenRun(cause)
 	} else {
 		x.endRun(poisonguard.NotRun)
 	}
-	x.leaveBackend(outcomeBad)
+	x.releaseBackend(outcomeBad)
 	if reached {
-		x.feed(dispatch.Event{Kind: dispatch.SendUnknown})
+		x.queueEvent(dispatch.Event{Kind: dispatch.SendUnknown})
 		return
 	}
-	x.feed(dispatch.Event{Kind: dispatch.SendFailed})
+	x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed})
 }
 
-// feedInterruption translates a timeout of the connection into what caused it.
-func (x *exchange) feedInterruption(cause error) bool {
+// handleTimeout queues the event behind a read or write timeout: the request's deadline or a preemption. It returns
+// false if the error has another cause.
+func (x *exchange) handleTimeout(cause error) bool {
 	if !errors.Is(cause, os.ErrDeadlineExceeded) {
 		return false
 	}
 	if x.server.now() >= x.deadline {
-		x.feed(dispatch.Event{Kind: dispatch.DeadlinePassed})
+		x.queueEvent(dispatch.Event{Kind: dispatch.DeadlinePassed})
 		return true
 	}
-	if x.yield.Load() && x.machine.Preemptible() {
-		x.feed(dispatch.Event{Kind: dispatch.Yield})
+	if x.preempted.Load() && x.machine.Preemptible() {
+		x.queueEvent(dispatch.Event{Kind: dispatch.Yield})
 		return true
 	}
 	return false
 }
 
-// refusalBody is the part of a back end's error that the gateway looks at.
+// refusalBody is the part of a back end's error body that the gateway reads.
 type refusalBody struct {
 	Error struct {
 		Code string `json:"code"`
 	} `json:"error"`
 }
 
+// codeLeaving is the error code of a back end that refuses work because it is leaving.
 const codeLeaving = "leaving"
 
-// classify decides what an answer's header means.
+// classify opens the stream of a streamed answer, or reads any other answer whole and classifies it.
 func (x *exchange) classify(up *upstream, action *dispatch.Action) {
 	status := up.response.StatusCode()
 	if status == http.StatusOK && x.call.fields.Stream &&
@@ -264,49 +271,50 @@
 		x.openStream(up, action)
 		return
 	}
-	body, err := x.readWhole(up)
+	body, err := x.readFullBody(up)
 	if err != nil {
 		x.failSend(true, err)
 		return
 	}
 	answer := &wire.Answer{Status: uint32(status), ContentType: string(up.response.Header.ContentType()), Body: body}
-	said, _ := verdict.Parse(string(up.response.Header.Peek(verdict.Header)))
-	retryAfter := retryAfterOf(&up.response.Header)
-	x.finishUpstream()
-	x.classifyWhole(action, answer, said, retryAfter)
+	backendVerdict, _ := verdict.Parse(string(up.response.Header.Peek(verdict.Header)))
+	retryAfter := parseRetryAfter(&up.response.Header)
+	x.releaseUpstream()
+	x.classifyAnswer(action, answer, backendVerdict, retryAfter)
 }
 
-func (x *exchange) classifyWhole(action *dispatch.Action, answer *wire.Answer, said verdict.Verdict, retryAfter time.Duration) {
+// classifyAnswer reports a whole answer to the machine and its outcome to routing and to the suspect guard.
+func (x *exchange) classifyAnswer(action *dispatch.Action, answer *wire.Answer, backendVerdict verdict.Verdict, retryAfter time.Duration) {
 	status := int(answer.Status)
-	if said == verdict.DidNotRun || action.Kind == dispatch.Resume {
+	if backendVerdict == verdict.DidNotRun || action.Kind == dispatch.Resume {
 		x.endRun(poisonguard.NotRun)
 	} else {
 		x.endRun(poisonguard.Answered)
 	}
 	switch {
 	case action.Kind == dispatch.Resume:
-		// Nothing of the stream is kept there; it has to be replayed elsewhere.
-		x.leaveBackend(outcomeNeutral)
-		x.feed(dispatch.Event{Kind: dispatch.RefusedByBackend, RetryAfter: retryAfter})
-	case said == verdict.DidNotRun:
-		how := outcomeNeutral
+		// The back end no longer holds the stream, so it has to be replayed at another one.
+		x.releaseBackend(outcomeNeutral)
+		x.queueEvent(dispatch.Event{Kind: dispatch.RefusedByBackend, RetryAfter: retryAfter})
+	case backendVerdict == verdict.DidNotRun:
+		result := outcomeNeutral
 		var refusal refusalBody
 		if json.Unmarshal(answer.Body, &refusal) == nil && refusal.Error.Code == codeLeaving {
-			how = outcomeLeaving
+			result = outcomeLeaving
 		}
-		x.leaveBackend(how)
-		x.feed(dispatch.Event{Kind: dispatch.RefusedByBackend, Status: status, RetryAfter: retryAfter, Answer: answer})
+		x.releaseBackend(result)
+		x.queueEvent(dispatch.Event{Kind: dispatch.RefusedByBackend, Status: status, RetryAfter: retryAfter, Answer: answer})
 	case status >= http.StatusInternalServerError:
-		x.leaveBackend(outcomeBad)
-		x.feed(dispatch.Event{Kind: dispatch.Completed, Answer: answer})
+		x.releaseBackend(outcomeBad)
+		x.queueEvent(dispatch.Event{Kind: dispatch.Completed, Answer: answer})
 	default:
-		x.leaveBackend(outcomeGood)
-		x.feed(dispatch.Event{Kind: dispatch.Completed, Answer: answer})
+		x.releaseBackend(outcomeGood)
+		x.queueEvent(dispatch.Event{Kind: dispatch.Completed, Answer: answer})
 	}
 }
 
-// readWhole reads an answer that is not streamed.
-func (x *exchange) readWhole(up *upstream) ([]byte, error) {
+// readFullBody reads the body of an answer that is not streamed, up to MaxAnswerBytes.
+func (x *exchange) readFullBody(up *upstream) ([]byte, error) {
 	length := up.response.Header.ContentLength()
 	limit := x.server.config.MaxAnswerBytes
 	switch {
@@ -326,8 +334,8 @@
 	return body, err
 }
 
-// finishUpstream keeps a connection whose answer was read to its end.
-func (x *exchange) finishUpstream() {
+// releaseUpstream returns a connection to the idle pool after its answer was read to the end.
+func (x *exchange) releaseUpstream() {
 	up := x.takeUpstream()
 	if up == nil {
 		return
@@ -340,7 +348,9 @@
 	x.server.transport.release(up)
 }
 
-func retryAfterOf(header *fasthttp.ResponseHeader) time.Duration {
+// parseRetryAfter returns the Retry-After of an answer, or 0 if it is missing, invalid or above
+// maxRetryAfterSeconds.
+func parseRetryAfter(header *fasthttp.ResponseHeader) time.Duration {
 	seconds, err := strconv.ParseFloat(string(header.Peek(HeaderRetryAfter)), 64)
 	if err != nil || seconds <= 0 || seconds > maxRetryAfterSeconds {
 		return 0
@@ -350,12 +360,12 @@
 
 const maxRetryAfterSeconds = 3600
 
-// cancel stops the work at the back end. The connection is closed at once; an engine is also told, because
-// it keeps a stream for a while so that it can be resumed.
+// cancel stops the work at the back end. The connection is closed at once. An engine also gets a cancel call,
+// because it keeps a disconnected stream for some time so that it can be resumed.
 func (x *exchange) cancel() {
 	x.dropUpstream()
 	x.endRun(poisonguard.Stopped)
-	x.leaveBackend(outcomeNeutral)
+	x.releaseBackend(outcomeNeutral)
 	if x.call.service == table.Engine && x.streamID != "" {
 		x.server.cancelStream(x.chosen.address, x.streamID)
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -25,45 +25,46 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Server is one gateway.
+// Server is a gateway: the HTTP server for callers together with its pools of back ends, its session with the
+// control group and its background tasks.
 type Server struct {
-	config        Config
-	listener      net.Listener
-	http          *fasthttp.Server
-	transport     *transport
-	dispatch      dispatch.Settings
-	counts        *counts
-	scrape        fasthttp.RequestHandler
-	log           *dispatchLog
-	started       time.Time
-	context       context.Context // of background work; ends with Close
-	cancel        context.CancelFunc
-	attemptPrefix string
-	streamPrefix  string
-	cancels       chan struct{} // bounds cancel calls under way
-	canceller     *fasthttp.Client
-	lingers       chan struct{} // bounds connections whose unread body is discarded
+	config         Config
+	listener       net.Listener
+	http           *fasthttp.Server
+	transport      *transport
+	dispatch       dispatch.Settings
+	metrics        *serverMetrics
+	metricsHandler fasthttp.RequestHandler
+	dispatchLog    *dispatchLog
+	started        time.Time
+	context        context.Context // for background work; cancelled by Close
+	cancel         context.CancelFunc
+	attemptPrefix  string
+	streamPrefix   string
+	cancelSlots    chan struct{} // bounds concurrent cancel calls to engines
+	cancelClient   *fasthttp.Client
+	discardSlots   chan struct{} // bounds connections whose unread body is being discarded
 
-	nextID      atomic.Uint64
-	inFlight    atomic.Int64 // requests whose life is not over
-	settlements atomic.Int64
-	settling    *settling
-	draining    atomic.Bool
-	pools       atomic.Pointer[poolSet]
-	updateMutex sync.Mutex // one table update at a time
-	group       group
-	callers     callers
-	memory      memoryBudget
+	nextID            atomic.Uint64
+	inFlight          atomic.Int64 // requests that are not finished, pending settlements included
+	settlements       atomic.Int64 // answered requests that still have ledger commands to execute
+	settlementLimiter *settlementLimiter
+	draining          atomic.Bool
+	pools             atomic.Pointer[poolSet]
+	updateMutex       sync.Mutex // serializes table updates
+	gateways          gatewaySet // the live gateways as of the last table update; guarded by updateMutex
+	callers           callerConnections
+	memory            memoryBudget
 }
 
-// callers are the open connections, so that Close can cut them.
-type callers struct {
+// callerConnections tracks the open connections of callers, so that Close can close them.
+type callerConnections struct {
 	mutex sync.Mutex
 	open  map[net.Conn]struct{}
 }
 
-// follow implements the HTTP library's ConnState.
-func (c *callers) follow(conn net.Conn, state fasthttp.ConnState) {
+// trackState implements the ConnState callback of fasthttp.Server.
+func (c *callerConnections) trackState(conn net.Conn, state fasthttp.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
@@ -74,13 +75,13 @@
 	}
 }
 
-func (c *callers) count() int {
+func (c *callerConnections) count() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.open)
 }
 
-func (c *callers) cut() {
+func (c *callerConnections) closeAll() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for conn := range c.open {
@@ -88,13 +89,15 @@
 	}
 }
 
-// poolSet is the pools by name. It is replaced, never changed.
+// poolSet maps pool names to pools as of one table version. It is replaced as a whole and never modified.
 type poolSet struct {
 	version uint64
 	byName  map[string]*pool
 }
 
-// New binds the listener. The control session must hold a view already.
+// New binds the listener, unless config.Listener is set, and returns a gateway that serves once Run is called. The
+// control session must already hold a table view. It fails if a required setting is missing, a size limit is
+// negative or the address cannot be bound.
 func New(config Config) (*Server, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, err
@@ -109,44 +112,45 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{config: config, listener: listener, transport: newTransport(config.ConnectTimeout),
-		counts: newCounts(), log: newDispatchLog(config.LogEntries), started: time.Now(),
-		memory: memoryBudget{limit: config.MaxBufferedBytes}, callers: callers{open: map[net.Conn]struct{}{}}, context: ctx, cancel: cancel, cancels: make(chan struct{}, maxCancels), canceller: newCanceller(),
-		lingers: make(chan struct{}, maxLingers)}
+		metrics: newServerMetrics(), dispatchLog: newDispatchLog(config.LogEntries), started: time.Now(),
+		memory: memoryBudget{limit: config.MaxBufferedBytes}, callers: callerConnections{open: map[net.Conn]struct{}{}},
+		context: ctx, cancel: cancel, cancelSlots: make(chan struct{}, maxConcurrentCancels), cancelClient: newCancelClient(),
+		discardSlots: make(chan struct{}, maxDiscards)}
 	s.attemptPrefix = config.Control.Owner() + "/"
 	s.streamPrefix = randomName() + "-"
-	s.settling = newSettling(config.MaxSettling)
+	s.settlementLimiter = newSettlementLimiter(config.MaxSettling)
 	s.dispatch = config.Dispatch.WithDefaults()
 	s.dispatch.Random = rand.Float64
-	s.dispatch.Budget = &sharedBudget{budget: dispatch.NewRetryBudget(config.RetriesPerSecond, config.RetryBurst),
-		refused: s.counts.refused}
+	s.dispatch.Budget = &lockedBudget{budget: dispatch.NewRetryBudget(config.RetriesPerSecond, config.RetryBurst),
+		refused: s.metrics.refusedRetries}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, Name: "tamarindring", Logger: quietLogger{config.Log}, StreamRequestBody: true,
+		Handler: s.handle, Name: "tamarindring", Logger: debugLogger{config.Log}, StreamRequestBody: true,
 		MaxRequestBodySize: prefetchBytes, DisablePreParseMultipartForm: true, ReadTimeout: config.ReadTimeout,
-		IdleTimeout: config.IdleTimeout, Concurrency: config.MaxConnections + maxFarewells, CloseOnShutdown: true,
+		IdleTimeout: config.IdleTimeout, Concurrency: config.MaxConnections + maxConcurrentRejections, CloseOnShutdown: true,
 		ReadBufferSize: maxHeaderBytes, NoDefaultServerHeader: true, ErrorHandler: s.handleMalformed,
-		ConnState: s.callers.follow,
+		ConnState: s.callers.trackState,
 	}
-	s.listener = newLimitedListener(listener, config.MaxConnections, config.MaxConnectionsPerAddress, s.counts.countRefusedConnection)
+	s.listener = newLimitedListener(listener, config.MaxConnections, config.MaxConnectionsPerAddress, s.metrics.recordRefusedConnection)
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(s.Collector())
-	s.scrape = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxScrapes}))
+	s.metricsHandler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes}))
 	s.pools.Store(&poolSet{byName: map[string]*pool{}})
-	config.Control.OnUpdate(func(view *table.View) { s.update(view, false) })
+	config.Control.OnUpdate(func(view *table.View) { s.applyTable(view, false) })
 	if config.Suspects != nil {
 		config.Control.OnUpdate(config.Suspects.Follow)
 		config.Suspects.Follow(config.Control.View())
 	}
-	s.update(config.Control.View(), true)
+	s.applyTable(config.Control.View(), true)
 	return s, nil
 }
 
-// maxScrapes bounds the scrapes under way on the callers' listener.
-const maxScrapes = 4
+// maxConcurrentScrapes bounds concurrent metrics scrapes on the callers' listener.
+const maxConcurrentScrapes = 4
 
-// prefetchBytes is how much of a body the HTTP library reads before the handler runs.
+// prefetchBytes is the part of a request body that fasthttp reads before it calls the handler.
 const prefetchBytes = 16 << 10
 
-// randomName distinguishes this start of the process in stream identities.
+// randomName returns a random identifier of this process start, which makes stream IDs unique across restarts.
 func randomName() string {
 	var random [6]byte
 	binary.BigEndian.PutUint32(random[:4], rand.Uint32())
@@ -154,15 +158,15 @@
 	return hex.EncodeToString(random[:])
 }
 
-// sharedBudget makes the retry budget safe for all requests.
-type sharedBudget struct {
+// lockedBudget makes a retry budget safe for concurrent use and counts the retries that it refuses.
+type lockedBudget struct {
 	mutex   sync.Mutex
 	budget  *dispatch.RetryBudget
 	refused prometheus.Counter
 }
 
 // Take implements dispatch.Budget.
-func (b *sharedBudget) Take(now time.Duration) bool {
+func (b *lockedBudget) Take(now time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.budget.Take(now) {
@@ -172,19 +176,20 @@
 	return false
 }
 
-// quietLogger passes the HTTP library's complaints about callers to debug level.
-type quietLogger struct{ log *logrus.Entry }
+// debugLogger logs the errors that fasthttp reports about callers at debug level.
+type debugLogger struct{ log *logrus.Entry }
 
 // Printf implements fasthttp.Logger.
-func (l quietLogger) Printf(format string, arguments ...any) { l.log.Debugf(format, arguments...) }
+func (l debugLogger) Printf(format string, arguments ...any) { l.log.Debugf(format, arguments...) }
 
-// now is the time since the gateway started, monotonic.
+// now returns the monotonic time since the gateway started.
 func (s *Server) now() time.Duration { return time.Since(s.started) }
 
-// Address is the bound IP:port.
+// Address returns the bound IP:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, then closes abruptly; after Drain or Close it returns nil.
+// Run serves callers until ctx is cancelled, then closes the gateway abruptly. It returns nil after Drain or Close,
+// and otherwise the error that ended serving.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
@@ -200,7 +205,7 @@
 		s.cancel()
 		return trace.Wrap(err)
 	})
-	group.Go(func() error { return s.refresh(groupContext) })
+	group.Go(func() error { return s.watchGateways(groupContext) })
 	group.Go(func() error { return s.pollLoads(groupContext) })
 	if s.config.Suspects != nil {
 		group.Go(func() error {
@@ -211,8 +216,9 @@
 	return group.Wait()
 }
 
-// Drain stops by plan: what is in flight is finished, new requests are refused as not run, then the
-// gateway leaves the membership. It returns early when ctx ends.
+// Drain performs a planned shutdown. New requests are refused with the verdict that they did not run, requests in
+// flight are finished, and then the gateway leaves the membership. If ctx ends first, Drain returns an error and
+// requests may still be in flight.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.config.Log.Info("draining")
@@ -221,33 +227,33 @@
 	for s.inFlight.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return trace.LimitExceeded("gateway %s: %d requests were still in flight when the drain's time was over", s.config.Name, s.inFlight.Load())
+			return trace.LimitExceeded("gateway %s: drain ended with %d requests still in flight", s.config.Name, s.inFlight.Load())
 		case <-ticker.C:
 		}
 	}
 	err := s.http.ShutdownWithContext(ctx)
-	left := s.config.Control.Leave(ctx)
+	leaveErr := s.config.Control.Leave(ctx)
 	s.cancel()
 	s.transport.close()
-	s.canceller.CloseIdleConnections()
+	s.cancelClient.CloseIdleConnections()
 	s.config.Log.Info("drained")
-	return trace.NewAggregate(err, left)
+	return trace.NewAggregate(err, leaveErr)
 }
 
 const drainCheckInterval = 2 * time.Millisecond
 
-// LeaveRequested says whether an operator has asked this gateway to finish its work and leave.
+// LeaveRequested reports whether an operator has asked this gateway to drain and leave.
 func (s *Server) LeaveRequested() bool {
 	return wire.LeaveRequested(s.config.Control.Members(), s.config.Control.Owner())
 }
 
-// Close ends the gateway abruptly.
+// Close stops the gateway abruptly: it closes the listener and all connections and ends the control session.
 func (s *Server) Close() error {
 	s.cancel()
 	err := s.listener.Close()
-	s.callers.cut()
+	s.callers.closeAll()
 	s.transport.close()
-	s.canceller.CloseIdleConnections()
+	s.cancelClient.CloseIdleConnections()
 	return trace.NewAggregate(ignoreClosed(err), s.config.Control.Close())
 }
 
@@ -258,15 +264,16 @@
 	return err
 }
 
-// update takes over a table view unless it is older than the one in use, or, without force, the same. Pools keep what they know about replicas that stay.
-func (s *Server) update(view *table.View, force bool) {
+// applyTable switches to a table view, unless it is older than the current one. A view of the current version is
+// applied only with force. Pools keep their state about replicas that stay in the table.
+func (s *Server) applyTable(view *table.View, force bool) {
 	s.updateMutex.Lock()
 	defer s.updateMutex.Unlock()
 	old := s.pools.Load()
 	if view.Version() < old.version || !force && view.Version() == old.version {
 		return
 	}
-	own := s.currentGroup()
+	gateways := s.currentGateways()
 	next := &poolSet{version: view.Version(), byName: make(map[string]*pool)}
 	addresses := map[string]bool{}
 	for _, row := range view.Pools() {
@@ -274,26 +281,26 @@
 		if p == nil {
 			p = newPool(s.config.Policy, s.config.Routing, s.config.Subset)
 		}
-		p.update(s.now(), view, row, own)
+		p.update(s.now(), view, row, gateways)
 		next.byName[row.Name] = p
 		for _, backend := range view.Backends(row.Name) {
 			addresses[backend.Address] = true
 		}
 	}
-	s.group = own
+	s.gateways = gateways
 	s.pools.Store(next)
-	s.transport.forgetExcept(addresses)
+	s.transport.closeIdleExcept(addresses)
 }
 
-// currentGroup is the live gateways as last heard.
-func (s *Server) currentGroup() group {
-	return gatewayGroup(s.config.Control.Members(), routing.Place{Name: s.config.Name, Zone: s.config.Zone})
+// currentGateways returns the live gateways according to the latest member list.
+func (s *Server) currentGateways() gatewaySet {
+	return liveGateways(s.config.Control.Members(), routing.Place{Name: s.config.Name, Zone: s.config.Zone})
 }
 
-// refresh follows which gateways live: this one's subset of the back ends and its share of the limits
-// depend on it.
-func (s *Server) refresh(ctx context.Context) error {
-	ticker := time.NewTicker(refreshInterval)
+// watchGateways reapplies the table when the set of live gateways changes, because this gateway's subset of the
+// back ends and its share of the limits depend on that set. It returns nil when ctx ends.
+func (s *Server) watchGateways(ctx context.Context) error {
+	ticker := time.NewTicker(gatewayCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -301,12 +308,12 @@
 			return nil
 		case <-ticker.C:
 		}
-		own := s.currentGroup()
+		gateways := s.currentGateways()
 		s.updateMutex.Lock()
-		changed := !own.equal(s.group)
+		changed := !gateways.equal(s.gateways)
 		s.updateMutex.Unlock()
 		if changed {
-			s.update(s.config.Control.View(), true)
+			s.applyTable(s.config.Control.View(), true)
 		}
 	}
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -12,15 +12,15 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// session is a Control over a real control group.
+// session implements Control with a client of a control group.
 type session struct {
 	*controlclient.Session
 	client *controlclient.Client
 }
 
-// Open binds the listener, starts a session with the control group and returns a gateway that uses it. It
-// waits until the session holds a lease, or ctx ends. Control of config is set by Open; control's Member is
-// filled in from config.
+// Open binds the listener unless config.Listener is set, starts a session with the control group and returns a
+// gateway that uses it. It waits until the session holds a lease or ctx ends. It sets Control and Suspects in
+// config, and Member in control. After an error it closes the listener.
 func Open(ctx context.Context, config Config, control controlclient.Config) (*Server, error) {
 	if config.Name == "" {
 		return nil, trace.BadParameter("gateway: a name is required")
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	config.Control = opened
-	config.Suspects, err = poisonguard.New(poisonguard.Config{Control: opened.client, Leading: opened.forgetsSuspects,
+	config.Suspects, err = poisonguard.New(poisonguard.Config{Control: opened.client, Leading: opened.isSuspectCleaner,
 		Recorded: func() bool { return opened.Level().Includes(compat.Shares) }, Operator: config.Name, Log: config.Log})
 	if err != nil {
 		return nil, trace.NewAggregate(err, opened.Close(), config.Listener.Close())
--- a/internal/gateway/settling.go
+++ b/internal/gateway/settling.go
@@ -7,33 +7,33 @@
 	"github.com/tamarindring/tamarindring/internal/dispatch"
 )
 
-// settling lets the answered requests speak to the ledger a few at a time.
-type settling struct {
-	limit  int // per ledger group
-	mutex  sync.Mutex
-	groups map[uint32]*dispatch.Settlements
-	turns  map[uint64]chan struct{} // by exchange that waits
+// settlementLimiter limits the concurrent ledger commands of requests that were already answered.
+type settlementLimiter struct {
+	limit   int // concurrent commands per ledger group
+	mutex   sync.Mutex
+	groups  map[uint32]*dispatch.Settlements
+	waiters map[uint64]chan struct{} // by ID of the waiting exchange
 }
 
-func newSettling(limit int) *settling {
-	return &settling{limit: limit, groups: map[uint32]*dispatch.Settlements{}, turns: map[uint64]chan struct{}{}}
+func newSettlementLimiter(limit int) *settlementLimiter {
+	return &settlementLimiter{limit: limit, groups: map[uint32]*dispatch.Settlements{}, waiters: map[uint64]chan struct{}{}}
 }
 
-// enter waits until the exchange may send its command; it is false when ctx ends first. Nothing is taken back then:
-// ctx ends with the gateway.
-func (s *settling) enter(ctx context.Context, group uint32, id uint64, kind dispatch.ClaimKind) bool {
+// acquire waits until the exchange may send its command. It returns false if ctx ends first. The waiting entry is
+// not removed in that case, because ctx ends only with the gateway.
+func (s *settlementLimiter) acquire(ctx context.Context, group uint32, id uint64, kind dispatch.ClaimKind) bool {
 	s.mutex.Lock()
-	waiting := s.groups[group]
-	if waiting == nil {
-		waiting = dispatch.NewSettlements(s.limit)
-		s.groups[group] = waiting
+	settlements := s.groups[group]
+	if settlements == nil {
+		settlements = dispatch.NewSettlements(s.limit)
+		s.groups[group] = settlements
 	}
-	if waiting.Ask(id, kind) {
+	if settlements.Ask(id, kind) {
 		s.mutex.Unlock()
 		return true
 	}
 	turn := make(chan struct{})
-	s.turns[id] = turn
+	s.waiters[id] = turn
 	s.mutex.Unlock()
 	select {
 	case <-turn:
@@ -43,12 +43,12 @@
 	}
 }
 
-// leave ends a command that entered.
-func (s *settling) leave(group uint32, answered bool) {
+// release ends a command that was admitted by acquire. answered reports whether the ledger responded.
+func (s *settlementLimiter) release(group uint32, answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, id := range s.groups[group].Done(answered) {
-		close(s.turns[id])
-		delete(s.turns, id)
+		close(s.waiters[id])
+		delete(s.waiters, id)
 	}
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -6,13 +6,14 @@
 	"github.com/tamarindring/tamarindring/internal/dispatch"
 )
 
-// resumeTimeout bounds the wait for the header of a resumed stream. An engine that still has the stream
-// answers at once; one that hangs must not hold the stream back.
+// resumeTimeout bounds the wait for the header of a resumed stream. An engine that still holds the stream answers
+// at once, and a hanging engine must not delay the stream.
 const resumeTimeout = 2 * time.Second
 
-// unanswered notes that a back end did not answer a load poll. While it is silent and another back end can
-// take them, the repeatable requests that wait for it are moved; the others may still get their answer.
-func (p *pool) unanswered(now time.Duration, name string) {
+// recordUnansweredPoll records that a back end did not answer a load poll. If the back end is silent and another
+// one can take its requests, its repeatable requests are moved. Other requests may still get their answer and are
+// left alone.
+func (p *pool) recordUnansweredPoll(now time.Duration, name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.replicas.Unanswered(name)
@@ -20,49 +21,49 @@
 		return
 	}
 	for _, x := range p.exchanges {
-		if at := x.at.Load(); at != nil && *at == name {
+		if at := x.backendName.Load(); at != nil && *at == name {
 			x.abandonBackend()
 		}
 	}
 }
 
-// abandonBackend interrupts the wait for a back end that answers nothing any more. The pool calls it.
+// abandonBackend interrupts the wait for a back end that has stopped responding. The pool calls it.
 func (x *exchange) abandonBackend() {
-	if !x.call.repeatable || !x.call.whole() || x.pinned.Load() {
+	if !x.call.repeatable || !x.call.isBuffered() || x.notReplayable.Load() {
 		return
 	}
 	x.abandoned.Store(true)
-	x.upMutex.Lock()
-	defer x.upMutex.Unlock()
-	if x.up != nil {
-		_ = x.up.conn.SetReadDeadline(time.Unix(1, 0))
+	x.upstreamMutex.Lock()
+	defer x.upstreamMutex.Unlock()
+	if x.upstream != nil {
+		_ = x.upstream.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// setHeaderLimit bounds the wait for a resume's header, within the request's deadline.
-func (x *exchange) setHeaderLimit(up *upstream, kind dispatch.ActionKind) {
+// setHeaderTimeout bounds the wait for the header of a resumed stream, within the request's deadline.
+func (x *exchange) setHeaderTimeout(up *upstream, kind dispatch.ActionKind) {
 	if kind != dispatch.Resume {
 		return
 	}
 	limit := time.Now().Add(resumeTimeout)
-	if x.wallLimit.Before(limit) {
-		limit = x.wallLimit
+	if x.wallDeadline.Before(limit) {
+		limit = x.wallDeadline
 	}
-	x.setReadLimit(up, limit)
+	x.setReadDeadline(up, limit)
 }
 
-// liftHeaderLimit gives a resumed stream the rest of the request's time.
-func (x *exchange) liftHeaderLimit(up *upstream, kind dispatch.ActionKind) {
+// clearHeaderTimeout restores the request's deadline after the header of a resumed stream has arrived.
+func (x *exchange) clearHeaderTimeout(up *upstream, kind dispatch.ActionKind) {
 	if kind == dispatch.Resume {
-		x.setReadLimit(up, x.wallLimit)
+		x.setReadDeadline(up, x.wallDeadline)
 	}
 }
 
-// setReadLimit changes the read deadline unless the wait was interrupted.
-func (x *exchange) setReadLimit(up *upstream, limit time.Time) {
-	x.upMutex.Lock()
-	defer x.upMutex.Unlock()
-	if !x.yield.Load() && !x.abandoned.Load() {
+// setReadDeadline changes the read deadline unless the wait was interrupted.
+func (x *exchange) setReadDeadline(up *upstream, limit time.Time) {
+	x.upstreamMutex.Lock()
+	defer x.upstreamMutex.Unlock()
+	if !x.preempted.Load() && !x.abandoned.Load() {
 		_ = up.conn.SetReadDeadline(limit)
 	}
 }
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// freezer passes bytes between a gateway and a back end until it is frozen; then, like a process that was
-// stopped, it accepts connections and bytes and answers nothing.
-type freezer struct {
-	listener net.Listener
-	backend  string
-	frozen   chan struct{}
-	once     sync.Once
-	holding  atomic.Bool // answers to POST requests that come now stop as heldAnswer says, so that none ends
+// freezableProxy forwards bytes between a gateway and a back end until it is frozen. Then, like a stopped process,
+// it accepts connections and bytes and answers nothing.
+type freezableProxy struct {
+	listener    net.Listener
+	backend     string
+	frozen      chan struct{}
+	once        sync.Once
+	holdAnswers atomic.Bool // new answers to POST requests are held as answerHolder describes, so that none ends
 
 	mutex sync.Mutex
-	open  []net.Conn // from gateways
+	open  []net.Conn // connections from gateways
 }
 
-func newFreezer(t *testing.T, backend string) *freezer {
+func newFreezableProxy(t *testing.T, backend string) *freezableProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &freezer{listener: listener, backend: backend, frozen: make(chan struct{})}
+	f := &freezableProxy{listener: listener, backend: backend, frozen: make(chan struct{})}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -44,10 +44,10 @@
 	return f
 }
 
-func (f *freezer) freeze() { f.once.Do(func() { close(f.frozen) }) }
+func (f *freezableProxy) freeze() { f.once.Do(func() { close(f.frozen) }) }
 
-// cut closes everything, as the end of the process does.
-func (f *freezer) cut() {
+// closeAll closes the listener and all connections, as the end of the process would.
+func (f *freezableProxy) closeAll() {
 	_ = f.listener.Close()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -56,14 +56,14 @@
 	}
 }
 
-func (f *freezer) serve(t *testing.T, conn net.Conn) {
+func (f *freezableProxy) serve(t *testing.T, conn net.Conn) {
 	t.Cleanup(func() { _ = conn.Close() })
 	f.mutex.Lock()
 	f.open = append(f.open, conn)
 	f.mutex.Unlock()
 	select {
 	case <-f.frozen:
-		return // open and silent until the test ends
+		return // stays open and silent until the test ends
 	default:
 	}
 	target, err := net.Dial("tcp", f.backend)
@@ -73,9 +73,9 @@
 	}
 	t.Cleanup(func() { _ = target.Close() })
 	var done sync.WaitGroup
-	answer := &heldAnswer{to: conn}
-	done.Go(func() { f.pass(&requestSide{to: target, answer: answer, holding: &f.holding}, conn) })
-	done.Go(func() { f.pass(answer, target) })
+	answer := &answerHolder{to: conn}
+	done.Go(func() { f.forward(&requestWriter{to: target, answer: answer, holdAnswers: &f.holdAnswers}, conn) })
+	done.Go(func() { f.forward(answer, target) })
 	done.Wait()
 	select {
 	case <-f.frozen:
@@ -84,8 +84,8 @@
 	}
 }
 
-// pass copies until an end or the freezing; bytes read after that are lost.
-func (f *freezer) pass(to io.Writer, from io.Reader) {
+// forward copies bytes until an error or until the proxy is frozen. Bytes read after that are dropped.
+func (f *freezableProxy) forward(to io.Writer, from io.Reader) {
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -100,33 +100,33 @@
 	}
 }
 
-// requestSide writes a connection's requests; it arms the answer's side when one of them is to be held.
-type requestSide struct {
-	to      io.Writer
-	answer  *heldAnswer
-	holding *atomic.Bool
+// requestWriter forwards the requests of a connection, and arms the answerHolder if an answer is to be held.
+type requestWriter struct {
+	to          io.Writer
+	answer      *answerHolder
+	holdAnswers *atomic.Bool
 }
 
-func (r *requestSide) Write(part []byte) (int, error) {
-	if r.holding.Load() && bytes.HasPrefix(part, []byte("POST ")) {
+func (r *requestWriter) Write(part []byte) (int, error) {
+	if r.holdAnswers.Load() && bytes.HasPrefix(part, []byte("POST ")) {
 		r.answer.armed.Store(true)
 	}
 	return r.to.Write(part)
 }
 
-// chunkEnd ends an event and the HTTP chunk that holds it: a gateway reads chunks whole.
+// chunkEnd ends an event together with the HTTP chunk that contains it, because a gateway reads complete chunks.
 var chunkEnd = []byte("\n\n\r\n")
 
-// heldAnswer writes a connection's answers. Once armed it lets a stream through up to the end of its first
-// event with text, and nothing of a whole answer.
-type heldAnswer struct {
+// answerHolder forwards the answers of a connection. Once armed, it forwards a stream only up to the end of its
+// first event with text, and nothing of an answer that is not streamed.
+type answerHolder struct {
 	to    io.Writer
 	armed atomic.Bool
 	seen  []byte
 	sent  int
 }
 
-func (h *heldAnswer) Write(part []byte) (int, error) {
+func (h *answerHolder) Write(part []byte) (int, error) {
 	if !h.armed.Load() {
 		return h.to.Write(part)
 	}
@@ -147,14 +147,15 @@
 	return len(part), err
 }
 
-// frozenFixture puts a freezer before each back end.
-func frozenFixture(t *testing.T, engines, apps int) (*fixture, map[string]*freezer) {
+// newProxiedFixture returns a fixture with a freezable proxy in front of each back end, and the proxies by back
+// end.
+func newProxiedFixture(t *testing.T, engines, apps int) (*fixture, map[string]*freezableProxy) {
 	t.Helper()
 	f := newFixture(t, engines, apps, 1, nil)
-	freezers := map[string]*freezer{}
+	proxies := map[string]*freezableProxy{}
 	add := func(name, address string) {
-		freezers[name] = newFreezer(t, address)
-		f.cluster.change(t, [3]string{name, "address", freezers[name].listener.Addr().String()})
+		proxies[name] = newFreezableProxy(t, address)
+		f.cluster.change(t, [3]string{name, "address", proxies[name].listener.Addr().String()})
 	}
 	for i, server := range f.engines {
 		add(fmt.Sprint("e", i), server.Address())
@@ -162,16 +163,16 @@
 	for i, server := range f.apps {
 		add(fmt.Sprint("a", i), server.Address())
 	}
-	return f, freezers
+	return f, proxies
 }
 
-// TestRequestsLeaveABackEndThatHangs freezes the engine that streams and whole answers come from, and never
-// thaws it. All must come whole from the other engine, which took none of them before: each stream goes on
-// there behind what its caller has, each whole answer is made again.
-func TestRequestsLeaveABackEndThatHangs(t *testing.T) {
+// TestRequestsMoveFromHungBackEnd guards against requests that wait for a back end that hangs. The engine that
+// serves streams and other answers is frozen for good. The other engine, which had none of them before, must
+// complete all: each stream by a replay after the tokens that its caller has, each other answer by a new send.
+func TestRequestsMoveFromHungBackEnd(t *testing.T) {
 	const prompt = "Write a long offer. [tokens=400]"
-	f, freezers := frozenFixture(t, 2, 0)
-	freezers["e0"].holding.Store(true)
+	f, proxies := newProxiedFixture(t, 2, 0)
+	proxies["e0"].holdAnswers.Store(true)
 	f.cluster.change(t, [3]string{"e1", "state", "draining"})
 	var calls, begun sync.WaitGroup
 	answers := make([]answer, 8)
@@ -182,12 +183,12 @@
 			continue
 		}
 		begun.Add(1)
-		calls.Go(func() { answers[i] = f.postNoting(t, 0, "/v1/completions", body, begun.Done) })
+		calls.Go(func() { answers[i] = f.postAndNotify(t, 0, "/v1/completions", body, begun.Done) })
 	}
 	f.awaitDispatches(t, len(answers))
-	begun.Wait() // each stream's caller has its first token, and none has its last
+	begun.Wait() // every stream's caller has the first token, and none has the last
 	f.cluster.change(t, [3]string{"e1", "state", "active"})
-	freezers["e0"].freeze()
+	proxies["e0"].freeze()
 	calls.Wait()
 	kinds := map[string]int{}
 	for _, entry := range f.gateways[0].Dispatches(0) {
@@ -195,29 +196,29 @@
 	}
 	for i, got := range answers {
 		if got.status != 200 {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, want status 200", got)
 		}
 		if i%2 == 0 {
-			streamedText(t, prompt, got.body)
+			checkStreamedText(t, prompt, got.body)
 		}
 	}
 	if kinds["send e0"] != len(answers) || kinds["replay e1"] != len(answers)/2 || kinds["send e1"] != len(answers)/2 {
-		t.Fatalf("dispatches %v, want all of them at e0 first, and then at e1 replays of streams and sends of whole answers", kinds)
+		t.Fatalf("got dispatches %v, want sends of all at e0, and then at e1 replays of the streams and sends of the others", kinds)
 	}
 }
 
-// TestNewWorkAvoidsABackEndThatHangs freezes an application replica. A call that it holds may have run; no
-// call after that goes there.
-func TestNewWorkAvoidsABackEndThatHangs(t *testing.T) {
-	f, freezers := frozenFixture(t, 0, 2)
-	freezers["a0"].freeze()
+// TestNewRequestsAvoidHungBackEnd freezes an application replica. Once it counts as silent, no new call may go
+// there, because a call that it holds may have run.
+func TestNewRequestsAvoidHungBackEnd(t *testing.T) {
+	f, proxies := newProxiedFixture(t, 0, 2)
+	proxies["a0"].freeze()
 	for f.gateways[0].pool("push").status(f.gateways[0].now()).silent == 0 {
-		time.Sleep(time.Millisecond) // the test's time limit ends a wait in vain
+		time.Sleep(time.Millisecond) // bounded by the time limit of the test
 	}
 	for i := range 20 {
 		key := fmt.Sprint("k", i)
-		if got := f.push(t, 0, key, "{}"); got.status != 200 || got.header.Get(HeaderBackend) != "a1" || f.ran(key) != 1 {
-			t.Fatalf("%+v", got)
+		if got := f.push(t, 0, key, "{}"); got.status != 200 || got.header.Get(HeaderBackend) != "a1" || f.executions(key) != 1 {
+			t.Fatalf("got %+v, want status 200 from a1 after one run", got)
 		}
 	}
 }
--- a/internal/gateway/sse.go
+++ b/internal/gateway/sse.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// The marks of the published chunk form. Inside a JSON string a quotation mark is escaped, so that these
-// byte sequences, which begin with a bare one, are only ever keys.
+// Byte patterns of the chunk format. Quotation marks inside JSON strings are escaped, so the patterns that begin
+// with an unescaped one can only match keys.
 var (
 	dataPrefix       = []byte("data:")
 	doneData         = []byte("[DONE]")
@@ -23,19 +23,19 @@
 	doneEvent        = []byte("data: [DONE]\n\n")
 )
 
-// chunkFacts is what the gateway needs to know of one chunk.
+// chunkFacts holds the fields of one stream event that the gateway uses.
 type chunkFacts struct {
-	id       []byte // of the answer, still escaped, where the chunk begins with it; part of the event
-	offset   uint64
-	count    uint64
-	measured bool // the chunk states offset and count
-	finished bool // it carries a finish reason
-	done     bool // it is the end mark
-	failed   bool // it is an error event
-	exported bool // an error event: the engine has given the request's KV cache away
+	id             []byte // still escaped; set if the chunk begins with it; aliases the event
+	offset         uint64
+	count          uint64
+	hasTokenFields bool // the chunk states offset and count
+	finished       bool // the chunk has a finish reason
+	done           bool // the event is the end mark
+	failed         bool // the event is an error
+	exported       bool // the error says that the engine has exported the request's KV cache
 }
 
-// nextEvent cuts the first whole event off buffer; ok is false when there is none.
+// nextEvent splits the first complete event off buffer. ok is false if there is none.
 func nextEvent(buffer []byte) (event, rest []byte, ok bool) {
 	end := bytes.Index(buffer, eventEnd)
 	length := len(eventEnd)
@@ -48,8 +48,8 @@
 	return buffer[:end+length], buffer[end+length:], true
 }
 
-// inspect reads the facts of one event.
-func inspect(event []byte) chunkFacts {
+// parseChunk extracts the fields of one event.
+func parseChunk(event []byte) chunkFacts {
 	data, found := bytes.CutPrefix(event, dataPrefix)
 	if !found {
 		return chunkFacts{}
@@ -61,11 +61,11 @@
 	if bytes.HasPrefix(data, []byte(`{"error"`)) {
 		return chunkFacts{failed: true, exported: bytes.Contains(data, exportedMark)}
 	}
-	facts := chunkFacts{id: leadingID(data)}
+	facts := chunkFacts{id: parseLeadingID(data)}
 	var hasOffset, hasCount bool
-	facts.offset, hasOffset = numberAfter(data, offsetMark)
-	facts.count, hasCount = numberAfter(data, countMark)
-	facts.measured = hasOffset && hasCount
+	facts.offset, hasOffset = parseNumberAfter(data, offsetMark)
+	facts.count, hasCount = parseNumberAfter(data, countMark)
+	facts.hasTokenFields = hasOffset && hasCount
 	if at := bytes.Index(data, finishMark); at >= 0 {
 		value := bytes.TrimLeft(data[at+len(finishMark):], " ")
 		facts.finished = len(value) > 0 && value[0] == '"'
@@ -73,8 +73,8 @@
 	return facts
 }
 
-// leadingID returns the identity that a chunk begins with, or nil.
-func leadingID(data []byte) []byte {
+// parseLeadingID returns the ID at the beginning of a chunk, or nil.
+func parseLeadingID(data []byte) []byte {
 	rest, found := bytes.CutPrefix(data, idMark)
 	if !found {
 		return nil
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// namesOther tells whether a chunk's identity holds one that begins with prefix, as all of this gateway's
-// do, but is not own. Engines put text such as "cmpl-" in front and "-0" behind.
-func namesOther(id []byte, prefix, own string) bool {
+// namesOtherRequest reports whether a chunk's ID contains an ID of this gateway other than own. All IDs of this
+// gateway begin with prefix. Engines add text such as "cmpl-" before the ID and "-0" after it.
+func namesOtherRequest(id []byte, prefix, own string) bool {
 	at := bytes.Index(id, []byte(prefix))
 	if at < 0 {
 		return false
@@ -96,7 +96,8 @@
 	return !found || (len(behind) > 0 && behind[0] != '-')
 }
 
-func numberAfter(data, mark []byte) (uint64, bool) {
+// parseNumberAfter returns the number that follows mark. Only its first 18 digits are read.
+func parseNumberAfter(data, mark []byte) (uint64, bool) {
 	at := bytes.Index(data, mark)
 	if at < 0 {
 		return 0, false
@@ -112,8 +113,9 @@
 	return value, digits > 0
 }
 
-// textSpan returns where the chunk's text stands in the event, still escaped; ok is false without text.
-func textSpan(event []byte) (from, to int, ok bool) {
+// findText returns the range of the chunk's text within the event, still escaped. ok is false if the chunk has no
+// text.
+func findText(event []byte) (from, to int, ok bool) {
 	from = bytes.Index(event, textMark)
 	mark := textMark
 	if from < 0 {
@@ -134,10 +136,10 @@
 	return 0, 0, false
 }
 
-// trim appends to target the event without its first skip tokens; a token is one word that ends in a
-// space. It fails when the event has fewer tokens.
-func trim(target, event []byte, facts chunkFacts, skip uint64) ([]byte, bool) {
-	from, to, ok := textSpan(event)
+// trimTokens appends the event without its first skip tokens to target. A token is a word that ends in a space. It
+// returns false if the event has fewer tokens.
+func trimTokens(target, event []byte, facts chunkFacts, skip uint64) ([]byte, bool) {
+	from, to, ok := findText(event)
 	if !ok || skip >= facts.count {
 		return target, false
 	}
@@ -158,7 +160,7 @@
 	return append(target[:start], trimmed...), true
 }
 
-// replaceNumber returns data with another number behind mark.
+// replaceNumber returns data with the number after mark replaced by value.
 func replaceNumber(data, mark []byte, value uint64) []byte {
 	at := bytes.Index(data, mark)
 	if at < 0 {
@@ -174,8 +176,8 @@
 	return append(replaced, data[end:]...)
 }
 
-// appendWithReplica appends an event with the name of the back end that produced it, which the header can
-// no longer tell once a stream has moved.
+// appendWithReplica appends an event to which it adds the name of the back end that produced it. The answer's
+// header names only the first back end of the stream.
 func appendWithReplica(target, event []byte, replica string) []byte {
 	at := bytes.Index(event, choiceMark)
 	if at < 0 {
