--- a/internal/gateway/sse_test.go
+++ b/internal/gateway/sse_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// chunkForTest is a chunk as an engine writes it.
+// chunkForTest is a chunk as an engine encodes it.
 type chunkForTest struct {
 	Choices []choiceForTest `json:"choices"`
 }
@@ -23,14 +23,14 @@
 	Count   uint64  `json:"token_count"`
 }
 
-// drawWords draws tokens; among them are texts that look like the marks of the chunk form.
-func drawWords(t *rapid.T) []string {
+// drawTokens draws tokens, some of which look like the patterns of the chunk format.
+func drawTokens(t *rapid.T) []string {
 	word := rapid.OneOf(rapid.StringMatching(`[^ ]{1,12}`),
 		rapid.SampledFrom([]string{`"token_offset":7`, `"text":"`, "\n\n", `\"`, "data:", "[DONE]", `{"error"`, "é中", `"finish_reason":"x"`}))
 	return rapid.SliceOfN(word, 1, 8).Draw(t, "words")
 }
 
-func eventOf(t *rapid.T, words []string, offset uint64) []byte {
+func formatEvent(t *rapid.T, words []string, offset uint64) []byte {
 	body, err := json.Marshal(chunkForTest{Choices: []choiceForTest{{Text: strings.Join(words, " ") + " ", Offset: offset, Count: uint64(len(words))}}})
 	if err != nil {
 		t.Fatal(err)
@@ -38,25 +38,26 @@
 	return fmt.Appendf(nil, "data: %s\n\n", body)
 }
 
-// TestTrimmedChunkKeepsOtherTokens trims chunks of any text and decodes the rest.
+// TestTrimmedChunkKeepsOtherTokens trims chunks of arbitrary text and decodes the result. The remaining tokens must
+// be unchanged.
 func TestTrimmedChunkKeepsOtherTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := drawWords(t)
+		words := drawTokens(t)
 		offset := rapid.Uint64Range(0, 1<<40).Draw(t, "offset")
-		event := eventOf(t, words, offset)
-		facts := inspect(event)
-		if !facts.measured || facts.offset != offset || facts.count != uint64(len(words)) || facts.finished || facts.done || facts.failed {
-			t.Fatalf("%q: %+v", event, facts)
+		event := formatEvent(t, words, offset)
+		facts := parseChunk(event)
+		if !facts.hasTokenFields || facts.offset != offset || facts.count != uint64(len(words)) || facts.finished || facts.done || facts.failed {
+			t.Fatalf("event %q was parsed as %+v, want its offset and count", event, facts)
 		}
 		skip := rapid.IntRange(0, len(words)-1).Draw(t, "skip")
-		trimmed, ok := trim(nil, event, facts, uint64(skip))
+		trimmed, ok := trimTokens(nil, event, facts, uint64(skip))
 		if !ok {
 			t.Fatalf("%q cannot be trimmed by %d", event, skip)
 		}
 		named := appendWithReplica(nil, trimmed, "e1")
 		var got chunkForTest
 		if err := json.Unmarshal(bytes.TrimPrefix(named, []byte("data: ")), &got); err != nil {
-			t.Fatalf("%q: %v", named, err)
+			t.Fatalf("trimmed event %q is not valid JSON: %v", named, err)
 		}
 		want := choiceForTest{Replica: "e1", Text: strings.Join(words[skip:], " ") + " ", Offset: offset + uint64(skip), Count: uint64(len(words) - skip)}
 		if choice := got.Choices[0]; choice != want {
@@ -65,27 +66,29 @@
 	})
 }
 
-// TestAnyBytesAreCutTheSameWayHoweverTheyArrive feeds bytes of any kind whole and in parts.
-func TestAnyBytesAreCutTheSameWayHoweverTheyArrive(t *testing.T) {
+// TestEventSplittingIsIndependentOfReadSizes feeds arbitrary bytes whole and in parts. Both must give the same
+// events.
+func TestEventSplittingIsIndependentOfReadSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.OneOf(rapid.SliceOfN(rapid.Byte(), 0, 20), rapid.SampledFrom([][]byte{[]byte("\n\n"), []byte("\r\n\r\n"),
 			[]byte("data:"), offsetMark, countMark, textMark, finishMark, choiceMark, []byte("[DONE]"), []byte("99999999999999999999"), []byte(`"\`)}))
 		input := bytes.Join(rapid.SliceOfN(piece, 0, 20).Draw(t, "pieces"), nil)
-		whole := cutAll(input, len(input)+1)
-		parts := cutAll(input, rapid.IntRange(1, 7).Draw(t, "part"))
+		whole := splitEvents(input, len(input)+1)
+		parts := splitEvents(input, rapid.IntRange(1, 7).Draw(t, "part"))
 		if len(whole) != len(parts) {
-			t.Fatalf("%d events whole, %d in parts", len(whole), len(parts))
+			t.Fatalf("got %d events from the whole input and %d from its parts", len(whole), len(parts))
 		}
 		for i := range whole {
 			if !bytes.Equal(whole[i], parts[i]) {
-				t.Fatalf("event %d: %q whole, %q in parts", i, whole[i], parts[i])
+				t.Fatalf("event %d: got %q from the whole input and %q from its parts", i, whole[i], parts[i])
 			}
 		}
 	})
 }
 
-// cutAll feeds input in parts and returns the events; none of the readers of an event may panic on it.
-func cutAll(input []byte, part int) [][]byte {
+// splitEvents feeds input in parts of the given size and returns the events. It also checks that none of the
+// functions that parse an event panics.
+func splitEvents(input []byte, part int) [][]byte {
 	var events [][]byte
 	var held []byte
 	for len(input) > 0 {
@@ -96,9 +99,9 @@
 			if !ok {
 				break
 			}
-			facts := inspect(event)
-			_, _ = trim(nil, event, facts, 1)
-			_ = unmeasuredCount(event)
+			facts := parseChunk(event)
+			_, _ = trimTokens(nil, event, facts, 1)
+			_ = estimateTokenCount(event)
 			_ = appendWithReplica(nil, event, "e1")
 			events = append(events, bytes.Clone(event))
 			held = bytes.Clone(rest)
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// stage is a part of a request's time at the gateway.
+// stage is a phase of a request at the gateway, for timing.
 type stage uint8
 
-// The stages, in the order of a request's life.
+// The stages in the order in which a request passes them.
 const (
 	stageQueue   stage = iota // waiting for a slot
 	stageClaim                // ledger commands before the answer
 	stageConnect              // connecting to the back end
-	stageBackend              // from the first byte sent to the answer's header
+	stageBackend              // from the first byte sent to the header of the answer
 	stageCount
 )
 
 var stageNames = [stageCount]string{"queue", "claim", "connect", "backend"}
 
-// stages adds up the time of each stage.
+// stages holds the accumulated time of each stage.
 type stages [stageCount]time.Duration
 
 func (s *stages) add(which stage, spent time.Duration) { s[which] += spent }
 
-// header returns the value of Server-Timing, in milliseconds.
+// header returns the value of the Server-Timing header, in milliseconds.
 func (s *stages) header(total time.Duration) string {
 	out := make([]byte, 0, 96)
 	for which, spent := range s {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,182 +13,186 @@
 )
 
 const (
-	maxEventBytes  = 1 << 20
-	maxHeldText    = 256 << 10 // escaped bytes of an answer that are held for a replay
-	maxOutput      = 32 << 10  // bytes put together for one write to the caller
-	streamReadSize = 8 << 10
+	maxEventBytes    = 1 << 20
+	maxHeldTextBytes = 256 << 10 // bytes of escaped answer text that are held for a replay
+	maxOutputBytes   = 32 << 10  // bytes gathered for one write to the caller
+	streamReadSize   = 8 << 10
 )
 
-// streamState is what an exchange keeps of a streamed answer.
+// streamState is the state of a streamed answer.
 type streamState struct {
-	opened    bool   // the caller got the header
-	in        []byte // read from the back end, not yet cut into events
-	readBuf   []byte
-	chunkID   []byte // identity that the back end's chunks carry; empty before the first
-	event     []byte // the event being handled, without tokens that the caller has
-	trimmed   []byte // buffer of event
-	facts     chunkFacts
-	out       []byte // for the caller
-	sent      int    // of out
-	text      []byte // escaped text of the answer so far, for a replay
-	overflow  bool   // text is not whole
-	reserved  int64  // bytes of the memory budget
-	counted   uint64 // tokens seen of a stream that states no offsets
-	finished  bool   // a finish reason was passed on
-	first     string // back end named in the header
-	collected []byte // the stream as sent, when it is to be stored under a key
-	wroteAt   time.Time
+	opened         bool   // the answer's header was sent to the caller
+	input          []byte // bytes from the back end that are not yet split into events
+	readBuf        []byte
+	chunkID        []byte     // ID that the back end's chunks carry; empty before the first chunk
+	event          []byte     // the current event, without tokens that the caller already has
+	trimmed        []byte     // reusable buffer for event
+	facts          chunkFacts // parsed fields of the current event
+	output         []byte     // bytes for the caller
+	outputSent     int        // bytes of output already handed to the HTTP server
+	heldText       []byte     // escaped text of the answer so far, for a replay
+	textIncomplete bool       // heldText exceeded a memory limit and was dropped
+	reservedBytes  int64      // taken from the memory budget for heldText
+	nextOffset     uint64     // offset of the next token, for streams that state no offsets
+	finished       bool       // a finish reason was passed on
+	firstBackend   string     // back end named in the answer's header
+	storedStream   []byte     // the stream as sent, if it is to be stored under an idempotency key
+	deadlineSetAt  time.Time  // when the write deadline was last extended
 }
 
-// openStream takes over a stream whose header is here.
+// openStream prepares for the events of a stream whose header has arrived.
 func (x *exchange) openStream(up *upstream, action *dispatch.Action) {
-	x.stream.in = x.stream.in[:0]
+	x.stream.input = x.stream.input[:0]
 	x.stream.chunkID = x.stream.chunkID[:0]
-	x.stream.counted = action.Offset
+	x.stream.nextOffset = action.Offset
 	if action.Kind == dispatch.Send {
-		x.stream.counted = x.machine.Request().FirstToken
+		x.stream.nextOffset = x.machine.Request().FirstToken
 	}
-	if x.stream.first == "" {
-		x.stream.first = x.chosen.name
+	if x.stream.firstBackend == "" {
+		x.stream.firstBackend = x.chosen.name
 	}
 	if x.stream.readBuf == nil {
 		x.stream.readBuf = make([]byte, streamReadSize)
 	}
 }
 
-// streaming tells whether chunks are to be read from a back end.
-func (x *exchange) streaming() bool { return x.up != nil && !x.answered }
+// isStreaming reports whether there are chunks to read from a back end.
+func (x *exchange) isStreaming() bool { return x.upstream != nil && !x.answered }
 
-// Read implements io.Reader for the body of a streamed answer: it reads from the back end until there is
-// something for the caller.
+// Read implements io.Reader for the body of a streamed answer. It reads from the back end until there are bytes for
+// the caller.
 func (x *exchange) Read(p []byte) (int, error) {
 	s := &x.stream
-	for s.sent == len(s.out) {
-		s.out, s.sent = s.out[:0], 0
+	for s.outputSent == len(s.output) {
+		s.output, s.outputSent = s.output[:0], 0
 		if x.answered {
 			return 0, io.EOF
 		}
-		x.pump()
+		x.readUpstream()
 	}
-	n := copy(p, s.out[s.sent:])
-	s.sent += n
+	n := copy(p, s.output[s.outputSent:])
+	s.outputSent += n
 	x.extendWriteDeadline()
 	return n, nil
 }
 
-// extendWriteDeadline gives the caller time to take the next part; a caller that does not read is cut.
+// extendWriteDeadline extends the caller's write deadline by WriteTimeout, at most once a second. A caller that
+// does not read is disconnected when it passes.
 func (x *exchange) extendWriteDeadline() {
 	now := time.Now()
-	if now.Sub(x.stream.wroteAt) > time.Second {
-		x.stream.wroteAt = now
+	if now.Sub(x.stream.deadlineSetAt) > time.Second {
+		x.stream.deadlineSetAt = now
 		_ = x.caller.Conn().SetWriteDeadline(now.Add(x.server.config.WriteTimeout))
 	}
 }
 
-// pump makes one read from the back end and handles the events in it, or drives the machine.
-func (x *exchange) pump() {
-	if len(x.events) > 0 || !x.streaming() {
+// readUpstream reads from the back end and handles the events that have arrived, or drives the machine if it has
+// pending events or no stream is open.
+func (x *exchange) readUpstream() {
+	if len(x.pendingEvents) > 0 || !x.isStreaming() {
 		x.drive()
 		return
 	}
 	for {
-		up := x.up
+		up := x.upstream
 		n, err := up.response.BodyStream().Read(x.stream.readBuf)
-		x.stream.in = append(x.stream.in, x.stream.readBuf[:n]...)
+		x.stream.input = append(x.stream.input, x.stream.readBuf[:n]...)
 		x.handleEvents()
-		if x.up != up || x.answered || len(x.events) > 0 {
+		if x.upstream != up || x.answered || len(x.pendingEvents) > 0 {
 			break
 		}
 		if err != nil {
-			x.cutStream(err)
+			x.failStream(err)
 			break
 		}
-		if up.reader.Buffered() == 0 || len(x.stream.out) > maxOutput {
+		if up.reader.Buffered() == 0 || len(x.stream.output) > maxOutputBytes {
 			break
 		}
 	}
 	x.drive()
 }
 
-// cutStream reports a stream that ended without its end mark.
-func (x *exchange) cutStream(cause error) {
+// failStream reports a stream that ended without its end mark.
+func (x *exchange) failStream(cause error) {
 	x.dropUpstream()
-	if x.feedInterruption(cause) {
+	if x.handleTimeout(cause) {
 		x.endRun(poisonguard.Stopped)
 		return
 	}
-	x.breakOff(cause)
-	x.pool.failed(x.server.now(), x.chosen.name)
-	x.feed(dispatch.Event{Kind: dispatch.StreamCut})
+	x.endBrokenRun(cause)
+	x.pool.recordFailure(x.server.now(), x.chosen.name)
+	x.queueEvent(dispatch.Event{Kind: dispatch.StreamCut})
 }
 
-// handleEvents handles the whole events that were read.
+// handleEvents handles the complete events in the input buffer.
 func (x *exchange) handleEvents() {
 	s := &x.stream
-	up, rest := x.up, s.in
-	for !x.answered && len(x.events) == 0 {
+	up, rest := x.upstream, s.input
+	for !x.answered && len(x.pendingEvents) == 0 {
 		event, remaining, ok := nextEvent(rest)
 		if !ok {
 			break
 		}
 		rest = remaining
 		x.handleEvent(event)
-		if x.up != up {
-			return // the stream goes on elsewhere, with a buffer of its own
+		if x.upstream != up {
+			return // the stream continues on another connection, and openStream has reset the buffer
 		}
 	}
-	s.in = append(s.in[:0], rest...)
-	if len(s.in) > maxEventBytes {
-		x.cutStream(errAnswerTooLarge)
+	s.input = append(s.input[:0], rest...)
+	if len(s.input) > maxEventBytes {
+		x.failStream(errAnswerTooLarge)
 	}
 }
 
+// handleEvent validates one event, passes its new tokens to the machine, and detects the end of the stream.
 func (x *exchange) handleEvent(event []byte) {
 	s := &x.stream
-	facts := inspect(event)
+	facts := parseChunk(event)
 	switch {
 	case facts.exported && x.call.repeatable:
 		x.endExported(event)
 		return
 	case facts.failed:
-		x.cutStream(io.ErrUnexpectedEOF)
+		x.failStream(io.ErrUnexpectedEOF)
 		return
 	case facts.done && s.finished:
 		x.completeStream()
 		return
 	case facts.done:
-		x.cutStream(io.ErrUnexpectedEOF)
+		x.failStream(io.ErrUnexpectedEOF)
 		return
-	case !x.ownChunk(facts.id):
-		x.cutStream(errForeignAnswer)
+	case !x.isOwnChunk(facts.id):
+		x.failStream(errForeignAnswer)
 		return
 	}
-	if !facts.measured {
-		facts.offset, facts.count = s.counted, unmeasuredCount(event)
+	if !facts.hasTokenFields {
+		facts.offset, facts.count = s.nextOffset, estimateTokenCount(event)
 	}
-	s.counted = facts.offset + facts.count
+	s.nextOffset = facts.offset + facts.count
 	if !s.trimOverlap(event, facts, x.machine.Tokens()) {
-		x.cutStream(io.ErrUnexpectedEOF)
+		x.failStream(io.ErrUnexpectedEOF)
 		return
 	}
 	x.step(&dispatch.Event{Kind: dispatch.Chunk, Offset: facts.offset, Count: facts.count})
-	if facts.finished && facts.count == 0 && len(x.events) == 0 && facts.offset <= x.machine.Tokens() && !s.finished {
-		x.pass(event)
+	if facts.finished && facts.count == 0 && len(x.pendingEvents) == 0 && facts.offset <= x.machine.Tokens() && !s.finished {
+		x.writeEvent(event)
 	}
-	s.finished = s.finished || (facts.finished && len(x.events) == 0)
+	s.finished = s.finished || (facts.finished && len(x.pendingEvents) == 0)
 	s.event = nil
 }
 
-// endExported ends the answer with the engine's own error: whoever had the request's KV cache exported goes on with it
-// elsewhere, so that nothing is to be replayed here.
+// endExported ends the answer with the engine's own error. The client that had the request's KV cache exported
+// continues the request at another replica, so nothing is replayed here.
 func (x *exchange) endExported(event []byte) {
-	x.stream.out = append(x.stream.out, event...)
+	x.stream.output = append(x.stream.output, event...)
 	x.dropUpstream()
-	x.feed(dispatch.Event{Kind: dispatch.CallerGone})
+	x.queueEvent(dispatch.Event{Kind: dispatch.CallerGone})
 }
 
-// ownChunk tells whether a chunk's identity is the one of the chunks before it, and names no other request.
-func (x *exchange) ownChunk(id []byte) bool {
+// isOwnChunk reports whether a chunk has the same ID as the chunks before it and does not name another request. A chunk
+// without an ID is accepted.
+func (x *exchange) isOwnChunk(id []byte) bool {
 	s := &x.stream
 	switch {
 	case len(id) == 0:
@@ -197,110 +201,112 @@
 		return bytes.Equal(id, s.chunkID)
 	}
 	s.chunkID = append(s.chunkID, id...)
-	return !namesOther(id, x.server.streamPrefix, x.streamID)
+	return !namesOtherRequest(id, x.server.streamPrefix, x.streamID)
 }
 
-// trimOverlap makes the event that Forward passes on: without the tokens that the caller has already. It
-// fails when the chunk does not hold what it states.
-func (s *streamState) trimOverlap(event []byte, facts chunkFacts, held uint64) bool {
+// trimOverlap prepares the event that forward passes on by removing the tokens that the caller already has. It
+// returns false if the chunk's text does not match its token count.
+func (s *streamState) trimOverlap(event []byte, facts chunkFacts, delivered uint64) bool {
 	s.event, s.facts = event, facts
-	if facts.offset >= held || facts.offset+facts.count <= held {
+	if facts.offset >= delivered || facts.offset+facts.count <= delivered {
 		return true
 	}
-	trimmed, ok := trim(s.trimmed[:0], event, facts, held-facts.offset)
+	trimmed, ok := trimTokens(s.trimmed[:0], event, facts, delivered-facts.offset)
 	s.event, s.trimmed = trimmed, trimmed
 	return ok
 }
 
-// unmeasuredCount counts a chunk of an engine that states no tokens as one when it has text.
-func unmeasuredCount(event []byte) uint64 {
-	if from, to, ok := textSpan(event); ok && to > from {
+// estimateTokenCount counts a chunk as one token if it has text. It is used for engines that state no token counts.
+func estimateTokenCount(event []byte) uint64 {
+	if from, to, ok := findText(event); ok && to > from {
 		return 1
 	}
 	return 0
 }
 
-// forward passes the current chunk on.
+// forward passes the current chunk to the caller.
 func (x *exchange) forward() {
 	s := &x.stream
 	if s.facts.count == 0 && s.facts.finished {
-		return // passed on by handleEvent
+		return // handleEvent passes it on
 	}
-	x.keepText(s.event)
-	x.pass(s.event)
+	x.holdText(s.event)
+	x.writeEvent(s.event)
 }
 
-// pass gives one event to the caller.
-func (x *exchange) pass(event []byte) {
+// writeEvent appends one event to the output for the caller. If the stream has moved to another back end, the event
+// gets that back end's name.
+func (x *exchange) writeEvent(event []byte) {
 	s := &x.stream
-	start := len(s.out)
-	if x.chosen.name == s.first {
-		s.out = append(s.out, event...)
+	start := len(s.output)
+	if x.chosen.name == s.firstBackend {
+		s.output = append(s.output, event...)
 	} else {
-		s.out = appendWithReplica(s.out, event, x.chosen.name)
+		s.output = appendWithReplica(s.output, event, x.chosen.name)
 	}
-	x.collect(s.out[start:])
+	x.appendStored(s.output[start:])
 }
 
-// keepText holds the answer's text so that it can be replayed, up to a bound.
-func (x *exchange) keepText(event []byte) {
+// holdText holds the text of an event for a replay. When a limit is reached, the held text is dropped and the
+// request can no longer be replayed.
+func (x *exchange) holdText(event []byte) {
 	s := &x.stream
-	if s.overflow || !x.call.repeatable {
+	if s.textIncomplete || !x.call.repeatable {
 		return
 	}
-	from, to, ok := textSpan(event)
+	from, to, ok := findText(event)
 	if !ok {
 		return
 	}
-	if !x.holdText(to - from) {
-		s.overflow, s.text = true, nil
-		x.pinned.Store(true)
+	if !x.reserveText(to - from) {
+		s.textIncomplete, s.heldText = true, nil
+		x.notReplayable.Store(true)
 		return
 	}
-	s.text = append(s.text, event[from:to]...)
+	s.heldText = append(s.heldText, event[from:to]...)
 }
 
-// holdText reserves memory for more text; it fails at the stream's own or the common bound.
-func (x *exchange) holdText(more int) bool {
+// reserveText reserves memory for more text. It returns false at the limit of the stream or of the memory budget.
+func (x *exchange) reserveText(more int) bool {
 	s := &x.stream
-	if len(s.text)+more > maxHeldText {
+	if len(s.heldText)+more > maxHeldTextBytes {
 		return false
 	}
-	for int64(len(s.text)+more) > s.reserved {
-		if !x.server.memory.take(memoryStep) {
+	for int64(len(s.heldText)+more) > s.reservedBytes {
+		if !x.server.memory.reserve(memoryStep) {
 			return false
 		}
-		s.reserved += memoryStep
+		s.reservedBytes += memoryStep
 	}
 	return true
 }
 
-// collect keeps the stream that a key's resend will get.
-func (x *exchange) collect(part []byte) {
-	if x.machine.Request().Key == "" || len(x.stream.collected) > x.server.config.StoredAnswerBytes {
+// appendStored appends to the stream that is stored for resends of the idempotency key.
+func (x *exchange) appendStored(part []byte) {
+	if x.machine.Request().Key == "" || len(x.stream.storedStream) > x.server.config.StoredAnswerBytes {
 		return
 	}
-	x.stream.collected = append(x.stream.collected, part...)
+	x.stream.storedStream = append(x.stream.storedStream, part...)
 }
 
-// completeStream reports the stream's proper end.
+// completeStream reports a stream that ended with its end mark.
 func (x *exchange) completeStream() {
-	x.stream.out = append(x.stream.out, doneEvent...)
-	x.collect(doneEvent)
+	x.stream.output = append(x.stream.output, doneEvent...)
+	x.appendStored(doneEvent)
 	x.endRun(poisonguard.Answered)
-	x.leaveBackend(outcomeGood)
+	x.releaseBackend(outcomeGood)
 	x.step(&dispatch.Event{Kind: dispatch.Completed, Answer: &wire.Answer{Status: http.StatusOK,
-		ContentType: eventStreamType, Body: x.stream.collected}})
+		ContentType: eventStreamType, Body: x.stream.storedStream}})
 }
 
-// Close implements io.Closer: the caller's connection is done with the body, or broken.
+// Close implements io.Closer. The HTTP server calls it when the body was written or the caller's connection broke.
 func (x *exchange) Close() error {
 	if !x.answered {
-		x.events = nil
-		x.feed(dispatch.Event{Kind: dispatch.CallerGone})
+		x.pendingEvents = nil
+		x.queueEvent(dispatch.Event{Kind: dispatch.CallerGone})
 		x.drive()
 		if !x.answered {
-			x.runOn()
+			x.continueWithoutCaller()
 			return nil
 		}
 	}
@@ -309,30 +315,31 @@
 	return nil
 }
 
-// runOn lets a non-repeatable request go on without its caller, so that a resend finds the answer.
-func (x *exchange) runOn() {
+// continueWithoutCaller runs a non-repeatable request to its end without a caller, so that a resend finds the
+// answer.
+func (x *exchange) continueWithoutCaller() {
 	go func() {
-		for !x.answered && !x.ended {
-			x.stream.out, x.stream.sent = x.stream.out[:0], 0
-			x.pump()
+		for !x.answered && !x.machineFinished {
+			x.stream.output, x.stream.outputSent = x.stream.output[:0], 0
+			x.readUpstream()
 		}
 		x.drainUpstream()
 		x.finishExchange()
 	}()
 }
 
-// drainUpstream reads the end of the body behind the end mark, so that the connection can be used again. A
-// connection on which anything else stands behind the end mark is closed.
+// drainUpstream reads the end of the body after the end mark, so that the connection can be reused. If anything
+// else follows the end mark, it closes the connection.
 func (x *exchange) drainUpstream() {
 	up := x.takeUpstream()
 	if up == nil {
 		return
 	}
-	if !x.stream.finished || x.outcome.Failed() || len(x.stream.in) > 0 {
+	if !x.stream.finished || x.outcome.Failed() || len(x.stream.input) > 0 {
 		up.close()
 		return
 	}
-	_ = up.conn.SetReadDeadline(time.Now().Add(drainPatience))
+	_ = up.conn.SetReadDeadline(time.Now().Add(drainTimeout))
 	n, err := up.response.BodyStream().Read(x.stream.readBuf)
 	if n != 0 || err != io.EOF || up.response.ConnectionClose() {
 		up.close()
@@ -342,7 +349,7 @@
 	x.server.transport.release(up)
 }
 
-// appendErrorEvent ends a stream in an error that no client takes for a finished answer.
+// appendErrorEvent appends an error event, which clients do not mistake for the end of a complete answer.
 func appendErrorEvent(out []byte, outcome *dispatch.Outcome) []byte {
 	body, err := json.Marshal(errorBodyOf(outcome))
 	if err != nil {
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -12,14 +12,14 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// group is the gateways that may hold requests in flight, and this one's place among them.
-type group struct {
-	gateways []routing.Place // by name
-	rank     int
+// gatewaySet is the set of gateways that may have requests in flight, including this one.
+type gatewaySet struct {
+	members []routing.Place // sorted by name
+	rank    int             // index of this gateway in members
 }
 
-// gatewayGroup returns the live gateways; this one counts always.
-func gatewayGroup(members *wire.MembersView, own routing.Place) group {
+// liveGateways returns the gateways that are not gone. It always includes this one.
+func liveGateways(members *wire.MembersView, own routing.Place) gatewaySet {
 	gateways := []routing.Place{own}
 	for _, member := range members.GetMembers() {
 		gone := member.GetState() == wire.MemberState_MEMBER_STATE_GONE
@@ -28,28 +28,28 @@
 		}
 	}
 	slices.SortFunc(gateways, func(one, other routing.Place) int { return cmp.Compare(one.Name, other.Name) })
-	return group{gateways: gateways, rank: slices.Index(gateways, own)}
+	return gatewaySet{members: gateways, rank: slices.Index(gateways, own)}
 }
 
-func (g group) equal(other group) bool {
-	return g.rank == other.rank && slices.Equal(g.gateways, other.gateways)
+func (g gatewaySet) equal(other gatewaySet) bool {
+	return g.rank == other.rank && slices.Equal(g.members, other.members)
 }
 
-// place is this gateway's own.
-func (g group) place() routing.Place { return g.gateways[g.rank] }
+// ownPlace returns the place of this gateway.
+func (g gatewaySet) ownPlace() routing.Place { return g.members[g.rank] }
 
-// of returns this gateway's part of a limit that all gateways share.
-func (g group) of(limit uint32, row string) int {
-	return part(limit, routing.Share{Users: len(g.gateways), Rank: g.rank}, row)
+// shareOf returns this gateway's share of a limit that all gateways share.
+func (g gatewaySet) shareOf(limit uint32, row string) int {
+	return shareOfLimit(limit, routing.Share{Users: len(g.members), Rank: g.rank}, row)
 }
 
-// part is the part of a limit that falls to one of those that share it.
-func part(limit uint32, share routing.Share, row string) int {
+// shareOfLimit returns one user's share of a limit.
+func shareOfLimit(limit uint32, share routing.Share, row string) int {
 	return admission.Share(int(limit), share.Users, share.Rank, xxhash.Sum64String(row))
 }
 
-// subset keeps the assignment of a pool's back ends to the gateways while neither changes: changes of
-// weights and limits are far more frequent.
+// subset caches the assignment of a pool's back ends to gateways until either set changes. Weights and limits
+// change far more often and do not affect it.
 type subset struct {
 	settings routing.SubsetSettings
 	gateways []routing.Place
@@ -57,22 +57,22 @@
 	assigned *routing.Subsets
 }
 
-// shares returns this gateway's share of each back end, by name. Back ends that take no new work use no
-// place in a subset: every gateway keeps them, for the requests that they still have.
-func (s *subset) shares(own group, rows []*table.Row) map[string]routing.Share {
+// ownShares returns this gateway's share of each active back end by name. Back ends that take no new work have no
+// place in a subset. Every gateway keeps them for the requests they still have.
+func (s *subset) ownShares(gateways gatewaySet, rows []*table.Row) map[string]routing.Share {
 	var active []routing.Place
 	for _, row := range rows {
 		if row.State == table.Active {
 			active = append(active, routing.Place{Name: row.Name, Zone: row.Zone})
 		}
 	}
-	if s.assigned == nil || !slices.Equal(s.gateways, own.gateways) || !slices.Equal(s.backends, active) {
-		s.gateways, s.backends = own.gateways, active
-		s.assigned = routing.NewSubsets(own.gateways, active, s.settings)
+	if s.assigned == nil || !slices.Equal(s.gateways, gateways.members) || !slices.Equal(s.backends, active) {
+		s.gateways, s.backends = gateways.members, active
+		s.assigned = routing.NewSubsets(gateways.members, active, s.settings)
 	}
 	shares := make(map[string]routing.Share, len(active))
 	for index, backend := range active {
-		shares[backend.Name] = s.assigned.Share(own.rank, index)
+		shares[backend.Name] = s.assigned.Share(gateways.rank, index)
 	}
 	return shares
 }
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -9,16 +9,17 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// crowdedControl adds gateways that do not run to the members that a gateway hears of.
-type crowdedControl struct {
+// controlWithMembers is a Control with a fixed member list, so that a gateway sees gateways that are not running.
+type controlWithMembers struct {
 	Control
 	members *wire.MembersView
 }
 
-func (c *crowdedControl) Members() *wire.MembersView { return c.members }
+func (c *controlWithMembers) Members() *wire.MembersView { return c.members }
 
-// TestGatewayKeepsToItsSubsetUntilThatIsDead closes a gateway's whole subset under it.
-func TestGatewayKeepsToItsSubsetUntilThatIsDead(t *testing.T) {
+// TestGatewayLeavesItsSubsetOnlyWhenItFails closes all back ends of a gateway's subset. Requests must stay within
+// the subset before that, and be served by other back ends afterwards.
+func TestGatewayLeavesItsSubsetOnlyWhenItFails(t *testing.T) {
 	const replicas, gateways, calls = 8, 8, 40
 	members := &wire.MembersView{MembersVersion: 1}
 	for i := range gateways {
@@ -26,12 +27,12 @@
 			State: wire.MemberState_MEMBER_STATE_ALIVE})
 	}
 	f := newFixture(t, 0, replicas, 1, func(config *Config) {
-		config.Control = &crowdedControl{Control: config.Control, members: members}
+		config.Control = &controlWithMembers{Control: config.Control, members: members}
 		config.Subset = routing.SubsetSettings{Size: 2, MinimumUsers: 1}
 	})
-	subset := f.gateways[0].pool("push").polled()
+	subset := f.gateways[0].pool("push").polledBackends()
 	if len(subset) == 0 || len(subset) >= replicas {
-		t.Fatalf("the gateway uses %d of %d back ends", len(subset), replicas)
+		t.Fatalf("the gateway uses %d of %d back ends, want a proper subset", len(subset), replicas)
 	}
 	for call := range calls {
 		answer := f.push(t, 0, fmt.Sprint("alive-", call), "{}")
@@ -49,8 +50,8 @@
 	for call := range calls {
 		key := fmt.Sprint("dead-", call)
 		answer := f.push(t, 0, key, "{}", HeaderRepeatable, "true")
-		if answer.status != http.StatusOK || f.ran(key) != 1 {
-			t.Fatalf("call %d after the subset died: status %d, ran %d times: %s", call, answer.status, f.ran(key), answer.body)
+		if answer.status != http.StatusOK || f.executions(key) != 1 {
+			t.Fatalf("call %d after the subset failed: got status %d, ran %d times, want 200 and one run: %s", call, answer.status, f.executions(key), answer.body)
 		}
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -12,28 +12,30 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// identity is what stays the same when the request comes again: neither its id nor its idempotency key, which name one arrival.
-func (x *exchange) identity() poison.Identity {
+// requestIdentity returns the identity under which a request is recognized when it is sent again. It includes
+// neither the request ID nor the idempotency key, because those name a single arrival.
+func (x *exchange) requestIdentity() poison.Identity {
 	return poison.Identity{Host: x.call.pool, Path: x.call.path, Body: x.call.body}
 }
 
-// permit asks for one more run of the request; false: it must not run now, and the machine is told. A body that passes through and is
-// not held can't be told from others, so such requests are not judged.
-func (x *exchange) permit() bool {
+// beginRun asks the suspect guard for one more run of the request. It returns false if the request must not run
+// now, and queues the refusal for the machine. Requests whose body is not buffered are not judged, because they
+// cannot be told apart.
+func (x *exchange) beginRun() bool {
 	guard := x.server.config.Suspects
-	if guard == nil || x.run != nil || !x.call.whole() {
+	if guard == nil || x.run != nil || !x.call.isBuffered() {
 		return true
 	}
-	run, judged := guard.Begin(x.server.context, x.identity)
+	run, judged := guard.Begin(x.server.context, x.requestIdentity)
 	if x.run = run; run != nil {
 		return true
 	}
-	x.feed(dispatch.Event{Kind: dispatch.Suspected, RetryAfter: judged.Left,
+	x.queueEvent(dispatch.Event{Kind: dispatch.Suspected, RetryAfter: judged.Left,
 		Reason: fmt.Sprintf("%d back ends crashed under this request", judged.Crashes)})
 	return false
 }
 
-// endRun tells the guard how the run ended, before the machine decides what follows.
+// endRun reports to the guard how the run ended. It must be called before the machine decides what follows.
 func (x *exchange) endRun(ending poisonguard.Ending) {
 	if x.run != nil {
 		x.run.End(x.server.context, ending)
@@ -41,8 +43,9 @@
 	}
 }
 
-// putOff ends a run that the lease or a newer table forbade before it was sent. A claimed one stays: its claim has changed the table.
-func (x *exchange) putOff() {
+// postponeRun ends a run that was prevented, before it was sent, by a newer table. A claimed run is kept, because
+// its own claim has changed the table.
+func (x *exchange) postponeRun() {
 	if x.run == nil {
 		return
 	}
@@ -52,8 +55,9 @@
 	}
 }
 
-// breakOff ends a run whose connection failed for a cause.
-func (x *exchange) breakOff(cause error) {
+// endBrokenRun ends a run whose connection failed. It examines the back end to distinguish a crash from a failure
+// of unknown effect.
+func (x *exchange) endBrokenRun(cause error) {
 	if x.run == nil {
 		return
 	}
@@ -64,14 +68,15 @@
 	x.endRun(poisonguard.BrokeOff)
 }
 
-// dialTCP opens a plain connection.
+// dialTCP opens a TCP connection.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// forgetsSuspects tells whether this gateway takes outdated suspects off the record: the first one by name does it for all.
-func (s *session) forgetsSuspects() bool {
+// isSuspectCleaner reports whether this gateway removes outdated suspects from the record. The first live gateway
+// by name does it for all.
+func (s *session) isSuspectCleaner() bool {
 	for _, member := range s.Members().GetMembers() {
 		if member.GetRole() == wire.MemberRole_MEMBER_ROLE_GATEWAY && member.GetState() == wire.MemberState_MEMBER_STATE_ALIVE {
 			return s.Owner() == wire.OwnerName(member)
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -15,10 +15,11 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// A request crashed each back end that ran it, and its caller sent it again: this gateway gave it to another back end each time, until
-// none was left. What a request did to back ends was forgotten with its exchange.
-func TestRequestThatCrashesBackEndsRests(t *testing.T) {
-	const crashingBytes = 1000 // of a body
+// TestRequestThatCrashesBackEndsIsSuspended guards against a request that crashes one back end after another until
+// none is left. It comes about when the caller sends it again and the record of its crashes ends with each
+// exchange.
+func TestRequestThatCrashesBackEndsIsSuspended(t *testing.T) {
+	const crashingBytes = 1000 // body size above which a request crashes the back end
 	long := strings.Repeat("crash ", crashingBytes)
 	for name, call := range map[string]struct {
 		path, bad, good string
@@ -44,7 +45,7 @@
 						_ = conn.Close()
 						return
 					}
-					whole(conn, request, "{}")
+					writeAnswer(conn, request, "{}")
 				})
 				for _, pool := range []string{"copy", "push"} {
 					row := fmt.Sprintf("raw-%s-%d", pool, number)
@@ -60,10 +61,10 @@
 			}
 			if last.status != http.StatusServiceUnavailable || !strings.Contains(last.body, dispatch.CodeSuspected) ||
 				last.header.Get(verdict.Header) != verdict.DidNotRun.String() || last.header.Get(HeaderRetryAfter) == "" {
-				t.Errorf("it is answered %+v", last)
+				t.Errorf("got %+v, want status 503, did-not-run and a Retry-After for suspected crashes", last)
 			}
 			if other := f.post(t, 0, call.path, call.good, HeaderRepeatable, call.repeatable, HeaderKey, "other"); other.status != http.StatusOK {
-				t.Errorf("another request is answered %+v", other)
+				t.Errorf("another request got %+v, want status 200", other)
 			}
 		})
 	}
--- a/internal/gateway/transport.go
+++ b/internal/gateway/transport.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// transport keeps idle connections to back ends. It never repeats a request by itself: only the dispatch
-// machine decides about that.
+// transport pools idle connections to back ends. It never retries a request. Only the dispatch machine decides
+// about retries.
 type transport struct {
 	connectTimeout time.Duration
 	mutex          sync.Mutex
@@ -23,22 +23,23 @@
 	maxIdleTime         = 30 * time.Second
 	upstreamReadBuffer  = 8 << 10
 	upstreamWriteBuffer = 8 << 10
-	drainPatience       = 50 * time.Millisecond
+	drainTimeout        = 50 * time.Millisecond
 )
 
-// upstream is one connection to a back end, used by one request at a time.
+// upstream is a connection to a back end that carries one request at a time.
 type upstream struct {
-	address  string
-	conn     net.Conn
-	reader   *bufio.Reader
-	writer   *bufio.Writer
-	counter  *countingWriter
-	response fasthttp.Response
-	usedAt   time.Time
-	named    bool // its last answer named the request; only then another request may follow on it
+	address       string
+	conn          net.Conn
+	reader        *bufio.Reader
+	writer        *bufio.Writer
+	counter       *countingWriter
+	response      fasthttp.Response
+	idleSince     time.Time
+	namesRequests bool // its last answer named its request; required for reuse
 }
 
-// countingWriter tells whether any byte was handed to the connection.
+// countingWriter counts the bytes written to the connection, to tell whether a request may have reached the back
+// end.
 type countingWriter struct {
 	conn    net.Conn
 	written int64
@@ -55,14 +56,14 @@
 	return &transport{connectTimeout: connectTimeout, idle: map[string][]*upstream{}}
 }
 
-// acquire returns an idle connection that is still open, or dials.
+// acquire returns an idle connection that is still usable, or dials a new one.
 func (t *transport) acquire(address string, deadline time.Time) (*upstream, error) {
 	for {
 		up := t.takeIdle(address)
 		if up == nil {
 			break
 		}
-		if time.Since(up.usedAt) < maxIdleTime && up.usable() {
+		if time.Since(up.idleSince) < maxIdleTime && up.isReusable() {
 			up.counter.written = 0
 			return up, nil
 		}
@@ -94,24 +95,24 @@
 	return up
 }
 
-// release keeps a connection that carried no request yet, or whose last answer was read to its end and
-// named its request. Bytes behind an answer that come after usable has looked would be taken for the next
-// request's answer, unless that has to name its request; a connection of a back end that names none
-// therefore carries a single request.
+// release returns a connection to the idle pool. The connection must have carried no request yet, or its last
+// answer must have been read to the end and have named its request. Bytes that arrive after the check by isReusable
+// would be taken for the next answer, unless that answer must name its request. A connection to a back end that
+// names no request therefore carries a single request.
 func (t *transport) release(up *upstream) {
-	up.usedAt = time.Now()
+	up.idleSince = time.Now()
 	carried := up.counter.written > 0
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if (carried && !up.named) || t.closed || len(t.idle[up.address]) >= maxIdlePerBackend {
+	if (carried && !up.namesRequests) || t.closed || len(t.idle[up.address]) >= maxIdlePerBackend {
 		up.close()
 		return
 	}
 	t.idle[up.address] = append(t.idle[up.address], up)
 }
 
-// forgetExcept closes the idle connections to addresses that are not used any more.
-func (t *transport) forgetExcept(addresses map[string]bool) {
+// closeIdleExcept closes the idle connections to all addresses except the given ones.
+func (t *transport) closeIdleExcept(addresses map[string]bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for address, list := range t.idle {
@@ -137,10 +138,10 @@
 	}
 }
 
-// usable tells whether an idle connection may carry another request: nothing may be waiting in it, because
-// a late answer to an earlier request must never be taken for the next one's.
-func (up *upstream) usable() bool {
-	return up.reader.Buffered() == 0 && connectionQuiet(up.conn)
+// isReusable reports whether an idle connection may carry another request. It must have no bytes to read, because a
+// late answer to an earlier request would be taken for the next request's answer.
+func (up *upstream) isReusable() bool {
+	return up.reader.Buffered() == 0 && isConnectionIdle(up.conn)
 }
 
 func (up *upstream) close() {
