--- a/internal/control/backup.go
+++ b/internal/control/backup.go
@@ -14,8 +14,8 @@
 	backupPoll      = 10 * time.Millisecond
 )
 
-// Backup sends the state of every group (wire.DRPCControlServer). Each covers all that was committed when the
-// request came; the groups are not of one instant.
+// Backup implements wire.DRPCControlServer. It sends the state of every group. The state of each group covers
+// everything committed before the request, but the groups are not captured at the same instant.
 func (s *Server) Backup(_ *wire.BackupRequest, stream wire.DRPCControl_BackupStream) error {
 	for group := uint32(0); int(group) <= s.config.LedgerGroups; group++ {
 		index, data, err := s.capture(stream.Context(), group)
@@ -30,8 +30,9 @@
 	return nil
 }
 
-// capture returns a group's state once this node has applied all that was committed when it was asked. A status
-// would not do: a node gives its own, which may be old.
+// capture returns a group's state once this node has applied everything that was committed at the time of the call. The
+// commit point comes from a linearizable query: a status request would return the answering node's own view, which may
+// be out of date.
 func (s *Server) capture(ctx context.Context, group uint32) (uint64, []byte, error) {
 	view, err := s.client.Query(ctx, group, &wire.Query{Kind: &wire.Query_Claim{Claim: &wire.ClaimQuery{}}})
 	if err != nil {
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -164,7 +164,7 @@
 	position := -1
 	eventually(c.t, "a leader", func() bool {
 		for candidate, server := range c.servers {
-			if server != nil && server.leading() {
+			if server != nil && server.leadsControlGroup() {
 				position = candidate
 				return true
 			}
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -26,105 +26,109 @@
 	DefaultLedgerGroups  = 2
 	DefaultLeaseDuration = 1200 * time.Millisecond
 	DefaultTick          = 50 * time.Millisecond
-	// diskShare is the part of DiskBytes that HeadroomBytes is.
+	// diskShare is the divisor of DiskBytes that yields the default of HeadroomBytes.
 	diskShare = 8
-	// logShare is the part of DiskBytes that SnapshotBytes is. The data file grows to several times the log that it holds, for
-	// pages of the log that was dropped are used again only after the next write.
+	// logShare is the divisor of DiskBytes that yields the default of SnapshotBytes. The data file grows to several
+	// times the size of the log in it, since pages of dropped log entries are reused only after the next write.
 	logShare = 32
-	// retainedShare is the part of DiskBytes that log entries behind a snapshot may take in memory: a node that is back after some
-	// seconds is sent what it missed, and not the whole state.
+	// retainedShare is the divisor of DiskBytes that yields the size of log entries kept in memory after a snapshot
+	// covers them. With them, a node that was away for some seconds is sent the entries that it missed and not the
+	// whole state.
 	retainedShare = 16
-	// jobDiskShare, in sixteenths, is the part of DiskBytes that JobBytes is: beside it stay the headroom, the log, and what two
-	// snapshots do not have in common.
+	// jobDiskShare is the number of sixteenths of DiskBytes in the default of JobBytes. The rest of the disk is for the
+	// headroom, the log, and the parts that two snapshots do not have in common.
 	jobDiskShare = 11
-	// jobMemoryShare is the part of MemoryBytes that JobBytes is. A leader holds about as much for its sessions and runs, and the
-	// collector keeps all below 60%.
+	// jobMemoryShare is the divisor of MemoryBytes that yields the default of JobBytes. A leader uses about as much
+	// memory again for its sessions and runs, and the garbage collector keeps the total below 60%.
 	jobMemoryShare = 3
 )
 
-// Peer is a control node.
+// Peer identifies a control node and its address.
 type Peer struct {
 	ID      uint64
 	Name    string
 	Address string // IP:port of its listener
 }
 
-// Config says what one control node is.
+// Config configures one control node.
 type Config struct {
 	// Name is this node's unique member name. Required.
 	Name string
-	// NodeID is this node's identity in every group; never reused after its disk was lost. Required.
+	// NodeID identifies this node in every group. It must not be reused after the node's disk was lost. Required.
 	NodeID uint64
-	// ClusterID must be equal on all nodes of the cluster; others' messages are refused. Required.
+	// ClusterID must be equal on all nodes of the cluster. Messages of other clusters are rejected. Required.
 	ClusterID string
-	// Listen is IP:port; port 0 takes any. Ignored when Listener is set.
+	// Listen is the IP:port to listen on. Port 0 selects a free port. Ignored when Listener is set.
 	Listen string
-	// Bind is the IP:port that the node listens on where the others reach it under another one, which is Listen then: by
-	// way of a forwarder. Default: Listen.
+	// Bind is the IP:port to listen on if the other nodes reach this node under another address, given by Listen, for
+	// example through a forwarder. Default: Listen.
 	Bind string
-	// Listener is an already bound listener, for tests and for inherited sockets.
+	// Listener is an already bound listener, for tests and inherited sockets.
 	Listener net.Listener
-	// Peers are the control nodes that form the groups at the first start, this one included.
+	// Peers are the control nodes that form the groups at the first start, including this node.
 	Peers []Peer
-	// Join starts with an empty folder as a node that waits to be added to the groups.
+	// Join starts a node with an empty folder that waits to be added to the groups.
 	Join bool
-	// Seeds are addresses of control nodes. A joining node asks there to carry the groups, until it does.
+	// Seeds are addresses of control nodes. A joining node asks them to be added to the groups until it is a voter.
 	Seeds []string
-	// Voters is the number of voters that every group should have: nodes that ask to carry the groups take the
-	// places of lost ones by themselves. 0 leaves all changes to operators.
+	// Voters is the number of voters that every group should have. Nodes that ask to join replace lost voters
+	// automatically. 0 leaves all membership changes to operators.
 	Voters int
-	// Standby is for a node that votes and keeps the state, but leads only as long as no other voter can: its machine
-	// is slower, or lacks what a leader serves beside the groups. Its NodeID must be a standby's (see OpenSeeded).
+	// Standby marks a node that votes and stores the state, but leads only while no other voter can: its machine is
+	// slower, or lacks what a leader serves besides the groups. Its NodeID must be that of a standby (see OpenSeeded).
 	Standby bool
-	// Zone and Region say where this node stands.
+	// Zone and Region are the location of this node.
 	Zone   string
 	Region string
-	// DataFolder holds everything that must survive. Required.
+	// DataFolder holds all durable data of the node. Required.
 	DataFolder string
-	// DiskBytes is the size of a small disk that the data folder has for itself. HeadroomBytes and SnapshotBytes
-	// default to shares of it. Default: not known.
+	// DiskBytes is the size of a small disk that holds nothing but the data folder. The defaults of HeadroomBytes,
+	// SnapshotBytes and JobBytes derive from it. Default 0: unknown.
 	DiskBytes uint64
-	// MemoryBytes is what the process may use. Default: not known.
+	// MemoryBytes is the amount of memory that the process may use. Default 0: unknown.
 	MemoryBytes uint64
-	// JobBytes is the size of batch jobs, open and ended, that this node can hold in all ledger groups; the least of all voters'
-	// bounds what they take, each an equal part. Default: shares of DiskBytes and MemoryBytes, the smaller one, or the bound of package batch.
+	// JobBytes is the total size of batch jobs, open and ended, that this node can hold in all ledger groups. The
+	// groups accept jobs up to the minimum over all voters, divided equally among the groups. Default: the smaller of
+	// the shares of DiskBytes and MemoryBytes, or the limit of package batch if both are unknown.
 	JobBytes uint64
-	// HeadroomBytes is the free disk space below which the node takes no new work. Default: an eighth of
-	// DiskBytes, or that of package storage.
+	// HeadroomBytes is the free disk space below which the node accepts no new work. Default: an eighth of DiskBytes,
+	// or the default of package storage if DiskBytes is unknown.
 	HeadroomBytes uint64
-	// SnapshotBytes is the size of applied log entries after which a group takes a snapshot and drops them, on
-	// disk and in memory. Default: a 32nd of DiskBytes, or that of package consensus.
+	// SnapshotBytes is the size of applied log entries at which a group takes a snapshot and drops them, on disk and in
+	// memory. Default: a 32nd of DiskBytes, at most the default of package consensus, which also applies if DiskBytes
+	// is unknown.
 	SnapshotBytes int
-	// LedgerGroups is the number of ledger groups; fixed for the life of a cluster. Default
-	// DefaultLedgerGroups: one busy group may not hold up all keys.
+	// LedgerGroups is the number of ledger groups, which cannot change during the life of a cluster. Default
+	// DefaultLedgerGroups, so that one busy group does not block all keys.
 	LedgerGroups int
-	// LeaseDuration is how long a holder may act on the table after its last renewal. An accepted change
-	// is in force everywhere within one and a half times this, also where a holder can't be reached.
-	// Default DefaultLeaseDuration, for the bound of 2 s at today's size.
+	// LeaseDuration is how long a holder may act on the table after its last renewal. An accepted change is in force
+	// everywhere within 1.5 times this duration, even where a holder cannot be reached. Default DefaultLeaseDuration,
+	// which meets the bound of 2 s at the supported cluster size.
 	LeaseDuration time.Duration
-	// Retention is how long claims are remembered; all control nodes must have the same. Zero fields take
-	// the defaults of package claim.
+	// Retention is how long claims are remembered. It must be equal on all control nodes. Zero fields take the defaults
+	// of package claim.
 	Retention claim.Retention
-	// Tick is the consensus clock's step; an election needs ten to twenty. Default DefaultTick.
+	// Tick is the step of the consensus clock. An election takes ten to twenty ticks. Default DefaultTick.
 	Tick time.Duration
-	// HTTPListen serves the operators' page, metrics and health on IP:port; empty for none.
+	// HTTPListen is the IP:port that serves the operators' page, metrics and health checks. Empty disables them.
 	HTTPListen string
-	// HTTPListener is an already bound listener in place of HTTPListen.
+	// HTTPListener is an already bound listener that replaces HTTPListen.
 	HTTPListener net.Listener
-	// Dial opens connections to the other nodes. Default: plain TCP. Tests cut links with it.
+	// Dial opens connections to the other nodes. Default: plain TCP. Tests use it to cut links.
 	Dial controlclient.DialFunc
-	// Guard checks the tokens of operators and nodes. Nil: everybody who can connect is let in.
+	// Guard checks the tokens of operators and nodes. Nil accepts every connection.
 	Guard *credentials.Guard
-	// Credentials are shown to the other control nodes. Nil: none.
+	// Credentials are presented to the other control nodes. Nil presents none.
 	Credentials *credentials.Client
-	// TLS takes connections of nodes and operators with a certificate only. Nil: plain TCP.
+	// TLS accepts only connections of nodes and operators that present a certificate. Nil: plain TCP.
 	TLS *credentials.TLS
-	// Clock judges leases. Default monotonic.Now.
+	// Clock is the clock that leases are measured on. Default monotonic.Now.
 	Clock monotonic.Clock
-	// Log receives short sentences. Default: nothing.
+	// Log receives log lines. Default: they are discarded.
 	Log *logrus.Entry
 
-	// speaks is the level that greetings tell. Default compat.Newest; tests play an older build with another one.
+	// speaks returns the level that greetings announce. Default compat.Newest. Tests override it to simulate an older
+	// build.
 	speaks func() compat.Level
 }
 
@@ -201,7 +205,7 @@
 	return nil
 }
 
-// dialPeer is Dial as the consensus transport calls it; nil stands for that package's own default.
+// dialPeer returns Dial as a dial function of the consensus transport, or nil for the transport's default.
 func (c *Config) dialPeer() consensus.DialFunc {
 	if c.Dial == nil {
 		return nil
@@ -211,7 +215,7 @@
 	}
 }
 
-// dialer is Dial or plain TCP.
+// dialer returns Dial, or a dialer of plain TCP if it is not set.
 func (c *Config) dialer() controlclient.DialFunc {
 	if c.Dial != nil {
 		return c.Dial
@@ -219,7 +223,7 @@
 	return (&net.Dialer{}).DialContext
 }
 
-// jobBytes is the default of JobBytes.
+// jobBytes returns the default of Config.JobBytes for the sizes of disk and memory in bytes, 0 if unknown.
 func jobBytes(disk, memory uint64) uint64 {
 	byDisk, byMemory := disk/16*jobDiskShare, memory/jobMemoryShare
 	switch {
--- a/internal/control/detector.go
+++ b/internal/control/detector.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// detectionsPerLease is how often per lease the members are looked at.
+	// detectionsPerLease is the number of member checks per lease duration.
 	detectionsPerLease = 12
-	// attentionOfLease is what counts as silence at most of the time between two looks, in detections: of a longer one what
-	// arrived meanwhile is not yet read. Looks 0.4 s apart used to count nothing, and dead members stayed alive for good.
-	attentionOfLease = 3
+	// maximumGapDetections limits how much of the time between two checks counts as silence, in check intervals. After
+	// a longer gap, messages that arrived during it have not been read yet. Gaps above the limit must still count in
+	// part: when checks 0.4 s apart counted as no silence at all, dead members stayed alive forever.
+	maximumGapDetections = 3
 	// recordTimeout bounds one attempt to record a member's state.
 	recordTimeout = 2 * time.Second
 )
 
-// detector watches, on the leader, which members still renew their leases. A member that is silent for
-// longer than a pause that it must survive is suspect; one whose lease has lapsed besides is gone.
+// detector watches, on the leader, which members still renew their leases. A member that is silent for longer than the
+// pauses that members must survive becomes suspect. One whose lease has lapsed as well is recorded as gone.
 type detector struct {
 	server *Server
 
 	mutex     sync.Mutex
-	attention *monotonic.Attention // silences are measured on it
-	leadSince time.Duration        // silence counts from here at the earliest
+	attention *monotonic.Attention // clock on which silences are measured
+	leadSince time.Duration        // silence counts from this time at the earliest
 	heardAt   map[lease.HolderID]time.Duration
-	recording map[string]bool    // members, by name, for whom a command is under way
-	later     map[string]renewal // newest renewal, by member's name, that came meanwhile
+	recording map[string]bool    // names of members with a command in progress
+	deferred  map[string]renewal // newest renewal that arrived during a command, by member name
 	routines  sync.WaitGroup
 }
 
 func newDetector(server *Server) *detector {
 	return &detector{
 		server:    server,
-		attention: monotonic.NewAttention(server.config.Clock(), server.settings.Lease*attentionOfLease/detectionsPerLease),
+		attention: monotonic.NewAttention(server.config.Clock(), server.settings.Lease*maximumGapDetections/detectionsPerLease),
 		heardAt:   make(map[lease.HolderID]time.Duration),
 		recording: make(map[string]bool),
-		later:     make(map[string]renewal),
+		deferred:  make(map[string]renewal),
 	}
 }
 
@@ -53,23 +54,23 @@
 	return lease.HolderID{Name: member.GetName(), Incarnation: member.GetIncarnation()}
 }
 
-// lead starts over as a new leader: what happened before is not known here.
-func (d *detector) lead() {
+// beginLeading resets the detector on a new leader, which does not know when members were last heard.
+func (d *detector) beginLeading() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.leadSince = d.attention.Look(d.server.config.Clock())
 	clear(d.heardAt)
 }
 
-// heard notes a sign of life.
-func (d *detector) heard(holder lease.HolderID) {
+// markHeard records that a message of holder arrived.
+func (d *detector) markHeard(holder lease.HolderID) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.heardAt[holder] = d.attention.At(d.server.config.Clock())
 }
 
-// suspectAfter and goneAfter are silences. With renewals every sixth of a lease, a member that pauses
-// for five sixths of a lease is neither.
+// suspectAfter and goneAfter return limits of silence. Members renew every sixth of a lease, so a member that pauses
+// for five sixths of a lease exceeds neither.
 func (d *detector) suspectAfter() time.Duration {
 	return d.server.settings.Lease * 7 / 6
 }
@@ -78,18 +79,18 @@
 	return d.server.settings.Lease * 4 / 3
 }
 
-// run looks at the members until ctx ends.
+// run checks the members at regular intervals until ctx ends.
 func (d *detector) run(ctx context.Context) {
 	interval := d.server.settings.Lease / detectionsPerLease
 	pause.Every(ctx, interval, func(ctx context.Context) {
-		if d.server.leading() {
-			d.look(ctx)
+		if d.server.leadsControlGroup() {
+			d.checkMembers(ctx)
 		}
 	})
 }
 
-// look judges every member once.
-func (d *detector) look(ctx context.Context) {
+// checkMembers updates the state of every member that holds leases.
+func (d *detector) checkMembers(ctx context.Context) {
 	d.mutex.Lock()
 	d.attention.Look(d.server.config.Clock())
 	d.mutex.Unlock()
@@ -97,29 +98,30 @@
 		if !wire.HoldsLease(member.Role) {
 			continue
 		}
-		d.judge(ctx, member, d.silence(holderOf(member)))
+		d.updateState(ctx, member, d.silenceOf(holderOf(member)))
 	}
 }
 
-func (d *detector) silence(holder lease.HolderID) time.Duration {
+func (d *detector) silenceOf(holder lease.HolderID) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.attention.At(d.server.config.Clock()) - max(d.heardAt[holder], d.leadSince)
 }
 
-func (d *detector) judge(ctx context.Context, member *wire.Member, silence time.Duration) {
+func (d *detector) updateState(ctx context.Context, member *wire.Member, silence time.Duration) {
 	holder := holderOf(member)
 	switch {
 	case member.State == wire.MemberState_MEMBER_STATE_GONE:
-	case silence > d.goneAfter() && !d.server.leases.mayHold(holder):
+	case silence > d.goneAfter() && !d.server.leases.mayHoldLease(holder):
 		d.record(ctx, member, wire.MemberState_MEMBER_STATE_GONE)
 	case silence > d.suspectAfter() && member.State == wire.MemberState_MEMBER_STATE_ALIVE:
 		d.record(ctx, member, wire.MemberState_MEMBER_STATE_SUSPECT)
 	}
 }
 
-// begin reserves the right to record something about a member; only one command is under way each.
-func (d *detector) begin(name string) bool {
+// beginRecording reserves the recording of a member's state. It returns false if a command for the member is already in
+// progress.
+func (d *detector) beginRecording(name string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.recording[name] {
@@ -130,49 +132,50 @@
 	return true
 }
 
-// end frees the right that begin reserved, and has a renewal that came meanwhile judged again.
-func (d *detector) end(name string) {
+// endRecording ends the reservation of beginRecording and requeues a renewal that arrived in the meantime.
+func (d *detector) endRecording(name string) {
 	defer d.routines.Done()
 	d.mutex.Lock()
 	delete(d.recording, name)
-	waiting, waits := d.later[name]
-	delete(d.later, name)
+	pending, waits := d.deferred[name]
+	delete(d.deferred, name)
 	d.mutex.Unlock()
 	if waits {
-		d.judgeAgain(waiting)
+		d.requeueRenewal(pending)
 	}
 }
 
-// keep remembers a renewal of a member for whom a command is under way; false when there is none any more.
-func (d *detector) keep(waiting renewal) bool {
+// deferRenewal keeps a renewal until the member's command in progress ends. It returns false if there is no such
+// command any more.
+func (d *detector) deferRenewal(pending renewal) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	name := waiting.session.member.Name
+	name := pending.session.member.Name
 	if !d.recording[name] {
 		return false
 	}
-	d.later[name] = waiting
+	d.deferred[name] = pending
 	return true
 }
 
-// judgeAgain puts a renewal back among those that wait.
-func (d *detector) judgeAgain(waiting renewal) {
+// requeueRenewal puts a renewal back into the queue.
+func (d *detector) requeueRenewal(pending renewal) {
 	select {
-	case d.server.renewals <- waiting:
-	case <-waiting.session.stream.Context().Done():
+	case d.server.renewals <- pending:
+	case <-pending.session.stream.Context().Done():
 	case <-d.server.context.Done():
 	}
 }
 
 // record replicates a member's state in the background.
 func (d *detector) record(ctx context.Context, member *wire.Member, state wire.MemberState) {
-	if !d.begin(member.Name) {
+	if !d.beginRecording(member.Name) {
 		return
 	}
 	go func() {
-		defer d.end(member.Name)
+		defer d.endRecording(member.Name)
 		if d.propose(ctx, member, state) {
-			d.server.orphans.look()
+			d.server.orphans.requestSweep()
 		}
 	}()
 }
@@ -185,7 +188,7 @@
 	command := &wire.Command{Kind: &wire.Command_MemberUpdate{MemberUpdate: &wire.MemberUpdate{Member: changed}}}
 	result, _, err := d.server.replicas.Propose(ctx, controlGroup, command)
 	if err != nil || !result.GetMember().GetAccepted() {
-		d.server.log.WithError(err).Debugf("the state of member %s was not recorded", member.Name)
+		d.server.log.WithError(err).Debugf("failed to record the state of member %s", member.Name)
 		return false
 	}
 	d.server.publisher.applied()
@@ -193,14 +196,14 @@
 	return true
 }
 
-// registered says whether the renewal's sender is a member that may hold a lease. If it is not yet, it
-// is made one in the background and the renewal is judged again afterwards.
-func (d *detector) registered(waiting renewal) bool {
-	member := waiting.session.member
+// ensureRegistered reports whether the sender of a renewal is a member that may hold a lease. A sender that is not yet
+// a member is registered in the background, and its renewal is requeued afterwards.
+func (d *detector) ensureRegistered(pending renewal) bool {
+	member := pending.session.member
 	known := d.server.publisher.member(member.Name)
 	if known.GetIncarnation() > member.Incarnation {
 		logging.Emit(d.server.log, &events.MemberOutranked{Member: wire.OwnerName(member), By: wire.OwnerName(known)})
-		waiting.session.supersede(waiting.request.Sequence, known.GetIncarnation())
+		pending.session.supersede(pending.request.Sequence, known.GetIncarnation())
 		return false
 	}
 	if known.GetIncarnation() == member.Incarnation && known.State != wire.MemberState_MEMBER_STATE_GONE {
@@ -209,48 +212,48 @@
 		}
 		return true
 	}
-	for !d.begin(member.Name) {
-		if d.keep(waiting) { // otherwise its holder would hear nothing until it renews again
+	for !d.beginRecording(member.Name) {
+		if d.deferRenewal(pending) { // otherwise its holder would get no answer until it renews again
 			return false
 		}
 	}
 	go func() {
-		defer d.end(member.Name)
-		d.register(waiting)
+		defer d.endRecording(member.Name)
+		d.register(pending)
 	}()
 	return false
 }
 
-// register makes the renewal's sender a member, in place of an earlier start of the same process.
-func (d *detector) register(waiting renewal) {
-	ctx, cancel := context.WithTimeout(waiting.session.stream.Context(), recordTimeout)
+// register makes the sender of a renewal a member, replacing an earlier start of the same process.
+func (d *detector) register(pending renewal) {
+	ctx, cancel := context.WithTimeout(pending.session.stream.Context(), recordTimeout)
 	defer cancel()
-	member := waiting.session.member
+	member := pending.session.member
 	if !d.propose(ctx, member, wire.MemberState_MEMBER_STATE_ALIVE) {
 		return
 	}
 	d.server.publisher.push()
-	d.judgeAgain(waiting)
+	d.requeueRenewal(pending)
 }
 
-// leave records that a member has left by plan, then confirms it.
-func (d *detector) leave(waiting renewal) {
-	member := waiting.session.member
+// handleLeaving records that a member leaves as planned, then confirms it.
+func (d *detector) handleLeaving(pending renewal) {
+	member := pending.session.member
 	known := d.server.publisher.member(member.Name)
 	if known.GetIncarnation() != member.Incarnation || known.State == wire.MemberState_MEMBER_STATE_GONE {
-		waiting.session.answerRenewal(waiting.request.Sequence, false, nil)
+		pending.session.answerRenewal(pending.request.Sequence, false, nil)
 		return
 	}
-	if !d.begin(member.Name) {
-		return // the holder asks again
+	if !d.beginRecording(member.Name) {
+		return // the holder repeats its request
 	}
 	go func() {
-		defer d.end(member.Name)
-		ctx := waiting.session.stream.Context()
-		left := d.propose(ctx, member, wire.MemberState_MEMBER_STATE_LEAVING) // this start may not come back
+		defer d.endRecording(member.Name)
+		ctx := pending.session.stream.Context()
+		left := d.propose(ctx, member, wire.MemberState_MEMBER_STATE_LEAVING) // a start that is recorded as leaving cannot come back
 		if left && d.propose(ctx, member, wire.MemberState_MEMBER_STATE_GONE) {
-			d.server.orphans.look()
-			waiting.session.answerRenewal(waiting.request.Sequence, false, nil)
+			d.server.orphans.requestSweep()
+			pending.session.answerRenewal(pending.request.Sequence, false, nil)
 		}
 	}()
 }
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -9,14 +9,15 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// transferPoll is how often a draining node looks whether its leaderships have gone.
+// transferPoll is how often a draining node checks whether its leaderships have been transferred.
 const transferPoll = 20 * time.Millisecond
 
-// handover gives the leaderships of a node that stops by plan to other nodes. Nodes that stop as well give them back;
-// when all others do, there is nobody to lead, and the node stops as it is: its state is on its disk.
+// handover transfers the leaderships of a node that stops as planned to other nodes. Nodes that are stopping too return
+// them. If all other nodes are stopping, no node is left to lead, and this node stops as the leader; its state is on
+// its disk.
 type handover struct {
 	server *Server
-	// asked holds, by group and node, the term in which the node was asked to lead.
+	// asked is the term in which a node was last asked to lead, by group and node.
 	asked map[uint32]map[uint64]uint64
 }
 
@@ -24,16 +25,16 @@
 	return &handover{server: server, asked: map[uint32]map[uint64]uint64{}}
 }
 
-// run returns once this node leads no group that another node would lead, or with an error when ctx ends.
+// run returns nil once this node leads no group that another node would lead, or an error when ctx ends.
 func (h *handover) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		left := 0
+		remaining := 0
 		for group := uint32(0); int(group) <= h.server.config.LedgerGroups; group++ {
 			if !h.transfer(ctx, group) {
-				left++
+				remaining++
 			}
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return nil
 		}
 		select {
@@ -44,7 +45,8 @@
 	return trace.ConnectionProblem(ctx.Err(), "control node %s stops while it still leads a group: no other voter took over in time", h.server.config.Name)
 }
 
-// transfer asks another voter to lead a group. done: this node does not lead it, or nobody else will.
+// transfer asks another voter to lead a group. done is true if this node does not lead the group or no other node will
+// lead it.
 func (h *handover) transfer(ctx context.Context, group uint32) (done bool) {
 	status, err := h.server.replicas.Status(ctx, group)
 	if err != nil || status.Leader != status.ID || len(status.Configuration.Voters) < 2 {
@@ -59,13 +61,14 @@
 	}
 	h.asked[group][best] = status.Term
 	if err := h.server.replicas.TransferLeadership(ctx, group, best); err != nil {
-		h.server.log.WithError(err).Debugf("group %d was not handed over", group)
+		h.server.log.WithError(err).Debugf("failed to transfer the leadership of group %d", group)
 	}
 	return false
 }
 
-// choose returns the most advanced voter that was heard lately, those first that can stay leader. It passes over
-// those that led since they were asked and no longer do: returned tells that there are such.
+// choose returns the voter to transfer a group to, or raft.None. Among voters heard recently, those that can stay
+// leader come first, then those with the most log entries. Voters that have led since they were asked and no longer
+// lead are skipped; returned is true if there are any.
 func (h *handover) choose(group uint32, status *raft.Status) (best uint64, returned bool) {
 	var chosen raft.Progress
 	chosenRank := 0
@@ -86,7 +89,7 @@
 	return chosen.Node, returned
 }
 
-// rankLeader orders the nodes that may lead next, the best first.
+// rankLeader ranks a node as the next leader. A lower rank is better.
 func rankLeader(leaving, standby bool) int {
 	switch {
 	case leaving:
--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -27,6 +27,6 @@
 	h.asked[1][3] = 6
 	expect(raft.None, true)
 	h.asked[1] = nil
-	h.server.voters.leaves(2)
+	h.server.voters.recordLeaving(2)
 	expect(3, false)
 }
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// concurrentRequests bounds the requests of one stream that are worked on at a time; the stream is
-	// not read further until one of them is answered.
+	// concurrentRequests is the number of requests of one stream that are handled concurrently. The stream is not read
+	// any further until one of them is answered.
 	concurrentRequests = 2048
-	// defaultTimeout bounds a request that names no timeout, and maximumTimeout all others.
+	// defaultTimeout applies to requests that set no timeout. maximumTimeout is the upper limit of all timeouts.
 	defaultTimeout = 2 * time.Second
 	maximumTimeout = 30 * time.Second
-	// replyQueueLength is the number of replies that may wait for a stream's writer.
+	// replyQueueLength is the number of replies that can queue for a stream's writer.
 	replyQueueLength = 256
-	// inForcePoll is how often a waiting change looks again whether leases have lapsed.
+	// inForcePoll is the interval at which a change that waits to come into force checks for lapsed leases.
 	inForcePoll = 10 * time.Millisecond
 )
 
@@ -78,8 +78,8 @@
 	e.replies <- reply
 }
 
-// write sends replies and flushes when none is waiting. After a failure it goes on taking replies, so
-// that no handler is stuck.
+// write sends replies and flushes the stream when no further reply is queued. After a send error it keeps consuming
+// replies, so that no handler blocks.
 func (e *executeStream) write() {
 	broken := false
 	for reply := range e.replies {
@@ -94,14 +94,14 @@
 	}
 }
 
-// execute works on one request and returns its reply, without its id.
+// execute handles one request and returns its reply with the id unset.
 func (s *Server) execute(ctx context.Context, request *wire.ExecuteRequest) *wire.ExecuteReply {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout(request))
 	defer cancel()
-	if reason := s.malformed(request); reason != "" {
+	if reason := s.invalidReason(request); reason != "" {
 		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_INVALID, Error: reason}
 	}
-	if reason := forbidden(ctx, request); reason != "" {
+	if reason := denialReason(ctx, request); reason != "" {
 		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_INVALID, Error: reason}
 	}
 	if request.Query != nil {
@@ -115,10 +115,10 @@
 	}
 	result, index, err := s.replicas.Propose(ctx, request.Group, request.Command)
 	if err != nil {
-		return s.failure(request.Group, err)
+		return s.failureReply(request.Group, err)
 	}
 	reply := &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, Result: result, AppliedIndex: index}
-	return s.withInForce(request.Group, reply)
+	return s.addInForce(request.Group, reply)
 }
 
 func (s *Server) query(ctx context.Context, request *wire.ExecuteRequest) *wire.ExecuteReply {
@@ -133,13 +133,13 @@
 	}
 	view, err := ask(ctx, request.Group, request.Query)
 	if err != nil {
-		return s.failure(request.Group, err)
+		return s.failureReply(request.Group, err)
 	}
-	return s.withInForce(request.Group, &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, View: view})
+	return s.addInForce(request.Group, &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, View: view})
 }
 
-// withInForce adds to a reply of the control group how far the table is in force.
-func (s *Server) withInForce(group uint32, reply *wire.ExecuteReply) *wire.ExecuteReply {
+// addInForce adds the table version in force and the time bound for new changes to a reply of the control group.
+func (s *Server) addInForce(group uint32, reply *wire.ExecuteReply) *wire.ExecuteReply {
 	if group == controlGroup {
 		reply.InForceVersion = s.leases.inForce()
 		reply.InForceWithinMillis = uint32(s.settings.Bound().Milliseconds())
@@ -155,10 +155,10 @@
 	return min(timeout, maximumTimeout)
 }
 
-// malformed returns why a request can't be worked on, or "".
-func (s *Server) malformed(request *wire.ExecuteRequest) string {
+// invalidReason returns why a request is invalid, or "" if it is valid.
+func (s *Server) invalidReason(request *wire.ExecuteRequest) string {
 	switch {
-	case kinds(request) != 1:
+	case countKinds(request) != 1:
 		return "want exactly one of command, query and change"
 	case int(request.Group) > s.config.LedgerGroups:
 		return "no such group: the clients' number of ledger groups must equal the control nodes'"
@@ -172,8 +172,8 @@
 	return ""
 }
 
-// kinds counts what a request asks for.
-func kinds(request *wire.ExecuteRequest) int {
+// countKinds returns how many of command, query and change are set in a request.
+func countKinds(request *wire.ExecuteRequest) int {
 	count := 0
 	for _, set := range []bool{request.Command != nil, request.Query != nil, request.Change != nil} {
 		if set {
@@ -183,7 +183,7 @@
 	return count
 }
 
-// isControlCommand says whether a command belongs to the control group.
+// isControlCommand reports whether a command belongs to the control group.
 func isControlCommand(command *wire.Command) bool {
 	switch command.Kind.(type) {
 	case *wire.Command_TableChange, *wire.Command_MemberUpdate, *wire.Command_FenceAcquire, *wire.Command_VersionRelease,
@@ -193,8 +193,8 @@
 	return false
 }
 
-// waitInForce holds an accepted table change's reply back until the change is in force everywhere or
-// the request's time is over; the reply says how far it has got.
+// waitInForce delays the reply to an accepted table change until the change is in force everywhere or the request times
+// out. The reply carries the version in force at that time.
 func (s *Server) waitInForce(ctx context.Context, request *wire.ExecuteRequest, reply *wire.ExecuteReply) {
 	result := reply.Result.GetTable()
 	if result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
--- a/internal/control/flush.go
+++ b/internal/control/flush.go
@@ -8,8 +8,8 @@
 	"storj.io/drpc"
 )
 
-// flush sends what a stream has buffered; the server's streams are flushed by their writers, so that
-// many messages share one system call.
+// flush sends what a stream has buffered. The writers of the server's streams call it explicitly, so that many messages
+// share one system call.
 func flush(stream drpc.Stream) error {
 	if holder, ok := stream.(interface{ GetStream() drpc.Stream }); ok {
 		stream = holder.GetStream()
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// endOfStream hides the errors of a stream that ended as planned.
+// endOfStream returns nil for errors that mark a planned end of a stream, and err otherwise.
 func endOfStream(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, context.Canceled) {
 		return nil
--- a/internal/control/granting.go
+++ b/internal/control/granting.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// nodesLife is how old the list of control nodes in a grant may be.
-const nodesLife = time.Second
+// nodeListMaxAge is the maximum age of the list of control nodes that a grant carries.
+const nodeListMaxAge = time.Second
 
-// nodeList is where the control group's nodes listen. Grants name it, so that a process that lives longer
-// than every node in its settings still finds the group.
+// nodeList caches the addresses of the control group's nodes. Grants carry them, so that a process that outlives all
+// nodes named in its settings still finds the group.
 type nodeList struct {
 	addresses atomic.Pointer[[]string]
 	readAt    atomic.Int64 // on the server's clock
 }
 
-// refresh reads the list again when it is old. What cannot be read stays as it was.
+// refresh reads the list again if it is older than nodeListMaxAge. On errors the old list is kept.
 func (l *nodeList) refresh(ctx context.Context, s *Server) {
 	now := s.config.Clock()
-	if l.addresses.Load() != nil && now-time.Duration(l.readAt.Load()) < nodesLife {
+	if l.addresses.Load() != nil && now-time.Duration(l.readAt.Load()) < nodeListMaxAge {
 		return
 	}
 	addresses, err := s.replicas.Addresses(ctx, controlGroup)
@@ -37,20 +37,20 @@
 	return nil
 }
 
-// grantLoop judges waiting renewals, all that wait in one read round, until ctx ends.
+// grantLoop handles queued renewals until ctx ends. All renewals that are queued at the same time share one read round.
 func (s *Server) grantLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-s.renewals:
-			s.grantRound(ctx, s.waiting(first))
+			s.grantRound(ctx, s.collectRenewals(first))
 		}
 	}
 }
 
-// waiting takes all renewals that have arrived.
-func (s *Server) waiting(first renewal) []renewal {
+// collectRenewals returns first and all other renewals that are queued.
+func (s *Server) collectRenewals(first renewal) []renewal {
 	batch := []renewal{first}
 	for {
 		select {
@@ -62,20 +62,22 @@
 	}
 }
 
-// grantRound confirms the leadership after the arrival of the renewals, then grants them. When the
-// leadership can't be confirmed nobody is answered: holders turn to another node by themselves.
+// grantRound confirms the leadership after the renewals have arrived, then handles them. If the leadership cannot be
+// confirmed, nothing is granted: holders are redirected where another leader is known, and otherwise try other nodes on
+// their own.
 func (s *Server) grantRound(ctx context.Context, batch []renewal) {
 	term, leading := s.confirmLeadership(ctx)
 	if !leading {
 		s.redirect(ctx, batch)
 		return
 	}
-	for _, waiting := range batch {
-		s.judge(term, waiting)
+	for _, pending := range batch {
+		s.handleRenewal(term, pending)
 	}
 }
 
-// confirmLeadership runs a read round of the control group and returns the term that it confirmed.
+// confirmLeadership runs a read round of the control group and returns the term in which the leadership was confirmed.
+// It returns false if this node does not lead or the round failed.
 func (s *Server) confirmLeadership(ctx context.Context) (uint64, bool) {
 	before := s.states[controlGroup].leader()
 	if !before.Leading {
@@ -97,7 +99,8 @@
 	return after.Term, true
 }
 
-// beginTerm prepares the first grant of a term whose leadership was confirmed; false: not all that is applied here could be read.
+// beginTerm prepares the first grant of a term whose leadership was confirmed. It returns false if part of the applied
+// state could not be read.
 func (s *Server) beginTerm(term uint64) bool {
 	if _, err := s.publisher.refresh(); err != nil {
 		return false
@@ -106,54 +109,56 @@
 		return false
 	}
 	s.beginGranting(term)
-	s.detector.lead()
-	s.levels.lookSoon()
+	s.detector.beginLeading()
+	s.levels.requestCheck()
 	return true
 }
 
-// beginGranting begins to grant leases in a term. The shares come first: a grant without them would tell its holder that nothing is divided.
+// beginGranting starts granting leases in a term. Shares are started first, since a grant without shares tells its
+// holder that no resource is divided.
 func (s *Server) beginGranting(term uint64) {
 	s.shares.beginLeading(term)
-	s.leases.lead(term)
+	s.leases.beginLeading(term)
 }
 
-// stopGranting ends that. The shares go first: a next term may begin once the leases are gone, and must not lose the shares that it has.
+// stopGranting stops granting leases. Shares are stopped first: the next term can begin as soon as the leases are gone,
+// and must not lose the shares that it already has.
 func (s *Server) stopGranting() {
 	s.shares.stopLeading()
-	s.leases.follow()
+	s.leases.stopLeading()
 }
 
-// redirect tells holders which other node leads, or that none is known: they find the next leader sooner by
-// asking around than by waiting here, where it may never be heard of.
+// redirect tells holders which other node leads, or that no leader is known. In the latter case they find the next
+// leader sooner by asking other nodes than by waiting here, since this node may never learn of it.
 func (s *Server) redirect(ctx context.Context, batch []renewal) {
 	address := s.otherLeader(ctx, controlGroup)
-	if address == "" && s.leading() {
+	if address == "" && s.leadsControlGroup() {
 		return
 	}
-	for _, waiting := range batch {
+	for _, pending := range batch {
 		if address == "" {
-			waiting.session.turnAway()
+			pending.session.notifyLeaderUnknown()
 		} else {
-			waiting.session.redirectTo(address)
+			pending.session.redirectTo(address)
 		}
 	}
 }
 
-// judge answers one renewal whose leadership was confirmed in term.
-func (s *Server) judge(term uint64, waiting renewal) {
-	holder, request := waiting.session.holder, waiting.request
+// handleRenewal answers one renewal in the term in which the leadership was confirmed.
+func (s *Server) handleRenewal(term uint64, pending renewal) {
+	holder, request := pending.session.holder, pending.request
 	if request.Leaving {
 		s.leases.release(holder)
 		s.shares.release(holder)
-		s.detector.leave(waiting)
-		return // answered once that is recorded
+		s.detector.handleLeaving(pending)
+		return // answered once the departure is recorded
 	}
-	if !s.detector.registered(waiting) {
+	if !s.detector.ensureRegistered(pending) {
 		return // answered once the member is registered
 	}
 	if !s.leases.renew(term, holder, request.ActedVersion) {
-		waiting.session.answerRenewal(request.Sequence, false, nil)
+		pending.session.answerRenewal(request.Sequence, false, nil)
 		return
 	}
-	waiting.session.answerRenewal(request.Sequence, true, s.shares.renew(term, s.leases.version(), waiting.session, request))
+	pending.session.answerRenewal(request.Sequence, true, s.shares.renew(term, s.leases.version(), pending.session, request))
 }
--- a/internal/control/groupchange.go
+++ b/internal/control/groupchange.go
@@ -8,24 +8,25 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// groupChanger is what changes of a group's nodes need besides Replicas.
+// groupChanger contains the membership changes of a group. It is part of Replicas.
 type groupChanger interface {
 	AddLearner(ctx context.Context, group uint32, node uint64) error
 	Promote(ctx context.Context, group uint32, node uint64) error
 	Remove(ctx context.Context, group uint32, node uint64) error
 }
 
-// changeGroup changes which nodes carry a group. A change that is in effect already succeeds.
+// changeGroup executes a membership change or a leadership transfer of a group. A change that is already in effect
+// succeeds.
 func (s *Server) changeGroup(ctx context.Context, request *wire.ExecuteRequest) *wire.ExecuteReply {
 	change := request.Change
 	var err error
 	switch change.Kind {
 	case wire.GroupChangeKind_GROUP_CHANGE_KIND_ADD_LEARNER:
-		err = without(s.replicas.AddLearner(ctx, request.Group, change.Node), raft.ErrAlreadyMember)
+		err = ignoreError(s.replicas.AddLearner(ctx, request.Group, change.Node), raft.ErrAlreadyMember)
 	case wire.GroupChangeKind_GROUP_CHANGE_KIND_PROMOTE:
 		err = s.replicas.Promote(ctx, request.Group, change.Node)
 	case wire.GroupChangeKind_GROUP_CHANGE_KIND_REMOVE:
-		err = without(s.replicas.Remove(ctx, request.Group, change.Node), raft.ErrNotMember)
+		err = ignoreError(s.replicas.Remove(ctx, request.Group, change.Node), raft.ErrNotMember)
 	case wire.GroupChangeKind_GROUP_CHANGE_KIND_TRANSFER_LEADERSHIP:
 		err = s.replicas.TransferLeadership(ctx, request.Group, change.Node)
 	default:
@@ -39,12 +40,12 @@
 	case errors.Is(err, raft.ErrQuorumAtRisk), errors.Is(err, raft.ErrLastVoter), errors.Is(err, raft.ErrNotMember):
 		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_INVALID, Error: err.Error()}
 	default:
-		return s.failure(request.Group, err)
+		return s.failureReply(request.Group, err)
 	}
 }
 
-// without returns err unless it says that the change is in effect already.
-func without(err, inEffect error) error {
+// ignoreError returns nil if err means that the change is already in effect, and err otherwise.
+func ignoreError(err, inEffect error) error {
 	if errors.Is(err, inEffect) {
 		return nil
 	}
--- a/internal/control/groupkeeper.go
+++ b/internal/control/groupkeeper.go
@@ -11,29 +11,29 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// maximumChanges bounds the changes of a group that one look makes: two lost voters need three each.
+// maximumChanges bounds the changes of a group in one pass. Replacing two lost voters takes three changes each.
 const maximumChanges = 8
 
-// groupKeeper replaces lost nodes of a group, while this node leads it, by nodes that ask to carry the groups. Only its loop
-// touches it.
+// groupKeeper replaces lost nodes of a group by nodes that ask to join, while this node leads the group. Only its own
+// loop uses it.
 type groupKeeper struct {
 	voters  *voters
 	server  *Server
 	group   uint32
 	hearing *member.Hearing // nil while this node does not lead the group
-	// lookedAt is when the group's state was looked at last as its leader.
-	lookedAt time.Duration
-	behind   map[uint64]bool // learners that were found to lack entries at this look
+	// checkedAt is when this node last checked the group's state as its leader.
+	checkedAt time.Duration
+	behind    map[uint64]bool // learners that lacked log entries in this pass
 }
 
-// look makes the changes that are due, one after the other: the place of a lost voter is free for the next losses only once
-// its successor has taken it, and each wait for the next look would add to that.
-func (k *groupKeeper) look(ctx context.Context) {
+// reconcile makes all due changes in sequence. Further losses are tolerated only once the replacement of a lost voter
+// votes, and waiting for the next interval after each change would delay that.
+func (k *groupKeeper) reconcile(ctx context.Context) {
 	k.behind = map[uint64]bool{}
 	for range maximumChanges {
 		if !k.server.states[k.group].leader().Leading || k.server.draining.Load() {
 			k.hearing = nil
-			k.voters.silent.follows(k.group)
+			k.voters.silent.stopLeading(k.group)
 			return
 		}
 		seen, ok := k.observe(ctx)
@@ -43,25 +43,26 @@
 		if !mayReplaceVoters(k.group, k.server.states[controlGroup].leader().Leader) {
 			return
 		}
-		change := member.NextGroupChange(seen, k.server.config.Voters, voterPatience)
-		k.voters.silent.note(k.group, k.lookedAt, seen, change)
+		change := member.NextGroupChange(seen, k.server.config.Voters, voterSilenceLimit)
+		k.voters.silent.logSilent(k.group, k.checkedAt, seen, change)
 		if change.Kind == member.NoGroupChange {
 			return
 		}
-		err := k.carryOut(ctx, change, &seen)
-		k.voters.silent.tried(k.group, err)
+		err := k.applyChange(ctx, change, &seen)
+		k.voters.silent.recordChangeResult(k.group, err)
 		switch {
 		case err == nil:
 		case errors.Is(err, raft.ErrNotCaughtUp) && !k.behind[change.Node]:
 			k.behind[change.Node] = true
 		default:
-			k.server.log.WithError(err).Debugf("a change of the nodes of group %d waits", k.group)
+			k.server.log.WithError(err).Debugf("failed to change the nodes of group %d, retrying", k.group)
 			return
 		}
 	}
 }
 
-// observe tells how long the nodes of the group have been silent, and who asks for a place.
+// observe returns the group's nodes with their silence, and the candidates. It returns false if this node does not lead
+// the group.
 func (k *groupKeeper) observe(ctx context.Context) (member.Group, bool) {
 	ctx, cancel := context.WithTimeout(ctx, localTimeout)
 	defer cancel()
@@ -72,12 +73,12 @@
 	now := k.server.config.Clock()
 	switch {
 	case k.hearing == nil:
-		k.hearing = member.NewHearing(status.ID, now, maximumGap)
-	case now-k.lookedAt > maximumGap:
-		k.voters.silent.late(k.group)
+		k.hearing = member.NewHearing(status.ID, now, maximumCountedGap)
+	case now-k.checkedAt > maximumCountedGap:
+		k.voters.silent.countLateCheck(k.group)
 	}
-	k.lookedAt = now
-	k.hearing.Look(now, k.sightings(&status))
+	k.checkedAt = now
+	k.hearing.Look(now, k.collectSightings(&status))
 	addresses := make(map[uint64]string)
 	for _, node := range k.server.replicas.Nodes() {
 		addresses[node.ID] = node.Address
@@ -94,11 +95,12 @@
 		return nodes
 	}
 	return member.Group{Voters: describe(status.Configuration.Voters), Learners: describe(status.Configuration.Learners),
-		Candidates: k.voters.asking(now)}, true
+		Candidates: k.voters.recentCandidates(now)}, true
 }
 
-// sightings is what is known of the group's other nodes: what this leader hears, and what those that it hears tell.
-func (k *groupKeeper) sightings(status *raft.Status) []member.Sighting {
+// collectSightings returns what is known of the group's other nodes: which of them this leader hears, and what the
+// nodes that it hears report about the others.
+func (k *groupKeeper) collectSightings(status *raft.Status) []member.Sighting {
 	var heard []uint64
 	for _, other := range status.Match {
 		if other.Heard {
@@ -113,8 +115,8 @@
 	return sightings
 }
 
-// carryOut makes a change and waits for it.
-func (k *groupKeeper) carryOut(ctx context.Context, change member.GroupChange, seen *member.Group) error {
+// applyChange makes a membership change and waits for its result.
+func (k *groupKeeper) applyChange(ctx context.Context, change member.GroupChange, seen *member.Group) error {
 	ctx, cancel := context.WithTimeout(ctx, voterChangeTimeout)
 	defer cancel()
 	var err error
@@ -133,7 +135,7 @@
 	return err
 }
 
-// groupChanged says what a change of a node rests on.
+// groupChanged returns the event of a change, with the observations that led to it.
 func groupChanged(group uint32, node uint64, seen *member.Group) *events.GroupChanged {
 	event := &events.GroupChanged{Group: group, Node: node, Voters: len(seen.Voters), Candidates: len(seen.Candidates)}
 	var longest time.Duration
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -9,13 +9,13 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// ErrVoterSilent says that a voter is not heard, and has not said that it stops.
+// ErrVoterSilent means that a voter is not heard and has not announced that it stops.
 var ErrVoterSilent = errors.New("the voter is silent")
 
-// OfferControl asks the voter that listens at an address to lead the control group in this node's place. It returns
-// nil once the voter was asked, which tells nothing of whether it takes over. Errors: trace.BadParameter when this
-// node does not lead or no voter listens there, and trace.ConnectionProblem while that voter lags, stops or is not heard;
-// the last is ErrVoterSilent.
+// OfferControl asks the voter that listens at an address to lead the control group in place of this node. It returns
+// nil once the voter was asked, which does not mean that it takes over. It returns trace.BadParameter if this node does
+// not lead or no voter listens at the address, and trace.ConnectionProblem if the voter lags, is stopping or is not
+// heard. In the last case the error wraps ErrVoterSilent.
 func (s *Server) OfferControl(ctx context.Context, address string) error {
 	status, err := s.replicas.Status(ctx, controlGroup)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return trace.Wrap(s.replicas.TransferLeadership(ctx, controlGroup, chosen.Node))
 }
 
-// voterAt is the other voter that listens at an address; the zero value if there is none.
+// voterAt returns the progress of the other voter that listens at an address, or the zero value if there is none.
 func (s *Server) voterAt(address string, status *raft.Status) raft.Progress {
 	for _, node := range s.replicas.Nodes() {
 		if node.Address != address || node.ID == status.ID || !status.Configuration.IsVoter(node.ID) {
--- a/internal/control/holdings.go
+++ b/internal/control/holdings.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	// holdingsInterval is how often a node tells what it holds of each group, as often as of its memory in all.
+	// holdingsInterval is how often a node logs the sizes of its groups, the same interval as for its memory use.
 	holdingsInterval = 5 * time.Second
-	// holdingsTimeout bounds the questions to a group for it: a loop that is held up is told by other lines.
+	// holdingsTimeout bounds the queries to one group. Other log lines report a group loop that is blocked.
 	holdingsTimeout = time.Second
 )
 
-// holdings is what this node holds of a group: its state's large part, the log and snapshots.
-func (s *Server) holdings(ctx context.Context, group uint32) (*events.GroupHoldings, error) {
+// readHoldings returns the sizes of what this node stores of a group: batch jobs, log and snapshot.
+func (s *Server) readHoldings(ctx context.Context, group uint32) (*events.GroupHoldings, error) {
 	ctx, cancel := context.WithTimeout(ctx, holdingsTimeout)
 	defer cancel()
 	held, err := s.replicas.Holdings(ctx, group)
 	if err != nil {
 		return nil, err
 	}
-	told := &events.GroupHoldings{
+	report := &events.GroupHoldings{
 		Group: group, LogMB: events.Megabytes(uint64(held.Log)), SnapshotMB: events.Megabytes(uint64(held.Snapshot)),
 		UnstoredMB: events.Megabytes(uint64(held.Unstored)),
 	}
 	if free, err := s.store.FreeBytes(); err == nil {
-		told.DiskFreeMB = events.Megabytes(free)
+		report.DiskFreeMB = events.Megabytes(free)
 	}
 	if group == controlGroup {
-		return told, nil
+		return report, nil
 	}
 	view, err := s.replicas.LocalQuery(ctx, group, &wire.Query{Kind: &wire.Query_Status{Status: &wire.StatusQuery{}}})
 	if err != nil {
 		return nil, err
 	}
-	told.Jobs, told.JobsMB = view.GetStatus().GetJobs(), events.Megabytes(view.GetStatus().GetJobBytes())
-	return told, nil
+	report.Jobs, report.JobsMB = view.GetStatus().GetJobs(), events.Megabytes(view.GetStatus().GetJobBytes())
+	return report, nil
 }
 
-// tellHoldings logs what this node holds, until ctx ends.
-func (s *Server) tellHoldings(ctx context.Context) {
+// logHoldings logs the sizes of all groups at regular intervals until ctx ends.
+func (s *Server) logHoldings(ctx context.Context) {
 	pause.Every(ctx, holdingsInterval, func(ctx context.Context) {
 		for group := range s.states {
-			if told, err := s.holdings(ctx, uint32(group)); err == nil {
-				logging.Emit(s.log, told)
+			if report, err := s.readHoldings(ctx, uint32(group)); err == nil {
+				logging.Emit(s.log, report)
 			}
 		}
 	})
@@ -68,7 +68,7 @@
 	holdingsDescs = []*prometheus.Desc{logBytesDesc, snapshotBytesDesc, unstoredBytesDesc, jobsDesc, jobBytesDesc, jobsRefusedDesc}
 )
 
-// collectHoldings shows what this node holds of a group.
+// collectHoldings collects the metrics of what this node stores of a group.
 func (c *collector) collectHoldings(ctx context.Context, found chan<- prometheus.Metric, group uint32, status *wire.StatusView) {
 	held, err := c.server.replicas.Holdings(ctx, group)
 	if err != nil {
--- a/internal/control/hosted.go
+++ b/internal/control/hosted.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// openHost opens the data folder and the replicated groups in it.
+// openHost opens the data folder and the replicated groups stored in it.
 func (s *Server) openHost() error {
 	store, err := storage.Open(storage.Options{
 		Folder: s.config.DataFolder, ClusterID: s.config.ClusterID,
@@ -26,12 +26,12 @@
 	if err != nil {
 		return trace.NewAggregate(err, store.Close())
 	}
-	s.levels.founded = founding{took: !s.config.Join && len(carried) == 0, at: s.config.Clock()}
+	s.levels.founded = foundingState{isFounder: !s.config.Join && len(carried) == 0, at: s.config.Clock()}
 	host, err := consensus.New(consensus.Config{
 		NodeID: s.config.NodeID, ClusterID: s.config.ClusterID,
 		Name: s.config.Name, Address: s.Address(),
 		Peers: s.consensusPeers(), Join: s.config.Join, Groups: s.groups(),
-		Store:              timedStore{Store: store, syncs: s.syncs},
+		Store:              timedStore{Store: store, syncDurations: s.syncDurations},
 		NewStateMachine:    func(uint32) consensus.StateMachine { return state.New() },
 		Tick:               s.config.Tick,
 		CampaignDelayTicks: s.config.campaignDelay(),
@@ -68,7 +68,7 @@
 	return peers
 }
 
-// groups are the control group and the ledger groups.
+// groups returns the control group and the ledger groups.
 func (s *Server) groups() []uint32 {
 	groups := []uint32{controlGroup}
 	for group := uint32(1); int(group) <= s.config.LedgerGroups; group++ {
@@ -77,27 +77,28 @@
 	return groups
 }
 
-// leaderChanged is called from the host's loop.
+// leaderChanged records a group's leader. The consensus host's loop calls it.
 func (s *Server) leaderChanged(group uint32, leadership consensus.Leadership) {
 	s.states[group].leadership.Store(&leadership)
 	if group != controlGroup {
 		return
 	}
 	select {
-	case s.moved <- struct{}{}:
+	case s.leaderChange <- struct{}{}:
 	default:
 	}
 }
 
-// applied is called from the host's loop.
+// applied processes an applied command. The consensus host's loop calls it.
 func (s *Server) applied(group uint32, index uint64, command *wire.Command, result *wire.Result) {
 	s.states[group].applied.Store(index)
 	s.retention.applied(group, command)
 	if command.GetJobSubmit() != nil || command.GetJobEnd() != nil {
-		s.states[group].jobsApplied()
+		s.states[group].notifyJobsChanged()
 	}
 	if group == controlGroup && result.GetTable() != nil {
-		// The grace of those that act on the version before begins here, however late the publisher reads the change.
+		// The grace period of holders that act on the previous version starts here, no matter how late the publisher
+		// reads the change.
 		s.leases.tableApplied(result.GetTable().Version)
 	}
 	if group == controlGroup && result.GetLevel() != nil {
@@ -108,17 +109,17 @@
 	}
 }
 
-// restored is called from the host's loop.
+// restored processes an applied snapshot. The consensus host's loop calls it.
 func (s *Server) restored(group uint32, index uint64) {
 	s.states[group].applied.Store(index)
-	s.states[group].jobsApplied()
+	s.states[group].notifyJobsChanged()
 	if group == controlGroup {
 		s.publisher.applied()
 	}
 }
 
-// failure is the reply to a request that the groups did not carry out.
-func (s *Server) failure(group uint32, err error) *wire.ExecuteReply {
+// failureReply returns the reply to a request that the group did not execute because of err.
+func (s *Server) failureReply(group uint32, err error) *wire.ExecuteReply {
 	reply := &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_UNKNOWN, Error: err.Error()}
 	var notLeader *consensus.ErrNotLeader
 	switch {
--- a/internal/control/jobroom.go
+++ b/internal/control/jobroom.go
@@ -14,83 +14,86 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// jobRoom refuses batch jobs for which a ledger group has no room before they are proposed: a refused job would take its size
-// of the log all the same.
-type jobRoom struct {
-	mutex    sync.Mutex
-	underway map[string]int  // submits that are being proposed here, by job
-	unknown  map[string]bool // jobs whose proposal ended here without an outcome, and may still be taken
-	full     bool            // as was told last
-	refused  uint64          // since the start
+// jobCapacity tracks batch jobs that are being proposed, to reject jobs for which a ledger group has no capacity before
+// they are proposed. A job rejected after its proposal would still take up its size in the log.
+type jobCapacity struct {
+	mutex      sync.Mutex
+	proposing  map[string]int  // number of submits being proposed on this node, by job
+	unresolved map[string]bool // jobs whose proposal ended here without an outcome and may still be applied
+	full       bool            // last logged state
+	rejected   uint64          // number of rejected jobs since the start
 }
 
-func newJobRoom() *jobRoom { return &jobRoom{underway: map[string]int{}, unknown: map[string]bool{}} }
+func newJobCapacity() *jobCapacity {
+	return &jobCapacity{proposing: map[string]int{}, unresolved: map[string]bool{}}
+}
 
-// begin notes a submit that is about to be proposed.
-func (r *jobRoom) begin(job string) {
+// beginProposal records a submit that is about to be proposed.
+func (r *jobCapacity) beginProposal(job string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.underway[job]++
+	r.proposing[job]++
 }
 
-// end notes how a proposal ended. Entries are applied in their order: an applied one settles all that were proposed before.
-func (r *jobRoom) end(job string, err error) {
+// endProposal records the result of a proposal. Entries are applied in log order, so an applied entry settles all
+// earlier proposals.
+func (r *jobCapacity) endProposal(job string, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.underway[job]--; r.underway[job] == 0 {
-		delete(r.underway, job)
+	if r.proposing[job]--; r.proposing[job] == 0 {
+		delete(r.proposing, job)
 	}
 	var notLeader *consensus.ErrNotLeader
 	switch {
 	case err == nil:
-		clear(r.unknown)
+		clear(r.unresolved)
 	case errors.As(err, &notLeader), errors.Is(err, consensus.ErrOverloaded), errors.Is(err, consensus.ErrDiskFull), errors.Is(err, consensus.ErrInvalid):
 	default:
-		r.unknown[job] = true
+		r.unresolved[job] = true
 	}
 }
 
-// mayBeTaken tells whether a job was proposed here and has no outcome yet.
-func (r *jobRoom) mayBeTaken(job string) bool {
+// mayBeApplied reports whether a job was proposed on this node and its outcome is unknown.
+func (r *jobCapacity) mayBeApplied(job string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.underway[job] > 0 || r.unknown[job]
+	return r.proposing[job] > 0 || r.unresolved[job]
 }
 
-// submitJob proposes a batch job, unless it is known to find no room.
+// submitJob proposes a batch job, unless its group is known to have no capacity for it.
 func (s *Server) submitJob(ctx context.Context, request *wire.ExecuteRequest, submit *wire.JobSubmit) *wire.ExecuteReply {
-	if err := s.boundJobs(ctx, request.Group, submit); err != nil {
-		return s.failure(request.Group, err)
+	if err := s.setJobLimit(ctx, request.Group, submit); err != nil {
+		return s.failureReply(request.Group, err)
 	}
-	if refused := s.refuseFull(ctx, request.Group, submit); refused != nil {
-		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, Result: &wire.Result{Kind: &wire.Result_Job{Job: refused}}}
+	if rejected := s.rejectIfFull(ctx, request.Group, submit); rejected != nil {
+		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, Result: &wire.Result{Kind: &wire.Result_Job{Job: rejected}}}
 	}
-	s.jobRoom.begin(submit.GetId())
+	s.jobCapacity.beginProposal(submit.GetId())
 	result, index, err := s.replicas.Propose(ctx, request.Group, request.Command)
-	s.jobRoom.end(submit.GetId(), err)
+	s.jobCapacity.endProposal(submit.GetId(), err)
 	if err != nil {
-		return s.failure(request.Group, err)
+		return s.failureReply(request.Group, err)
 	}
 	return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, Result: result, AppliedIndex: index}
 }
 
-// boundJobs writes into a submit what all jobs of its group may take together. Builds that know no such bound would judge the
-// submit by a fixed one, and their state would be another.
-func (s *Server) boundJobs(ctx context.Context, group uint32, submit *wire.JobSubmit) error {
-	submit.MostHeldBytes = 0 // whoever sent it does not know
+// setJobLimit sets the limit for the total size of the group's jobs in a submit. The limit stays 0 below level
+// SnapshotParts: older builds would apply a fixed limit, and the states of the replicas would diverge.
+func (s *Server) setJobLimit(ctx context.Context, group uint32, submit *wire.JobSubmit) error {
+	submit.MostHeldBytes = 0 // discard the sender's value
 	if !s.levels.agreed().Includes(compat.SnapshotParts) {
 		return nil
 	}
 	capacity, err := s.replicas.Capacity(ctx, group)
 	if err == nil {
-		submit.MostHeldBytes = capacity / uint64(s.config.LedgerGroups) // they are on the same machines
+		submit.MostHeldBytes = capacity / uint64(s.config.LedgerGroups) // the groups share the same machines
 	}
 	return err
 }
 
-// refuseFull returns the answer to a job that has no room and is not held, nor can be by an earlier attempt; nil for others, and
-// where that is not known.
-func (s *Server) refuseFull(ctx context.Context, group uint32, submit *wire.JobSubmit) *wire.JobReply {
+// rejectIfFull returns the answer to a job that exceeds the group's capacity and is not held, nor may be by an earlier
+// attempt. It returns nil for other jobs and if the capacity is unknown.
+func (s *Server) rejectIfFull(ctx context.Context, group uint32, submit *wire.JobSubmit) *wire.JobReply {
 	if submit.GetMostHeldBytes() == 0 {
 		return nil
 	}
@@ -103,38 +106,39 @@
 		return nil
 	}
 	if fits(view.GetJobRoom()) {
-		s.tellRoom(group, false, view.GetJobRoom(), submit.GetMostHeldBytes())
+		s.recordCapacity(group, false, view.GetJobRoom(), submit.GetMostHeldBytes())
 		return nil
 	}
-	// What an earlier leader took is applied here once this one has confirmed that it leads.
+	// The linearizable query confirms the leadership, after which jobs accepted by an earlier leader are applied on
+	// this node.
 	view, err = s.replicas.Query(ctx, group, query)
 	room := view.GetJobRoom()
-	if err != nil || fits(room) || room.GetKnown() || s.jobRoom.mayBeTaken(submit.GetId()) {
+	if err != nil || fits(room) || room.GetKnown() || s.jobCapacity.mayBeApplied(submit.GetId()) {
 		return nil
 	}
-	s.tellRoom(group, true, room, submit.GetMostHeldBytes())
+	s.recordCapacity(group, true, room, submit.GetMostHeldBytes())
 	return &wire.JobReply{Outcome: wire.JobOutcome_JOB_OUTCOME_FULL, Unproposed: true, RoomInMillis: room.GetRoomInMillis()}
 }
 
-// tellRoom logs when jobs begin or cease to find no room, and counts those that are refused.
-func (s *Server) tellRoom(group uint32, full bool, room *wire.JobRoomView, most uint64) {
-	r := s.jobRoom
+// recordCapacity logs when a group becomes full or has capacity again, and counts rejected jobs.
+func (s *Server) recordCapacity(group uint32, full bool, room *wire.JobRoomView, limit uint64) {
+	r := s.jobCapacity
 	r.mutex.Lock()
 	changed := r.full != full
 	r.full = full
 	if full {
-		r.refused++
+		r.rejected++
 	}
 	r.mutex.Unlock()
 	if changed {
 		logging.Emit(s.log, &events.JobsFull{Group: group, Full: full, JobsMB: events.Megabytes(room.GetHeldBytes()),
-			MostMB: events.Megabytes(most), RoomInMs: room.GetRoomInMillis()})
+			MostMB: events.Megabytes(limit), RoomInMs: room.GetRoomInMillis()})
 	}
 }
 
-// refusals is how many jobs were refused since the start.
-func (r *jobRoom) refusals() uint64 {
+// rejections returns the number of jobs rejected since the start.
+func (r *jobCapacity) rejections() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.refused
+	return r.rejected
 }
--- a/internal/control/jobroom_test.go
+++ b/internal/control/jobroom_test.go
@@ -11,22 +11,22 @@
 // TestJobsWithoutOutcomeMayBeTaken: a job whose proposal had no outcome must not be refused as not taken until a later entry is
 // applied, which settles it.
 func TestJobsWithoutOutcomeMayBeTaken(t *testing.T) {
-	room := newJobRoom()
-	room.begin("lost")
-	if !room.mayBeTaken("lost") || room.mayBeTaken("other") {
+	room := newJobCapacity()
+	room.beginProposal("lost")
+	if !room.mayBeApplied("lost") || room.mayBeApplied("other") {
 		t.Fatal("only what is under way may be taken")
 	}
-	room.end("lost", consensus.ErrUnknownOutcome)
-	room.begin("refused")
-	room.end("refused", consensus.ErrOverloaded)
-	if !room.mayBeTaken("lost") || room.mayBeTaken("refused") {
+	room.endProposal("lost", consensus.ErrUnknownOutcome)
+	room.beginProposal("refused")
+	room.endProposal("refused", consensus.ErrOverloaded)
+	if !room.mayBeApplied("lost") || room.mayBeApplied("refused") {
 		t.Fatal("only what has no outcome may be taken")
 	}
-	room.begin("later")
-	room.end("later", errors.New("its time is over"))
-	room.begin("applied")
-	room.end("applied", nil)
-	if room.mayBeTaken("lost") || room.mayBeTaken("later") || len(room.underway) > 0 {
+	room.beginProposal("later")
+	room.endProposal("later", errors.New("its time is over"))
+	room.beginProposal("applied")
+	room.endProposal("applied", nil)
+	if room.mayBeApplied("lost") || room.mayBeApplied("later") || len(room.proposing) > 0 {
 		t.Fatal("an applied entry settles those before")
 	}
 }
@@ -38,7 +38,7 @@
 	leader := c.servers[c.ledgerLeader()]
 	submit := &wire.JobSubmit{}
 	eventually(t, "the level is in force", func() bool {
-		if err := leader.boundJobs(testContext(t), ledger, submit); err != nil {
+		if err := leader.setJobLimit(testContext(t), ledger, submit); err != nil {
 			t.Fatal(err)
 		}
 		return submit.MostHeldBytes > 0
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// joinInterval is how often a node asks to carry the groups until it does.
+	// joinInterval is how often a node asks to join the groups until it is a voter.
 	joinInterval = 300 * time.Millisecond
-	// joinTimeout bounds one question.
+	// joinTimeout bounds one request to another node.
 	joinTimeout = 500 * time.Millisecond
-	// announceTimeout bounds how long a planned stop tells the other nodes of itself.
+	// announceTimeout bounds how long a planned stop waits for its announcement to the other nodes.
 	announceTimeout = 200 * time.Millisecond
-	// joinPatience is how long a voter hears of no leader before it asks as well.
-	joinPatience = 3 * time.Second
+	// noLeaderJoinDelay is how long a voter knows no leader before it asks to join again.
+	noLeaderJoinDelay = 3 * time.Second
 )
 
-// Join implements wire.DRPCControlServer: it notes that a node asks to carry the groups or leaves, and says which nodes
-// are known here. Each leader of a group decides by itself.
+// Join implements wire.DRPCControlServer. It records that a node asks to join the groups or leaves them, and replies
+// with the nodes known here. The leader of each group decides independently. A request from another cluster is an
+// error.
 func (s *Server) Join(_ context.Context, request *wire.JoinRequest) (*wire.JoinReply, error) {
 	if request.ClusterId != s.config.ClusterID {
 		return nil, trace.BadParameter("this is a node of cluster %q, not of %q", s.config.ClusterID, request.ClusterId)
 	}
 	if request.Leaving {
-		s.voters.leaves(request.Node)
+		s.voters.recordLeaving(request.Node)
 	} else {
-		s.voters.asks(request.Node, request.Address)
+		s.voters.recordRequest(request.Node, request.Address)
 	}
 	reply := &wire.JoinReply{}
 	for _, known := range s.replicas.Nodes() {
@@ -42,9 +43,9 @@
 	return reply, nil
 }
 
-// join asks all control nodes that can be found, beginning with the seeds, to let this node carry the groups:
-// until it is a voter in all of them, and again when it has heard of no leader for long. Then its place may
-// have been taken while it could not be reached; with its disk it takes another one under its old identity.
+// join asks all known control nodes, starting with the seeds, to add this node to the groups, until it is a voter in
+// all of them. It asks again if no leader was known for noLeaderJoinDelay: the node may have been replaced while it was
+// unreachable. Since it still has its disk, it then takes another place under its old identity.
 func (s *Server) join(ctx context.Context) {
 	if len(s.currentSeeds()) == 0 {
 		return
@@ -53,13 +54,13 @@
 	defer ticker.Stop()
 	ledAt := s.config.Clock()
 	for {
-		votes, led := s.standing(ctx)
+		votes, led := s.votingStatus(ctx)
 		now := s.config.Clock()
 		if led {
 			ledAt = now
 		}
-		if (!votes || now-ledAt > joinPatience) && !s.draining.Load() {
-			s.askAll(ctx, false)
+		if (!votes || now-ledAt > noLeaderJoinDelay) && !s.draining.Load() {
+			s.sendJoinToAll(ctx, false)
 		}
 		select {
 		case <-ctx.Done():
@@ -69,7 +70,7 @@
 	}
 }
 
-// SetSeeds replaces the addresses at which this node asks to carry the groups. The voters stay as they are.
+// SetSeeds replaces the addresses at which this node asks to join the groups. The voters do not change.
 func (s *Server) SetSeeds(seeds []string) { s.seeds.Store(&seeds) }
 
 func (s *Server) currentSeeds() []string {
@@ -79,8 +80,9 @@
 	return s.config.Seeds
 }
 
-// standing tells whether this node is a voter in all groups and knows a leader in all, as far as it can tell.
-func (s *Server) standing(ctx context.Context) (votes, led bool) {
+// votingStatus reports whether this node votes in all groups and whether it knows a leader of all groups, according to
+// its own state.
+func (s *Server) votingStatus(ctx context.Context) (votes, led bool) {
 	ctx, cancel := context.WithTimeout(ctx, localTimeout)
 	defer cancel()
 	votes, led = true, true
@@ -92,9 +94,9 @@
 	return votes, led
 }
 
-// askAll tells every known node once that this one asks to carry the groups or leaves them, all at the same time:
-// one that is cut off holds up nobody.
-func (s *Server) askAll(ctx context.Context, leaving bool) {
+// sendJoinToAll sends one join or leave request to every known node. The requests run concurrently, so that an
+// unreachable node delays no other.
+func (s *Server) sendJoinToAll(ctx context.Context, leaving bool) {
 	addresses := slices.Clone(s.currentSeeds())
 	for _, known := range s.replicas.Nodes() {
 		addresses = append(addresses, known.Address)
@@ -107,7 +109,7 @@
 			continue
 		}
 		asked++
-		go func() { answers <- s.askOne(ctx, address, leaving) }()
+		go func() { answers <- s.sendJoin(ctx, address, leaving) }()
 	}
 	for range asked {
 		var nodes []consensus.Peer
@@ -118,18 +120,19 @@
 	}
 }
 
-// announceLeaving tells the other nodes that this one stops by plan; those that can't be reached are not waited for.
+// announceLeaving notifies the other nodes that this node stops as planned. It does not wait for nodes that cannot be
+// reached.
 func (s *Server) announceLeaving(ctx context.Context) {
 	if s.config.Voters == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	s.askAll(ctx, true)
+	s.sendJoinToAll(ctx, true)
 }
 
-// askOne returns nil if there is no answer.
-func (s *Server) askOne(ctx context.Context, address string, leaving bool) *wire.JoinReply {
+// sendJoin sends a join or leave request to one node. It returns nil if there is no answer.
+func (s *Server) sendJoin(ctx context.Context, address string, leaving bool) *wire.JoinReply {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	connection, err := s.config.dialer()(ctx, "tcp", address)
--- a/internal/control/latelooks_test.go
+++ b/internal/control/latelooks_test.go
@@ -42,7 +42,7 @@
 
 // votes tells whether the node at a position votes in both groups, as it knows itself.
 func (c *seededCluster) votes(position int) bool {
-	votes, _ := c.servers[position].standing(testContext(c.t))
+	votes, _ := c.servers[position].votingStatus(testContext(c.t))
 	return votes
 }
 
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -10,27 +10,28 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// leases is the leader's knowledge of who may act on which table version. It is empty on other nodes.
+// leases tracks, on the leader of the control group, which holder may act on which table version. It is empty on other
+// nodes.
 type leases struct {
 	clock    monotonic.Clock
 	settings lease.Settings
 
-	mutex    sync.Mutex
-	term     uint64         // in which this node leads; 0 when it does not
-	granter  *lease.Granter // nil when this node does not lead
-	settled  time.Duration  // from when on every lease is known
-	current  uint64         // table version applied here
-	progress chan struct{}  // closed when a version may have come into force
+	mutex        sync.Mutex
+	term         uint64         // term in which this node leads; 0 when it does not lead
+	granter      *lease.Granter // nil when this node does not lead
+	allKnownFrom time.Duration  // time from which no lease of an earlier leader can be valid
+	current      uint64         // table version applied on this node
+	progress     chan struct{}  // closed when a version may have come into force
 }
 
 func newLeases(clock monotonic.Clock, settings lease.Settings) *leases {
 	return &leases{clock: clock, settings: settings, progress: make(chan struct{})}
 }
 
-// lead starts over as the leader of term. It must only be called after a read round of that term, when
-// all that was committed before it is applied here. Leases of earlier leaders, which this node does not
-// know, may run on for a while.
-func (l *leases) lead(term uint64) {
+// beginLeading resets the leases for a leader of term. Call it only after a read round of that term, when everything
+// committed earlier is applied on this node. Leases of earlier leaders are unknown to this node and can stay valid for
+// a while.
+func (l *leases) beginLeading(term uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.term == term {
@@ -39,17 +40,17 @@
 	now := l.clock()
 	l.term = term
 	l.granter = lease.NewGranter(now, l.settings, l.current)
-	l.settled = now + l.settings.Bound()
+	l.allKnownFrom = now + l.settings.Bound()
 }
 
-// follow forgets all leases.
-func (l *leases) follow() {
+// stopLeading drops all leases.
+func (l *leases) stopLeading() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.term, l.granter = 0, nil
 }
 
-// tableApplied notes the table's version here.
+// tableApplied records the table version applied on this node.
 func (l *leases) tableApplied(version uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -63,29 +64,29 @@
 	}
 }
 
-// version is the table's version here.
+// version returns the table version applied on this node.
 func (l *leases) version() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.current
 }
 
-// granting is the table version that leases are granted by; false on a node that grants none.
-func (l *leases) granting() (version uint64, leads bool) {
+// grantedVersion returns the table version that leases are granted for. leads is false on a node that grants no leases.
+func (l *leases) grantedVersion() (version uint64, leads bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.current, l.granter != nil
 }
 
-// leads says whether leases are granted here in term.
+// leads reports whether this node grants leases in term.
 func (l *leases) leads(term uint64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.granter != nil && l.term == term
 }
 
-// renew grants holder a lease for the version that it acts on, unless that is too old. It must only be
-// called after a read round that began in term after the renewal had arrived.
+// renew grants holder a lease for the table version that it acts on, unless that version is too old or newer than the
+// one applied on this node. Call it only after a read round that began in term after the renewal arrived.
 func (l *leases) renew(term uint64, holder lease.HolderID, acted uint64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -97,7 +98,7 @@
 	return granted
 }
 
-// release ends the lease of a holder that has given it back.
+// release ends the lease of a holder that gave it back.
 func (l *leases) release(holder lease.HolderID) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -108,12 +109,13 @@
 	l.signal()
 }
 
-// mayHold says whether holder may still act on the table, as far as is known here.
-func (l *leases) mayHold(holder lease.HolderID) bool {
+// mayHoldLease reports whether holder may still have a valid lease. It is true while this node does not know all
+// leases.
+func (l *leases) mayHoldLease(holder lease.HolderID) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.clock()
-	if l.granter == nil || now < l.settled {
+	if l.granter == nil || now < l.allKnownFrom {
 		return true
 	}
 	for _, known := range l.granter.Holders(now) {
@@ -124,7 +126,7 @@
 	return false
 }
 
-// inForce is the version below which no process acts now; 0 while that is not known.
+// inForce returns the version below which no process acts, or 0 while this is unknown.
 func (l *leases) inForce() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -138,7 +140,7 @@
 	return l.granter.InForce(l.clock())
 }
 
-// waitInForce returns once version is in force or ctx ends, with the version in force then.
+// waitInForce waits until version is in force or ctx ends, and returns the version in force at that time.
 func (l *leases) waitInForce(ctx context.Context, version uint64) uint64 {
 	poll := time.NewTicker(inForcePoll)
 	defer poll.Stop()
@@ -158,13 +160,13 @@
 	}
 }
 
-// signal wakes all that wait for a version to be in force.
+// signal wakes everyone who waits for a version to come into force. The caller holds the mutex.
 func (l *leases) signal() {
 	close(l.progress)
 	l.progress = make(chan struct{})
 }
 
-// holders lists the leases that have not lapsed, for status.
+// holders lists the leases that have not lapsed, for the status reply.
 func (l *leases) holders() []*wire.HolderStatus {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/control/leases_ahead_test.go
+++ b/internal/control/leases_ahead_test.go
@@ -13,7 +13,7 @@
 	const term, applied, ahead = 1, 3, 5
 	held := newLeases(func() time.Duration { return time.Minute }, lease.Settings{Lease: time.Second})
 	held.tableApplied(applied)
-	held.lead(term)
+	held.beginLeading(term)
 	holder := lease.HolderID{Name: "gateway", Incarnation: 1}
 	if held.renew(term, holder, ahead) {
 		t.Fatal("a lease was granted for a table that is not applied here")
--- a/internal/control/ledgergroup.go
+++ b/internal/control/ledgergroup.go
@@ -6,47 +6,47 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// LedgerGroup is a ledger group as this node sees it, for work in the same process that belongs to the
-// group's leader.
+// LedgerGroup gives code in the same process that runs on the group's leader access to a ledger group.
 type LedgerGroup struct {
 	server *Server
 	group  uint32
 }
 
-// LedgerGroup returns a ledger group, numbered from 1.
+// LedgerGroup returns a ledger group. Groups are numbered from 1.
 func (s *Server) LedgerGroup(group uint32) *LedgerGroup {
 	return &LedgerGroup{server: s, group: group}
 }
 
-// Leads says whether this node leads the group, and in which term, as the groups' loop told last: a leader that
-// does not hear a quorum for an election timeout steps down by itself.
+// Leads reports whether this node leads the group and is not draining, and in which term, as last reported by the
+// consensus host's loop. A leader that does not hear a quorum for an election timeout steps down.
 func (g *LedgerGroup) Leads() (term uint64, leading bool) {
 	known := g.server.states[g.group].leader()
 	return known.Term, known.Leading && !g.server.draining.Load()
 }
 
-// Changed receives a value after batch jobs were taken or ended here. It has one receiver.
+// Changed returns a channel that receives a value after batch jobs were accepted or ended on this node. It supports a
+// single receiver.
 func (g *LedgerGroup) Changed() <-chan struct{} { return g.server.states[g.group].jobs }
 
-// Query is a linearizable query. It fails on a node that does not lead the group.
+// Query makes a linearizable query. It fails on a node that does not lead the group.
 func (g *LedgerGroup) Query(ctx context.Context, query *wire.Query) (*wire.View, error) {
 	return g.server.replicas.Query(ctx, g.group, query)
 }
 
-// LocalQuery answers from the state applied here.
+// LocalQuery answers a query from the state applied on this node, which may be out of date.
 func (g *LedgerGroup) LocalQuery(ctx context.Context, query *wire.Query) (*wire.View, error) {
 	return g.server.replicas.LocalQuery(ctx, g.group, query)
 }
 
-// Propose has a command applied by the group and returns its result. It fails on a node that does not lead the
-// group; after other errors the command may still be applied.
+// Propose replicates a command and returns its result. It fails on a node that does not lead the group. After any other
+// error the command may still be applied.
 func (g *LedgerGroup) Propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	result, _, err := g.server.replicas.Propose(ctx, g.group, command)
 	return result, err
 }
 
-// jobsApplied wakes the group's runner.
-func (g *groupState) jobsApplied() {
+// notifyJobsChanged wakes the receiver of LedgerGroup.Changed.
+func (g *groupState) notifyJobsChanged() {
 	select {
 	case g.jobs <- struct{}{}:
 	default:
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -18,109 +18,114 @@
 )
 
 const (
-	// levelInterval is how often this node looks at the level: a deployment that starts anew agrees before it has a table.
+	// levelInterval is how often this node checks the level. It is short since a new deployment agrees on its level
+	// before it has a table.
 	levelInterval = 100 * time.Millisecond
-	// raiseTimeout bounds one attempt to raise the level; the next look tries again.
+	// raiseTimeout bounds one attempt to raise the level. The next check retries.
 	raiseTimeout = 2 * time.Second
 )
 
-// levels is what this node knows of the level in force, and, where it leads, what raises it.
+// levels tracks the level in force as applied on this node, and raises it while this node leads the control group.
 type levels struct {
-	server  *Server
-	known   atomic.Uint32 // in force as applied here
-	fresh   atomic.Bool   // the group held no table when this node began to lead
-	founded founding
-	led     chan struct{} // capacity 1: this node has begun to lead
-
-	mutex sync.Mutex
-	told  map[string]bool // starts of processes of whose refusal a line was written
-
-	// Touched by run only.
-	settling *compat.Settling // nil while this node does not lead
-	read     bool             // known holds what the state says that this node started with
+	server          *Server
+	inForce         atomic.Uint32 // level in force as applied on this node
+	emptyAtStart    atomic.Bool   // the group had no table when this node began to lead
+	founded         foundingState
+	leadershipBegan chan struct{} // capacity 1: this node has begun to lead
+
+	mutex          sync.Mutex
+	loggedRefusals map[string]bool // process starts whose refusal was logged
+
+	// Used only by run.
+	settling  *compat.Settling // nil while this node does not lead
+	levelRead bool             // inForce includes the state that this node started with
 }
 
 func newLevels(server *Server) *levels {
-	return &levels{server: server, led: make(chan struct{}, 1)}
+	return &levels{server: server, leadershipBegan: make(chan struct{}, 1)}
 }
 
-// beginLeading notes that this node begins to lead, before it grants the first lease: what registers from then on would make a group that
-// was founded just now look like one that was there before, and the first grant tells the level. False: the level could not be read.
+// beginLeading prepares for leading, before the first lease is granted. It must come first because members that
+// register later would make a newly founded group look like an existing one, and because the first grant carries the
+// level. It returns false if the level could not be read.
 func (l *levels) beginLeading(fresh bool) bool {
 	if !l.refresh() {
 		return false
 	}
-	l.fresh.Store(fresh)
+	l.emptyAtStart.Store(fresh)
 	return true
 }
 
-// lookSoon asks for a look now that leases are granted here.
-func (l *levels) lookSoon() {
+// requestCheck triggers a check of the level without waiting for the interval.
+func (l *levels) requestCheck() {
 	select {
-	case l.led <- struct{}{}:
+	case l.leadershipBegan <- struct{}{}:
 	default:
 	}
 }
 
-// founding is when this process began with an empty folder as a founder of the groups. The first leader may be lost before it has raised
-// the level, and the next one finds a table.
-type founding struct {
-	took bool
-	at   time.Duration
+// foundingState records when this process started with an empty folder as a founder of the groups. The first leader can
+// be lost before it raises the level, and the next leader already finds a table.
+type foundingState struct {
+	isFounder bool
+	at        time.Duration
 }
 
-// holds tells whether the groups are too young to have an earlier build to go back to.
-func (f founding) holds(now time.Duration) bool {
-	return f.took && now-f.at < compat.SettlingTime
+// isRecent reports whether the groups are too young for any earlier build to have run them, so that nothing has to
+// settle.
+func (f foundingState) isRecent(now time.Duration) bool {
+	return f.isFounder && now-f.at < compat.SettlingTime
 }
 
-// agreed is the level in force as applied here; it never falls.
-func (l *levels) agreed() compat.Level { return compat.Level(l.known.Load()) }
+// agreed returns the level in force as applied on this node. It never falls.
+func (l *levels) agreed() compat.Level { return compat.Level(l.inForce.Load()) }
 
-// applied notes a level that an entry brought into force. It is called from the host's loop.
-func (l *levels) applied(level compat.Level) { l.note(level) }
+// applied records a level that a log entry brought into force. The consensus host's loop calls it.
+func (l *levels) applied(level compat.Level) { l.raiseInForce(level) }
 
-func (l *levels) note(level compat.Level) {
+func (l *levels) raiseInForce(level compat.Level) {
 	for {
-		before := l.known.Load()
+		before := l.inForce.Load()
 		if uint32(level) <= before {
 			return
 		}
-		if l.known.CompareAndSwap(before, uint32(level)) {
+		if l.inForce.CompareAndSwap(before, uint32(level)) {
 			logging.Emit(l.server.log, &events.LevelKnown{Agreed: uint32(level), Before: before})
 			return
 		}
 	}
 }
 
-// check returns an error for a process that may have no session. An older build would not keep what the level promises, such as the quotas of
-// tenants: it is told so, and its callers go to another gateway.
+// check returns an error for a process that may not open a session because it does not understand the level in force.
+// An older build would not enforce what the level guarantees, such as tenant quotas. The error code makes the process
+// stop, so that its callers use another gateway.
 func (l *levels) check(member *wire.Member) error {
 	speaks, agreed := compat.Level(member.GetSpeaks()), l.agreed()
 	if speaks.Includes(agreed) {
 		return nil
 	}
 	reason := fmt.Sprintf("%s speaks up to %s, and %s is in force: it needs a newer build", wire.OwnerName(member), speaks, agreed)
-	if l.tellOnce(wire.OwnerName(member)) {
+	if l.shouldLogRefusal(wire.OwnerName(member)) {
 		l.server.log.Warn(reason)
 	}
 	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RefusedCode)
 }
 
-// maximumTold bounds the starts of processes that are remembered for their line.
-const maximumTold = 1024
+// maximumLoggedRefusals bounds the set of process starts whose refusal was logged.
+const maximumLoggedRefusals = 1024
 
-// tellOnce tells whether a line of a start's refusal is due: it comes again several times a second.
-func (l *levels) tellOnce(owner string) bool {
+// shouldLogRefusal reports whether the refusal of a process start is to be logged. Each start is logged once, since it
+// retries several times a second.
+func (l *levels) shouldLogRefusal(owner string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.told[owner] {
+	if l.loggedRefusals[owner] {
 		return false
 	}
-	if len(l.told) >= maximumTold || l.told == nil {
-		l.told = map[string]bool{}
+	if len(l.loggedRefusals) >= maximumLoggedRefusals || l.loggedRefusals == nil {
+		l.loggedRefusals = map[string]bool{}
 	}
-	l.told[owner] = true
+	l.loggedRefusals[owner] = true
 	return true
 }
 
@@ -132,50 +137,52 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.led:
+		case <-l.leadershipBegan:
 		case <-ticker.C:
 		}
-		l.look(ctx)
+		l.checkLevel(ctx)
 	}
 }
 
-func (l *levels) look(ctx context.Context) {
-	if !l.read || l.server.leading() {
-		l.read = l.refresh() || l.read
+func (l *levels) checkLevel(ctx context.Context) {
+	if !l.levelRead || l.server.leadsControlGroup() {
+		l.levelRead = l.refresh() || l.levelRead
 	}
-	_, grants := l.server.leases.granting() // before that the members may be unread, and older builds among them
-	if !grants || !l.server.leading() || l.server.draining.Load() || l.agreed().Includes(compat.Newest) {
+	_, grants := l.server.leases.grantedVersion() // before leases are granted, members may not be read yet, older builds among them
+	if !grants || !l.server.leadsControlGroup() || l.server.draining.Load() || l.agreed().Includes(compat.Newest) {
 		l.settling = nil
 		return
 	}
-	present, err := l.present(ctx)
+	present, err := l.listProcesses(ctx)
 	if err != nil {
-		l.server.log.WithError(err).Debug("the processes that are present are not known")
+		l.server.log.WithError(err).Debug("failed to list the processes that determine the level")
 		return
 	}
 	if l.settling == nil {
 		l.settling = &compat.Settling{}
 	}
 	now := l.server.config.Clock()
-	if level, due := l.settling.Look(now, l.agreed(), present, l.fresh.Load() || l.founded.holds(now)); due {
+	if level, due := l.settling.Look(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
 		l.raise(ctx, level, len(present))
 	}
 }
 
-// refresh reads the level from the state applied here, which a snapshot may have brought; false: it could not.
+// refresh reads the level from the state applied on this node, which may come from a snapshot. It returns false if the
+// read failed.
 func (l *levels) refresh() bool {
-	view, err := l.server.publisher.local(&wire.Query{Kind: &wire.Query_Status{Status: &wire.StatusQuery{}}})
+	view, err := l.server.publisher.queryLocal(&wire.Query{Kind: &wire.Query_Status{Status: &wire.StatusQuery{}}})
 	if err != nil {
-		l.server.publisher.noteUnread(unreadLevel, uint64(l.agreed()), err)
+		l.server.publisher.noteReadFailure(readOfLevel, uint64(l.agreed()), err)
 		return false
 	}
-	l.note(compat.Level(view.GetStatus().GetLevel()))
+	l.raiseInForce(compat.Level(view.GetStatus().GetLevel()))
 	return true
 }
 
-// present lists the processes whose reading counts. A member that holds leases counts until it has gone, also while it is
-// silent; a node with replicated state counts for as long as a group has it, also while it is down: it may come back as it was.
-func (l *levels) present(ctx context.Context) ([]compat.Process, error) {
+// listProcesses lists the processes whose levels determine the agreed one. A member that holds leases counts until it
+// is gone, even while it is silent. A node with replicated state counts as long as it belongs to a group, even while it
+// is down, since it may come back with the same build.
+func (l *levels) listProcesses(ctx context.Context) ([]compat.Process, error) {
 	var present []compat.Process
 	for _, member := range l.server.publisher.currentMembers().GetMembers() {
 		if wire.HoldsLease(member.Role) && member.State != wire.MemberState_MEMBER_STATE_GONE {
@@ -194,7 +201,7 @@
 			}
 		}
 	}
-	for _, candidate := range l.server.voters.asking(l.server.config.Clock()) {
+	for _, candidate := range l.server.voters.recentCandidates(l.server.config.Clock()) {
 		nodes[candidate.ID] = true
 	}
 	for node := range nodes {
@@ -204,14 +211,14 @@
 	return present, nil
 }
 
-// raise proposes a level.
+// raise proposes a new level.
 func (l *levels) raise(ctx context.Context, level compat.Level, processes int) {
 	ctx, cancel := context.WithTimeout(ctx, raiseTimeout)
 	defer cancel()
 	command := &wire.Command{Kind: &wire.Command_LevelRaise{LevelRaise: &wire.LevelRaise{Level: uint32(level)}}}
 	result, _, err := l.server.replicas.Propose(ctx, controlGroup, command)
 	if err != nil {
-		l.server.log.WithError(err).Debugf("%s was not brought into force", level)
+		l.server.log.WithError(err).Debugf("failed to bring %s into force", level)
 		return
 	}
 	if result.GetLevel().GetAccepted() {
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -67,7 +67,7 @@
 	levels := c.servers[leader].levels
 	var heldBack []string
 	eventually(t, "the older member to be present", func() bool {
-		present, err := levels.present(testContext(t))
+		present, err := levels.listProcesses(testContext(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 	if session.Level() != compat.Base || levels.agreed() != compat.Base {
 		t.Errorf("%s is in force", levels.agreed())
 	}
-	levels.note(compat.Shares) // a member that registers at the same instant as the step may have a session already
+	levels.raiseInForce(compat.Shares) // a member that registers at the same instant as the step may have a session already
 	if err := older.Send(&wire.SessionRequest{Member: olderMember(), Sequence: 2}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -18,15 +18,15 @@
 
 const (
 	metricsSubsystem = "control"
-	// scrapeTimeout bounds the questions to the groups for one scrape.
+	// scrapeTimeout bounds the queries to the groups for one scrape.
 	scrapeTimeout = time.Second
 )
 
-// errDraining is the readiness of a node that stops by plan.
+// errDraining is returned by Ready on a node that stops as planned.
 var errDraining = errors.New("draining: leaderships are handed over")
 
-// Ready implements metrics.Process: a node takes work while it knows a leader of every group. A node that
-// is cut off from the quorum knows none after an election timeout, whether it led before or not.
+// Ready implements metrics.Process. It returns nil if the node knows a leader of every group and does not drain. A node
+// that is cut off from the quorum knows no leader after an election timeout, even if it led before.
 func (s *Server) Ready(ctx context.Context) error {
 	if s.draining.Load() {
 		return errDraining
@@ -46,7 +46,7 @@
 // Collector implements metrics.Process.
 func (s *Server) Collector() prometheus.Collector { return &collector{server: s} }
 
-// collector reads the node's state at each scrape.
+// collector collects the node's metrics at each scrape.
 type collector struct{ server *Server }
 
 func describe(name, help string, labels ...string) *prometheus.Desc {
@@ -69,9 +69,9 @@
 	unreadDesc        = describe("state_reads_failed_total", "Reads of the state applied here that failed, by what was read: table, members or level.", "what")
 	levelDesc         = describe("level", "Level of what the processes say to each other that is in force, as applied here.")
 	holdersDesc       = describe("lease_holders", "Processes that hold a lease on the table; only on the leader.")
-	oldestDesc        = describe("lease_holders_behind", "Lease holders that act on an older version than the newest; only on the leader.")
+	holdersBehindDesc = describe("lease_holders_behind", "Lease holders that act on an older version than the newest; only on the leader.")
 	controlStateDescs = []*prometheus.Desc{hasLeaderDesc, leadingDesc, termDesc, commitDesc, appliedDesc, votersDesc,
-		unreachableDesc, lagDesc, claimsDesc, tableVersionDesc, levelDesc, inForceDesc, grantedDesc, unreadDesc, holdersDesc, oldestDesc}
+		unreachableDesc, lagDesc, claimsDesc, tableVersionDesc, levelDesc, inForceDesc, grantedDesc, unreadDesc, holdersDesc, holdersBehindDesc}
 )
 
 // Describe implements prometheus.Collector.
@@ -88,21 +88,21 @@
 	for _, desc := range holdingsDescs {
 		descs <- desc
 	}
-	c.server.syncs.Describe(descs)
+	c.server.syncDurations.Describe(descs)
 }
 
-// Collect implements prometheus.Collector. A group that does not answer in time is left out.
+// Collect implements prometheus.Collector. It omits a group that does not answer in time.
 func (c *collector) Collect(found chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(c.server.context, scrapeTimeout)
 	defer cancel()
-	c.server.syncs.Collect(found)
+	c.server.syncDurations.Collect(found)
 	collectShares(found, c.server.shares.usages())
-	counter(found, jobsRefusedDesc, c.server.jobRoom.refusals())
-	unreads := c.server.publisher.unreads()
-	for _, what := range []string{unreadTable, unreadMembers, unreadLevel} {
-		counter(found, unreadDesc, unreads[what], what)
+	counter(found, jobsRefusedDesc, c.server.jobCapacity.rejections())
+	readFailures := c.server.publisher.readFailures()
+	for _, what := range []string{readOfTable, readOfMembers, readOfLevel} {
+		counter(found, unreadDesc, readFailures[what], what)
 	}
-	if granted, leads := c.server.leases.granting(); leads {
+	if granted, leads := c.server.leases.grantedVersion(); leads {
 		gauge(found, grantedDesc, granted)
 	}
 	for group := range c.server.states {
@@ -156,10 +156,10 @@
 		behind += boolValue(holder.ActedVersion < status.TableVersion)
 	}
 	gauge(found, holdersDesc, uint64(len(status.Holders)))
-	gauge(found, oldestDesc, behind)
+	gauge(found, holdersBehindDesc, behind)
 }
 
-// collectFollowers shows how the other nodes follow this leader.
+// collectFollowers collects how far the other nodes are behind this leader.
 func collectFollowers(found chan<- prometheus.Metric, label string, status *wire.StatusView) {
 	unreachable, lag := uint64(0), uint64(0)
 	for _, node := range status.Nodes {
@@ -175,23 +175,23 @@
 	gauge(found, lagDesc, lag, label)
 }
 
-// newSyncs returns the histogram of the synced writes.
-func newSyncs() prometheus.Histogram {
+// newSyncHistogram returns the histogram of the durations of synced writes.
+func newSyncHistogram() prometheus.Histogram {
 	return prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: metrics.Namespace, Subsystem: metricsSubsystem,
 		Name: "sync_duration_seconds", Help: "Time of one synced write of all groups' pending entries.",
 		Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16)})
 }
 
-// timedStore measures the synced writes of a store.
+// timedStore records the durations of the synced writes of a store.
 type timedStore struct {
 	consensus.Store
-	syncs prometheus.Histogram
+	syncDurations prometheus.Histogram
 }
 
 // Write implements consensus.Store.
 func (t timedStore) Write(batch []storage.GroupWrite) error {
 	began := time.Now()
 	err := t.Store.Write(batch)
-	t.syncs.Observe(time.Since(began).Seconds())
+	t.syncDurations.Observe(time.Since(began).Seconds())
 	return err
 }
--- a/internal/control/metrics_elections.go
+++ b/internal/control/metrics_elections.go
@@ -19,7 +19,7 @@
 	electionDescs = []*prometheus.Desc{withoutLeaderDesc, campaignsDesc, undecidedDesc, refusedVotesDesc, silentVotersDesc}
 )
 
-// collectElections shows a group's elections as this node has seen them.
+// collectElections collects the metrics of a group's elections as observed by this node.
 func (c *collector) collectElections(ctx context.Context, found chan<- prometheus.Metric, group uint32) {
 	sight, err := c.server.replicas.Sight(ctx, group)
 	if err != nil {
--- a/internal/control/metrics_shares.go
+++ b/internal/control/metrics_shares.go
@@ -15,7 +15,7 @@
 	shareDescs        = []*prometheus.Desc{shareLimitDesc, shareForceDesc, shareInUseDesc, shareWaitingDesc, sharedTenantsDesc}
 )
 
-// collectShares shows how resources are divided. Tenants may be thousands, so they are counted only.
+// collectShares collects the metrics of divided resources. Tenants are only counted, since there may be thousands.
 func collectShares(found chan<- prometheus.Metric, usages []share.Usage) {
 	tenants := uint64(0)
 	for _, usage := range usages {
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -11,31 +11,31 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// orphanInterval is how often the leader looks for claims of owners that are gone. It looks at once when
-// a member goes; the interval is for claims that were granted late to an owner already gone.
+// orphanInterval is how often the leader checks for claims of owners that are gone. It also checks when a member
+// becomes gone; the interval covers claims that were granted late to an owner that was already gone.
 const orphanInterval = time.Second
 
-// orphans gives up, as of unknown outcome, the running claims of owners that are gone: members that are
-// recorded as such, and earlier starts of a process that has started again. Their leases have lapsed, so
-// they dispatch nothing more; what they had dispatched may have run.
+// orphans ends the running claims of owners that are gone, with an unknown outcome. These owners are members that are
+// recorded as gone and earlier starts of a process that has restarted. Their leases have lapsed, so they dispatch no
+// further requests, but earlier requests may have been executed.
 type orphans struct {
 	server *Server
-	wake   chan struct{} // capacity 1
+	wake   chan struct{} // capacity 1: a sweep was requested
 }
 
 func newOrphans(server *Server) *orphans {
 	return &orphans{server: server, wake: make(chan struct{}, 1)}
 }
 
-// look asks for a look soon.
-func (o *orphans) look() {
+// requestSweep triggers a sweep without waiting for the interval.
+func (o *orphans) requestSweep() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run looks for orphaned claims while this node leads, until ctx ends.
+// run checks for orphaned claims until ctx ends, while this node leads the control group.
 func (o *orphans) run(ctx context.Context) {
 	ticker := time.NewTicker(orphanInterval)
 	defer ticker.Stop()
@@ -46,56 +46,56 @@
 		case <-ticker.C:
 		case <-o.wake:
 		}
-		for group := uint32(1); o.server.leading() && int(group) <= o.server.config.LedgerGroups; group++ {
+		for group := uint32(1); o.server.leadsControlGroup() && int(group) <= o.server.config.LedgerGroups; group++ {
 			o.sweep(ctx, group)
 		}
 	}
 }
 
-// sweep gives up the orphaned claims of one ledger group, which another node may lead.
+// sweep ends the orphaned claims of one ledger group, which another node may lead.
 func (o *orphans) sweep(ctx context.Context, group uint32) {
-	owners, err := o.owners(ctx, group)
+	owners, err := o.goneOwners(ctx, group)
 	if err != nil {
-		o.server.log.WithError(err).Debugf("the claims of group %d could not be looked at", group)
+		o.server.log.WithError(err).Debugf("failed to list the claim owners of group %d", group)
 		return
 	}
-	giveUpAll(ctx, owners, func(ctx context.Context, owner string) {
+	orphanClaims(ctx, owners, func(ctx context.Context, owner string) {
 		command := &wire.Command{Kind: &wire.Command_ClaimOrphan{ClaimOrphan: &wire.ClaimOrphan{Owner: owner}}}
 		if _, err := o.server.client.Execute(ctx, group, command); err != nil {
-			o.server.log.WithError(err).Debugf("the claims of %s could not be given up", owner)
+			o.server.log.WithError(err).Debugf("failed to end the claims of %s", owner)
 			return
 		}
-		o.server.log.Infof("gave up the running claims of %s in group %d", owner, group)
+		o.server.log.Infof("ended the running claims of %s in group %d with an unknown outcome", owner, group)
 	})
 }
 
-// owners lists the owners of claims in a ledger group that are gone.
-func (o *orphans) owners(ctx context.Context, group uint32) ([]string, error) {
+// goneOwners lists the owners of claims in a ledger group that are gone.
+func (o *orphans) goneOwners(ctx context.Context, group uint32) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	view, err := o.server.client.Query(ctx, group, &wire.Query{Kind: &wire.Query_Status{Status: &wire.StatusQuery{}}})
 	if err != nil {
 		return nil, err
 	}
-	return slices.DeleteFunc(view.GetStatus().GetClaimOwners(), func(owner string) bool { return !o.gone(owner) }), nil
+	return slices.DeleteFunc(view.GetStatus().GetClaimOwners(), func(owner string) bool { return !o.isGone(owner) }), nil
 }
 
-// giveUpAll gives up the claims of each owner within a time of its own: one whose command fails again and again must not keep the
-// claims of the others.
-func giveUpAll(ctx context.Context, owners []string, giveUp func(ctx context.Context, owner string)) {
+// orphanClaims ends the claims of each owner with a separate timeout, so that one owner whose command always fails does
+// not block the claims of the others.
+func orphanClaims(ctx context.Context, owners []string, orphan func(ctx context.Context, owner string)) {
 	for _, owner := range owners {
 		if ctx.Err() != nil {
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, recordTimeout)
-		giveUp(limited, owner)
+		orphan(limited, owner)
 		cancel()
 	}
 }
 
-// gone says whether an owner certainly dispatches nothing more. Owners that never were members are left
-// alone: nothing is known of them.
-func (o *orphans) gone(owner string) bool {
+// isGone reports whether an owner certainly dispatches no further requests. It is false for owners that never were
+// members, since nothing is known about them.
+func (o *orphans) isGone(owner string) bool {
 	name, text, found := strings.Cut(owner, "#")
 	incarnation, err := strconv.ParseUint(text, 10, 64)
 	if !found || err != nil {
@@ -104,5 +104,5 @@
 	member := o.server.publisher.member(name)
 	replaced := member.GetIncarnation() > incarnation
 	recorded := member.GetIncarnation() == incarnation && member.GetState() == wire.MemberState_MEMBER_STATE_GONE
-	return (replaced || recorded) && !o.server.leases.mayHold(lease.HolderID{Name: name, Incarnation: incarnation})
+	return (replaced || recorded) && !o.server.leases.mayHoldLease(lease.HolderID{Name: name, Incarnation: incarnation})
 }
--- a/internal/control/orphans_test.go
+++ b/internal/control/orphans_test.go
@@ -12,7 +12,7 @@
 func TestOneOwnerKeepsNoOthersClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var given []string
-		giveUpAll(t.Context(), []string{"a", "b", "c"}, func(ctx context.Context, owner string) {
+		orphanClaims(t.Context(), []string{"a", "b", "c"}, func(ctx context.Context, owner string) {
 			if owner == "a" {
 				<-ctx.Done()
 				return
--- a/internal/control/permissions.go
+++ b/internal/control/permissions.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// rolesOf returns who may make a call: the consensus transport and the leases on the table are for nodes, a
-// backup for operators, commands and queries for both.
+// rolesOf returns the roles that may call an RPC. The consensus transport, leases and joins are for nodes, backups for
+// operators, and commands and queries for both.
 func rolesOf(rpc string) []auth.Role {
 	switch {
 	case strings.Contains(rpc, ".Raft/"), strings.HasSuffix(rpc, "/Session"), strings.HasSuffix(rpc, "/Join"):
@@ -22,9 +22,9 @@
 	return []auth.Role{auth.Node, auth.Operator}
 }
 
-// onlySuspects tells whether a change concerns nothing but requests under which back ends crashed: nodes keep that record, and operators
-// release from it.
-func onlySuspects(change *wire.TableChange) bool {
+// changesOnlySuspects reports whether a table change touches only records of suspect requests, under which back ends
+// crashed. Nodes add these records, and operators remove them.
+func changesOnlySuspects(change *wire.TableChange) bool {
 	for _, cell := range change.GetCells() {
 		if !strings.HasPrefix(cell.GetRow(), table.SuspectPrefix) || cell.GetColumn() == table.ColumnKind && cell.GetValue() != string(table.Suspect) {
 			return false
@@ -38,15 +38,15 @@
 	return true
 }
 
-// forbidden returns why the stream's owner may not make a request, or "". Operators change the table, the
-// members and the groups; all other commands are for nodes. Queries are for both.
-func forbidden(ctx context.Context, request *wire.ExecuteRequest) string {
+// denialReason returns why the caller of a stream may not make a request, or "" if it may. Operators change the table,
+// the members and the groups. All other commands are for nodes. Queries are for both.
+func denialReason(ctx context.Context, request *wire.ExecuteRequest) string {
 	principal, known := credentials.FromStream(ctx)
 	if !known || request.Query != nil {
 		return ""
 	}
 	change := request.Command.GetTableChange()
-	if change != nil && onlySuspects(change) {
+	if change != nil && changesOnlySuspects(change) {
 		return ""
 	}
 	operators := request.Change != nil || change != nil
--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// localTimeout bounds a question to this node's own state.
+	// localTimeout bounds a query of this node's own state.
 	localTimeout = time.Second
-	// readAgain is the pause before a read of it that failed is made again.
-	readAgain = 20 * time.Millisecond
+	// readRetryPause is the pause before a failed read of this state is retried.
+	readRetryPause = 20 * time.Millisecond
 )
 
-// publisher brings applied changes of the table and the members to the sessions. One update serves all
-// holders that are at the same version.
+// publisher distributes applied changes of the table and the members to the sessions. All holders at the same version
+// share one update.
 type publisher struct {
 	server *Server
 	wake   chan struct{} // capacity 1: something was applied
 
 	table *tableUpdates
 
-	mutex   sync.Mutex
-	members *wire.MembersView
-	unread  map[string]uint64 // reads of the state applied here that failed, by what was read
-	// changedAt is the members version at which a member was last seen to change, by name.
+	mutex       sync.Mutex
+	members     *wire.MembersView
+	failedReads map[string]uint64 // number of failed reads of the applied state, by readOf… constant
+	// changedAt is the members version at which a change of a member was last seen, by member name.
 	changedAt    map[string]uint64
-	memberDeltas map[uint64]*wire.MembersView // by the version that they start from
+	memberDeltas map[uint64]*wire.MembersView // by start version
 }
 
 func newPublisher(server *Server) *publisher {
 	p := &publisher{
 		server: server, wake: make(chan struct{}, 1),
 		members:      &wire.MembersView{},
-		unread:       make(map[string]uint64),
+		failedReads:  make(map[string]uint64),
 		changedAt:    make(map[string]uint64),
 		memberDeltas: make(map[uint64]*wire.MembersView),
 	}
@@ -50,7 +50,7 @@
 	return p
 }
 
-// applied is called after each command of the control group.
+// applied triggers a push. It is called after commands of the control group.
 func (p *publisher) applied() {
 	select {
 	case p.wake <- struct{}{}:
@@ -67,14 +67,14 @@
 		case <-p.wake:
 		}
 		for !p.push() {
-			if pause.For(ctx, readAgain) != nil {
+			if pause.For(ctx, readRetryPause) != nil {
 				return
 			}
 		}
 	}
 }
 
-// push tells the sessions what is new; false: not all that is applied here could be read.
+// push wakes the sessions if there are changes. It returns false if part of the applied state could not be read.
 func (p *publisher) push() bool {
 	changed, err := p.refresh()
 	if changed {
@@ -83,7 +83,8 @@
 	return err == nil
 }
 
-// refresh takes over what is applied here and says whether anything is new. After an error what is known may be older.
+// refresh reads the state applied on this node and reports whether it changed. After an error the cached state may be
+// out of date.
 func (p *publisher) refresh() (changed bool, err error) {
 	tableChanged, tableError := p.refreshTable()
 	membersChanged, membersError := p.refreshMembers()
@@ -93,7 +94,7 @@
 func (p *publisher) refreshTable() (changed bool, err error) {
 	version, newer, err := p.table.refresh()
 	if err != nil {
-		p.noteUnread(unreadTable, version, err)
+		p.noteReadFailure(readOfTable, version, err)
 	}
 	if newer {
 		p.server.leases.tableApplied(version)
@@ -103,9 +104,9 @@
 
 func (p *publisher) refreshMembers() (changed bool, err error) {
 	known := p.currentMembers().MembersVersion
-	view, err := p.local(&wire.Query{Kind: &wire.Query_Members{Members: &wire.MembersQuery{KnownVersion: known}}})
+	view, err := p.queryLocal(&wire.Query{Kind: &wire.Query_Members{Members: &wire.MembersQuery{KnownVersion: known}}})
 	if err != nil {
-		p.noteUnread(unreadMembers, known, err)
+		p.noteReadFailure(readOfMembers, known, err)
 		return false, err
 	}
 	changes := view.GetMembers()
@@ -124,54 +125,55 @@
 
 // What is read of the state applied here.
 const (
-	unreadTable   = "table"
-	unreadMembers = "members"
-	unreadLevel   = "level"
+	// Kinds of reads of the applied state, as counted and logged by noteReadFailure.
+	readOfTable   = "table"
+	readOfMembers = "members"
+	readOfLevel   = "level"
 )
 
-// noteUnread counts and logs a read that failed.
-func (p *publisher) noteUnread(what string, known uint64, err error) {
+// noteReadFailure counts and logs a failed read.
+func (p *publisher) noteReadFailure(what string, known uint64, err error) {
 	p.mutex.Lock()
-	p.unread[what]++
+	p.failedReads[what]++
 	p.mutex.Unlock()
 	logging.Emit(p.server.log, &events.StateUnread{What: what, KnownVersion: known, Cause: events.ErrorText(err)})
 }
 
-// unreads returns how many reads have failed since the start, by what was read.
-func (p *publisher) unreads() map[string]uint64 {
+// readFailures returns the number of failed reads since the start, by kind of read.
+func (p *publisher) readFailures() map[string]uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return maps.Clone(p.unread)
+	return maps.Clone(p.failedReads)
 }
 
-// local asks the control group's state here.
-func (p *publisher) local(query *wire.Query) (*wire.View, error) {
+// queryLocal queries the control group's state as applied on this node.
+func (p *publisher) queryLocal(query *wire.Query) (*wire.View, error) {
 	ctx, cancel := context.WithTimeout(p.server.context, localTimeout)
 	defer cancel()
 	return p.server.replicas.LocalQuery(ctx, controlGroup, query)
 }
 
-// queryTable returns what is newer than a version in the table as applied here.
+// queryTable returns the changes of the applied table since version known.
 func (p *publisher) queryTable(known uint64) (*wire.TableUpdate, error) {
-	view, err := p.local(&wire.Query{Kind: &wire.Query_Table{Table: &wire.TableQuery{KnownVersion: known}}})
+	view, err := p.queryLocal(&wire.Query{Kind: &wire.Query_Table{Table: &wire.TableQuery{KnownVersion: known}}})
 	return view.GetTable(), err
 }
 
-// tableSince is queryTable for those that ask again by themselves; nil if that is not known.
+// tableSince is queryTable for callers that retry on their own. It returns nil on errors.
 func (p *publisher) tableSince(known uint64) *wire.TableUpdate {
 	update, err := p.queryTable(known)
 	if err != nil {
-		p.noteUnread(unreadTable, known, err)
+		p.noteReadFailure(readOfTable, known, err)
 		return nil
 	}
 	return update
 }
 
-// updateFrom returns what brings a holder of version known forward; nil if it has the newest one.
+// updateFrom returns the update for a holder at version known, or nil if the holder is up to date.
 func (p *publisher) updateFrom(known uint64) *publishedUpdate {
-	published, err := p.table.from(known)
+	published, err := p.table.updateFrom(known)
 	if err != nil {
-		p.noteUnread(unreadTable, known, err)
+		p.noteReadFailure(readOfTable, known, err)
 	}
 	if published != nil {
 		p.server.leases.tableApplied(published.update.ToVersion)
@@ -179,7 +181,7 @@
 	return published
 }
 
-// membersAfter returns what changed after version known of the members; nil if nothing did.
+// membersAfter returns the members that changed after version known, or nil if none did.
 func (p *publisher) membersAfter(known uint64) *wire.MembersView {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -199,14 +201,14 @@
 	return delta
 }
 
-// currentMembers returns the members as applied here; they must not be changed.
+// currentMembers returns the members as applied on this node. Callers must not modify them.
 func (p *publisher) currentMembers() *wire.MembersView {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.members
 }
 
-// member returns the member of a name, or nil.
+// member returns the member with a name, or nil.
 func (p *publisher) member(name string) *wire.Member {
 	for _, candidate := range p.currentMembers().Members {
 		if candidate.Name == name {
--- a/internal/control/replace_test.go
+++ b/internal/control/replace_test.go
@@ -91,7 +91,7 @@
 		}
 		c.kill(old)
 	}
-	time.Sleep(2 * nodesLife)
+	time.Sleep(2 * nodeListMaxAge)
 	c.kill(c.leader())
 	mustAccept(t, lasting, poolChange("after", 0, "1"), false)
 }
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -12,61 +12,63 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// controlGroup is the group of the table, members and fences; ledger groups are numbered from 1.
+// controlGroup is the group of the table, members and fences. Ledger groups are numbered from 1.
 const controlGroup = state.ControlGroup
 
-// Replicas is what this package needs of the replicated groups; *consensus.Host is the usual one.
+// Replicas is the interface of the replicated groups that this package needs. *consensus.Host implements it.
 type Replicas interface {
 	wire.DRPCRaftServer
 	groupChanger
 	// Run drives the groups until ctx ends or the node must stop.
 	Run(ctx context.Context) error
-	// Close stops abruptly.
+	// Close stops the groups without transferring leaderships.
 	Close()
-	// Propose replicates command and returns its result and log index once it is applied here.
+	// Propose replicates command and returns its result and log index once it is applied on this node.
 	Propose(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, uint64, error)
-	// Read returns nil once the state applied here covers all that was committed when it was called.
+	// Read returns nil once the state applied on this node covers everything that was committed when Read was called.
 	Read(ctx context.Context, group uint32) error
 	// Query answers from state that is current as of the call.
 	Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
-	// LocalQuery answers from the state applied here, which may be old unless Read came first.
+	// LocalQuery answers from the state applied on this node, which may be out of date unless Read was called before.
 	LocalQuery(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
-	// Addresses are where the nodes of group listen, as far as is known here.
+	// Addresses returns the addresses of the nodes of group that this node knows.
 	Addresses(ctx context.Context, group uint32) ([]string, error)
-	// Nodes are the nodes that this one knows, and Introduce tells of further ones.
+	// Nodes returns the nodes that this node knows. Introduce adds further nodes.
 	Nodes() []consensus.Peer
 	Introduce(nodes []consensus.Peer)
-	// Status is this node's view of group.
+	// Status returns this node's view of group.
 	Status(ctx context.Context, group uint32) (raft.Status, error)
-	// Speaks is the level that a node told last; false if it has not since this node started.
+	// Speaks returns the level that a node announced last, or false if it has announced none since this node started.
 	Speaks(node uint64) (compat.Level, bool)
-	// Sight is what this node has seen of a group's elections, and SilentFor for how long it has not heard a node.
+	// Sight returns what this node has observed of a group's elections. SilentFor returns how long it has not heard a
+	// node.
 	Sight(ctx context.Context, group uint32) (consensus.Sight, error)
 	SilentFor(node uint64) time.Duration
-	// Unheard is for how long this node and others have not heard a node, as they have told lately; 0 if one hears it.
+	// Unheard returns how long this node and others have all not heard a node, according to their recent reports. It is
+	// 0 if one of them hears the node.
 	Unheard(node uint64, others []uint64) time.Duration
-	// Holdings is what this node holds of group beside its state.
+	// Holdings returns the sizes of what this node stores of group apart from its state.
 	Holdings(ctx context.Context, group uint32) (consensus.Holdings, error)
-	// Capacity is the size of state that each voter of group can hold, as far as is known; 0: it is not.
+	// Capacity returns the size of state that every voter of group can hold, in bytes, or 0 if it is unknown.
 	Capacity(ctx context.Context, group uint32) (uint64, error)
-	// Capture is the encoded state of group as applied here, and the index of the last entry in it.
+	// Capture returns the encoded state of group as applied on this node, and the index of the last entry in it.
 	Capture(ctx context.Context, group uint32) (index uint64, data []byte, err error)
-	// TransferLeadership asks a voter to take over group.
+	// TransferLeadership asks a voter to lead group.
 	TransferLeadership(ctx context.Context, group uint32, node uint64) error
-	// StuckWrite tells of a write of this node that lasts while other voters have stored what it holds, and HandOver asks one of
-	// them to take over group without waiting for that write.
+	// StuckWrite returns a long-running disk write of this node whose content other voters have already stored.
+	// HandOver asks one of them to lead group without waiting for that write.
 	StuckWrite(ctx context.Context) (consensus.StuckWrite, error)
 	HandOver(ctx context.Context, group uint32, node uint64) error
 }
 
-// groupState is what the groups' loop has told last of one group, to be read without asking it.
+// groupState caches what the consensus host's loop last reported of a group, so that it can be read without a query.
 type groupState struct {
 	leadership atomic.Pointer[consensus.Leadership]
 	applied    atomic.Uint64
-	jobs       chan struct{} // capacity 1: batch jobs were taken or ended
+	jobs       chan struct{} // capacity 1: batch jobs were accepted or ended
 }
 
-// leader returns who leads, as far as is known here.
+// leader returns the group's leadership as known on this node.
 func (g *groupState) leader() consensus.Leadership {
 	if known := g.leadership.Load(); known != nil {
 		return *known
--- a/internal/control/retention_test.go
+++ b/internal/control/retention_test.go
@@ -88,14 +88,14 @@
 	now := time.Hour
 	server := &Server{config: Config{LedgerGroups: 1, Retention: claim.Retention{Answers: time.Minute}, Clock: func() time.Duration { return now }}}
 	r := newRetention(server)
-	if r.due(1, time.Second) {
+	if r.mayHaveExpiring(1, time.Second) {
 		t.Error("a group without claims is due")
 	}
 	r.applied(1, &wire.Command{Kind: &wire.Command_ClaimBegin{ClaimBegin: &wire.ClaimBegin{}}})
-	if now += time.Minute; !r.due(1, time.Second) {
+	if now += time.Minute; !r.mayHaveExpiring(1, time.Second) {
 		t.Error("a group whose answers expire now is not due")
 	}
-	if now += time.Minute; r.due(1, time.Second) {
+	if now += time.Minute; r.mayHaveExpiring(1, time.Second) {
 		t.Error("a group that was idle since its last answer expired is due")
 	}
 }
--- a/internal/control/seeds.go
+++ b/internal/control/seeds.go
@@ -10,18 +10,18 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// Marks in a node's identity, which everybody who meets the node can read.
+// Flags in a node's identity, which every node that knows the identity can read.
 const (
-	// joinedIdentity is set in the identities of nodes that joined, so that none is a founder's.
+	// joinedIdentity is set in the identities of nodes that joined, so that they never equal a founder's.
 	joinedIdentity = 1 << 63
 	// standbyIdentity is set in the identities of standby nodes.
 	standbyIdentity = 1 << 62
 )
 
-// isStandby tells whether a node is a standby.
+// isStandby reports whether the identity belongs to a standby.
 func isStandby(node uint64) bool { return node&joinedIdentity != 0 && node&standbyIdentity != 0 }
 
-// newIdentity draws the identity of a node that joins.
+// newIdentity returns a random identity for a node that joins.
 func newIdentity(standby bool) uint64 {
 	identity := rand.Uint64()&^uint64(standbyIdentity) | joinedIdentity
 	if standby {
@@ -30,24 +30,25 @@
 	return identity
 }
 
-// SeedConfig lets a control node find the others by a list of addresses instead of identities.
+// SeedConfig configures a control node that finds the other nodes by a list of addresses rather than identities.
 type SeedConfig struct {
-	// Config is the node's; its name, identity and peers are found here. Listen must be the address under
-	// which the others reach this node.
+	// Config configures the node. OpenSeeded sets its name, identity and peers. Listen must be the address at which the
+	// other nodes reach this node.
 	Config
-	// Seeds are the addresses of control nodes. At the first start they are the founders.
+	// Seeds are the addresses of control nodes. At the first start of the cluster they are the founders.
 	Seeds []string
-	// Found says that the cluster starts for the first time. It only counts for a node with an empty folder
-	// that is one of the seeds, and no standby; all others join.
+	// Found starts a new cluster. It only affects a node with an empty folder that is one of the seeds and not a
+	// standby. All other nodes join.
 	Found bool
-	// Losses is how many nodes may be lost at once. The groups get as many voters as bear that, and at least as many
-	// as there are founders. Default 0.
+	// Losses is the number of nodes that may be lost at the same time. The groups get as many voters as this requires,
+	// and at least as many as there are founders. Default 0.
 	Losses int
 }
 
-// OpenSeeded opens a control node that is not told its identity. A folder that holds one is used under it,
-// whatever the seeds are by now. With an empty folder a founder takes the identity that follows from its
-// place in the list, and any other node a random one, under which it waits to be added.
+// OpenSeeded opens a control node that determines its own identity. A folder that contains an identity is used with it,
+// regardless of the current seeds. With an empty folder, a founder takes the identity that follows from its position in
+// the list, and any other node takes a random one and waits to be added. A list without seeds, an unreadable data
+// folder and all errors of New are errors.
 func OpenSeeded(seeded SeedConfig) (*Server, error) {
 	config := seeded.Config
 	if len(seeded.Seeds) == 0 {
@@ -69,7 +70,7 @@
 	switch {
 	case identity != nil:
 		config.NodeID, config.Name = identity.NodeID, identity.NodeName
-		config.Join = self.ID != identity.NodeID // a founder may have stopped before it had founded anything
+		config.Join = self.ID != identity.NodeID // a founder may have stopped before it founded the groups
 	case seeded.Found && self.ID != 0:
 		config.NodeID, config.Name = self.ID, nodeName(config.Listen, self.ID)
 	default:
@@ -82,10 +83,10 @@
 	return New(config)
 }
 
-// VotersFor is how many voters bear the loss of a number of them at once.
+// VotersFor returns the number of voters that tolerate a number of simultaneous losses.
 func VotersFor(losses int) int { return 2*losses + 1 }
 
-// foundersOf gives each seed an identity that every node derives alike from the list, in any order.
+// foundersOf assigns each seed an identity that every node derives from the list regardless of its order.
 func foundersOf(seeds []string) []Peer {
 	sorted := slices.Compact(slices.Sorted(slices.Values(seeds)))
 	founders := make([]Peer, 0, len(sorted))
@@ -96,7 +97,7 @@
 	return founders
 }
 
-// nodeName is a control node's name in logs and in the list of members.
+// nodeName returns a control node's name for logs and the list of members.
 func nodeName(address string, id uint64) string {
 	return "control-" + address + "-" + strconv.FormatUint(id, 36)
 }
--- a/internal/control/seeds_test.go
+++ b/internal/control/seeds_test.go
@@ -215,7 +215,7 @@
 	c.open(3, listen(t, "127.0.0.1:0"), false)
 	eventually(t, "the empty node's request", func() bool {
 		for _, server := range c.servers[:3] {
-			if len(server.voters.asking(server.config.Clock())) == 0 {
+			if len(server.voters.recentCandidates(server.config.Clock())) == 0 {
 				return false
 			}
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// maximumMessageBytes bounds one message of a stream in either direction.
+	// maximumMessageBytes is the size limit of one stream message in either direction.
 	maximumMessageBytes = 64 << 20
-	// renewalQueueLength is the number of renewals that may wait for the next read round.
+	// renewalQueueLength is the number of renewals that can queue for the next read round.
 	renewalQueueLength = 4096
 )
 
@@ -40,26 +40,26 @@
 	listener net.Listener
 	store    *storage.Store
 	replicas Replicas
-	states   []groupState          // by group
-	client   *controlclient.Client // for commands whose leader may be another node
+	states   []groupState          // indexed by group
+	client   *controlclient.Client // for commands whose group may be led by another node
 
-	leases    *leases
-	shares    *shares
-	publisher *publisher
-	detector  *detector
-	orphans   *orphans
-	levels    *levels
-	retention *retention
-	voters    *voters
-	jobRoom   *jobRoom
-	seeds     atomic.Pointer[[]string] // in place of the settings'
-	sessions  sessionSet
-	opened    atomic.Uint64 // sessions since the start
-	syncs     prometheus.Histogram
-	draining  atomic.Bool
-	renewals  chan renewal
-	nodes     nodeList
-	moved     chan struct{} // capacity 1: the control group's leader may have changed
+	leases         *leases
+	shares         *shares
+	publisher      *publisher
+	detector       *detector
+	orphans        *orphans
+	levels         *levels
+	retention      *retention
+	voters         *voters
+	jobCapacity    *jobCapacity
+	seeds          atomic.Pointer[[]string] // replaces Config.Seeds when set
+	sessions       sessionSet
+	sessionsOpened atomic.Uint64 // number of sessions opened since the start
+	syncDurations  prometheus.Histogram
+	draining       atomic.Bool
+	renewals       chan renewal
+	nodes          nodeList
+	leaderChange   chan struct{} // capacity 1: the leader of the control group may have changed
 
 	context  context.Context // ends when the server closes
 	cancel   context.CancelFunc
@@ -68,28 +68,29 @@
 	mutex    sync.Mutex
 	started  bool
 	finished chan struct{} // closed when Run has returned
-	release  func() error  // gives back all resources, once
+	release  func() error  // releases all resources; later calls do nothing
 }
 
-// New opens the data folder, binds the listener and starts the groups. Run serves.
+// New opens the data folder, binds the listener and starts the replicated groups. The node serves nothing until Run is
+// called. An invalid configuration, an address that cannot be bound and a data folder that cannot be opened are errors.
 func New(config Config) (*Server, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, err
 	}
 	server := &Server{
-		config:   config,
-		settings: lease.Settings{Lease: config.LeaseDuration, RenewInterval: config.LeaseDuration / 6}.WithDefaults(),
-		log:      config.Log,
-		syncs:    newSyncs(),
-		renewals: make(chan renewal, renewalQueueLength),
-		moved:    make(chan struct{}, 1),
-		states:   make([]groupState, config.LedgerGroups+1),
+		config:        config,
+		settings:      lease.Settings{Lease: config.LeaseDuration, RenewInterval: config.LeaseDuration / 6}.WithDefaults(),
+		log:           config.Log,
+		syncDurations: newSyncHistogram(),
+		renewals:      make(chan renewal, renewalQueueLength),
+		leaderChange:  make(chan struct{}, 1),
+		states:        make([]groupState, config.LedgerGroups+1),
 	}
 	for group := range server.states {
 		server.states[group].jobs = make(chan struct{}, 1)
 	}
 	server.finished = make(chan struct{})
-	server.release = sync.OnceValue(server.giveBack)
+	server.release = sync.OnceValue(server.closeResources)
 	server.context, server.cancel = context.WithCancel(context.Background())
 	server.leases = newLeases(config.Clock, server.settings)
 	server.publisher = newPublisher(server)
@@ -99,7 +100,7 @@
 	server.levels = newLevels(server)
 	server.retention = newRetention(server)
 	server.voters = newVoters(server)
-	server.jobRoom = newJobRoom()
+	server.jobCapacity = newJobCapacity()
 	if err := server.open(); err != nil {
 		server.cancel()
 		return nil, err
@@ -107,7 +108,7 @@
 	return server, nil
 }
 
-// open acquires what Close gives back.
+// open acquires the resources that closeResources releases.
 func (s *Server) open() error {
 	if s.listener = s.config.Listener; s.listener == nil {
 		listener, err := net.Listen("tcp", cmp.Or(s.config.Bind, s.config.Listen))
@@ -139,7 +140,7 @@
 	return addresses
 }
 
-// Address is the IP:port under which others reach this node.
+// Address returns the IP:port at which other processes reach this node.
 func (s *Server) Address() string {
 	if s.config.Bind != "" && s.config.Listener == nil {
 		return s.config.Listen
@@ -147,11 +148,11 @@
 	return s.listener.Addr().String()
 }
 
-// WrittenBytes returns how many bytes this node has written to its data file since it was opened.
+// WrittenBytes returns the number of bytes that this node has written to its data file since it opened the file.
 func (s *Server) WrittenBytes() uint64 { return s.store.WrittenBytes() }
 
-// Run serves until ctx ends, Close is called or the node must stop because its disk failed. It may be
-// called once.
+// Run serves until ctx ends, Close is called or a disk failure forces the node to stop. It can be called only once and
+// returns an error if the node already ran or is closed.
 func (s *Server) Run(ctx context.Context) (err error) {
 	if err := s.start(); err != nil {
 		return err
@@ -173,7 +174,7 @@
 		},
 		Log: func(err error) { s.log.WithError(err).Debug("a connection ended") },
 	})
-	background := []func(context.Context){s.grantLoop, s.publisher.run, s.detector.run, s.orphans.run, s.retention.run, s.followLeader, s.join, s.voters.run, s.yield, s.levels.run, s.tellHoldings}
+	background := []func(context.Context){s.grantLoop, s.publisher.run, s.detector.run, s.orphans.run, s.retention.run, s.followLeader, s.join, s.voters.run, s.transferLeaderships, s.levels.run, s.logHoldings}
 	for _, routine := range background {
 		s.routines.Go(func() { routine(ctx) })
 	}
@@ -203,7 +204,7 @@
 	return wire.DRPCRegisterControl(mux, s)
 }
 
-// serve accepts connections until ctx ends or the groups stop by themselves.
+// serve accepts connections until ctx ends or the replicated groups stop on their own.
 func (s *Server) serve(ctx context.Context, server *drpcserver.Server) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -220,17 +221,18 @@
 	return err
 }
 
-// followLeader tells the sessions when another node leads, and prepares this one when it does.
+// followLeader reacts to changes of the control group's leader until ctx ends. When this node leads, it starts granting
+// leases and notifies the sessions. Otherwise it stops granting and redirects the sessions to the new leader.
 func (s *Server) followLeader(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.moved:
+		case <-s.leaderChange:
 		}
-		if s.leading() {
-			s.settle(ctx)
-			s.sessions.each((*session).invite)
+		if s.leadsControlGroup() {
+			s.startLeading(ctx)
+			s.sessions.each((*session).notifyLeading)
 			continue
 		}
 		s.stopGranting()
@@ -240,23 +242,25 @@
 	}
 }
 
-// settle begins to grant leases as the new leader, once its leadership is confirmed.
-func (s *Server) settle(ctx context.Context) {
-	for s.leading() && ctx.Err() == nil {
+// startLeading retries until the leadership is confirmed, which starts the granting of leases, or until this node no
+// longer leads or ctx ends.
+func (s *Server) startLeading(ctx context.Context) {
+	for s.leadsControlGroup() && ctx.Err() == nil {
 		if term, confirmed := s.confirmLeadership(ctx); confirmed {
 			s.log.Infof("leading the control group in term %d", term)
 			return
 		}
-		_ = pause.For(ctx, readAgain)
+		_ = pause.For(ctx, readRetryPause)
 	}
 }
 
-// leading says whether this node believes that it leads the control group.
-func (s *Server) leading() bool {
+// leadsControlGroup reports whether this node believes that it leads the control group. The leadership is not confirmed
+// with a quorum.
+func (s *Server) leadsControlGroup() bool {
 	return s.states[controlGroup].leader().Leading
 }
 
-// otherLeader is the address of the node that leads group, if that is another one and known.
+// otherLeader returns the address of the node that leads group, or "" if this node leads it or the leader is unknown.
 func (s *Server) otherLeader(ctx context.Context, group uint32) string {
 	if s.states[group].leader().Leading {
 		return ""
@@ -270,7 +274,8 @@
 	return ""
 }
 
-// Drain hands all leaderships to other nodes, then stops. Clients and sessions follow by themselves.
+// Drain transfers all leaderships to other nodes, then stops this node. Clients and sessions find the new leaders on
+// their own. If ctx ends first, Drain closes the node nevertheless and returns an error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	announced := make(chan struct{})
@@ -283,7 +288,7 @@
 	return trace.NewAggregate(err, s.Close())
 }
 
-// Close stops abruptly: nothing is handed over. It returns when Run has.
+// Close stops the node without transferring leaderships. If Run was called, Close waits until Run has returned.
 func (s *Server) Close() error {
 	s.cancel()
 	s.mutex.Lock()
@@ -295,8 +300,8 @@
 	return s.release()
 }
 
-// giveBack closes what open opened. The store goes last: nothing may write any more.
-func (s *Server) giveBack() error {
+// closeResources closes what open opened. The store is closed last, after everything that writes to it has stopped.
+func (s *Server) closeResources() error {
 	listenerError := s.listener.Close()
 	if errors.Is(listenerError, net.ErrClosed) {
 		listenerError = nil
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -9,40 +9,40 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// maximumNameBytes bounds the text fields of a member.
+// maximumNameBytes is the size limit of each text field of a member.
 const maximumNameBytes = 128
 
-// renewal is one request for a lease that waits for a read round.
+// renewal is a lease request that is queued for the next read round.
 type renewal struct {
 	session *session
 	request *wire.SessionRequest
 }
 
-// session is one holder's stream. Its writer builds replies from what is due, so that a slow holder
-// costs one reply's memory, however much happens meanwhile.
+// session is the stream of one lease holder. Its writer builds each reply from the latest state, so a slow holder costs
+// the memory of one reply, regardless of how many changes happen in the meantime.
 type session struct {
-	server *Server
-	stream wire.DRPCControl_SessionStream
-	packed bool          // the holder reads packed updates
-	wake   chan struct{} // capacity 1: something is due
-	ended  chan struct{} // closed when the stream has ended
-
-	mutex       sync.Mutex
-	member      *wire.Member
-	holder      lease.HolderID
-	ordinal     uint64                         // among the sessions of this node
-	answer      uint64                         // sequence of the newest renewal to answer; 0 for none
-	superseded  uint64                         // number of a later start of the holder's name, that answer tells; 0 for none
-	granted     bool                           // whether answer is a grant
-	shares      map[string]*wire.ResourceShare // that come with the grant, by resource
-	redirect    string                         // leader's address, to be told once
-	turnedAway  bool                           // no leader is known; to be told once
-	invited     bool                           // this node leads now; to be told once
-	sentTable   uint64                         // table version that the holder has or was sent
-	sentMembers uint64                         // members version that it has or was sent
+	server        *Server
+	stream        wire.DRPCControl_SessionStream
+	acceptsPacked bool          // the holder understands packed updates
+	wake          chan struct{} // capacity 1: a reply may be pending
+	ended         chan struct{} // closed when the stream has ended
+
+	mutex            sync.Mutex
+	member           *wire.Member
+	holder           lease.HolderID
+	ordinal          uint64                         // number of this session among all sessions of this node
+	answerSequence   uint64                         // sequence of the newest renewal to answer; 0 if there is none
+	supersededBy     uint64                         // higher incarnation registered under the holder's name, sent with the answer; 0 if there is none
+	granted          bool                           // whether the answer grants the lease
+	shares           map[string]*wire.ResourceShare // sent with the next grant, by resource
+	redirect         string                         // address of the leader, sent once; "" if there is none to send
+	leaderUnknown    bool                           // no leader is known; sent once
+	leadershipGained bool                           // this node has begun to lead; sent once
+	sentTable        uint64                         // table version that the holder reported or was last sent
+	sentMembers      uint64                         // members version that the holder reported or was last sent
 }
 
-// Session implements wire.DRPCControlServer.
+// Session implements wire.DRPCControlServer. It serves one lease holder's stream until the stream ends.
 func (s *Server) Session(stream wire.DRPCControl_SessionStream) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -52,12 +52,12 @@
 		return trace.Wrap(err)
 	}
 	holder := &session{
-		server: s, stream: stream, packed: first.AcceptsPacked,
+		server: s, stream: stream, acceptsPacked: first.AcceptsPacked,
 		wake: make(chan struct{}, 1), ended: make(chan struct{}),
 		member:    first.Member,
 		holder:    lease.HolderID{Name: first.Member.Name, Incarnation: first.Member.Incarnation},
 		sentTable: first.ActedVersion, sentMembers: first.MembersVersion,
-		ordinal: s.opened.Add(1), shares: map[string]*wire.ResourceShare{},
+		ordinal: s.sessionsOpened.Add(1), shares: map[string]*wire.ResourceShare{},
 	}
 	s.sessions.add(holder)
 	defer s.sessions.remove(holder)
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// read hands renewals to the granting loop.
+// read passes renewals to the grant loop until the stream ends.
 func (s *session) read(request *wire.SessionRequest) error {
 	ctx := s.stream.Context()
 	for {
@@ -94,7 +94,7 @@
 		if err := s.server.levels.check(request.Member); err != nil {
 			return err
 		}
-		s.server.detector.heard(s.holder)
+		s.server.detector.markHeard(s.holder)
 		select {
 		case s.server.renewals <- renewal{session: s, request: request}:
 		case <-ctx.Done():
@@ -107,12 +107,12 @@
 	}
 }
 
-// answerRenewal notes that a renewal was judged, and the shares that go out with the grant: a grant without them would tell the holder
-// that nothing is divided.
+// answerRenewal queues the answer to a renewal together with the shares that belong to a grant. A grant without its
+// shares would tell the holder that no resource is divided.
 func (s *session) answerRenewal(sequence uint64, granted bool, shares []*wire.ResourceShare) {
 	s.mutex.Lock()
-	if sequence >= s.answer {
-		s.answer, s.granted = sequence, granted
+	if sequence >= s.answerSequence {
+		s.answerSequence, s.granted = sequence, granted
 	}
 	for _, one := range shares {
 		s.shares[one.Resource] = one
@@ -121,22 +121,23 @@
 	s.wakeUp()
 }
 
-// supersede answers a renewal of a start whose name a start with a higher number has.
+// supersede rejects a renewal because a process with a higher incarnation is registered under the same name.
 func (s *session) supersede(sequence, by uint64) {
 	s.mutex.Lock()
-	s.superseded = by
+	s.supersededBy = by
 	s.mutex.Unlock()
 	s.answerRenewal(sequence, false, nil)
 }
 
-// answerNumber numbers the answer to a renewal among those of all sessions of this node, so that a later session of a holder has
-// higher numbers.
+// answerNumber returns a number for the answer to a renewal that is unique among all sessions of this node. A holder's
+// later session gets higher numbers than its earlier one.
 func (s *session) answerNumber(sequence uint64) uint64 { return s.ordinal<<sequenceBits | sequence }
 
-// sequenceBits are enough for a stream of 1,000 renewals a second over 49 days.
+// sequenceBits is the number of bits of a renewal's sequence: enough for 1,000 renewals per second over 49 days on one
+// stream.
 const sequenceBits = 32
 
-// redirectTo tells the holder which node leads.
+// redirectTo notifies the holder which node leads.
 func (s *session) redirectTo(address string) {
 	s.mutex.Lock()
 	s.redirect = address
@@ -144,18 +145,19 @@
 	s.wakeUp()
 }
 
-// turnAway tells the holder that this node knows no leader.
-func (s *session) turnAway() {
+// notifyLeaderUnknown notifies the holder that this node knows no leader.
+func (s *session) notifyLeaderUnknown() {
 	s.mutex.Lock()
-	s.turnedAway = true
+	s.leaderUnknown = true
 	s.mutex.Unlock()
 	s.wakeUp()
 }
 
-// invite tells the holder that this node leads now: one that was turned away and stayed may ask again.
-func (s *session) invite() {
+// notifyLeading notifies the holder that this node leads now. A holder that was told of an unknown leader and kept its
+// stream open can renew again.
+func (s *session) notifyLeading() {
 	s.mutex.Lock()
-	s.invited = true
+	s.leadershipGained = true
 	s.mutex.Unlock()
 	s.wakeUp()
 }
@@ -178,7 +180,7 @@
 			return
 		case <-s.wake:
 		}
-		reply := s.due()
+		reply := s.buildReply()
 		if reply == nil {
 			continue
 		}
@@ -191,21 +193,21 @@
 	}
 }
 
-// due builds the reply that the holder should get now; nil for none.
-func (s *session) due() *wire.SessionReply {
+// buildReply returns the reply to send to the holder now, or nil if there is nothing to send.
+func (s *session) buildReply() *wire.SessionReply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.redirect != "" || s.turnedAway {
+	if s.redirect != "" || s.leaderUnknown {
 		reply := &wire.SessionReply{LeaderAddress: s.redirect, LeaderUnknown: s.redirect == ""}
-		s.answer, s.superseded, s.redirect, s.turnedAway, s.invited = 0, 0, "", false, false
-		clear(s.shares) // given by a leadership that this node has lost
+		s.answerSequence, s.supersededBy, s.redirect, s.leaderUnknown, s.leadershipGained = 0, 0, "", false, false
+		clear(s.shares) // granted under a leadership that this node has lost
 		return reply
 	}
 	reply := &wire.SessionReply{}
-	worth := s.invited // an empty reply is an invitation
-	s.invited = false
-	if s.answer != 0 {
-		reply.Sequence, reply.Granted, reply.SupersededBy = s.answer, s.granted, s.superseded
+	hasContent := s.leadershipGained // an empty reply notifies the holder that this node leads
+	s.leadershipGained = false
+	if s.answerSequence != 0 {
+		reply.Sequence, reply.Granted, reply.SupersededBy = s.answerSequence, s.granted, s.supersededBy
 		if s.granted {
 			reply.LeaseMillis = uint32(s.server.settings.Lease.Milliseconds())
 			reply.LedgerIndexes = s.server.ledgerIndexes()
@@ -216,29 +218,29 @@
 			}
 			clear(s.shares)
 		}
-		s.answer, s.superseded = 0, 0
-		worth = true
+		s.answerSequence, s.supersededBy = 0, 0
+		hasContent = true
 	}
 	if published := s.server.publisher.updateFrom(s.sentTable); published != nil {
-		published.put(reply, s.packed)
+		published.addTo(reply, s.acceptsPacked)
 		s.sentTable = published.update.ToVersion
-		worth = true
+		hasContent = true
 		if s.sentTable < s.server.publisher.table.version() {
-			s.wakeUp() // what is newer follows
+			s.wakeUp() // the next reply carries the newer versions
 		}
 	}
 	if members := s.server.publisher.membersAfter(s.sentMembers); members != nil {
 		reply.Members = members
 		s.sentMembers = members.MembersVersion
-		worth = true
+		hasContent = true
 	}
-	if !worth {
+	if !hasContent {
 		return nil
 	}
 	return reply
 }
 
-// ledgerIndexes are the ledger groups' positions as applied here.
+// ledgerIndexes returns the log position that this node has applied in each ledger group.
 func (s *Server) ledgerIndexes() []*wire.LedgerIndex {
 	indexes := make([]*wire.LedgerIndex, 0, s.config.LedgerGroups)
 	for group := uint32(1); int(group) <= s.config.LedgerGroups; group++ {
--- a/internal/control/session_set.go
+++ b/internal/control/session_set.go
@@ -4,7 +4,7 @@
 	"sync"
 )
 
-// sessionSet holds the open sessions.
+// sessionSet is the set of open sessions. It is safe for concurrent use.
 type sessionSet struct {
 	mutex    sync.Mutex
 	sessions map[*session]struct{}
@@ -25,7 +25,7 @@
 	delete(set.sessions, removed)
 }
 
-// each calls visit with every open session.
+// each calls visit for every session that is open at the time of the call. The mutex is not held during the calls.
 func (set *sessionSet) each(visit func(*session)) {
 	set.mutex.Lock()
 	open := make([]*session, 0, len(set.sessions))
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -12,19 +12,19 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// shares is the leader's division of resources between the processes that renew their leases here. It is soft state beside the leases:
-// a new leader learns the demands with the renewals.
+// shares divides resources among the processes that renew their leases on this leader. Like the leases it is soft
+// state: a new leader learns the demands from the renewals.
 type shares struct {
 	clock monotonic.Clock
-	lease time.Duration // as the leader counts it
+	lease time.Duration // lease duration as the leader counts it, including clock drift
 	read  func(known uint64) *wire.TableUpdate
 
 	mutex     sync.Mutex
-	term      uint64           // in which this node leads
+	term      uint64           // term in which this node leads
 	allocator *share.Allocator // nil while this node does not lead
-	view      *table.View      // that the limits are from
+	view      *table.View      // table that the limits derive from
 	tenants   *tenant.Index
-	known     map[string]bool // resources with a limit
+	limited   map[string]bool // resources with a limit
 }
 
 func newShares(clock monotonic.Clock, settings lease.Settings, read func(known uint64) *wire.TableUpdate) *shares {
@@ -32,24 +32,25 @@
 	return &shares{clock: clock, lease: counted, read: read, view: table.NewView()}
 }
 
-// beginLeading starts over as the leader of term. What earlier leaders gave may be in use until their leases have ended.
+// beginLeading resets the shares for a leader of term. Shares granted by earlier leaders may be in use until their
+// leases have ended.
 func (s *shares) beginLeading(term uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.allocator != nil && s.term == term {
 		return
 	}
-	s.term, s.allocator, s.known = term, share.NewAllocator(s.clock()+s.lease), map[string]bool{}
+	s.term, s.allocator, s.limited = term, share.NewAllocator(s.clock()+s.lease), map[string]bool{}
 }
 
-// stopLeading forgets all demands and shares.
+// stopLeading drops all demands and shares.
 func (s *shares) stopLeading() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.allocator, s.known = nil, nil
+	s.allocator, s.limited = nil, nil
 }
 
-// release gives back the shares of a holder that leaves.
+// release returns the shares of a holder that leaves.
 func (s *shares) release(holder lease.HolderID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -58,7 +59,8 @@
 	}
 }
 
-// renew answers the demands of a renewal whose lease was granted in term. version is the table's, as applied here.
+// renew returns the shares for the demands of a renewal whose lease was granted in term. version is the table version
+// applied on this node. It returns nil if there are no demands or this node does not lead in term.
 func (s *shares) renew(term, version uint64, holder *session, request *wire.SessionRequest) []*wire.ResourceShare {
 	if len(request.Demands) == 0 {
 		return nil
@@ -74,7 +76,7 @@
 		renewal.Acted = holder.answerNumber(request.SharesFrom)
 	}
 	for _, demand := range request.Demands {
-		s.limit(demand.Resource)
+		s.ensureLimit(demand.Resource)
 		renewal.Demands = append(renewal.Demands, share.Told{Resource: demand.Resource, Demand: share.Demand{InUse: demand.InUse, Waiting: demand.Waiting}})
 	}
 	grants := s.allocator.Renew(s.clock(), renewal)
@@ -85,7 +87,7 @@
 	return answered
 }
 
-// followTable brings the limits up to the table's version. The caller holds the mutex.
+// followTable updates the limits to a table version. The caller holds the mutex.
 func (s *shares) followTable(version uint64) {
 	if version <= s.view.Version() {
 		return
@@ -100,14 +102,14 @@
 		return
 	}
 	s.view, s.tenants = next, tenant.NewIndex(next, s.tenants)
-	for resource := range s.known {
+	for resource := range s.limited {
 		s.setLimit(resource)
 	}
 }
 
-// limit has a resource divided from its first demand on. The caller holds the mutex.
-func (s *shares) limit(resource string) {
-	if !s.known[resource] {
+// ensureLimit sets the limit of a resource at its first demand. The caller holds the mutex.
+func (s *shares) ensureLimit(resource string) {
+	if !s.limited[resource] {
 		s.setLimit(resource)
 	}
 }
@@ -116,14 +118,15 @@
 	limit, divided := s.limitOf(resource)
 	if !divided {
 		s.allocator.Forget(resource)
-		delete(s.known, resource)
+		delete(s.limited, resource)
 		return
 	}
-	s.known[resource] = true
+	s.limited[resource] = true
 	s.allocator.SetLimit(resource, limit)
 }
 
-// limitOf returns the limit of a resource by the table; divided is false where the table does not want it divided.
+// limitOf returns the limit of a resource according to the table. divided is false if the table does not configure the
+// resource as divided.
 func (s *shares) limitOf(resource string) (limit uint32, divided bool) {
 	if pool, is := share.PoolOf(resource); is {
 		row := s.view.Pool(pool)
@@ -156,7 +159,7 @@
 	return 0, false
 }
 
-// usages lists the divided resources; empty while this node does not lead.
+// usages lists the divided resources. It is empty while this node does not lead.
 func (s *shares) usages() []share.Usage {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/control/shares_test.go
+++ b/internal/control/shares_test.go
@@ -92,7 +92,7 @@
 	wants(t, first, "all", share.Demand{Waiting: 40}, func(amount uint32) bool { return amount >= 40 })
 	leader := c.servers[c.leader()]
 	request := &wire.SessionRequest{Sequence: 1, Demands: []*wire.ResourceDemand{{Resource: share.Slots("p"), Waiting: 1}}}
-	holder := &session{ordinal: leader.opened.Add(1)}
+	holder := &session{ordinal: leader.sessionsOpened.Add(1)}
 	if answered := leader.shares.renew(leader.shares.term+1, 1, holder, request); answered != nil {
 		t.Error("an answer for another term", answered)
 	}
--- a/internal/control/silentvoters.go
+++ b/internal/control/silentvoters.go
@@ -10,78 +10,79 @@
 )
 
 const (
-	// silentPatience is for how long a voter may be unheard before its leader tells of it: one second more than
-	// voterPatience, so that a voter whose place is taken at once writes no line.
-	silentPatience = voterPatience + time.Second
-	// silentInterval is the least time between two such lines of a group.
-	silentInterval = 5 * time.Second
+	// silentVoterLogDelay is how long a voter must be silent before its leader logs it. It exceeds voterSilenceLimit by
+	// one second, so that a voter that is replaced without delay is not logged.
+	silentVoterLogDelay = voterSilenceLimit + time.Second
+	// silentVoterLogInterval is the minimum interval between two such log lines of a group.
+	silentVoterLogInterval = 5 * time.Second
 )
 
-// silentVoters is the leaders' account of voters that they do not hear. It decides nothing; what is kept by group is the group's
-// keeper's.
+// silentVoters reports the voters that group leaders on this node do not hear, in logs and metrics. It makes no
+// decisions. The entries of a group are used only by the group's keeper, except for counts.
 type silentVoters struct {
-	server    *Server
-	toldAt    []time.Duration // by group; 0: never
-	leadsFrom []time.Duration // by group, when the first look as its leader came; 0: it does not lead
-	counts    []atomic.Int64  // by group, for the metric; notLeading while this node does not lead
-	failures  []error         // of the last change that was tried, by group
-	lateLooks []int           // by group, looks that came so late that only a part of the silence counts
+	server       *Server
+	loggedAt     []time.Duration // by group; 0 if never logged
+	leadingSince []time.Duration // by group, time of the first check as the leader; 0 while not leading
+	counts       []atomic.Int64  // by group, for the metric; notLeading while this node does not lead
+	failures     []error         // result of the last attempted change, by group
+	lateChecks   []int           // by group, number of checks so late that only part of the silence counted
 }
 
 func newSilentVoters(server *Server) *silentVoters {
 	groups := server.config.LedgerGroups + 1
-	made := &silentVoters{server: server, toldAt: make([]time.Duration, groups), leadsFrom: make([]time.Duration, groups),
-		counts: make([]atomic.Int64, groups), failures: make([]error, groups), lateLooks: make([]int, groups)}
+	made := &silentVoters{server: server, loggedAt: make([]time.Duration, groups), leadingSince: make([]time.Duration, groups),
+		counts: make([]atomic.Int64, groups), failures: make([]error, groups), lateChecks: make([]int, groups)}
 	for group := range made.counts {
 		made.counts[group].Store(notLeading)
 	}
 	return made
 }
 
-// notLeading stands for the number of silent voters of a group that this node does not lead.
+// notLeading replaces the number of silent voters of a group that this node does not lead.
 const notLeading = -1
 
-// follows notes that this node does not lead a group.
-func (s *silentVoters) follows(group uint32) {
-	s.leadsFrom[group] = 0
+// stopLeading records that this node does not lead a group.
+func (s *silentVoters) stopLeading(group uint32) {
+	s.leadingSince[group] = 0
 	s.counts[group].Store(notLeading)
 }
 
-// late notes a look that came so late that only a part of the time before it counts as silence.
-func (s *silentVoters) late(group uint32) { s.lateLooks[group]++ }
+// countLateCheck counts a check that was so late that only part of the time before it counts as silence.
+func (s *silentVoters) countLateCheck(group uint32) { s.lateChecks[group]++ }
 
-// tried notes how a change of a group ended.
-func (s *silentVoters) tried(group uint32, err error) { s.failures[group] = err }
+// recordChangeResult records the result of a membership change of a group.
+func (s *silentVoters) recordChangeResult(group uint32, err error) { s.failures[group] = err }
 
-// note writes a line if voters of a group that is led here have been silent for a while.
-func (s *silentVoters) note(group uint32, now time.Duration, seen member.Group, change member.GroupChange) {
-	if s.leadsFrom[group] == 0 {
-		s.leadsFrom[group] = now
+// logSilent updates the metric of silent voters of a group that this node leads, and logs them at most once per
+// silentVoterLogInterval.
+func (s *silentVoters) logSilent(group uint32, now time.Duration, seen member.Group, change member.GroupChange) {
+	if s.leadingSince[group] == 0 {
+		s.leadingSince[group] = now
 	}
-	silent := s.silent(seen.Voters, now-s.leadsFrom[group])
+	silent := s.findSilent(seen.Voters, now-s.leadingSince[group])
 	s.counts[group].Store(int64(len(silent)))
-	if len(silent) == 0 || s.toldAt[group] != 0 && now-s.toldAt[group] < silentInterval {
+	if len(silent) == 0 || s.loggedAt[group] != 0 && now-s.loggedAt[group] < silentVoterLogInterval {
 		return
 	}
-	s.toldAt[group] = now
+	s.loggedAt[group] = now
 	logging.Emit(s.server.log, &events.VotersSilent{
 		Group: group, Voters: len(seen.Voters), Heard: len(seen.Voters) - len(silent), Silent: silent,
-		Learners: s.describe(seen.Learners), Candidates: s.describe(seen.Candidates), LateLooks: s.lateLooks[group],
+		Learners: s.describe(seen.Learners), Candidates: s.describe(seen.Candidates), LateLooks: s.lateChecks[group],
 		Change: changeName(change.Kind), Node: change.Node,
 		Cause: whyNoChange(seen, change, s.server.config.Voters, s.failures[group]),
 	})
 }
 
-// silent returns the voters that were not heard for silentPatience of the time that this node has led. It asks for the
-// time since their last message: what the choice of a change counts leaves out pauses of this node. Voters need
-// not say anything to a node that does not lead.
-func (s *silentVoters) silent(voters []member.GroupNode, leading time.Duration) []events.SilentVoter {
-	if leading < silentPatience {
+// findSilent returns the voters that were silent for silentVoterLogDelay. It uses the time since their last message,
+// whereas the silence that decides about a change excludes pauses of this node. It returns none until this node has led
+// the group for that long, since voters need not send anything to a node that does not lead.
+func (s *silentVoters) findSilent(voters []member.GroupNode, leading time.Duration) []events.SilentVoter {
+	if leading < silentVoterLogDelay {
 		return nil
 	}
 	var silent []member.GroupNode
 	for _, voter := range voters {
-		if !voter.Leads && s.server.replicas.SilentFor(voter.ID) >= silentPatience {
+		if !voter.Leads && s.server.replicas.SilentFor(voter.ID) >= silentVoterLogDelay {
 			silent = append(silent, voter)
 		}
 	}
@@ -97,7 +98,7 @@
 	return described
 }
 
-// changeName is a change as lines tell of it; empty for none.
+// changeName returns the name of a membership change in events, or "" for no change.
 func changeName(kind member.GroupChangeKind) string {
 	switch kind {
 	case member.AddLearner:
@@ -110,7 +111,7 @@
 	return ""
 }
 
-// whyNoChange says why a group still has silent voters.
+// whyNoChange explains in an event why a group still has silent voters.
 func whyNoChange(seen member.Group, change member.GroupChange, size int, failure error) string {
 	longest := time.Duration(0)
 	for _, voter := range seen.Voters {
@@ -127,13 +128,13 @@
 		return "no node asks to carry the group"
 	case allMembers(seen):
 		return "only nodes of the group ask to carry it"
-	case longest < voterPatience:
+	case longest < voterSilenceLimit:
 		return "the silence that counts is too short: of the time before a late look only a part does"
 	}
 	return "no candidate may take the place"
 }
 
-// allMembers tells whether all candidates are voters of the group.
+// allMembers reports whether all candidates are voters of the group.
 func allMembers(seen member.Group) bool {
 	voting := make(map[uint64]bool, len(seen.Voters))
 	for _, voter := range seen.Voters {
--- a/internal/control/silentvoters_test.go
+++ b/internal/control/silentvoters_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("%+v", event)
 	}
 	silent := event.Silent[0]
-	if silent.ID != id || silent.Address != address || silent.SilentMs < events.Millis(silentPatience) {
+	if silent.ID != id || silent.Address != address || silent.SilentMs < events.Millis(silentVoterLogDelay) {
 		t.Errorf("%+v", silent)
 	}
 	if event.Cause != "only nodes of the group ask to carry it" && event.Cause != "no node asks to carry the group" {
@@ -69,15 +69,15 @@
 		change  member.GroupChange
 		failure error
 	}{
-		"the last change failed: no quorum": {seen: member.Group{Voters: voters(voterPatience), Candidates: asks},
+		"the last change failed: no quorum": {seen: member.Group{Voters: voters(voterSilenceLimit), Candidates: asks},
 			change: member.GroupChange{Kind: member.AddLearner, Node: 9}, failure: errors.New("no quorum")},
-		"the change is under way": {seen: member.Group{Voters: voters(voterPatience), Candidates: asks},
+		"the change is under way": {seen: member.Group{Voters: voters(voterSilenceLimit), Candidates: asks},
 			change: member.GroupChange{Kind: member.AddLearner, Node: 9}},
 		"one voter too many, and none that may go":                                              {seen: member.Group{Voters: append(voters(0), member.GroupNode{ID: 4})}},
-		"no node asks to carry the group":                                                       {seen: member.Group{Voters: voters(voterPatience)}},
-		"only nodes of the group ask to carry it":                                               {seen: member.Group{Voters: voters(voterPatience), Candidates: []member.GroupNode{{ID: 3}}}},
-		"the silence that counts is too short: of the time before a late look only a part does": {seen: member.Group{Voters: voters(voterPatience - 1), Candidates: asks}},
-		"no candidate may take the place":                                                       {seen: member.Group{Voters: voters(voterPatience), Candidates: asks}},
+		"no node asks to carry the group":                                                       {seen: member.Group{Voters: voters(voterSilenceLimit)}},
+		"only nodes of the group ask to carry it":                                               {seen: member.Group{Voters: voters(voterSilenceLimit), Candidates: []member.GroupNode{{ID: 3}}}},
+		"the silence that counts is too short: of the time before a late look only a part does": {seen: member.Group{Voters: voters(voterSilenceLimit - 1), Candidates: asks}},
+		"no candidate may take the place":                                                       {seen: member.Group{Voters: voters(voterSilenceLimit), Candidates: asks}},
 	} {
 		if got := whyNoChange(example.seen, example.change, size, example.failure); got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -7,11 +7,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// standbyDelay is how much later than others a standby stands for election: two further election timeouts, in
-// which the others mostly have elected one of theirs.
+// standbyDelay is how much later than other nodes a standby campaigns, in ticks: two further election timeouts, within
+// which the others have usually elected one of their own.
 const standbyDelay = 2 * consensus.DefaultElectionTicks
 
-// campaignDelay is the consensus groups' CampaignDelayTicks.
+// campaignDelay returns the CampaignDelayTicks of the consensus host.
 func (c *Config) campaignDelay() int {
 	if c.Standby {
 		return standbyDelay
@@ -19,9 +19,9 @@
 	return 0
 }
 
-// MayRetire tells whether the groups keep all their voters when the standby at an address goes: there are as many
-// others, voters or nodes that have asked lately, as are needed beside the voters that are no standbys. It is this
-// node's view, which may lag.
+// MayRetire reports whether the groups keep all their voters if the standby at an address leaves: the remaining
+// standbys that vote or recently asked to join must be enough to fill all places that other voters do not. It relies on
+// this node's view, which may be out of date. It returns an error if the status of a group cannot be read.
 func (s *Server) MayRetire(ctx context.Context, address string) (bool, error) {
 	others, needed := map[uint64]bool{}, 0
 	gone := s.retiring()
@@ -46,7 +46,7 @@
 		}
 		needed = max(needed, s.config.Voters-leaders)
 	}
-	for _, candidate := range s.voters.asking(s.config.Clock()) {
+	for _, candidate := range s.voters.recentCandidates(s.config.Clock()) {
 		if candidate.Standby && !gone[candidate.Address] {
 			others[candidate.ID] = true
 		}
@@ -54,7 +54,7 @@
 	return len(others) >= needed, nil
 }
 
-// AddressOf is where a control node listens, as far as is known here; empty if it is not.
+// AddressOf returns the IP:port of a control node, or "" if this node does not know it.
 func (s *Server) AddressOf(node uint64) string {
 	if node == s.config.NodeID {
 		return s.Address()
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// retiring are the addresses of storage members that an operator has asked to leave: nodes there give their places up
-// and get none.
+// retiring returns the addresses of storage members that an operator has asked to leave. Nodes at these addresses are
+// replaced as voters and not added again.
 func (s *Server) retiring() map[string]bool {
 	addresses := map[string]bool{}
 	for _, member := range s.publisher.currentMembers().GetMembers() {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -7,7 +7,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// statusView is this node's view of one group, which may be old when it does not lead it.
+// statusView returns this node's view of a group, which may be out of date on a node that does not lead it.
 func (s *Server) statusView(ctx context.Context, group uint32) (*wire.View, error) {
 	status, err := s.replicas.Status(ctx, group)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return &wire.View{Kind: &wire.View_Status{Status: view}}, nil
 }
 
-// ledgerStatus adds what the ledger group's state knows of its claims.
+// ledgerStatus completes the view of a ledger group with the claims and batch jobs in its state.
 func (s *Server) ledgerStatus(ctx context.Context, group uint32, view *wire.StatusView) (*wire.View, error) {
 	local, err := s.replicas.LocalQuery(ctx, group, &wire.Query{Kind: &wire.Query_Status{Status: &wire.StatusQuery{}}})
 	if err != nil {
--- a/internal/control/succession.go
+++ b/internal/control/succession.go
@@ -7,36 +7,37 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// aloneTime is for how long a ledger group's leader must know no leader of the control group until it gives its own leadership
-// away: an election is over by then, and a lease of 1.2 s has mostly run out.
-const aloneTime = 700 * time.Millisecond
+// leaderUnknownLimit is how long the leader of a ledger group must know no leader of the control group before it
+// transfers its leadership. After this time an election is over, and most of a lease of 1.2 s has passed.
+const leaderUnknownLimit = 700 * time.Millisecond
 
-// tenure is what decides whether the leader of a group gives the leadership to another voter, and to which.
-type tenure struct {
-	group         uint32
-	self          uint64
-	controlLeader uint64        // raft.None: none is known here
-	alone         time.Duration // for how long none has been known
-	ahead         []uint64      // voters that store what this node's disk has not taken for too long
-	voters        []raft.Progress
+// successionInput is the state that decides whether the leader of a group transfers the leadership, and to which voter.
+type successionInput struct {
+	group            uint32
+	self             uint64
+	controlLeader    uint64        // raft.None if no leader is known on this node
+	leaderUnknownFor time.Duration // how long no leader of the control group has been known
+	votersAhead      []uint64      // voters that have stored a write that is stuck on this node's disk
+	voters           []raft.Progress
 }
 
-// successor is the voter that should lead in place of this node; raft.None: this one goes on.
+// successor returns the voter that should lead in place of this node, or raft.None if this node should keep leading.
 //
-// A standby gives its groups to others, to the leader of the control group first. A node that knows no leader of the control
-// group has no lease and starts no work: where the core is split so that each side keeps a leader by the votes of the standbys,
-// the leader of a ledger group on the other side started nothing for the whole of a cut of 5 s. It gives its group to a
-// standby, which both sides reach and which gives it to the leader of the control group in turn.
+// A standby transfers its groups to other voters, preferably to the leader of the control group. A node that knows no
+// leader of the control group has no lease and starts no work. If a network partition leaves a leader on each side,
+// both with a majority because of the standbys, the leader of a ledger group on the side without the control group's
+// leader could start nothing; this lasted for an entire partition of 5 s. Such a leader transfers its group to a
+// standby that both sides reach, which in turn transfers it to the leader of the control group.
 //
-// A node whose disk takes no writes keeps its followers by its heartbeats, but commits nothing of its own, and what the others commit
-// without it is not applied here: reads wait, leases run out and nothing is served until it steps down. It gives its groups to a voter
-// that has shown that its own disk does.
-func (t *tenure) successor() uint64 {
+// A node whose disk does not complete writes keeps its followers through heartbeats, but commits nothing of its own,
+// and entries that the others commit without it are not applied here. Reads wait, leases expire and nothing is served
+// until it steps down. It transfers its groups to a voter that has shown that its own disk works.
+func (t *successionInput) successor() uint64 {
 	switch {
-	case len(t.ahead) > 0:
+	case len(t.votersAhead) > 0:
 		return t.best(func(voter uint64) int {
 			switch {
-			case !slices.Contains(t.ahead, voter):
+			case !slices.Contains(t.votersAhead, voter):
 				return unsuitable
 			case isStandby(voter):
 				return 0
@@ -53,7 +54,7 @@
 			}
 			return 0
 		})
-	case t.group != controlGroup && t.controlLeader == raft.None && t.alone >= aloneTime:
+	case t.group != controlGroup && t.controlLeader == raft.None && t.leaderUnknownFor >= leaderUnknownLimit:
 		return t.best(func(voter uint64) int {
 			if isStandby(voter) {
 				return 1
@@ -64,9 +65,9 @@
 	return raft.None
 }
 
-// mayReplaceVoters tells whether the leader of a group may replace voters that it does not hear. The leader of a ledger group that knows no
-// leader of the control group is likely cut off itself: it would replace the voter that leads the control group, and until the cut ended no
-// voter of the ledger group would have a lease.
+// mayReplaceVoters reports whether the leader of a group may replace voters that it does not hear. The leader of a
+// ledger group that knows no leader of the control group is probably cut off itself. It would replace the voter that
+// leads the control group, and until the partition ended no voter of the ledger group would have a lease.
 func mayReplaceVoters(group uint32, controlLeader uint64) bool {
 	return group == controlGroup || controlLeader != raft.None
 }
@@ -74,8 +75,9 @@
 // unsuitable is the rank of a voter that must not lead.
 const unsuitable = -1
 
-// best is the other voter of the highest rank among those that were heard lately, and the most advanced of these.
-func (t *tenure) best(rank func(voter uint64) int) uint64 {
+// best returns the voter with the highest rank among the other voters heard recently. Among equal ranks it prefers the
+// one with the most log entries. It returns raft.None if there is none.
+func (t *successionInput) best(rank func(voter uint64) int) uint64 {
 	chosen, highest := raft.Progress{}, unsuitable
 	for _, candidate := range t.voters {
 		if candidate.Node == t.self || candidate.Learner || !candidate.RecentActive {
--- a/internal/control/succession_test.go
+++ b/internal/control/succession_test.go
@@ -19,36 +19,36 @@
 		return raft.Progress{Node: node, Match: match, RecentActive: true}
 	}
 	for name, test := range map[string]struct {
-		of   tenure
+		of   successionInput
 		want uint64
 	}{
 		"a leader with contact goes on": {
-			tenure{group: 1, self: self, controlLeader: first, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, raft.None},
+			successionInput{group: 1, self: self, controlLeader: first, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, raft.None},
 		"the control group's leader goes on": {
-			tenure{group: controlGroup, self: self, alone: time.Hour, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, raft.None},
+			successionInput{group: controlGroup, self: self, leaderUnknownFor: time.Hour, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, raft.None},
 		"an election is awaited": {
-			tenure{group: 1, self: self, alone: aloneTime - 1, voters: []raft.Progress{heard(standby, 9)}}, raft.None},
+			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit - 1, voters: []raft.Progress{heard(standby, 9)}}, raft.None},
 		"without contact to the most advanced standby": {
-			tenure{group: 1, self: self, alone: aloneTime, voters: []raft.Progress{heard(first, 9), heard(standby, 5), heard(otherStandby, 6)}}, otherStandby},
+			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit, voters: []raft.Progress{heard(first, 9), heard(standby, 5), heard(otherStandby, 6)}}, otherStandby},
 		"to another voter where no standby is": {
-			tenure{group: 1, self: self, alone: aloneTime, voters: []raft.Progress{heard(first, 8), heard(second, 9)}}, second},
+			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit, voters: []raft.Progress{heard(first, 8), heard(second, 9)}}, second},
 		"not to one that is silent or no voter": {
-			tenure{group: 1, self: self, alone: aloneTime, voters: []raft.Progress{{Node: standby, Match: 9},
+			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit, voters: []raft.Progress{{Node: standby, Match: 9},
 				{Node: first, Match: 9, RecentActive: true, Learner: true}}}, raft.None},
 		"a standby gives to the control group's leader": {
-			tenure{group: 1, self: standby, controlLeader: first, voters: []raft.Progress{heard(first, 4), heard(second, 9), heard(otherStandby, 9)}}, first},
+			successionInput{group: 1, self: standby, controlLeader: first, voters: []raft.Progress{heard(first, 4), heard(second, 9), heard(otherStandby, 9)}}, first},
 		"a standby gives to the most advanced one otherwise": {
-			tenure{group: 1, self: standby, controlLeader: first, voters: []raft.Progress{{Node: first, Match: 9}, heard(second, 4), heard(self, 5)}}, self},
+			successionInput{group: 1, self: standby, controlLeader: first, voters: []raft.Progress{{Node: first, Match: 9}, heard(second, 4), heard(self, 5)}}, self},
 		"a standby gives the control group away too": {
-			tenure{group: controlGroup, self: standby, controlLeader: standby, voters: []raft.Progress{heard(second, 4)}}, second},
+			successionInput{group: controlGroup, self: standby, controlLeader: standby, voters: []raft.Progress{heard(second, 4)}}, second},
 		"a leader whose disk is stuck gives to a voter whose disk is not": {
-			tenure{group: controlGroup, self: self, ahead: []uint64{second, standby}, voters: []raft.Progress{heard(first, 9), heard(second, 8), heard(standby, 9)}}, second},
+			successionInput{group: controlGroup, self: self, votersAhead: []uint64{second, standby}, voters: []raft.Progress{heard(first, 9), heard(second, 8), heard(standby, 9)}}, second},
 		"to a standby where only its disk is not": {
-			tenure{group: 1, self: self, ahead: []uint64{standby}, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, standby},
+			successionInput{group: 1, self: self, votersAhead: []uint64{standby}, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, standby},
 		"not to one that has fallen silent": {
-			tenure{group: 1, self: self, ahead: []uint64{second}, voters: []raft.Progress{heard(first, 9), {Node: second, Match: 9}}}, raft.None},
+			successionInput{group: 1, self: self, votersAhead: []uint64{second}, voters: []raft.Progress{heard(first, 9), {Node: second, Match: 9}}}, raft.None},
 		"a standby without another voter goes on": {
-			tenure{group: 1, self: standby, controlLeader: standby, voters: []raft.Progress{heard(otherStandby, 9)}}, raft.None},
+			successionInput{group: 1, self: standby, controlLeader: standby, voters: []raft.Progress{heard(otherStandby, 9)}}, raft.None},
 	} {
 		if got := test.of.successor(); got != test.want {
 			t.Errorf("%s: %d, want %d", name, got, test.want)
--- a/internal/control/tableupdates.go
+++ b/internal/control/tableupdates.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// packAbove is the size of an update, in bytes, from which on it is sent packed.
-	packAbove = 16 << 10
-	// wholeReuse is by how many versions the whole table may lag that new holders are sent; what is newer follows at once
-	// as a delta. While many replicas register the version rises all the time, and as many holders may start.
-	wholeReuse = 200
+	// packThresholdBytes is the size above which an update is sent packed.
+	packThresholdBytes = 16 << 10
+	// maximumFullTableLag is the number of versions by which the full table sent to new holders may be out of date. The
+	// missing versions follow immediately as a delta. While many replicas register, the version rises continuously and
+	// as many new holders may start.
+	maximumFullTableLag = 200
 )
 
-// publishedUpdate is one update, which serves all holders at the version that it starts from.
+// publishedUpdate is an update that is shared by all holders at its start version.
 type publishedUpdate struct {
 	update *wire.TableUpdate
-	packed []byte // nil: it is small
+	packed []byte // nil if the update is small
 }
 
 func publish(update *wire.TableUpdate) (*publishedUpdate, error) {
 	published := &publishedUpdate{update: update}
-	if proto.Size(update) <= packAbove {
+	if proto.Size(update) <= packThresholdBytes {
 		return published, nil
 	}
 	var err error
@@ -32,8 +33,8 @@
 	return published, err
 }
 
-// put sets the update in a reply to a holder.
-func (u *publishedUpdate) put(reply *wire.SessionReply, acceptsPacked bool) {
+// addTo puts the update into a reply to a holder.
+func (u *publishedUpdate) addTo(reply *wire.SessionReply, acceptsPacked bool) {
 	if acceptsPacked && u.packed != nil {
 		reply.PackedUpdate = u.packed
 		return
@@ -41,36 +42,37 @@
 	reply.Update = u.update
 }
 
-// tableUpdates makes each update once, however many holders are to get it. It is safe for concurrent use.
+// tableUpdates builds each update once, regardless of the number of holders that need it. It is safe for concurrent
+// use.
 type tableUpdates struct {
-	// read returns what is newer than a version in the table as applied here.
+	// read returns the changes of the applied table since version known.
 	read func(known uint64) (*wire.TableUpdate, error)
 
-	making    sync.Mutex // held while an update is made, so that it is made once
-	announced uint64     // newest version that refresh reported; guarded by making
+	makeMutex sync.Mutex // held while an update is built, so that it is built once
+	announced uint64     // newest version that refresh has reported; guarded by makeMutex
 
-	mutex   sync.Mutex
-	current uint64                      // newest version that was seen
-	deltas  map[uint64]*publishedUpdate // to current, by the version that they start from
-	whole   *publishedUpdate            // for holders without a table; may lag by wholeReuse versions
+	mutex     sync.Mutex
+	current   uint64                      // newest version seen
+	deltas    map[uint64]*publishedUpdate // updates to current, by start version
+	fullTable *publishedUpdate            // for holders without a table; out of date by at most maximumFullTableLag versions
 }
 
 func newTableUpdates(read func(known uint64) (*wire.TableUpdate, error)) *tableUpdates {
 	return &tableUpdates{read: read, deltas: map[uint64]*publishedUpdate{}}
 }
 
-// version is the newest version that was seen.
+// version returns the newest version seen.
 func (u *tableUpdates) version() uint64 {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.current
 }
 
-// refresh looks for a newer version, and reports whether there is one that it has not reported yet: a holder may have been
-// sent it before, and the others wait to be told.
+// refresh reads the table and reports whether there is a version that it has not reported yet. updateFrom may already
+// have sent that version to a holder, but the other holders still have to be notified.
 func (u *tableUpdates) refresh() (version uint64, newer bool, err error) {
-	u.making.Lock()
-	defer u.making.Unlock()
+	u.makeMutex.Lock()
+	defer u.makeMutex.Unlock()
 	known := u.version()
 	update, err := u.read(known)
 	if err != nil {
@@ -81,7 +83,7 @@
 		if err != nil {
 			return known, false, err
 		}
-		u.keep(known, published)
+		u.store(known, published)
 	}
 	version = u.version()
 	newer = version > u.announced
@@ -89,15 +91,15 @@
 	return version, newer, nil
 }
 
-// from returns what brings a holder of version known forward; nil if it has the newest. The holder may need another
-// update after this one.
-func (u *tableUpdates) from(known uint64) (*publishedUpdate, error) {
-	if found, settled := u.held(known); settled {
+// updateFrom returns the update for a holder at version known, or nil if the holder is up to date. The holder may need
+// another update afterwards.
+func (u *tableUpdates) updateFrom(known uint64) (*publishedUpdate, error) {
+	if found, done := u.cached(known); done {
 		return found, nil
 	}
-	u.making.Lock()
-	defer u.making.Unlock()
-	if found, settled := u.held(known); settled {
+	u.makeMutex.Lock()
+	defer u.makeMutex.Unlock()
+	if found, done := u.cached(known); done {
 		return found, nil
 	}
 	update, err := u.read(known)
@@ -108,12 +110,13 @@
 	if err != nil {
 		return nil, err
 	}
-	u.keep(known, published)
+	u.store(known, published)
 	return published, nil
 }
 
-// held returns the update from a version where it is made already; settled tells that nothing is to be made.
-func (u *tableUpdates) held(known uint64) (found *publishedUpdate, settled bool) {
+// cached returns the cached update that starts from version known. done is true if no update has to be built, either
+// because it is cached or because none is needed.
+func (u *tableUpdates) cached(known uint64) (found *publishedUpdate, done bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if known >= u.current {
@@ -122,14 +125,14 @@
 	if found = u.deltas[known]; found != nil {
 		return found, true
 	}
-	if known == 0 && u.whole != nil && u.whole.update.ToVersion+wholeReuse >= u.current {
-		return u.whole, true
+	if known == 0 && u.fullTable != nil && u.fullTable.update.ToVersion+maximumFullTableLag >= u.current {
+		return u.fullTable, true
 	}
 	return nil, false
 }
 
-// keep remembers an update that starts from a version. A newer one than was seen before ends the deltas to that.
-func (u *tableUpdates) keep(known uint64, published *publishedUpdate) {
+// store caches an update that starts from version known. An update to a new version invalidates the cached deltas.
+func (u *tableUpdates) store(known uint64, published *publishedUpdate) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	to := published.update.ToVersion
@@ -138,7 +141,7 @@
 		clear(u.deltas)
 	}
 	if known == 0 {
-		u.whole = published
+		u.fullTable = published
 	} else if to == u.current {
 		u.deltas[known] = published
 	}
--- a/internal/control/tableupdates_test.go
+++ b/internal/control/tableupdates_test.go
@@ -57,7 +57,7 @@
 func follow(t *testing.T, updates *tableUpdates, view *table.View, packed bool) (*table.View, int) {
 	t.Helper()
 	for count := 0; ; count++ {
-		published, err := updates.from(view.Version())
+		published, err := updates.updateFrom(view.Version())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,7 +65,7 @@
 			return view, count
 		}
 		reply := &wire.SessionReply{}
-		published.put(reply, packed)
+		published.addTo(reply, packed)
 		if len(reply.PackedUpdate) > 0 {
 			if !packed || reply.Update != nil {
 				t.Fatal("a packed update was sent to a holder that doesn't read it, or beside another")
@@ -112,12 +112,12 @@
 
 // TestWholeTableDoesNotLagForever: new holders are not sent a table that is long out of date.
 func TestWholeTableDoesNotLagForever(t *testing.T) {
-	source := newCountedTable(t, wholeReuse+50)
+	source := newCountedTable(t, maximumFullTableLag+50)
 	updates := newTableUpdates(source.read)
 	if _, _, err := updates.refresh(); err != nil {
 		t.Fatal(err)
 	}
-	for version := range wholeReuse + 1 {
+	for version := range maximumFullTableLag + 1 {
 		source.drain(t, version)
 	}
 	if _, _, err := updates.refresh(); err != nil {
@@ -140,10 +140,10 @@
 	if _, _, err := updates.refresh(); err != nil {
 		t.Fatal(err)
 	}
-	if published, err := updates.from(known); err != nil || published.packed != nil || len(published.update.Rows) != 1 {
+	if published, err := updates.updateFrom(known); err != nil || published.packed != nil || len(published.update.Rows) != 1 {
 		t.Fatalf("%v, %v", published, err)
 	}
-	if published, err := updates.from(0); err != nil || published.packed == nil {
+	if published, err := updates.updateFrom(0); err != nil || published.packed == nil {
 		t.Fatalf("the whole table is not packed: %v", err)
 	}
 }
@@ -164,7 +164,7 @@
 		}
 	}
 	source.drain(t, 2) // applied; the publisher has not looked yet
-	if published, err := updates.from(behind); err != nil || published == nil || published.update.ToVersion != source.table.Version() {
+	if published, err := updates.updateFrom(behind); err != nil || published == nil || published.update.ToVersion != source.table.Version() {
 		t.Fatalf("%v, %v: the holder that is behind did not get the newest version", published, err)
 	}
 	version, newer, err := updates.refresh()
--- a/internal/control/turnaway_test.go
+++ b/internal/control/turnaway_test.go
@@ -59,7 +59,7 @@
 	}
 	leader := c.leader()
 	detector := c.servers[leader].detector
-	if !detector.begin("g") {
+	if !detector.beginRecording("g") {
 		t.Fatal("something is recorded about a member that does not exist")
 	}
 	stream := openSession(t, c.addresses()[leader])
@@ -71,13 +71,13 @@
 	kept := func() bool {
 		detector.mutex.Lock()
 		defer detector.mutex.Unlock()
-		_, waits := detector.later["g"]
+		_, waits := detector.deferred["g"]
 		return waits
 	}
 	for !kept() {
 		time.Sleep(time.Millisecond)
 	}
-	detector.end("g")
+	detector.endRecording("g")
 	for {
 		reply, err := stream.Recv()
 		if err != nil {
--- a/internal/control/unread_test.go
+++ b/internal/control/unread_test.go
@@ -14,8 +14,8 @@
 // unreadable is a node's groups whose applied table can't be read for a while, as when the loop is not answered in time.
 type unreadable struct {
 	Replicas
-	refusals atomic.Int64 // reads of the table that are still to fail
-	holds    atomic.Bool  // reads of the table get no answer
+	rejections atomic.Int64 // reads of the table that are still to fail
+	holds      atomic.Bool  // reads of the table get no answer
 }
 
 // LocalQuery implements Replicas.
@@ -23,7 +23,7 @@
 	if query.GetTable() == nil {
 		return u.Replicas.LocalQuery(ctx, group, query)
 	}
-	if u.refusals.Load() > 0 && u.refusals.Add(-1) >= 0 {
+	if u.rejections.Load() > 0 && u.rejections.Add(-1) >= 0 {
 		return nil, consensus.ErrOverloaded
 	}
 	if u.holds.Load() {
@@ -54,13 +54,13 @@
 	leader := c.leader()
 	client, session := c.client(controlclient.Config{}), c.session("gateway", nil)
 	base, _ := mustAccept(t, client, poolChange("base", 0, "1"), true)
-	nodes[leader].refusals.Store(1)
+	nodes[leader].rejections.Store(1)
 	version, _ := mustAccept(t, client, weightChange("next", base, "2"), false)
 	eventually(t, "the change in force", func() bool {
 		admitted, ok := session.Admit()
 		return ok && admitted == version
 	})
-	if left := nodes[leader].refusals.Load(); left > 0 {
+	if left := nodes[leader].rejections.Load(); left > 0 {
 		t.Fatalf("no read failed; %d were to", left)
 	}
 }
@@ -95,7 +95,7 @@
 	for position := range nodes {
 		eventually(t, "the first table at each node", func() bool { return c.servers[position].publisher.table.version() == base })
 		if position != first {
-			nodes[position].refusals.Store(manyRefusals)
+			nodes[position].rejections.Store(manyRefusals)
 		}
 	}
 	version, _ := mustAccept(t, client, weightChange("next", base, "2"), true)
@@ -111,7 +111,7 @@
 		session.Close()
 	}
 	for _, one := range nodes {
-		one.refusals.Store(0)
+		one.rejections.Store(0)
 	}
 	session := c.session("later", nil)
 	eventually(t, "a lease on the newest table", func() bool {
@@ -131,15 +131,15 @@
 		c.kill(position)
 	}
 	for position := range nodes {
-		c.startWith(position, func() { nodes[position].refusals.Store(manyRefusals) })
+		c.startWith(position, func() { nodes[position].rejections.Store(manyRefusals) })
 	}
 	leader := c.leader()
-	eventually(t, "some reads of the new leader", func() bool { return manyRefusals-nodes[leader].refusals.Load() > 5 })
-	if version, grants := c.servers[leader].leases.granting(); grants {
+	eventually(t, "some reads of the new leader", func() bool { return manyRefusals-nodes[leader].rejections.Load() > 5 })
+	if version, grants := c.servers[leader].leases.grantedVersion(); grants {
 		t.Errorf("the leader grants leases by version %d, and has read nothing", version)
 	}
 	for _, one := range nodes {
-		one.refusals.Store(0)
+		one.rejections.Store(0)
 	}
 	session := c.session("gateway", nil)
 	eventually(t, "a lease on the newest table", func() bool {
