--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// votersInterval is how often a group's leader looks at the group's nodes.
+	// votersInterval is how often a group's leader checks the nodes of the group.
 	votersInterval = 200 * time.Millisecond
-	// maximumGap is what counts as silence at most of the time between two looks: on a processor that is shared looks come
-	// late by up to a second, and a node that was paused itself must not take all others for lost.
-	maximumGap = time.Second
-	// candidateLife is how long a request to carry the groups counts. It is repeated every 0.3 s, or every 1.8 s where a loop
-	// runs a second late and the slowest node's answer is waited for; one that is lost must not end it.
-	candidateLife = 4 * time.Second
-	// voterPatience is how long a voter may be silent before a node at another address takes its place.
-	voterPatience = 2 * time.Second
-	// leavingLife is how long a node counts as leaving after it said so; it may just be started again.
-	leavingLife = 3 * time.Second
-	// voterChangeTimeout bounds one change of a group's nodes.
+	// maximumCountedGap limits how much of the time between two checks counts as silence. On a shared processor checks
+	// are late by up to a second, and a node that was paused itself must not consider all others lost.
+	maximumCountedGap = time.Second
+	// candidateLifetime is how long a request to join the groups stays valid. Requests are repeated every 0.3 s, or
+	// every 1.8 s where a loop runs a second late and has to wait for the slowest node's answer. One lost request must
+	// not end the candidacy.
+	candidateLifetime = 4 * time.Second
+	// voterSilenceLimit is how long a voter can be silent before a node at another address replaces it.
+	voterSilenceLimit = 2 * time.Second
+	// leavingLifetime is how long a node counts as leaving after it announced a stop. It may be restarting.
+	leavingLifetime = 3 * time.Second
+	// voterChangeTimeout bounds one membership change of a group.
 	voterChangeTimeout = 2 * time.Second
 )
 
-// candidate is a node that asks to carry the groups.
+// candidate is a node that asks to join the groups.
 type candidate struct {
 	address string
 	askedAt time.Duration
 }
 
-// voters keeps what the leaders of groups on this node know of other nodes beside raft: who asks to carry the groups, and who
-// stops.
+// voters holds what the group leaders on this node know about other nodes in addition to raft: which nodes ask to join
+// the groups, and which nodes are stopping.
 type voters struct {
 	server *Server
 
 	mutex      sync.Mutex
 	candidates map[uint64]candidate
-	leaving    map[uint64]time.Duration // when a node said that it stops
+	leaving    map[uint64]time.Duration // time at which a node announced that it stops
 	silent     *silentVoters
 }
 
@@ -48,8 +49,9 @@
 	return &voters{server: server, silent: newSilentVoters(server), candidates: make(map[uint64]candidate), leaving: make(map[uint64]time.Duration)}
 }
 
-// asks notes that a node asks to carry the groups. One that asked from the same address is gone: its disk was lost.
-func (v *voters) asks(node uint64, address string) {
+// recordRequest records that a node asks to join the groups. An earlier candidate at the same address is dropped: its
+// disk was lost.
+func (v *voters) recordRequest(node uint64, address string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	delete(v.leaving, node)
@@ -57,34 +59,35 @@
 	v.candidates[node] = candidate{address: address, askedAt: v.server.config.Clock()}
 }
 
-// leaves notes that a node stops by plan.
-func (v *voters) leaves(node uint64) {
+// recordLeaving records that a node is stopping as planned.
+func (v *voters) recordLeaving(node uint64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	delete(v.candidates, node)
 	v.leaving[node] = v.server.config.Clock()
 }
 
-// isLeaving tells whether a node has lately said that it stops.
+// isLeaving reports whether a node announced within leavingLifetime that it stops.
 func (v *voters) isLeaving(node uint64, now time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	saidAt, said := v.leaving[node]
-	if said && now-saidAt > leavingLife {
+	if said && now-saidAt > leavingLifetime {
 		delete(v.leaving, node)
 		return false
 	}
 	return said
 }
 
-// asking lists the nodes that have asked lately, and forgets the others.
-func (v *voters) asking(now time.Duration) []member.GroupNode {
+// recentCandidates lists the nodes whose request to join is still valid, and drops expired requests. Nodes at the
+// addresses of retiring members are left out.
+func (v *voters) recentCandidates(now time.Duration) []member.GroupNode {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	var nodes []member.GroupNode
 	retiring := v.server.retiring()
 	for id, asked := range v.candidates {
-		if now-asked.askedAt > candidateLife {
+		if now-asked.askedAt > candidateLifetime {
 			delete(v.candidates, id)
 			continue
 		}
@@ -95,7 +98,8 @@
 	return nodes
 }
 
-// run looks after the groups until ctx ends; none waits for a change of another one.
+// run maintains the voters of all groups until ctx ends. The groups run independently, so no group waits for another
+// one's change.
 func (v *voters) run(ctx context.Context) {
 	if v.server.config.Voters == 0 {
 		return
@@ -103,7 +107,7 @@
 	var groups sync.WaitGroup
 	for _, group := range v.server.groups() {
 		keeper := &groupKeeper{voters: v, server: v.server, group: group}
-		groups.Go(func() { pause.Every(ctx, votersInterval, keeper.look) })
+		groups.Go(func() { pause.Every(ctx, votersInterval, keeper.reconcile) })
 	}
 	groups.Wait()
 }
--- a/internal/control/yield.go
+++ b/internal/control/yield.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	// yieldInterval is how often a node looks whether another one should lead a group that it leads.
-	yieldInterval = 100 * time.Millisecond
-	// yieldPause is how long a node that was no standby does not give a group away again: it was given back by one that
-	// knows no better, and each change costs the group's running work about 0.4 s.
-	yieldPause = 5 * time.Second
+	// transferInterval is how often a node checks whether another node should lead a group that it leads.
+	transferInterval = 100 * time.Millisecond
+	// transferCooldown is how long a node that is not a standby keeps a group that came back after a transfer. The
+	// other node knows no better leader, and each change delays the group's running work by about 0.4 s.
+	transferCooldown = 5 * time.Second
 )
 
-// yielder gives leaderships away while its node runs. Only its loop touches it.
-type yielder struct {
-	server     *Server
-	aloneSince time.Duration // since when no leader of the control group is known; 0: one is
-	yielded    map[uint32]time.Duration
+// leadershipTransfer transfers leaderships to better suited nodes while this node runs. Only its own loop uses it.
+type leadershipTransfer struct {
+	server             *Server
+	leaderUnknownSince time.Duration            // since when no leader of the control group is known; 0 while one is known
+	transferredAt      map[uint32]time.Duration // time of the last transfer, by group
 }
 
-// yield looks at the groups that this node leads until ctx ends.
-func (s *Server) yield(ctx context.Context) {
-	y := &yielder{server: s, yielded: map[uint32]time.Duration{}}
-	pause.Every(ctx, yieldInterval, y.look)
+// transferLeaderships checks the groups that this node leads at regular intervals until ctx ends.
+func (s *Server) transferLeaderships(ctx context.Context) {
+	y := &leadershipTransfer{server: s, transferredAt: map[uint32]time.Duration{}}
+	pause.Every(ctx, transferInterval, y.checkGroups)
 }
 
-func (y *yielder) look(ctx context.Context) {
+func (y *leadershipTransfer) checkGroups(ctx context.Context) {
 	controlLeader := y.server.states[controlGroup].leader().Leader
 	now := max(y.server.config.Clock(), 1)
 	switch {
 	case controlLeader != raft.None:
-		y.aloneSince = 0
-	case y.aloneSince == 0:
-		y.aloneSince = now
+		y.leaderUnknownSince = 0
+	case y.leaderUnknownSince == 0:
+		y.leaderUnknownSince = now
 	}
 	stuck := y.stuckWrite(ctx)
 	for _, group := range y.server.groups() {
-		if y.server.states[group].leader().Leading && !y.rests(group, now) {
-			y.yieldGroup(ctx, &tenure{group: group, controlLeader: controlLeader, alone: y.alone(now), ahead: stuck.Ahead}, stuck.Lasts)
+		if y.server.states[group].leader().Leading && !y.recentlyTransferred(group, now) {
+			y.transferGroup(ctx, &successionInput{group: group, controlLeader: controlLeader, leaderUnknownFor: y.leaderUnknownFor(now), votersAhead: stuck.Ahead}, stuck.Lasts)
 		}
 	}
 }
 
-// stuckWrite is a write that lasts for half of a lease: after that the leases that wait for it run out before a next leader could
-// renew them. Zero: none does, or this node leads no group.
-func (y *yielder) stuckWrite(ctx context.Context) consensus.StuckWrite {
+// stuckWrite returns a disk write that has lasted for at least half a lease, or the zero value if there is none or this
+// node leads no group. If a transfer started later, leases that wait for the write would expire before the next leader
+// could renew them.
+func (y *leadershipTransfer) stuckWrite(ctx context.Context) consensus.StuckWrite {
 	if !y.server.leadsAny() {
 		return consensus.StuckWrite{}
 	}
@@ -65,26 +66,28 @@
 	return stuck
 }
 
-// leadsAny tells whether this node leads a group.
+// leadsAny reports whether this node leads any group.
 func (s *Server) leadsAny() bool {
 	return slices.ContainsFunc(s.groups(), func(group uint32) bool { return s.states[group].leader().Leading })
 }
 
-func (y *yielder) alone(now time.Duration) time.Duration {
-	if y.aloneSince == 0 {
+func (y *leadershipTransfer) leaderUnknownFor(now time.Duration) time.Duration {
+	if y.leaderUnknownSince == 0 {
 		return 0
 	}
-	return now - y.aloneSince
+	return now - y.leaderUnknownSince
 }
 
-// rests reports whether the group was given away a short while ago.
-func (y *yielder) rests(group uint32, now time.Duration) bool {
-	last, yielded := y.yielded[group]
-	return yielded && now < last+yieldPause && !y.server.config.Standby
+// recentlyTransferred reports whether the group was transferred within transferCooldown. It is always false on a
+// standby.
+func (y *leadershipTransfer) recentlyTransferred(group uint32, now time.Duration) bool {
+	last, transferredAt := y.transferredAt[group]
+	return transferredAt && now < last+transferCooldown && !y.server.config.Standby
 }
 
-// yieldGroup gives a group to its successor, if it has one. writing is for how long the write lasts for which it does.
-func (y *yielder) yieldGroup(ctx context.Context, of *tenure, writing time.Duration) {
+// transferGroup transfers a group to its successor, if there is one. writing is the duration of the stuck write that
+// causes the transfer, or 0.
+func (y *leadershipTransfer) transferGroup(ctx context.Context, of *successionInput, writing time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, localTimeout)
 	defer cancel()
 	status, err := y.server.replicas.Status(ctx, of.group)
@@ -96,12 +99,12 @@
 	if successor == raft.None {
 		return
 	}
-	y.yielded[of.group] = max(y.server.config.Clock(), 1)
-	if len(of.ahead) > 0 {
+	y.transferredAt[of.group] = max(y.server.config.Clock(), 1)
+	if len(of.votersAhead) > 0 {
 		err = y.server.replicas.HandOver(ctx, of.group, successor)
 	} else {
 		err = y.server.replicas.TransferLeadership(ctx, of.group, successor)
 	}
-	logging.Emit(y.server.log, &events.LeadershipYielded{Group: of.group, Successor: successor, AloneMs: events.Millis(of.alone),
+	logging.Emit(y.server.log, &events.LeadershipYielded{Group: of.group, Successor: successor, AloneMs: events.Millis(of.leaderUnknownFor),
 		WritingMs: events.Millis(writing), ControlLeader: of.controlLeader, Cause: events.ErrorText(err)})
 }
