--- a/internal/control/clockbehind_test.go
+++ b/internal/control/clockbehind_test.go
@@ -7,8 +7,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Incarnations of two starts of a process. The later start has the lower number, as on a machine whose clock was set back
-// between them.
+// Incarnations of two starts of a process. The later start has the lower number, as on a machine whose clock was set
+// back between them.
 const (
 	earlierStart = uint64(1_764_720_060_000_000_000)
 	laterStart   = earlierStart - 60_000_000_000
--- a/internal/control/detector.go
+++ b/internal/control/detector.go
@@ -69,8 +69,8 @@
 	d.heardAt[holder] = d.attention.At(d.server.config.Clock())
 }
 
-// suspectAfter and goneAfter return limits of silence. Members renew every sixth of a lease, so a member that pauses
-// for five sixths of a lease exceeds neither.
+// suspectAfter and goneAfter return how long a member must be silent to become suspect or, once its lease has lapsed,
+// gone. Members renew every sixth of a lease, so a member that pauses for five sixths of a lease exceeds neither.
 func (d *detector) suspectAfter() time.Duration {
 	return d.server.settings.Lease * 7 / 6
 }
@@ -250,7 +250,8 @@
 	go func() {
 		defer d.endRecording(member.Name)
 		ctx := pending.session.stream.Context()
-		left := d.propose(ctx, member, wire.MemberState_MEMBER_STATE_LEAVING) // a start that is recorded as leaving cannot come back
+		// A start that is recorded as leaving cannot come back.
+		left := d.propose(ctx, member, wire.MemberState_MEMBER_STATE_LEAVING)
 		if left && d.propose(ctx, member, wire.MemberState_MEMBER_STATE_GONE) {
 			d.server.orphans.requestSweep()
 			pending.session.answerRenewal(pending.request.Sequence, false, nil)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -18,7 +18,8 @@
 			if c.leader() == position {
 				return true
 			}
-			_ = c.servers[c.leader()].OfferControl(testContext(t), c.seeds[position]) // the voter may not have been heard yet
+			// The offer may fail because the voter has not been heard yet.
+			_ = c.servers[c.leader()].OfferControl(testContext(t), c.seeds[position])
 			return false
 		})
 	}
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -147,7 +147,8 @@
 	if !l.levelRead || l.server.leadsControlGroup() {
 		l.levelRead = l.refresh() || l.levelRead
 	}
-	_, grants := l.server.leases.grantedVersion() // before leases are granted, members may not be read yet, older builds among them
+	// Before this node grants leases it may not have read all members, and some of them may be older builds.
+	_, grants := l.server.leases.grantedVersion()
 	if !grants || !l.server.leadsControlGroup() || l.server.draining.Load() || l.agreed().Includes(compat.Newest) {
 		l.settling = nil
 		return
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -85,7 +85,8 @@
 	if session.Level() != compat.Base || levels.agreed() != compat.Base {
 		t.Errorf("%s is in force, want the base level", levels.agreed())
 	}
-	levels.raiseInForce(compat.Shares) // simulates a member that registers at the same instant as the level rises and already has a session
+	// A member that registers at the same instant as the level rises may already have a session.
+	levels.raiseInForce(compat.Shares)
 	if err := older.Send(&wire.SessionRequest{Member: olderMember(), Sequence: 2}); err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +126,8 @@
 // processes to settle.
 func TestFoundingSurvivesLossOfFirstLeader(t *testing.T) {
 	c := startConfiguredCluster(t, func(config *Config) {
-		config.Clock = func() time.Duration { return monotonic.Now() / 2 } // slow enough that nothing settles before eventually gives up
+		// The slow clock prevents that anything settles before eventually gives up.
+		config.Clock = func() time.Duration { return monotonic.Now() / 2 }
 	})
 	for _, server := range c.servers {
 		server.draining.Store(true) // a draining node raises no level
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -71,7 +71,7 @@
 	release  func() error  // releases all resources; later calls do nothing
 }
 
-// New opens the data folder, binds the listener and starts the replicated groups. The node serves nothing until Run is
+// New opens the data folder, binds the listener and opens the replicated groups. The node serves nothing until Run is
 // called. An invalid configuration, an address that cannot be bound and a data folder that cannot be opened are errors.
 func New(config Config) (*Server, error) {
 	if err := config.setDefaults(); err != nil {
--- a/internal/control/succession_test.go
+++ b/internal/control/succession_test.go
@@ -22,32 +22,32 @@
 		of   successionInput
 		want uint64
 	}{
-		"a leader with contact goes on": {
+		"a leader that knows the control leader keeps leading": {
 			successionInput{group: 1, self: self, controlLeader: first, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, raft.None},
-		"the control group's leader goes on": {
+		"the control group's leader keeps leading": {
 			successionInput{group: controlGroup, self: self, leaderUnknownFor: time.Hour, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, raft.None},
-		"an election is awaited": {
+		"a leader waits for an election of the control group": {
 			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit - 1, voters: []raft.Progress{heard(standby, 9)}}, raft.None},
-		"without contact to the most advanced standby": {
+		"without a control leader, the most advanced standby is next": {
 			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit, voters: []raft.Progress{heard(first, 9), heard(standby, 5), heard(otherStandby, 6)}}, otherStandby},
-		"to another voter where no standby is": {
+		"without a control leader and standbys, the most advanced voter is next": {
 			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit, voters: []raft.Progress{heard(first, 8), heard(second, 9)}}, second},
-		"not to one that is silent or no voter": {
+		"silent voters and learners are never next": {
 			successionInput{group: 1, self: self, leaderUnknownFor: leaderUnknownLimit, voters: []raft.Progress{{Node: standby, Match: 9},
 				{Node: first, Match: 9, RecentActive: true, Learner: true}}}, raft.None},
-		"a standby gives to the control group's leader": {
+		"a standby prefers the control group's leader": {
 			successionInput{group: 1, self: standby, controlLeader: first, voters: []raft.Progress{heard(first, 4), heard(second, 9), heard(otherStandby, 9)}}, first},
-		"a standby gives to the most advanced one otherwise": {
+		"a standby otherwise prefers the most advanced voter": {
 			successionInput{group: 1, self: standby, controlLeader: first, voters: []raft.Progress{{Node: first, Match: 9}, heard(second, 4), heard(self, 5)}}, self},
-		"a standby gives the control group away too": {
+		"a standby transfers the control group as well": {
 			successionInput{group: controlGroup, self: standby, controlLeader: standby, voters: []raft.Progress{heard(second, 4)}}, second},
-		"a leader whose disk is stuck gives to a voter whose disk is not": {
+		"a leader with a stuck disk transfers to a voter whose disk works": {
 			successionInput{group: controlGroup, self: self, votersAhead: []uint64{second, standby}, voters: []raft.Progress{heard(first, 9), heard(second, 8), heard(standby, 9)}}, second},
-		"to a standby where only its disk is not": {
+		"a leader with a stuck disk transfers to a standby if only its disk works": {
 			successionInput{group: 1, self: self, votersAhead: []uint64{standby}, voters: []raft.Progress{heard(first, 9), heard(standby, 9)}}, standby},
-		"not to one that has fallen silent": {
+		"a leader with a stuck disk does not transfer to a silent voter": {
 			successionInput{group: 1, self: self, votersAhead: []uint64{second}, voters: []raft.Progress{heard(first, 9), {Node: second, Match: 9}}}, raft.None},
-		"a standby without another voter goes on": {
+		"a standby keeps leading if all other voters are standbys": {
 			successionInput{group: 1, self: standby, controlLeader: standby, voters: []raft.Progress{heard(otherStandby, 9)}}, raft.None},
 	} {
 		if got := test.of.successor(); got != test.want {
@@ -65,10 +65,10 @@
 		controlLeader uint64
 		want          bool
 	}{
-		"the control group's leader":            {controlGroup, leader, true},
-		"the control group's, not yet heard":    {controlGroup, raft.None, true},
-		"a ledger group's with contact":         {1, leader, true},
-		"a ledger group's that hears no leader": {1, raft.None, false},
+		"the control group's leader":                            {controlGroup, leader, true},
+		"the control group's leader, not yet known":             {controlGroup, raft.None, true},
+		"a ledger group's leader that knows the control leader": {1, leader, true},
+		"a ledger group's leader that knows no control leader":  {1, raft.None, false},
 	} {
 		if got := mayReplaceVoters(test.group, test.controlLeader); got != test.want {
 			t.Errorf("%s: got mayReplaceVoters %t, want the opposite", name, got)
