--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -18,15 +18,15 @@
 
 const (
 	metricsSubsystem = "control"
-	// scrapeTimeout bounds the questions to the groups for one scrape.
+	// scrapeTimeout bounds the queries to the groups for one scrape.
 	scrapeTimeout = time.Second
 )
 
-// errDraining is the readiness of a node that stops by plan.
+// errDraining is returned by Ready on a node that stops as planned.
 var errDraining = errors.New("draining: leaderships are handed over")
 
-// Ready implements metrics.Process: a node takes work while it knows a leader of every group. A node that
-// is cut off from the quorum knows none after an election timeout, whether it led before or not.
+// Ready implements metrics.Process. It returns nil if the node knows a leader of every group and does not drain. A node
+// that is cut off from the quorum knows no leader after an election timeout, even if it led before.
 func (s *Server) Ready(ctx context.Context) error {
 	if s.draining.Load() {
 		return errDraining
@@ -46,7 +46,7 @@
 // Collector implements metrics.Process.
 func (s *Server) Collector() prometheus.Collector { return &collector{server: s} }
 
-// collector reads the node's state at each scrape.
+// collector collects the node's metrics at each scrape.
 type collector struct{ server *Server }
 
 func describe(name, help string, labels ...string) *prometheus.Desc {
@@ -69,9 +69,9 @@
 	unreadDesc        = describe("state_reads_failed_total", "Reads of the state applied here that failed, by what was read: table, members or level.", "what")
 	levelDesc         = describe("level", "Level of what the processes say to each other that is in force, as applied here.")
 	holdersDesc       = describe("lease_holders", "Processes that hold a lease on the table; only on the leader.")
-	oldestDesc        = describe("lease_holders_behind", "Lease holders that act on an older version than the newest; only on the leader.")
+	holdersBehindDesc = describe("lease_holders_behind", "Lease holders that act on an older version than the newest; only on the leader.")
 	controlStateDescs = []*prometheus.Desc{hasLeaderDesc, leadingDesc, termDesc, commitDesc, appliedDesc, votersDesc,
-		unreachableDesc, lagDesc, claimsDesc, tableVersionDesc, levelDesc, inForceDesc, grantedDesc, unreadDesc, holdersDesc, oldestDesc}
+		unreachableDesc, lagDesc, claimsDesc, tableVersionDesc, levelDesc, inForceDesc, grantedDesc, unreadDesc, holdersDesc, holdersBehindDesc}
 )
 
 // Describe implements prometheus.Collector.
@@ -88,36 +88,36 @@
 	for _, desc := range holdingsDescs {
 		descs <- desc
 	}
-	c.server.syncs.Describe(descs)
+	c.server.syncDurations.Describe(descs)
 }
 
-// Collect implements prometheus.Collector. A group that does not answer in time is left out.
-func (c *collector) Collect(found chan<- prometheus.Metric) {
+// Collect implements prometheus.Collector. It omits a group that does not answer in time.
+func (c *collector) Collect(out chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(c.server.context, scrapeTimeout)
 	defer cancel()
-	c.server.syncs.Collect(found)
-	collectShares(found, c.server.shares.usages())
-	counter(found, jobsRefusedDesc, c.server.jobRoom.refusals())
-	unreads := c.server.publisher.unreads()
-	for _, what := range []string{unreadTable, unreadMembers, unreadLevel} {
-		counter(found, unreadDesc, unreads[what], what)
+	c.server.syncDurations.Collect(out)
+	collectShares(out, c.server.shares.usages())
+	counter(out, jobsRefusedDesc, c.server.jobCapacity.rejections())
+	readFailures := c.server.publisher.readFailures()
+	for _, what := range []string{readOfTable, readOfMembers, readOfLevel} {
+		counter(out, unreadDesc, readFailures[what], what)
 	}
-	if granted, leads := c.server.leases.granting(); leads {
-		gauge(found, grantedDesc, granted)
+	if granted, leads := c.server.leases.grantedVersion(); leads {
+		gauge(out, grantedDesc, granted)
 	}
 	for group := range c.server.states {
-		c.collectElections(ctx, found, uint32(group))
+		c.collectElections(ctx, out, uint32(group))
 		view, err := c.server.statusView(ctx, uint32(group))
 		if err != nil {
 			continue
 		}
-		collectGroup(found, uint32(group), view.GetStatus())
-		c.collectHoldings(ctx, found, uint32(group), view.GetStatus())
+		collectGroup(out, uint32(group), view.GetStatus())
+		c.collectHoldings(ctx, out, uint32(group), view.GetStatus())
 	}
 }
 
-func gauge(found chan<- prometheus.Metric, desc *prometheus.Desc, value uint64, labels ...string) {
-	found <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value), labels...)
+func gauge(out chan<- prometheus.Metric, desc *prometheus.Desc, value uint64, labels ...string) {
+	out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value), labels...)
 }
 
 func boolValue(value bool) uint64 {
@@ -127,40 +127,40 @@
 	return 0
 }
 
-func collectGroup(found chan<- prometheus.Metric, group uint32, status *wire.StatusView) {
+func collectGroup(out chan<- prometheus.Metric, group uint32, status *wire.StatusView) {
 	label := strconv.FormatUint(uint64(group), 10)
 	leading := status.Leader == status.Node
-	gauge(found, hasLeaderDesc, boolValue(status.Leader != raft.None), label)
-	gauge(found, leadingDesc, boolValue(leading), label)
-	gauge(found, termDesc, status.Term, label)
-	gauge(found, commitDesc, status.CommitIndex, label)
-	gauge(found, appliedDesc, status.AppliedIndex, label)
-	gauge(found, votersDesc, uint64(len(status.Voters)), label)
+	gauge(out, hasLeaderDesc, boolValue(status.Leader != raft.None), label)
+	gauge(out, leadingDesc, boolValue(leading), label)
+	gauge(out, termDesc, status.Term, label)
+	gauge(out, commitDesc, status.CommitIndex, label)
+	gauge(out, appliedDesc, status.AppliedIndex, label)
+	gauge(out, votersDesc, uint64(len(status.Voters)), label)
 	if leading {
-		collectFollowers(found, label, status)
+		collectFollowers(out, label, status)
 	}
 	if group != controlGroup {
-		gauge(found, claimsDesc, status.Claims, label)
+		gauge(out, claimsDesc, status.Claims, label)
 		return
 	}
-	gauge(found, tableVersionDesc, status.TableVersion)
-	gauge(found, levelDesc, uint64(status.Level))
+	gauge(out, tableVersionDesc, status.TableVersion)
+	gauge(out, levelDesc, uint64(status.Level))
 	if !leading {
 		return
 	}
 	if status.InForceVersion > 0 {
-		gauge(found, inForceDesc, status.InForceVersion)
+		gauge(out, inForceDesc, status.InForceVersion)
 	}
 	behind := uint64(0)
 	for _, holder := range status.Holders {
 		behind += boolValue(holder.ActedVersion < status.TableVersion)
 	}
-	gauge(found, holdersDesc, uint64(len(status.Holders)))
-	gauge(found, oldestDesc, behind)
+	gauge(out, holdersDesc, uint64(len(status.Holders)))
+	gauge(out, holdersBehindDesc, behind)
 }
 
-// collectFollowers shows how the other nodes follow this leader.
-func collectFollowers(found chan<- prometheus.Metric, label string, status *wire.StatusView) {
+// collectFollowers collects how far the other nodes are behind this leader.
+func collectFollowers(out chan<- prometheus.Metric, label string, status *wire.StatusView) {
 	unreachable, lag := uint64(0), uint64(0)
 	for _, node := range status.Nodes {
 		if node.Node == status.Node {
@@ -171,27 +171,27 @@
 			lag = max(lag, status.CommitIndex-node.MatchIndex)
 		}
 	}
-	gauge(found, unreachableDesc, unreachable, label)
-	gauge(found, lagDesc, lag, label)
+	gauge(out, unreachableDesc, unreachable, label)
+	gauge(out, lagDesc, lag, label)
 }
 
-// newSyncs returns the histogram of the synced writes.
-func newSyncs() prometheus.Histogram {
+// newSyncHistogram returns the histogram of the durations of synced writes.
+func newSyncHistogram() prometheus.Histogram {
 	return prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: metrics.Namespace, Subsystem: metricsSubsystem,
 		Name: "sync_duration_seconds", Help: "Time of one synced write of all groups' pending entries.",
 		Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16)})
 }
 
-// timedStore measures the synced writes of a store.
+// timedStore records the durations of the synced writes of a store.
 type timedStore struct {
 	consensus.Store
-	syncs prometheus.Histogram
+	syncDurations prometheus.Histogram
 }
 
 // Write implements consensus.Store.
 func (t timedStore) Write(batch []storage.GroupWrite) error {
 	began := time.Now()
 	err := t.Store.Write(batch)
-	t.syncs.Observe(time.Since(began).Seconds())
+	t.syncDurations.Observe(time.Since(began).Seconds())
 	return err
 }
