--- a/internal/raft/append.go
+++ b/internal/raft/append.go
@@ -7,21 +7,23 @@
 	"github.com/gravitational/trace"
 )
 
-// Propose appends a command to the log if this node leads, and returns the position it will be applied
-// at if no other leader's entry takes its place: compare the term of the entry that is applied there.
-// Errors: ErrNotLeader, ErrTransferring, ErrOverloaded; with any of them nothing was appended.
+// Propose appends a command to the log if this node leads, and returns the index and term of its entry. A later
+// leader may replace the entry, so the caller has to compare the term of the entry that is applied at index. Errors:
+// ErrNotLeader, ErrTransferring, ErrOverloaded, and trace.BadParameter for an empty command; with any of them nothing
+// was appended.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if len(data) == 0 {
 		return 0, 0, trace.BadParameter("raft: a command is empty")
 	}
-	if err := n.acceptsProposals(len(data)); err != nil {
+	if err := n.checkProposal(len(data)); err != nil {
 		return 0, 0, err
 	}
 	defer n.checkInvariants()
-	return n.appendOwn(EntryCommand, data), n.term, nil
+	return n.appendEntry(EntryCommand, data), n.term, nil
 }
 
-func (n *Node) acceptsProposals(size int) error {
+// checkProposal returns the error with which a proposal of size bytes is rejected, or nil.
+func (n *Node) checkProposal(size int) error {
 	switch {
 	case n.role != Leader:
 		return ErrNotLeader
@@ -33,44 +35,44 @@
 	return nil
 }
 
-// ProposeChange appends a configuration change. It is in force on each node as soon as it is in that
-// node's log. Errors: those of Propose, ErrChangePending, ErrNotCaughtUp, ErrLastVoter, ErrQuorumAtRisk,
-// ErrAlreadyMember, ErrNotMember; with any of them nothing was appended.
+// ProposeChange appends a configuration change. It takes effect on each node as soon as it is in that node's log.
+// Errors: those of Propose, ErrChangePending, ErrNotCaughtUp, ErrLastVoter, ErrQuorumAtRisk, ErrAlreadyMember,
+// ErrNotMember, and trace.BadParameter for an unknown kind of change; with any of them nothing was appended.
 func (n *Node) ProposeChange(change ConfigurationChange) (index, term uint64, err error) {
-	if err := n.acceptsProposals(0); err != nil {
+	if err := n.checkProposal(0); err != nil {
 		return 0, 0, err
 	}
 	if n.configurations.latest().index > n.log.applied && !n.config.Unsafe.ConcurrentChanges {
 		return 0, 0, ErrChangePending
 	}
-	if !n.committedInTerm() && !n.config.Unsafe.ChangeWithoutOwnCommit {
+	if !n.hasCommittedInTerm() && !n.config.Unsafe.ChangeWithoutOwnCommit {
 		return 0, 0, ErrChangePending
 	}
-	change.Result, err = n.configuration().after(change)
+	change.Result, err = n.configuration().apply(change)
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := n.permits(change); err != nil {
+	if err := n.checkChange(change); err != nil {
 		return 0, 0, err
 	}
 	defer n.checkInvariants()
-	return n.appendOwn(EntryConfiguration, change.Encode()), n.term, nil
+	return n.appendEntry(EntryConfiguration, change.Encode()), n.term, nil
 }
 
-// permits refuses a change that would leave the group without a working quorum.
-func (n *Node) permits(change ConfigurationChange) error {
+// checkChange rejects a change that would leave the group without a working quorum.
+func (n *Node) checkChange(change ConfigurationChange) error {
 	if change.Kind == AddLearner {
 		return nil
 	}
 	if change.Kind == PromoteLearner {
 		learner := n.progressOf(change.Node)
-		if learner == nil || learner.state != replicating || learner.match < n.heartbeatCommit || !n.active(learner) {
+		if learner == nil || learner.state != replicating || learner.match < n.heartbeatCommit || !n.isActive(learner) {
 			return ErrNotCaughtUp
 		}
 	}
 	alive := 0
 	for _, member := range n.progress {
-		if change.Result.IsVoter(member.node) && n.active(member) {
+		if change.Result.IsVoter(member.node) && n.isActive(member) {
 			alive++
 		}
 	}
@@ -80,17 +82,17 @@
 	return nil
 }
 
-// committedInTerm reports whether an entry of this term is committed; only then does this leader know
-// all that earlier leaders committed.
-func (n *Node) committedInTerm() bool {
+// hasCommittedInTerm reports whether an entry of the current term is committed. Before that the leader may not know
+// of all entries that earlier leaders committed.
+func (n *Node) hasCommittedInTerm() bool {
 	term, _ := n.log.term(n.log.commit)
 	return term == n.term
 }
 
-// appendOwn appends a leader's entry. Ready sends it and has it synced; proposals made between two
-// Readies travel and are synced together.
-func (n *Node) appendOwn(kind EntryKind, data []byte) uint64 {
-	entry := Entry{Index: n.log.last() + 1, Term: n.term, Kind: kind, Data: data}
+// appendEntry appends an entry to the leader's own log. The next Ready sends and syncs it, so that proposals made
+// between two Readies are batched.
+func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
+	entry := Entry{Index: n.log.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
 	n.log.append(entry)
 	n.uncommittedBytes += len(data)
 	n.flushNeeded = true
@@ -99,12 +101,12 @@
 		n.addProgress()
 	}
 	if n.config.Unsafe.CountUnsyncedSelf {
-		n.acknowledgeOwn(n.log.last())
+		n.acknowledgeSelf(n.log.lastIndex())
 	}
 	return entry.Index
 }
 
-// addProgress starts to keep progress of the members of the configuration in force.
+// addProgress starts tracking members of the configuration in force that are not tracked yet.
 func (n *Node) addProgress() {
 	configuration := n.configuration()
 	for _, list := range [][]uint64{configuration.Voters, configuration.Learners} {
@@ -117,8 +119,8 @@
 	slices.SortFunc(n.progress, func(a, b *progress) int { return cmp.Compare(a.node, b.node) })
 }
 
-// forgetRemoved drops the progress of nodes that the configuration in force leaves out.
-func (n *Node) forgetRemoved() {
+// removeObsoleteProgress stops tracking nodes that are not in the configuration in force.
+func (n *Node) removeObsoleteProgress() {
 	configuration := n.configuration()
 	n.progress = slices.DeleteFunc(n.progress, func(p *progress) bool {
 		return !configuration.IsVoter(p.node) && !configuration.IsLearner(p.node)
@@ -126,7 +128,7 @@
 }
 
 func (n *Node) newProgress(node uint64) *progress {
-	p := &progress{node: node, next: n.log.last() + 1}
+	p := &progress{node: node, next: n.log.lastIndex() + 1}
 	if node == n.id {
 		p.match = n.log.stable
 		return p
@@ -144,19 +146,20 @@
 	return nil
 }
 
-// hears reports whether a member was heard from within the last election timeout. Its disk may hang.
-func (n *Node) hears(p *progress) bool {
-	return p.node == n.id || p.silentTicks < n.config.ElectionTicks
+// isReachable reports whether any reply of the member arrived within the last election timeout. Its disk may hang.
+func (n *Node) isReachable(p *progress) bool {
+	return p.node == n.id || p.ticksSinceReply < n.config.ElectionTicks
 }
 
-// active reports whether a member has answered within the last election timeout what waits for its disk: one that is heard
-// while its disk hangs holds nothing that is new, and counts for no quorum of disks.
-func (n *Node) active(p *progress) bool {
-	return p.node == n.id || p.storedTicks < n.config.ElectionTicks
+// isActive reports whether the member has sent, within the last election timeout, a reply that waits for its disk. A
+// member whose disk hangs still answers heartbeats, but it stores nothing new and must not count towards a quorum of
+// disks.
+func (n *Node) isActive(p *progress) bool {
+	return p.node == n.id || p.ticksSinceDurableReply < n.config.ElectionTicks
 }
 
-// acknowledgeOwn notes that this leader's own disk holds the log up to index.
-func (n *Node) acknowledgeOwn(index uint64) {
+// acknowledgeSelf records that this leader's own disk holds the log up to index.
+func (n *Node) acknowledgeSelf(index uint64) {
 	if own := n.progressOf(n.id); own != nil {
 		own.acknowledge(index)
 	}
@@ -181,8 +184,9 @@
 	return values[len(values)-quorum]
 }
 
-// maybeCommit commits what a quorum's disks hold, if it ends with an entry of this term: an older entry
-// on a quorum's disks can still be replaced by a leader that does not have it.
+// maybeCommit advances the commit index to the highest index that a quorum of disks holds, provided that its entry is
+// of the current term. An entry of an earlier term, even on a quorum of disks, can still be replaced by a leader that
+// does not hold it (section 5.4.2 of the Raft paper).
 func (n *Node) maybeCommit() {
 	index := n.quorumValue(func(p *progress) uint64 { return p.match })
 	if index <= n.log.commit {
@@ -191,19 +195,19 @@
 	if term, _ := n.log.term(index); term != n.term && !n.config.Unsafe.CommitOldTermEntries {
 		return
 	}
-	n.uncommittedBytes -= n.log.bytes(n.log.commit+1, index)
+	n.uncommittedBytes -= n.log.dataSize(n.log.commit+1, index)
 	n.log.commitTo(index)
 	n.flushNeeded = true
 	if latest := n.configurations.latest(); len(n.progress) > len(latest.configuration.Voters)+len(latest.configuration.Learners) &&
 		latest.index <= index {
-		n.flush() // so that a removed member can learn that it is one
+		n.flush() // sends the commit index to removed members, so that they learn of their removal
 		n.stepDownIfRemoved()
-		n.forgetRemoved()
+		n.removeObsoleteProgress()
 	}
 }
 
-// stepDownIfRemoved ends the leadership of a node whose removal is committed, asking the voter with the
-// longest log to take over.
+// stepDownIfRemoved ends the leadership of a node whose removal is committed. It asks the voter with the longest log
+// to take over.
 func (n *Node) stepDownIfRemoved() {
 	latest := n.configurations.latest()
 	if latest.configuration.IsVoter(n.id) {
@@ -221,7 +225,8 @@
 	n.becomeFollower(n.term, None)
 }
 
-// flush sends each member what it may be sent now.
+// flush sends to each member all entries and commit indexes that may be sent now, and starts a read round if one is
+// due.
 func (n *Node) flush() {
 	if n.role != Leader || !n.flushNeeded {
 		return
@@ -232,13 +237,13 @@
 			n.replicate(p)
 		}
 	}
-	n.startReads()
+	n.startReadRound()
 }
 
-// replicate sends appends to one member until the window is full or nothing is left.
+// replicate sends appends to one member until the window is full or nothing is left to send.
 func (n *Node) replicate(p *progress) {
 	if p.next <= n.log.offset && p.state != snapshotting {
-		// Also with a full window: its appends were from before the log and cannot be sent again.
+		// This holds for a full window too: its appends precede the compacted log and cannot be sent again.
 		n.sendSnapshot(p)
 		return
 	}
@@ -252,10 +257,10 @@
 			break
 		}
 	}
-	if p.nudge && p.state == replicating && p.next > n.log.offset {
+	if p.emptyAppendNeeded && p.state == replicating && p.next > n.log.offset {
 		n.sendAppend(p, nil)
 	}
-	p.nudge = false
+	p.emptyAppendNeeded = false
 }
 
 func (n *Node) sendAppend(p *progress, entries []Entry) {
@@ -272,44 +277,44 @@
 	}
 }
 
-// handleAppendReply learns what a member's disk holds, or where its log differs.
+// handleAppendReply records which entries a member's disk holds, or finds where its log differs.
 func (n *Node) handleAppendReply(m Message) error {
 	p := n.progressOf(m.From)
 	if n.role != Leader || p == nil {
 		return nil
 	}
-	if m.Index > n.log.last() {
-		return contradiction(m, "index %d is past the leader's last index %d", m.Index, n.log.last())
+	if m.Index > n.log.lastIndex() {
+		return newContradiction(m, "index %d is past the leader's last index %d", m.Index, n.log.lastIndex())
 	}
-	p.silentTicks, p.storedTicks, p.heard = 0, 0, true
+	p.ticksSinceReply, p.ticksSinceDurableReply, p.repliedInTerm = 0, 0, true
 	if m.Reject {
 		n.handleRejection(p, m)
 		return nil
 	}
-	news := p.acknowledge(m.Index)
+	advanced := p.acknowledge(m.Index)
 	n.flushNeeded = true
 	resumed := p.state == snapshotting && (p.match >= n.log.offset || p.match >= p.snapshotIndex)
-	if p.state == probing && (news || p.match == m.Index) || resumed {
+	if p.state == probing && (advanced || p.match == m.Index) || resumed {
 		p.become(replicating)
 	}
-	if news {
+	if advanced {
 		n.maybeCommit()
 		n.finishTransfer(p)
 	}
 	return nil
 }
 
-// handleRejection starts over where the member's log can match.
+// handleRejection moves next back to the highest index at which the member's log can match.
 func (n *Node) handleRejection(p *progress, m Message) {
 	switch {
 	case p.state == replicating && m.Index > p.match:
 		p.become(probing)
 	case p.state == probing && m.Index == p.next-1:
-		hint, _ := n.log.lastNotAfter(m.RejectHint, m.LogTerm)
+		hint, _ := n.log.findConflictByTerm(m.RejectHint, m.LogTerm)
 		p.next = max(min(hint, m.Index-1), p.match) + 1
 		p.probeSent = false
 	default:
-		return // old
+		return // stale rejection
 	}
 	n.flushNeeded = true
 }
--- a/internal/raft/checker_test.go
+++ b/internal/raft/checker_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// counts says how much a checker examined.
+// counts is the number of checks made of each kind.
 type counts struct {
 	leaders, entries, completeness, matches, reads, snapshots int
 }
@@ -16,24 +16,25 @@
 	c.snapshots += other.snapshots
 }
 
-type committed struct {
+// committed is an applied entry.
+type appliedEntry struct {
 	term   uint64
 	digest string // of the state after the entry
 }
 
-// checker holds what must be true of a group as a whole.
+// checker verifies the safety properties of the Raft paper for a group as a whole.
 type checker struct {
 	counts
-	violation string
-	leaderOf  map[uint64]uint64    // by term: election safety
-	log       map[uint64]committed // by index: state machine safety
-	last      uint64               // highest committed index known
-	floor     map[uint64]uint64    // by read: what it must not miss
-	nextRead  uint64
+	violation    string
+	leaderOf     map[uint64]uint64       // by term, for election safety
+	log          map[uint64]appliedEntry // by index, for state machine safety
+	lastApplied  uint64                  // highest index that any node has applied
+	minReadIndex map[uint64]uint64       // by read: the least index that it must return
+	nextRead     uint64
 }
 
 func newChecker() checker {
-	return checker{leaderOf: map[uint64]uint64{}, log: map[uint64]committed{}, floor: map[uint64]uint64{}}
+	return checker{leaderOf: map[uint64]uint64{}, log: map[uint64]appliedEntry{}, minReadIndex: map[uint64]uint64{}}
 }
 
 func (c *checker) fail(format string, arguments ...any) {
@@ -42,60 +43,64 @@
 	}
 }
 
-// applied: no two nodes apply different entries at one index, or reach different states.
-func (c *checker) applied(node uint64, entry Entry, state []byte) {
+// checkApplied verifies state machine safety: no two nodes apply different entries at one index, or reach different
+// states there.
+func (c *checker) checkApplied(node uint64, entry Entry, state []byte) {
 	c.entries++
 	known, ok := c.log[entry.Index]
 	if !ok {
-		c.log[entry.Index] = committed{term: entry.Term, digest: string(state)}
-		c.last = max(c.last, entry.Index)
+		c.log[entry.Index] = appliedEntry{term: entry.Term, digest: string(state)}
+		c.lastApplied = max(c.lastApplied, entry.Index)
 		return
 	}
 	if known.term != entry.Term || known.digest != string(state) {
-		c.fail("state machine safety: node %d applied entry %d of term %d, another one of term %d", node, entry.Index, entry.Term, known.term)
+		c.fail("state machine safety: node %d applied entry %d of term %d, another node applied one of term %d there", node, entry.Index, entry.Term, known.term)
 	}
 }
 
-func (c *checker) snapshot(node uint64, snapshot *Snapshot) {
+// checkSnapshot verifies that a received snapshot is the state that the group reached at its index.
+func (c *checker) checkSnapshot(node uint64, snapshot *Snapshot) {
 	c.snapshots++
 	known, ok := c.log[snapshot.Index]
 	if !ok || known.term != snapshot.Term || known.digest != string(snapshot.Data.Join()) {
-		c.fail("state machine safety: node %d took a snapshot at %d of term %d that nobody committed", node, snapshot.Index, snapshot.Term)
+		c.fail("state machine safety: node %d installed a snapshot at %d of term %d that is not the committed state", node, snapshot.Index, snapshot.Term)
 	}
 }
 
-func (c *checker) readAsked() {
-	c.floor[c.nextRead] = c.last
+// recordReadRequest records the highest index applied anywhere when a read is requested.
+func (c *checker) recordReadRequest() {
+	c.minReadIndex[c.nextRead] = c.lastApplied
 	c.nextRead++
 }
 
-// read: a read sees all that was applied anywhere before it was asked for.
-func (c *checker) read(node uint64, state ReadState) {
+// checkRead verifies that a read covers everything that was applied anywhere before it was requested.
+func (c *checker) checkRead(node uint64, state ReadState) {
 	c.reads++
-	if floor := c.floor[state.Context]; state.Index < floor {
+	if floor := c.minReadIndex[state.Context]; state.Index < floor {
 		c.fail("linearizable reads: node %d served read %d at %d, but %d was applied before", node, state.Context, state.Index, floor)
 	}
 }
 
-// observe examines all nodes' present state.
+// observe checks the present state of all nodes.
 func (c *checker) observe(group *cluster) {
 	for i, m := range group.machines {
 		if m.node == nil {
 			continue
 		}
 		if m.node.role == Leader {
-			c.leader(m)
+			c.checkLeader(m)
 		}
 		for _, other := range group.machines[:i] {
 			if other.node != nil {
-				c.match(m.node, other.node)
+				c.checkLogMatching(m.node, other.node)
 			}
 		}
 	}
 }
 
-// leader: one leader a term, and it holds all that was applied anywhere in earlier terms.
-func (c *checker) leader(m *machine) {
+// checkLeader verifies election safety and leader completeness: a term has one leader, and that leader holds all
+// entries that were applied anywhere in earlier terms.
+func (c *checker) checkLeader(m *machine) {
 	known, ok := c.leaderOf[m.node.term]
 	if ok && known != m.id {
 		c.fail("election safety: nodes %d and %d lead term %d", known, m.id, m.node.term)
@@ -105,7 +110,7 @@
 	}
 	c.leaders++
 	c.leaderOf[m.node.term] = m.id
-	for index := m.node.log.first(); index <= c.last; index++ {
+	for index := m.node.log.firstIndex(); index <= c.lastApplied; index++ {
 		c.completeness++
 		if term, held := m.node.log.term(index); !held || term != c.log[index].term {
 			c.fail("leader completeness: node %d leads term %d without the committed entry %d", m.id, m.node.term, index)
@@ -113,10 +118,10 @@
 	}
 }
 
-// match: two logs that agree on an index and term agree on all before it.
-func (c *checker) match(a, b *Node) {
+// checkLogMatching verifies that two logs which agree on an index and term agree on all entries before it.
+func (c *checker) checkLogMatching(a, b *Node) {
 	agreed := false
-	for index := min(a.log.last(), b.log.last()); index >= max(a.log.first(), b.log.first()); index-- {
+	for index := min(a.log.lastIndex(), b.log.lastIndex()); index >= max(a.log.firstIndex(), b.log.firstIndex()); index-- {
 		c.matches++
 		termA, _ := a.log.term(index)
 		termB, _ := b.log.term(index)
--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -8,13 +8,14 @@
 	"slices"
 )
 
-// disk is a machine's synced storage.
+// disk is the synced storage of a machine.
 type disk struct {
 	hard     HardState
 	snapshot Snapshot
 	entries  []Entry
 }
 
+// write stores what a Ready has to persist.
 func (d *disk) write(ready Ready) {
 	if ready.Snapshot != nil {
 		d.snapshot, d.entries = *ready.Snapshot, nil
@@ -26,7 +27,7 @@
 	d.hard = ready.HardState
 }
 
-// compact stores a snapshot of the node's own state and drops what it covers.
+// compact stores a snapshot of the node's own state and drops the entries that it covers.
 func (d *disk) compact(snapshot Snapshot) {
 	d.entries = slices.Clone(d.entries[snapshot.Index-d.snapshot.Index:])
 	d.snapshot = snapshot
@@ -34,30 +35,31 @@
 
 // machine is one process with its disk.
 type machine struct {
-	id      uint64
-	node    *Node // nil while it is down
-	disk    disk
-	ready   *Ready // taken and not yet advanced
-	applied []byte // the state machine: a digest of all commands so far
-	index   uint64 // of the last entry that it applied
-	reads   []ReadState
+	id           uint64
+	node         *Node // nil while it is down
+	disk         disk
+	ready        *Ready // outstanding, nil if none
+	state        []byte // of the state machine: a digest of all commands applied so far
+	appliedIndex uint64 // index of the last entry applied
+	reads        []ReadState
 
 	campaignDelay int // Config.CampaignDelayTicks
 }
 
-// cluster is a group over a network that loses, repeats and reorders, with a checker of what must hold.
+// cluster is a group over a network that loses, repeats and reorders messages. A checker verifies the safety
+// properties of the group.
 type cluster struct {
-	random   *rand.Rand
-	base     Config
-	machines []*machine
-	network  []Message
-	cut      map[uint64]bool // machines that nobody can reach
-	next     uint64          // next proposal
-	check    checker
+	random       *rand.Rand
+	base         Config
+	machines     []*machine
+	network      []Message
+	isolated     map[uint64]bool // machines that can neither send nor receive
+	nextProposal uint64          // content of the last proposal
+	check        checker
 }
 
 func newCluster(random *rand.Rand, base Config, voters int) *cluster {
-	c := &cluster{random: random, base: base, cut: map[uint64]bool{}, check: newChecker()}
+	c := &cluster{random: random, base: base, isolated: map[uint64]bool{}, check: newChecker()}
 	configuration := Configuration{}
 	for id := range voters {
 		configuration.Voters = append(configuration.Voters, uint64(id)+1)
@@ -81,10 +83,10 @@
 	config.CampaignDelayTicks = m.campaignDelay
 	node, err := New(config, Restored{HardState: m.disk.hard, Snapshot: m.disk.snapshot, Entries: slices.Clone(m.disk.entries)})
 	if err != nil {
-		c.check.fail("node %d refused its own disk: %v", m.id, err)
+		c.check.fail("node %d rejected the state on its own disk: %v", m.id, err)
 		return
 	}
-	m.node, m.ready, m.applied, m.index = node, nil, m.disk.snapshot.Data.Join(), m.disk.snapshot.Index
+	m.node, m.ready, m.state, m.appliedIndex = node, nil, m.disk.snapshot.Data.Join(), m.disk.snapshot.Index
 	m.reads = nil
 }
 
@@ -111,8 +113,8 @@
 
 func (c *cluster) send(messages []Message) { c.network = append(c.network, messages...) }
 
-// take begins a machine's next round of work: its early messages leave.
-func (c *cluster) take(m *machine) {
+// takeReady takes a machine's next Ready, if there is one, sends its early messages and applies its durable entries.
+func (c *cluster) takeReady(m *machine) {
 	if m.node != nil {
 		c.takeUrgent(m)
 	}
@@ -125,15 +127,15 @@
 	c.applyDurable(m, ready)
 }
 
-// takeUrgent does what may be done at once, also while a Ready is out.
+// takeUrgent does the work that may be done at once, even while a Ready is outstanding.
 func (c *cluster) takeUrgent(m *machine) {
 	urgent := m.node.Urgent()
 	c.send(urgent.Messages)
 	c.applyEntries(m, urgent.Committed...)
-	c.takeReads(m, urgent.ReadStates)
+	c.recordReads(m, urgent.ReadStates)
 }
 
-// applyDurable applies what the machine's disk holds already; the rest is applied after the sync.
+// applyDurable applies the committed entries that the machine's disk already holds; the others follow after the sync.
 func (c *cluster) applyDurable(m *machine, ready Ready) {
 	if ready.Snapshot != nil {
 		return
@@ -146,8 +148,8 @@
 	}
 }
 
-// finish ends it: sync, send, apply, advance.
-func (c *cluster) finish(m *machine) {
+// finishReady completes the outstanding Ready: sync, send, apply, advance.
+func (c *cluster) finishReady(m *machine) {
 	if m.node == nil || m.ready == nil {
 		return
 	}
@@ -159,8 +161,8 @@
 	m.node.Advance(ready)
 }
 
-// finishPartly syncs and perhaps sends, and then crashes.
-func (c *cluster) finishPartly(m *machine, send bool) {
+// syncThenCrash syncs the outstanding Ready, sends its messages if send is set, and then crashes the machine.
+func (c *cluster) syncThenCrash(m *machine, send bool) {
 	if m.node == nil || m.ready == nil {
 		return
 	}
@@ -173,30 +175,30 @@
 
 func (c *cluster) apply(m *machine, ready Ready) {
 	if ready.Snapshot != nil {
-		m.applied, m.index = ready.Snapshot.Data.Join(), ready.Snapshot.Index
-		c.check.snapshot(m.id, ready.Snapshot)
+		m.state, m.appliedIndex = ready.Snapshot.Data.Join(), ready.Snapshot.Index
+		c.check.checkSnapshot(m.id, ready.Snapshot)
 	}
 	c.applyEntries(m, ready.Committed...)
-	c.takeReads(m, ready.ReadStates)
+	c.recordReads(m, ready.ReadStates)
 }
 
-// applyEntries applies entries in order; those applied before are skipped.
+// applyEntries applies entries in order and skips those that were applied before.
 func (c *cluster) applyEntries(m *machine, entries ...Entry) {
 	for _, entry := range entries {
-		if entry.Index <= m.index {
+		if entry.Index <= m.appliedIndex {
 			continue
 		}
-		if entry.Index != m.index+1 {
-			c.check.fail("node %d is at %d and was given entry %d", m.id, m.index, entry.Index)
+		if entry.Index != m.appliedIndex+1 {
+			c.check.fail("node %d has applied up to %d, got entry %d next", m.id, m.appliedIndex, entry.Index)
 		}
-		m.applied, m.index = digest(m.applied, entry), entry.Index
-		c.check.applied(m.id, entry, m.applied)
+		m.state, m.appliedIndex = digest(m.state, entry), entry.Index
+		c.check.checkApplied(m.id, entry, m.state)
 	}
 }
 
-func (c *cluster) takeReads(m *machine, states []ReadState) {
+func (c *cluster) recordReads(m *machine, states []ReadState) {
 	for _, state := range states {
-		c.check.read(m.id, state)
+		c.check.checkRead(m.id, state)
 	}
 	m.reads = append(m.reads, states...)
 }
@@ -209,14 +211,14 @@
 	return sum
 }
 
-// deliver hands over the message at position i of the network.
+// deliver delivers the message at position i of the network, and leaves a copy of it there if keep is set.
 func (c *cluster) deliver(i int, keep bool) {
 	message := c.network[i]
 	if !keep {
 		c.network = slices.Delete(c.network, i, i+1)
 	}
 	m := c.machine(message.To)
-	if m == nil || m.node == nil || c.cut[message.To] || c.cut[message.From] {
+	if m == nil || m.node == nil || c.isolated[message.To] || c.isolated[message.From] {
 		return
 	}
 	if err := m.node.Step(message); err != nil {
@@ -225,8 +227,8 @@
 }
 
 func (c *cluster) propose(m *machine) error {
-	c.next++
-	_, _, err := m.node.Propose(binary.BigEndian.AppendUint64(nil, c.next))
+	c.nextProposal++
+	_, _, err := m.node.Propose(binary.BigEndian.AppendUint64(nil, c.nextProposal))
 	return err
 }
 
@@ -234,7 +236,7 @@
 	if m.node == nil || m.ready != nil || m.node.log.applied <= m.node.snapshot.Index {
 		return
 	}
-	snapshot, err := m.node.Compact(m.node.log.applied, Parts{m.applied})
+	snapshot, err := m.node.Compact(m.node.log.applied, Parts{m.state})
 	if err != nil {
 		c.check.fail("compaction: %v", err)
 		return
@@ -244,12 +246,12 @@
 
 func (c *cluster) read(m *machine) {
 	if m.node.ReadIndex(c.check.nextRead) == nil {
-		c.check.readAsked()
+		c.check.recordReadRequest()
 	}
 }
 
-// settle runs without faults for a number of ticks.
-func (c *cluster) settle(ticks int) {
+// runTicks runs the group without faults for a number of ticks.
+func (c *cluster) runTicks(ticks int) {
 	for range ticks {
 		for _, m := range c.machines {
 			if m.node != nil {
@@ -265,9 +267,9 @@
 	for busy := true; busy; {
 		busy = false
 		for _, m := range c.machines {
-			c.take(m)
+			c.takeReady(m)
 			busy = busy || m.ready != nil
-			c.finish(m)
+			c.finishReady(m)
 		}
 		for len(c.network) > 0 {
 			busy = true
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -7,16 +7,16 @@
 	"github.com/gravitational/trace"
 )
 
-// IsVoter reports whether node votes.
+// IsVoter reports whether node is a voter.
 func (c Configuration) IsVoter(node uint64) bool { return slices.Contains(c.Voters, node) }
 
 // IsLearner reports whether node is a learner.
 func (c Configuration) IsLearner(node uint64) bool { return slices.Contains(c.Learners, node) }
 
-// Quorum is the least number of voters that is a majority.
+// Quorum returns the number of voters that form a majority.
 func (c Configuration) Quorum() int { return len(c.Voters)/2 + 1 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (c Configuration) Clone() Configuration {
 	return Configuration{Voters: slices.Clone(c.Voters), Learners: slices.Clone(c.Learners)}
 }
@@ -26,17 +26,17 @@
 	slices.Sort(all)
 	for i, node := range all {
 		if node == None {
-			return trace.BadParameter("raft: a configuration holds the identity of no node")
+			return trace.BadParameter("raft: a configuration contains node ID 0")
 		}
 		if i > 0 && all[i-1] == node {
-			return trace.BadParameter("raft: a configuration holds node %x twice", node)
+			return trace.BadParameter("raft: a configuration contains node %x twice", node)
 		}
 	}
 	return nil
 }
 
-// after returns the configuration that change leads to.
-func (c Configuration) after(change ConfigurationChange) (Configuration, error) {
+// apply returns the configuration that results from change.
+func (c Configuration) apply(change ConfigurationChange) (Configuration, error) {
 	next := c.Clone()
 	switch change.Kind {
 	case AddLearner:
@@ -54,7 +54,7 @@
 		if !c.IsLearner(change.Node) {
 			return c, ErrNotMember
 		}
-		next.Learners = without(next.Learners, change.Node)
+		next.Learners = removeNode(next.Learners, change.Node)
 		next.Voters = append(next.Voters, change.Node)
 	case RemoveNode:
 		if !c.IsVoter(change.Node) && !c.IsLearner(change.Node) {
@@ -63,8 +63,8 @@
 		if c.IsVoter(change.Node) && len(c.Voters) == 1 {
 			return c, ErrLastVoter
 		}
-		next.Learners = without(next.Learners, change.Node)
-		next.Voters = without(next.Voters, change.Node)
+		next.Learners = removeNode(next.Learners, change.Node)
+		next.Voters = removeNode(next.Voters, change.Node)
 	default:
 		return c, trace.BadParameter("raft: unknown kind %d of configuration change", change.Kind)
 	}
@@ -73,15 +73,17 @@
 	return next, nil
 }
 
-func without(nodes []uint64, node uint64) []uint64 {
+func removeNode(nodes []uint64, node uint64) []uint64 {
 	return slices.DeleteFunc(nodes, func(candidate uint64) bool { return candidate == node })
 }
 
-const changeFormat = 1
+// changeFormatVersion is the first varint of an encoded ConfigurationChange.
+const changeFormatVersion = 1
 
-// Encode returns the change's stored form: varints of format, kind, node, and the two counted lists.
+// Encode returns the stored form of the change: varints of the format version, the kind, the node, and two lists
+// (voters and learners), each with its length first.
 func (c ConfigurationChange) Encode() []byte {
-	data := binary.AppendUvarint(nil, changeFormat)
+	data := binary.AppendUvarint(nil, changeFormatVersion)
 	data = binary.AppendUvarint(data, uint64(c.Kind))
 	data = binary.AppendUvarint(data, c.Node)
 	for _, list := range [][]uint64{c.Result.Voters, c.Result.Learners} {
@@ -93,25 +95,27 @@
 	return data
 }
 
-// DecodeConfigurationChange reads the form that Encode writes.
+// DecodeConfigurationChange decodes the result of Encode. It returns an error if data is malformed or has another
+// format version, or if the resulting configuration is invalid.
 func DecodeConfigurationChange(data []byte) (ConfigurationChange, error) {
 	decoder := varintReader{rest: data}
-	format, kind := decoder.next(), decoder.next()
-	change := ConfigurationChange{Kind: ChangeKind(kind), Node: decoder.next()}
-	change.Result.Voters = decoder.list()
-	change.Result.Learners = decoder.list()
-	if decoder.failed || len(decoder.rest) > 0 || format != changeFormat || kind > uint64(RemoveNode) {
+	format, kind := decoder.readUvarint(), decoder.readUvarint()
+	change := ConfigurationChange{Kind: ChangeKind(kind), Node: decoder.readUvarint()}
+	change.Result.Voters = decoder.readList()
+	change.Result.Learners = decoder.readList()
+	if decoder.failed || len(decoder.rest) > 0 || format != changeFormatVersion || kind > uint64(RemoveNode) {
 		return ConfigurationChange{}, trace.BadParameter("raft: malformed configuration change of %d bytes", len(data))
 	}
 	return change, trace.Wrap(change.Result.validate())
 }
 
+// varintReader reads unsigned varints; after a malformed one, failed is set.
 type varintReader struct {
 	rest   []byte
 	failed bool
 }
 
-func (r *varintReader) next() uint64 {
+func (r *varintReader) readUvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if size <= 0 {
 		r.failed = true
@@ -121,8 +125,8 @@
 	return value
 }
 
-func (r *varintReader) list() []uint64 {
-	count := r.next()
+func (r *varintReader) readList() []uint64 {
+	count := r.readUvarint()
 	if r.failed || count > uint64(len(r.rest)) {
 		r.failed = true
 		return nil
@@ -132,23 +136,24 @@
 	}
 	nodes := make([]uint64, 0, count)
 	for range count {
-		nodes = append(nodes, r.next())
+		nodes = append(nodes, r.readUvarint())
 	}
 	return nodes
 }
 
-// configurationAt is a configuration and the index of the entry that brought it.
-type configurationAt struct {
+// configurationEntry is a configuration and the index of the log entry that set it.
+type configurationEntry struct {
 	index         uint64
 	configuration Configuration
 }
 
-// configurationHistory holds the configuration of the last snapshot and of each configuration entry after
-// it. A configuration is in force on a node as soon as its entry is in that node's log, committed or not,
-// and goes out of force if the entry is cut off again; see docs/design/consensus.md.
-type configurationHistory []configurationAt // never empty; the first is the snapshot's
+// configurationHistory holds the configuration of the last snapshot and of each configuration entry after it, in
+// ascending order of their indexes. A configuration is in force on a node as soon as its entry is in that node's log,
+// committed or not, and no longer if the entry is truncated; see docs/design/consensus.md. A history is never empty:
+// its first item is the configuration of the snapshot.
+type configurationHistory []configurationEntry
 
-func (h configurationHistory) latest() configurationAt { return h[len(h)-1] }
+func (h configurationHistory) latest() configurationEntry { return h[len(h)-1] }
 
 // at returns the configuration in force at index.
 func (h configurationHistory) at(index uint64) Configuration {
@@ -160,7 +165,7 @@
 	return h[0].configuration
 }
 
-// add notes the configuration entries among entries, which are valid.
+// add appends the configurations among entries, whose data must be valid.
 func (h *configurationHistory) add(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind != EntryConfiguration {
@@ -168,22 +173,22 @@
 		}
 		change, err := DecodeConfigurationChange(entry.Data)
 		if err != nil {
-			panic("raft: an unchecked configuration entry reached the log: " + err.Error())
+			panic("raft: invalid configuration entry in the log: " + err.Error())
 		}
-		*h = append(*h, configurationAt{index: entry.Index, configuration: change.Result})
+		*h = append(*h, configurationEntry{index: entry.Index, configuration: change.Result})
 	}
 }
 
-// cut forgets configurations at or after index.
-func (h *configurationHistory) cut(index uint64) {
+// truncate drops the configurations at and after index.
+func (h *configurationHistory) truncate(index uint64) {
 	for len(*h) > 1 && h.latest().index >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
-// compact folds configurations up to index into the first.
+// compact merges the configurations up to index into the first item.
 func (h *configurationHistory) compact(index uint64) {
-	base := configurationAt{index: index, configuration: h.at(index)}
+	base := configurationEntry{index: index, configuration: h.at(index)}
 	rest := configurationHistory{base}
 	for _, item := range (*h)[1:] {
 		if item.index > index {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,18 +1,19 @@
 package raft
 
-// vote is one voter's answer to the running campaign.
+// vote is one voter's answer in a pre-vote or an election.
 type vote struct {
 	node    uint64
 	granted bool
 }
 
-// transferMark in a vote request's Context says that the leader itself asked for the election.
-const transferMark = 1
+// transferContext in the Context of a vote request marks an election that the leader requested. Voters don't ignore
+// such a request although they hear a leader.
+const transferContext = 1
 
-// mayCampaign reports whether this node may become leader. A node that its newest configuration leaves
-// out still may while that configuration is not committed: it can be the only one whose log is long
-// enough to win, and the others would wait for it forever.
-func (n *Node) mayCampaign() bool {
+// canCampaign reports whether this node may become leader: as a voter of its latest configuration, or of the
+// committed one while the latest is uncommitted. In the second case it can be the only node whose log is up to date
+// enough to win, and without it the group would have no leader.
+func (n *Node) canCampaign() bool {
 	latest := n.configurations.latest()
 	if latest.configuration.IsVoter(n.id) {
 		return true
@@ -20,63 +21,63 @@
 	return latest.index > n.log.commit && n.configurations.at(n.log.commit).IsVoter(n.id)
 }
 
-// campaignForPreVotes asks whether an election could be won, without a new term: a node that was cut off
-// does not depose a healthy leader when it comes back.
+// campaignForPreVotes asks the voters whether they would grant this node a vote, without starting a new term, so that
+// a node that was partitioned does not disrupt a healthy leader when it comes back.
 func (n *Node) campaignForPreVotes() {
-	n.role, n.leader, n.transfering = PreCandidate, None, false
+	n.role, n.leader, n.transferCampaign = PreCandidate, None, false
 	n.resetRole()
-	n.favourFirst(n.id)
+	n.preferFirstCandidate(n.id)
 	n.elections.PreCampaigns++
 	n.requestVotes(MessagePreVote, n.term+1)
-	n.recordPreVote(n.id, true) // promises nothing, so the disk need not know
+	n.recordPreVote(n.id, true) // a pre-vote is no promise and needs no sync
 }
 
-// campaign starts an election in a new term. The node's own vote counts only once its disk has it: see
-// Advance.
+// campaign starts an election in a new term. The node's own vote counts only once it is synced; see Advance.
 func (n *Node) campaign() {
 	n.role, n.leader = Candidate, None
 	n.term, n.vote = n.term+1, n.id
-	n.votes, n.standing = n.votes[:0], true
+	n.votes, n.electionOpen = n.votes[:0], true
 	n.resetRole()
-	n.favour(n.id)
-	n.output.selfVote = n.term
+	n.preferCandidate(n.id)
+	n.output.selfVoteTerm = n.term
 	n.elections.Campaigns++
 	n.requestVotes(MessageVote, n.term)
 }
 
 func (n *Node) requestVotes(kind MessageKind, term uint64) {
 	context := uint64(0)
-	if n.transfering {
-		context = transferMark
+	if n.transferCampaign {
+		context = transferContext
 	}
 	for _, voter := range n.configuration().Voters {
 		if voter != n.id {
-			n.elections.wanted(voter, kind).Asked++
-			n.send(Message{Kind: kind, To: voter, Term: term, Index: n.log.last(), LogTerm: n.log.lastTerm(), Context: context})
+			n.elections.requestCounts(voter, kind).Asked++
+			n.send(Message{Kind: kind, To: voter, Term: term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Context: context})
 		}
 	}
 }
 
-// ignoresCampaign reports whether m asks for a vote while this node hears a leader. Such a candidate was
-// removed or is cut off from the leader; answering would let it disturb the group.
-func (n *Node) ignoresCampaign(m Message) bool {
-	if m.Kind != MessagePreVote && m.Kind != MessageVote || m.Context == transferMark {
+// shouldIgnoreVoteRequest reports whether m requests a vote or pre-vote while this node hears a leader. Such a
+// candidate was removed from the group or is partitioned from the leader, and an answer would let it disrupt the
+// group.
+func (n *Node) shouldIgnoreVoteRequest(m Message) bool {
+	if m.Kind != MessagePreVote && m.Kind != MessageVote || m.Context == transferContext {
 		return false
 	}
 	return n.leader != None && n.electionElapsed < n.config.ElectionTicks
 }
 
-// answerCampaign grants or refuses a vote of this term, or a pre-vote of a term to come.
-func (n *Node) answerCampaign(m Message) {
-	free := n.vote == m.From || n.vote == None && n.leader == None
+// handleVoteRequest grants or rejects a vote in this term, or a pre-vote for a later one.
+func (n *Node) handleVoteRequest(m Message) {
+	canGrant := n.vote == m.From || n.vote == None && n.leader == None
 	if m.Kind == MessagePreVote {
-		free = m.Term > n.term && !n.favoursAnother(m)
+		canGrant = m.Term > n.term && !n.prefersOtherCandidate(m)
 	}
-	granted := free && (n.log.upToDate(m.Index, m.LogTerm) || n.config.Unsafe.SkipLogUpToDateCheck)
-	if granted && n.yieldsTo(m) {
+	granted := canGrant && (n.log.isUpToDate(m.Index, m.LogTerm) || n.config.Unsafe.SkipLogUpToDateCheck)
+	if granted && n.shouldAbandonPreVoteFor(m) {
 		n.becomeFollower(n.term, None)
 	}
-	reply := Message{Kind: MessagePreVoteReply, To: m.From, Term: n.term, Reject: !granted, Context: n.countAnswer(m, granted)}
+	reply := Message{Kind: MessagePreVoteReply, To: m.From, Term: n.term, Reject: !granted, Context: n.countVoteAnswer(m, granted)}
 	if granted {
 		reply.Term = m.Term
 	}
@@ -85,58 +86,59 @@
 		if granted {
 			n.vote = m.From
 			n.electionElapsed = 0
-			n.favour(m.From)
+			n.preferCandidate(m.From)
 		}
 	} else if granted {
-		n.favourFirst(m.From)
+		n.preferFirstCandidate(m.From)
 	}
 	n.send(reply)
 }
 
-// yieldsTo reports whether this node gives its own request for pre-votes up for another one's. Nodes that start together
-// ask at the same tick, win each other's pre-votes and would then split the votes of a whole term; of two that ask at
-// once the one with the lower id goes on. Pre-votes bind nobody, so this changes who may win, never what a vote means.
-func (n *Node) yieldsTo(m Message) bool {
+// shouldAbandonPreVoteFor reports whether this node gives up its own pre-vote in favor of the sender of m. Nodes that
+// start together campaign at the same tick, win each other's pre-votes and would then split the votes of the term. Of
+// two concurrent candidates only the one with the lower ID continues. A pre-vote is not binding, so this affects
+// which candidate can win but not what a vote means.
+func (n *Node) shouldAbandonPreVoteFor(m Message) bool {
 	return n.role == PreCandidate && m.Kind == MessagePreVote && m.Term == n.term+1 && m.From < n.id
 }
 
-// countReply counts an answer to the running campaign; others are old. Votes count for as long as their term lasts, also
-// when this node has begun to ask for pre-votes of the next one: on a slow disk they come late.
-func (n *Node) countReply(m Message) {
+// handleVoteReply counts an answer in the running pre-vote or election, and drops stale ones. Votes count for the
+// whole term, even if this node has started a pre-vote for the next one, because they arrive late if disks are slow.
+func (n *Node) handleVoteReply(m Message) {
 	switch {
 	case n.role == PreCandidate && m.Kind == MessagePreVoteReply && (m.Reject || m.Term == n.term+1):
 		n.recordPreVote(m.From, !m.Reject)
-	case n.standing && m.Kind == MessageVoteReply:
+	case n.electionOpen && m.Kind == MessageVoteReply:
 		n.recordVote(m.From, !m.Reject)
 	}
 }
 
-// recordPreVote counts a pre-vote and ends the campaign for pre-votes if a quorum has granted or refused.
+// recordPreVote counts an answer to the pre-vote, and ends the pre-vote once a quorum has granted or rejected it.
 func (n *Node) recordPreVote(node uint64, granted bool) {
-	n.preVotes = recorded(n.preVotes, node, granted)
+	n.preVotes = addVote(n.preVotes, node, granted)
 	quorum := n.configuration().Quorum()
-	switch granted, refused := n.tally(n.preVotes); {
+	switch granted, rejected := n.tally(n.preVotes); {
 	case granted >= quorum:
 		n.campaign()
-	case refused >= quorum:
+	case rejected >= quorum:
 		n.becomeFollower(n.term, None)
 	}
 }
 
-// recordVote counts a vote and ends the election if a quorum has granted or refused.
+// recordVote counts a vote, and ends the election once a quorum has granted or rejected it.
 func (n *Node) recordVote(node uint64, granted bool) {
-	n.votes = recorded(n.votes, node, granted)
+	n.votes = addVote(n.votes, node, granted)
 	quorum := n.configuration().Quorum()
-	switch granted, refused := n.tally(n.votes); {
+	switch granted, rejected := n.tally(n.votes); {
 	case granted >= quorum:
 		n.becomeLeader()
-	case refused >= quorum && n.role == Candidate:
+	case rejected >= quorum && n.role == Candidate:
 		n.becomeFollower(n.term, None)
 	}
 }
 
-// recorded adds a node's answer to the others, unless one of it is known.
-func recorded(answers []vote, node uint64, granted bool) []vote {
+// addVote adds a node's answer, unless the node has answered before.
+func addVote(answers []vote, node uint64, granted bool) []vote {
 	for _, known := range answers {
 		if known.node == node {
 			return answers
@@ -145,8 +147,8 @@
 	return append(answers, vote{node: node, granted: granted})
 }
 
-// tally counts the answers of the voters of the configuration in force.
-func (n *Node) tally(answers []vote) (granted, refused int) {
+// tally counts the answers of the voters in the configuration in force.
+func (n *Node) tally(answers []vote) (granted, rejected int) {
 	configuration := n.configuration()
 	for _, answer := range answers {
 		switch {
@@ -154,20 +156,20 @@
 		case answer.granted:
 			granted++
 		default:
-			refused++
+			rejected++
 		}
 	}
-	return granted, refused
+	return granted, rejected
 }
 
-// becomeLeader starts a leadership. Its term and vote are synced by now, so its appends may leave before
-// the next sync.
+// becomeLeader starts a leadership. The node's term and vote are synced at this point, so its appends may be sent
+// before the next sync.
 func (n *Node) becomeLeader() {
-	n.role, n.leader, n.standing = Leader, n.id, false
-	n.noteLeader()
+	n.role, n.leader, n.electionOpen = Leader, n.id, false
+	n.recordLeader()
 	n.resetRole()
 	n.addProgress()
-	n.uncommittedBytes = n.log.bytes(n.log.commit+1, n.log.last())
+	n.uncommittedBytes = n.log.dataSize(n.log.commit+1, n.log.lastIndex())
 	n.heartbeatCommit = n.log.commit
-	n.appendOwn(EntryCommand, nil)
+	n.appendEntry(EntryCommand, nil)
 }
--- a/internal/raft/elections.go
+++ b/internal/raft/elections.go
@@ -1,28 +1,29 @@
 package raft
 
-// VoteCounts counts the answers to requests for votes, or for pre-votes, between two nodes.
+// VoteCounts counts requests for votes, or for pre-votes, from one node to another, and the answers to them.
 type VoteCounts struct {
-	Asked           uint64
+	Asked           uint64 // requests
 	Granted         uint64
-	LogBehind       uint64 // refused: the candidate's log is behind the voter's
-	VotedForAnother uint64 // refused: the voter has given its vote of this term away, or favours another campaign
-	HearsLeader     uint64 // refused, or not answered: the voter knows a leader
-	OldTerm         uint64 // refused: the voter's term is later
-	Unsaid          uint64 // refused without a reason, as older versions do
+	LogBehind       uint64 // rejected: the candidate's log is behind the voter's
+	VotedForAnother uint64 // rejected: the voter has voted for another candidate in this term, or prefers one
+	HearsLeader     uint64 // rejected or ignored: the voter hears a leader
+	OldTerm         uint64 // rejected: the voter's term is later
+	Unsaid          uint64 // rejected without a reason, as by older versions
 }
 
-// refusalReason says why a vote was refused. It travels as Context in the reply and decides nothing.
+// refusalReason is the reason for which a vote was rejected. It is sent as the reply's Context and only counted.
 type refusalReason uint64
 
 const (
-	refusedUnsaid refusalReason = iota
+	refusedWithoutReason refusalReason = iota
 	refusedLogBehind
 	refusedVotedForAnother
 	refusedHearsLeader
 	refusedOldTerm
 )
 
-func (c *VoteCounts) refused(reason refusalReason) {
+// addRefusal counts a rejection with the given reason.
+func (c *VoteCounts) addRefusal(reason refusalReason) {
 	switch reason {
 	case refusedLogBehind:
 		c.LogBehind++
@@ -50,7 +51,8 @@
 	}
 }
 
-func (c VoteCounts) since(before VoteCounts) VoteCounts {
+// minus returns the difference between c and before.
+func (c VoteCounts) minus(before VoteCounts) VoteCounts {
 	return VoteCounts{
 		Asked:           c.Asked - before.Asked,
 		Granted:         c.Granted - before.Granted,
@@ -62,32 +64,32 @@
 	}
 }
 
-// PeerVotes is what passed between this node and another one in campaigns.
+// PeerVotes counts the vote requests between this node and one other node.
 type PeerVotes struct {
 	Node           uint64
-	PreVotesWanted VoteCounts // this node's requests and the other one's answers
-	VotesWanted    VoteCounts
-	PreVotesGiven  VoteCounts // the other one's requests and this node's answers
-	VotesGiven     VoteCounts
+	PreVotesWanted VoteCounts // requests of this node and the other node's answers
+	VotesWanted    VoteCounts // the same for votes
+	PreVotesGiven  VoteCounts // requests of the other node and this node's answers
+	VotesGiven     VoteCounts // the same for votes
 }
 
-// Elections counts a node's campaigns since its start. It is for operators: the protocol does not look at it.
+// Elections counts a node's campaigns since its start. The counts are for operators; the protocol does not use them.
 type Elections struct {
-	PreCampaigns uint64 // requests for pre-votes begun
-	Campaigns    uint64 // elections begun, each in a new term
-	Overtaken    uint64 // of these: ended because another node began a later term
-	Expired      uint64 // of these: not decided within the election timeout
+	PreCampaigns uint64 // pre-votes started
+	Campaigns    uint64 // elections started, each in a new term
+	Overtaken    uint64 // elections that ended because another node started a later term
+	Expired      uint64 // elections that were not decided within the election timeout
 	Peers        []PeerVotes
 }
 
-// Elections returns the counts so far.
+// Elections returns a copy of the counts since the node's start.
 func (n *Node) Elections() Elections {
 	counts := n.elections
 	counts.Peers = append([]PeerVotes(nil), n.elections.Peers...)
 	return counts
 }
 
-// Since returns what was counted after before was taken from the same node.
+// Since returns the counts since before, which must be an earlier result for the same node.
 func (e Elections) Since(before Elections) Elections {
 	counts := Elections{
 		PreCampaigns: e.PreCampaigns - before.PreCampaigns,
@@ -104,16 +106,17 @@
 		}
 		counts.Peers = append(counts.Peers, PeerVotes{
 			Node:           now.Node,
-			PreVotesWanted: now.PreVotesWanted.since(then.PreVotesWanted),
-			VotesWanted:    now.VotesWanted.since(then.VotesWanted),
-			PreVotesGiven:  now.PreVotesGiven.since(then.PreVotesGiven),
-			VotesGiven:     now.VotesGiven.since(then.VotesGiven),
+			PreVotesWanted: now.PreVotesWanted.minus(then.PreVotesWanted),
+			VotesWanted:    now.VotesWanted.minus(then.VotesWanted),
+			PreVotesGiven:  now.PreVotesGiven.minus(then.PreVotesGiven),
+			VotesGiven:     now.VotesGiven.minus(then.VotesGiven),
 		})
 	}
 	return counts
 }
 
-func (e *Elections) peer(node uint64) *PeerVotes {
+// peerVotes returns the counts for node, which it adds if they are missing.
+func (e *Elections) peerVotes(node uint64) *PeerVotes {
 	for position := range e.Peers {
 		if e.Peers[position].Node == node {
 			return &e.Peers[position]
@@ -123,57 +126,57 @@
 	return &e.Peers[len(e.Peers)-1]
 }
 
-// wanted returns the counts of this node's requests of a kind, or of the answers to them.
-func (e *Elections) wanted(node uint64, kind MessageKind) *VoteCounts {
+// requestCounts returns the counts of this node's requests to node; kind is that of the request or of its reply.
+func (e *Elections) requestCounts(node uint64, kind MessageKind) *VoteCounts {
 	if kind == MessagePreVote || kind == MessagePreVoteReply {
-		return &e.peer(node).PreVotesWanted
+		return &e.peerVotes(node).PreVotesWanted
 	}
-	return &e.peer(node).VotesWanted
+	return &e.peerVotes(node).VotesWanted
 }
 
-// given returns the counts of another node's requests of a kind.
-func (e *Elections) given(node uint64, kind MessageKind) *VoteCounts {
+// answerCounts returns the counts of node's requests to this node; kind is that of the request.
+func (e *Elections) answerCounts(node uint64, kind MessageKind) *VoteCounts {
 	if kind == MessagePreVote {
-		return &e.peer(node).PreVotesGiven
+		return &e.peerVotes(node).PreVotesGiven
 	}
-	return &e.peer(node).VotesGiven
+	return &e.peerVotes(node).VotesGiven
 }
 
-// countElection counts what m says of campaigns, before it has an effect.
-func (n *Node) countElection(m Message) {
+// countVoteMessage counts a vote request or reply, before it is processed.
+func (n *Node) countVoteMessage(m Message) {
 	switch m.Kind {
 	case MessagePreVote, MessageVote:
-		n.elections.given(m.From, m.Kind).Asked++
+		n.elections.answerCounts(m.From, m.Kind).Asked++
 	case MessagePreVoteReply, MessageVoteReply:
-		counts := n.elections.wanted(m.From, m.Kind)
+		counts := n.elections.requestCounts(m.From, m.Kind)
 		if m.Reject {
-			counts.refused(refusalReason(m.Context))
+			counts.addRefusal(refusalReason(m.Context))
 		} else {
 			counts.Granted++
 		}
 	}
 }
 
-// countTermEnd counts an election of this node that a later term ends.
-func (n *Node) countTermEnd() {
+// countOvertakenElection counts this node's running election as ended by a later term.
+func (n *Node) countOvertakenElection() {
 	if n.role == Candidate {
 		n.elections.Overtaken++
 	}
 }
 
-// countTimeout counts an election of this node that its timeout ends.
-func (n *Node) countTimeout() {
+// countExpiredElection counts this node's running election as ended by its timeout.
+func (n *Node) countExpiredElection() {
 	if n.role == Candidate {
 		n.elections.Expired++
 	}
 }
 
-// refusal says why a request for a vote that this node refuses is refused.
-func (n *Node) refusal(m Message) refusalReason {
+// classifyRefusal returns the reason for which this node rejects the vote request m.
+func (n *Node) classifyRefusal(m Message) refusalReason {
 	switch {
 	case m.Term < n.term || m.Kind == MessagePreVote && m.Term == n.term:
 		return refusedOldTerm
-	case m.Kind == MessagePreVote && n.favoursAnother(m):
+	case m.Kind == MessagePreVote && n.prefersOtherCandidate(m):
 		return refusedVotedForAnother
 	case m.Kind == MessageVote && n.vote != None && n.vote != m.From:
 		return refusedVotedForAnother
@@ -183,14 +186,15 @@
 	return refusedLogBehind
 }
 
-// countAnswer counts this node's answer to a request for a vote, and returns the reason that goes with it.
-func (n *Node) countAnswer(m Message, granted bool) uint64 {
-	counts := n.elections.given(m.From, m.Kind)
+// countVoteAnswer counts this node's answer to the vote request m, and returns the Context of the reply: the reason
+// of a rejection.
+func (n *Node) countVoteAnswer(m Message, granted bool) uint64 {
+	counts := n.elections.answerCounts(m.From, m.Kind)
 	if granted {
 		counts.Granted++
 		return 0
 	}
-	reason := n.refusal(m)
-	counts.refused(reason)
+	reason := n.classifyRefusal(m)
+	counts.addRefusal(reason)
 	return uint64(reason)
 }
--- a/internal/raft/elections_test.go
+++ b/internal/raft/elections_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestRefusedVotesAreCountedWithTheirReason: a group of the users' had no leader for over 40 s, and no log told whether
-// votes were asked for, or why they were refused. Each refusal is counted where it is made, and its reason goes with the
-// reply, so that the candidate counts it as well.
+// TestRefusedVotesAreCountedWithTheirReason guards against elections that fail without a trace: a group had no leader
+// for over 40 s, and nothing showed whether votes were requested or why they were rejected. The voter counts each
+// rejection with its reason and sends the reason in its reply, so that the candidate counts it as well.
 func TestRefusedVotesAreCountedWithTheirReason(t *testing.T) {
 	const voter, candidate, other = 1, 2, 3
 	for name, example := range map[string]struct {
@@ -26,13 +26,13 @@
 	} {
 		node := newElectionNode(t, voter, example.hard)
 		if example.leader != None {
-			stepped(t, node, Message{Kind: MessageHeartbeat, From: example.leader, To: voter, Term: example.hard.Term})
-			take(node)
+			stepOrFail(t, node, Message{Kind: MessageHeartbeat, From: example.leader, To: voter, Term: example.hard.Term})
+			syncAndCollect(node)
 		}
 		example.request.From, example.request.To = candidate, voter
-		stepped(t, node, example.request)
+		stepOrFail(t, node, example.request)
 		counted := node.Elections()
-		given := counted.peer(candidate)
+		given := counted.peerVotes(candidate)
 		counts := given.VotesGiven
 		if example.request.Kind == MessagePreVote {
 			counts = given.PreVotesGiven
@@ -40,17 +40,17 @@
 		if counts != example.want {
 			t.Errorf("%s: the voter counts %+v, want %+v", name, counts, example.want)
 		}
-		replies := take(node)
+		replies := syncAndCollect(node)
 		if example.silent {
 			if len(replies) != 0 {
-				t.Errorf("%s: answered with %+v", name, replies)
+				t.Errorf("%s: got replies %+v, want none", name, replies)
 			}
 			continue
 		}
 		asking := newElectionNode(t, candidate, HardState{Term: 4})
-		stepped(t, asking, replies[0])
+		stepOrFail(t, asking, replies[0])
 		counted = asking.Elections()
-		wanted := counted.peer(voter)
+		wanted := counted.peerVotes(voter)
 		counts = wanted.VotesWanted
 		if example.request.Kind == MessagePreVote {
 			counts = wanted.PreVotesWanted
@@ -62,27 +62,28 @@
 	}
 }
 
-// TestUndecidedElectionsAreCounted ends one election by its timeout and one by another node's later term.
+// TestUndecidedElectionsAreCounted ends one election by its timeout and another one by a later term of another node,
+// and checks that each is counted under its cause.
 func TestUndecidedElectionsAreCounted(t *testing.T) {
 	node := newElectionNode(t, 1, HardState{Term: 4})
 	before := node.Elections()
-	stepped(t, node, Message{Kind: MessageTimeoutNow, From: 2, To: 1, Term: 4})
-	syncAll(node) // the timeout runs from there
-	for range 2 * usualElectionTicks {
+	stepOrFail(t, node, Message{Kind: MessageTimeoutNow, From: 2, To: 1, Term: 4})
+	syncAll(node) // starts the election timer, which stops until the node's vote is synced
+	for range 2 * defaultElectionTicks {
 		node.Tick()
 	}
-	stepped(t, node, Message{Kind: MessageTimeoutNow, From: 2, To: 1, Term: 5})
-	stepped(t, node, Message{Kind: MessageVote, From: 3, To: 1, Term: 9, Index: 9, LogTerm: 4})
+	stepOrFail(t, node, Message{Kind: MessageTimeoutNow, From: 2, To: 1, Term: 5})
+	stepOrFail(t, node, Message{Kind: MessageVote, From: 3, To: 1, Term: 9, Index: 9, LogTerm: 4})
 	counts := node.Elections().Since(before)
 	if counts.Campaigns != 2 || counts.Expired != 1 || counts.Overtaken != 1 || counts.PreCampaigns == 0 {
-		t.Fatalf("%+v", counts)
+		t.Fatalf("got %+v, want 2 campaigns, 1 expired, 1 overtaken and at least 1 pre-campaign", counts)
 	}
-	if asked := counts.peer(2).VotesWanted.Asked; asked != 2 {
-		t.Fatalf("node 2 was asked for %d votes", asked)
+	if asked := counts.peerVotes(2).VotesWanted.Asked; asked != 2 {
+		t.Fatalf("node 2 was asked for %d votes, want 2", asked)
 	}
 }
 
-// newElectionNode is one of three voters whose log ends with entry 9 of term 4.
+// newElectionNode returns one of three voters whose log ends with entry 9 of term 4.
 func newElectionNode(t *testing.T, id uint64, hard HardState) *Node {
 	t.Helper()
 	node, err := New(Config{ID: id, Random: rand.New(rand.NewSource(1))}, Restored{HardState: hard,
@@ -93,15 +94,16 @@
 	return node
 }
 
-func stepped(t *testing.T, node *Node, m Message) {
+func stepOrFail(t *testing.T, node *Node, m Message) {
 	t.Helper()
 	if err := node.Step(m); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// take lets a node's disk be synced and returns what it sends to others, its replies to heartbeats left out.
-func take(node *Node) []Message {
+// syncAndCollect syncs all work of a node and returns the messages that it sends after syncs, except for replies to
+// heartbeats.
+func syncAndCollect(node *Node) []Message {
 	var sent []Message
 	for node.HasReady() {
 		ready := node.Ready()
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -1,36 +1,36 @@
 package raft
 
-// hearLeader notes a message from this term's leader.
-func (n *Node) hearLeader(leader uint64) {
+// recognizeLeader records that a message of this term's leader arrived.
+func (n *Node) recognizeLeader(leader uint64) {
 	if n.role != Follower {
 		n.becomeFollower(n.term, leader)
 	}
 	n.leader = leader
 	n.electionElapsed = 0
-	n.noteLeader()
+	n.recordLeader()
 }
 
-// handleAppend takes a leader's entries into the log if the entry before them matches. The reply leaves
-// with Messages: after the sync of what it acknowledges.
+// handleAppend appends a leader's entries to the log if the entry before them matches. The reply is queued in
+// Messages, because it must not leave before the entries that it acknowledges are synced.
 func (n *Node) handleAppend(m Message) error {
 	if m.Index+uint64(len(m.Entries)) < n.log.commit || m.Index < n.log.commit && len(m.Entries) == 0 {
-		n.hearLeader(m.From)
+		n.recognizeLeader(m.From)
 		n.send(Message{Kind: MessageAppendReply, To: m.From, Index: n.log.commit})
 		return nil
 	}
 	entries, index, term := m.Entries, m.Index, m.LogTerm
-	if index < n.log.commit { // the start is committed here, so it is equal
+	if index < n.log.commit { // entries up to the commit index are equal in both logs
 		skip := n.log.commit - index
 		index, term = n.log.commit, entries[skip-1].Term
 		entries = entries[skip:]
 	}
 	if held, ok := n.log.term(index); ok && held != term && index <= n.log.commit {
-		return contradiction(m, "entry %d has term %d, but term %d is committed here", index, term, held)
+		return newContradiction(m, "entry %d has term %d, but term %d is committed here", index, term, held)
 	}
-	n.hearLeader(m.From)
-	if !n.log.matches(index, term) && !(n.config.Unsafe.SkipAppendMatchCheck && index <= n.log.last()) {
-		hint, hintTerm := n.log.lastNotAfter(index, term)
-		if hint < n.log.commit { // what is committed here is equal there
+	n.recognizeLeader(m.From)
+	if !n.log.matches(index, term) && !(n.config.Unsafe.SkipAppendMatchCheck && index <= n.log.lastIndex()) {
+		hint, hintTerm := n.log.findConflictByTerm(index, term)
+		if hint < n.log.commit { // both logs are equal up to the commit index
 			hint = n.log.commit
 			hintTerm, _ = n.log.term(hint)
 		}
@@ -39,21 +39,22 @@
 		return nil
 	}
 	last := index + uint64(len(entries))
-	n.take(entries)
+	n.appendMissing(entries)
 	n.log.commitTo(min(m.Commit, last))
 	n.send(Message{Kind: MessageAppendReply, To: m.From, Index: last})
 	return nil
 }
 
-// take appends the entries that the log does not hold, cutting off what stands in their place.
-func (n *Node) take(entries []Entry) {
+// appendMissing appends the entries that the log does not hold yet, and truncates it first at an entry that
+// conflicts.
+func (n *Node) appendMissing(entries []Entry) {
 	for i, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
-		if entry.Index <= n.log.last() {
-			n.log.cut(entry.Index)
-			n.configurations.cut(entry.Index)
+		if entry.Index <= n.log.lastIndex() {
+			n.log.truncate(entry.Index)
+			n.configurations.truncate(entry.Index)
 		}
 		n.log.append(entries[i:]...)
 		n.configurations.add(entries[i:])
@@ -61,15 +62,15 @@
 	}
 }
 
-// handleHeartbeat confirms that this node still follows the sender. The leader never names a commit
-// index that this node has not acknowledged.
+// handleHeartbeat confirms that this node still follows the sender. The commit index in a heartbeat is never higher
+// than what this node has acknowledged.
 func (n *Node) handleHeartbeat(m Message) {
-	n.hearLeader(m.From)
-	n.log.commitTo(min(m.Commit, n.log.last()))
+	n.recognizeLeader(m.From)
+	n.log.commitTo(min(m.Commit, n.log.lastIndex()))
 	reply := Message{Kind: MessageHeartbeatReply, To: m.From, Index: n.log.commit, Context: m.Context}
 	n.send(reply)
-	if n.output.taken && n.output.saved.Term == n.term {
-		reply.Reject = true // the replies to earlier messages still wait for the disk
+	if n.output.readyOutstanding && n.output.persisted.Term == n.term {
+		reply.Reject = true // tells the leader that the replies to earlier messages still wait for the disk
 		n.sendUrgent(reply)
 	}
 }
--- a/internal/raft/fuzz_test.go
+++ b/internal/raft/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzConfigurationChange takes any bytes as a stored configuration change: refused, or valid and stable.
+// FuzzConfigurationChange decodes arbitrary bytes as a stored configuration change. The decoder must reject them, or
+// return a valid change that survives another round of encoding and decoding.
 func FuzzConfigurationChange(f *testing.F) {
 	for _, change := range []ConfigurationChange{
 		{Kind: AddLearner, Node: 4, Result: Configuration{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}},
@@ -19,11 +20,11 @@
 			return
 		}
 		if err := change.Result.validate(); err != nil {
-			t.Fatalf("an invalid configuration was taken: %v", err)
+			t.Fatalf("an invalid configuration was decoded without an error: %v", err)
 		}
 		again, err := DecodeConfigurationChange(change.Encode())
 		if err != nil || !reflect.DeepEqual(change, again) {
-			t.Fatalf("%+v became %+v (%v)", change, again, err)
+			t.Fatalf("encoding and decoding turned %+v into %+v (%v)", change, again, err)
 		}
 	})
 }
--- a/internal/raft/heartbeat.go
+++ b/internal/raft/heartbeat.go
@@ -1,19 +1,19 @@
 package raft
 
-// tickLeader sends heartbeats, retries lost snapshots, and steps down if no quorum was heard from within
-// an election timeout, or if its disk hangs: a leader that is cut off must not go on believing that it leads.
+// tickLeader sends heartbeats and retries lost snapshots. The leader steps down if it heard from no quorum within an
+// election timeout, since it may be partitioned from a newer leader, or if its disk hangs.
 func (n *Node) tickLeader() {
 	alive := 0
 	configuration := n.configuration()
 	for _, p := range n.progress {
-		p.silentTicks++
-		p.storedTicks++
+		p.ticksSinceReply++
+		p.ticksSinceDurableReply++
 		n.retrySnapshot(p)
-		if configuration.IsVoter(p.node) && n.hears(p) {
+		if configuration.IsVoter(p.node) && n.isReachable(p) {
 			alive++
 		}
 	}
-	if alive < configuration.Quorum() || n.diskHangs() {
+	if alive < configuration.Quorum() || n.tickDiskStall() {
 		n.becomeFollower(n.term, None)
 		return
 	}
@@ -29,20 +29,21 @@
 	}
 }
 
-// diskHangs lets a tick pass and reports whether one write has taken this leader as long as the longest election. Its heartbeats
-// don't wait for that write, but all that it would commit does: with one hung disk of five the group committed 1 of 1200
-// commands in a minute, while the others followed.
-func (n *Node) diskHangs() bool {
-	if !n.output.taken {
-		n.writeTicks = 0
+// tickDiskStall advances the timer of the outstanding write, and reports whether that write has taken as long as the
+// longest election timeout (maxTimeoutFactor times ElectionTicks). Heartbeats don't wait for the leader's own write,
+// but its commits do: without this check a group with one hung disk of five, the leader's, committed 1 of 1200
+// commands in a minute, while the other nodes went on following.
+func (n *Node) tickDiskStall() bool {
+	if !n.output.readyOutstanding {
+		n.outstandingReadyTicks = 0
 		return false
 	}
-	n.writeTicks++
-	return n.writeTicks >= longestFactor*n.config.ElectionTicks
+	n.outstandingReadyTicks++
+	return n.outstandingReadyTicks >= maxTimeoutFactor*n.config.ElectionTicks
 }
 
-// sendHeartbeats tells every member that this node leads. They carry the newest read round, so that a
-// lost one is made good by the next.
+// sendHeartbeats sends a heartbeat to every other member. Each carries the latest read round, so that the next
+// heartbeat makes up for a lost one.
 func (n *Node) sendHeartbeats() {
 	for _, p := range n.progress {
 		if p.node != n.id {
@@ -51,29 +52,30 @@
 	}
 }
 
-// handleHeartbeatReply confirms read rounds and makes good what was lost on the way.
+// handleHeartbeatReply confirms read rounds and resends what was lost.
 func (n *Node) handleHeartbeatReply(m Message) {
 	p := n.progressOf(m.From)
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.silentTicks = 0
+	p.ticksSinceReply = 0
 	if !m.Reject {
-		p.storedTicks, p.heard = 0, true
+		p.ticksSinceDurableReply, p.repliedInTerm = 0, true
 		n.resumeSending(p)
 	}
 	if m.Context > p.readRound && m.Context <= n.readRound {
 		p.readRound = m.Context
-		n.finishReads()
+		n.completeReads()
 	}
 }
 
-// resumeSending makes good what was lost on the way to a member that has answered all that it holds.
+// resumeSending resumes sending to a member that has processed and synced all messages before this heartbeat. A match
+// index that has not moved since the previous reply indicates that an append or its reply was lost.
 func (n *Node) resumeSending(p *progress) {
 	p.probeSent = false
-	stalled := p.match == p.heartbeatMark && p.match < n.log.last()
-	p.heartbeatMark = p.match
-	p.nudge = p.nudge || stalled
+	stalled := p.match == p.matchAtLastReply && p.match < n.log.lastIndex()
+	p.matchAtLastReply = p.match
+	p.emptyAppendNeeded = p.emptyAppendNeeded || stalled
 	if p.state == probing || stalled {
 		n.flushNeeded = true
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -4,7 +4,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Node is one member of one group. It is not safe for use by several goroutines at once.
+// Node is one member of one group. It is not safe for concurrent use.
 type Node struct {
 	config Config
 	id     uint64
@@ -16,38 +16,38 @@
 
 	log            entryLog
 	configurations configurationHistory
-	snapshot       Snapshot // the last one taken or received, for sending; without data once released
+	snapshot       Snapshot // the last one taken or received, sent to members behind the log; no data after ReleaseSnapshot
 
 	electionElapsed  int
-	metLeader        bool   // since the start: another one, or itself
-	leaderTerm       uint64 // the last term that is known to have had a leader
+	leaderSeen       bool   // a leader was seen since the start; it may have been this node
+	lastLeaderTerm   uint64 // the last term that is known to have had a leader
 	electionTimeout  int
 	heartbeatElapsed int
 
-	favoured    uint64 // the node whose campaign this one favours or last favoured; see favourFirst
-	favourTicks int    // for so long it refuses the pre-votes of others
-	preVotes    []vote // of the running campaign
-	votes       []vote // of the election in this term
-	standing    bool   // this node stands in it, and it isn't lost
-	transfering bool   // the campaign was asked for by the leader
+	preferredCandidate uint64 // the candidate that this node prefers or last preferred; see preferFirstCandidate
+	preferenceTicks    int    // remaining ticks in which pre-votes for other candidates are rejected
+	preVotes           []vote // answers to the running pre-vote
+	votes              []vote // answers to this node's election in the current term
+	electionOpen       bool   // this node stands for election in the current term and has neither won nor lost
+	transferCampaign   bool   // the leader requested this campaign (leadership transfer)
 
 	// Leader only.
-	progress         []*progress // by node, self included if a member
-	uncommittedBytes int
-	writeTicks       int    // for which one Ready has been out
-	heartbeatCommit  uint64 // commit at the last heartbeat: what a learner must hold to be promoted
-	transferTarget   uint64
-	reads            []pendingRead
-	readRound        uint64
-	flushNeeded      bool
+	progress              []*progress // sorted by node; includes this node if it is a member
+	uncommittedBytes      int
+	outstandingReadyTicks int    // ticks since the outstanding Ready was taken
+	heartbeatCommit       uint64 // commit index at the last heartbeat; a learner must hold it to be promoted
+	transferTarget        uint64
+	reads                 []pendingRead
+	readRound             uint64
+	flushNeeded           bool
 
-	output    output
-	seen      seen
-	elections Elections // counted for operators
+	output      output
+	lastChecked invariantState
+	elections   Elections // statistics for operators
 }
 
-// New returns a node that goes on from what its disk holds. It refuses a stored state that contradicts
-// itself: going on from one could lose what this node has acknowledged.
+// New returns a node that continues from the state on its disk. It returns an error if the stored state is
+// inconsistent, since continuing from such a state could lose entries that this node has acknowledged.
 func New(config Config, restored Restored) (*Node, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -64,12 +64,12 @@
 	n.log.reset(snapshot.Index, snapshot.Term)
 	n.log.applied = snapshot.Index
 	n.log.append(restored.Entries...)
-	n.log.stable = n.log.last()
+	n.log.stable = n.log.lastIndex()
 	n.log.commitTo(max(hard.Commit, snapshot.Index))
 	n.configurations = configurationHistory{{index: snapshot.Index, configuration: snapshot.Configuration.Clone()}}
 	n.configurations.add(restored.Entries)
-	n.leaderTerm = n.log.lastTerm()
-	n.output.saved = HardState{Term: hard.Term, Vote: hard.Vote, Commit: hard.Commit}
+	n.lastLeaderTerm = n.log.lastTerm()
+	n.output.persisted = HardState{Term: hard.Term, Vote: hard.Vote, Commit: hard.Commit}
 	n.becomeFollower(n.term, None)
 	n.checkInvariants()
 	return n, nil
@@ -80,8 +80,8 @@
 		return c, trace.BadParameter("raft: a node needs an ID and a source of randomness")
 	}
 	for _, option := range []struct {
-		value    *int
-		standard int
+		value        *int
+		defaultValue int
 	}{
 		{&c.ElectionTicks, 10},
 		{&c.HeartbeatTicks, 1},
@@ -92,17 +92,18 @@
 		{&c.RetainedBytes, 16 << 20},
 	} {
 		if *option.value < 0 {
-			return c, trace.BadParameter("raft: an option is negative: %d", *option.value)
+			return c, trace.BadParameter("raft: a configuration option is negative: %d", *option.value)
 		}
 		if *option.value == 0 {
-			*option.value = option.standard
+			*option.value = option.defaultValue
 		}
 	}
 	if c.SnapshotRetryTicks == 0 {
 		c.SnapshotRetryTicks = 5 * c.ElectionTicks
 	}
 	if c.ElectionTicks <= c.HeartbeatTicks || c.SnapshotRetryTicks < 0 || c.CampaignDelayTicks < 0 {
-		return c, trace.BadParameter("raft: %d election ticks are not more than %d heartbeat ticks, or a negative retry or delay",
+		return c, trace.BadParameter(
+			"raft: %d election ticks must exceed %d heartbeat ticks, and the snapshot retry and campaign delay must not be negative",
 			c.ElectionTicks, c.HeartbeatTicks)
 	}
 	return c, nil
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// Tick tells the node that one unit of time has passed.
+// Tick advances the node's logical clock by one tick.
 func (n *Node) Tick() {
 	defer n.checkInvariants()
 	if n.role == Leader {
@@ -143,50 +144,51 @@
 	if !n.tickElection() {
 		return
 	}
-	n.countTimeout()
-	if n.mayCampaign() {
+	n.countExpiredElection()
+	if n.canCampaign() {
 		n.campaignForPreVotes()
 		return
 	}
-	n.leader = None // may be a voter without knowing it: the others' campaigns are not to be ignored
+	n.leader = None // it may have been promoted to voter without knowing, so it must answer vote requests
 }
 
-// Step takes in a message from another node. An error says that no correct peer sends such a message and
-// that it had no effect; messages that are merely old are dropped without one.
+// Step processes a message from another node. It returns ErrContradiction, and the message has no effect, if no
+// correct peer could have sent it. Messages of earlier terms and duplicates are no error.
 func (n *Node) Step(m Message) error {
 	defer n.checkInvariants()
 	if err := n.validate(m); err != nil {
 		return err
 	}
-	n.countElection(m)
+	n.countVoteMessage(m)
 	switch {
 	case m.Term > n.term:
-		if n.ignoresCampaign(m) {
-			n.elections.given(m.From, m.Kind).HearsLeader++
+		if n.shouldIgnoreVoteRequest(m) {
+			n.elections.answerCounts(m.From, m.Kind).HearsLeader++
 			return nil
 		}
-		if movesTerm(m) {
-			n.countTermEnd()
+		if hasStartedTerm(m) {
+			n.countOvertakenElection()
 			n.becomeFollower(m.Term, None)
 		}
 	case m.Term < n.term:
-		n.answerOldTerm(m)
+		n.replyToOldTerm(m)
 		return nil
 	}
 	return n.dispatch(m)
 }
 
-// movesTerm reports whether a later term in m is one that has begun: pre-votes speak of a term to come.
-func movesTerm(m Message) bool {
+// hasStartedTerm reports whether the term of m has started. A pre-vote, and a reply that grants one, carry the term
+// that the candidate would start.
+func hasStartedTerm(m Message) bool {
 	return m.Kind != MessagePreVote && (m.Kind != MessagePreVoteReply || m.Reject)
 }
 
 func (n *Node) dispatch(m Message) error {
 	switch m.Kind {
 	case MessagePreVote, MessageVote:
-		n.answerCampaign(m)
+		n.handleVoteRequest(m)
 	case MessagePreVoteReply, MessageVoteReply:
-		n.countReply(m)
+		n.handleVoteReply(m)
 	case MessageAppend:
 		return n.handleAppend(m)
 	case MessageHeartbeat:
@@ -203,23 +205,24 @@
 	return nil
 }
 
-// answerOldTerm tells a leader or candidate of an earlier term that it is one. Without that, a node whose
-// term ran ahead while it was cut off could never rejoin: it is deaf to the leader, and the others to it.
-func (n *Node) answerOldTerm(m Message) {
+// replyToOldTerm tells a leader or candidate of an earlier term that its term is over. Without the reply, a node
+// whose term advanced while it was partitioned could never rejoin: it drops the leader's messages, which are of an
+// earlier term, and the others ignore its vote requests, since they hear a leader.
+func (n *Node) replyToOldTerm(m Message) {
 	switch m.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		n.send(Message{Kind: MessageAppendReply, To: m.From, Term: n.term})
 	case MessagePreVote:
-		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: n.term, Reject: true, Context: n.countAnswer(m, false)})
+		n.send(Message{Kind: MessagePreVoteReply, To: m.From, Term: n.term, Reject: true, Context: n.countVoteAnswer(m, false)})
 	case MessageVote:
-		n.send(Message{Kind: MessageVoteReply, To: m.From, Term: n.term, Reject: true, Context: n.countAnswer(m, false)})
+		n.send(Message{Kind: MessageVoteReply, To: m.From, Term: n.term, Reject: true, Context: n.countVoteAnswer(m, false)})
 	}
 }
 
-// validate refuses messages that no correct peer sends, before they can have an effect.
+// validate rejects messages that no correct peer sends, before they have an effect.
 func (n *Node) validate(m Message) error {
 	if m.To != n.id || m.From == None || m.From == n.id {
-		return contradiction(m, "addressed to node %x, received by node %x", m.To, n.id)
+		return newContradiction(m, "addressed to node %x, received by node %x", m.To, n.id)
 	}
 	switch m.Kind {
 	case MessageAppend:
@@ -228,12 +231,12 @@
 		}
 	case MessageSnapshot:
 		if m.Snapshot == nil || m.Snapshot.Term > m.Term || m.Snapshot.Configuration.validate() != nil {
-			return contradiction(m, "no valid snapshot")
+			return newContradiction(m, "no valid snapshot")
 		}
 	}
-	leaders := m.Kind == MessageAppend || m.Kind == MessageHeartbeat || m.Kind == MessageSnapshot
-	if leaders && m.Term == n.term && n.leader != None && n.leader != m.From {
-		return contradiction(m, "the leader of this term is node %x", n.leader)
+	fromLeader := m.Kind == MessageAppend || m.Kind == MessageHeartbeat || m.Kind == MessageSnapshot
+	if fromLeader && m.Term == n.term && n.leader != None && n.leader != m.From {
+		return newContradiction(m, "the leader of this term is node %x", n.leader)
 	}
 	return nil
 }
@@ -242,11 +245,11 @@
 	index, term := m.Index, m.LogTerm
 	for _, entry := range m.Entries {
 		if entry.Index != index+1 || entry.Term < term || entry.Term > m.Term || entry.Term == 0 {
-			return contradiction(m, "entry %d of term %d follows entry %d of term %d", entry.Index, entry.Term, index, term)
+			return newContradiction(m, "entry %d of term %d follows entry %d of term %d", entry.Index, entry.Term, index, term)
 		}
 		if entry.Kind == EntryConfiguration {
 			if _, err := DecodeConfigurationChange(entry.Data); err != nil {
-				return contradiction(m, "%v", err)
+				return newContradiction(m, "%v", err)
 			}
 		}
 		index, term = entry.Index, entry.Term
@@ -254,25 +257,25 @@
 	return nil
 }
 
-// becomeFollower leaves whatever role the node had.
+// becomeFollower gives up the current role. A new term clears the vote; leader is None if it is unknown.
 func (n *Node) becomeFollower(term, leader uint64) {
 	if term != n.term {
 		n.term, n.vote = term, None
-		n.favourNobody()
+		n.clearPreferredCandidate()
 	}
-	n.role, n.leader, n.standing = Follower, leader, false
+	n.role, n.leader, n.electionOpen = Follower, leader, false
 	n.resetRole()
 }
 
-// resetRole forgets what belongs to a role or a term.
+// resetRole clears the state that belongs to a role or a term.
 func (n *Node) resetRole() {
 	n.electionElapsed, n.heartbeatElapsed = 0, 0
-	n.drawElectionTimeout()
+	n.randomizeElectionTimeout()
 	n.preVotes = n.preVotes[:0]
 	n.progress, n.reads = nil, nil
 	n.uncommittedBytes, n.transferTarget = 0, None
 	n.flushNeeded = false
 }
 
-// configuration is the one in force on this node.
+// configuration returns the configuration in force on this node.
 func (n *Node) configuration() Configuration { return n.configurations.latest().configuration }
--- a/internal/raft/pacing.go
+++ b/internal/raft/pacing.go
@@ -1,50 +1,52 @@
 package raft
 
-// Elections are paced so that one can end before the next begins, however long a sync takes: a vote counts after a sync of
-// the candidate and one of the voter. Three rules do it, and none changes what a vote means. Without them, five nodes that
-// restarted together with syncs of 100 ms were in term 295 after 60 s and had no leader.
+// Elections are paced so that one can complete before the next one starts, even on slow disks: a vote counts only
+// after a sync of the candidate and a sync of the voter. Three rules achieve this without changing what a vote means.
+// Without them, five nodes that restarted together with syncs of 100 ms reached term 295 after 60 s and had no
+// leader.
 //
-//   - Timeouts double with each term that passes without a leader.
-//   - The time that a node's own vote or term needs to reach its disk doesn't count.
-//   - A node that favours one campaign refuses the pre-votes of others for one timeout.
+//   - Election timeouts double with each term that passes without a leader.
+//   - The election timer stops while the node's own term and vote are being synced.
+//   - A node that prefers one candidate rejects pre-votes for others for one election timeout.
 
 const (
-	// startDivisor is the part of ElectionTicks that counts before the first leader.
-	startDivisor = 5
-	// longestFactor bounds the growth of timeouts, in parts of ElectionTicks: at 10 ticks of 50 ms a node waits 4 s to 8 s
-	// at most, long enough for an election whose syncs take 1.5 s each.
-	longestFactor = 8
+	// initialTimeoutDivisor divides ElectionTicks until the node has seen a leader.
+	initialTimeoutDivisor = 5
+	// maxTimeoutFactor bounds the growth of election timeouts, as a multiple of ElectionTicks. With 10 ticks of 50 ms
+	// a node waits between 4 s and 8 s at most, long enough for an election whose syncs take 1.5 s each.
+	maxTimeoutFactor = 8
 )
 
-// drawElectionTimeout draws the ticks without a leader after which this node asks for pre-votes.
-func (n *Node) drawElectionTimeout() {
-	least := n.leastTimeout()
+// randomizeElectionTimeout draws the number of ticks without a leader after which this node starts a pre-vote.
+func (n *Node) randomizeElectionTimeout() {
+	least := n.minElectionTimeout()
 	n.electionTimeout = least + n.config.Random.Intn(least) + n.config.CampaignDelayTicks
 }
 
-// leastTimeout is the least number of ticks between two campaigns. Until this node has met a leader since its start they
-// are fewer: after a loss of power all nodes start without one, and a leader that lives is protected by those that hear
-// it, whatever this node asks. Terms without a leader double it; the log tells them, so nodes that restart and nodes that
-// don't grow alike. Pre-votes that win nothing begin no term, so nodes that come back find each other at once.
-func (n *Node) leastTimeout() int {
+// minElectionTimeout returns the lower bound of the randomized election timeout, in ticks. The bound is shorter until
+// this node has seen a leader since its start: after a power loss all nodes start without a leader, and voters that
+// hear a live leader ignore this node's requests, so that they cannot disturb it. The bound doubles with each term
+// without a leader. These terms follow from the log, so restarted nodes back off as much as running ones. A pre-vote
+// that fails starts no term and causes no backoff, so nodes that restart find each other at once.
+func (n *Node) minElectionTimeout() int {
 	least := n.config.ElectionTicks
-	if !n.metLeader {
-		least = max(least/startDivisor, n.config.HeartbeatTicks)
+	if !n.leaderSeen {
+		least = max(least/initialTimeoutDivisor, n.config.HeartbeatTicks)
 	}
-	longest := longestFactor * n.config.ElectionTicks
-	for lost := n.term - n.leaderTerm; lost > 0 && least < longest; lost-- {
+	limit := maxTimeoutFactor * n.config.ElectionTicks
+	for leaderless := n.term - n.lastLeaderTerm; leaderless > 0 && least < limit; leaderless-- {
 		least *= 2
 	}
-	return min(least, longest)
+	return min(least, limit)
 }
 
-// tickElection lets time pass for a node that doesn't lead, and reports whether it is time to campaign.
+// tickElection advances the election timer of a node that is not the leader, and reports whether it has expired.
 func (n *Node) tickElection() bool {
-	if n.leader == None && n.promises() {
+	if n.leader == None && n.hasUnsyncedTermOrVote() {
 		return false
 	}
-	if n.favourTicks > 0 {
-		n.favourTicks--
+	if n.preferenceTicks > 0 {
+		n.preferenceTicks--
 	}
 	n.electionElapsed++
 	if n.electionElapsed < n.electionTimeout {
@@ -54,43 +56,44 @@
 	return true
 }
 
-// promises reports whether the disk doesn't hold this node's term and vote yet.
-func (n *Node) promises() bool {
-	return n.output.saved.Term != n.term || n.output.saved.Vote != n.vote
+// hasUnsyncedTermOrVote reports whether this node's term or vote is not on its disk yet.
+func (n *Node) hasUnsyncedTermOrVote() bool {
+	return n.output.persisted.Term != n.term || n.output.persisted.Vote != n.vote
 }
 
-// favour keeps other campaigns away from a node's for one timeout.
-func (n *Node) favour(node uint64) {
-	n.favoured, n.favourTicks = node, n.leastTimeout()
+// preferCandidate makes this node reject pre-votes for candidates other than node for minElectionTimeout ticks.
+func (n *Node) preferCandidate(node uint64) {
+	n.preferredCandidate, n.preferenceTicks = node, n.minElectionTimeout()
 }
 
-// favourFirst favours the first campaign for pre-votes since a leader was heard or the term began. Others aren't favoured:
-// a node that asks again and again and can't win would keep away one that can.
-func (n *Node) favourFirst(node uint64) {
-	if n.favoured != None {
+// preferFirstCandidate prefers the first candidate for a pre-vote since a leader was heard or the term began. Later
+// candidates are not preferred, because a node that campaigns repeatedly and cannot win could then block one that
+// can.
+func (n *Node) preferFirstCandidate(node uint64) {
+	if n.preferredCandidate != None {
 		return
 	}
-	n.favour(node)
+	n.preferCandidate(node)
 	if node != n.id {
-		n.leader = None // it was silent for long enough, or this node would have ignored the campaign
+		n.leader = None // it was silent for an election timeout; otherwise this node would have ignored the request
 		n.electionElapsed = 0
 	}
 }
 
-// favoursAnother reports whether a request for a pre-vote comes while this node favours another campaign.
-func (n *Node) favoursAnother(m Message) bool {
-	return n.favourTicks > 0 && n.favoured != m.From && !n.yieldsTo(m)
+// prefersOtherCandidate reports whether m requests a pre-vote while this node prefers another candidate.
+func (n *Node) prefersOtherCandidate(m Message) bool {
+	return n.preferenceTicks > 0 && n.preferredCandidate != m.From && !n.shouldAbandonPreVoteFor(m)
 }
 
-// favourNobody ends what was favoured: a term has begun, or a leader is heard.
-func (n *Node) favourNobody() { n.favoured, n.favourTicks = None, 0 }
+// clearPreferredCandidate ends the preference, because a term has begun or a leader was heard.
+func (n *Node) clearPreferredCandidate() { n.preferredCandidate, n.preferenceTicks = None, 0 }
 
-// noteLeader notes that the current term has a leader.
-func (n *Node) noteLeader() {
-	n.favourNobody()
-	if n.metLeader && n.leaderTerm == n.term {
+// recordLeader records that the current term has a leader.
+func (n *Node) recordLeader() {
+	n.clearPreferredCandidate()
+	if n.leaderSeen && n.lastLeaderTerm == n.term {
 		return
 	}
-	n.metLeader, n.leaderTerm = true, n.term
-	n.drawElectionTimeout()
+	n.leaderSeen, n.lastLeaderTerm = true, n.term
+	n.randomizeElectionTimeout()
 }
--- a/internal/raft/parts.go
+++ b/internal/raft/parts.go
@@ -1,7 +1,7 @@
 package raft
 
-// Parts is an encoded state in parts: their concatenation is the encoding. Parts are never modified, so the state machine, a
-// node, its disk and its messages may share them.
+// Parts is an encoded state that is split into parts; the encoding is their concatenation. Parts are immutable, so
+// that the state machine, a node, its disk and its messages can share them.
 type Parts [][]byte
 
 // Size returns the size of the encoding in bytes.
@@ -13,7 +13,8 @@
 	return size
 }
 
-// Join returns the encoding in one piece.
+// Join returns the encoding as one slice, which the caller must not modify: with a single part it is that part
+// itself.
 func (p Parts) Join() []byte {
 	if len(p) == 1 {
 		return p[0]
--- a/internal/raft/permits_test.go
+++ b/internal/raft/permits_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// TestPromotionBeforeCatchUpIsRefused keeps a learner from the log: it must not vote before it has it.
+// TestPromotionBeforeCatchUpIsRefused guards against a learner that votes before it holds the log. The learner is
+// disconnected, so that it cannot catch up.
 func TestPromotionBeforeCatchUpIsRefused(t *testing.T) {
 	c := testCluster(t, 3, Unsafe{})
-	leader := c.mustLead(t, 60)
+	leader := c.mustElectLeader(t, 60)
 	c.add(9, Snapshot{})
-	c.cut[9] = true
+	c.isolated[9] = true
 	change := func(kind ChangeKind, node uint64) error {
 		_, _, err := leader.node.ProposeChange(ConfigurationChange{Kind: kind, Node: node})
 		return err
@@ -19,39 +20,39 @@
 		t.Fatal(err)
 	}
 	if err := change(RemoveNode, 9); !errors.Is(err, ErrChangePending) {
-		t.Fatalf("a second change at once: %v", err)
+		t.Fatalf("a second change while one is pending: got error %v, want ErrChangePending", err)
 	}
-	c.settle(5)
+	c.runTicks(5)
 	if err := change(PromoteLearner, 9); !errors.Is(err, ErrNotCaughtUp) {
-		t.Fatalf("a learner without the log: %v", err)
+		t.Fatalf("promotion of a learner without the log: got error %v, want ErrNotCaughtUp", err)
 	}
-	c.cut[9] = false
-	c.settle(2 * leader.node.config.ElectionTicks)
+	c.isolated[9] = false
+	c.runTicks(2 * leader.node.config.ElectionTicks)
 	if err := change(PromoteLearner, 9); err != nil {
-		t.Fatalf("a learner that has caught up: %v", err)
+		t.Fatalf("promotion of a learner that has caught up: %v", err)
 	}
 }
 
-// TestChangeThatRisksTheQuorumIsRefused has one voter silent: taking out another that is heard would leave the
-// group without a working quorum; taking out the silent one does not.
+// TestChangeThatRisksTheQuorumIsRefused guards against changes that leave the group without a working quorum. One of
+// three voters is disconnected: removing an active one would do that, removing the disconnected one does not.
 func TestChangeThatRisksTheQuorumIsRefused(t *testing.T) {
 	c := testCluster(t, 3, Unsafe{})
-	leader := c.mustLead(t, 60)
+	leader := c.mustElectLeader(t, 60)
 	silent, heard := leader.id%3+1, (leader.id+1)%3+1
-	c.cut[silent] = true
-	c.settle(2 * leader.node.config.ElectionTicks)
+	c.isolated[silent] = true
+	c.runTicks(2 * leader.node.config.ElectionTicks)
 	remove := func(node uint64) error {
 		_, _, err := leader.node.ProposeChange(ConfigurationChange{Kind: RemoveNode, Node: node})
 		return err
 	}
 	if err := remove(heard); !errors.Is(err, ErrQuorumAtRisk) {
-		t.Fatalf("removal of a voter that is needed: %v", err)
+		t.Fatalf("removal of a voter that is needed: got error %v, want ErrQuorumAtRisk", err)
 	}
 	if err := remove(silent); err != nil {
 		t.Fatalf("removal of the silent voter: %v", err)
 	}
-	c.settle(5)
+	c.runTicks(5)
 	if got := leader.node.configuration(); len(got.Voters) != 2 || got.IsVoter(silent) {
-		t.Fatalf("configuration %+v", got)
+		t.Fatalf("got configuration %+v, want the two remaining voters", got)
 	}
 }
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -1,33 +1,34 @@
 package raft
 
-// progressState says how a leader sends to another node.
+// progressState is the mode in which a leader sends to another node.
 type progressState uint8
 
 const (
-	probing      progressState = iota // one append at a time until the logs are known to match
-	replicating                       // appends follow each other without waiting
-	snapshotting                      // nothing until the snapshot is acknowledged or has to be retried
+	probing      progressState = iota // one append at a time, until the logs are known to match
+	replicating                       // pipelined appends, up to a full window
+	snapshotting                      // nothing, until the snapshot is acknowledged or its retry is due
 )
 
-// progress is what a leader knows of one member, itself included.
+// progress is a leader's view of one member; a leader has one for itself too.
 type progress struct {
-	node          uint64
-	state         progressState
-	match         uint64 // highest index known to be on the node's disk
-	next          uint64 // next index to send
-	sentCommit    uint64 // highest commit index sent
-	probeSent     bool   // a probe is on its way
-	nudge         bool   // ask whether what was sent last arrived
-	heartbeatMark uint64 // match at the last heartbeat reply: no move since then is a stall
-	silentTicks   int    // ticks since the node was last heard from
-	storedTicks   int    // ticks since it last answered what waits for its disk
-	heard         bool   // it did so since the leadership began
-	snapshotTicks int    // ticks since the snapshot was sent
-	snapshotIndex uint64
-	readRound     uint64 // last read round that the node confirmed
-	inflight      inflight
+	node                   uint64
+	state                  progressState
+	match                  uint64 // highest index known to be on the node's disk
+	next                   uint64 // next index to send
+	sentCommit             uint64 // highest commit index sent
+	probeSent              bool   // a probe is in flight
+	emptyAppendNeeded      bool   // send an empty append, whose reply tells whether the last appends arrived
+	matchAtLastReply       uint64 // match at the last heartbeat reply; if unchanged at the next, sending has stalled
+	ticksSinceReply        int    // ticks since any reply of the node
+	ticksSinceDurableReply int    // ticks since a reply that waits for the node's disk
+	repliedInTerm          bool   // a reply that waits for its disk came since the leadership began
+	snapshotTicks          int    // ticks since the snapshot was sent
+	snapshotIndex          uint64
+	readRound              uint64 // latest read round that the node confirmed
+	inflight               inflight
 }
 
+// canSend reports whether another append may be sent now.
 func (p *progress) canSend() bool {
 	switch p.state {
 	case probing:
@@ -39,13 +40,14 @@
 	}
 }
 
+// become enters a state and continues after the match index.
 func (p *progress) become(state progressState) {
-	p.state, p.probeSent, p.nudge, p.snapshotTicks = state, false, false, 0
+	p.state, p.probeSent, p.emptyAppendNeeded, p.snapshotTicks = state, false, false, 0
 	p.inflight.reset()
 	p.next = p.match + 1
 }
 
-// acknowledge notes that the node's disk holds the log up to index, and reports whether that is news.
+// acknowledge records that the node's disk holds the log up to index, and reports whether match advanced.
 func (p *progress) acknowledge(index uint64) bool {
 	p.inflight.free(index)
 	if index <= p.match {
@@ -56,7 +58,7 @@
 	return true
 }
 
-// inflight holds the last indexes of unacknowledged appends, oldest first, in a ring.
+// inflight is a ring of the last indexes of unacknowledged appends, oldest first.
 type inflight struct {
 	ring  []uint64
 	start int
@@ -72,7 +74,7 @@
 	f.count++
 }
 
-// free drops the appends that an acknowledgement of index covers.
+// free removes the appends that an acknowledgement of index covers.
 func (f *inflight) free(index uint64) {
 	for f.count > 0 && f.ring[f.start] <= index {
 		f.start = (f.start + 1) % len(f.ring)
--- a/internal/raft/read.go
+++ b/internal/raft/read.go
@@ -3,16 +3,16 @@
 // maxPendingReads bounds the reads that wait for a quorum.
 const maxPendingReads = 1 << 16
 
-// pendingRead is a read that waits for a quorum to confirm this leader.
+// pendingRead is a read that waits until a quorum has confirmed this node's leadership.
 type pendingRead struct {
 	context uint64
 	index   uint64
-	round   uint64 // 0: not yet part of a round
+	round   uint64 // read round that confirms it; 0 if none has started
 }
 
-// ReadIndex asks for a point of the log that holds everything committed before this call. The answer is a
-// ReadState with the same context. Reads asked for between two Readies share one round of heartbeats.
-// Errors: ErrNotLeader, ErrOverloaded.
+// ReadIndex requests a log index that covers everything committed before this call. The answer is a ReadState with
+// the same context. All reads requested between two Readies share one round of heartbeats. Errors: ErrNotLeader,
+// ErrOverloaded.
 func (n *Node) ReadIndex(context uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -25,13 +25,14 @@
 	return nil
 }
 
-// readsUnderWay reports whether a round runs. The reads that come meanwhile share the next one.
-func (n *Node) readsUnderWay() bool { return len(n.reads) > 0 && n.reads[0].round != 0 }
+// isReadRoundRunning reports whether a read round waits for its quorum. Reads that are requested meanwhile share the
+// next round.
+func (n *Node) isReadRoundRunning() bool { return len(n.reads) > 0 && n.reads[0].round != 0 }
 
-// startReads begins a round for the reads that are in none. Until an entry of this term is committed the
-// leader may not know the newest commit index, so they wait.
-func (n *Node) startReads() {
-	if len(n.reads) == 0 || n.reads[len(n.reads)-1].round != 0 || !n.committedInTerm() {
+// startReadRound starts a round for the reads that are in none. They wait until an entry of this term is committed,
+// because the leader may not know the latest commit index before.
+func (n *Node) startReadRound() {
+	if len(n.reads) == 0 || n.reads[len(n.reads)-1].round != 0 || !n.hasCommittedInTerm() {
 		return
 	}
 	n.readRound++
@@ -40,13 +41,13 @@
 			n.reads[i].round, n.reads[i].index = n.readRound, n.log.commit
 		}
 	}
-	if !n.finishReads() {
+	if !n.completeReads() {
 		n.sendHeartbeats()
 	}
 }
 
-// finishReads answers the reads whose round a quorum has confirmed, and reports whether none is left.
-func (n *Node) finishReads() bool {
+// completeReads answers the reads whose round a quorum has confirmed, and reports whether no read is left.
+func (n *Node) completeReads() bool {
 	confirmed := n.quorumValue(func(p *progress) uint64 {
 		if p.node == n.id || n.config.Unsafe.ReadWithoutQuorum {
 			return n.readRound
@@ -55,7 +56,7 @@
 	})
 	done := 0
 	for done < len(n.reads) && n.reads[done].round != 0 && n.reads[done].round <= confirmed {
-		n.output.reads = append(n.output.reads, ReadState{Context: n.reads[done].context, Index: n.reads[done].index})
+		n.output.readStates = append(n.output.readStates, ReadState{Context: n.reads[done].context, Index: n.reads[done].index})
 		done++
 	}
 	n.reads = append(n.reads[:0], n.reads[done:]...)
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -1,20 +1,22 @@
 package raft
 
-// output is what waits for the driver.
+// output holds the work that is queued for the driver.
 type output struct {
-	urgent   []Message
-	early    []Message
-	messages []Message
-	reads    []ReadState
-	snapshot *Snapshot
-	selfVote uint64 // term of an own vote that no sync covers yet
-	saved    HardState
-	taken    bool   // a Ready is out
-	ordered  bool   // its Committed were all on the disk, so what is committed after them may be applied before its sync
-	syncing  uint64 // term of the own vote that the Ready that is out syncs
+	urgent           []Message
+	early            []Message
+	messages         []Message
+	readStates       []ReadState
+	snapshot         *Snapshot
+	selfVoteTerm     uint64    // term of this node's own vote that no Ready includes yet; 0 if none
+	persisted        HardState // as of the last Advance
+	readyOutstanding bool      // a Ready was taken and not yet advanced
+	// committedDurable is set if all Committed of the outstanding Ready were on this node's disk, so that entries
+	// committed after them may be applied before its sync.
+	committedDurable bool
+	syncingVoteTerm  uint64 // term of this node's own vote that the outstanding Ready syncs; 0 if none
 }
 
-// send queues a message that may promise something of this node's disk.
+// send queues a message that depends on this node's own disk and must not leave before the next sync.
 func (n *Node) send(m Message) {
 	if n.config.Unsafe.ReplyBeforeSync {
 		n.sendEarly(m)
@@ -23,33 +25,34 @@
 	n.output.messages = append(n.output.messages, n.address(m))
 }
 
-// sendEarly queues a leader's message that promises nothing of this node's disk.
+// sendEarly queues a leader's message that does not depend on this node's own disk.
 func (n *Node) sendEarly(m Message) { n.output.early = append(n.output.early, n.address(m)) }
 
-// sendUrgent queues a message that promises nothing of this node's disk and may not wait for it. A group whose heartbeats
-// and their answers waited for syncs of 450 ms and more lost each leader that it elected.
+// sendUrgent queues a message that does not depend on this node's own disk and must not wait for a sync in progress.
+// A group whose heartbeats and replies waited for syncs of 450 ms and more lost each leader that it elected.
 func (n *Node) sendUrgent(m Message) { n.output.urgent = append(n.output.urgent, n.address(m)) }
 
-// Urgent hands out what may be done at once while a Ready is out. Without one it hands out messages only; those that the
-// driver doesn't take come with the next Ready's EarlyMessages.
+// Urgent returns the work that may be done at once while a Ready is outstanding. If none is, it returns messages
+// only; messages that the driver does not take this way are in the next Ready's EarlyMessages.
 func (n *Node) Urgent() Urgent {
 	out := &n.output
-	if out.taken && n.role == Leader && !n.readsUnderWay() {
-		n.startReads()
+	if out.readyOutstanding && n.role == Leader && !n.isReadRoundRunning() {
+		n.startReadRound()
 	}
 	urgent := Urgent{Messages: out.urgent}
 	out.urgent = nil
-	if !out.taken {
+	if !out.readyOutstanding {
 		return urgent
 	}
-	urgent.ReadStates, out.reads = out.reads, nil
-	if last := min(n.log.commit, n.log.stable); out.ordered && out.snapshot == nil && last > n.log.handed {
-		urgent.Committed = n.log.slice(n.log.handed+1, last)
-		n.log.handed, n.log.applied = last, last
+	urgent.ReadStates, out.readStates = out.readStates, nil
+	if last := min(n.log.commit, n.log.stable); out.committedDurable && out.snapshot == nil && last > n.log.applying {
+		urgent.Committed = n.log.slice(n.log.applying+1, last)
+		n.log.applying, n.log.applied = last, last
 	}
 	return urgent
 }
 
+// address fills in the sender, and the current term if m has none.
 func (n *Node) address(m Message) Message {
 	m.From = n.id
 	if m.Term == 0 {
@@ -62,18 +65,18 @@
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 }
 
-// HasReady reports whether Ready has something to hand out. It is false while a Ready is out.
+// HasReady reports whether Ready has work to return. It is false while a Ready is outstanding.
 func (n *Node) HasReady() bool {
 	out := &n.output
-	return !out.taken && (n.flushNeeded || len(out.urgent) > 0 || len(out.early) > 0 || len(out.messages) > 0 || len(out.reads) > 0 ||
-		out.snapshot != nil || out.selfVote != 0 || n.hardState() != out.saved ||
-		n.log.last() > n.log.stable || n.log.commit > n.log.handed)
+	return !out.readyOutstanding && (n.flushNeeded || len(out.urgent) > 0 || len(out.early) > 0 || len(out.messages) > 0 || len(out.readStates) > 0 ||
+		out.snapshot != nil || out.selfVoteTerm != 0 || n.hardState() != out.persisted ||
+		n.log.lastIndex() > n.log.stable || n.log.commit > n.log.applying)
 }
 
-// Ready hands out what the driver has to do next. Call Advance before the next one.
+// Ready returns the work that the driver has to do next. It panics if the previous Ready has not been advanced.
 func (n *Node) Ready() Ready {
 	out := &n.output
-	if out.taken {
+	if out.readyOutstanding {
 		panic("raft: Ready was called again before Advance")
 	}
 	n.flush()
@@ -84,17 +87,17 @@
 		Snapshot:      out.snapshot,
 		EarlyMessages: append(out.urgent, out.early...),
 		Messages:      out.messages,
-		Committed:     n.log.slice(n.log.handed+1, n.log.commit),
-		ReadStates:    out.reads,
+		Committed:     n.log.slice(n.log.applying+1, n.log.commit),
+		ReadStates:    out.readStates,
 	}
-	ready.MustSync = len(ready.Entries) > 0 || ready.Snapshot != nil || hard.Term != out.saved.Term || hard.Vote != out.saved.Vote
-	n.log.handed = n.log.commit
-	*out = output{saved: out.saved, taken: true, ordered: len(ready.Durable()) == len(ready.Committed), syncing: out.selfVote}
+	ready.MustSync = len(ready.Entries) > 0 || ready.Snapshot != nil || hard.Term != out.persisted.Term || hard.Vote != out.persisted.Vote
+	n.log.applying = n.log.commit
+	*out = output{persisted: out.persisted, readyOutstanding: true, committedDurable: len(ready.Durable()) == len(ready.Committed), syncingVoteTerm: out.selfVoteTerm}
 	return ready
 }
 
-// Durable returns the committed entries that this node's disk holds already. They are committed by a quorum, and no sync of
-// this node is needed before their proposers hear of it.
+// Durable returns the committed entries that this node's disk already holds. A quorum has committed them, so the
+// driver may apply them and answer their proposers before it syncs this Ready.
 func (r *Ready) Durable() []Entry {
 	if r.Snapshot != nil {
 		return nil
@@ -109,15 +112,15 @@
 	return committed
 }
 
-// Advance tells the node that a Ready is synced and applied. From here on its own copies of those
-// entries, and its own vote, count.
+// Advance tells the node that ready is synced and applied. From then on its own copies of the entries, and its own
+// vote, count towards a quorum. It panics if no Ready is outstanding.
 func (n *Node) Advance(ready Ready) {
-	if !n.output.taken {
+	if !n.output.readyOutstanding {
 		panic("raft: Advance was called without a Ready")
 	}
 	defer n.checkInvariants()
-	n.output.taken, n.writeTicks = false, 0
-	n.output.saved = ready.HardState
+	n.output.readyOutstanding, n.outstandingReadyTicks = false, 0
+	n.output.persisted = ready.HardState
 	if ready.Snapshot != nil {
 		n.log.applied = max(n.log.applied, ready.Snapshot.Index)
 	}
@@ -127,10 +130,10 @@
 	if count := len(ready.Committed); count > 0 {
 		n.log.applied = max(n.log.applied, ready.Committed[count-1].Index)
 	}
-	if n.standing && n.output.syncing == n.term {
+	if n.electionOpen && n.output.syncingVoteTerm == n.term {
 		n.recordVote(n.id, true)
 	}
 	if n.role == Leader {
-		n.acknowledgeOwn(n.log.stable)
+		n.acknowledgeSelf(n.log.stable)
 	}
 }
--- a/internal/raft/schedule_test.go
+++ b/internal/raft/schedule_test.go
@@ -8,15 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// chooser picks the next step of a schedule: rapid for shrinking, a seeded source for mutations.
+// chooser returns the next choice of a schedule, from 0 to n-1. Property tests draw it from rapid, which can shrink a
+// failing schedule, and other tests from a seeded source.
 type chooser func(n int) int
 
-// schedule throws faults at a group for a number of steps and returns what it examined and the first
-// violation.
-func schedule(choose chooser, seed int64, unsafe Unsafe, steps int) (counts, string) {
+// runSchedule runs a group with random faults for a number of steps, then ends all faults. It returns the counts of
+// the checks made and the first violation, which is empty if there was none.
+func runSchedule(choose chooser, seed int64, unsafe Unsafe, steps int) (counts, string) {
 	random := rand.New(rand.NewSource(seed))
 	base := Config{ElectionTicks: 5, RetainedEntries: 1, SnapshotRetryTicks: 10, MaxInflightAppends: 4, MaxAppendBytes: 24, Unsafe: unsafe}
-	s := &scheduler{cluster: newCluster(random, base, 2+choose(3)), choose: choose, next: 10}
+	s := &scheduler{cluster: newCluster(random, base, 2+choose(3)), choose: choose, nextID: 10}
 	for range steps {
 		s.step()
 		s.cluster.check.observe(s.cluster)
@@ -28,15 +29,16 @@
 	return s.cluster.check.counts, s.cluster.check.violation
 }
 
+// scheduler picks and runs the steps of a schedule.
 type scheduler struct {
 	cluster *cluster
 	choose  chooser
-	next    uint64 // next new machine
+	nextID  uint64 // ID of the next machine that is added
 }
 
 func (s *scheduler) any() *machine { return s.cluster.machines[s.choose(len(s.cluster.machines))] }
 
-// step does one thing. Common things come often, so that faults hit a group that works.
+// step does one random thing. Ordinary events are more frequent than faults, so that faults hit a working group.
 func (s *scheduler) step() {
 	c := s.cluster
 	switch kind := s.choose(100); {
@@ -47,9 +49,9 @@
 			s.deliver()
 		}
 	case kind < 65:
-		c.take(s.any())
+		c.takeReady(s.any())
 	case kind < 82:
-		c.finish(s.any())
+		c.finishReady(s.any())
 	case kind < 88:
 		if m := s.any(); m.node != nil {
 			_ = c.propose(m)
@@ -75,7 +77,7 @@
 			_ = m.node.TransferLeadership(s.any().id)
 		}
 	default:
-		c.settle(1 + s.choose(12))
+		c.runTicks(1 + s.choose(12))
 	}
 }
 
@@ -101,7 +103,7 @@
 	default:
 		c.deliver(i, false)
 	}
-	if len(c.network) > 200 { // the network cannot hold messages forever
+	if len(c.network) > 200 { // drops the oldest messages, which bounds the network
 		c.network = c.network[100:]
 	}
 }
@@ -112,24 +114,24 @@
 	case 0:
 		s.cluster.crash(m)
 	case 1:
-		s.cluster.finishPartly(m, false)
+		s.cluster.syncThenCrash(m, false)
 	default:
-		s.cluster.finishPartly(m, true)
+		s.cluster.syncThenCrash(m, true)
 	}
 }
 
 func (s *scheduler) partition() {
 	c := s.cluster
-	if len(c.cut) > 0 {
-		clear(c.cut)
+	if len(c.isolated) > 0 {
+		clear(c.isolated)
 		return
 	}
 	for range 1 + s.choose(2) {
-		c.cut[s.any().id] = true
+		c.isolated[s.any().id] = true
 	}
 }
 
-// change proposes a configuration change to whoever leads.
+// change proposes a random configuration change to a random machine if that machine leads.
 func (s *scheduler) change() {
 	c := s.cluster
 	m := s.any()
@@ -138,18 +140,18 @@
 	}
 	change := ConfigurationChange{Kind: ChangeKind(s.choose(3)), Node: s.any().id}
 	if change.Kind == AddLearner && len(c.machines) < 7 {
-		change.Node = s.next
+		change.Node = s.nextID
 	}
 	if _, _, err := m.node.ProposeChange(change); err == nil && change.Kind == AddLearner && c.machine(change.Node) == nil {
 		c.add(change.Node, Snapshot{})
-		s.next++
+		s.nextID++
 	}
 }
 
-// heal ends all faults; the group must then work again in a bounded number of ticks.
+// heal ends all faults and checks that the group then commits again within a bounded number of ticks.
 func (s *scheduler) heal() {
 	c := s.cluster
-	clear(c.cut)
+	clear(c.isolated)
 	for _, m := range c.machines {
 		if m.node == nil {
 			c.start(m)
@@ -158,7 +160,7 @@
 			return
 		}
 	}
-	c.settle(healTicks)
+	c.runTicks(healTicks)
 	leader := c.leader()
 	if leader == nil {
 		c.check.fail("liveness: no leader %d ticks after all faults ended\n%s", healTicks, c.describe())
@@ -167,22 +169,24 @@
 	before := leader.node.log.commit
 	c.read(leader)
 	if err := c.propose(leader); err != nil {
-		c.check.fail("liveness: a healed leader refuses work: %v", err)
+		c.check.fail("liveness: the leader rejects a proposal after all faults ended: %v", err)
 	}
-	c.settle(20)
+	c.runTicks(20)
 	if leader.node.log.commit <= before {
 		c.check.fail("liveness: nothing committed after all faults ended\n%s", c.describe())
 	}
 }
 
-// healTicks is 40 election timeouts: time for several split votes.
+// healTicks is 40 election timeouts, which leaves time for several split votes.
 const healTicks = 200
 
+// TestScheduleProperty checks the safety properties, and liveness after all faults have ended, on schedules of random
+// faults that rapid can shrink.
 func TestScheduleProperty(t *testing.T) {
 	total := counts{}
 	rapid.Check(t, func(t *rapid.T) {
 		choose := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
-		examined, violation := schedule(choose, int64(choose(1<<20)), Unsafe{}, 1000)
+		examined, violation := runSchedule(choose, int64(choose(1<<20)), Unsafe{}, 1000)
 		total.add(examined)
 		if violation != "" {
 			t.Fatal(violation)
@@ -191,6 +195,7 @@
 	requireExamined(t, total)
 }
 
+// TestSeededSchedules checks the same properties as TestScheduleProperty on schedules with fixed seeds.
 func TestSeededSchedules(t *testing.T) {
 	seeds := 2000
 	if testing.Short() {
@@ -198,7 +203,7 @@
 	}
 	total := counts{}
 	for seed := range int64(seeds) {
-		examined, violation := seeded(seed, Unsafe{}, 1000)
+		examined, violation := runSeededSchedule(seed, Unsafe{}, 1000)
 		total.add(examined)
 		if violation != "" {
 			t.Fatalf("seed %d: %s", seed, violation)
@@ -207,21 +212,22 @@
 	requireExamined(t, total)
 }
 
-func seeded(seed int64, unsafe Unsafe, steps int) (examined counts, violation string) {
+// runSeededSchedule runs a schedule whose choices come from a seeded source. A panic counts as a violation.
+func runSeededSchedule(seed int64, unsafe Unsafe, steps int) (examined counts, violation string) {
 	defer func() {
-		if broken := recover(); broken != nil {
-			violation = fmt.Sprint(broken)
+		if recovered := recover(); recovered != nil {
+			violation = fmt.Sprint(recovered)
 		}
 	}()
 	random := rand.New(rand.NewSource(seed))
-	return schedule(random.Intn, seed, unsafe, steps)
+	return runSchedule(random.Intn, seed, unsafe, steps)
 }
 
-// requireExamined fails a run that has looked at nothing of some kind.
+// requireExamined fails the test if the schedules made no check of some kind.
 func requireExamined(t *testing.T, total counts) {
 	t.Helper()
 	t.Logf("examined %+v", total)
 	if total.leaders == 0 || total.entries == 0 || total.completeness == 0 || total.matches == 0 || total.reads == 0 || total.snapshots == 0 {
-		t.Fatalf("a kind of event was never examined: %+v", total)
+		t.Fatalf("no check was made of at least one kind: %+v", total)
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -2,9 +2,10 @@
 
 import "github.com/gravitational/trace"
 
-// Compact records data as the state machine's state as of index, which must be applied, and drops the
-// log before it except for what Config retains. The driver stores the snapshot that is returned; the node
-// keeps it for members that have fallen behind the log, until ReleaseSnapshot.
+// Compact records data as the state machine's state at index, which must be applied, and drops the log before index
+// except for what Config retains. The driver has to store the returned snapshot. The node sends it to members that
+// have fallen behind the log, and holds its data until ReleaseSnapshot. It returns trace.BadParameter if index is not
+// applied yet or not after the last snapshot.
 func (n *Node) Compact(index uint64, data Parts) (Snapshot, error) {
 	if index > n.log.applied || index <= n.snapshot.Index {
 		return Snapshot{}, trace.BadParameter("raft: cannot compact at %d: the last snapshot is at %d, applied is %d",
@@ -14,40 +15,41 @@
 	term, _ := n.log.term(index)
 	n.configurations.compact(index)
 	n.snapshot = Snapshot{Index: index, Term: term, Configuration: n.configurations.at(index).Clone(), Data: data}
-	n.log.compact(n.retainedAfter(index))
+	n.log.compact(n.compactionOffset(index))
 	return n.snapshot, nil
 }
 
-// retainedAfter returns the index after which entries up to a compaction's index stay in memory: the newest ones
-// that keep to RetainedEntries and RetainedBytes.
-func (n *Node) retainedAfter(index uint64) uint64 {
+// compactionOffset returns the index after which entries stay in memory when the log is compacted at index. It
+// retains the newest entries that fit both RetainedEntries and RetainedBytes.
+func (n *Node) compactionOffset(index uint64) uint64 {
 	oldest := max(n.log.offset, index-min(index, uint64(n.config.RetainedEntries)))
 	for size := 0; index > oldest; index-- {
-		if size += n.log.bytes(index, index); size > n.config.RetainedBytes {
+		if size += n.log.dataSize(index, index); size > n.config.RetainedBytes {
 			break
 		}
 	}
 	return index
 }
 
-// ReleaseSnapshot drops the data of the last snapshot if that is the one at index: the driver holds it durably and
-// completes the snapshot messages without data that leave from now on. A large state is then not in memory twice.
+// ReleaseSnapshot drops the data of the last snapshot if it is the one at index, so that a large state is not in
+// memory twice. The driver must hold the snapshot durably, and must fill in the data of the snapshot messages that
+// the node sends without data from then on.
 func (n *Node) ReleaseSnapshot(index uint64) {
 	if n.snapshot.Index == index {
 		n.snapshot.Data = nil
 	}
 }
 
-// LogBytes is the size of the entries' data that the node holds.
-func (n *Node) LogBytes() int { return n.log.bytes(n.log.first(), n.log.last()) }
+// LogBytes returns the size in bytes of the data of the entries in memory.
+func (n *Node) LogBytes() int { return n.log.dataSize(n.log.firstIndex(), n.log.lastIndex()) }
 
-// SnapshotBytes is the size of the snapshot's data that the node holds.
+// SnapshotBytes returns the size in bytes of the snapshot data in memory.
 func (n *Node) SnapshotBytes() int { return n.snapshot.Data.Size() }
 
-// sendSnapshot sends the last snapshot to a member that needs entries from before the log. A member that
-// is silent is not sent one: it would only fill the connection.
+// sendSnapshot sends the last snapshot to a member that needs entries from before the log. An inactive member gets
+// none, because a snapshot that it does not store would only fill the connection.
 func (n *Node) sendSnapshot(p *progress) {
-	if !n.active(p) {
+	if !n.isActive(p) {
 		return
 	}
 	p.become(snapshotting)
@@ -56,7 +58,7 @@
 	n.sendEarly(Message{Kind: MessageSnapshot, To: p.node, Snapshot: &snapshot, Commit: n.log.commit})
 }
 
-// retrySnapshot goes back to probing when a snapshot was not acknowledged in time.
+// retrySnapshot returns to probing if the snapshot was not acknowledged within SnapshotRetryTicks.
 func (n *Node) retrySnapshot(p *progress) {
 	if p.state != snapshotting {
 		return
@@ -68,10 +70,10 @@
 	}
 }
 
-// handleSnapshot replaces the log by a snapshot, unless the log holds what it covers. The reply leaves
-// after the snapshot is synced.
+// handleSnapshot replaces the log by a snapshot, unless the log already holds the snapshot's last entry. The reply
+// leaves after the snapshot is synced.
 func (n *Node) handleSnapshot(m Message) {
-	n.hearLeader(m.From)
+	n.recognizeLeader(m.From)
 	snapshot := *m.Snapshot
 	switch {
 	case snapshot.Index <= n.log.commit:
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -1,16 +1,17 @@
 package raft
 
-// Status returns the node's view of its group. The configuration is the one in force on this node.
+// Status returns this node's view of its group. The configuration is the one in force on this node. Match is empty
+// unless the node leads.
 func (n *Node) Status() Status {
 	status := Status{
 		ID: n.id, Role: n.role, Leader: n.leader, Term: n.term, Vote: n.vote,
-		Commit: n.log.commit, Applied: n.log.applied, Stable: n.log.stable, FirstIndex: n.log.first(),
-		LastIndex: n.log.last(), LastTerm: n.log.lastTerm(),
+		Commit: n.log.commit, Applied: n.log.applied, Stable: n.log.stable, FirstIndex: n.log.firstIndex(),
+		LastIndex: n.log.lastIndex(), LastTerm: n.log.lastTerm(),
 		Configuration: n.configuration().Clone(),
 	}
 	for _, p := range n.progress {
 		status.Match = append(status.Match, Progress{Node: p.node, Match: p.match,
-			Learner: status.Configuration.IsLearner(p.node), RecentActive: n.active(p), Heard: p.heard || p.node == n.id})
+			Learner: status.Configuration.IsLearner(p.node), RecentActive: n.isActive(p), Heard: p.repliedInTerm || p.node == n.id})
 	}
 	return status
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -1,8 +1,8 @@
 package raft
 
-// TransferLeadership asks the voter `to` to take over as soon as it holds the whole log. Proposals are
-// refused meanwhile, for at most an election timeout; if the transfer has not worked by then, this node
-// goes on. Errors: ErrNotLeader, ErrTransferring, ErrNotMember.
+// TransferLeadership hands the leadership to a voter as soon as that voter holds the whole log. Proposals are
+// rejected meanwhile, for at most an election timeout; after that the transfer is abandoned and this node continues
+// as leader. Errors: ErrNotLeader, ErrTransferring, ErrNotMember.
 func (n *Node) TransferLeadership(to uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -23,10 +23,10 @@
 	return nil
 }
 
-// HandOver asks a voter to campaign at once, although it may lack entries that this leader has taken but not stored. It is for a
-// leader whose disk takes no writes: it can neither send those entries on nor commit them, so that a transfer, which waits until
-// the voter holds the whole log, would never end. This node goes on leading until it hears of the next term. Errors: ErrNotLeader,
-// ErrNotMember.
+// HandOver asks a voter to campaign at once, although it may lack entries that this leader has accepted but not
+// stored. It is for a leader whose disk takes no writes: such a leader can neither send those entries nor commit
+// them, so that TransferLeadership, which waits until the voter holds the whole log, would never complete. This node
+// leads until it hears of a later term. Errors: ErrNotLeader, ErrNotMember.
 func (n *Node) HandOver(to uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -38,18 +38,18 @@
 	return nil
 }
 
-// finishTransfer tells the target of a transfer to campaign once it holds the whole log.
+// finishTransfer tells the target of a transfer to campaign if it holds the whole log.
 func (n *Node) finishTransfer(p *progress) {
-	if n.role == Leader && p.node == n.transferTarget && p.match == n.log.last() {
+	if n.role == Leader && p.node == n.transferTarget && p.match == n.log.lastIndex() {
 		n.sendEarly(Message{Kind: MessageTimeoutNow, To: p.node})
 	}
 }
 
-// handleTimeoutNow starts an election at once, without pre-votes: the leader asked for it.
+// handleTimeoutNow starts an election at once, without a pre-vote, because the leader requested it.
 func (n *Node) handleTimeoutNow() {
-	if n.role == Leader || !n.mayCampaign() {
+	if n.role == Leader || !n.canCampaign() {
 		return
 	}
-	n.transfering = true
+	n.transferCampaign = true
 	n.campaign()
 }
