--- a/internal/coordinator/account.go
+++ b/internal/coordinator/account.go
@@ -6,73 +6,74 @@
 	"time"
 )
 
-// maxCountedAge is the age in versions from which samples are counted together.
+// maxCountedAge is the age in versions from which all samples are counted together.
 const maxCountedAge = 64
 
-// trainerAccount is how long a trainer has waited for its samples and how old they were when it got them, since
-// its first fetch from this coordinator. It is pure: time is an argument.
+// trainerAccount accumulates how long a trainer has waited for its samples and how old they were when it got them,
+// since its first fetch from this coordinator. It uses no clock: time is an argument.
 type trainerAccount struct {
-	known   bool // there was a fetch
-	since   time.Duration
-	waited  time.Duration // in fetches that are over
-	waiting bool          // a fetch is open
-	from    time.Duration // when it began
-	out     []uint64      // ages of the batch that was handed over last and is not acknowledged yet
-	ages    [maxCountedAge + 1]uint64
+	hasFetched         bool // a fetch was received
+	firstFetchAt       time.Duration
+	waited             time.Duration // total time of completed fetches
+	waiting            bool          // a fetch is open
+	waitingSince       time.Duration // start of the open fetch
+	unacknowledgedAges []uint64      // of the batch that was handed over last, until it is acknowledged
+	ageCounts          [maxCountedAge + 1]uint64
 }
 
-// begin notes that a fetch came.
-func (a *trainerAccount) begin(now time.Duration) {
-	if !a.known {
-		a.known, a.since = true, now
+// beginFetch records the start of a fetch.
+func (a *trainerAccount) beginFetch(now time.Duration) {
+	if !a.hasFetched {
+		a.hasFetched, a.firstFetchAt = true, now
 	}
-	a.waiting, a.from = true, now
+	a.waiting, a.waitingSince = true, now
 }
 
-// end notes that the fetch is over.
-func (a *trainerAccount) end(now time.Duration) {
+// endFetch records the end of a fetch.
+func (a *trainerAccount) endFetch(now time.Duration) {
 	if a.waiting {
 		a.waiting = false
-		a.waited += now - a.from
+		a.waited += now - a.waitingSince
 	}
 }
 
-// handedOver notes the ages of a batch. It counts once the trainer acknowledges it: the reply may be lost, and the
-// batch be handed over again.
-func (a *trainerAccount) handedOver(ages []uint64) { a.out = ages }
+// recordHandedOver records the ages of a batch. They are counted when the trainer acknowledges the batch: the reply may
+// be lost and the batch handed over again.
+func (a *trainerAccount) recordHandedOver(ages []uint64) { a.unacknowledgedAges = ages }
 
-func (a *trainerAccount) acknowledged() {
-	for _, age := range a.out {
-		a.ages[min(age, maxCountedAge)]++
+func (a *trainerAccount) recordAcknowledged() {
+	for _, age := range a.unacknowledgedAges {
+		a.ageCounts[min(age, maxCountedAge)]++
 	}
-	a.out = nil
+	a.unacknowledgedAges = nil
 }
 
-// TrainerStats is what a coordinator knows of one trainer since its first fetch from it.
+// TrainerStats holds the statistics of one trainer since its first fetch from this coordinator.
 type TrainerStats struct {
 	Trainer         string  `json:"trainer"`
 	ObservedSeconds float64 `json:"observed_seconds"`
-	// WaitedSeconds is the time in fetches: the trainer's idle time, unless it fetches ahead while it trains.
+	// WaitedSeconds is the time spent in fetches. It equals the trainer's idle time unless the trainer fetches ahead
+	// while it trains.
 	WaitedSeconds float64 `json:"waited_seconds"`
 	Waiting       bool    `json:"waiting"` // a fetch is open now
-	Samples       uint64  `json:"samples"` // acknowledged
+	Samples       uint64  `json:"samples"` // acknowledged samples
 	StalenessMean float64 `json:"staleness_mean"`
-	StalenessP99  uint64  `json:"staleness_p99"` // versions; 64 is 64 or more
+	StalenessP99  uint64  `json:"staleness_p99"` // versions; 64 means 64 or more
 	StalenessMax  uint64  `json:"staleness_max"`
 }
 
 func (a *trainerAccount) stats(now time.Duration, trainer string) TrainerStats {
 	stats := TrainerStats{Trainer: trainer, Waiting: a.waiting}
-	if !a.known {
+	if !a.hasFetched {
 		return stats
 	}
 	waited := a.waited
 	if a.waiting {
-		waited += now - a.from
+		waited += now - a.waitingSince
 	}
-	stats.ObservedSeconds, stats.WaitedSeconds = (now - a.since).Seconds(), waited.Seconds()
+	stats.ObservedSeconds, stats.WaitedSeconds = (now - a.firstFetchAt).Seconds(), waited.Seconds()
 	sum := uint64(0)
-	for age, count := range a.ages {
+	for age, count := range a.ageCounts {
 		stats.Samples += count
 		sum += uint64(age) * count
 	}
@@ -81,7 +82,7 @@
 	}
 	stats.StalenessMean = float64(sum) / float64(stats.Samples)
 	seen := uint64(0)
-	for age, count := range a.ages {
+	for age, count := range a.ageCounts {
 		if count == 0 {
 			continue
 		}
@@ -94,7 +95,7 @@
 	return stats
 }
 
-// trainerStats returns the accounts of all owned trainers by name. The caller holds the mutex.
+// trainerStats returns the statistics of all owned trainers, sorted by name. The caller holds the mutex.
 func (s *Server) trainerStats() []TrainerStats {
 	var all []TrainerStats
 	for _, t := range s.trainers {
--- a/internal/coordinator/api_test.go
+++ b/internal/coordinator/api_test.go
@@ -16,7 +16,8 @@
 	trainersSection = "Trainers"
 )
 
-// TestExamplesOfTheAPIPageAreTrue runs the trainers' examples of docs/API.md in their order.
+// TestExamplesOfTheAPIPageAreTrue runs the trainers' examples of docs/API.md in order and fails if the coordinator's
+// answers differ from the documented ones.
 func TestExamplesOfTheAPIPageAreTrue(t *testing.T) {
 	page, err := os.ReadFile(apiPage)
 	must(t, err)
@@ -37,11 +38,11 @@
 		}
 	}
 	if ran == 0 {
-		t.Fatal("the page has no examples for trainers")
+		t.Fatal("the page has no examples in section Trainers")
 	}
 }
 
-// TestAPIPageListsEveryErrorCode looks for the codes in the source.
+// TestAPIPageListsEveryErrorCode fails if an error code in the source is missing from the documentation.
 func TestAPIPageListsEveryErrorCode(t *testing.T) {
 	page, err := os.ReadFile(apiPage)
 	must(t, err)
@@ -49,12 +50,12 @@
 	must(t, err)
 	codes := regexp.MustCompile(`(?m)^\tCode\w+ += "([a-z_]+)"`).FindAllStringSubmatch(string(source), -1)
 	if len(codes) < 8 {
-		t.Fatalf("found only %d codes", len(codes))
+		t.Fatalf("found %d error codes in wire.go, want at least 8", len(codes))
 	}
 	_, trainers, _ := strings.Cut(string(page), "## "+trainersSection)
 	for _, code := range codes {
 		if !strings.Contains(trainers, "`"+code[1]+"`") {
-			t.Errorf("%s does not tell trainers of the code %s", apiPage, code[1])
+			t.Errorf("%s does not document the error code %s for trainers", apiPage, code[1])
 		}
 	}
 }
--- a/internal/coordinator/authorization.go
+++ b/internal/coordinator/authorization.go
@@ -9,15 +9,15 @@
 
 const authorizationHeader = "Authorization"
 
-// showToken puts the token of this process, if it has one, on a request to another process of ours.
-func showToken(request *http.Request, authorization string) {
+// setAuthorization adds this process's token, if it has one, to a request to another process of this system.
+func setAuthorization(request *http.Request, authorization string) {
 	if authorization != "" {
 		request.Header.Set(authorizationHeader, authorization)
 	}
 }
 
-// checkToken refuses a request whose token does not permit it. Roles are those that may ask; a trainer's
-// token is good for its own name only, unless name is empty.
+// checkToken rejects a request whose token does not have one of the roles. A trainer's token is accepted only for the
+// trainer's own name, unless name is empty.
 func (s *Server) checkToken(request *http.Request, name string, roles ...auth.Role) *refusal {
 	if s.config.Guard == nil {
 		return nil
--- a/internal/coordinator/authorization_test.go
+++ b/internal/coordinator/authorization_test.go
@@ -20,13 +20,13 @@
 	guard, err := credentials.NewGuard(path, logging.Discard())
 	must(t, err)
 	server := &Server{config: Config{Guard: guard}}
-	server.leaving.Store(true) // what is admitted is refused as draining
+	server.leaving.Store(true) // requests with a valid token are rejected as draining
 	for name, token := range tokens {
-		for _, target := range []string{"PUT /v1/trainers/wording/steps/1", "POST /v1/trainers/wording/fetch", "POST /v1/trainers/wording/versions", "GET /v1/stats", "POST " + handOverPath, "GET " + newsPath + "copy"} {
+		for _, target := range []string{"PUT /v1/trainers/wording/steps/1", "POST /v1/trainers/wording/fetch", "POST /v1/trainers/wording/versions", "GET /v1/stats", "POST " + handOverPath, "GET " + poolStatusPath + "copy"} {
 			var method, url string
 			_, _ = fmt.Sscan(target, &method, &url)
 			if strings.HasPrefix(url, "/v1/coordinators/") && name == "c1" {
-				continue // let in; the rest needs a session with the control nodes
+				continue // authorized; serving it needs a session with the control nodes
 			}
 			request := httptest.NewRequest(method, url, nil)
 			request.Header.Set("Authorization", "Bearer "+token)
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// BenchmarkReadStream reads a streamed answer of 256 chunks; the figures are per chunk.
+// BenchmarkReadStream reads a streamed answer of 256 chunks and reports the time per chunk.
 func BenchmarkReadStream(b *testing.B) {
 	const chunks = 256
 	var body strings.Builder
--- a/internal/coordinator/caller_test.go
+++ b/internal/coordinator/caller_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// caller is a trainer that makes single calls.
+// caller is a test client that makes single trainer calls.
 type caller struct {
 	t       *testing.T
 	address string
@@ -23,12 +23,12 @@
 }
 
 const (
-	callPause       = 50 * time.Millisecond
-	callAttempts    = 40                           // of a call that may fail
-	patientAttempts = int(testTimeout / callPause) // attempts of one that has to come through in the end
+	callPause            = 50 * time.Millisecond
+	callAttempts         = 40                           // for a call that may fail
+	requiredCallAttempts = int(testTimeout / callPause) // for a call that has to succeed eventually
 )
 
-// call repeats a call while the answer says to ask again, and decodes a good answer.
+// call repeats a call while the answer has status 503, decodes the body of a 200 answer and returns the status.
 func (c *caller) call(method, path string, body, answer any) int {
 	c.t.Helper()
 	return c.repeat(callAttempts, method, path, body, answer)
@@ -57,7 +57,7 @@
 
 func (c *caller) must(method, path string, body, answer any) {
 	c.t.Helper()
-	if status := c.repeat(patientAttempts, method, path, body, answer); status != http.StatusOK {
+	if status := c.repeat(requiredCallAttempts, method, path, body, answer); status != http.StatusOK {
 		c.t.Fatalf("%s %s: status %d", method, path, status)
 	}
 }
--- a/internal/coordinator/chaos_test.go
+++ b/internal/coordinator/chaos_test.go
@@ -13,11 +13,11 @@
 	"github.com/tamarindring/tamarindring/internal/standin/trainer"
 )
 
-// TestFailuresTogetherBreakAPromise lets coordinators, engines, scorer and store fail and the bound change at
-// random, together, while two trainers run.
-func TestFailuresTogetherBreakAPromise(t *testing.T) {
+// TestConcurrentFaultsLoseOrDuplicateSamples trains two trainers while faults of coordinators, engines, scorer and
+// store and changes of the staleness bound occur at random. It fails if a sample is lost, duplicated or too stale.
+func TestConcurrentFaultsLoseOrDuplicateSamples(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the full run has it")
+		t.Skip("skipped in short mode")
 	}
 	for _, seed := range []int64{1, 2} {
 		t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
@@ -56,21 +56,21 @@
 				checkTrainer(t, made, configs[position])
 			}
 			if faults < 5 {
-				t.Errorf("only %d faults were injected", faults)
+				t.Errorf("%d faults were injected, want at least 5", faults)
 			}
 			return
 		case <-time.After(time.Duration(100+random.Intn(400)) * time.Millisecond):
-			f.disturb(t, random)
+			f.injectFault(t, random)
 		}
 	}
 }
 
-// disturb injects one fault.
-func (f *fixture) disturb(t *testing.T, random *rand.Rand) {
+// injectFault injects one random fault.
+func (f *fixture) injectFault(t *testing.T, random *rand.Rand) {
 	one := f.engines[random.Intn(len(f.engines))]
 	switch random.Intn(7) {
 	case 0, 1:
-		f.restart(t, random.Intn(len(f.coordinators)))
+		f.restartCoordinator(t, random.Intn(len(f.coordinators)))
 	case 2:
 		f.change(t, [3]string{"copy", "staleness_bound", fmt.Sprint(1 + random.Intn(4))})
 	case 3:
--- a/internal/coordinator/collector.go
+++ b/internal/coordinator/collector.go
@@ -9,82 +9,84 @@
 )
 
 const (
-	newsPath    = "/v1/coordinators/pools/"
-	newsTimeout = time.Second
-	// newsInterval is the time between two questions to a pool's collector, in load intervals.
-	newsInterval = 4
-	// newsSilence is how long a collector may be silent before the others poll its replicas themselves.
-	newsSilence = 5 * time.Second
+	poolStatusPath    = "/v1/coordinators/pools/"
+	poolStatusTimeout = time.Second
+	// poolStatusIntervalFactor is the time between two requests to a pool's collector, in load intervals.
+	poolStatusIntervalFactor = 4
+	// collectorTimeout is how long a collector may be silent before other coordinators poll its replicas
+	// themselves.
+	collectorTimeout = 5 * time.Second
 )
 
-// newsBody is what the collector of a pool's load reports, the owner of its weight wave, tells the other
-// coordinators.
-type newsBody struct {
+// poolStatusBody is a pool's status as reported to the other coordinators by its collector. The collector polls the
+// load reports of the pool's replicas and is the owner of the pool's weight wave.
+type poolStatusBody struct {
 	Available uint64   `json:"available"`         // newest version that the replicas serve
-	Reporting bool     `json:"reporting"`         // any replica says what it serves
-	Leaving   []string `json:"leaving,omitempty"` // replicas that say that they leave, sorted
+	Reporting bool     `json:"reporting"`         // the weight version of at least one replica is known
+	Leaving   []string `json:"leaving,omitempty"` // replicas that report that they are leaving, sorted
 }
 
-// collectorNews is what a coordinator has heard from a pool's collector. Guarded by the server's mutex.
-type collectorNews struct {
-	newsBody
+// collectorStatus is the last known status from a pool's collector. Guarded by the server's mutex.
+type collectorStatus struct {
+	poolStatusBody
 	collector string
-	heard     time.Duration // of the last answer, or since this one is the collector
-	asked     time.Duration
-	asking    bool
+	heardAt   time.Duration // time of the last answer, or of the change to this collector
+	polledAt  time.Duration
+	polling   bool
 }
 
-// follow turns to a collector. What the former one said stays until this one answers.
-func (n *collectorNews) follow(now time.Duration, collector string) {
-	if n.collector != collector {
-		n.collector, n.heard, n.asked = collector, now, 0
+// setCollector changes the collector. The status from the previous one remains until the new one answers.
+func (c *collectorStatus) setCollector(now time.Duration, collector string) {
+	if c.collector != collector {
+		c.collector, c.heardAt, c.polledAt = collector, now, 0
 	}
 }
 
-// silent tells whether the collector has not answered for too long.
-func (n *collectorNews) silent(now time.Duration) bool { return now >= n.heard+newsSilence }
+// isSilent reports whether the collector has not answered for collectorTimeout.
+func (c *collectorStatus) isSilent(now time.Duration) bool { return now >= c.heardAt+collectorTimeout }
 
-// followCollector asks the coordinator that collects a pool's load reports for its news. It is false where that
-// is this coordinator itself, or nobody, or one that is silent. The caller holds the mutex.
+// followCollector requests the pool's status from its collector if it is due. It returns false if this coordinator has
+// to poll the replicas itself, because it is the collector, there is none, or the collector is silent. The caller holds
+// the mutex.
 func (s *Server) followCollector(ctx context.Context, p *pool, now time.Duration) bool {
 	owner := s.ownerOf(poolResource(p.name))
 	if owner.name == "" || owner.name == s.config.Name {
-		p.news = collectorNews{}
+		p.collectorStatus = collectorStatus{}
 		return false
 	}
-	p.news.follow(now, owner.name)
-	if !p.news.asking && (p.news.asked == 0 || now >= p.news.asked+newsInterval*s.config.LoadInterval) {
-		p.news.asking, p.news.asked = true, now
-		s.start(func() { s.askCollector(ctx, p, owner) })
+	p.collectorStatus.setCollector(now, owner.name)
+	if !p.collectorStatus.polling && (p.collectorStatus.polledAt == 0 || now >= p.collectorStatus.polledAt+poolStatusIntervalFactor*s.config.LoadInterval) {
+		p.collectorStatus.polling, p.collectorStatus.polledAt = true, now
+		s.start(func() { s.pollCollector(ctx, p, owner) })
 	}
-	if p.news.silent(now) {
-		p.news.newsBody = newsBody{}
+	if p.collectorStatus.isSilent(now) {
+		p.collectorStatus.poolStatusBody = poolStatusBody{}
 		return false
 	}
-	clear(p.replicas) // reports of an earlier time
+	clear(p.replicas) // their reports are out of date
 	return true
 }
 
-// askCollector takes over what a pool's collector tells.
-func (s *Server) askCollector(ctx context.Context, p *pool, owner candidate) {
-	var told newsBody
-	err := s.callNode(ctx, http.MethodGet, owner.address, newsPath+url.PathEscape(p.name), nil, newsTimeout, &told)
+// pollCollector requests a pool's status from its collector and applies it.
+func (s *Server) pollCollector(ctx context.Context, p *pool, owner candidate) {
+	var status poolStatusBody
+	err := s.callNode(ctx, http.MethodGet, owner.address, poolStatusPath+url.PathEscape(p.name), nil, poolStatusTimeout, &status)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	p.news.asking = false
-	if err != nil || p.news.collector != owner.name {
+	p.collectorStatus.polling = false
+	if err != nil || p.collectorStatus.collector != owner.name {
 		return
 	}
-	p.news.heard, p.news.newsBody = s.now(), told
-	if told.Available > p.available {
-		p.available = told.Available
+	p.collectorStatus.heardAt, p.collectorStatus.poolStatusBody = s.now(), status
+	if status.Available > p.available {
+		p.available = status.Available
 		s.wake()
 	}
 }
 
-// handleNews serves GET /v1/coordinators/pools/{pool}: only the collector answers, and only from reports that it
-// has collected under a lease.
-func (s *Server) handleNews(writer http.ResponseWriter, request *http.Request) {
+// handlePoolStatus serves GET /v1/coordinators/pools/{pool}. Only the pool's collector answers, and only while it holds
+// a lease.
+func (s *Server) handlePoolStatus(writer http.ResponseWriter, request *http.Request) {
 	if refused := s.checkCoordinator(request); refused != nil {
 		refused.write(writer)
 		return
@@ -98,19 +100,19 @@
 		unavailable(CodeUnavailable, "this coordinator does not collect the load reports of the pool").write(writer)
 		return
 	}
-	told := p.tell()
+	status := p.buildStatus()
 	s.mutex.Unlock()
-	writeJSON(writer, http.StatusOK, told)
+	writeJSON(writer, http.StatusOK, status)
 }
 
-// tell puts a pool's news together. The caller holds the mutex.
-func (p *pool) tell() newsBody {
-	told := newsBody{Available: p.available, Reporting: p.reporting()}
+// buildStatus returns the pool's status from the replicas' load reports. The caller holds the mutex.
+func (p *pool) buildStatus() poolStatusBody {
+	status := poolStatusBody{Available: p.available, Reporting: p.hasReports()}
 	for name, replica := range p.replicas {
-		if replica.known && replica.report.Leaving {
-			told.Leaving = append(told.Leaving, name)
+		if replica.hasReport && replica.report.Leaving {
+			status.Leaving = append(status.Leaving, name)
 		}
 	}
-	slices.Sort(told.Leaving)
-	return told
+	slices.Sort(status.Leaving)
+	return status
 }
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -1,10 +1,10 @@
-// Package coordinator is the server that trainers talk to. It opens their steps durably in the ledger, has
-// samples generated through the gateways in the order that package rollout decides, has them scored, hands
-// them over exactly once, and brings new weight versions to all replicas of a pool.
+// Package coordinator implements the server that trainers talk to. It opens their steps durably in the ledger,
+// generates samples through the gateways in the order that package rollout decides, scores them, hands them over
+// exactly once, and rolls new weight versions out to all replicas of a pool.
 //
-// Any number of coordinators run side by side. Each trainer, and each pool's weight wave, has one owner at a
-// time: the choice among the live coordinators is by hash, and a fencing token that the ledger and the
-// replicas check makes a late order of a former owner harmless.
+// Any number of coordinators run side by side. Each trainer and each pool's weight wave has one owner at a time, chosen
+// by hash among the live coordinators. The ledger and the replicas check a fencing token, so a late order from a
+// previous owner has no effect.
 package coordinator
 
 import (
@@ -41,73 +41,74 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	readTimeout       = time.Minute // of one request with its body
+	readTimeout       = time.Minute // for one request including its body
 	writeTimeout      = 30 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 16 << 10
 	scheduleInterval  = 50 * time.Millisecond
-	retryFirst        = 50 * time.Millisecond
-	retryMost         = 2 * time.Second
+	minRetryDelay     = 50 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
-// Config holds a coordinator's settings. Name and Control are required, everything else has a default.
+// Config holds a coordinator's settings. Name and Control are required. All other fields have defaults.
 type Config struct {
 	// Name is the coordinator's unique member name. Required.
 	Name string
-	// Listen is the trainers' IP:port; port 0 takes a free one. Ignored when Listener is set.
+	// Listen is the IP:port on which trainers are served; port 0 picks a free one. Ignored when Listener is set.
 	Listen string
-	// Listener is an already bound listener; the coordinator closes it.
+	// Listener is an already bound listener. The coordinator closes it.
 	Listener net.Listener
-	// Zone and Region of this coordinator; gateways of the same zone are preferred.
+	// Zone and Region locate this coordinator. They are published in its membership record.
 	Zone   string
 	Region string
-	// Control says how to reach the control nodes. Its Member is filled in by Open.
+	// Control configures the connection to the control nodes. Open fills in its Member.
 	Control controlclient.Config
-	// Guard checks the tokens of trainers, operators and nodes. Nil: none are asked for.
+	// Guard checks the tokens of trainers, operators and nodes. Nil disables authentication.
 	Guard *credentials.Guard
-	// Credentials are shown to the gateways. Nil: none.
+	// Credentials supplies the token sent to gateways and other coordinators. Nil sends none.
 	Credentials *credentials.Client
 	// Scorer is the scoring service's IP:port. Empty: samples are handed over with score 0.
 	Scorer string
-	// WeightStore is the weight store's IP:port. Empty: versions are ordered without reading the store.
+	// WeightStore is the weight store's IP:port. Empty: announced versions are not checked against the store.
 	WeightStore string
 	// Policy decides when samples are generated. Default rollout.Paced{}.
 	Policy rollout.Policy
-	// Wave are the parameters of weight waves; zero fields take their defaults.
+	// Wave holds the parameters of weight waves. Zero fields take their defaults.
 	Wave wave.Config
-	// MaxBodyBytes bounds a trainer's request. Default 32 MiB, half of what the control connection carries
-	// in one message: a step of 2,048 prompts of 16 KiB.
+	// MaxBodyBytes bounds the body of a trainer's request, in bytes. Default 32 MiB, enough for a step of 2,048 prompts
+	// of 16 KiB and half of the largest message on the control connection.
 	MaxBodyBytes int64
-	// MaxBatchBytes bounds the text of one fetch's samples; the rest follows at the next cursor. Default
-	// 32 MiB: a whole step of 2,048 samples of 16 KiB.
+	// MaxBatchBytes bounds the text of the samples returned by one fetch, in bytes. The remaining samples follow at the
+	// next cursor. Default 32 MiB, enough for a whole step of 2,048 samples of 16 KiB.
 	MaxBatchBytes int
-	// MaxConnections bounds the trainers' connections; more wait. Default 1024.
+	// MaxConnections bounds the open connections from trainers. Further connections wait to be accepted. Default 1024.
 	MaxConnections int
 	// MaxFetchWait bounds how long a fetch may wait for samples. Default 1m.
 	MaxFetchWait time.Duration
-	// GenerationDeadline bounds one attempt at a sample; what it has made by then is kept. Default 15m,
-	// above the longest samples.
+	// GenerationDeadline bounds one attempt at a sample. The tokens generated by then are retained. Default 15m, which
+	// is longer than the longest samples take.
 	GenerationDeadline time.Duration
-	// ScoreTimeout bounds one call of the scorer; it is repeated until it answers. Default 10s.
+	// ScoreTimeout bounds one call to the scorer. Failed calls are retried until the scorer answers. Default 10s.
 	ScoreTimeout time.Duration
-	// ScoreConcurrency bounds the calls to the scorer at once. Default 64.
+	// ScoreConcurrency bounds the concurrent calls to the scorer. Default 64.
 	ScoreConcurrency int
-	// StoreTimeout bounds one ledger command; it is repeated while the trainer is owned. Default 10s.
+	// StoreTimeout bounds one command or query to the control and ledger groups. Storing a sample is retried while the
+	// trainer is owned. Default 10s.
 	StoreTimeout time.Duration
-	// LoadInterval is the least time between two polls of a replica's load report; replicas of large pools
-	// are polled less often. Default 250ms.
+	// LoadInterval is the minimum time between two polls of a replica's load report. Replicas of large pools are polled
+	// less often. Default 250ms.
 	LoadInterval time.Duration
-	// LoadTimeout bounds one poll of a load report. Default 2s.
+	// LoadTimeout bounds one poll of a load report, and each call that moves a KV cache. Default 2s.
 	LoadTimeout time.Duration
 	// OrderTimeout bounds one weight order. Default 35s, above the engines' own limit of 30s.
 	OrderTimeout time.Duration
-	// LaggardPatience is how long a replica that serves older weights than the others keeps a new version
-	// from counting as available to rollouts. Default 10s, the aim for a whole wave.
+	// LaggardPatience is how long a replica that serves older weights than the others prevents a new version from
+	// counting as available to rollouts. Default 10s, the target duration of a whole wave.
 	LaggardPatience time.Duration
-	// DrainPatience is how long a drain waits for running samples before it gives them to the next owner,
-	// who goes on from their tokens. Default 10s: short samples end, long ones need not be waited for.
+	// DrainPatience is how long a drain waits for running samples before it passes them to the next owner, which
+	// resumes from their tokens. Default 10s, which lets short samples finish without waiting for long ones.
 	DrainPatience time.Duration
-	// Log receives short sentences. Default: nothing.
+	// Log receives the coordinator's log messages. Default: discarded.
 	Log *logrus.Entry
 }
 
@@ -121,7 +122,7 @@
 		}
 	}
 	if c.MaxBodyBytes < 0 || c.MaxBatchBytes < 0 || c.MaxConnections < 0 || c.ScoreConcurrency < 0 {
-		return trace.BadParameter("coordinator %s: limits must not be negative", c.Name)
+		return trace.BadParameter("coordinator %s: MaxBodyBytes, MaxBatchBytes, MaxConnections and ScoreConcurrency must not be negative", c.Name)
 	}
 	defaults.Set(&c.MaxBodyBytes, DefaultMaxBodyBytes)
 	defaults.Set(&c.MaxBatchBytes, DefaultMaxBatchBytes)
--- a/internal/coordinator/delivery.go
+++ b/internal/coordinator/delivery.go
@@ -7,37 +7,37 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// delivery is what the owner of a trainer knows of the trainer's ledger: its open steps, the samples stored
-// for them, and the batch that is out. It follows accepted commands and has no clock or I/O. Not safe for
-// concurrent use.
+// delivery mirrors the ledger's state of one trainer at the trainer's owner: open steps, the samples stored for them,
+// and the sealed batch that is not acknowledged yet. It is updated after the ledger accepts a command and uses no clock
+// or I/O. Not safe for concurrent use.
 type delivery struct {
 	acknowledged uint64
-	sealed       uint64 // equal to acknowledged, or one above while a batch is out
+	sealed       uint64 // cursor; equal to acknowledged, or one above while a batch is sealed
 	sealedStep   uint64
 	sealedIDs    []string
-	steps        []*deliveryStep // by number, lowest first
+	steps        []*deliveryStep // by step number, lowest first
 }
 
 type deliveryStep struct {
-	open      *wire.StepOpen
-	ids       []string // of all slots, by prompt, then index
-	slots     map[string]*deliverySlot
-	filled    int // slots that hold a sample or are delivered
-	delivered int
-	scheduled bool // the scheduler has the step
-	handed    bool // the last of its samples were handed over
+	open       *wire.StepOpen
+	ids        []string // of all slots, by prompt, then index
+	slots      map[string]*deliverySlot
+	filled     int // slots that hold a sample or are delivered
+	delivered  int
+	scheduled  bool // the scheduler has the step
+	handedOver bool // its last samples were handed over
 }
 
 type deliverySlot struct {
-	id        ledger.SlotID
-	prompt    *wire.Prompt
-	edition   uint32
-	sample    *wire.Sample
-	delivered bool
-	leaving   bool // being discarded as too old
+	id         ledger.SlotID
+	prompt     *wire.Prompt
+	edition    uint32
+	sample     *wire.Sample
+	delivered  bool
+	discarding bool // the sample is being discarded as too stale
 }
 
-// newDelivery takes over what the ledger tells of a trainer, with samples.
+// newDelivery builds the state from the ledger's view of a trainer. The view's samples include their text.
 func newDelivery(view *wire.TrainerView) *delivery {
 	made := &delivery{
 		acknowledged: view.GetAcknowledgedCursor(), sealed: view.GetSealedCursor(), sealedStep: view.GetSealedStep(),
@@ -58,13 +58,13 @@
 			}
 		}
 		for _, sample := range kept.GetStored() {
-			made.stored(sample)
+			made.recordStored(sample)
 		}
 	}
 	return made
 }
 
-// open adds a step; one that is open already is returned as it is.
+// open adds a step and returns it. If the step is already open, it is returned unchanged.
 func (d *delivery) open(open *wire.StepOpen) *deliveryStep {
 	position, exists := slices.BinarySearchFunc(d.steps, open.GetStep(), compareDeliveryStep)
 	if exists {
@@ -111,8 +111,8 @@
 	return step.slots[id.String()]
 }
 
-// stored notes that the ledger holds a sample.
-func (d *delivery) stored(sample *wire.Sample) {
+// recordStored records that the ledger holds a sample.
+func (d *delivery) recordStored(sample *wire.Sample) {
 	step := d.step(sample.GetStep())
 	if step == nil {
 		return
@@ -127,11 +127,11 @@
 	slot.sample = sample
 }
 
-// isSealed tells whether a sample is in the batch that is out: the trainer may have it already.
+// isSealed reports whether a sample is in the sealed batch, which the trainer may already have.
 func (d *delivery) isSealed(id string) bool { return slices.Contains(d.sealedIDs, id) }
 
-// discarded notes that the ledger threw a slot's sample away.
-func (d *delivery) discarded(id ledger.SlotID) {
+// recordDiscarded records that the ledger discarded a slot's sample.
+func (d *delivery) recordDiscarded(id ledger.SlotID) {
 	slot := d.slot(id)
 	if slot == nil || slot.delivered {
 		return
@@ -141,7 +141,7 @@
 		slot.sample = nil
 		step := d.step(id.Step)
 		step.filled--
-		step.handed = false
+		step.handedOver = false
 	}
 	text := id.String()
 	d.sealedIDs = slices.DeleteFunc(d.sealedIDs, func(sealed string) bool { return sealed == text })
@@ -150,22 +150,22 @@
 	}
 }
 
-// seal notes the batch at a cursor.
-func (d *delivery) seal(cursor, step uint64, ids []string) {
+// recordSeal records the batch sealed at a cursor.
+func (d *delivery) recordSeal(cursor, step uint64, ids []string) {
 	d.sealed, d.sealedStep, d.sealedIDs = cursor, step, ids
 }
 
-// holds tells whether the step's slots hold exactly these samples, none of them being discarded.
-func (s *deliveryStep) holds(samples []*wire.Sample) bool {
+// holdsSamples reports whether the step's slots hold exactly these samples and none is being discarded.
+func (s *deliveryStep) holdsSamples(samples []*wire.Sample) bool {
 	for _, sample := range samples {
-		if slot := s.slots[sample.GetId()]; slot == nil || slot.sample != sample || slot.leaving {
+		if slot := s.slots[sample.GetId()]; slot == nil || slot.sample != sample || slot.discarding {
 			return false
 		}
 	}
 	return true
 }
 
-// batch returns the samples of the batch that is out; false when some are not known here.
+// batch returns the samples of the sealed batch, and false if some are not known here.
 func (d *delivery) batch() ([]*wire.Sample, bool) {
 	step := d.step(d.sealedStep)
 	samples := make([]*wire.Sample, 0, len(d.sealedIDs))
@@ -178,8 +178,9 @@
 	return samples, true
 }
 
-// acknowledge notes that the trainer has the batch at the cursor.
-func (d *delivery) acknowledge(cursor uint64) {
+// recordAcknowledged records that the trainer has the batch at the cursor, and removes the step once all of it is
+// delivered.
+func (d *delivery) recordAcknowledged(cursor uint64) {
 	if cursor <= d.acknowledged || cursor != d.sealed {
 		return
 	}
@@ -196,34 +197,35 @@
 	}
 }
 
-// whole tells whether every slot is filled.
-func (s *deliveryStep) whole() bool { return s.filled == len(s.ids) }
+// isFilled reports whether every slot holds a sample or is delivered.
+func (s *deliveryStep) isFilled() bool { return s.filled == len(s.ids) }
 
-// ready returns the lowest open step and its samples that can be handed over: any, or only all of them. It is
-// meant for a time when no batch is out.
+// ready returns the lowest open step and its samples that can be handed over. With wholeStep it returns no samples
+// until all of them can be. Call it only while no batch is sealed.
 func (d *delivery) ready(wholeStep bool) (*deliveryStep, []*wire.Sample) {
 	if len(d.steps) == 0 {
 		return nil, nil
 	}
 	step := d.steps[0]
-	if wholeStep && !step.whole() {
+	if wholeStep && !step.isFilled() {
 		return step, nil
 	}
 	var samples []*wire.Sample
 	for _, id := range step.ids {
 		slot := step.slots[id]
-		if slot.leaving && wholeStep {
+		if slot.discarding && wholeStep {
 			return step, nil
 		}
-		if slot.sample != nil && !slot.leaving {
+		if slot.sample != nil && !slot.discarding {
 			samples = append(samples, slot.sample)
 		}
 	}
 	return step, samples
 }
 
-// limit cuts samples to a batch of at most count, 0 for no bound, and about bytes of text.
-func limit(samples []*wire.Sample, count, bytes int) []*wire.Sample {
+// limitBatch cuts samples to at most count, or to ledger.MaximumSlots if count is 0, and to the given number of bytes
+// of text. It keeps at least one sample.
+func limitBatch(samples []*wire.Sample, count, bytes int) []*wire.Sample {
 	count = min(max(count, 0), ledger.MaximumSlots)
 	if count == 0 {
 		count = ledger.MaximumSlots
@@ -238,7 +240,7 @@
 	return samples
 }
 
-// sampleAge is how many versions a sample's oldest token is behind the trainer.
+// sampleAge returns how many versions a sample's oldest token is behind the trainer.
 func sampleAge(sample *wire.Sample, trainerVersion uint64) uint64 {
 	age := uint64(0)
 	for _, segment := range sample.GetSegments() {
@@ -249,8 +251,8 @@
 	return age
 }
 
-// tooOld returns the samples whose age is above the bound.
-func tooOld(samples []*wire.Sample, trainerVersion, bound uint64) []*wire.Sample {
+// staleSamples returns the samples whose age exceeds the bound.
+func staleSamples(samples []*wire.Sample, trainerVersion, bound uint64) []*wire.Sample {
 	var old []*wire.Sample
 	for _, sample := range samples {
 		if sampleAge(sample, trainerVersion) > bound {
@@ -260,7 +262,7 @@
 	return old
 }
 
-// sampleTokens counts a sample's tokens and names its oldest version.
+// sampleTokens returns the number of a sample's tokens and the number of the oldest version that generated any.
 func sampleTokens(sample *wire.Sample) (tokens int, oldest uint64) {
 	for position, segment := range sample.GetSegments() {
 		tokens += int(segment.GetTokenCount())
--- a/internal/coordinator/faults_test.go
+++ b/internal/coordinator/faults_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// TestBoundTightenedBetweenSealingAndHandingOver loses a reply, tightens the bound, and asks again.
+// TestBoundTightenedBetweenSealingAndHandingOver fails if a sealed batch is handed over again after the staleness bound
+// was tightened and its samples became too stale.
 func TestBoundTightenedBetweenSealingAndHandingOver(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 2, 1)
@@ -31,28 +32,28 @@
 	client.openStep("a", 1, 2, 1)
 	lost := client.fetch("a", fetchBody{Cursor: 1, WholeStep: true, WaitMillis: 20000})
 	if len(lost.Samples) != 2 || !lost.StepComplete {
-		t.Fatalf("first reply %+v", lost)
+		t.Fatalf("first reply: got %+v, want a complete step of 2 samples", lost)
 	}
 	f.change(t, [3]string{"copy", "staleness_bound", "1"})
 	again := fetchBody{Cursor: 1, WholeStep: true, WaitMillis: 300, TrainerVersion: 3}
 	if reply := client.fetch("a", again); len(reply.Samples) != 0 {
-		t.Fatalf("samples three versions old were handed over under a bound of 1: %+v", reply)
+		t.Fatalf("samples three versions old were handed over with a staleness bound of 1: %+v", reply)
 	}
 	f.store.Put(weightstore.Version{Version: "a-v3", VersionNumber: 3})
 	client.must(http.MethodPost, "/v1/trainers/a/versions", versionBody{Version: "a-v3", VersionNumber: 3, Pool: "copy"}, nil)
 	again.WaitMillis = 20000
 	reply := client.fetch("a", again)
 	if len(reply.Samples) != 2 || !reply.StepComplete || *reply.StalenessBound != 1 {
-		t.Fatalf("reply %+v", reply)
+		t.Fatalf("reply after the regeneration: got %+v, want a complete step of 2 samples with a bound of 1", reply)
 	}
 	for _, sample := range reply.Samples {
 		if sample.Age > 1 || sample.Edition == 0 {
-			t.Errorf("sample %+v is not a fresh one", sample)
+			t.Errorf("sample %+v was not regenerated", sample)
 		}
 	}
 	client.fetch("a", fetchBody{Cursor: 2, Acknowledge: 1, TrainerVersion: 3})
 	if stats := f.coordinators[0].Stats(); stats.HandedOver != 2 || stats.DiscardedStale < 2 || stats.DiscardedTokens == 0 {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats: got %+v, want 2 samples handed over and at least 2 discarded with their tokens", stats)
 	}
 }
 
@@ -65,10 +66,10 @@
 			t.Parallel()
 			f := newFixture(t, 3, 1)
 			f.engines[1].FailNextSwap(failure)
-			f.train(t, trainer.Config{Name: "a", PromptsPerStep: 4, SamplesPerPrompt: 3, MaxTokens: 200, MaxSteps: 2, Seed: 7})
+			f.runTrainer(t, trainer.Config{Name: "a", PromptsPerStep: 4, SamplesPerPrompt: 3, MaxTokens: 200, MaxSteps: 2, Seed: 7})
 			f.awaitServed(t, 2)
 			if stats := f.coordinators[0].Stats(); stats.SwapFailures == 0 {
-				t.Errorf("the failed swap was not seen: %+v", stats)
+				t.Errorf("the failed swap was not counted: %+v", stats)
 			}
 		})
 	}
@@ -77,7 +78,7 @@
 func TestRestartedReplicaServesOldWeights(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 2, 1)
-	f.train(t, trainer.Config{Name: "a", PromptsPerStep: 2, SamplesPerPrompt: 1, MaxTokens: 20, MaxSteps: 1, Seed: 8})
+	f.runTrainer(t, trainer.Config{Name: "a", PromptsPerStep: 2, SamplesPerPrompt: 1, MaxTokens: 20, MaxSteps: 1, Seed: 8})
 	f.awaitServed(t, 1)
 	f.engines[0].Crash()
 	f.engines[0].Restart("base", 0)
@@ -88,10 +89,10 @@
 	t.Parallel()
 	f := newFixture(t, 3, 1)
 	f.store.SetReads(3, 1, 20*time.Millisecond)
-	f.train(t, trainer.Config{Name: "a", PromptsPerStep: 2, SamplesPerPrompt: 2, MaxTokens: 40, MaxSteps: 2, StepsAhead: 1, Seed: 9})
+	f.runTrainer(t, trainer.Config{Name: "a", PromptsPerStep: 2, SamplesPerPrompt: 2, MaxTokens: 40, MaxSteps: 2, StepsAhead: 1, Seed: 9})
 	f.awaitServed(t, 2)
 	if f.store.Stats().Throttled == 0 {
-		t.Error("the store throttled nothing")
+		t.Error("the weight store throttled no read")
 	}
 }
 
@@ -101,10 +102,10 @@
 	f.scorer.Stall(time.Second)
 	f.scorer.SetDown(true)
 	time.AfterFunc(300*time.Millisecond, func() { f.scorer.SetDown(false) })
-	f.train(t, trainer.Config{Name: "a", PromptsPerStep: 3, SamplesPerPrompt: 2, MaxTokens: 40, MaxSteps: 2, Seed: 10})
+	f.runTrainer(t, trainer.Config{Name: "a", PromptsPerStep: 3, SamplesPerPrompt: 2, MaxTokens: 40, MaxSteps: 2, Seed: 10})
 }
 
-// TestBadCallsAreRefused checks that each wrong call gets its status and changes nothing.
+// TestBadCallsAreRefused checks that each invalid call gets its status and changes nothing.
 func TestBadCallsAreRefused(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 1, 1)
@@ -138,7 +139,7 @@
 		}
 	}
 	if reply := client.fetch("a", fetchBody{Cursor: 1, WaitMillis: 20000}); len(reply.Samples) != 1 {
-		t.Errorf("reply %+v", reply)
+		t.Errorf("reply after the rejected calls: got %+v, want 1 sample", reply)
 	}
 }
 
--- a/internal/coordinator/fetch.go
+++ b/internal/coordinator/fetch.go
@@ -20,14 +20,14 @@
 	if body.Cursor != body.Acknowledge+1 || body.MaxSamples < 0 || body.WaitMillis < 0 {
 		return badRequest("cursor must be one above acknowledge; max_samples and wait_millis must not be negative")
 	}
-	if refused := s.knownTrainer(request.Context(), name); refused != nil {
+	if refused := s.checkTrainerKnown(request.Context(), name); refused != nil {
 		return refused
 	}
-	t, refused := s.owned(request, name)
+	t, refused := s.ownedTrainer(request, name)
 	if refused != nil {
 		return refused
 	}
-	encoded, refused := s.serveTurn(request.Context(), t, &body)
+	encoded, refused := s.serveFetch(request.Context(), t, &body)
 	if refused != nil {
 		return refused
 	}
@@ -38,28 +38,28 @@
 	return nil
 }
 
-// serveTurn decides under the trainer's turn what a fetch gets. The reply is written after the turn: a trainer
-// that fetches again does not read it any more.
-func (s *Server) serveTurn(ctx context.Context, t *trainerState, body *fetchBody) ([]byte, *refusal) {
+// serveFetch computes the reply to a fetch while it holds the trainer's turn. The reply is written after the turn is
+// released, because a trainer that fetches again no longer reads this one.
+func (s *Server) serveFetch(ctx context.Context, t *trainerState, body *fetchBody) ([]byte, *refusal) {
 	ctx, release := s.takeTurn(ctx, t)
 	defer release()
 	s.mutex.Lock()
-	t.account.begin(s.now())
+	t.account.beginFetch(s.now())
 	s.mutex.Unlock()
 	defer func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		t.account.end(s.now())
+		t.account.endFetch(s.now())
 	}()
 	if refused := s.acknowledge(t, body.Acknowledge); refused != nil {
 		return nil, refused
 	}
-	return s.handOver(ctx, t, body)
+	return s.deliverBatch(ctx, t, body)
 }
 
-// knownTrainer refuses the fetch of a trainer that never opened a step: names that anyone makes up take no
-// fence.
-func (s *Server) knownTrainer(ctx context.Context, name string) *refusal {
+// checkTrainerKnown rejects the fetch of a trainer that never opened a step, so that arbitrary names do not allocate
+// fencing tokens.
+func (s *Server) checkTrainerKnown(ctx context.Context, name string) *refusal {
 	s.mutex.Lock()
 	owned := s.trainers[name] != nil
 	s.mutex.Unlock()
@@ -68,7 +68,7 @@
 	}
 	view, err := s.readTrainer(ctx, name)
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
 	if len(view.GetSteps()) == 0 && view.GetAcknowledgedCursor() == 0 {
 		return &refusal{status: http.StatusNotFound, code: CodeNotFound, message: "this trainer has opened no step"}
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// acknowledge notes durably that the trainer has everything up to the cursor. Once begun it is seen through,
-// also when the fetch is superseded, so that the samples are counted.
+// acknowledge records durably that the trainer has everything up to the cursor. It uses the server's context, so that
+// it completes and counts the samples even if the fetch is superseded.
 func (s *Server) acknowledge(t *trainerState, cursor uint64) *refusal {
 	s.mutex.Lock()
 	known := t.delivery.acknowledged
@@ -91,33 +91,33 @@
 	result, err := s.execute(s.context, t, &wire.Command{Kind: &wire.Command_BatchAcknowledge{
 		BatchAcknowledge: &wire.BatchAcknowledge{Trainer: t.name, Cursor: cursor}}})
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !result.GetAccepted() {
-		s.depose(t, result.GetReason())
+		s.dropTrainer(t, result.GetReason())
 		return conflict("no batch was handed over at this cursor: " + result.GetReason())
 	}
 	if cursor != t.delivery.sealed {
-		s.depose(t, "its ledger is ahead of what is known here")
+		s.dropTrainer(t, "its ledger is ahead of the local state")
 		return unavailable(CodeUnavailable, "send the same call again")
 	}
 	s.stats.HandedOver += uint64(len(t.delivery.sealedIDs))
-	t.account.acknowledged()
+	t.account.recordAcknowledged()
 	step := t.delivery.step(t.delivery.sealedStep)
-	t.delivery.acknowledge(cursor)
+	t.delivery.recordAcknowledged(cursor)
 	if step.scheduled && step.delivered == len(step.ids) {
-		// The owner before handed the last batch over.
+		// The previous owner handed the last batch over.
 		step.scheduled = false
 		s.pool(step.open.GetPool()).scheduler.Closed(t.name, step.open.GetStep())
 	}
 	return nil
 }
 
-// handOver returns the reply with the batch at the cursor as soon as there is one, or with none when the wait
-// is over.
-func (s *Server) handOver(ctx context.Context, t *trainerState, body *fetchBody) ([]byte, *refusal) {
+// deliverBatch returns the reply with the batch at the cursor as soon as there is one, or an empty reply when the wait
+// time has passed.
+func (s *Server) deliverBatch(ctx context.Context, t *trainerState, body *fetchBody) ([]byte, *refusal) {
 	wait := min(time.Duration(body.WaitMillis)*time.Millisecond, s.config.MaxFetchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -156,15 +156,15 @@
 	return encoded, nil
 }
 
-// candidateBatch is what may be handed over at a cursor.
+// candidateBatch is a batch that may be handed over at a cursor, or the channel to wait on for one.
 type candidateBatch struct {
 	step    *deliveryStep
 	samples []*wire.Sample
-	sealed  bool            // the ledger has the batch
-	changed <-chan struct{} // set when there is nothing yet
+	sealed  bool            // the ledger has sealed the batch
+	changed <-chan struct{} // closed when the state changes; set only if there is no batch yet
 }
 
-// nextBatch finds the batch at a cursor.
+// nextBatch returns the sealed batch at the cursor, or else the samples that could form it.
 func (s *Server) nextBatch(t *trainerState, body *fetchBody) (candidateBatch, *refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -176,7 +176,7 @@
 	if d.sealed == body.Cursor {
 		samples, known := d.batch()
 		if !known {
-			s.depose(t, "its sealed batch is not known here")
+			s.dropTrainer(t, "samples of its sealed batch are missing locally")
 			return candidateBatch{}, unavailable(CodeUnavailable, "send the same call again")
 		}
 		return candidateBatch{step: d.step(d.sealedStep), samples: samples, sealed: true}, nil
@@ -186,7 +186,7 @@
 	}
 	step, samples := d.ready(body.WholeStep)
 	if len(samples) > 0 {
-		return candidateBatch{step: step, samples: limit(samples, body.MaxSamples, s.config.MaxBatchBytes)}, nil
+		return candidateBatch{step: step, samples: limitBatch(samples, body.MaxSamples, s.config.MaxBatchBytes)}, nil
 	}
 	if step != nil {
 		s.pool(step.open.GetPool()).scheduler.Wanted(s.now(), t.name, body.TrainerVersion)
@@ -195,40 +195,42 @@
 	return candidateBatch{changed: t.changed}, nil
 }
 
-// advance takes a batch one step further: too old samples out, then sealed, then handed over, when it returns
-// the reply.
+// advance moves a batch one stage further: it discards samples that are too stale, then seals the batch, then returns
+// the reply that hands it over. It returns no reply and no refusal if the caller has to call nextBatch again.
 func (s *Server) advance(ctx context.Context, t *trainerState, body *fetchBody, next candidateBatch) ([]byte, *refusal) {
-	bound, refused := s.boundInForce(next.step)
+	bound, refused := s.currentStalenessBound(next.step)
 	if refused != nil {
 		return nil, refused
 	}
-	unguarded := body.Fetch == 0 && next.sealed && !s.mayServe(t, body) // the seal says so before anything is discarded
-	if old := tooOld(next.samples, body.TrainerVersion, bound); len(old) > 0 && !unguarded {
+	// For a fetch without a number, the seal must record that there is none before anything is discarded.
+	unguarded := body.Fetch == 0 && next.sealed && !s.isFetchConfirmed(t, body)
+	if old := staleSamples(next.samples, body.TrainerVersion, bound); len(old) > 0 && !unguarded {
 		return nil, s.discard(ctx, t, old, body.Fetch)
 	}
-	if !next.sealed || !s.mayServe(t, body) {
+	if !next.sealed || !s.isFetchConfirmed(t, body) {
 		return nil, s.seal(ctx, t, body, next)
 	}
 	reply := &fetchReply{Cursor: body.Cursor, Step: next.step.open.GetStep(), StalenessBound: &bound}
 	for _, sample := range next.samples {
 		reply.Samples = append(reply.Samples, newSampleReply(sample, body.TrainerVersion))
 	}
-	reply.StepComplete = s.completes(t, next.step)
+	reply.StepComplete = s.completesStep(t, next.step)
 	encoded, refused := encodeReply(reply)
 	if refused != nil {
 		return nil, refused
 	}
-	// The last look at the bound comes after everything that takes time.
-	now, refused := s.boundInForce(next.step)
-	if refused != nil || now != bound {
+	// The bound may have changed meanwhile, so it is checked again after all slow operations.
+	latest, refused := s.currentStalenessBound(next.step)
+	if refused != nil || latest != bound {
 		return nil, refused
 	}
-	s.noteHandedOver(t, next.step, reply)
+	s.recordHandedOver(t, next.step, reply)
 	return encoded, nil
 }
 
-// boundInForce is the staleness bound in the table that is in force now, under the lease.
-func (s *Server) boundInForce(step *deliveryStep) (uint64, *refusal) {
+// currentStalenessBound returns the staleness bound of the step's pool in the table in force, in versions. It rejects
+// the fetch if this coordinator holds no lease or the table lacks the pool.
+func (s *Server) currentStalenessBound(step *deliveryStep) (uint64, *refusal) {
 	view, ok := s.session.AdmitView()
 	if !ok {
 		return 0, unavailable(CodeNoLease, "this coordinator holds no lease; ask another")
@@ -240,27 +242,28 @@
 	return uint64(row.StalenessBound), nil
 }
 
-// fetchMark names one fetch of a trainer.
-type fetchMark struct{ cursor, fetch uint64 }
+// fetchID identifies one fetch of a trainer.
+type fetchID struct{ cursor, fetch uint64 }
 
-// mayServe tells whether the ledger knows that the batch at the fetch's cursor may be handed over for it. Without
-// that another coordinator, to which the trainer turned earlier, could throw samples of the batch away and have
-// them made again while this one hands them over. A fetch without a number is not guarded, but the ledger has to know
-// that, or it would guard the batch against a fetch with one for ever.
-func (s *Server) mayServe(t *trainerState, body *fetchBody) bool {
+// isFetchConfirmed reports whether the ledger has recorded that the batch at the fetch's cursor may be handed over for
+// this fetch. Without that record, another coordinator that the trainer asked earlier could discard samples of the
+// batch and regenerate them while this one hands them over. A fetch without a number is not guarded, but the ledger has
+// to record that too, or it would guard the batch forever with the number of an earlier fetch.
+func (s *Server) isFetchConfirmed(t *trainerState, body *fetchBody) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return t.served == fetchMark{body.Cursor, body.Fetch}
+	return t.confirmedFetch == fetchID{body.Cursor, body.Fetch}
 }
 
-// seal fixes the batch at the cursor in the ledger, or notes a newer fetch of it. What the ledger answers counts.
+// seal fixes the batch at the cursor in the ledger, or records a newer fetch of a sealed batch. The ledger's answer is
+// authoritative.
 func (s *Server) seal(ctx context.Context, t *trainerState, body *fetchBody, next candidateBatch) *refusal {
 	s.mutex.Lock()
-	whole := next.step.holds(next.samples)
-	t.sealing = whole
+	unchanged := next.step.holdsSamples(next.samples)
+	t.sealing = unchanged
 	s.mutex.Unlock()
-	if !whole {
-		return nil // some were discarded meanwhile: look again
+	if !unchanged {
+		return nil // some were discarded meanwhile; the caller calls nextBatch again
 	}
 	ids := make([]string, 0, len(next.samples))
 	for _, sample := range next.samples {
@@ -273,44 +276,44 @@
 	defer s.mutex.Unlock()
 	t.sealing = false
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
 	if result.GetReason() == ledger.ReasonStaleFetch {
-		return abandonedFetch(result.GetFetch())
+		return supersededFetch(result.GetFetch())
 	}
 	if !result.GetAccepted() || !slices.Equal(result.GetSampleIds(), ids) {
-		s.depose(t, "the ledger did not seal as asked: "+result.GetReason())
+		s.dropTrainer(t, "the ledger did not seal the requested batch: "+result.GetReason())
 		return unavailable(CodeUnavailable, "send the same call again")
 	}
-	t.delivery.seal(body.Cursor, number, slices.Clone(ids))
-	t.served = fetchMark{body.Cursor, body.Fetch}
+	t.delivery.recordSeal(body.Cursor, number, slices.Clone(ids))
+	t.confirmedFetch = fetchID{body.Cursor, body.Fetch}
 	return nil
 }
 
-// completes tells whether the trainer has all of the step once it has the batch that is out.
-func (s *Server) completes(t *trainerState, step *deliveryStep) bool {
+// completesStep reports whether the trainer has all of the step once it has the sealed batch.
+func (s *Server) completesStep(t *trainerState, step *deliveryStep) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return step.delivered+len(t.delivery.sealedIDs) == len(step.ids)
 }
 
-func (s *Server) noteHandedOver(t *trainerState, step *deliveryStep, reply *fetchReply) {
+func (s *Server) recordHandedOver(t *trainerState, step *deliveryStep, reply *fetchReply) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	ages := make([]uint64, 0, len(reply.Samples))
 	for _, sample := range reply.Samples {
 		ages = append(ages, sample.Age)
 	}
-	t.account.handedOver(ages)
-	if !reply.StepComplete || step.handed {
+	t.account.recordHandedOver(ages)
+	if !reply.StepComplete || step.handedOver {
 		return
 	}
-	step.handed, step.scheduled = true, false
+	step.handedOver, step.scheduled = true, false
 	s.stats.StepsCompleted++
 	s.pool(step.open.GetPool()).scheduler.Delivered(s.now(), t.name, step.open.GetStep())
 }
 
-// discard throws stored samples away that are too old, durably, and has them generated anew.
+// discard durably discards stored samples that are too stale and schedules their regeneration.
 func (s *Server) discard(ctx context.Context, t *trainerState, old []*wire.Sample, fetch uint64) *refusal {
 	command := &wire.BatchDiscard{Trainer: t.name, Fence: t.fence, Fetch: fetch}
 	slots := make([]ledger.SlotID, 0, len(old))
@@ -323,15 +326,15 @@
 	}
 	result, err := s.execute(ctx, t, &wire.Command{Kind: &wire.Command_BatchDiscard{BatchDiscard: command}})
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if result.GetReason() == ledger.ReasonStaleFetch {
-		return abandonedFetch(result.GetFetch())
+		return supersededFetch(result.GetFetch())
 	}
 	if !result.GetAccepted() {
-		s.depose(t, result.GetReason())
+		s.dropTrainer(t, result.GetReason())
 		return unavailable(CodeUnavailable, "send the same call again")
 	}
 	s.stats.DiscardedStale += uint64(len(old))
@@ -339,26 +342,26 @@
 	for _, id := range slots {
 		s.regenerate(t, id)
 	}
-	s.config.Log.Debugf("discarded %d samples of trainer %s that were too old", len(slots), t.name)
+	s.config.Log.Debugf("discarded %d samples of trainer %s that exceeded the staleness bound", len(slots), t.name)
 	s.wake()
 	return nil
 }
 
-// abandonedFetch refuses a fetch after which the trainer made another.
-func abandonedFetch(newest uint64) *refusal {
+// supersededFetch rejects a fetch after which the trainer made a newer one.
+func supersededFetch(newest uint64) *refusal {
 	refused := unavailable(CodeSuperseded, "the trainer has made a newer fetch of this batch, or this one was served already")
 	refused.fetch = newest
 	return refused
 }
 
-// regenerate puts a discarded slot back to work. The caller holds the mutex.
+// regenerate schedules a discarded slot again. The caller holds the mutex.
 func (s *Server) regenerate(t *trainerState, id ledger.SlotID) {
 	step := t.delivery.step(id.Step)
 	if step == nil {
 		return
 	}
-	s.scheduleStep(t, step) // a step handed over wholly is not with the scheduler any more
-	t.delivery.discarded(id)
+	s.scheduleStep(t, step) // the scheduler has dropped a step that was handed over completely
+	t.delivery.recordDiscarded(id)
 	slot := step.slots[id.String()]
 	s.pool(step.open.GetPool()).scheduler.Discarded(s.now(), rolloutID(id), slot.edition)
 }
--- a/internal/coordinator/finish.go
+++ b/internal/coordinator/finish.go
@@ -20,43 +20,43 @@
 	return ledger.SlotID{Trainer: sample.GetTrainer(), Step: sample.GetStep(), Prompt: sample.GetPromptId(), Index: sample.GetIndex()}
 }
 
-// finish has a generated sample scored and stored. It goes on until that is done or the run no longer
-// counts: the generation's deadline does not hold here, since nothing is gained by generating again.
-func (s *Server) finish(one *run) {
-	ctx, cancel := context.WithCancel(one.trainer.context)
+// finish scores and stores a generated sample. It retries until both succeed or the run no longer counts. The
+// generation deadline does not apply here, since generating the sample again would gain nothing.
+func (s *Server) finish(r *run) {
+	ctx, cancel := context.WithCancel(r.trainer.context)
 	defer cancel()
-	sample := s.noteGenerated(one, cancel)
+	sample := s.markGenerated(r, cancel)
 	if sample == nil {
 		return
 	}
-	score, err := s.score(ctx, one, sample)
+	score, err := s.score(ctx, r, sample)
 	if err != nil {
 		return // the run was dropped
 	}
 	sample.Score = score
-	s.store(ctx, one, sample)
+	s.store(ctx, r, sample)
 }
 
-// noteGenerated returns the sample of a run that is whole, or nil when the run no longer counts. From here on
-// cancel stops it.
-func (s *Server) noteGenerated(one *run, cancel context.CancelFunc) *wire.Sample {
+// markGenerated records that a run's text is complete and returns its sample, or nil if the run no longer counts. From
+// here on, dropping the run calls cancel.
+func (s *Server) markGenerated(r *run, cancel context.CancelFunc) *wire.Sample {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !one.current() {
+	if !r.isCurrent() {
 		return nil
 	}
-	s.tellProgress(one, s.now())
-	one.generated, one.cancel = true, cancel
-	one.pool.after++
+	s.reportProgress(r, s.now())
+	r.generated, r.cancel = true, cancel
+	r.pool.finishing++
 	s.wake()
-	s.logGenerated(one)
-	return one.sample()
+	s.emitGenerated(r)
+	return r.sample()
 }
 
-// logGenerated tells of a text that is whole. The caller holds the mutex.
-func (s *Server) logGenerated(one *run) {
-	event := &events.SampleGenerated{Sample: one.id.String(), Replica: one.replica, Tokens: one.partial.tokens}
-	for _, segment := range one.partial.segments {
+// emitGenerated logs the event of a completed text. The caller holds the mutex.
+func (s *Server) emitGenerated(r *run) {
+	event := &events.SampleGenerated{Sample: r.id.String(), Replica: r.replica, Tokens: r.partial.tokens}
+	for _, segment := range r.partial.segments {
 		event.Versions = append(event.Versions, segment.GetVersionNumber())
 	}
 	logging.Emit(s.config.Log, event)
@@ -84,22 +84,22 @@
 	Scores []float64 `json:"scores"`
 }
 
-// score asks the scorer until it answers or ctx ends.
-func (s *Server) score(ctx context.Context, one *run, sample *wire.Sample) (float64, error) {
+// score calls the scorer until it answers or ctx ends. Without a scorer it returns 0.
+func (s *Server) score(ctx context.Context, r *run, sample *wire.Sample) (float64, error) {
 	if s.config.Scorer == "" {
 		return 0, nil
 	}
-	body, err := json.Marshal(scoreBody{Samples: []scoreSample{{ID: sample.GetId(), Prompt: one.slot.prompt.GetText(), Text: sample.GetText()}}})
+	body, err := json.Marshal(scoreBody{Samples: []scoreSample{{ID: sample.GetId(), Prompt: r.slot.prompt.GetText(), Text: sample.GetText()}}})
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	for wait := retryFirst; ; wait = min(2*wait, retryMost) {
+	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
 		score, err := s.callScorer(ctx, body)
 		if err == nil {
 			return score, nil
 		}
 		if ctx.Err() == nil {
-			s.config.Log.WithError(err).Debugf("the scorer did not rate %s", sample.GetId())
+			s.config.Log.WithError(err).Debugf("could not score sample %s; retrying", sample.GetId())
 		}
 		if pause.For(ctx, wait) != nil {
 			return 0, ctx.Err()
@@ -107,11 +107,11 @@
 	}
 }
 
-// callScorer makes one call, in one of the bounded places.
+// callScorer makes one call to the scorer, within the limit of concurrent calls.
 func (s *Server) callScorer(ctx context.Context, body []byte) (float64, error) {
 	select {
-	case s.scoring <- struct{}{}:
-		defer func() { <-s.scoring }()
+	case s.scoreSlots <- struct{}{}:
+		defer func() { <-s.scoreSlots }()
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -120,19 +120,20 @@
 		return 0, err
 	}
 	if len(answer.Scores) != 1 {
-		return 0, trace.BadParameter("the scorer gave %d scores for a sample", len(answer.Scores))
+		return 0, trace.BadParameter("the scorer returned %d scores for 1 sample", len(answer.Scores))
 	}
 	return answer.Scores[0], nil
 }
 
-// store keeps a sample in the ledger; it counts as finished only then.
-func (s *Server) store(ctx context.Context, one *run, sample *wire.Sample) {
+// store writes a sample to the ledger and retries until the ledger answers or ctx ends. Only then does the sample count
+// as finished.
+func (s *Server) store(ctx context.Context, r *run, sample *wire.Sample) {
 	command := &wire.Command{Kind: &wire.Command_SampleStore{SampleStore: &wire.SampleStore{
-		Sample: sample, Owner: s.session.Owner(), Fence: one.trainer.fence}}}
-	for wait := retryFirst; ; wait = min(2*wait, retryMost) {
-		result, err := s.execute(ctx, one.trainer, command)
+		Sample: sample, Owner: s.session.Owner(), Fence: r.trainer.fence}}}
+	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
+		result, err := s.execute(ctx, r.trainer, command)
 		if err == nil {
-			s.stored(one, sample, result)
+			s.handleStored(r, sample, result)
 			return
 		}
 		if pause.For(ctx, wait) != nil {
@@ -141,39 +142,38 @@
 	}
 }
 
-// stored takes the ledger's answer over.
-func (s *Server) stored(one *run, sample *wire.Sample, result *wire.SampleResult) {
+// handleStored applies the ledger's answer to a store command.
+func (s *Server) handleStored(r *run, sample *wire.Sample, result *wire.SampleResult) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !one.current() {
-		if result.GetAccepted() && s.trainers[one.trainer.name] == one.trainer {
-			// It was dropped as too old while the ledger stored it: what the ledger holds counts.
-			s.depose(one.trainer, "the ledger holds a sample that was dropped here")
+	if !r.isCurrent() {
+		if result.GetAccepted() && s.trainers[r.trainer.name] == r.trainer {
+			// The sample was dropped as too stale while the ledger stored it. The ledger is authoritative.
+			s.dropTrainer(r.trainer, "the ledger holds a sample that was discarded locally")
 		}
 		return
 	}
 	if !result.GetAccepted() {
-		s.depose(one.trainer, result.GetReason())
+		s.dropTrainer(r.trainer, result.GetReason())
 		return
 	}
-	delete(one.pool.running, one.id)
-	one.pool.after--
+	delete(r.pool.running, r.id)
+	r.pool.finishing--
 	tokens, oldest := sampleTokens(sample)
-	one.trainer.delivery.stored(sample)
-	one.pool.scheduler.Finished(s.now(), one.id, tokens, oldest)
+	r.trainer.delivery.recordStored(sample)
+	r.pool.scheduler.Finished(s.now(), r.id, tokens, oldest)
 	s.stats.SamplesFinished++
 	s.stats.Tokens += uint64(tokens)
-	one.trainer.notify()
+	r.trainer.notify()
 	s.wake()
 }
 
-// call makes one JSON call to a process that is not ours; any status but 200 is an error of type
-// *refusedError.
+// call makes one JSON call to an external service. It returns a *statusError for any status but 200.
 func (s *Server) call(ctx context.Context, method, address, path string, body []byte, timeout time.Duration, answer any) error {
 	return s.callAs(ctx, "", method, address, path, body, timeout, answer)
 }
 
-// callNode makes one JSON call to a process of ours and shows it this one's token.
+// callNode is like call, for a process of this system, and sends this process's token.
 func (s *Server) callNode(ctx context.Context, method, address, path string, body []byte, timeout time.Duration, answer any) error {
 	return s.callAs(ctx, s.config.Credentials.Authorization(), method, address, path, body, timeout, answer)
 }
@@ -188,15 +188,15 @@
 	if len(body) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	request.Header.Set("User-Agent", "") // none: it would be a third of a poll
-	showToken(request, authorization)
-	response, err := s.calls.Do(request)
+	request.Header.Set("User-Agent", "") // omitted, since it would be a third of a poll
+	setAuthorization(request, authorization)
+	response, err := s.httpClient.Do(request)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refusedBy(response)
+		return newStatusError(response)
 	}
 	return trace.Wrap(json.NewDecoder(response.Body).Decode(answer))
 }
--- a/internal/coordinator/fixture_test.go
+++ b/internal/coordinator/fixture_test.go
@@ -24,8 +24,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestMain looks for leaked routines. Those of fasthttp, on which gateway and stand-ins run, sleep for up to
-// ten seconds after their server has ended.
+// TestMain checks for leaked goroutines. Those of fasthttp, which the gateway and the stand-ins use, sleep for up to
+// ten seconds after their server has ended and are ignored.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
@@ -38,7 +38,7 @@
 
 const testTimeout = 60 * time.Second
 
-// fixture is a small real deployment: control node, gateway, engines, scorer, weight store, coordinators.
+// fixture is a small deployment of real servers: control node, gateway, engines, scorer, weight store and coordinators.
 type fixture struct {
 	control      *rig.Control
 	client       *controlclient.Client
@@ -73,14 +73,14 @@
 	}
 }
 
-// Leases of the fixtures. Tests that need the end of a killed owner's lease have the short one; a pause of a busy
-// machine can cost a living owner that one, but not the long one.
+// Lease durations of the fixtures. Tests that wait for a killed owner's lease to end use the short one. A pause of a
+// busy machine can cost a live owner a short lease, but not a long one.
 const (
 	shortLease = 400 * time.Millisecond
 	longLease  = 3 * time.Second
 )
 
-// newFixture starts engines that swap in 50ms and make a token each few milliseconds.
+// newFixture starts a deployment with engines that swap in 50ms and generate a token every few milliseconds.
 func newFixture(t *testing.T, engines, coordinators int) *fixture {
 	t.Helper()
 	return newLeasedFixture(t, shortLease, engines, coordinators)
@@ -148,19 +148,19 @@
 	return server
 }
 
-// stall stops every answer that begins from now on after that many tokens; 0 lets all go on.
+// stall makes every answer that starts from now on stop after the given number of tokens. 0 lets all answers continue.
 func (f *fixture) stall(tokens int) {
 	for _, one := range f.engines {
 		one.SetFaults(enginestandin.Faults{StallAfterTokens: tokens})
 	}
 }
 
-// await waits until a condition that nothing ends holds.
+// await waits until a condition holds that stays true once it is reached.
 func (f *fixture) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	result, _, err := f.client.ChangeTable(ctx, change, true)
 	must(t, err)
 	if result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
-		t.Fatalf("table change: %v", result)
+		t.Fatalf("table change was not accepted: %v", result)
 	}
 }
 
@@ -207,11 +207,11 @@
 	return all
 }
 
-// truth compares samples with what the engines ran.
+// truth returns the record of what the engines generated, against which trainers check their samples.
 func (f *fixture) truth() trainer.Truth { return trainer.NewEngines(f.engines...) }
 
-// train runs a trainer to its end and checks its account.
-func (f *fixture) train(t *testing.T, config trainer.Config) trainer.Stats {
+// runTrainer runs a trainer to its end and checks its statistics.
+func (f *fixture) runTrainer(t *testing.T, config trainer.Config) trainer.Stats {
 	t.Helper()
 	made := f.newTrainer(t, config)
 	ctx, cancel := context.WithTimeout(f.context, testTimeout)
@@ -240,19 +240,19 @@
 	return made
 }
 
-// checkTrainer fails on any broken promise, and on an account that examined nothing.
+// checkTrainer fails on any violation that the trainer found, and if the trainer examined nothing.
 func checkTrainer(t *testing.T, made *trainer.Trainer, config trainer.Config) trainer.Stats {
 	t.Helper()
 	stats := made.Stats()
 	for _, violation := range stats.Violations {
-		t.Errorf("violation %+v", violation)
+		t.Errorf("the trainer found a violation: %+v", violation)
 	}
 	want := int(config.MaxSteps) * max(config.PromptsPerStep, 1) * max(config.SamplesPerPrompt, 1)
 	if config.PromptsPerStep > 0 && stats.Samples != want {
-		t.Errorf("%d samples, want %d (%+v)", stats.Samples, want, stats)
+		t.Errorf("got %d samples, want %d (%+v)", stats.Samples, want, stats)
 	}
 	if stats.Steps != config.MaxSteps || stats.Outstanding != 0 || stats.SegmentsExamined == 0 || stats.StalenessExamined == 0 {
-		t.Errorf("account %+v", stats)
+		t.Errorf("trainer's stats %+v: want all steps done, nothing outstanding, segments and staleness examined", stats)
 	}
 	return stats
 }
--- a/internal/coordinator/gateways.go
+++ b/internal/coordinator/gateways.go
@@ -6,36 +6,37 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// gatewayUse is what this coordinator has at one gateway. Guarded by the server's mutex.
-type gatewayUse struct {
-	address string
-	running int
-	failed  time.Duration // time of the last failure
-	failing bool
+// gatewayState is this coordinator's load on one gateway and its last failure. Guarded by the server's mutex.
+type gatewayState struct {
+	address  string
+	running  int
+	failedAt time.Duration // time of the last failure
+	failing  bool
 }
 
-// gatewayPause is how long a gateway that failed is left alone while others serve.
-const gatewayPause = 500 * time.Millisecond
+// gatewayPause is how long a failed gateway is avoided while others are available.
+const gatewayBackoff = 500 * time.Millisecond
 
-// chooseGateway takes the live gateway with the fewest requests of this coordinator: the table's limits are
-// divided evenly among the gateways.
-func (s *Server) chooseGateway() (*gatewayUse, error) {
+// chooseGateway returns the live gateway with the fewest requests of this coordinator, and counts one more there.
+// Spreading requests evenly matches the table's limits, which are divided evenly among the gateways. It returns
+// errNoGateway if no gateway is live.
+func (s *Server) chooseGateway() (*gatewayState, error) {
 	members := s.session.Members().GetMembers()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
-	var best *gatewayUse
+	var best *gatewayState
 	for _, member := range members {
 		if member.GetRole() != wire.MemberRole_MEMBER_ROLE_GATEWAY || member.GetState() != wire.MemberState_MEMBER_STATE_ALIVE {
 			continue
 		}
-		known := s.gateways[member.GetAddress()]
-		if known == nil {
-			known = &gatewayUse{address: member.GetAddress()}
-			s.gateways[known.address] = known
+		gateway := s.gateways[member.GetAddress()]
+		if gateway == nil {
+			gateway = &gatewayState{address: member.GetAddress()}
+			s.gateways[gateway.address] = gateway
 		}
-		if best == nil || known.better(best, now) {
-			best = known
+		if best == nil || gateway.isPreferred(best, now) {
+			best = gateway
 		}
 	}
 	if best == nil {
@@ -45,21 +46,23 @@
 	return best, nil
 }
 
-func (g *gatewayUse) resting(now time.Duration) bool { return g.failing && now < g.failed+gatewayPause }
+func (g *gatewayState) isPaused(now time.Duration) bool {
+	return g.failing && now < g.failedAt+gatewayBackoff
+}
 
-func (g *gatewayUse) better(other *gatewayUse, now time.Duration) bool {
-	if g.resting(now) != other.resting(now) {
-		return other.resting(now)
+func (g *gatewayState) isPreferred(other *gatewayState, now time.Duration) bool {
+	if g.isPaused(now) != other.isPaused(now) {
+		return other.isPaused(now)
 	}
 	return g.running < other.running
 }
 
-func (s *Server) releaseGateway(gateway *gatewayUse, failed bool) {
+func (s *Server) releaseGateway(gateway *gatewayState, failed bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	gateway.running--
 	gateway.failing = failed
 	if failed {
-		gateway.failed = s.now()
+		gateway.failedAt = s.now()
 	}
 }
--- a/internal/coordinator/generate.go
+++ b/internal/coordinator/generate.go
@@ -21,35 +21,35 @@
 const (
 	completionsPath = "/v1/completions"
 	maxEventBytes   = 1 << 20
-	progressTokens  = 16 // between two reports of a sample's progress to the scheduler
+	progressTokens  = 16 // between two progress reports of a sample to the scheduler
 	classRollout    = "rollout"
 	errorBodyBytes  = 4096
 )
 
-// run is one attempt at one sample.
+// run is one attempt at generating one sample, up to its storage in the ledger.
 type run struct {
-	id      rollout.SampleID
-	pool    *pool
-	trainer *trainerState
-	slot    *deliverySlot
-	edition uint32
-	context context.Context
-	cancel  context.CancelFunc
-	partial *partial // tokens so far; appended to by the run's routine under the server's mutex
-	told    int      // tokens that the scheduler was told of
-	gateway string   // address, of the request under way
-	replica string   // that made the newest token of the request under way
-	// requestID is the name of the request under way at its replica; empty until its first token.
+	id             rollout.SampleID
+	pool           *pool
+	trainer        *trainerState
+	slot           *deliverySlot
+	edition        uint32
+	context        context.Context
+	cancel         context.CancelFunc
+	partial        *partial // tokens so far; the run's goroutine appends under the server's mutex
+	reportedTokens int      // tokens already reported to the scheduler
+	gateway        string   // address of the gateway of the current request
+	replica        string   // replica that generated the newest token of the current request
+	// requestID is the id of the current request at its replica. It is empty until the first token.
 	requestID string
-	// moved is closed once the transfer of the KV cache has ended; nil when there is none.
-	moved chan struct{}
-	// stop ends the request under way; what it has made is kept.
-	stop context.CancelCauseFunc
-	// generated is set once the text is whole and waits for its score and the ledger.
+	// transferDone is closed when the transfer of the KV cache has ended. It is nil if there is no transfer.
+	transferDone chan struct{}
+	// stopRequest ends the current request. The tokens generated so far are retained.
+	stopRequest context.CancelCauseFunc
+	// generated is set once the text is complete and the sample is in scoring or storing.
 	generated bool
 }
 
-// startSample begins an attempt. The caller holds the mutex.
+// startSample starts a run, which resumes from retained tokens if the policy allows. The caller holds the mutex.
 func (s *Server) startSample(p *pool, start rollout.Start) {
 	t := s.trainers[start.ID.Trainer]
 	if t == nil {
@@ -58,98 +58,98 @@
 	}
 	slot := t.delivery.slot(ledgerID(start.ID))
 	if slot == nil {
-		s.config.Log.Warnf("sample %s has no slot", start.ID)
+		s.config.Log.Warnf("cannot start sample %s: it has no slot in an open step", start.ID)
 		return
 	}
-	one := &run{id: start.ID, pool: p, trainer: t, slot: slot, edition: slot.edition, partial: &partial{}}
-	one.context, one.cancel = context.WithTimeout(t.context, s.config.GenerationDeadline)
+	r := &run{id: start.ID, pool: p, trainer: t, slot: slot, edition: slot.edition, partial: &partial{}}
+	r.context, r.cancel = context.WithTimeout(t.context, s.config.GenerationDeadline)
 	if kept := t.partials[start.ID.String()]; kept != nil && p.scheduler.Policy().KeepsPrefix() {
-		one.partial, one.told = kept, start.PrefixTokens
-		s.tellProgress(one, s.now())
+		r.partial, r.reportedTokens = kept, start.PrefixTokens
+		s.reportProgress(r, s.now())
 		s.stats.Continued++
 	}
 	delete(t.partials, start.ID.String())
-	p.running[start.ID] = one
-	logging.Emit(s.config.Log, &events.SampleStarted{Sample: one.id.String(), Pool: p.name, Kept: one.partial.tokens})
-	cancel := one.cancel
+	p.running[start.ID] = r
+	logging.Emit(s.config.Log, &events.SampleStarted{Sample: r.id.String(), Pool: p.name, Kept: r.partial.tokens})
+	cancel := r.cancel
 	s.start(func() {
 		defer cancel()
-		if err := s.generate(one); err != nil {
-			s.awaitMove(one)
-			s.interrupted(one, err)
+		if err := s.generate(r); err != nil {
+			s.awaitTransfer(r)
+			s.handleInterruption(r, err)
 			return
 		}
-		s.finish(one)
+		s.finish(r)
 	})
 }
 
-// current tells whether the run still counts. The caller holds the mutex.
-func (r *run) current() bool { return r.pool.running[r.id] == r }
+// isCurrent reports whether the run still counts, which it does until it is dropped. The caller holds the mutex.
+func (r *run) isCurrent() bool { return r.pool.running[r.id] == r }
 
-// refusedError says that a gateway took the request not at all.
-type refusedError struct {
+// statusError is an answer with a status other than 200, by which a gateway or another server rejected a request.
+type statusError struct {
 	status     int
 	retryAfter time.Duration
 	body       string
 }
 
 // Error implements error.
-func (e *refusedError) Error() string {
+func (e *statusError) Error() string {
 	return fmt.Sprintf("gateway answered %d: %s", e.status, e.body)
 }
 
 // errNoGateway means that no live gateway is known.
 var errNoGateway = errors.New("no gateway is known")
 
-// errWrongAnswer means that an answer contradicts itself; nothing of it is kept.
-var errWrongAnswer = errors.New("the answer's checksum does not fit its text")
+// errChecksumMismatch means that an answer's text does not match its checksum. All tokens of the run are discarded.
+var errChecksumMismatch = errors.New("the answer's text does not match its checksum")
 
-// interrupted notes that an attempt ended early.
-func (s *Server) interrupted(one *run, cause error) {
+// handleInterruption records that a run ended early and retains its tokens if the scheduler can resume from them.
+func (s *Server) handleInterruption(r *run, cause error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !one.current() {
+	if !r.isCurrent() {
 		return
 	}
-	delete(one.pool.running, one.id)
+	delete(r.pool.running, r.id)
 	now := s.now()
-	s.tellProgress(one, now)
-	if errors.Is(cause, errWrongAnswer) {
-		s.config.Log.Warnf("sample %s: %v", one.id, cause)
-		s.stats.DiscardedTokens += uint64(one.partial.tokens)
-		one.pool.scheduler.Discarded(now, one.id, one.edition)
+	s.reportProgress(r, now)
+	if errors.Is(cause, errChecksumMismatch) {
+		s.config.Log.Warnf("discarded the tokens of sample %s: %v", r.id, cause)
+		s.stats.DiscardedTokens += uint64(r.partial.tokens)
+		r.pool.scheduler.Discarded(now, r.id, r.edition)
 		return
 	}
 	s.stats.Interrupted++
-	kept := one.pool.scheduler.Interrupted(now, one.id)
-	goesOn := kept > 0 && kept == one.partial.tokens
-	logging.Emit(s.config.Log, &events.SampleInterrupted{Sample: one.id.String(), Gateway: one.gateway, Replica: one.replica,
-		Request: one.requestID, Tokens: one.partial.tokens, Kept: goesOn, Cause: events.ErrorText(cause)})
-	if goesOn {
-		one.trainer.partials[one.id.String()] = one.partial
+	kept := r.pool.scheduler.Interrupted(now, r.id)
+	resumable := kept > 0 && kept == r.partial.tokens
+	logging.Emit(s.config.Log, &events.SampleInterrupted{Sample: r.id.String(), Gateway: r.gateway, Replica: r.replica,
+		Request: r.requestID, Tokens: r.partial.tokens, Kept: resumable, Cause: events.ErrorText(cause)})
+	if resumable {
+		r.trainer.partials[r.id.String()] = r.partial
 	} else {
-		s.stats.DiscardedTokens += uint64(one.partial.tokens)
+		s.stats.DiscardedTokens += uint64(r.partial.tokens)
 	}
-	var refused *refusedError
+	var refused *statusError
 	switch {
 	case errors.As(cause, &refused):
-		one.pool.refused(now, max(refused.retryAfter, retryFirst))
+		r.pool.recordRejection(now, max(refused.retryAfter, minRetryDelay))
 	case errors.Is(cause, errNoGateway):
-		one.pool.paused = max(one.pool.paused, now+retryFirst)
+		r.pool.pausedUntil = max(r.pool.pausedUntil, now+minRetryDelay)
 	}
 	s.wake()
 }
 
-// tellProgress gives the scheduler the tokens that it does not know of. The caller holds the mutex.
-func (s *Server) tellProgress(one *run, now time.Duration) {
+// reportProgress reports the new tokens of a run to the scheduler. The caller holds the mutex.
+func (s *Server) reportProgress(r *run, now time.Duration) {
 	total := 0
-	for _, segment := range one.partial.segments {
+	for _, segment := range r.partial.segments {
 		total += int(segment.GetTokenCount())
-		if total > one.told {
-			one.pool.scheduler.Progress(now, one.id, total, segment.GetVersionNumber())
+		if total > r.reportedTokens {
+			r.pool.scheduler.Progress(now, r.id, total, segment.GetVersionNumber())
 		}
 	}
-	one.told = max(one.told, total)
+	r.reportedTokens = max(r.reportedTokens, total)
 }
 
 // completionBody is the body of a completion request.
@@ -163,52 +163,53 @@
 	Prompt       string `json:"prompt"`
 }
 
-// generate has the rest of a sample generated by one streamed request. On an error the run's partial holds
-// what is known to be right.
-func (s *Server) generate(one *run) error {
+// generate generates the remaining tokens of a sample by one streamed request. On error, the run's partial holds the
+// valid tokens received so far.
+func (s *Server) generate(r *run) error {
 	gateway, err := s.chooseGateway()
 	if err != nil {
 		return err
 	}
 	failed := true
 	defer func() { s.releaseGateway(gateway, failed) }()
-	ctx, stop := context.WithCancelCause(one.context)
+	ctx, stop := context.WithCancelCause(r.context)
 	defer stop(nil)
 	s.mutex.Lock()
-	one.gateway, one.replica, one.requestID, one.stop = gateway.address, "", "", stop
+	r.gateway, r.replica, r.requestID, r.stopRequest = gateway.address, "", "", stop
 	s.mutex.Unlock()
-	response, err := s.requestCompletion(ctx, one, gateway.address)
+	response, err := s.requestCompletion(ctx, r, gateway.address)
 	if err != nil {
 		failed = ctx.Err() == nil
-		return causeOf(ctx, err)
+		return cancelCause(ctx, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		failed = false
-		return refusedBy(response)
+		return newStatusError(response)
 	}
-	before := one.partial.tokens
-	err = s.readStream(one, response)
-	failed = err != nil && ctx.Err() == nil && one.partial.tokens == before
-	return causeOf(ctx, err)
+	before := r.partial.tokens
+	err = s.readStream(r, response)
+	failed = err != nil && ctx.Err() == nil && r.partial.tokens == before
+	return cancelCause(ctx, err)
 }
 
-// causeOf returns why ctx was ended, if that is what err came from.
-func causeOf(ctx context.Context, err error) error {
+// cancelCause returns the cause of ctx's cancellation if ctx has ended, and err otherwise. It returns nil if err is
+// nil.
+func cancelCause(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-func (s *Server) requestCompletion(ctx context.Context, one *run, address string) (*http.Response, error) {
+func (s *Server) requestCompletion(ctx context.Context, r *run, address string) (*http.Response, error) {
 	var cache kvCache
-	if one.partial.cache != nil {
-		cache, one.partial.cache = *one.partial.cache, nil // it serves once
+	if r.partial.cache != nil {
+		cache, r.partial.cache = *r.partial.cache, nil // an imported cache can be used only once
 	}
 	body, err := json.Marshal(completionBody{
-		Model: one.pool.name, Stream: true, MaxTokens: one.slot.prompt.GetMaxTokens(), Seed: uint64(one.id.Index),
-		PrefixTokens: one.partial.tokens, Prompt: one.slot.prompt.GetText() + one.partial.text.String(), KVImport: cache.id,
+		Model: r.pool.name, Stream: true, MaxTokens: r.slot.prompt.GetMaxTokens(), Seed: uint64(r.id.Index),
+		PrefixTokens: r.partial.tokens, Prompt: r.slot.prompt.GetText() + r.partial.text.String(), KVImport: cache.id,
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -220,16 +221,16 @@
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Tamarindring-Class", classRollout)
 	request.Header.Set("Tamarindring-Deadline", s.config.GenerationDeadline.String())
-	request.Header.Set("X-Request-Id", one.id.String())
+	request.Header.Set("X-Request-Id", r.id.String())
 	if cache.replica != "" {
 		request.Header.Set("Tamarindring-Replica", cache.replica)
 	}
-	showToken(request, s.config.Credentials.Authorization())
-	return s.calls.Do(request)
+	setAuthorization(request, s.config.Credentials.Authorization())
+	return s.httpClient.Do(request)
 }
 
-func refusedBy(response *http.Response) error {
+func newStatusError(response *http.Response) error {
 	content, _ := io.ReadAll(io.LimitReader(response.Body, errorBodyBytes))
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
-	return &refusedError{status: response.StatusCode, retryAfter: time.Duration(seconds) * time.Second, body: string(content)}
+	return &statusError{status: response.StatusCode, retryAfter: time.Duration(seconds) * time.Second, body: string(content)}
 }
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	handOverPath     = "/v1/coordinators/handover"
-	handOverTimeout  = 2 * time.Second
-	begunLifetime    = 30 * time.Second // of one whose trainer is not taken over
-	maxBegunTrainers = ledger.MaximumTrainers
+	handOverPath             = "/v1/coordinators/handover"
+	handOverTimeout          = 2 * time.Second
+	receivedPartialsLifetime = 30 * time.Second // for partial samples whose trainer is not taken over
+	maxReceivedPartials      = ledger.MaximumTrainers
 )
 
-// begunBody carries the begun samples of a trainer from a coordinator that gives it up by plan to the next
-// owner. Losing it costs only the tokens: the next owner begins those samples anew.
-type begunBody struct {
-	Trainer string        `json:"trainer"`
-	Samples []begunSample `json:"samples"`
+// partialsBody carries the partial samples of a trainer from a coordinator that drops the trainer to the next owner. If
+// it is lost, only tokens are lost: the next owner generates those samples from the start.
+type partialsBody struct {
+	Trainer string          `json:"trainer"`
+	Samples []partialSample `json:"samples"`
 }
 
-type begunSample struct {
+type partialSample struct {
 	ID       string         `json:"id"`
 	Edition  uint32         `json:"edition"`
 	Text     string         `json:"text"`
 	Segments []segmentReply `json:"segments"`
 }
 
-// begunSet is what was received for a trainer that is not owned here yet.
-type begunSet struct {
-	samples []begunSample
+// receivedPartials holds the partial samples received for a trainer, until the trainer is adopted or they expire.
+type receivedPartials struct {
+	samples []partialSample
 	at      time.Duration
 }
 
-// sendBegun sends a trainer's begun samples to its next owner, in the background, or keeps them when that is
-// this coordinator again. Tokens are counted as lost where there is none. The caller holds the mutex.
-func (s *Server) sendBegun(t *trainerState) {
-	body, tokens := t.begunBody()
+// sendPartials sends a trainer's partial samples to its next owner in the background. It keeps them here if this
+// coordinator should own the trainer again. It counts the tokens as discarded if there is no next owner or sending them
+// fails. The caller holds the mutex.
+func (s *Server) sendPartials(t *trainerState) {
+	body, tokens := t.collectPartials()
 	if tokens == 0 {
 		return
 	}
 	if !s.draining.Load() && s.owns(trainerResource(t.name)) {
-		s.begun[t.name] = &begunSet{samples: body.Samples, at: s.now()}
+		s.receivedPartials[t.name] = &receivedPartials{samples: body.Samples, at: s.now()}
 		return
 	}
 	next := s.nextOwner(trainerResource(t.name))
@@ -58,16 +59,16 @@
 	if s.closed {
 		return
 	}
-	s.handOvers.Add(1)
+	s.handovers.Add(1)
 	s.start(func() {
-		defer s.handOvers.Done()
+		defer s.handovers.Done()
 		encoded, err := json.Marshal(body)
 		if err == nil {
 			var answer struct{}
 			err = s.callNode(s.context, http.MethodPost, next.address, handOverPath, encoded, handOverTimeout, &answer)
 		}
 		if err != nil {
-			s.config.Log.Debugf("trainer %s: %d begun samples were not handed over: %v", t.name, len(body.Samples), err)
+			s.config.Log.Debugf("trainer %s: %d partial samples could not be sent to the next owner: %v", t.name, len(body.Samples), err)
 			s.mutex.Lock()
 			s.stats.DiscardedTokens += tokens
 			s.mutex.Unlock()
@@ -75,27 +76,27 @@
 	})
 }
 
-// begunBody puts a trainer's begun samples together.
-func (t *trainerState) begunBody() (*begunBody, uint64) {
-	body, tokens := &begunBody{Trainer: t.name}, uint64(0)
-	for id, kept := range t.partials {
+// collectPartials returns the trainer's partial samples whose slots are still empty, and their total number of tokens.
+func (t *trainerState) collectPartials() (*partialsBody, uint64) {
+	body, tokens := &partialsBody{Trainer: t.name}, uint64(0)
+	for id, p := range t.partials {
 		slotID, err := ledger.ParseSlotID(id)
-		if err != nil || kept.tokens == 0 {
+		if err != nil || p.tokens == 0 {
 			continue
 		}
 		slot := t.delivery.slot(slotID)
 		if slot == nil || slot.sample != nil || slot.delivered {
 			continue
 		}
-		tokens += uint64(kept.tokens)
-		body.Samples = append(body.Samples, begunSample{ID: id, Edition: slot.edition, Text: kept.text.String(),
-			Segments: newSegmentReplies(kept.segments)})
+		tokens += uint64(p.tokens)
+		body.Samples = append(body.Samples, partialSample{ID: id, Edition: slot.edition, Text: p.text.String(),
+			Segments: newSegmentReplies(p.segments)})
 	}
 	return body, tokens
 }
 
-// nextOwner is the live coordinator other than this one that is to own a resource; its name is empty when
-// there is none.
+// nextOwner returns the live coordinator that should own a resource once this one is gone. The name is empty if there
+// is no other.
 func (s *Server) nextOwner(resource string) candidate {
 	var others []candidate
 	for _, one := range s.candidates() {
@@ -106,16 +107,16 @@
 	return chooseOwner(resource, others)
 }
 
-// handOverAll gives all trainers up at the end of a drain and waits until their begun samples are sent.
-func (s *Server) handOverAll(ctx context.Context) {
+// handOverTrainers drops all trainers at the end of a drain and waits until their partial samples are sent or ctx ends.
+func (s *Server) handOverTrainers(ctx context.Context) {
 	s.mutex.Lock()
 	for _, t := range s.trainers {
-		s.depose(t, "draining")
+		s.dropTrainer(t, "draining")
 	}
 	s.mutex.Unlock()
 	sent := make(chan struct{})
 	go func() {
-		s.handOvers.Wait()
+		s.handovers.Wait()
 		close(sent)
 	}()
 	select {
@@ -124,42 +125,42 @@
 	}
 }
 
-// handleHandOver serves the hand-over between coordinators.
+// handleHandOver serves POST /v1/coordinators/handover, by which another coordinator passes on partial samples.
 func (s *Server) handleHandOver(writer http.ResponseWriter, request *http.Request) {
 	if refused := s.checkCoordinator(request); refused != nil {
 		refused.write(writer)
 		return
 	}
-	var body begunBody
+	var body partialsBody
 	if refused := decode(writer, request, s.config.MaxBodyBytes, &body); refused != nil {
 		refused.write(writer)
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.begun) < maxBegunTrainers {
-		s.begun[body.Trainer] = &begunSet{samples: body.Samples, at: s.now()}
+	if len(s.receivedPartials) < maxReceivedPartials {
+		s.receivedPartials[body.Trainer] = &receivedPartials{samples: body.Samples, at: s.now()}
 	}
 	if t := s.trainers[body.Trainer]; t != nil {
-		s.takeBegun(t)
+		s.restorePartials(t)
 		s.wake()
 	}
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// checkCoordinator refuses a request that does not come from a coordinator.
+// checkCoordinator rejects a request that does not come from a coordinator.
 func (s *Server) checkCoordinator(request *http.Request) *refusal {
 	if refused := s.checkToken(request, "", auth.Node); refused != nil {
 		return refused
 	}
-	if !s.fromCoordinator(request) {
+	if !s.isFromCoordinator(request) {
 		return &refusal{status: http.StatusForbidden, code: CodeForbidden, message: "only coordinators may ask this"}
 	}
 	return nil
 }
 
-// fromCoordinator tells whether a call comes from the address of a coordinator that the control group lists.
-func (s *Server) fromCoordinator(request *http.Request) bool {
+// isFromCoordinator reports whether a request comes from the address of a coordinator that the control group lists.
+func (s *Server) isFromCoordinator(request *http.Request) bool {
 	from, _, err := net.SplitHostPort(request.RemoteAddr)
 	if err != nil {
 		return false
@@ -173,15 +174,15 @@
 	return false
 }
 
-// takeBegun takes the begun samples that a former owner left, as far as their slots still wait for them. The
-// caller holds the mutex.
-func (s *Server) takeBegun(t *trainerState) {
-	left := s.begun[t.name]
-	delete(s.begun, t.name)
-	if left == nil || s.now() > left.at+begunLifetime {
+// restorePartials takes over the partial samples received from a previous owner whose slots are still empty, have the
+// same edition and are not being generated. The caller holds the mutex.
+func (s *Server) restorePartials(t *trainerState) {
+	received := s.receivedPartials[t.name]
+	delete(s.receivedPartials, t.name)
+	if received == nil || s.now() > received.at+receivedPartialsLifetime {
 		return
 	}
-	for _, sample := range left.samples {
+	for _, sample := range received.samples {
 		id, err := ledger.ParseSlotID(sample.ID)
 		if err != nil {
 			continue
@@ -198,10 +199,10 @@
 	}
 }
 
-func (l *begunSample) partial() *partial {
+func (s *partialSample) partial() *partial {
 	made := &partial{}
-	made.text.WriteString(l.Text)
-	for _, segment := range l.Segments {
+	made.text.WriteString(s.Text)
+	for _, segment := range s.Segments {
 		made.segments = append(made.segments, &wire.Segment{WeightVersion: segment.WeightVersion, VersionNumber: segment.VersionNumber,
 			FirstToken: uint32(made.tokens), TokenCount: segment.TokenCount, Replica: segment.Replica})
 		made.tokens += int(segment.TokenCount)
@@ -209,11 +210,12 @@
 	return made
 }
 
-// forgetBegun drops what nobody inherited. The caller holds the mutex.
-func (s *Server) forgetBegun() {
-	for name, left := range s.begun {
-		if s.now() > left.at+begunLifetime {
-			delete(s.begun, name)
+// expireReceivedPartials drops received partial samples that were not claimed within receivedPartialsLifetime. The
+// caller holds the mutex.
+func (s *Server) expireReceivedPartials() {
+	for name, received := range s.receivedPartials {
+		if s.now() > received.at+receivedPartialsLifetime {
+			delete(s.receivedPartials, name)
 		}
 	}
 }
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -15,7 +15,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// handler serves one call of the trainers' interface and writes its answer, or returns a refusal.
+// handler serves one endpoint for trainers. It either writes the answer and returns nil, or returns a refusal.
 type handler func(writer http.ResponseWriter, request *http.Request, trainer string) *refusal
 
 func (s *Server) routes() http.Handler {
@@ -24,7 +24,7 @@
 	mux.HandleFunc("POST /v1/trainers/{trainer}/fetch", s.serve(s.handleFetch))
 	mux.HandleFunc("POST /v1/trainers/{trainer}/versions", s.serve(s.handleVersion))
 	mux.HandleFunc("POST "+handOverPath, s.handleHandOver)
-	mux.HandleFunc("GET "+newsPath+"{pool}", s.handleNews)
+	mux.HandleFunc("GET "+poolStatusPath+"{pool}", s.handlePoolStatus)
 	mux.HandleFunc("GET /v1/stats", s.handleStats)
 	mux.HandleFunc("/", func(writer http.ResponseWriter, _ *http.Request) {
 		(&refusal{status: http.StatusNotFound, code: CodeNotFound, message: "no such path or method"}).write(writer)
@@ -62,8 +62,8 @@
 	return serve(writer, request, name)
 }
 
-// unanswered is the refusal for a control group that did not answer.
-func unanswered(err error) *refusal {
+// refusalFromError returns the answer to a request that failed because of an error from the control or ledger group.
+func refusalFromError(err error) *refusal {
 	var known *refusal
 	if errors.As(err, &known) {
 		return known
@@ -74,19 +74,20 @@
 	return unavailable(CodeUnavailable, "the ledger did not answer; send the same call again: "+err.Error())
 }
 
-// owned returns the state of a trainer that this coordinator owns or is to own.
-func (s *Server) owned(request *http.Request, name string) (*trainerState, *refusal) {
-	if moved := s.elsewhere(trainerResource(name), request); moved != nil {
-		return nil, moved
+// ownedTrainer returns the state of a trainer that this coordinator should own and adopts the trainer first if
+// necessary. Otherwise it returns a redirect to the owner.
+func (s *Server) ownedTrainer(request *http.Request, name string) (*trainerState, *refusal) {
+	if redirect := s.redirectToOwner(trainerResource(name), request); redirect != nil {
+		return nil, redirect
 	}
 	t, err := s.adopt(request.Context(), name)
 	if err != nil {
-		return nil, unanswered(err)
+		return nil, refusalFromError(err)
 	}
 	return t, nil
 }
 
-// handleStep serves PUT /v1/trainers/{trainer}/steps/{step}. The answer comes once the step is durable.
+// handleStep serves PUT /v1/trainers/{trainer}/steps/{step}. It answers once the step is durable.
 func (s *Server) handleStep(writer http.ResponseWriter, request *http.Request, name string) *refusal {
 	number, err := strconv.ParseUint(request.PathValue("step"), 10, 64)
 	if err != nil {
@@ -100,7 +101,7 @@
 	if refused != nil {
 		return refused
 	}
-	t, refused := s.owned(request, name)
+	t, refused := s.ownedTrainer(request, name)
 	if refused != nil {
 		return refused
 	}
@@ -111,13 +112,13 @@
 	return nil
 }
 
-// stepReply answers an opened step.
+// stepReply is the answer to an opened step.
 type stepReply struct {
 	Step    uint64 `json:"step"`
 	Samples int    `json:"samples"`
 }
 
-// stepOpen checks a step's body and turns it into the ledger's command.
+// stepOpen validates a step's body and converts it to the ledger's command.
 func (s *Server) stepOpen(name string, number uint64, body *stepBody) (*wire.StepOpen, *refusal) {
 	row := s.session.View().Pool(body.Pool)
 	if row == nil || row.Service != table.Engine {
@@ -140,7 +141,7 @@
 func (s *Server) openStep(ctx context.Context, t *trainerState, open *wire.StepOpen) *refusal {
 	result, err := s.execute(ctx, t, &wire.Command{Kind: &wire.Command_StepOpen{StepOpen: open}})
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
 	if !result.GetAccepted() {
 		if result.GetReason() == ledger.ReasonTooMany {
@@ -148,12 +149,12 @@
 		}
 		return conflict(result.GetReason())
 	}
-	return s.noteOpened(ctx, t, open)
+	return s.recordOpened(ctx, t, open)
 }
 
-// noteOpened schedules a step that the ledger has accepted. A step that is not known here may be one that
-// was delivered long ago, so the ledger is asked.
-func (s *Server) noteOpened(ctx context.Context, t *trainerState, open *wire.StepOpen) *refusal {
+// recordOpened schedules a step that the ledger has accepted. The ledger also accepts a step that was already
+// delivered, so it is queried if the step is not known here and may be an old one.
+func (s *Server) recordOpened(ctx context.Context, t *trainerState, open *wire.StepOpen) *refusal {
 	s.mutex.Lock()
 	known := t.delivery.step(open.GetStep()) != nil
 	mayBeClosed := open.GetStep() <= t.lastOpened || t.lastOpened == 0
@@ -164,9 +165,9 @@
 	if mayBeClosed {
 		view, err := s.readTrainer(ctx, t.name)
 		if err != nil {
-			return unanswered(err)
+			return refusalFromError(err)
 		}
-		if !viewHasStep(view, open.GetStep()) {
+		if !hasOpenStep(view, open.GetStep()) {
 			return nil
 		}
 	}
@@ -185,7 +186,7 @@
 	return nil
 }
 
-func viewHasStep(view *wire.TrainerView, number uint64) bool {
+func hasOpenStep(view *wire.TrainerView, number uint64) bool {
 	for _, step := range view.GetSteps() {
 		if step.GetOpen().GetStep() == number {
 			return true
--- a/internal/coordinator/listener.go
+++ b/internal/coordinator/listener.go
@@ -8,31 +8,31 @@
 	"github.com/sirupsen/logrus"
 )
 
-// limitedListener lets a bounded number of connections be open; more wait in the system's queue.
+// limitedListener bounds the number of open connections. Further ones wait in the operating system's accept queue.
 type limitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots  chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
 func newLimitedListener(listener net.Listener, limit int) *limitedListener {
-	return &limitedListener{Listener: listener, places: make(chan struct{}, limit), closed: make(chan struct{})}
+	return &limitedListener{Listener: listener, slots: make(chan struct{}, limit), closed: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	connection, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	return &limitedConnection{Conn: connection, places: l.places}, nil
+	return &limitedConnection{Conn: connection, slots: l.slots}, nil
 }
 
 // Close implements net.Listener.
@@ -43,18 +43,19 @@
 
 type limitedConnection struct {
 	net.Conn
-	places chan struct{}
-	once   sync.Once
+	slots chan struct{}
+	once  sync.Once
 }
 
 // Close implements net.Conn.
 func (c *limitedConnection) Close() error {
-	c.once.Do(func() { <-c.places })
+	c.once.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
 
-// quietLog passes the HTTP library's complaints about trainers to debug level.
-func quietLog(log *logrus.Entry) *stdlog.Logger { return stdlog.New(debugWriter{log}, "", 0) }
+// newDebugLogger returns a logger that writes the HTTP library's messages, which are about trainers' connections, at
+// debug level.
+func newDebugLogger(log *logrus.Entry) *stdlog.Logger { return stdlog.New(debugWriter{log}, "", 0) }
 
 type debugWriter struct{ log *logrus.Entry }
 
--- a/internal/coordinator/live_test.go
+++ b/internal/coordinator/live_test.go
@@ -14,10 +14,10 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestRolloutsYieldToLiveTrafficAndLoseNothing fills every slot with rollouts and then sends live requests:
-// each gets its answer, and the samples that gave their slots up arrive whole. The engines hold the rollouts back
-// until the live requests are answered, so that none of these finds a slot that a rollout has left by its end.
-func TestRolloutsYieldToLiveTrafficAndLoseNothing(t *testing.T) {
+// TestRolloutsArePreemptedByLiveTrafficWithoutLoss fills every slot with rollouts and then sends live requests. It
+// fails if a live request is not answered or a preempted sample does not arrive complete. The engines stall the
+// rollouts until the live requests are answered, so that no slot becomes free because a rollout ends.
+func TestRolloutsArePreemptedByLiveTrafficWithoutLoss(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 2, 1)
 	f.change(t, [3]string{"copy", "max_in_flight", "4"})
@@ -29,7 +29,7 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- made.Run(ctx) }()
-	f.await(t, "all slots hold a begun rollout", func() bool { return f.coordinators[0].begunSamples() == 8 })
+	f.await(t, "all slots hold a rollout with tokens", func() bool { return f.coordinators[0].countPartialSamples() == 8 })
 	var live sync.WaitGroup
 	for index := range 24 {
 		live.Go(func() { f.askLive(t, index) })
@@ -38,23 +38,23 @@
 	f.stall(0)
 	must(t, <-ended)
 	checkTrainer(t, made, config)
-	yielded := 0
+	preempted := 0
 	for _, dispatch := range f.gateway.Dispatches(0) {
 		if dispatch.Class == gateway.ClassRollout && dispatch.Kind != "send" {
-			yielded++
+			preempted++
 		}
 	}
 	stats := f.coordinators[0].Stats()
-	if yielded == 0 && stats.Continued == 0 {
-		t.Error("no rollout gave its slot up: nothing is shown")
+	if preempted == 0 && stats.Continued == 0 {
+		t.Error("no rollout was preempted, so the test shows nothing")
 	}
 	if stats.DiscardedTokens != 0 {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("tokens were discarded: %+v", stats)
 	}
 }
 
-// askLive sends a live request until it is answered. It may be refused as "did not run" when the queue's wait
-// is over; then it comes again, as callers do.
+// askLive repeats a live request until it is answered. A request that waited too long in the queue is rejected with the
+// verdict "did not run" and is sent again, as callers do.
 func (f *fixture) askLive(t *testing.T, index int) {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
--- a/internal/coordinator/metrics_test.go
+++ b/internal/coordinator/metrics_test.go
@@ -13,11 +13,11 @@
 	}
 	server.draining.Store(true)
 	if err := server.Ready(f.context); err != errDraining {
-		t.Fatalf("got %v", err)
+		t.Fatalf("readiness while draining: got %v, want errDraining", err)
 	}
 	server.draining.Store(false)
 	f.control.Close()
-	for server.Ready(f.context) != errNoLease { // the lease lapses; the test's time limit ends a wait in vain
+	for server.Ready(f.context) != errNoLease { // waits until the lease expires; the test timeout bounds the wait
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/coordinator/move.go
+++ b/internal/coordinator/move.go
@@ -8,38 +8,39 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// errMoved is why a request ends whose replica or gateway leaves; the sample goes on elsewhere.
+// errMoved ends a request whose replica or gateway is leaving. The sample resumes elsewhere.
 var errMoved = errors.New("the replica or gateway is leaving")
 
-// moveAway takes samples off replicas that leave and off gateways that are not live any more. The tokens made
-// so far go along as the continuation's prefix; the KV cache goes along from a replica that leaves, which saves the
-// next one a prefill. The caller holds the mutex.
-func (s *Server) moveAway(p *pool, view *table.View) {
+// migrateSamples takes running samples off leaving replicas and off gateways that are no longer live. The next attempt
+// resumes with the tokens generated so far as its prefix. From a leaving replica the KV cache is moved too, which saves
+// the next replica a prefill. The caller holds the mutex.
+func (s *Server) migrateSamples(p *pool, view *table.View) {
 	live := map[string]bool{}
 	for _, member := range s.session.Members().GetMembers() {
 		if member.GetRole() == wire.MemberRole_MEMBER_ROLE_GATEWAY && member.GetState() == wire.MemberState_MEMBER_STATE_ALIVE {
 			live[member.GetAddress()] = true
 		}
 	}
-	for _, one := range p.running {
-		if one.generated || one.stop == nil {
+	for _, r := range p.running {
+		if r.generated || r.stopRequest == nil {
 			continue
 		}
-		if live[one.gateway] && !s.leavingReplica(p, view, one.replica) {
+		if live[r.gateway] && !s.isReplicaLeaving(p, view, r.replica) {
 			continue
 		}
-		if live[one.gateway] {
-			s.transfer(one, view, one.stop)
+		if live[r.gateway] {
+			s.transfer(r, view, r.stopRequest)
 		} else {
-			one.stop(errMoved)
+			r.stopRequest(errMoved)
 		}
-		one.stop = nil
+		r.stopRequest = nil
 		s.stats.Moved++
 	}
 }
 
-// leavingReplica tells whether a replica is about to go: the table says so, or the replica itself.
-func (s *Server) leavingReplica(p *pool, view *table.View, name string) bool {
+// isReplicaLeaving reports whether a replica is leaving or gone, according to the table, its load report or the pool's
+// collector. It is false for an empty name, which stands for a replica that is not known yet.
+func (s *Server) isReplicaLeaving(p *pool, view *table.View, name string) bool {
 	if name == "" {
 		return false
 	}
@@ -47,5 +48,5 @@
 		return true
 	}
 	known := p.replicas[name]
-	return known != nil && known.known && known.report.Leaving || slices.Contains(p.news.Leaving, name)
+	return known != nil && known.hasReport && known.report.Leaving || slices.Contains(p.collectorStatus.Leaving, name)
 }
--- a/internal/coordinator/number_test.go
+++ b/internal/coordinator/number_test.go
@@ -9,9 +9,10 @@
 	"github.com/tamarindring/tamarindring/internal/standin/weightstore"
 )
 
-// TestTrainerWithoutNumbersIsHeldUpByItsOldOnes: a trainer that numbered its fetches starts again with lower numbers,
-// then with none, while its sealed batch has become too old.
-func TestTrainerWithoutNumbersIsHeldUpByItsOldOnes(t *testing.T) {
+// TestUnnumberedFetchIsBlockedByEarlierNumberedFetch fails if a trainer that numbered its fetches and then stops doing
+// so can no longer get its batch. The sealed batch has become too stale, and the trainer first fetches with a lower
+// number, then with none.
+func TestUnnumberedFetchIsBlockedByEarlierNumberedFetch(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 1, 1)
 	f.change(t, [3]string{"copy", "staleness_bound", "0"})
@@ -19,15 +20,15 @@
 	c.openStep("a", 1, 2, 1)
 	first := c.fetch("a", fetchBody{Cursor: 1, WholeStep: true, WaitMillis: 5000, Fetch: 5})
 	if len(first.Samples) != 2 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("first fetch: got %+v, want 2 samples", first)
 	}
 	response, err := c.client.Post("http://"+c.address+"/v1/trainers/a/fetch", "application/json", strings.NewReader(`{"cursor": 1, "fetch": 4}`))
 	must(t, err)
-	var told errorBody
-	must(t, json.NewDecoder(response.Body).Decode(&told))
+	var rejection errorBody
+	must(t, json.NewDecoder(response.Body).Decode(&rejection))
 	_ = response.Body.Close()
-	if told.Error.Code != CodeSuperseded || told.Error.Fetch != 5 {
-		t.Errorf("an older number: %+v", told)
+	if rejection.Error.Code != CodeSuperseded || rejection.Error.Fetch != 5 {
+		t.Errorf("fetch with a lower number: got %+v, want code superseded with fetch 5", rejection)
 	}
 	f.store.Put(weightstore.Version{Version: "w1", VersionNumber: 1, Trainer: "a"})
 	c.must(http.MethodPost, "/v1/trainers/a/versions", versionBody{Version: "w1", VersionNumber: 1, Pool: "copy"}, nil)
@@ -37,7 +38,7 @@
 	}
 	for _, sample := range again.Samples {
 		if sample.Edition == 0 || sample.Age != 0 {
-			t.Errorf("%+v", sample)
+			t.Errorf("sample %+v was not regenerated", sample)
 		}
 	}
 }
--- a/internal/coordinator/owner.go
+++ b/internal/coordinator/owner.go
@@ -15,17 +15,17 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Resources of the control group's fences.
+// Names under which the control group issues fencing tokens.
 func trainerResource(name string) string { return "trainer/" + name }
 func poolResource(name string) string    { return release.Resource(name) }
 
-// candidate is a live coordinator.
+// candidate is a live coordinator that can own resources.
 type candidate struct {
 	name    string
 	address string
 }
 
-// candidates returns the live coordinators by name, this one included once the control group lists it.
+// candidates returns the live coordinators sorted by name. It includes this one once the control group lists it.
 func (s *Server) candidates() []candidate {
 	var all []candidate
 	for _, member := range s.session.Members().GetMembers() {
@@ -37,8 +37,8 @@
 	return all
 }
 
-// ownerOf chooses the live coordinator that is to own a resource: the highest hash of both names, so that a
-// coordinator's coming or going moves only its own part. The name is empty when none is live.
+// ownerOf returns the live coordinator that should own a resource, by rendezvous hashing: when a coordinator joins or
+// leaves, only the resources that it gains or loses move. The name is empty when no coordinator is live.
 func (s *Server) ownerOf(resource string) candidate {
 	return chooseOwner(resource, s.candidates())
 }
@@ -56,11 +56,12 @@
 
 func ownerScore(resource, name string) uint64 { return xxhash.Sum64String(resource + "\x00" + name) }
 
-// owns tells whether this coordinator is to own a resource.
+// owns reports whether this coordinator should own a resource.
 func (s *Server) owns(resource string) bool { return s.ownerOf(resource).name == s.config.Name }
 
-// elsewhere returns a redirect when another coordinator is to own the resource, else nil.
-func (s *Server) elsewhere(resource string, request *http.Request) *refusal {
+// redirectToOwner returns a redirect if another coordinator should own the resource, and nil if this one should. It
+// returns an unavailable error if no coordinator is listed as live.
+func (s *Server) redirectToOwner(resource string, request *http.Request) *refusal {
 	owner := s.ownerOf(resource)
 	if owner.name == s.config.Name {
 		return nil
@@ -80,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.config.StoreTimeout)
 	defer cancel()
 	result, err := s.client.Execute(ctx, controlclient.ControlGroup, &wire.Command{Kind: &wire.Command_FenceAcquire{
-		FenceAcquire: &wire.FenceAcquire{Resource: resource, Owner: s.session.Owner(), RequestId: s.requestName()}}})
+		FenceAcquire: &wire.FenceAcquire{Resource: resource, Owner: s.session.Owner(), RequestId: s.newRequestID()}}})
 	if err != nil {
 		return 0, err
 	}
@@ -90,7 +91,8 @@
 	return result.GetFence().GetToken(), nil
 }
 
-// adopt returns the trainer's state, and takes the trainer over first when it is not owned yet.
+// adopt returns the state of a trainer and takes the trainer over first if it is not owned yet. Concurrent calls for
+// one trainer share one takeover.
 func (s *Server) adopt(ctx context.Context, name string) (*trainerState, error) {
 	s.mutex.Lock()
 	known := s.trainers[name]
@@ -98,7 +100,7 @@
 	if known != nil {
 		return known, nil
 	}
-	results := s.adoption.DoChan(name, func() (any, error) { return s.takeOver(s.context, name) })
+	results := s.adoptions.DoChan(name, func() (any, error) { return s.takeOver(s.context, name) })
 	select {
 	case result := <-results:
 		if result.Err != nil {
@@ -110,8 +112,8 @@
 	}
 }
 
-// takeOver acquires a trainer's fence, makes it known to the ledger, and only then reads the ledger: nothing
-// that a former owner still sends can change what was read.
+// takeOver acquires a trainer's fencing token and publishes it to the ledger before it reads the ledger. From then on
+// the ledger rejects commands of a previous owner, so the state that was read cannot change underneath.
 func (s *Server) takeOver(ctx context.Context, name string) (*trainerState, error) {
 	s.mutex.Lock()
 	known := s.trainers[name]
@@ -125,7 +127,7 @@
 	}
 	t := &trainerState{name: name, group: s.client.ClaimGroup(name), fence: token, changed: make(chan struct{}),
 		partials: map[string]*partial{}}
-	if err := s.raiseFence(ctx, t); err != nil {
+	if err := s.publishFence(ctx, t); err != nil {
 		return nil, err
 	}
 	view, err := s.readTrainer(ctx, name)
@@ -142,9 +144,9 @@
 	s.trainers[name] = t
 	if len(t.delivery.steps) > 0 {
 		s.stats.Takeovers++
-		s.config.Log.Infof("took over trainer %s with %d open steps under token %d", name, len(t.delivery.steps), token)
+		s.config.Log.Infof("took over trainer %s: %d open steps, fencing token %d", name, len(t.delivery.steps), token)
 	}
-	s.takeBegun(t)
+	s.restorePartials(t)
 	for _, step := range t.delivery.steps {
 		t.lastOpened = step.open.GetStep()
 		s.scheduleStep(t, step)
@@ -153,15 +155,16 @@
 	return t, nil
 }
 
-// raiseFence shows the ledger the token by a discard of a slot that no step has.
-func (s *Server) raiseFence(ctx context.Context, t *trainerState) error {
-	nothing := ledger.SlotID{Trainer: t.name, Prompt: "-"}
+// publishFence makes the ledger record the trainer's fencing token. It discards a slot that no step has, which changes
+// nothing else.
+func (s *Server) publishFence(ctx context.Context, t *trainerState) error {
+	nonexistent := ledger.SlotID{Trainer: t.name, Prompt: "-"}
 	_, err := s.execute(ctx, t, &wire.Command{Kind: &wire.Command_BatchDiscard{BatchDiscard: &wire.BatchDiscard{
-		Trainer: t.name, SampleIds: []string{nothing.String()}, Editions: []uint32{0}, Fence: t.fence}}})
+		Trainer: t.name, SampleIds: []string{nonexistent.String()}, Editions: []uint32{0}, Fence: t.fence}}})
 	return err
 }
 
-// readTrainer reads what the ledger knows of a trainer, without the samples' texts.
+// readTrainer reads a trainer's state from the ledger, without the text of its samples.
 func (s *Server) readTrainer(ctx context.Context, name string) (*wire.TrainerView, error) {
 	return s.queryTrainer(ctx, &wire.TrainerQuery{Trainer: name})
 }
@@ -176,19 +179,20 @@
 	return view.GetTrainer(), nil
 }
 
-// Estimates for reading stored samples in parts that fit one message.
+// Size estimates for splitting reads of stored samples into queries whose answers fit one message.
 const (
 	pageBytes      = 8 << 20
 	bytesPerToken  = 16
 	bytesPerSample = 512
 )
 
-// readTexts replaces the stored samples of a view by whole ones.
+// readTexts replaces the stored samples in view, which lack their text, by complete ones. It returns
+// trace.CompareFailed if samples disappeared from the ledger in the meantime.
 func (s *Server) readTexts(ctx context.Context, view *wire.TrainerView) error {
-	places := map[string]**wire.Sample{}
+	targets := map[string]**wire.Sample{}
 	var page []string
 	bytes := 0
-	read := func() error {
+	readPage := func() error {
 		if len(page) == 0 {
 			return nil
 		}
@@ -200,7 +204,7 @@
 			return trace.CompareFailed("the ledger of trainer %s changed while it was read", view.GetTrainer())
 		}
 		for _, sample := range part.GetSamples() {
-			*places[sample.GetId()] = sample
+			*targets[sample.GetId()] = sample
 		}
 		page, bytes = page[:0], 0
 		return nil
@@ -208,22 +212,22 @@
 	for _, step := range view.GetSteps() {
 		for position, sample := range step.GetStored() {
 			tokens, _ := sampleTokens(sample)
-			places[sample.GetId()] = &step.Stored[position]
+			targets[sample.GetId()] = &step.Stored[position]
 			page = append(page, sample.GetId())
 			bytes += tokens*bytesPerToken + bytesPerSample
 			if bytes < pageBytes {
 				continue
 			}
-			if err := read(); err != nil {
+			if err := readPage(); err != nil {
 				return err
 			}
 		}
 	}
-	return read()
+	return readPage()
 }
 
-// execute has a sample command applied by the trainer's ledger group. The error is about its fate; a refusal
-// is in the result.
+// execute applies a sample command through the trainer's ledger group. An error means that the outcome is unknown or
+// that the command was invalid. A rejection by the ledger is reported in the result.
 func (s *Server) execute(ctx context.Context, t *trainerState, command *wire.Command) (*wire.SampleResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.StoreTimeout)
 	defer cancel()
@@ -237,26 +241,27 @@
 	return result.GetSample(), nil
 }
 
-// depose drops a trainer that another coordinator has taken, or whose state here no longer fits the ledger's:
-// the next request reads it anew. The caller holds the mutex.
-func (s *Server) depose(t *trainerState, why string) {
+// dropTrainer discards the state of a trainer that another coordinator has taken over, or whose state here no longer
+// matches the ledger. The next request reads it again. Partial samples are sent to the next owner. The caller holds the
+// mutex.
+func (s *Server) dropTrainer(t *trainerState, reason string) {
 	if s.trainers[t.name] != t {
 		return
 	}
 	delete(s.trainers, t.name)
 	t.cancel()
-	defer s.sendBegun(t)
+	defer s.sendPartials(t)
 	s.stats.Deposed++
-	s.config.Log.Infof("gave up trainer %s: %s", t.name, why)
+	s.config.Log.Infof("dropped trainer %s: %s", t.name, reason)
 	for _, p := range s.pools {
-		for id, one := range p.running {
-			if one.trainer == t {
-				if !one.generated && one.partial.tokens > 0 {
-					t.partials[id.String()] = one.partial
+		for id, r := range p.running {
+			if r.trainer == t {
+				if !r.generated && r.partial.tokens > 0 {
+					t.partials[id.String()] = r.partial
 				}
 				delete(p.running, id)
-				if one.generated {
-					p.after--
+				if r.generated {
+					p.finishing--
 				}
 			}
 		}
@@ -265,10 +270,10 @@
 	t.notify()
 }
 
-// deposeMoved gives up the trainers that another coordinator is to own now. The caller holds the mutex.
-func (s *Server) deposeMoved() {
+// dropReassignedTrainers drops the trainers that another coordinator should own now. The caller holds the mutex.
+func (s *Server) dropReassignedTrainers() {
 	if len(s.candidates()) == 0 {
-		return // nobody is known to be live: nobody would go on
+		return // no live coordinator is known that could take them over
 	}
 	var moved []*trainerState
 	for _, t := range s.trainers {
@@ -278,6 +283,6 @@
 	}
 	slices.SortFunc(moved, func(first, second *trainerState) int { return strings.Compare(first.name, second.name) })
 	for _, t := range moved {
-		s.depose(t, "another coordinator is to own it")
+		s.dropTrainer(t, "another coordinator should own it")
 	}
 }
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -9,33 +9,33 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Parameters of the room that a pool's gateways give to rollouts. A refusal shrinks it, time and finished
-// samples bring it back.
+// Parameters of the estimate of the capacity that gateways give a pool's rollouts. A rejection shrinks the estimate,
+// and it grows back over time.
 const (
-	roomShrink       = 0.8
-	roomShrinkPause  = 500 * time.Millisecond
-	roomGrowth       = 0.1 // of the table's room, per second
-	waitingPerSlot   = 4   // samples in scoring or storing for each slot that go beside the room
-	refusedPauseMost = time.Second
+	capacityShrinkFactor   = 0.8
+	capacityShrinkInterval = 500 * time.Millisecond
+	capacityGrowthRate     = 0.1 // fraction of the granted slots, per second
+	finishingPerSlot       = 4   // samples in scoring or storing per slot that do not count against the capacity
+	maxRejectPause         = time.Second
 )
 
-// pool is one model pool as this coordinator sees it. Guarded by the server's mutex.
+// pool is the state of one model pool at this coordinator. Guarded by the server's mutex.
 type pool struct {
-	name      string
-	scheduler *rollout.Scheduler
-	running   map[rollout.SampleID]*run
-	after     int     // running samples that are generated and wait for their score or the ledger
-	room      float64 // slots that the gateways seem to give; 0 when not known yet
-	roomAt    time.Duration
-	shrunk    time.Duration // time of the last shrink
-	paused    time.Duration // nothing starts before
-	replicas  map[string]*replicaState
-	available uint64        // newest version that the pool's replicas serve
-	news      collectorNews // from the coordinator that polls the replicas, where that is another
-	wave      *waveState
+	name              string
+	scheduler         *rollout.Scheduler
+	running           map[rollout.SampleID]*run
+	finishing         int     // running samples whose text is complete, in scoring or storing
+	capacity          float64 // estimated number of slots that the gateways give; 0 when not known yet
+	capacityUpdatedAt time.Duration
+	shrunkAt          time.Duration // time of the last shrink of the capacity
+	pausedUntil       time.Duration // no sample starts before this time
+	replicas          map[string]*replicaState
+	available         uint64          // newest version that the pool's replicas serve
+	collectorStatus   collectorStatus // from the coordinator that polls the replicas, if that is another one
+	wave              *waveState
 }
 
-// pool returns the pool of a name. The caller holds the mutex.
+// pool returns the pool with the given name and creates it if necessary. The caller holds the mutex.
 func (s *Server) pool(name string) *pool {
 	known := s.pools[name]
 	if known == nil {
@@ -58,10 +58,10 @@
 			return nil
 		case <-ticker.C:
 			s.mutex.Lock()
-			s.deposeMoved()
-			s.forgetBegun()
+			s.dropReassignedTrainers()
+			s.expireReceivedPartials()
 			s.mutex.Unlock()
-		case <-s.kick:
+		case <-s.wakeup:
 		}
 		s.startSamples()
 	}
@@ -70,7 +70,7 @@
 func (s *Server) startSamples() {
 	view, ok := s.session.AdmitView()
 	if !ok {
-		return // without the lease the table may be old: what runs goes on, nothing starts
+		return // without the lease the table may be out of date, so nothing starts; running samples continue
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,111 +81,113 @@
 		}
 		now := s.now()
 		for _, t := range s.trainers {
-			p.scheduler.Released(now, t.name, p.availableTo(t))
+			p.scheduler.Released(now, t.name, p.availableVersion(t))
 		}
-		s.moveAway(p, view)
+		s.migrateSamples(p, view)
 		s.expire(p, uint64(row.StalenessBound))
-		if s.draining.Load() || now < p.paused {
+		if s.draining.Load() || now < p.pausedUntil {
 			continue
 		}
-		slots := p.slots(now, tableRoom(view, p.name))
-		slots += min(p.after, waitingPerSlot*slots)
+		slots := p.effectiveSlots(now, grantedSlots(view, p.name))
+		slots += min(p.finishing, finishingPerSlot*slots)
 		for _, start := range p.scheduler.Next(now, rollout.Room{Slots: slots, StalenessBound: uint64(row.StalenessBound)}) {
 			s.startSample(p, start)
 		}
 	}
 }
 
-// availableTo is the newest version that the pool's replicas serve. Where none of them reports what it serves,
-// nothing speaks against the trainer's own; the hand-over looks at what really came.
-func (p *pool) availableTo(t *trainerState) uint64 {
-	if p.reporting() {
+// availableVersion returns the newest version that the pool's replicas serve. While no replica reports what it serves,
+// the trainer's own version is assumed to be available; the hand-over checks the versions that generated each sample.
+func (p *pool) availableVersion(t *trainerState) uint64 {
+	if p.hasReports() {
 		return p.available
 	}
 	return max(p.available, t.version)
 }
 
-// reporting tells whether any replica says what it serves.
-func (p *pool) reporting() bool {
+// hasReports reports whether any replica's weight version is known.
+func (p *pool) hasReports() bool {
 	for _, replica := range p.replicas {
-		if replica.known {
+		if replica.hasReport {
 			return true
 		}
 	}
-	return p.news.Reporting
+	return p.collectorStatus.Reporting
 }
 
-// tableRoom is how many slots the table grants to rollouts in a pool.
-func tableRoom(view *table.View, pool string) int {
+// grantedSlots returns the number of slots that the table grants to rollouts in a pool.
+func grantedSlots(view *table.View, pool string) int {
 	total := 0
 	for _, backend := range view.Backends(pool) {
 		if backend.Serving() {
-			most := int(backend.MaxInFlight)
-			total += max(0, min(most-int(backend.LiveRoom), most*int(backend.RolloutShare)/100))
+			limit := int(backend.MaxInFlight)
+			total += max(0, min(limit-int(backend.LiveRoom), limit*int(backend.RolloutShare)/100))
 		}
 	}
 	return total
 }
 
-// slots follows the room that the gateways give.
-func (p *pool) slots(now time.Duration, granted int) int {
-	if p.room == 0 {
-		p.room = float64(granted)
+// effectiveSlots updates the capacity estimate and returns the number of slots to use, at least 1 unless none is
+// granted.
+func (p *pool) effectiveSlots(now time.Duration, granted int) int {
+	if p.capacity == 0 {
+		p.capacity = float64(granted)
 	}
-	p.room = min(p.room+roomGrowth*float64(granted)*(now-p.roomAt).Seconds(), float64(granted))
-	p.roomAt = now
+	p.capacity = min(p.capacity+capacityGrowthRate*float64(granted)*(now-p.capacityUpdatedAt).Seconds(), float64(granted))
+	p.capacityUpdatedAt = now
 	if granted == 0 {
 		return 0
 	}
-	return max(1, int(p.room))
+	return max(1, int(p.capacity))
 }
 
-// refused notes that a gateway had no room.
-func (p *pool) refused(now, retryAfter time.Duration) {
-	p.paused = max(p.paused, now+min(retryAfter, refusedPauseMost)/10)
-	if now < p.shrunk+roomShrinkPause {
+// recordRejection shrinks the capacity estimate because a gateway rejected a request, at most once per
+// capacityShrinkInterval, and briefly pauses new samples.
+func (p *pool) recordRejection(now, retryAfter time.Duration) {
+	p.pausedUntil = max(p.pausedUntil, now+min(retryAfter, maxRejectPause)/10)
+	if now < p.shrunkAt+capacityShrinkInterval {
 		return
 	}
-	p.shrunk = now
-	p.room = max(1, min(p.room, float64(len(p.running)-p.after))*roomShrink)
+	p.shrunkAt = now
+	p.capacity = max(1, min(p.capacity, float64(len(p.running)-p.finishing))*capacityShrinkFactor)
 }
 
-// expire drops what will be too old when its trainer uses it. What the trainer may have already is left to
-// the hand-over. The caller holds the mutex.
+// expire discards samples that will be too stale when their trainer uses them. Samples in the sealed batch are left to
+// the trainer's next fetch, since the trainer may already have them. The caller holds the mutex.
 func (s *Server) expire(p *pool, bound uint64) {
-	old := map[*trainerState][]*wire.Sample{}
+	stale := map[*trainerState][]*wire.Sample{}
 	for _, id := range p.scheduler.Expired(bound) {
 		t := s.trainers[id.Trainer]
 		if t == nil || t.sealing {
 			continue
 		}
 		slot := t.delivery.slot(ledgerID(id))
-		if slot == nil || slot.delivered || slot.leaving || t.delivery.isSealed(id.String()) {
+		if slot == nil || slot.delivered || slot.discarding || t.delivery.isSealed(id.String()) {
 			continue
 		}
 		if slot.sample != nil {
-			slot.leaving = true
-			old[t] = append(old[t], slot.sample)
+			slot.discarding = true
+			stale[t] = append(stale[t], slot.sample)
 			continue
 		}
-		s.dropTokens(p, t, id)
+		s.discardTokens(p, t, id)
 		p.scheduler.Discarded(s.now(), id, slot.edition)
 	}
-	for t, samples := range old {
+	for t, samples := range stale {
 		s.start(func() { s.discardExpired(t, samples) })
 	}
 }
 
-// dropTokens throws away what is generated of a sample that is not stored. The caller holds the mutex.
-func (s *Server) dropTokens(p *pool, t *trainerState, id rollout.SampleID) {
+// discardTokens drops a sample that is not stored and the tokens generated for it. The caller holds the mutex.
+func (s *Server) discardTokens(p *pool, t *trainerState, id rollout.SampleID) {
 	tokens := 0
-	if one := p.running[id]; one != nil {
-		one.cancel()
+	if r := p.running[id]; r != nil {
+		r.cancel()
 		delete(p.running, id)
-		if one.generated {
-			p.after--
+		if r.generated {
+			p.finishing--
 		}
-		tokens = one.partial.tokens
+		tokens = r.partial.tokens
 	} else if kept := t.partials[id.String()]; kept != nil {
 		tokens = kept.tokens
 	}
@@ -194,15 +196,15 @@
 	s.stats.DiscardedTokens += uint64(tokens)
 }
 
-// discardExpired discards stored samples that no batch holds. They are marked as leaving, so that no batch
-// takes them meanwhile: what the trainer may have is never discarded except by its own next fetch.
+// discardExpired discards stored samples that are in no batch. Their slots are marked as discarding, so that no batch
+// includes them meanwhile: a sample that the trainer may have is discarded only by the trainer's own next fetch.
 func (s *Server) discardExpired(t *trainerState, samples []*wire.Sample) {
 	defer func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		for _, sample := range samples {
 			if slot := t.delivery.slot(slotOf(sample)); slot != nil {
-				slot.leaving = false
+				slot.discarding = false
 			}
 		}
 		t.notify()
--- a/internal/coordinator/replicas.go
+++ b/internal/coordinator/replicas.go
@@ -11,23 +11,23 @@
 	"github.com/tamarindring/tamarindring/internal/wave"
 )
 
-// replicaState is what a replica last reported. Guarded by the server's mutex.
+// replicaState is the last known state of a replica. Guarded by the server's mutex.
 type replicaState struct {
-	address  string
-	heard    time.Duration // time of the last report or answer to a swap
-	known    bool
-	failed   bool // the last poll had no answer
-	polling  bool
-	polled   bool          // at least once
-	due      time.Duration // time of the next poll
-	report   loadReport
-	answered time.Duration // time of the last answer to a swap; the report holds what it said
-	swapped  bool          // there was one
-	laggedAt time.Duration // since when it has served older weights than others
-	lagging  bool
+	address      string
+	heardAt      time.Duration // time of the last load report or answer to a swap
+	hasReport    bool
+	pollFailed   bool // the last poll got no answer
+	polling      bool
+	polled       bool          // at least once
+	nextPoll     time.Duration // time of the next poll
+	report       loadReport
+	swappedAt    time.Duration // time of the last answer to a swap, whose version is in report
+	swapped      bool          // a swap was answered at least once
+	laggingSince time.Duration // start of the time in which it has served older weights than others
+	lagging      bool
 }
 
-// loadReport is what the coordinator reads of GET /v1/load.
+// loadReport holds the fields that the coordinator reads from GET /v1/load.
 type loadReport struct {
 	Leaving       bool   `json:"leaving"`
 	Refusing      bool   `json:"refusing"`
@@ -38,7 +38,7 @@
 	Waiting       int    `json:"waiting"`
 }
 
-// watchReplicas polls the load reports of all pools in use, and drives their waves, until ctx ends.
+// watchReplicas polls the load reports of all pools in use and drives their weight waves until ctx ends.
 func (s *Server) watchReplicas(ctx context.Context) error {
 	ticker := time.NewTicker(s.config.LoadInterval)
 	defer ticker.Stop()
@@ -53,8 +53,8 @@
 	}
 }
 
-// pollReplicas asks the replicas that are due of the pools that this coordinator collects reports of, and the
-// collectors of the other pools.
+// pollReplicas polls the due replicas of the pools whose load reports this coordinator collects. For the other pools it
+// asks their collectors.
 func (s *Server) pollReplicas(ctx context.Context) {
 	view := s.session.View()
 	s.mutex.Lock()
@@ -66,11 +66,11 @@
 		if s.followCollector(ctx, p, now) {
 			continue
 		}
-		s.followTable(p, view)
+		s.syncReplicas(p, view)
 		collected = append(collected, p)
 		for _, replica := range p.replicas {
 			count++
-			if replica.unsettled() {
+			if replica.isUnsettled() {
 				unsettled++
 			}
 		}
@@ -78,10 +78,10 @@
 	pace := newPollPace(s.config.LoadInterval, s.reportSize, count, unsettled)
 	for _, p := range collected {
 		for name, replica := range p.replicas {
-			if replica.polling || now < replica.due {
+			if replica.polling || now < replica.nextPoll {
 				continue
 			}
-			replica.schedule(now, pace)
+			replica.schedulePoll(now, pace)
 			replica.polling = true
 			s.stats.LoadPolls++
 			s.start(func() { s.pollReplica(ctx, p, name, replica) })
@@ -89,63 +89,64 @@
 	}
 }
 
-// schedule sets the time of the poll after the one that is due now. Polls are spread, so that they come evenly.
-func (r *replicaState) schedule(now time.Duration, pace pollPace) {
+// schedulePoll sets the time of the poll after the one that is due now. Jitter spreads the polls evenly over time.
+func (r *replicaState) schedulePoll(now time.Duration, pace pollPace) {
 	switch {
 	case !r.polled:
-		r.due = now + rand.N(pace.settled)
-	case r.unsettled():
-		r.due = now + spread(pace.unsettled)
+		r.nextPoll = now + rand.N(pace.settled)
+	case r.isUnsettled():
+		r.nextPoll = now + jitter(pace.unsettled)
 	default:
-		r.due = now + spread(pace.settled)
+		r.nextPoll = now + jitter(pace.settled)
 	}
 	r.polled = true
 }
 
-// spread returns a time that is about an interval, and an interval in the mean.
-func spread(interval time.Duration) time.Duration { return 3*interval/4 + rand.N(interval/2+1) }
+// jitter returns a random duration from 3/4 to 5/4 of interval, with interval as the mean.
+func jitter(interval time.Duration) time.Duration { return 3*interval/4 + rand.N(interval/2+1) }
 
-// unsettled tells whether news of the replica is to be expected soon.
-func (r *replicaState) unsettled() bool {
-	return r.failed || r.known && (r.report.Leaving || r.report.Refusing)
+// isUnsettled reports whether a change of the replica's state is expected soon.
+func (r *replicaState) isUnsettled() bool {
+	return r.pollFailed || r.hasReport && (r.report.Leaving || r.report.Refusing)
 }
 
 const (
-	// loadPath asks for the brief report. A replica that knows no brief one gives all of it.
+	// loadPath requests the brief report. A replica that does not support it returns the full report.
 	loadPath = "/v1/load?brief=true"
-	// pollsPerSecond bounds a coordinator's load polls of settled replicas. The answers to weight orders tell
-	// it sooner of a wave's progress; these polls find what has changed by itself.
+	// pollsPerSecond bounds a coordinator's load polls of settled replicas. A wave's progress is already known from the
+	// answers to weight orders; these polls detect all other changes.
 	pollsPerSecond = 32
-	// pollBytesPerSecond bounds their traffic where reports are large: half of a node's 21 KB/s.
+	// pollBytesPerSecond bounds the traffic of these polls when reports are large, to half of a node's 21 KB/s.
 	pollBytesPerSecond = 10_500
-	// reportHeaderBytes is what one poll costs beside the report's body, about.
+	// reportHeaderBytes is the approximate size of one poll without the report's body.
 	reportHeaderBytes = 200
-	// reportSizeWeight is the inverse of one report's weight in the mean size.
+	// reportSizeWeight is the inverse of the weight of one report in the moving average of the report size.
 	reportSizeWeight = 16
-	// unsettledPerSecond bounds the polls of the other replicas, and unsettledInterval is the time between two
-	// of one.
+	// unsettledPerSecond bounds the polls of unsettled replicas. unsettledInterval is the time between two polls of the
+	// same one.
 	unsettledPerSecond = 16
-	unsettledInterval  = 2 * time.Second // well below replicaSilence
+	unsettledInterval  = 2 * time.Second // well below replicaSilenceLimit
 )
 
-// PollInterval is the time between two polls of each of count settled replicas whose reports have size bytes.
+// PollInterval returns the time between two polls of the same replica, given count settled replicas whose reports have
+// size bytes on average. It is at least least.
 func PollInterval(least time.Duration, size float64, count int) time.Duration {
 	each := max(1.0/pollsPerSecond, (size+reportHeaderBytes)/pollBytesPerSecond)
 	return max(least, time.Duration(float64(count)*each*float64(time.Second)))
 }
 
-// pollPace is the time between two polls of one replica.
+// pollPace holds the time between two polls of the same replica, by the replica's state.
 type pollPace struct{ settled, unsettled time.Duration }
 
-// newPollPace divides a coordinator's polls among count replicas, some of them unsettled.
+// newPollPace divides a coordinator's poll budget among count replicas, some of which are unsettled.
 func newPollPace(least time.Duration, size float64, count, unsettled int) pollPace {
 	settled := PollInterval(least, size, count)
-	hurried := max(min(settled, unsettledInterval), time.Duration(unsettled)*time.Second/unsettledPerSecond)
-	return pollPace{settled: settled, unsettled: min(settled, hurried)}
+	fastPoll := max(min(settled, unsettledInterval), time.Duration(unsettled)*time.Second/unsettledPerSecond)
+	return pollPace{settled: settled, unsettled: min(settled, fastPoll)}
 }
 
-// followTable takes over the pool's back ends. The caller holds the mutex.
-func (s *Server) followTable(p *pool, view *table.View) {
+// syncReplicas updates the pool's replicas from the table. The caller holds the mutex.
+func (s *Server) syncReplicas(p *pool, view *table.View) {
 	listed := map[string]bool{}
 	for _, row := range view.Backends(p.name) {
 		listed[row.Name] = true
@@ -174,67 +175,67 @@
 		return
 	}
 	now := s.now()
-	if replica.failed = err != nil; replica.failed {
-		replica.due = min(replica.due, now+unsettledInterval)
+	if replica.pollFailed = err != nil; replica.pollFailed {
+		replica.nextPoll = min(replica.nextPoll, now+unsettledInterval)
 		return
 	}
 	s.reportSize += (float64(len(body)) - s.reportSize) / reportSizeWeight
-	replica.take(now, report, s.config.Wave.ReportGrace)
+	replica.applyReport(now, report, s.config.Wave.ReportGrace)
 	if p.wave != nil {
 		p.wave.planner.Report(now, name, wave.Report{
 			Version: wave.Version{Name: report.WeightVersion, Number: report.VersionNumber}, Staged: report.StagedNumber,
 			Refusing: report.Refusing})
 	}
-	s.noteAvailable(p, now)
+	s.updateAvailable(p, now)
 }
 
-// take keeps a report. The platform's reports lag: what a replica answered to a swap counts more for a while.
-func (r *replicaState) take(now time.Duration, report loadReport, grace time.Duration) {
-	if r.swapped && now < r.answered+grace {
+// applyReport records a load report. Reports from the platform lag, so the version from the answer to a swap takes
+// precedence over the reported one until grace has passed.
+func (r *replicaState) applyReport(now time.Duration, report loadReport, grace time.Duration) {
+	if r.swapped && now < r.swappedAt+grace {
 		report.WeightVersion, report.VersionNumber = r.report.WeightVersion, r.report.VersionNumber
 	}
-	r.known, r.heard, r.report = true, now, report
+	r.hasReport, r.heardAt, r.report = true, now, report
 }
 
-// swappedTo notes what a replica answered to a swap.
-func (r *replicaState) swappedTo(now time.Duration, version wave.Version) {
-	r.known, r.failed, r.heard, r.answered, r.swapped = true, false, now, now, true
+// recordSwap records the version that a replica serves according to its answer to a swap.
+func (r *replicaState) recordSwap(now time.Duration, version wave.Version) {
+	r.hasReport, r.pollFailed, r.heardAt, r.swappedAt, r.swapped = true, false, now, now, true
 	r.report.WeightVersion, r.report.VersionNumber, r.report.Refusing = version.Name, version.Number, false
 }
 
-// noteAnswer takes the answer to a weight order as news of its replica, as good as a report; an order that
-// failed makes a report due. The caller holds the mutex.
-func (s *Server) noteAnswer(p *pool, order wave.Order, answer wave.Answer) {
+// applyOrderAnswer treats the answer to a weight order like a load report of its replica. A failed order makes the next
+// poll due at once. The caller holds the mutex.
+func (s *Server) applyOrderAnswer(p *pool, order wave.Order, answer wave.Answer) {
 	replica, now := p.replicas[order.Replica], s.now()
 	if replica == nil {
 		return
 	}
 	switch {
 	case answer.Outcome == wave.Failed, answer.Outcome == wave.Done && order.Kind == wave.Swap && answer.Serving != order.Version.Number:
-		replica.due = now
+		replica.nextPoll = now
 	case answer.Outcome == wave.Done && order.Kind == wave.Swap:
-		replica.swappedTo(now, order.Version)
-		s.noteAvailable(p, now)
+		replica.recordSwap(now, order.Version)
+		s.updateAvailable(p, now)
 	}
 }
 
-// replicaSilence is how long ago a replica that does not answer may have been heard to count among those that
-// serve.
-const replicaSilence = 5 * time.Second
+// replicaSilenceLimit is how long after it was last heard from a replica that does not answer still counts as serving.
+const replicaSilenceLimit = 5 * time.Second
 
-// noteAvailable finds the newest version that all of a pool's replicas serve, without those that have lagged
-// behind the others for too long: samples that start on old weights are too old too early. The caller holds
-// the mutex.
-func (s *Server) noteAvailable(p *pool, now time.Duration) {
+// updateAvailable computes the newest version that all serving replicas of a pool have, except those that have lagged
+// behind the others for longer than LaggardPatience. Waiting for all replicas prevents samples from starting on old
+// weights, which would exceed the staleness bound too early. The caller holds the mutex.
+func (s *Server) updateAvailable(p *pool, now time.Duration) {
 	newest := uint64(0)
 	for _, replica := range p.replicas {
-		if replica.serves(now) {
+		if replica.isServing(now) {
 			newest = max(newest, replica.report.VersionNumber)
 		}
 	}
 	available := newest
 	for _, replica := range p.replicas {
-		if !replica.serves(now) {
+		if !replica.isServing(now) {
 			continue
 		}
 		if replica.report.VersionNumber == newest {
@@ -242,9 +243,9 @@
 			continue
 		}
 		if !replica.lagging {
-			replica.lagging, replica.laggedAt = true, now
+			replica.lagging, replica.laggingSince = true, now
 		}
-		if now < replica.laggedAt+s.config.LaggardPatience {
+		if now < replica.laggingSince+s.config.LaggardPatience {
 			available = min(available, replica.report.VersionNumber)
 		}
 	}
@@ -254,7 +255,7 @@
 	}
 }
 
-func (r *replicaState) serves(now time.Duration) bool {
-	silent := r.failed && now >= r.heard+replicaSilence
-	return r.known && !silent && !r.report.Refusing && !r.report.Leaving
+func (r *replicaState) isServing(now time.Duration) bool {
+	silent := r.pollFailed && now >= r.heardAt+replicaSilenceLimit
+	return r.hasReport && !silent && !r.report.Refusing && !r.report.Leaving
 }
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -18,41 +18,41 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Server is one coordinator.
+// Server is one coordinator process: it serves trainers, schedules their samples and drives weight waves.
 type Server struct {
-	config    Config
-	listener  net.Listener
-	client    *controlclient.Client
-	session   *controlclient.Session
-	http      *http.Server
-	calls     *http.Client // to gateways, replicas, the scorer and the weight store
-	started   time.Time
-	context   context.Context
-	cancel    context.CancelFunc
-	draining  atomic.Bool
-	leaving   atomic.Bool // past the last hand-over of a drain
-	requests  atomic.Uint64
-	kick      chan struct{} // wakes the scheduling loop
-	scoring   chan struct{} // one place per call to the scorer
-	adoption  singleflight.Group
-	routines  sync.WaitGroup
-	handOvers sync.WaitGroup // hand-overs to other coordinators under way
-	closing   sync.Once
+	config     Config
+	listener   net.Listener
+	client     *controlclient.Client
+	session    *controlclient.Session
+	http       *http.Server
+	httpClient *http.Client // to gateways, replicas, the scorer, the weight store and other coordinators
+	started    time.Time
+	context    context.Context
+	cancel     context.CancelFunc
+	draining   atomic.Bool
+	leaving    atomic.Bool // set once a drain has waited for running samples; waiting fetches are then rejected
+	requests   atomic.Uint64
+	wakeup     chan struct{} // wakes the scheduling loop
+	scoreSlots chan struct{} // semaphore that bounds concurrent scorer calls
+	adoptions  singleflight.Group
+	routines   sync.WaitGroup
+	handovers  sync.WaitGroup // uploads of partial samples to other coordinators in progress
+	closeOnce  sync.Once
 
-	mutex    sync.Mutex // guards what follows
-	closed   bool       // no routine may start
-	trainers map[string]*trainerState
-	pools    map[string]*pool
-	gateways map[string]*gatewayUse // by address
-	begun    map[string]*begunSet   // by trainer
-	stats    Stats
-	// reportSize is the mean of the bodies of load reports, in bytes.
+	mutex            sync.Mutex // guards the fields below
+	closed           bool       // no new goroutine may start
+	trainers         map[string]*trainerState
+	pools            map[string]*pool
+	gateways         map[string]*gatewayState     // by address
+	receivedPartials map[string]*receivedPartials // by trainer name
+	stats            Stats
+	// reportSize is the moving average of the load report body size, in bytes.
 	reportSize float64
 }
 
-// Open binds the listener, starts a session with the control group and returns a coordinator that acts under
-// its lease. It waits until the lease is granted, or ctx ends. Errors: trace.BadParameter for settings that
-// cannot work, an address in use among them; trace.ConnectionProblem when no lease came.
+// Open binds the listener, starts a session with the control group and returns a coordinator. It blocks until the
+// control group grants a lease or ctx ends. It returns trace.BadParameter for invalid settings or an address that
+// cannot be bound, and trace.ConnectionProblem if no lease was granted.
 func Open(ctx context.Context, config Config) (*Server, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, err
@@ -83,17 +83,17 @@
 func newServer(config Config, client *controlclient.Client, session *controlclient.Session) *Server {
 	s := &Server{
 		config: config, listener: newLimitedListener(config.Listener, config.MaxConnections), client: client, session: session,
-		started: time.Now(), kick: make(chan struct{}, 1), scoring: make(chan struct{}, config.ScoreConcurrency),
-		trainers: map[string]*trainerState{}, pools: map[string]*pool{}, gateways: map[string]*gatewayUse{}, begun: map[string]*begunSet{},
+		started: time.Now(), wakeup: make(chan struct{}, 1), scoreSlots: make(chan struct{}, config.ScoreConcurrency),
+		trainers: map[string]*trainerState{}, pools: map[string]*pool{}, gateways: map[string]*gatewayState{}, receivedPartials: map[string]*receivedPartials{},
 	}
 	s.context, s.cancel = context.WithCancel(context.Background())
-	s.calls = &http.Client{Transport: &http.Transport{
+	s.httpClient = &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}
 	s.http = &http.Server{
 		Handler: s.routes(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeaderBytes, ErrorLog: quietLog(config.Log),
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: newDebugLogger(config.Log),
 		BaseContext: func(net.Listener) context.Context { return s.context },
 	}
 	return s
@@ -104,13 +104,13 @@
 	idleConnections = 4096
 )
 
-// now is the time since the coordinator started, monotonic.
+// now returns the monotonic time since the coordinator started.
 func (s *Server) now() time.Duration { return time.Since(s.started) }
 
-// Address is the bound IP:port.
+// Address returns the bound IP:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, then closes abruptly; after Drain or Close it returns nil.
+// Run serves until ctx ends and then closes abruptly, as Close does. It returns nil after Drain or Close.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
@@ -127,14 +127,14 @@
 	})
 	group.Go(func() error { return s.schedule(groupContext) })
 	group.Go(func() error { return s.watchReplicas(groupContext) })
-	group.Go(func() error { return s.tend(groupContext) })
+	group.Go(func() error { return s.reconcileOwnership(groupContext) })
 	err := group.Wait()
 	s.stopRoutines()
 	return err
 }
 
-// start runs a routine that Close waits for; nothing starts once the server is closed. The caller holds the
-// mutex.
+// start runs routine in a goroutine that Close waits for. It does nothing once the server is closed. The caller holds
+// the mutex.
 func (s *Server) start(routine func()) {
 	if !s.closed {
 		s.routines.Go(routine)
@@ -146,59 +146,59 @@
 	s.closed = true
 	s.mutex.Unlock()
 	s.routines.Wait()
-	s.calls.CloseIdleConnections()
+	s.httpClient.CloseIdleConnections()
 }
 
-// Drain stops by plan: no sample is started any more, running ones get DrainPatience to end and to be
-// stored, the open fetches are answered, and then the coordinator leaves the membership, so that others take
-// its trainers over. It returns early when ctx ends.
+// Drain shuts the coordinator down gracefully. It starts no new samples, gives running ones up to DrainPatience to
+// finish and be stored, answers open fetches, hands the trainers over to their next owners and then leaves the
+// membership. It returns early when ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.config.Log.Info("draining")
-	s.finishRunning(ctx)
+	s.awaitRunning(ctx)
 	s.leaving.Store(true)
-	s.handOverAll(ctx)
-	served := s.http.Shutdown(ctx)
-	left := s.session.Leave(ctx)
+	s.handOverTrainers(ctx)
+	shutdownError := s.http.Shutdown(ctx)
+	leaveError := s.session.Leave(ctx)
 	s.cancel()
 	s.stopRoutines()
 	s.config.Log.Info("drained")
-	return trace.NewAggregate(served, left, s.client.Close())
+	return trace.NewAggregate(shutdownError, leaveError, s.client.Close())
 }
 
-const drainCheckInterval = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
-// finishRunning waits for the samples in generation, scoring and storing.
-func (s *Server) finishRunning(ctx context.Context) {
+// awaitRunning waits until no sample is in generation, scoring or storing, for at most DrainPatience.
+func (s *Server) awaitRunning(ctx context.Context) {
 	patience := time.NewTimer(s.config.DrainPatience)
 	defer patience.Stop()
-	ticker := time.NewTicker(drainCheckInterval)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for s.Stats().Running > 0 {
 		select {
 		case <-ctx.Done():
 			return
 		case <-patience.C:
-			s.config.Log.Infof("%d samples still run; the next owner goes on with them", s.Stats().Running)
+			s.config.Log.Infof("drain patience is over with %d samples running; their next owner resumes them", s.Stats().Running)
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// LeaveRequested says whether an operator has asked this coordinator to finish its work and leave.
+// LeaveRequested reports whether an operator has asked this coordinator to finish its work and leave.
 func (s *Server) LeaveRequested() bool {
 	return wire.LeaveRequested(s.session.Members(), s.session.Owner())
 }
 
-// Close ends the coordinator abruptly: connections are cut, running samples are lost.
+// Close stops the coordinator abruptly: it cuts connections, and running samples lose the tokens generated so far.
 func (s *Server) Close() error {
 	var err error
-	s.closing.Do(func() {
+	s.closeOnce.Do(func() {
 		s.cancel()
 		err = s.http.Close()
-		if closed := s.listener.Close(); err == nil && !errors.Is(closed, net.ErrClosed) {
-			err = closed
+		if closeError := s.listener.Close(); err == nil && !errors.Is(closeError, net.ErrClosed) {
+			err = closeError
 		}
 		s.session.Close()
 		err = trace.NewAggregate(err, s.client.Close())
@@ -207,24 +207,24 @@
 	return err
 }
 
-// Stats counts what a coordinator did since its start.
+// Stats holds gauges and the counters since the coordinator started.
 type Stats struct {
 	Trainers         int    `json:"trainers"` // owned now
 	Running          int    `json:"running"`  // samples in generation, scoring or storing now
 	StepsOpened      uint64 `json:"steps_opened"`
-	StepsCompleted   uint64 `json:"steps_completed"` // handed over wholly
+	StepsCompleted   uint64 `json:"steps_completed"` // steps whose last sample was handed over
 	SamplesFinished  uint64 `json:"samples_finished"`
-	HandedOver       uint64 `json:"handed_over"` // acknowledged by their trainers
-	Tokens           uint64 `json:"tokens"`      // of finished samples
+	HandedOver       uint64 `json:"handed_over"` // samples acknowledged by their trainers
+	Tokens           uint64 `json:"tokens"`      // tokens of finished samples
 	DiscardedStale   uint64 `json:"discarded_stale"`
-	DiscardedTokens  uint64 `json:"discarded_tokens"` // generated and never handed over
+	DiscardedTokens  uint64 `json:"discarded_tokens"` // tokens generated but never handed over
 	Interrupted      uint64 `json:"interrupted"`      // attempts that ended early
-	Moved            uint64 `json:"moved"`            // of them, taken off a replica or gateway that leaves
-	Transferred      uint64 `json:"transferred"`      // of the moved, with their KV cache
-	Continued        uint64 `json:"continued"`        // attempts that went on from kept tokens
+	Moved            uint64 `json:"moved"`            // interrupted attempts taken off a leaving replica or gateway
+	Transferred      uint64 `json:"transferred"`      // moved attempts whose KV cache was moved too
+	Continued        uint64 `json:"continued"`        // attempts that resumed from retained tokens
 	Takeovers        uint64 `json:"takeovers"`        // trainers adopted with open steps
-	Deposed          uint64 `json:"deposed"`          // trainers that another coordinator took
-	Inherited        uint64 `json:"inherited"`        // begun samples that a former owner handed over
+	Deposed          uint64 `json:"deposed"`          // trainers dropped: owned elsewhere, or local state out of date
+	Inherited        uint64 `json:"inherited"`        // partial samples received from a previous owner
 	Redirected       uint64 `json:"redirected"`
 	Refused          uint64 `json:"refused"`
 	VersionsReleased uint64 `json:"versions_released"`
@@ -232,14 +232,14 @@
 	Swaps            uint64 `json:"swaps"`
 	SwapFailures     uint64 `json:"swap_failures"`
 	Repairs          uint64 `json:"repairs"`
-	Throttled        uint64 `json:"throttled"` // by the weight store
+	Throttled        uint64 `json:"throttled"` // weight orders that the weight store throttled
 	LoadPolls        uint64 `json:"load_polls"`
 	LastWaveMillis   int64  `json:"last_wave_millis"`
-	// TrainerStats are the accounts of the trainers owned now, by name.
+	// TrainerStats holds the statistics of the trainers owned now, sorted by name.
 	TrainerStats []TrainerStats `json:"trainer_stats,omitempty"`
 }
 
-// Stats returns the counts so far.
+// Stats returns the current gauges and counters.
 func (s *Server) Stats() Stats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -258,14 +258,14 @@
 	return stats
 }
 
-// requestName returns a name that no other request of any process has.
-func (s *Server) requestName() string {
+// newRequestID returns a request id that is unique across all processes.
+func (s *Server) newRequestID() string {
 	return s.session.Owner() + "/" + strconv.FormatUint(s.requests.Add(1), 10)
 }
 
 func (s *Server) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/coordinator/stream.go
+++ b/internal/coordinator/stream.go
@@ -32,30 +32,31 @@
 	TokenCount    int     `json:"token_count"`
 	Replica       string  `json:"replica"`
 	Checksum      string  `json:"checksum"`
-	RequestID     string  `json:"-"` // the request's name at its engine
+	RequestID     string  `json:"-"` // the request's id at its engine
 }
 
-// The marks of the common form of a chunk. Inside a JSON string a quotation mark is escaped, so that these
-// bytes, which begin with a bare one, are only ever keys.
+// Byte patterns of a chunk in its common form. Quotation marks inside a JSON string are escaped, so a pattern that
+// starts with an unescaped one can match only a key.
 var (
-	dataPrefix    = []byte("data:")
-	doneData      = []byte("[DONE]")
-	idMark        = []byte(`"id":"`)
-	choicesEnd    = []byte(`}]`)
-	choicesMark   = []byte(`"choices":[{`)
-	textMark      = []byte(`"text":"`)
-	unfinished    = []byte(`"finish_reason":null`)
-	versionMark   = []byte(`"weight_version":"`)
-	numberMark    = []byte(`"version_number":`)
-	offsetMark    = []byte(`"token_offset":`)
-	countMark     = []byte(`"token_count":`)
-	replicaMark   = []byte(`"replica":"`)
-	separatorMark = []byte(`},{`)
+	dataPrefix     = []byte("data:")
+	doneData       = []byte("[DONE]")
+	idMark         = []byte(`"id":"`)
+	choicesEnd     = []byte(`}]`)
+	choicesMark    = []byte(`"choices":[{`)
+	textMark       = []byte(`"text":"`)
+	noFinishReason = []byte(`"finish_reason":null`)
+	versionMark    = []byte(`"weight_version":"`)
+	numberMark     = []byte(`"version_number":`)
+	offsetMark     = []byte(`"token_offset":`)
+	countMark      = []byte(`"token_count":`)
+	replicaMark    = []byte(`"replica":"`)
+	separatorMark  = []byte(`},{`)
 )
 
-// readStream reads a streamed answer to its end mark.
-func (s *Server) readStream(one *run, response *http.Response) error {
-	first := response.Header.Get("Tamarindring-Backend")
+// readStream reads a streamed answer up to its end marker and appends its tokens to the run. It returns an error if the
+// stream is truncated or inconsistent.
+func (s *Server) readStream(r *run, response *http.Response) error {
+	defaultReplica := response.Header.Get("Tamarindring-Backend")
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	finished, checksum := false, ""
@@ -70,7 +71,7 @@
 			if !finished {
 				return trace.BadParameter("the stream ended without a finish reason")
 			}
-			return verify(one, checksum)
+			return verifyChecksum(r, checksum)
 		}
 		if !choice.scan(data) {
 			if err := choice.decode(data); err != nil {
@@ -78,9 +79,9 @@
 			}
 		}
 		if choice.Replica == "" {
-			choice.Replica = first
+			choice.Replica = defaultReplica
 		}
-		if err := s.addChunk(one, &choice); err != nil {
+		if err := s.addChunk(r, &choice); err != nil {
 			return err
 		}
 		if choice.FinishReason != nil {
@@ -93,11 +94,11 @@
 	return io.ErrUnexpectedEOF
 }
 
-// scan reads a chunk in the common form, at a fifth of the cost of decoding it; it is false for any other,
-// and then leaves the choice in no particular state.
+// scan parses a chunk in the common form, at a fifth of the cost of decode. It returns false for any other form and
+// then leaves the choice in an unspecified state.
 func (c *chunkChoice) scan(data []byte) bool {
 	at := bytes.Index(data, choicesMark)
-	if at < 0 || bytes.Contains(data, separatorMark) || !bytes.Contains(data, unfinished) {
+	if at < 0 || bytes.Contains(data, separatorMark) || !bytes.Contains(data, noFinishReason) {
 		return false
 	}
 	requestID, plain := chunkID(data, at)
@@ -105,7 +106,7 @@
 		return false
 	}
 	data = data[at+len(choicesMark):]
-	words, hasText := textAfter(data, textMark)
+	content, hasText := textAfter(data, textMark)
 	version, hasVersion := textAfter(data, versionMark)
 	number, hasNumber := numberAfter(data, numberMark)
 	offset, hasOffset := numberAfter(data, offsetMark)
@@ -117,7 +118,7 @@
 	if bytes.Contains(data, replicaMark) && len(replica) == 0 {
 		return false
 	}
-	c.Text, c.FinishReason, c.Checksum = string(words), nil, ""
+	c.Text, c.FinishReason, c.Checksum = string(content), nil, ""
 	c.VersionNumber, c.TokenOffset, c.TokenCount = number, int(offset), int(count)
 	setText(&c.WeightVersion, version)
 	setText(&c.Replica, replica)
@@ -125,8 +126,8 @@
 	return true
 }
 
-// chunkID returns the identity of a chunk whose choices begin at a position, empty when it has none; false when that
-// cannot be told apart from an identity of something else in it.
+// chunkID returns the id of a chunk whose choices start at the given offset, or an empty id if it has none. It returns
+// false if the id cannot be distinguished from the id of a nested object.
 func chunkID(data []byte, choices int) (id []byte, plain bool) {
 	first := bytes.Index(data, idMark)
 	if first < 0 {
@@ -139,14 +140,15 @@
 	return textAfter(data, idMark)
 }
 
-// setText makes a new string only when the text is another one.
+// setText assigns value to held, and allocates a new string only if the text differs.
 func setText(held *string, value []byte) {
 	if *held != string(value) {
 		*held = string(value)
 	}
 }
 
-// textAfter returns the string value behind a mark; false when there is none, or one with escapes.
+// textAfter returns the string value that follows a pattern. It returns false if there is none or if the string
+// contains escapes.
 func textAfter(data, mark []byte) ([]byte, bool) {
 	at := bytes.Index(data, mark)
 	if at < 0 {
@@ -162,7 +164,8 @@
 
 const maxDigits = 18
 
-// numberAfter returns the number behind a mark; false when there is none.
+// numberAfter returns the number that follows a pattern. It returns false if there is none or if it has more than
+// maxDigits digits.
 func numberAfter(data, mark []byte) (uint64, bool) {
 	at := bytes.Index(data, mark)
 	if at < 0 {
@@ -179,7 +182,7 @@
 	return value, digits > 0 && digits <= maxDigits
 }
 
-// decode reads a chunk of any form.
+// decode parses a chunk of any form.
 func (c *chunkChoice) decode(data []byte) error {
 	var event chunk
 	if err := json.Unmarshal(data, &event); err != nil {
@@ -196,33 +199,34 @@
 	return nil
 }
 
-// verify compares an answer with the checksum that its engine stated.
-func verify(one *run, checksum string) error {
-	asked := text.Request{Prompt: one.slot.prompt.GetText(), Seed: uint64(one.id.Index), MaxTokens: int(one.slot.prompt.GetMaxTokens())}
-	if checksum != "" && checksum != asked.Checksum(one.partial.text.String()) {
-		return errWrongAnswer
+// verifyChecksum compares the run's text with the checksum that the engine sent, if any.
+func verifyChecksum(r *run, checksum string) error {
+	request := text.Request{Prompt: r.slot.prompt.GetText(), Seed: uint64(r.id.Index), MaxTokens: int(r.slot.prompt.GetMaxTokens())}
+	if checksum != "" && checksum != request.Checksum(r.partial.text.String()) {
+		return errChecksumMismatch
 	}
 	return nil
 }
 
-// addChunk appends a chunk's tokens to the run.
-func (s *Server) addChunk(one *run, choice *chunkChoice) error {
+// addChunk appends a chunk's tokens to the run. It returns an error if the chunk does not continue at the run's last
+// token, and context.Canceled if the run no longer counts.
+func (s *Server) addChunk(r *run, choice *chunkChoice) error {
 	if choice.TokenCount == 0 {
 		return nil
 	}
-	if choice.TokenOffset != one.partial.tokens {
-		return trace.BadParameter("a chunk begins at token %d, not %d", choice.TokenOffset, one.partial.tokens)
+	if choice.TokenOffset != r.partial.tokens {
+		return trace.BadParameter("a chunk begins at token %d, not %d", choice.TokenOffset, r.partial.tokens)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !one.current() {
+	if !r.isCurrent() {
 		return context.Canceled
 	}
-	one.replica, one.requestID = choice.Replica, choice.RequestID
-	segments := len(one.partial.segments)
-	one.partial.add(choice.Text, choice.TokenCount, choice.WeightVersion, choice.VersionNumber, choice.Replica)
-	if one.partial.tokens >= one.told+progressTokens || len(one.partial.segments) > segments {
-		s.tellProgress(one, s.now())
+	r.replica, r.requestID = choice.Replica, choice.RequestID
+	segments := len(r.partial.segments)
+	r.partial.add(choice.Text, choice.TokenCount, choice.WeightVersion, choice.VersionNumber, choice.Replica)
+	if r.partial.tokens >= r.reportedTokens+progressTokens || len(r.partial.segments) > segments {
+		s.reportProgress(r, s.now())
 	}
 	return nil
 }
--- a/internal/coordinator/stream_test.go
+++ b/internal/coordinator/stream_test.go
@@ -14,9 +14,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestScanReadsWhatDecodeReads compares the quick reading of a chunk with the full one, for chunks that an
-// engine might write.
-func TestScanReadsWhatDecodeReads(t *testing.T) {
+// TestScanAgreesWithDecode fails if scan and decode read different values from a chunk that an engine might send.
+func TestScanAgreesWithDecode(t *testing.T) {
 	scanned := 0
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.StringMatching(`[a-z:,éß ]{1,30}`)
@@ -49,12 +48,13 @@
 		}
 	})
 	if scanned == 0 {
-		t.Error("no chunk was read quickly: nothing is shown")
+		t.Error("scan accepted no chunk, so the test shows nothing")
 	}
 }
 
-// TestCutOrWrongStreamLooksFinished checks that only a whole, consistent answer counts as one.
-func TestCutOrWrongStreamLooksFinished(t *testing.T) {
+// TestTruncatedOrInconsistentStreamIsAccepted fails if a stream that is cut off, has a gap or contradicts its checksum
+// counts as a complete answer.
+func TestTruncatedOrInconsistentStreamIsAccepted(t *testing.T) {
 	const (
 		start = `data: {"choices":[{"index":0,"text":"a ","finish_reason":null,"weight_version":"v","version_number":1,"token_offset":0,"token_count":1}]}` + "\n\n"
 		gap   = `data: {"choices":[{"index":0,"text":"b ","finish_reason":null,"weight_version":"v","version_number":1,"token_offset":2,"token_count":1}]}` + "\n\n"
@@ -75,12 +75,12 @@
 		s, one := newTestRun()
 		err := s.readStream(one, &http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader(stream.body))})
 		if (err == nil) != stream.whole {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: unexpected result, error %v", name, err)
 		}
 	}
 }
 
-// newTestRun returns a run without a server around it.
+// newTestRun returns a run at a server without listener, session or peers.
 func newTestRun() (*Server, *run) {
 	s := &Server{pools: map[string]*pool{}}
 	s.config.Policy = rollout.Paced{}
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -12,8 +12,8 @@
 	"github.com/tamarindring/tamarindring/internal/standin/trainer"
 )
 
-// owner returns the position of a coordinator that owns a trainer, or -1.
-func (f *fixture) owner() int {
+// ownerPosition returns the index of a coordinator that owns a trainer, or -1.
+func (f *fixture) ownerPosition() int {
 	for position, server := range f.coordinators {
 		if server.Stats().Trainers > 0 {
 			return position
@@ -22,8 +22,8 @@
 	return -1
 }
 
-// restart kills a coordinator abruptly and starts another under its name and address.
-func (f *fixture) restart(t *testing.T, position int) {
+// restartCoordinator closes a coordinator abruptly and starts another one with the same name and address.
+func (f *fixture) restartCoordinator(t *testing.T, position int) {
 	t.Helper()
 	old := f.coordinators[position]
 	must(t, old.Close())
@@ -33,8 +33,9 @@
 	f.coordinators[position] = started
 }
 
-// TestOwnersDeathLosesOrDoublesASample kills whoever owns a trainer again and again while steps run.
-func TestOwnersDeathLosesOrDoublesASample(t *testing.T) {
+// TestOwnerCrashLosesOrDuplicatesSamples repeatedly kills the owner of a trainer while steps run. It fails if a sample
+// is lost or handed over twice.
+func TestOwnerCrashLosesOrDuplicatesSamples(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 3, 2)
 	configs := []trainer.Config{
@@ -63,8 +64,8 @@
 		case <-done:
 			running = false
 		case <-time.After(time.Duration(100+random.Intn(600)) * time.Millisecond):
-			if position := f.owner(); position >= 0 && kills < 6 {
-				f.restart(t, position)
+			if position := f.ownerPosition(); position >= 0 && kills < 6 {
+				f.restartCoordinator(t, position)
 				kills++
 			}
 		}
@@ -77,12 +78,13 @@
 	}
 }
 
-// TestDrainHandsTheTrainerOver stops the owner by plan: no call may fail for good, none be lost. The engines hold
-// all but each step's first prompt back until the drain is over, so that it finds begun samples.
+// TestDrainHandsTheTrainerOver drains the owner of a trainer. It fails if a call of the trainer fails for good or a
+// sample is lost. The engines stall all but each step's first prompt until the drain is over, so that there are partial
+// samples to hand over.
 func TestDrainHandsTheTrainerOver(t *testing.T) {
 	t.Parallel()
 	f := newLeasedFixture(t, longLease, 2, 2)
-	f.stall(450) // the first prompt's answers have 400 tokens
+	f.stall(450) // answers to the first prompt have 400 tokens
 	config := trainer.Config{Name: "a", PromptsPerStep: 4, SamplesPerPrompt: 2, MaxTokens: 1600, MaxSteps: 3, StepsAhead: 1, Seed: 6,
 		Prompt: func(step uint64, index int) string {
 			return fmt.Sprintf("%d/%d [tokens=%d] ", step, index, 400+100*index)
@@ -92,10 +94,10 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- made.Run(ctx) }()
-	f.await(t, "the trainer has a sample", func() bool { return f.owner() >= 0 && made.Stats().Samples > 0 })
-	drained := f.coordinators[f.owner()]
-	f.await(t, "samples are begun and there is a next owner", func() bool {
-		return drained.begunSamples() > 0 && drained.nextOwner(trainerResource("a")).name != ""
+	f.await(t, "the trainer has a sample", func() bool { return f.ownerPosition() >= 0 && made.Stats().Samples > 0 })
+	drained := f.coordinators[f.ownerPosition()]
+	f.await(t, "there are partial samples and a next owner", func() bool {
+		return drained.countPartialSamples() > 0 && drained.nextOwner(trainerResource("a")).name != ""
 	})
 	must(t, drained.Drain(ctx))
 	f.stall(0)
@@ -107,15 +109,15 @@
 		inherited += server.Stats().Inherited
 	}
 	if inherited == 0 {
-		t.Errorf("no begun sample was handed over to the next owner: drained %+v", drained.Stats())
+		t.Errorf("no partial sample was handed over to the next owner; stats of the drained coordinator: %+v", drained.Stats())
 	}
 	if total != 24 || drained.Stats().HandedOver == 24 {
-		t.Errorf("%d samples handed over, %d of them before the drain", total, drained.Stats().HandedOver)
+		t.Errorf("got %d samples handed over, %d of them by the drained coordinator; want 24 in all, some of them after the drain", total, drained.Stats().HandedOver)
 	}
 }
 
-// begunSamples counts the samples in generation that have tokens.
-func (s *Server) begunSamples() int {
+// countPartialSamples returns the number of samples in generation that have tokens.
+func (s *Server) countPartialSamples() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
@@ -129,8 +131,8 @@
 	return count
 }
 
-// TestNewCoordinatorTakesItsTrainersOver starts one more while steps run: the trainers that are its own now
-// move with what is begun.
+// TestNewCoordinatorTakesItsTrainersOver starts another coordinator while steps run. It fails if a trainer that should
+// now be owned by it does not move, or loses samples.
 func TestNewCoordinatorTakesItsTrainersOver(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 2, 1)
@@ -142,7 +144,7 @@
 	}
 	config := trainer.Config{Name: name, PromptsPerStep: 2, SamplesPerPrompt: 2, MaxTokens: 400, MaxSteps: 3, Seed: 11,
 		Prompt: func(step uint64, index int) string { return fmt.Sprintf("%d/%d [tokens=300] ", step, index) }}
-	f.stall(100) // the steps cannot end before the newcomer is there
+	f.stall(100) // the steps cannot end before the new coordinator runs
 	made := f.newTrainer(t, config)
 	ctx, cancel := context.WithTimeout(f.context, testTimeout)
 	defer cancel()
@@ -150,17 +152,17 @@
 	go func() { ended <- made.Run(ctx) }()
 	f.await(t, "samples run", func() bool { return f.coordinators[0].Stats().Running > 0 })
 	started := f.startCoordinator(t, newcomer, "127.0.0.1:0")
-	f.await(t, "the newcomer has the trainer", func() bool { return started.Stats().Trainers > 0 })
+	f.await(t, "the new coordinator owns the trainer", func() bool { return started.Stats().Trainers > 0 })
 	f.stall(0)
 	must(t, <-ended)
 	checkTrainer(t, made, config)
 	if old, new := f.coordinators[0].Stats(), f.coordinators[1].Stats(); new.HandedOver == 0 || old.Deposed == 0 {
-		t.Errorf("the trainer did not move: %+v, %+v", old, new)
+		t.Errorf("the trainer did not move to the new coordinator: old %+v, new %+v", old, new)
 	}
 }
 
-// TestSamplesLeaveADrainingReplica drains a back end while long samples run on it. The engines hold them back
-// until the replica is empty.
+// TestSamplesLeaveADrainingReplica drains a replica while long samples run on it. It fails if they stay, lose tokens or
+// move without their KV cache. The engines stall the samples until the replica is empty.
 func TestSamplesLeaveADrainingReplica(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 2, 1)
@@ -172,22 +174,22 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- made.Run(ctx) }()
-	f.await(t, "samples are begun", func() bool { return f.coordinators[0].begunSamples() > 0 })
-	busy := f.gateway.Dispatches(0)[0].Backend // routing fills replicas one after the other, in an order of its own
-	engine := int(busy[1] - '0')
-	f.awaitReport(t, fmt.Sprintf("e%d", 1-engine)) // KV caches go only to a replica that is known to serve
-	f.change(t, [3]string{busy, "state", "draining"})
+	f.await(t, "there are partial samples", func() bool { return f.coordinators[0].countPartialSamples() > 0 })
+	drained := f.gateway.Dispatches(0)[0].Backend // routing fills one replica after the other, in its own order
+	engine := int(drained[1] - '0')
+	f.awaitLoadReport(t, fmt.Sprintf("e%d", 1-engine)) // a KV cache is moved only to a replica that is known to serve
+	f.change(t, [3]string{drained, "state", "draining"})
 	f.await(t, "no sample runs on the draining replica", func() bool {
-		return f.coordinators[0].Stats().Moved > 0 && f.executing(engine, config) == 0
+		return f.coordinators[0].Stats().Moved > 0 && f.countRunning(engine, config) == 0
 	})
 	if finished := f.coordinators[0].Stats().SamplesFinished; finished == 8 {
-		t.Error("the samples had ended before the replica was empty: nothing is shown")
+		t.Error("all samples ended before the replica was empty, so the test shows nothing")
 	}
 	f.stall(0)
 	must(t, <-ended)
 	checkTrainer(t, made, config)
 	if stats := f.coordinators[0].Stats(); stats.Moved == 0 || stats.Transferred == 0 || stats.DiscardedTokens != 0 {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats: got %+v, want moved and transferred samples and no discarded tokens", stats)
 	}
 	for index := range config.PromptsPerStep {
 		for _, execution := range f.engines[engine].ExecutionsOf(config.Prompt(1, index)) {
@@ -196,24 +198,24 @@
 			}
 		}
 	}
-	t.Error("the drained replica has exported no KV cache")
+	t.Error("the drained replica exported no KV cache")
 }
 
-// awaitReport waits until the coordinator has heard of a replica.
-func (f *fixture) awaitReport(t *testing.T, replica string) {
+// awaitLoadReport waits until the coordinator has a load report of a replica.
+func (f *fixture) awaitLoadReport(t *testing.T, replica string) {
 	t.Helper()
 	server := f.coordinators[0]
 	heard := func() bool {
 		server.mutex.Lock()
 		defer server.mutex.Unlock()
 		known := server.pool("copy").replicas[replica]
-		return known != nil && known.known
+		return known != nil && known.hasReport
 	}
-	f.await(t, "the coordinator has heard of "+replica, heard)
+	f.await(t, "the coordinator has a load report of "+replica, heard)
 }
 
-// executing counts the samples of a config's first step that run on an engine.
-func (f *fixture) executing(engine int, config trainer.Config) int {
+// countRunning returns the number of running samples of the config's first step on an engine.
+func (f *fixture) countRunning(engine int, config trainer.Config) int {
 	count := 0
 	for index := range config.PromptsPerStep {
 		for _, execution := range f.engines[engine].ExecutionsOf(config.Prompt(1, index)) {
@@ -225,26 +227,26 @@
 	return count
 }
 
-// TestOrphanIsTakenOverWithoutACall checks that a trainer that trains finds its next step generated although
-// its owner died.
-func TestOrphanIsTakenOverWithoutACall(t *testing.T) {
+// TestTrainerOfDeadOwnerIsTakenOverWithoutRequest fails if a trainer's open step is not generated after its owner died
+// while the trainer makes no requests.
+func TestTrainerOfDeadOwnerIsTakenOverWithoutRequest(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 2, 2)
 	client := newCaller(t, f.coordinators[0].Address())
 	client.openStep("a", 1, 2, 2)
-	position := f.owner()
+	position := f.ownerPosition()
 	must(t, f.coordinators[position].Close())
 	other := f.coordinators[1-position]
 	deadline := time.Now().Add(testTimeout)
 	for other.Stats().Trainers == 0 {
 		if time.Now().After(deadline) {
-			t.Fatalf("nobody took the trainer over: %+v", other.Stats())
+			t.Fatalf("no coordinator took the trainer over: %+v", other.Stats())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	client = newCaller(t, other.Address())
 	if reply := client.fetch("a", fetchBody{Cursor: 1, WholeStep: true, WaitMillis: 20000}); len(reply.Samples) != 4 {
-		t.Errorf("%d samples of 4 were handed over", len(reply.Samples))
+		t.Errorf("got %d samples, want 4", len(reply.Samples))
 	}
 }
 
@@ -272,19 +274,20 @@
 	for _, resource := range resources {
 		counts[before[resource]]++
 		if before[resource] != "c2" && before[resource] != after[resource] {
-			t.Fatalf("%s moved from %s to %s", resource, before[resource], after[resource])
+			t.Fatalf("%s moved from live owner %s to %s", resource, before[resource], after[resource])
 		}
 	}
 	for name, count := range counts {
 		if count < 250 || count > 420 {
-			t.Errorf("%s owns %d of 1000", name, count)
+			t.Errorf("%s owns %d of 1000 resources, want 250 to 420", name, count)
 		}
 	}
 }
 
-// TestStepAcknowledgedAfterATakeoverHoldsUpTheNext: the new owner never hands the last batch of the step over,
-// it only hears that the trainer has it. Under a bound of 0 nothing would start while the step counts as open.
-func TestStepAcknowledgedAfterATakeoverHoldsUpTheNext(t *testing.T) {
+// TestStepAcknowledgedAfterTakeoverBlocksTheNext fails if a step whose last batch is acknowledged at a new owner stays
+// open there. The new owner never hands that batch over itself, and with a staleness bound of 0 the next step cannot
+// start before.
+func TestStepAcknowledgedAfterTakeoverBlocksTheNext(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 1, 1)
 	f.change(t, [3]string{"copy", "staleness_bound", "0"})
@@ -293,11 +296,11 @@
 	made.openStep("a", 2, 2, 1)
 	first := made.fetch("a", fetchBody{Cursor: 1, WaitMillis: 5000, WholeStep: true})
 	if !first.StepComplete {
-		t.Fatalf("the first step is not complete: %+v", first)
+		t.Fatalf("the reply does not complete the first step: %+v", first)
 	}
-	f.restart(t, 0)
+	f.restartCoordinator(t, 0)
 	second := made.fetch("a", fetchBody{Cursor: 2, Acknowledge: 1, WaitMillis: 5000, WholeStep: true})
 	if !second.StepComplete || second.Step != 2 {
-		t.Fatalf("the second step did not come after the takeover: %+v", second)
+		t.Fatalf("the second step was not handed over after the takeover: %+v", second)
 	}
 }
--- a/internal/coordinator/tend.go
+++ b/internal/coordinator/tend.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// tendInterval is the time between two looks at what this coordinator is to own.
-	tendInterval = 200 * time.Millisecond
-	// orphanInterval is the time between two looks for trainers with open steps in the ledger, when the
-	// coordinators stay the same.
-	orphanInterval = 5 * time.Second
+	// ownershipInterval is the time between two checks of what this coordinator should own.
+	ownershipInterval = 200 * time.Millisecond
+	// openTrainersInterval is the time between two searches of the ledger for trainers with open steps while the set of
+	// coordinators stays the same.
+	openTrainersInterval = 5 * time.Second
 )
 
-// tend takes over what this coordinator is to own without waiting for a call: the waves of pools, and the
-// trainers whose owner is gone.
-func (s *Server) tend(ctx context.Context) error {
-	ticker := time.NewTicker(tendInterval)
+// reconcileOwnership takes over what this coordinator should own without waiting for a request: the weight waves of
+// pools, and trainers with open steps whose owner is gone. It runs until ctx ends.
+func (s *Server) reconcileOwnership(ctx context.Context) error {
+	ticker := time.NewTicker(ownershipInterval)
 	defer ticker.Stop()
 	var known []candidate
-	var looked time.Duration
+	var searchedAt time.Duration
 	for {
 		select {
 		case <-ctx.Done():
@@ -30,20 +30,20 @@
 		case <-ticker.C:
 		}
 		view, ok := s.session.AdmitView()
-		now := s.candidates()
-		if !ok || s.draining.Load() || !includes(now, s.config.Name) {
+		current := s.candidates()
+		if !ok || s.draining.Load() || !containsCandidate(current, s.config.Name) {
 			continue
 		}
-		s.tendWaves(ctx, view)
-		if !equalCandidates(known, now) || s.now() > looked+orphanInterval {
-			if s.adoptOrphans(ctx) {
-				known, looked = now, s.now()
+		s.acquireWaves(ctx, view)
+		if !sameCandidates(known, current) || s.now() > searchedAt+openTrainersInterval {
+			if s.adoptOpenTrainers(ctx) {
+				known, searchedAt = current, s.now()
 			}
 		}
 	}
 }
 
-func equalCandidates(first, second []candidate) bool {
+func sameCandidates(first, second []candidate) bool {
 	if len(first) != len(second) {
 		return false
 	}
@@ -55,7 +55,7 @@
 	return true
 }
 
-func includes(candidates []candidate, name string) bool {
+func containsCandidate(candidates []candidate, name string) bool {
 	for _, one := range candidates {
 		if one.name == name {
 			return true
@@ -64,39 +64,39 @@
 	return false
 }
 
-// tendWaves makes this coordinator the owner of its pools' waves.
-func (s *Server) tendWaves(ctx context.Context, view *table.View) {
+// acquireWaves makes this coordinator the owner of the weight waves that it should own.
+func (s *Server) acquireWaves(ctx context.Context, view *table.View) {
 	for _, row := range view.Pools() {
 		if row.Service != table.Engine || row.State == table.Removed || !s.owns(poolResource(row.Name)) {
 			continue
 		}
-		if _, err := s.ownWave(ctx, row.Name); err != nil && ctx.Err() == nil {
-			s.config.Log.WithError(err).Debugf("the wave of pool %s could not be taken over", row.Name)
+		if _, err := s.ensureWave(ctx, row.Name); err != nil && ctx.Err() == nil {
+			s.config.Log.WithError(err).Debugf("could not take over the weight wave of pool %s", row.Name)
 		}
 	}
 }
 
-// adoptOrphans takes over the trainers with open steps that this coordinator is to own. It is false when a
-// part could not be looked at.
-func (s *Server) adoptOrphans(ctx context.Context) bool {
-	whole := true
+// adoptOpenTrainers takes over the trainers with open steps that this coordinator should own. It returns false if a
+// ledger group could not be read or a trainer could not be taken over.
+func (s *Server) adoptOpenTrainers(ctx context.Context) bool {
+	complete := true
 	for group := 1; group <= s.client.LedgerGroups(); group++ {
-		names, err := s.openTrainers(ctx, uint32(group))
-		whole = whole && err == nil
+		names, err := s.listOpenTrainers(ctx, uint32(group))
+		complete = complete && err == nil
 		for _, name := range names {
 			if !s.owns(trainerResource(name)) {
 				continue
 			}
 			if _, err := s.adopt(ctx, name); err != nil {
-				whole = false
-				s.config.Log.WithError(err).Debugf("trainer %s could not be taken over", name)
+				complete = false
+				s.config.Log.WithError(err).Debugf("could not take over trainer %s", name)
 			}
 		}
 	}
-	return whole
+	return complete
 }
 
-func (s *Server) openTrainers(ctx context.Context, group uint32) ([]string, error) {
+func (s *Server) listOpenTrainers(ctx context.Context, group uint32) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.StoreTimeout)
 	defer cancel()
 	view, err := s.client.Query(ctx, group, &wire.Query{Kind: &wire.Query_Trainers{Trainers: &wire.TrainersQuery{}}})
--- a/internal/coordinator/transfer.go
+++ b/internal/coordinator/transfer.go
@@ -10,56 +10,57 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// The engines' calls that move KV caches.
+// Engine endpoints that move KV caches.
 const (
 	exportPath = "/v1/kv/export"
 	importPath = "/v1/kv/import"
 )
 
-// kvCache is an exported KV cache at a replica that has imported it: a continuation there needs no prefill.
+// kvCache identifies a KV cache and the replica that has imported it. A continuation there needs no prefill.
 type kvCache struct {
 	id      string
 	replica string
 }
 
-// exportBody asks an engine for a running request's KV cache, which ends the request.
+// exportBody requests the KV cache of a running request, which ends the request.
 type exportBody struct {
 	RequestID string `json:"request_id"`
 }
 
-// cacheBody is what the coordinator reads of an exported cache; the rest is the engines' own.
+// cacheBody is the part of an exported cache that the coordinator reads. The rest is opaque to it.
 type cacheBody struct {
 	ID string `json:"id"`
 }
 
-// transfer takes a run off its replica with its KV cache. Whatever fails, the run ends and goes on from its tokens,
-// which costs a prefill. The run's routine waits for it. The caller holds the mutex.
-func (s *Server) transfer(one *run, view *table.View, stop context.CancelCauseFunc) {
-	from, to := one.pool.replicas[one.replica], s.roomiest(one.pool, view)
-	if from == nil || to == "" || one.requestID == "" {
+// transfer ends a run's request and moves its KV cache to another replica in the background. If any part of it fails,
+// the run still ends and resumes from its tokens, which costs a prefill. The run's goroutine waits for the transfer.
+// The caller holds the mutex.
+func (s *Server) transfer(r *run, view *table.View, stop context.CancelCauseFunc) {
+	from, to := r.pool.replicas[r.replica], s.leastLoaded(r.pool, view)
+	if from == nil || to == "" || r.requestID == "" {
 		stop(errMoved)
 		return
 	}
-	target := one.pool.replicas[to]
-	target.report.Running++ // until the next report says so
-	moved, requestID, fromAddress, toAddress := make(chan struct{}), one.requestID, from.address, target.address
-	one.moved = moved
+	target := r.pool.replicas[to]
+	target.report.Running++ // counts the transferred request until the next load report includes it
+	done, requestID, fromAddress, toAddress := make(chan struct{}), r.requestID, from.address, target.address
+	r.transferDone = done
 	s.start(func() {
-		defer close(moved)
+		defer close(done)
 		defer stop(errMoved)
-		id, err := s.moveCache(one.context, requestID, fromAddress, toAddress)
+		id, err := s.moveCache(r.context, requestID, fromAddress, toAddress)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		if err != nil {
-			s.config.Log.Debugf("the KV cache of sample %s could not be moved from %s to %s: %v", one.id, one.replica, to, err)
+			s.config.Log.Debugf("could not move the KV cache of sample %s from %s to %s: %v", r.id, r.replica, to, err)
 			return
 		}
-		one.partial.cache = &kvCache{id: id, replica: to}
+		r.partial.cache = &kvCache{id: id, replica: to}
 		s.stats.Transferred++
 	})
 }
 
-// moveCache exports a request's KV cache at one engine and imports it at another.
+// moveCache exports a request's KV cache from one engine and imports it into another. It returns the cache's id.
 func (s *Server) moveCache(ctx context.Context, requestID, from, to string) (string, error) {
 	order, err := json.Marshal(exportBody{RequestID: requestID})
 	if err != nil {
@@ -76,32 +77,32 @@
 	return cache.ID, s.call(ctx, http.MethodPost, to, importPath, exported, s.config.LoadTimeout, &cache)
 }
 
-// roomiest returns the pool's replica with the fewest requests among those that stay; empty when there is none. The
-// caller holds the mutex.
-func (s *Server) roomiest(p *pool, view *table.View) string {
+// leastLoaded returns the name of the serving replica of the pool with the fewest requests, leaving replicas excluded.
+// It is empty if there is none. The caller holds the mutex.
+func (s *Server) leastLoaded(p *pool, view *table.View) string {
 	best := ""
 	for name, replica := range p.replicas {
-		if !replica.serves(s.now()) || s.leavingReplica(p, view, name) {
+		if !replica.isServing(s.now()) || s.isReplicaLeaving(p, view, name) {
 			continue
 		}
-		if best == "" || lessLoaded(name, replica, best, p.replicas[best]) {
+		if best == "" || isLessLoaded(name, replica, best, p.replicas[best]) {
 			best = name
 		}
 	}
 	return best
 }
 
-func lessLoaded(name string, replica *replicaState, otherName string, other *replicaState) bool {
+func isLessLoaded(name string, replica *replicaState, otherName string, other *replicaState) bool {
 	load, otherLoad := replica.report.Running+replica.report.Waiting, other.report.Running+other.report.Waiting
 	return load < otherLoad || (load == otherLoad && name < otherName)
 }
 
-// awaitMove waits for a transfer of the run's KV cache that is under way; its calls are bounded in time.
-func (s *Server) awaitMove(one *run) {
+// awaitTransfer waits for a KV cache transfer of the run in progress. The transfer's calls have timeouts.
+func (s *Server) awaitTransfer(r *run) {
 	s.mutex.Lock()
-	moved := one.moved
+	done := r.transferDone
 	s.mutex.Unlock()
-	if moved != nil {
-		<-moved
+	if done != nil {
+		<-done
 	}
 }
