--- a/internal/coordinator/weights.go
+++ b/internal/coordinator/weights.go
@@ -18,19 +18,19 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// waveState is a pool's weight wave at its owner. Guarded by the server's mutex.
+// waveState is the weight wave of a pool that this coordinator owns. Guarded by the server's mutex.
 type waveState struct {
-	pool    string
-	fence   uint64
-	planner *wave.Planner
-	refence bool // a replica knows a higher token
-	told    uint64
+	pool          string
+	fence         uint64
+	planner       *wave.Planner
+	needsNewFence bool // a replica has seen a higher token
+	loggedWaves   uint64
 }
 
 const (
-	storePath      = "/v1/versions/"
-	storeTimeout   = 2 * time.Second
-	throttledPause = time.Second // of a store that does not say how long to wait
+	storePath         = "/v1/versions/"
+	storeTimeout      = 2 * time.Second
+	defaultRetryAfter = time.Second // when the store does not send Retry-After
 )
 
 // handleVersion serves POST /v1/trainers/{trainer}/versions.
@@ -46,17 +46,17 @@
 	if row == nil || row.Service != table.Engine {
 		return badRequest("pool must name a model pool of the table")
 	}
-	if moved := s.elsewhere(poolResource(body.Pool), request); moved != nil {
-		return moved
+	if redirect := s.redirectToOwner(poolResource(body.Pool), request); redirect != nil {
+		return redirect
 	}
 	if refused := s.checkStore(request.Context(), &body); refused != nil {
 		return refused
 	}
-	owned, err := s.ownWave(request.Context(), body.Pool)
+	state, err := s.ensureWave(request.Context(), body.Pool)
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
-	if refused := s.release(request.Context(), owned, name, &body); refused != nil {
+	if refused := s.release(request.Context(), state, name, &body); refused != nil {
 		return refused
 	}
 	s.driveWaves()
@@ -64,21 +64,21 @@
 	return nil
 }
 
-// versionReply answers an announced version.
+// versionReply confirms an announced version. The weight store describes a version in the same form.
 type versionReply struct {
 	Version       string `json:"version"`
 	VersionNumber uint64 `json:"version_number"`
 }
 
-// checkStore refuses a version that the weight store definitely does not have. A store that is slow or
-// throttles is left to the engines.
+// checkStore rejects a version that the weight store does not have or knows under another number. If the store does not
+// answer or throttles, the version is accepted and the engines find out.
 func (s *Server) checkStore(ctx context.Context, body *versionBody) *refusal {
 	if s.config.WeightStore == "" {
 		return nil
 	}
 	var stored versionReply
 	err := s.call(ctx, http.MethodGet, s.config.WeightStore, storePath+url.PathEscape(body.Version), nil, storeTimeout, &stored)
-	var answered *refusedError
+	var answered *statusError
 	switch {
 	case errors.As(err, &answered) && answered.status == http.StatusNotFound:
 		return unavailable(CodeNotInStore, "the weight store has no version "+body.Version+" yet")
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// ownWave returns the pool's wave, and makes this coordinator its owner first.
-func (s *Server) ownWave(ctx context.Context, name string) (*waveState, error) {
+// ensureWave returns the pool's weight wave and makes this coordinator its owner first if necessary.
+func (s *Server) ensureWave(ctx context.Context, name string) (*waveState, error) {
 	s.mutex.Lock()
 	known := s.pool(name).wave
 	s.mutex.Unlock()
 	if known != nil {
 		return known, nil
 	}
-	results := s.adoption.DoChan(poolResource(name), func() (any, error) { return s.takeWave(s.context, name) })
+	results := s.adoptions.DoChan(poolResource(name), func() (any, error) { return s.takeOverWave(s.context, name) })
 	select {
 	case result := <-results:
 		if result.Err != nil {
@@ -108,8 +108,9 @@
 	}
 }
 
-// takeWave acquires a pool's fence and then reads its versions: a former owner can release none any more.
-func (s *Server) takeWave(ctx context.Context, name string) (*waveState, error) {
+// takeOverWave acquires a pool's fencing token before it reads the pool's versions, so that a previous owner can no
+// longer release one in between.
+func (s *Server) takeOverWave(ctx context.Context, name string) (*waveState, error) {
 	token, err := s.acquire(ctx, poolResource(name))
 	if err != nil {
 		return nil, err
@@ -121,7 +122,7 @@
 	made := &waveState{pool: name, fence: token, planner: wave.New(s.config.Wave)}
 	if newest.Name != "" {
 		made.planner.Release(s.now(), newest)
-		s.config.Log.Infof("took over pool %s at version %s under token %d", name, newest.Name, token)
+		s.config.Log.Infof("took over the weight wave of pool %s: version %s, fencing token %d", name, newest.Name, token)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -132,7 +133,7 @@
 	return p.wave, nil
 }
 
-// newestVersion reads a pool's newest released version; its name is empty when there is none.
+// newestVersion reads a pool's newest released version. The name is empty if there is none.
 func (s *Server) newestVersion(ctx context.Context, pool string) (wave.Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.StoreTimeout)
 	defer cancel()
@@ -149,10 +150,10 @@
 	return wave.Version{Name: last.GetVersion(), Number: last.GetVersionNumber()}, nil
 }
 
-// release records the version durably and makes it the pool's target. A resend changes nothing.
-func (s *Server) release(ctx context.Context, owned *waveState, trainer string, body *versionBody) *refusal {
+// release records the version durably and makes it the pool's target. Repeating it has no effect.
+func (s *Server) release(ctx context.Context, state *waveState, trainer string, body *versionBody) *refusal {
 	s.mutex.Lock()
-	fence := owned.fence
+	fence := state.fence
 	s.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, s.config.StoreTimeout)
 	defer cancel()
@@ -160,7 +161,7 @@
 		VersionRelease: &wire.VersionRelease{Pool: body.Pool, Version: body.Version, VersionNumber: body.VersionNumber,
 			Trainer: trainer, Fence: fence}}})
 	if err != nil {
-		return unanswered(err)
+		return refusalFromError(err)
 	}
 	answer := result.GetVersion()
 	s.mutex.Lock()
@@ -169,27 +170,28 @@
 	case answer == nil:
 		return badRequest(result.GetInvalid())
 	case answer.GetReason() == release.ReasonStaleFence:
-		s.dropWave(s.pool(body.Pool), owned)
+		s.dropWave(s.pool(body.Pool), state)
 		return unavailable(CodeUnavailable, "another coordinator takes this pool over; send the same call again")
 	case !answer.GetAccepted():
 		return conflict(answer.GetReason())
 	}
-	if owned.planner.Release(s.now(), wave.Version{Name: body.Version, Number: body.VersionNumber}) {
+	if state.planner.Release(s.now(), wave.Version{Name: body.Version, Number: body.VersionNumber}) {
 		s.stats.VersionsReleased++
 		s.config.Log.Infof("trainer %s released version %s (%d) for pool %s", trainer, body.Version, body.VersionNumber, body.Pool)
 	}
 	return nil
 }
 
-// dropWave gives a wave up and keeps its counts. The caller holds the mutex.
-func (s *Server) dropWave(p *pool, owned *waveState) {
-	if p.wave == owned {
-		s.stats.add(owned.planner.Status().Counters)
+// dropWave gives up a wave and adds its counters to the server's. The caller holds the mutex.
+func (s *Server) dropWave(p *pool, state *waveState) {
+	if p.wave == state {
+		s.stats.add(state.planner.Status().Counters)
 		p.wave = nil
 	}
 }
 
-// driveWaves sends the orders that are due.
+// driveWaves sends the weight orders that are due in all pools, and drops the waves that this coordinator should no
+// longer own.
 func (s *Server) driveWaves() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -205,7 +207,7 @@
 	}
 }
 
-// add keeps the counts of a wave that is given up.
+// add adds the counters of a wave.
 func (s *Stats) add(counters wave.Counters) {
 	s.Waves += counters.Waves
 	s.Swaps += counters.Swaps
@@ -214,43 +216,43 @@
 	s.Throttled += counters.Throttled
 }
 
-// driveWave sends a pool's orders that are due. The caller holds the mutex.
-func (s *Server) driveWave(p *pool, owned *waveState) {
+// driveWave sends a pool's weight orders that are due. The caller holds the mutex.
+func (s *Server) driveWave(p *pool, state *waveState) {
 	if _, ok := s.session.Admit(); !ok {
 		return
 	}
-	s.followTable(p, s.session.View())
-	owned.planner.SetReplicas(slices.Collect(maps.Keys(p.replicas)))
-	if owned.refence {
-		s.start(func() { s.raiseWaveFence(owned) })
-		owned.refence = false
+	s.syncReplicas(p, s.session.View())
+	state.planner.SetReplicas(slices.Collect(maps.Keys(p.replicas)))
+	if state.needsNewFence {
+		s.start(func() { s.renewWaveFence(state) })
+		state.needsNewFence = false
 	}
-	for _, order := range owned.planner.Next(s.now()) {
+	for _, order := range state.planner.Next(s.now()) {
 		address := p.replicas[order.Replica].address
-		s.start(func() { s.sendOrder(p, owned, address, order) })
+		s.start(func() { s.sendOrder(p, state, address, order) })
 	}
-	s.logWave(owned)
+	s.logWave(state)
 }
 
-// logWave says once when a version is served everywhere.
-func (s *Server) logWave(owned *waveState) {
-	status := owned.planner.Status()
-	if status.Counters.Waves > owned.told {
-		owned.told = status.Counters.Waves
-		s.config.Log.Infof("all %d replicas of pool %s serve version %s after %s", status.Replicas, owned.pool,
+// logWave logs once per wave that all replicas serve the target version.
+func (s *Server) logWave(state *waveState) {
+	status := state.planner.Status()
+	if status.Counters.Waves > state.loggedWaves {
+		state.loggedWaves = status.Counters.Waves
+		s.config.Log.Infof("all %d replicas of pool %s serve version %s after %s", status.Replicas, state.pool,
 			status.Target.Name, status.Lasted.Round(time.Millisecond))
 	}
 }
 
-// raiseWaveFence gets a new token, because a replica has seen a higher one.
-func (s *Server) raiseWaveFence(owned *waveState) {
-	token, err := s.acquire(s.context, poolResource(owned.pool))
+// renewWaveFence acquires a new fencing token, because a replica has seen a higher one.
+func (s *Server) renewWaveFence(state *waveState) {
+	token, err := s.acquire(s.context, poolResource(state.pool))
 	if err != nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	owned.fence = max(owned.fence, token)
+	state.fence = max(state.fence, token)
 }
 
 // weightsOrder is the body of POST /v1/admin/weights.
@@ -261,15 +263,15 @@
 	Stage         bool   `json:"stage"`
 }
 
-// weightsAnswer says what a replica serves after an order.
+// weightsAnswer is the part of a replica's answer to a weight order that the coordinator reads.
 type weightsAnswer struct {
 	VersionNumber uint64 `json:"version_number"`
 }
 
-// sendOrder sends one order and takes its answer over.
-func (s *Server) sendOrder(p *pool, owned *waveState, address string, order wave.Order) {
+// sendOrder sends one weight order to a replica and passes its answer to the planner.
+func (s *Server) sendOrder(p *pool, state *waveState, address string, order wave.Order) {
 	s.mutex.Lock()
-	fence := owned.fence
+	fence := state.fence
 	s.mutex.Unlock()
 	answer := wave.Answer{Outcome: wave.Failed}
 	body, err := json.Marshal(weightsOrder{Version: order.Version.Name, VersionNumber: order.Version.Number,
@@ -281,22 +283,22 @@
 			answer = wave.Answer{Outcome: wave.Done, Serving: served.VersionNumber}
 		}
 	}
-	var refused *refusedError
+	var refused *statusError
 	stale := false
 	if errors.As(err, &refused) {
 		if refused.status == http.StatusTooManyRequests {
-			answer = wave.Answer{Outcome: wave.Throttled, RetryAfter: max(refused.retryAfter, throttledPause)}
+			answer = wave.Answer{Outcome: wave.Throttled, RetryAfter: max(refused.retryAfter, defaultRetryAfter)}
 		}
 		stale = refused.status == http.StatusConflict && strings.Contains(refused.body, `"stale_fence"`)
 	}
 	if answer.Outcome == wave.Failed && s.context.Err() == nil {
-		s.config.Log.Warnf("order to %s version %s at %s failed: %v", order.Kind, order.Version.Name, order.Replica, err)
+		s.config.Log.Warnf("weight order to %s version %s at replica %s failed: %v", order.Kind, order.Version.Name, order.Replica, err)
 	}
 	s.mutex.Lock()
-	owned.refence = owned.refence || stale
-	owned.planner.Answered(s.now(), order.ID, answer)
-	if p.wave == owned {
-		s.noteAnswer(p, order, answer)
+	state.needsNewFence = state.needsNewFence || stale
+	state.planner.Answered(s.now(), order.ID, answer)
+	if p.wave == state {
+		s.applyOrderAnswer(p, order, answer)
 	}
 	s.mutex.Unlock()
 	s.driveWaves()
