--- a/internal/claim/retention.go
+++ b/internal/claim/retention.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	markInterval = int64(1000) // milliseconds between two marks
-	maximumMarks = 7200
+	markInterval = int64(1000) // minimum milliseconds between two marks
+	maximumMarks = 7200        // beyond it the older half is dropped
 )
 
-// Retention is how long claims are remembered, counted from the last change of a key.
+// Retention says how long claims are stored, counted from the last change of a key.
 type Retention struct {
 	// Answers is how long a retry gets the stored answer. Default DefaultAnswers.
 	Answers time.Duration
-	// Keys is how long a retry that reaches a gateway is certain not to run again. Default DefaultKeys.
-	// It is what memory is sized by; callers must not retry a key after it.
+	// Keys is how long a retry that reaches a gateway is guaranteed not to run again. Callers must not retry a key
+	// after this time. It determines how much memory the store needs. Default DefaultKeys, or Answers if that is
+	// longer.
 	Keys time.Duration
-	// Attempts is the greatest age of an attempt: one whose request reached its gateway longer ago is
-	// refused as not run. It must be above every deadline. Default DefaultAttempts.
+	// Attempts is the maximum age of an attempt. An attempt whose request reached its gateway earlier is refused as not
+	// run. It must exceed every deadline. Default DefaultAttempts.
 	Attempts time.Duration
 }
 
-// WithDefaults fills unset fields.
+// WithDefaults returns a copy in which unset fields have their default values.
 func (r Retention) WithDefaults() Retention {
 	if r.Answers == 0 {
 		r.Answers = DefaultAnswers
@@ -47,7 +48,7 @@
 	return r
 }
 
-// Validate reports settings that cannot work.
+// Validate returns an error if a time is not positive, or if keys are stored for a shorter time than answers.
 func (r Retention) Validate() error {
 	switch {
 	case r.Answers <= 0 || r.Keys <= 0 || r.Attempts <= 0:
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// Command returns the ClaimExpire for a proposer's clock. A key is held for Keys and Attempts together:
-// an attempt that arrived within Keys is then either judged against the key or too old to be granted.
+// Command returns the ClaimExpire command for a proposer's clock in Unix milliseconds. A key is stored for Keys plus
+// Attempts: an attempt that arrived within Keys is then either checked against the stored key or too old to be granted.
 func (r Retention) Command(nowUnixMillis int64) *wire.ClaimExpire {
 	return &wire.ClaimExpire{
 		NowUnixMillis:            nowUnixMillis,
@@ -69,12 +70,14 @@
 	}
 }
 
-// mark notes the first command at or after a time: an attempt that arrived before has a lower ticket.
+// mark records the index of the first command at or after a time. An attempt that arrived before that time has a lower
+// ticket.
 type mark struct {
-	at    int64
+	at    int64 // Store.clock, in Unix milliseconds
 	index uint64
 }
 
+// addMark adds a mark for a command unless the last mark is less than markInterval old.
 func (s *Store) addMark(index uint64) {
 	if count := len(s.marks); count > 0 && s.clock-s.marks[count-1].at < markInterval {
 		return
@@ -85,9 +88,10 @@
 	s.marks = append(s.marks, mark{at: s.clock, index: index})
 }
 
-// Expire advances retention by at most MaximumExpired records. A key that ran is dropped only once every
-// attempt that arrived within its retention is below the floor; where no commands come, the floor stands
-// still and the keys stay. Running claims never expire. Errors: malformed command, nothing changed.
+// Expire drops answers and keys whose retention has ended, at most MaximumExpired records. A key that ran is dropped
+// only once every attempt that arrived within its retention is below the floor. While no other commands are applied,
+// the floor does not rise and the keys stay. Running claims never expire. Expire returns an error if the command is
+// malformed; the store is then unchanged.
 func (s *Store) Expire(index uint64, command *wire.ClaimExpire) (*wire.ClaimResult, error) {
 	answersBefore, keysBefore := command.GetAnswersBeforeUnixMillis(), command.GetKeysBeforeUnixMillis()
 	attemptsBefore := command.GetAttemptsBeforeUnixMillis()
@@ -98,18 +102,19 @@
 	s.raiseFloor(attemptsBefore - behind)
 	retention := attemptsBefore - keysBefore
 	budget := MaximumExpired
-	for budget > 0 && s.aged.expired(min(keysBefore-behind, s.floorAt-retention)) {
+	for budget > 0 && s.aged.hasExpired(min(keysBefore-behind, s.floorAt-retention)) {
 		s.drop(s.aged.first)
 		budget--
 	}
-	for budget > 0 && s.young.expired(answersBefore-behind) {
-		s.age(s.young.first)
+	for budget > 0 && s.young.hasExpired(answersBefore-behind) {
+		s.expireAnswer(s.young.first)
 		budget--
 	}
-	return answerOnly(idle, index), nil
+	return resultWithState(idle, index), nil
 }
 
-// raiseFloor refuses every attempt that arrived before the last mark that is older than attemptsBefore.
+// raiseFloor raises the floor to the last mark before attemptsBefore, in Unix milliseconds. Attempts that arrived
+// before that mark are not granted afterwards.
 func (s *Store) raiseFloor(attemptsBefore int64) {
 	passed := sort.Search(len(s.marks), func(i int) bool { return s.marks[i].at >= attemptsBefore })
 	if passed == 0 {
@@ -120,8 +125,8 @@
 	s.marks = append([]mark(nil), s.marks[passed:]...)
 }
 
-// age drops a record's answer; a record that never ran goes altogether.
-func (s *Store) age(r *record) {
+// expireAnswer drops a record's answer. A record whose key never ran is dropped as a whole.
+func (s *Store) expireAnswer(r *record) {
 	if r.state == idle {
 		s.drop(r)
 		return
@@ -134,16 +139,20 @@
 	s.aged.push(r)
 }
 
+// drop removes a record that is not running. The floor rises to its last change, so that no earlier attempt is granted.
 func (s *Store) drop(r *record) {
 	s.listOf(r).remove(r)
 	delete(s.records, r.key)
 	s.floor = max(s.floor, r.lastIndex)
 }
 
-// retentionList is a list of records in the order of their last change.
+// retentionList is a doubly linked list of records in the order of their last change.
 type retentionList struct{ first, last *record }
 
-func (l *retentionList) expired(before int64) bool { return l.first != nil && l.first.at < before }
+// hasExpired reports whether the last change of the first record is before a time in Unix milliseconds.
+func (l *retentionList) hasExpired(before int64) bool {
+	return l.first != nil && l.first.changedAt < before
+}
 
 func (l *retentionList) push(r *record) {
 	r.previous, r.next = l.last, nil
--- a/internal/claim/snapshot.go
+++ b/internal/claim/snapshot.go
@@ -9,16 +9,19 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Captured is a store's state as it was at one time. Later commands don't change it.
+// Captured is a copy of a store's state at one time. Later commands do not change it.
 type Captured struct {
 	floor   uint64
 	floorAt int64
 	clock   int64
-	records []record // running by key, then aged, then young; they share answers with the store, which never modifies them
+	// records holds the running records by key, then the aged, then the young ones. Their answers are shared with the
+	// store, which never modifies an answer.
+	records []record
 	marks   []mark
 }
 
-// Capture fixes the whole state. It takes a small part of the time that Message and an encoding take.
+// Capture copies the whole state. It takes a small fraction of the time that Message and the encoding of the message
+// take.
 func (s *Store) Capture() *Captured {
 	captured := &Captured{floor: s.floor, floorAt: s.floorAt, clock: s.clock,
 		records: make([]record, 0, len(s.records)), marks: slices.Clone(s.marks)}
@@ -40,7 +43,7 @@
 	last.released = slices.Clone(r.released)
 }
 
-// Message returns the captured state. Equal stores give equal messages.
+// Message returns the captured state as a message. Stores in equal states return equal messages.
 func (c *Captured) Message() *wire.ClaimSnapshot {
 	snapshot := &wire.ClaimSnapshot{
 		Floor: c.floor, FloorUnixMillis: c.floorAt, ClockUnixMillis: c.clock,
@@ -55,9 +58,10 @@
 	return snapshot
 }
 
-// Snapshot returns the whole state as a message.
+// Snapshot returns the whole state as a message. The message shares answers with the store.
 func (s *Store) Snapshot() *wire.ClaimSnapshot { return s.Capture().Message() }
 
+// runningByKey returns the running records sorted by key.
 func (s *Store) runningByKey() []*record {
 	var held []*record
 	for _, ofOwner := range s.running {
@@ -72,13 +76,13 @@
 func (r *record) message() *wire.ClaimRecord {
 	return &wire.ClaimRecord{
 		Key: r.key, BodyHash: []byte(r.bodyHash), State: r.state, Owner: r.owner, Attempt: r.attempt,
-		Answer: r.answer, RefusedIndex: r.refusedIndex, LastIndex: r.lastIndex, AtUnixMillis: r.at,
+		Answer: r.answer, RefusedIndex: r.refusedIndex, LastIndex: r.lastIndex, AtUnixMillis: r.changedAt,
 		Released: r.released, Aged: r.aged,
 	}
 }
 
-// Restore replaces the state with a snapshot's. On an error the store is unchanged. The store keeps the
-// snapshot's answers.
+// Restore replaces the state by a snapshot. On an error the store is unchanged. The store takes over the snapshot's
+// answers without copying them.
 func (s *Store) Restore(snapshot *wire.ClaimSnapshot) error {
 	restored := NewUnsafe(s.unsafe)
 	restored.floor, restored.floorAt = snapshot.GetFloor(), snapshot.GetFloorUnixMillis()
@@ -103,7 +107,7 @@
 		key: message.GetKey(), bodyHash: string(message.GetBodyHash()), state: message.GetState(),
 		owner: message.GetOwner(), attempt: message.GetAttempt(), answer: message.GetAnswer(),
 		refusedIndex: message.GetRefusedIndex(), lastIndex: message.GetLastIndex(),
-		at: message.GetAtUnixMillis(), released: message.GetReleased(), aged: message.GetAged(),
+		changedAt: message.GetAtUnixMillis(), released: message.GetReleased(), aged: message.GetAged(),
 	}
 	switch r.state {
 	case running:
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -9,29 +9,29 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of one claim, in bytes unless said otherwise.
+// Limits of one claim, in bytes unless stated otherwise.
 const (
 	MaximumKeyBytes      = 256
 	MaximumBodyHashBytes = 32
-	MaximumIDBytes       = 128 // of an attempt and of an owner
-	// MaximumAnswerBytes bounds the body of a stored answer. Of a larger one the status, size and digest
-	// are kept: a retry learns that the request ran and how it ended, not the body.
+	MaximumIDBytes       = 128 // for the attempt and for the owner
+	// MaximumAnswerBytes bounds the body of a stored answer. Of a larger body only the size and digest are stored, so a
+	// retry learns that the request ran and its status, but does not get the body.
 	MaximumAnswerBytes = 64 << 10
-	// MaximumReleased bounds the released attempts remembered per key (a count). When one more comes, all
-	// attempts that arrived so far are refused instead, as after a refusal.
+	// MaximumReleased bounds the number of released attempts stored per key. One more release replaces the list by a
+	// refusal of all attempts that arrived so far.
 	MaximumReleased = 8
-	// MaximumExpired bounds the records that one ClaimExpire moves (a count), so that no single command
-	// holds up the log; the next one goes on.
+	// MaximumExpired bounds the number of records that one ClaimExpire processes, so that a single command does not
+	// delay the log. The next ClaimExpire continues.
 	MaximumExpired = 10_000
 )
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety checks. Only tests set it, to show that they detect the resulting fault.
 type Unsafe struct {
 	GrantTwice         bool // grant a key that another attempt holds
-	IgnoreTickets      bool // grant attempts that arrived before a refusal or below the floor
+	IgnoreTickets      bool // grant attempts that arrived before a refusal, or whose ticket is below the floor
 	ForgetReleases     bool // grant an attempt that was released
-	RefuseBelowFloor   bool // call a key not run that may have run and been dropped
-	ReuseExpiredClaims bool // grant a key that ran, once its answer has been dropped
+	RefuseBelowFloor   bool // confirm "did not run" for a key that may have run and been dropped
+	ReuseExpiredClaims bool // grant a key that ran once its answer has been dropped
 }
 
 // Store holds the claims of one ledger group.
@@ -39,32 +39,32 @@
 	unsafe  Unsafe
 	records map[string]*record
 	running map[string]map[string]*record // by owner, then key
-	young   retentionList                 // not running, answers kept
-	aged    retentionList                 // answers dropped
-	floor   uint64                        // attempts with a lower ticket are refused
-	floorAt int64                         // every attempt that arrived before this is below the floor
-	clock   int64                         // highest proposer's clock so far, Unix milliseconds
+	young   retentionList                 // records that are not running and whose answers are still stored
+	aged    retentionList                 // records whose answers have been dropped
+	floor   uint64                        // attempts with a lower ticket are not granted
+	floorAt int64                         // Unix milliseconds; attempts that arrived earlier have a ticket below floor
+	clock   int64                         // highest proposer's clock so far, in Unix milliseconds
 	marks   []mark                        // oldest first
 }
 
-// record is what is known of one key.
+// record is the state of one key.
 type record struct {
 	key          string
-	bodyHash     string // empty: not known yet
+	bodyHash     string // empty if not known yet
 	state        wire.ClaimState
-	aged         bool
-	owner        string // while running
-	attempt      string // the attempt that runs or ran
+	aged         bool   // the record is in Store.aged
+	owner        string // set while the claim is running
+	attempt      string // attempt that runs or ran
 	answer       *wire.Answer
-	refusedIndex uint64 // attempts with a lower ticket are refused
-	lastIndex    uint64 // of the last command that changed the record
-	at           int64  // Store.clock then
-	released     []string
-	previous     *record // in a retentionList
+	refusedIndex uint64   // attempts with a lower ticket are not granted
+	lastIndex    uint64   // index of the last command that changed the record
+	changedAt    int64    // Store.clock when the record was last granted, released, refused or ended
+	released     []string // attempts that must not be granted, at most MaximumReleased
+	previous     *record  // neighbours in a retentionList
 	next         *record
 }
 
-// The states of a record. An idle one has been refused or released and may be granted.
+// The states of a record with names of their own. A key in state idle was refused or released and may be granted again.
 const (
 	idle    = wire.ClaimState_CLAIM_STATE_UNSPECIFIED
 	running = wire.ClaimState_CLAIM_STATE_GRANTED
@@ -73,18 +73,19 @@
 // New returns an empty Store.
 func New() *Store { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty Store with safety steps switched off.
+// NewUnsafe returns an empty Store with safety checks disabled, for tests.
 func NewUnsafe(unsafe Unsafe) *Store {
 	return &Store{unsafe: unsafe, records: map[string]*record{}, running: map[string]map[string]*record{}}
 }
 
-// Len returns the number of keys that are remembered.
+// Len returns the number of keys with a record.
 func (s *Store) Len() int { return len(s.records) }
 
-// Floor returns the lowest ticket that may still be granted.
+// Floor returns the lowest ticket that can still be granted.
 func (s *Store) Floor() uint64 { return s.floor }
 
-// Owners returns the owners of running claims, sorted. A leader orphans those that are gone for good.
+// Owners returns the owners of running claims, sorted. The leader uses it to orphan the claims of owners that have
+// ended.
 func (s *Store) Owners() []string {
 	owners := make([]string, 0, len(s.running))
 	for owner := range s.running {
@@ -94,7 +95,7 @@
 	return owners
 }
 
-// Get returns what is known of a key; state UNSPECIFIED if it may be granted.
+// Get returns the state of a key. UNSPECIFIED means that the key has no record, or may be granted again.
 func (s *Store) Get(key string) *wire.ClaimResult {
 	known := s.records[key]
 	if known == nil {
@@ -103,7 +104,7 @@
 	return known.result(0)
 }
 
-// result tells a record's state to somebody who does not hold it.
+// result returns a record's state for a caller that does not hold the claim.
 func (r *record) result(index uint64) *wire.ClaimResult {
 	result := &wire.ClaimResult{State: r.state, Index: index}
 	switch r.state {
@@ -115,11 +116,12 @@
 	return result
 }
 
-func answerOnly(state wire.ClaimState, index uint64) *wire.ClaimResult {
+// resultWithState returns a result without owner and answer.
+func resultWithState(state wire.ClaimState, index uint64) *wire.ClaimResult {
 	return &wire.ClaimResult{State: state, Index: index}
 }
 
-// ensure returns the record of a key, made idle if there is none.
+// ensure returns the record of a key and creates an idle one if there is none.
 func (s *Store) ensure(key string) *record {
 	known := s.records[key]
 	if known == nil {
@@ -130,9 +132,9 @@
 	return known
 }
 
-// touch notes a change of a record that is not running: its retention starts over.
-func (s *Store) touch(r *record, index uint64) {
-	r.lastIndex, r.at = index, s.clock
+// restartRetention notes a change of a record that is not running and restarts its retention.
+func (s *Store) restartRetention(r *record, index uint64) {
+	r.lastIndex, r.changedAt = index, s.clock
 	s.listOf(r).remove(r)
 	r.aged = false
 	s.young.push(r)
@@ -145,14 +147,15 @@
 	return &s.young
 }
 
-// tick takes a proposer's clock, which only ever moves the store's clock forward.
-func (s *Store) tick(index uint64, nowUnixMillis int64) {
+// advanceClock raises the store's clock to a proposer's clock. A lower value has no effect.
+func (s *Store) advanceClock(index uint64, nowUnixMillis int64) {
 	s.clock = max(s.clock, nowUnixMillis)
 	s.addMark(index)
 }
 
-// boundAnswer returns a copy of an answer that is small enough to keep.
-func boundAnswer(answer *wire.Answer) *wire.Answer {
+// trimAnswer returns a copy of an answer within the limits for storage: a content type that is too long is omitted, and
+// a body that is too large is replaced by its size and digest.
+func trimAnswer(answer *wire.Answer) *wire.Answer {
 	if answer == nil {
 		return &wire.Answer{}
 	}
--- a/internal/claim/store_test.go
+++ b/internal/claim/store_test.go
@@ -17,11 +17,11 @@
 	stale   = wire.ClaimState_CLAIM_STATE_STALE_ATTEMPT
 )
 
-// driver applies commands at rising indexes.
+// driver applies commands to a store at increasing indexes.
 type driver struct {
 	store *Store
 	index uint64
-	now   int64
+	now   int64 // Unix milliseconds
 }
 
 func (d *driver) begin(key, attempt string, ticket uint64) wire.ClaimState {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestRetentionHasTwoStages follows one key until it is forgotten, and an attempt that arrived while the
-// key was still known.
+// TestRetentionHasTwoStages checks that a key loses first its answer and then its record, and guards against granting
+// an attempt that arrived while the record existed after the record was dropped.
 func TestRetentionHasTwoStages(t *testing.T) {
 	d := &driver{store: New(), now: 1_000_000}
 	retention := Retention{}.WithDefaults()
@@ -54,7 +54,7 @@
 	d.begin("clock", "c", d.index) // the store's clock follows its commands
 	d.expire(retention)
 	if state := d.store.Get("key").GetState(); state != wire.ClaimState_CLAIM_STATE_ANSWER_EXPIRED {
-		t.Fatalf("after the answer's retention: %v", state)
+		t.Fatalf("after the answer's retention: got state %v, want ANSWER_EXPIRED", state)
 	}
 	d.now += (retention.Keys - retention.Answers).Milliseconds()
 	lateTicket := d.index
@@ -63,24 +63,24 @@
 	d.begin("clock", "c", d.index)
 	d.expire(retention)
 	if d.store.Len() != 2 {
-		t.Fatal("the key was dropped while attempts from its time may be granted")
+		t.Fatal("the key was dropped while attempts that arrived within its retention can still be granted")
 	}
 	d.now++
 	d.begin("clock", "c", d.index)
 	d.expire(retention)
 	if d.store.Get("key").GetState() != idle || d.store.Len() != 1 {
-		t.Fatalf("the key is still known: %v, %d", d.store.Get("key"), d.store.Len())
+		t.Fatalf("got key %v and %d keys in the store, want the key dropped and 1 key", d.store.Get("key"), d.store.Len())
 	}
 	if state := d.begin("key", "late", lateTicket); state != stale {
-		t.Fatalf("an attempt from before the key was dropped: %v", state)
+		t.Fatalf("attempt that arrived before the key was dropped: got %v, want STALE_ATTEMPT", state)
 	}
 	if state := d.begin("key", "fresh", d.index); state != granted {
-		t.Fatalf("a fresh attempt: %v", state)
+		t.Fatalf("attempt that arrived afterwards: got %v, want GRANTED", state)
 	}
 }
 
-// TestForgottenKeyIsNotCalledNotRun: an attempt that arrived while the key was known comes to be refused only
-// after the key, which ran, has been dropped.
+// TestForgottenKeyIsNotCalledNotRun guards against the verdict "did not run" for a key that ran: an attempt that
+// arrived while the key was stored is refused only after the key has been dropped.
 func TestForgottenKeyIsNotCalledNotRun(t *testing.T) {
 	for _, unsafe := range []Unsafe{{}, {RefuseBelowFloor: true}} {
 		d := &driver{store: NewUnsafe(unsafe), now: 1_000_000}
@@ -99,15 +99,16 @@
 			t.Fatal(err)
 		}
 		if found := result.GetState() == idle; found != unsafe.RefuseBelowFloor {
-			t.Errorf("with %+v the refusal answers %v", unsafe, result.GetState())
+			t.Errorf("with %+v the refusal returned state %v", unsafe, result.GetState())
 		}
 		if fresh, err := d.store.Refuse(d.index+1, &wire.ClaimRefuse{Key: "other", Ticket: d.index}); err != nil || fresh.GetState() != idle {
-			t.Errorf("a fresh refusal answers %v, %v", fresh.GetState(), err)
+			t.Errorf("refusal of an unknown key with a recent ticket: got %v, %v, want UNSPECIFIED", fresh.GetState(), err)
 		}
 	}
 }
 
-// TestOneFastClockExpiresNothing: the proposer of ClaimExpire is a day ahead of everybody else.
+// TestOneFastClockExpiresNothing guards against early expiry by a single clock: the proposer of ClaimExpire is a day
+// ahead of all other proposers.
 func TestOneFastClockExpiresNothing(t *testing.T) {
 	d := &driver{store: New(), now: 1_000_000}
 	d.begin("key", "first", 0)
@@ -116,21 +117,23 @@
 	fast.now += 24 * 60 * 60 * 1000
 	fast.expire(Retention{}.WithDefaults())
 	if state := d.begin("key", "again", d.index); state != done {
-		t.Fatalf("the key was forgotten early: %v", state)
+		t.Fatalf("resend within the retention: got %v, want DONE", state)
 	}
 }
 
+// TestLargeAnswerKeepsItsDigest checks that a body above the limit is replaced by its size and digest.
 func TestLargeAnswerKeepsItsDigest(t *testing.T) {
 	d := &driver{store: New()}
 	d.begin("key", "a", 0)
 	d.finish("key", "a", make([]byte, MaximumAnswerBytes+1))
 	answer := d.store.Get("key").GetAnswer()
 	if !answer.GetBodyDropped() || answer.GetBodySize() != MaximumAnswerBytes+1 || len(answer.GetBody()) != 0 || answer.GetStatus() != 200 || answer.GetBodyDigest() == 0 {
-		t.Fatalf("%v", answer)
+		t.Fatalf("got answer %v, want status 200 with the size and digest of the body and no body", answer)
 	}
 }
 
-// TestManyReleasesStayBounded releases more attempts than are remembered one by one; none may be granted.
+// TestManyReleasesStayBounded releases more attempts of a key than are stored one by one. None may be granted, and the
+// list must stay within its limit.
 func TestManyReleasesStayBounded(t *testing.T) {
 	d := &driver{store: New()}
 	for attempt := range 3 * MaximumReleased {
@@ -141,11 +144,11 @@
 	}
 	for attempt := range 3 * MaximumReleased {
 		if state := d.begin("key", fmt.Sprint(attempt), 0); state != stale {
-			t.Fatalf("released attempt %d: %v", attempt, state)
+			t.Fatalf("released attempt %d: got %v, want STALE_ATTEMPT", attempt, state)
 		}
 	}
 	if count := len(d.store.records["key"].released); count > MaximumReleased {
-		t.Fatalf("%d released attempts are remembered", count)
+		t.Fatalf("%d released attempts are stored, want at most 8", count)
 	}
 }
 
@@ -157,20 +160,20 @@
 		{Key: "k", Attempt: long, Owner: "o"}, {Key: "k", Attempt: "a", Owner: "o", BodyHash: make([]byte, 33)},
 	} {
 		if _, err := store.Begin(1, command); err == nil {
-			t.Errorf("%v was taken", command)
+			t.Errorf("malformed command %v was accepted", command)
 		}
 	}
 	if _, err := store.Finish(1, &wire.ClaimFinish{Key: "k", Attempt: "a"}); err == nil {
-		t.Error("a finish without an outcome was taken")
+		t.Error("a ClaimFinish without an outcome was accepted")
 	}
 	if _, err := store.Expire(1, &wire.ClaimExpire{KeysBeforeUnixMillis: 1, AttemptsBeforeUnixMillis: 2}); err == nil {
-		t.Error("keys were to go before answers")
+		t.Error("a ClaimExpire that drops keys before answers was accepted")
 	}
 }
 
-// TestKeysRunOnceUnderExpiry runs random attempts of few keys with quick retention. Callers keep the rule:
-// no retry later than Keys after the key's last change. No key may be granted twice without a release, and
-// a restored copy must answer alike.
+// TestKeysRunOnceUnderExpiry runs random attempts of a few keys with a short retention. Callers follow the rule that a
+// key is not retried later than Keys after its last change. No key may run twice. The store is replaced by a restored
+// copy of its snapshot before each attempt.
 func TestKeysRunOnceUnderExpiry(t *testing.T) {
 	retention := Retention{Answers: 2e9, Keys: 6e9, Attempts: 4e9}
 	rapid.Check(t, func(t *rapid.T) {
@@ -219,8 +222,8 @@
 	})
 }
 
-// BenchmarkClaims begins and finishes b.N claims and reports the heap that each takes while its answer is
-// kept, and once only the key is.
+// BenchmarkClaims begins and finishes b.N claims. It reports the heap bytes per claim while the answers are stored, and
+// after they were dropped.
 func BenchmarkClaims(b *testing.B) {
 	b.ReportAllocs()
 	before := heap()
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RetryBudget is a token bucket for retries. It refills at a constant rate, so a failing pool receives at most that many
-// retries per second beyond one burst. It is not safe for concurrent use.
+// RetryBudget is a token bucket for retries. It refills at a constant rate, so a failing pool receives at most that
+// many retries per second beyond one burst. It is not safe for concurrent use.
 type RetryBudget struct {
 	rate   float64 // retries per second
 	burst  float64
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -71,8 +71,8 @@
 // Replied reports whether the caller has its final answer or is gone.
 func (m *Machine) Replied() bool { return m.replied }
 
-// Preemptible reports whether a Yield event would preempt the request now: it must be repeatable, replayable, unanswered
-// and dispatched to a back end.
+// Preemptible reports whether a Yield event would preempt the request now: it must be repeatable, replayable,
+// unanswered and dispatched to a back end.
 func (m *Machine) Preemptible() bool {
 	return m.request.Repeatable && m.request.Replayable && !m.replied &&
 		(m.state == stateSending || m.state == stateStreaming || m.state == stateResuming)
@@ -277,16 +277,16 @@
 	m.retryElsewhere(now, failure, event.Kind == SendFailed)
 }
 
-// isPermanentRefusal reports whether a back end's refusal is due to the request itself, so that any other back end would
-// refuse it too.
+// isPermanentRefusal reports whether a back end's refusal is due to the request itself, so that any other back end
+// would refuse it too.
 func isPermanentRefusal(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError &&
 		status != http.StatusTooManyRequests && status != http.StatusConflict
 }
 
 // retryElsewhere schedules a retry at another back end if tries, retry budget and deadline permit it. Otherwise it ends
-// the request with failure. intact means that no byte of the body was sent, so that the body can be sent to another back
-// end even if the gateway does not hold it.
+// the request with failure. intact means that no byte of the body was sent, so that the body can be sent to another
+// back end even if the gateway does not hold it.
 func (m *Machine) retryElsewhere(now time.Duration, failure Outcome, intact bool) {
 	m.tried = append(m.tried, m.backend)
 	if (m.request.Replayable || intact) && m.tries < m.settings.MaxTries && now < m.request.Deadline && m.settings.Budget.Take(now) {
@@ -302,8 +302,8 @@
 	m.emit(Action{Kind: Wait, Pause: m.retryPause(now, m.tries)})
 }
 
-// retryPause returns the pause before a round; rounds count from 1. The mean doubles with each round up to BackoffLimit,
-// the jitter is 50% in either direction, and the pause never exceeds the deadline.
+// retryPause returns the pause before a round; rounds count from 1. The mean doubles with each round up to
+// BackoffLimit, the jitter is 50% in either direction, and the pause never exceeds the deadline.
 func (m *Machine) retryPause(now time.Duration, round int) time.Duration {
 	mean := m.settings.BackoffBase << min(max(round-1, 0), 16)
 	mean = min(mean, m.settings.BackoffLimit)
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -249,8 +249,8 @@
 	return w, ""
 }
 
-// TestNonRepeatableKeyRunsOnceAndVerdictsHold guards against a key that runs twice and against wrong verdicts, for random
-// orders of events, lost replies and delayed ledger commands.
+// TestNonRepeatableKeyRunsOnceAndVerdictsHold guards against a key that runs twice and against wrong verdicts, for
+// random orders of events, lost replies and delayed ledger commands.
 func TestNonRepeatableKeyRunsOnceAndVerdictsHold(t *testing.T) {
 	sends := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dispatch/settlements.go
+++ b/internal/dispatch/settlements.go
@@ -1,9 +1,10 @@
 package dispatch
 
 // Settlements limits how many requests of one ledger group send the ledger their closing claim command (ClaimFinish,
-// ClaimRelease) at the same time, after their callers were answered. Otherwise a ledger that returns after a long outage
-// would receive thousands of such commands along with the claims of callers that still wait. The limit shrinks while the
-// ledger does not answer. Commands that record an outcome go first. Settlements is not safe for concurrent use.
+// ClaimRelease) at the same time, after their callers were answered. Otherwise a ledger that returns after a long
+// outage would receive thousands of such commands along with the claims of callers that still wait. The limit shrinks
+// while the ledger does not answer. Commands that record an outcome go first. Settlements is not safe for concurrent
+// use.
 type Settlements struct {
 	limit   int
 	window  int // current limit of outstanding commands, 1 to limit
@@ -36,9 +37,9 @@
 	return 1
 }
 
-// Done ends the permission of a command that has ended, and returns the ids of queued requests that may send theirs now.
-// An answered command doubles the limit of outstanding commands, up to the configured one. A command of unknown fate
-// halves it, down to 1.
+// Done ends the permission of a command that has ended, and returns the ids of queued requests that may send theirs
+// now. An answered command doubles the limit of outstanding commands, up to the configured one. A command of unknown
+// fate halves it, down to 1.
 func (s *Settlements) Done(answered bool) []uint64 {
 	s.running--
 	if answered {
