--- a/internal/claim/retention.go
+++ b/internal/claim/retention.go
@@ -102,11 +102,11 @@
 	s.raiseFloor(attemptsBefore - behind)
 	retention := attemptsBefore - keysBefore
 	budget := MaximumExpired
-	for budget > 0 && s.aged.hasExpired(min(keysBefore-behind, s.floorAt-retention)) {
+	for budget > 0 && s.aged.expired(min(keysBefore-behind, s.floorAt-retention)) {
 		s.drop(s.aged.first)
 		budget--
 	}
-	for budget > 0 && s.young.hasExpired(answersBefore-behind) {
+	for budget > 0 && s.young.expired(answersBefore-behind) {
 		s.expireAnswer(s.young.first)
 		budget--
 	}
@@ -149,10 +149,8 @@
 // retentionList is a doubly linked list of records in the order of their last change.
 type retentionList struct{ first, last *record }
 
-// hasExpired reports whether the last change of the first record is before a time in Unix milliseconds.
-func (l *retentionList) hasExpired(before int64) bool {
-	return l.first != nil && l.first.changedAt < before
-}
+// expired reports whether the last change of the first record is before a time in Unix milliseconds.
+func (l *retentionList) expired(before int64) bool { return l.first != nil && l.first.changedAt < before }
 
 func (l *retentionList) push(r *record) {
 	r.previous, r.next = l.last, nil
--- a/internal/poison/book.go
+++ b/internal/poison/book.go
@@ -5,178 +5,182 @@
 	"time"
 )
 
-// Record is what the deployment holds of one suspect.
+// Record is the entry of one suspect in the record that all processes share.
 type Record struct {
 	Digest  Digest
-	Crashes uint32   // back ends that crashed under it, counting a run that is claimed and not over
-	Crashed []string // the last of these back ends, by instance
+	Crashes uint32   // number of back ends that crashed under it; a claimed run counts until it ends
+	Crashed []string // instances of the most recent of these back ends
 }
 
-// Permission is what a request may do now.
+// Permission says how a request may run now.
 type Permission uint8
 
-// The permissions.
+// The permissions, from the weakest restriction to the strongest.
 const (
-	Free  Permission = iota // no back end crashed under it
-	Apart                   // suspected: it runs without a second send beside it, and not beside other suspects where that can be helped
-	Trial                   // it may run once its run has been claimed, one at a time in the whole deployment
-	Rest                    // it must not run yet
+	Free  Permission = iota // not suspected, no restriction
+	Apart                   // suspected: no hedged second send, and if possible not at a back end that runs other suspects
+	Trial                   // may run after its run was claimed, one run at a time in the whole deployment
+	Rest                    // must not run yet
 )
 
-// String names a permission in logs.
+// String returns the name of a permission in logs.
 func (p Permission) String() string {
 	return [...]string{Free: "free", Apart: "apart", Trial: "trial", Rest: "rest"}[p]
 }
 
-// Judgment is what a request may do, and why.
+// Judgment is the permission of a request and the facts behind it.
 type Judgment struct {
 	Permission Permission
-	Crashes    uint32
-	Recorded   uint32        // of these, on record
-	Unrecorded bool          // one was seen here of late that the control group has not taken yet
-	Left       time.Duration // of a rest
+	Crashes    uint32        // number of crashes that this process knows of
+	Recorded   uint32        // number of these that are on record
+	Unrecorded bool          // this process recently saw a crash that the control group has not accepted yet
+	Left       time.Duration // remaining time of a rest
 }
 
-// Condemned tells whether the request counts as the cause of the crashes.
+// Condemned reports whether the request is considered the cause of the crashes and must rest.
 func (j Judgment) Condemned() bool { return j.Permission == Rest && j.Crashes >= CondemnedCrashes }
 
-// Book is what one process knows of suspects: the record, as it follows it, and crashes that it saw itself and that the record may not
-// hold yet. Rests are counted on the process's own clock from when it learned of the last crash, so that no two clocks are compared;
-// one that learns of it late is strict for longer. Not safe for concurrent use.
+// Book holds what one process knows of suspects: the record as the process follows it, and crashes that the process
+// observed and that may not be on record yet. Rests are measured on the process's own clock from the time at which it
+// learned of the last crash. This avoids comparing the clocks of two processes; a process that learns of a crash late
+// applies the rest for longer. Book is not safe for concurrent use.
 type Book struct {
 	settings Settings
-	held     map[Digest]*suspect
+	suspects map[Digest]*suspect
 }
 
 // suspect is one entry of a book.
 type suspect struct {
 	Record
-	recorded bool // the record holds it
-	own      []seen
-	since    time.Duration // when the book learned of the present number of crashes
+	onRecord       bool            // the followed record has an entry for it
+	observed       []observedCrash // crashes that the followed record does not hold yet
+	countChangedAt time.Duration   // when the book learned of the present number of crashes
 }
 
-// seen is a crash that this process saw and that the record, as followed here, does not hold yet.
-type seen struct {
+// observedCrash is a crash that this process observed and that the record, as followed here, does not hold yet.
+type observedCrash struct {
 	instance string
 	at       time.Duration
-	recorded bool // the control group has taken it
+	accepted bool // the control group has accepted the report
 }
 
-// recordTime is for how long a crash seen here counts as one that will be on record soon. A control group that is without a leader for
-// longer has ended the leases, and a crash that it refuses again and again must not stop its request for ever.
-const recordTime = 3 * time.Second
+// recordTimeout is how long an observed crash is expected to reach the record. If the control group has no leader for
+// longer, the leases have ended. A crash whose report is refused repeatedly must not block its request for ever.
+const recordTimeout = 3 * time.Second
 
-// unrecorded tells whether the process would take a crash along if it ended now.
-func (s *suspect) unrecorded(now time.Duration) bool {
-	return slices.ContainsFunc(s.own, func(crash seen) bool { return !crash.recorded && now < crash.at+recordTime })
+// hasUnrecorded reports whether a recent crash would be lost if this process ended now.
+func (s *suspect) hasUnrecorded(now time.Duration) bool {
+	return slices.ContainsFunc(s.observed, func(crash observedCrash) bool { return !crash.accepted && now < crash.at+recordTimeout })
 }
 
-// crashes is the number known: those on record and those seen here that are not.
-func (s *suspect) crashes() uint32 { return s.Crashes + uint32(len(s.own)) }
+// crashes returns the number of known crashes: those on record and those observed here that are not.
+func (s *suspect) crashes() uint32 { return s.Crashes + uint32(len(s.observed)) }
 
 // NewBook returns an empty book.
 func NewBook(settings Settings) *Book {
-	return &Book{settings: settings.WithDefaults(), held: map[Digest]*suspect{}}
+	return &Book{settings: settings.WithDefaults(), suspects: map[Digest]*suspect{}}
 }
 
-// Settings returns the book's settings, defaults filled in.
+// Settings returns the book's settings with defaults filled in.
 func (b *Book) Settings() Settings { return b.settings }
 
-// Empty tells whether every request is free.
-func (b *Book) Empty() bool { return len(b.held) == 0 }
+// Empty reports whether the book has no suspects, so that every request is free.
+func (b *Book) Empty() bool { return len(b.suspects) == 0 }
 
-// Len is the number of suspects.
-func (b *Book) Len() int { return len(b.held) }
+// Len returns the number of suspects.
+func (b *Book) Len() int { return len(b.suspects) }
 
-// Follow takes over the whole record. Suspects that it holds no more are free, but for crashes seen here that it never held.
+// Follow replaces the followed record by records, which must be the whole record. A suspect that was on record and no
+// longer is becomes free. A suspect that was never on record stays as long as it has observed crashes.
 func (b *Book) Follow(now time.Duration, records []Record) {
 	named := make(map[Digest]bool, len(records))
 	for _, record := range records {
 		named[record.Digest] = true
 		b.follow(now, record)
 	}
-	for digest, held := range b.held {
+	for digest, entry := range b.suspects {
 		if named[digest] {
 			continue
 		}
-		if held.recorded || len(held.own) == 0 {
-			delete(b.held, digest)
+		if entry.onRecord || len(entry.observed) == 0 {
+			delete(b.suspects, digest)
 		}
 	}
 }
 
+// follow takes over the entry of one suspect and forgets the observed crashes that it includes.
 func (b *Book) follow(now time.Duration, record Record) {
-	held := b.held[record.Digest]
-	if held == nil {
-		b.held[record.Digest] = &suspect{Record: record, recorded: true, since: now}
+	entry := b.suspects[record.Digest]
+	if entry == nil {
+		b.suspects[record.Digest] = &suspect{Record: record, onRecord: true, countChangedAt: now}
 		return
 	}
-	before := held.crashes()
-	held.Record, held.recorded = record, true
-	held.own = slices.DeleteFunc(held.own, func(crash seen) bool { return slices.Contains(record.Crashed, crash.instance) })
-	if held.crashes() != before {
-		held.since = now
+	before := entry.crashes()
+	entry.Record, entry.onRecord = record, true
+	entry.observed = slices.DeleteFunc(entry.observed, func(crash observedCrash) bool { return slices.Contains(record.Crashed, crash.instance) })
+	if entry.crashes() != before {
+		entry.countChangedAt = now
 	}
 }
 
-// Crashed notes a back end that crashed under a request, until the record holds it. It returns the number of crashes known.
+// Crashed notes that a back end crashed under a request. The crash counts here until the record includes it. Crashed
+// returns the number of crashes of the request that the book knows of.
 func (b *Book) Crashed(now time.Duration, digest Digest, instance string) uint32 {
-	held := b.held[digest]
-	if held == nil {
-		held = &suspect{Record: Record{Digest: digest}}
-		b.held[digest] = held
+	entry := b.suspects[digest]
+	if entry == nil {
+		entry = &suspect{Record: Record{Digest: digest}}
+		b.suspects[digest] = entry
 	}
-	own := slices.ContainsFunc(held.own, func(crash seen) bool { return crash.instance == instance })
-	if !own && !slices.Contains(held.Record.Crashed, instance) {
-		held.own = append(held.own, seen{instance: instance, at: now})
-		held.since = now
+	noted := slices.ContainsFunc(entry.observed, func(crash observedCrash) bool { return crash.instance == instance })
+	if !noted && !slices.Contains(entry.Record.Crashed, instance) {
+		entry.observed = append(entry.observed, observedCrash{instance: instance, at: now})
+		entry.countChangedAt = now
 	}
-	return held.crashes()
+	return entry.crashes()
 }
 
-// Recorded notes that the control group has taken a crash that was noted here.
+// Recorded notes that the control group has accepted the report of a crash that was noted with Crashed.
 func (b *Book) Recorded(digest Digest, instance string) {
-	held := b.held[digest]
-	if held == nil {
+	entry := b.suspects[digest]
+	if entry == nil {
 		return
 	}
-	for position := range held.own {
-		if held.own[position].instance == instance {
-			held.own[position].recorded = true
+	for position := range entry.observed {
+		if entry.observed[position].instance == instance {
+			entry.observed[position].accepted = true
 		}
 	}
 }
 
-// Lost notes that the record will not hold a crash that was noted here, because it is full.
+// Lost notes that a crash noted with Crashed will not be on record because the record is full. It no longer counts.
 func (b *Book) Lost(digest Digest, instance string) {
-	held := b.held[digest]
-	if held == nil {
+	entry := b.suspects[digest]
+	if entry == nil {
 		return
 	}
-	held.own = slices.DeleteFunc(held.own, func(crash seen) bool { return crash.instance == instance })
-	if !held.recorded && len(held.own) == 0 {
-		delete(b.held, digest)
+	entry.observed = slices.DeleteFunc(entry.observed, func(crash observedCrash) bool { return crash.instance == instance })
+	if !entry.onRecord && len(entry.observed) == 0 {
+		delete(b.suspects, digest)
 	}
 }
 
-// UnrecordedRest is how long a suspect is put off at a time while crashes that were seen here are not on record.
+// UnrecordedRest is the rest of a suspect with crashes that were observed here and are not on record.
 const UnrecordedRest = time.Second
 
-// Judge says what a request may do now.
+// Judge returns the permission of a request now.
 func (b *Book) Judge(now time.Duration, digest Digest) Judgment {
-	held := b.held[digest]
-	if held == nil {
+	entry := b.suspects[digest]
+	if entry == nil {
 		return Judgment{}
 	}
-	judged := Judgment{Permission: Apart, Crashes: held.crashes(), Recorded: held.Crashes, Unrecorded: held.unrecorded(now)}
+	judged := Judgment{Permission: Apart, Crashes: entry.crashes(), Recorded: entry.Crashes, Unrecorded: entry.hasUnrecorded(now)}
 	if judged.Crashes < TrialCrashes {
 		return judged
 	}
 	judged.Permission = Trial
-	left := held.since + b.settings.rest(judged.Crashes) - now
-	if len(held.own) > 0 {
-		left = max(left, UnrecordedRest) // a run can't be claimed before the record holds the crashes
+	left := entry.countChangedAt + b.settings.restAfter(judged.Crashes) - now
+	if len(entry.observed) > 0 {
+		left = max(left, UnrecordedRest) // a run cannot be claimed before the crashes are on record
 	}
 	if left > 0 {
 		judged.Permission, judged.Left = Rest, left
@@ -184,12 +188,12 @@
 	return judged
 }
 
-// Outdated returns the suspects on record whose time there is over, with their numbers of crashes.
+// Outdated returns the entries on record whose retention has ended, sorted by digest.
 func (b *Book) Outdated(now time.Duration) []Record {
 	var outdated []Record
-	for _, held := range b.held {
-		if held.recorded && now >= held.since+b.settings.retention(held.crashes()) {
-			outdated = append(outdated, held.Record)
+	for _, entry := range b.suspects {
+		if entry.onRecord && now >= entry.countChangedAt+b.settings.retentionAfter(entry.crashes()) {
+			outdated = append(outdated, entry.Record)
 		}
 	}
 	slices.SortFunc(outdated, func(a, b Record) int { return compareDigests(a.Digest, b.Digest) })
--- a/internal/poison/book_test.go
+++ b/internal/poison/book_test.go
@@ -11,45 +11,46 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestPermissions walks through the states of one suspect, as a process that follows the record sees them.
+// TestPermissions checks the permissions of one suspect in a process that follows the record, for rising numbers of
+// crashes and after each rest.
 func TestPermissions(t *testing.T) {
 	book := NewBook(Settings{})
 	const digest = Digest(7)
 	record := func(crashes uint32) []Record { return []Record{{Digest: digest, Crashes: crashes}} }
 	now := time.Hour
-	look := func(want Permission, left time.Duration) {
+	expect := func(want Permission, left time.Duration) {
 		t.Helper()
 		if got := book.Judge(now, digest); got.Permission != want || got.Left != left {
 			t.Fatalf("%+v, want %s for %s", got, want, left)
 		}
 	}
-	look(Free, 0)
+	expect(Free, 0)
 	book.Follow(now, record(1))
-	look(Apart, 0)
+	expect(Apart, 0)
 	book.Follow(now, record(2))
-	look(Rest, DefaultTrialRest)
-	book.Follow(now+time.Second, record(2)) // nothing new
+	expect(Rest, DefaultTrialRest)
+	book.Follow(now+time.Second, record(2)) // unchanged, so the rest must not restart
 	now += DefaultTrialRest
-	look(Trial, 0)
+	expect(Trial, 0)
 	book.Follow(now, record(3))
 	if judged := book.Judge(now, digest); !judged.Condemned() || judged.Left != DefaultCondemnedRest {
-		t.Fatalf("after the third crash %+v", judged)
+		t.Fatalf("after the third crash: got %+v, want condemned with the default rest", judged)
 	}
 	now += DefaultCondemnedRest
-	look(Trial, 0)
+	expect(Trial, 0)
 	book.Follow(now, record(4))
-	look(Rest, restGrowth*DefaultCondemnedRest)
-	if outdated := book.Outdated(now + keptRests*restGrowth*DefaultCondemnedRest); len(outdated) != 1 || outdated[0].Crashes != 4 {
-		t.Errorf("outdated %v", outdated)
+	expect(Rest, restGrowth*DefaultCondemnedRest)
+	if outdated := book.Outdated(now + retainedRests*restGrowth*DefaultCondemnedRest); len(outdated) != 1 || outdated[0].Crashes != 4 {
+		t.Errorf("got outdated entries %v, want the one with 4 crashes", outdated)
 	}
 	book.Follow(now, record(1000))
-	look(Rest, maximumRest)
+	expect(Rest, maximumRest)
 	book.Follow(now, nil)
-	look(Free, 0)
+	expect(Free, 0)
 }
 
-// TestOwnCrashesCountUntilTheyAreOnRecord: a process that can't reach the control group judges by what it saw itself, and counts
-// nothing twice once the record has it.
+// TestOwnCrashesCountUntilTheyAreOnRecord checks that a process that cannot reach the control group counts the crashes
+// that it observed, and guards against counting a crash twice once it is on record.
 func TestOwnCrashesCountUntilTheyAreOnRecord(t *testing.T) {
 	book := NewBook(Settings{})
 	const digest = Digest(7)
@@ -57,33 +58,33 @@
 		book.Crashed(0, digest, instance)
 	}
 	if judged := book.Judge(time.Hour, digest); judged.Crashes != 2 || judged.Permission != Rest {
-		t.Fatalf("%+v, want a rest until the crashes are on record", judged)
+		t.Fatalf("got %+v, want 2 crashes and a rest until they are on record", judged)
 	}
-	if judged := book.Judge(recordTime-1, digest); !judged.Unrecorded {
-		t.Errorf("%+v before any crash is on record", judged)
+	if judged := book.Judge(recordTimeout-1, digest); !judged.Unrecorded {
+		t.Errorf("got %+v before any crash is on record, want Unrecorded", judged)
 	}
-	if judged := book.Judge(recordTime, digest); judged.Unrecorded {
-		t.Errorf("%+v after the time for the record", judged)
+	if judged := book.Judge(recordTimeout, digest); judged.Unrecorded {
+		t.Errorf("got %+v after the record timeout, want Unrecorded false", judged)
 	}
 	book.Recorded(digest, "a")
 	if judged := book.Judge(0, digest); !judged.Unrecorded || judged.Crashes != 2 {
-		t.Errorf("%+v with one of two on record", judged)
+		t.Errorf("got %+v with one of two crashes accepted, want 2 crashes and Unrecorded", judged)
 	}
 	book.Recorded(digest, "b")
 	if judged := book.Judge(0, digest); judged.Unrecorded || judged.Crashes != 2 {
-		t.Errorf("%+v with both on record", judged)
+		t.Errorf("got %+v with both crashes accepted, want 2 crashes and Unrecorded false", judged)
 	}
-	book.Follow(0, nil) // a record from before
+	book.Follow(0, nil) // an older record
 	if book.Judge(0, digest).Crashes != 2 {
-		t.Fatal("crashes that are not on record yet are forgotten")
+		t.Fatal("crashes that are not on record yet were dropped, want 2 crashes")
 	}
 	book.Follow(0, []Record{{Digest: digest, Crashes: 1, Crashed: []string{"a"}}})
 	if got := book.Judge(0, digest); got.Crashes != 2 || got.Recorded != 1 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want 2 crashes with 1 on record", got)
 	}
 	book.Follow(0, []Record{{Digest: digest, Crashes: 2, Crashed: []string{"a", "b"}}})
 	if got := book.Judge(time.Hour, digest); got.Crashes != 2 || got.Permission != Trial {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want 2 crashes and a trial", got)
 	}
 	book.Follow(0, nil)
 	if !book.Empty() {
@@ -92,11 +93,11 @@
 	book.Crashed(0, digest, "c")
 	book.Lost(digest, "c")
 	if !book.Empty() {
-		t.Error("a crash that the record has no room for is kept for ever")
+		t.Error("a crash that the full record cannot hold still counts")
 	}
 }
 
-// recordTable is the record as the control group keeps it.
+// recordTable is the table of the control group, without consensus.
 type recordTable struct {
 	held *table.Table
 	ids  int
@@ -110,7 +111,7 @@
 	return view
 }
 
-// apply makes a planned change; false after a conflict, or where a row that is to go has gone.
+// apply applies a planned change. It returns false after a conflict, or if a row to remove does not exist.
 func (r *recordTable) apply(planned Planned) bool {
 	if len(planned.Change.Cells)+len(planned.Change.RemoveRows) == 0 {
 		return true
@@ -120,7 +121,8 @@
 	return r.held.Apply(planned.Change).GetOutcome() == wire.TableOutcome_TABLE_OUTCOME_ACCEPTED
 }
 
-// TestStepsOnTheRecord: a crash that two processes saw counts once, one claim wins, and what was cleared is free.
+// TestStepsOnTheRecord checks that a crash that two processes observed counts once, that only one of several claims
+// succeeds, and that a cleared suspect is free.
 func TestStepsOnTheRecord(t *testing.T) {
 	record := &recordTable{held: table.New()}
 	step := func(want Want, done bool, crashes uint32) {
@@ -128,7 +130,7 @@
 		want.Digest, want.Subject = 0xabc, "GET a.example/x"
 		planned := Plan(record.view(t), []Want{want}, Settings{})
 		if got := planned.Outcomes[0]; got.Done != done || got.Crashes != crashes || !record.apply(planned) {
-			t.Fatalf("%s: %+v, want %t and %d", want.Step, got, done, crashes)
+			t.Fatalf("%s: got %+v, want done %t and %d crashes", want.Step, got, done, crashes)
 		}
 	}
 	step(Want{Step: Report, Instance: "a"}, true, 1)
@@ -143,7 +145,7 @@
 	step(Want{Step: Forget, Crashes: 2}, false, 3)
 	records := Records(record.view(t))
 	if len(records) != 1 || records[0].Digest != 0xabc || records[0].Crashes != 3 || fmt.Sprint(records[0].Crashed) != "[a b c]" {
-		t.Fatalf("%+v", records)
+		t.Fatalf("got records %+v, want one with 3 crashes of a, b and c", records)
 	}
 	step(Want{Step: Clear}, true, 0)
 	step(Want{Step: Clear}, true, 0)
@@ -151,7 +153,8 @@
 	step(Want{Step: Report, Instance: "d"}, true, 1)
 }
 
-// TestStaleClaimsConflict: two processes plan a claim on the same view; the table takes one.
+// TestStaleClaimsConflict guards against two claimed runs at a time: two processes plan a claim on the same view, and
+// the table must accept only one.
 func TestStaleClaimsConflict(t *testing.T) {
 	record := &recordTable{held: table.New()}
 	for _, instance := range []string{"a", "b"} {
@@ -161,11 +164,12 @@
 	first := Plan(view, []Want{{Step: Claim, Digest: 1, Crashes: 2}}, Settings{})
 	second := Plan(view, []Want{{Step: Claim, Digest: 1, Crashes: 2}}, Settings{})
 	if !record.apply(first) || record.apply(second) {
-		t.Error("not exactly one claim of two was taken")
+		t.Error("the table did not accept exactly the first of two claims")
 	}
 }
 
-// TestRecordIsBounded: a thousand different requests that crash back ends leave room for those that crashed several.
+// TestRecordIsBounded reports a thousand different suspects with one crash each. The record must stay within its
+// maximum and keep the suspect with two crashes.
 func TestRecordIsBounded(t *testing.T) {
 	record := &recordTable{held: table.New()}
 	settings := Settings{Maximum: 8}
@@ -175,19 +179,20 @@
 	for number := range 1000 {
 		planned := Plan(record.view(t), []Want{{Step: Report, Digest: Digest(1000 + number), Instance: "x"}}, settings)
 		if !planned.Outcomes[0].Done || !record.apply(planned) {
-			t.Fatalf("request %d: %+v", number, planned.Outcomes)
+			t.Fatalf("request %d: got outcomes %+v, want the report done and its change accepted", number, planned.Outcomes)
 		}
 	}
 	records := Records(record.view(t))
 	if len(records) != settings.Maximum || records[0].Digest != 1 || records[0].Crashes != 2 {
-		t.Errorf("%d on record, first %+v", len(records), records[0])
+		t.Errorf("%d on record, first %+v, want 8, the first with 2 crashes", len(records), records[0])
 	}
 }
 
-// TestGuiltyIsHeldAndBystandersAreCleared plays processes that follow the record late and run requests at back ends: some crash each
-// that runs them, the others run beside them and come again. Whatever the order of crashes, reports, claims and losses of processes,
-// no request that crashes what runs it runs more often than permitted, and whoever was answered whole after its last crash, by a process
-// that knew of that, is free everywhere as soon as all have followed.
+// TestGuiltyIsHeldAndBystandersAreCleared simulates processes that follow the record late and run requests at back
+// ends. Some requests crash every back end that runs them; the others run beside them and are retried. For any order of
+// crashes, reports, claims and restarts of processes, a request that crashes back ends must not run more often than
+// permitted. A request that was answered completely after its last crash, by a process that knew of the crash, must be
+// free in every process that has followed the record since.
 func TestGuiltyIsHeldAndBystandersAreCleared(t *testing.T) {
 	var trials, cleared int
 	rapid.Check(t, func(t *rapid.T) {
@@ -196,11 +201,11 @@
 		books := []*Book{NewBook(settings), NewBook(settings), NewBook(settings)}
 		now, starts := time.Duration(0), 0
 		guilty := func(digest Digest) bool { return digest <= 2 }
-		crashes, inARow := map[Digest]int{}, map[Digest]int{}
+		crashes, crashesSinceAnswer := map[Digest]int{}, map[Digest]int{}
 		settle := func(book *Book, want Want) Outcome {
 			planned := Plan(record.view(t), []Want{want}, settings)
 			if !record.apply(planned) {
-				t.Fatal("a step on the newest view is refused")
+				t.Fatal("the table rejected a step planned on its newest version")
 			}
 			book.Follow(now, Records(record.view(t)))
 			return planned.Outcomes[0]
@@ -210,36 +215,37 @@
 			now += time.Duration(rapid.IntRange(0, 6000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				books[which] = NewBook(settings) // the process starts again
+				books[which] = NewBook(settings) // the process restarts
 				books[which].Follow(now, Records(record.view(t)))
 			case 1, 2, 3:
 				books[which].Follow(now, Records(record.view(t)))
 			default:
-				runOnce(t, books[which], now, &starts, guilty, crashes, inARow, settle, &trials, &cleared)
+				runOnce(t, books[which], now, &starts, guilty, crashes, crashesSinceAnswer, settle, &trials, &cleared)
 			}
 		}
 		for digest, count := range crashes {
-			// Each process may run a request once before it learns of another's crash, and one trial follows at a time.
+			// Each process may run a request once before it learns of a crash in another process. After that, trials
+			// run one at a time.
 			if most := CondemnedCrashes + len(books) - 1; guilty(digest) && count > most {
-				t.Fatalf("request %d crashed %d back ends, want %d at most", digest, count, most)
+				t.Fatalf("request %d crashed %d back ends, want at most %d", digest, count, most)
 			}
 		}
 		for position, book := range books {
 			book.Follow(now, Records(record.view(t)))
-			for digest, since := range inARow {
+			for digest, since := range crashesSinceAnswer {
 				if judged := book.Judge(now, digest); since == 0 && judged.Permission != Free {
-					t.Fatalf("process %d holds %d, which was answered, for %+v", position, digest, judged)
+					t.Fatalf("process %d restricts request %d, which was answered completely: %+v", position, digest, judged)
 				}
 			}
 		}
 	})
 	if trials == 0 || cleared == 0 {
-		t.Errorf("%d trials and %d cleared requests were played", trials, cleared)
+		t.Errorf("%d trials and %d cleared requests were simulated, want at least one each", trials, cleared)
 	}
 }
 
-// runOnce plays one run of a request, and one of a bystander beside it which crashes with it.
-func runOnce(t *rapid.T, book *Book, now time.Duration, starts *int, guilty func(Digest) bool, crashes, inARow map[Digest]int,
+// runOnce simulates one run of a request and, at random, one of a bystander at the same back end if that crashes.
+func runOnce(t *rapid.T, book *Book, now time.Duration, starts *int, guilty func(Digest) bool, crashes, crashesSinceAnswer map[Digest]int,
 	settle func(*Book, Want) Outcome, trials, cleared *int) {
 	digest := Digest(rapid.IntRange(1, 4).Draw(t, "request"))
 	judged := book.Judge(now, digest)
@@ -256,10 +262,10 @@
 		*trials++
 	}
 	if !guilty(digest) {
-		if judged.Permission != Free { // otherwise the process does not know of the crash, and a later answer clears
+		if judged.Permission != Free { // a process that does not know of the crash does not clear the suspect
 			settle(book, Want{Step: Clear, Digest: digest})
 			*cleared++
-			inARow[digest] = 0
+			crashesSinceAnswer[digest] = 0
 		}
 		return
 	}
@@ -270,7 +276,7 @@
 	if rapid.Bool().Draw(t, "beside") {
 		bystander := Digest(rapid.IntRange(3, 4).Draw(t, "bystander"))
 		if book.Judge(now, bystander).Permission <= Apart {
-			inARow[bystander]++
+			crashesSinceAnswer[bystander]++
 			settle(book, Want{Step: Report, Digest: bystander, Instance: instance})
 		}
 	}
--- a/internal/poison/identity.go
+++ b/internal/poison/identity.go
@@ -1,7 +1,10 @@
-// Package poison recognises requests that crash the back ends that run them (poison messages, queries of death), however often and
-// by whatever way they come again, and decides which of their runs are still permitted.
+// Package poison recognises requests that crash the back ends that run them (poison messages, queries of death), no
+// matter how often and through which process they are sent again, and decides which of their runs are still permitted.
 //
-// The package is pure: no clock, goroutine or I/O. Times are durations since an arbitrary start.
+// A suspect is a request under which a back end crashed. The record is the set of rows of suspects in the table of the
+// control group, which all processes follow. A request is condemned when CondemnedCrashes back ends crashed under it.
+//
+// The package uses no clock, goroutine or I/O. Times are durations since an arbitrary start.
 package poison
 
 import (
@@ -15,29 +18,30 @@
 // Field is one header field of a request.
 type Field struct{ Name, Value string }
 
-// Identity is what stays the same when a request comes again: who calls, what is asked and with which content. The id of an attempt,
-// deadlines and the place where a stream goes on change with each attempt and are no part of it. Nor are hints that repeat what the
-// body says, such as the length of a prompt.
+// Identity holds the parts of a request that are the same in each attempt: the caller, the target and the content. It
+// does not include what changes between attempts, such as the attempt id, the deadline and the position at which a
+// stream resumes. Nor does it include hints that repeat information from the body, such as the length of a prompt.
 type Identity struct {
-	Tenant string // empty: anonymous
+	Tenant string // empty for an anonymous caller
 	Method string
 	Host   string
-	Path   string // with its query
+	Path   string // including the query
 	Header []Field
 	Body   []byte
 }
 
-// callerFields are the header fields that tell callers apart, in lower case.
+// callerFields are the header fields that identify the caller, in lower case.
 var callerFields = []string{"authorization", "cookie"}
 
-// Digest names an identity. Two requests with one digest are taken for one: with 1,000 digests on record a further request meets one of
-// them by chance once in 10^16 times. It is no secret, and a caller can reach no digest of another tenant's requests.
+// Digest is a 64-bit hash of an identity. Requests with equal digests are treated as the same request. With 1,000
+// digests on record, an unrelated request collides with one of them with a probability of about 1 in 10^16. The digest
+// is not secret. A caller cannot reach the digest of another tenant's request.
 type Digest uint64
 
-// NoDigest names no request.
+// NoDigest is the zero value, which is never the digest of a request.
 const NoDigest Digest = 0
 
-// String is the digest as logs and the table show it.
+// String returns the digest in hexadecimal, as in logs and in the table.
 func (d Digest) String() string { return fmt.Sprintf("%016x", uint64(d)) }
 
 // Digest computes the identity's digest; it is never NoDigest.
@@ -63,7 +67,7 @@
 	return max(Digest(hash.Sum64()), 1)
 }
 
-// values are those of a header field, sorted: an intermediary may pass them on in another order.
+// values returns the values of a header field, sorted because an intermediary may forward them in a different order.
 func (i *Identity) values(lowerName string) []string {
 	var found []string
 	for _, field := range i.Header {
--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestIdentityIsWhatComesAgain: whoever asks the same again has the same digest, and nobody else.
-func TestIdentityIsWhatComesAgain(t *testing.T) {
+// TestDigestIsStableOverAttempts guards against a repeated request that is not recognised and against different
+// requests with the same digest.
+func TestDigestIsStableOverAttempts(t *testing.T) {
 	base := func() *Identity {
 		return &Identity{Tenant: "shop", Method: "POST", Host: "A.example", Path: "/join/1?x=1", Body: []byte("join"),
 			Header: []Field{{"Cookie", "session=1"}, {"X-Attempt-Id", "1"}, {"Last-Event-Id", "3"}}}
@@ -13,7 +14,7 @@
 	again.Host = "a.example"
 	again.Header = []Field{{"X-Attempt-Id", "2"}, {"X-Deadline-Ms", "900"}, {"cookie", "session=1"}}
 	if got := again.Digest(); got != want {
-		t.Errorf("the request that comes again is %s, was %s", got, want)
+		t.Errorf("the repeated request has digest %s, want %s", got, want)
 	}
 	for name, change := range map[string]func(*Identity){
 		"tenant":  func(i *Identity) { i.Tenant = "" },
@@ -29,7 +30,7 @@
 		other := base()
 		change(other)
 		if got := other.Digest(); got == want || got == NoDigest {
-			t.Errorf("another %s: digest %s", name, got)
+			t.Errorf("different %s: got digest %s, want another one than before, and not the zero digest", name, got)
 		}
 	}
 }
--- a/internal/poison/plan.go
+++ b/internal/poison/plan.go
@@ -9,58 +9,60 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Step is what a process wants the record to say of one suspect.
+// Step is a kind of change to the record of one suspect.
 type Step uint8
 
 // The steps.
 const (
 	Report Step = iota // a back end crashed under the request
-	Claim              // one run of it is about to begin, and counts as a crash until it is given back or cleared
-	Return             // a claimed run has ended without a crash and without a whole answer
-	Clear              // it was answered whole: whatever crashed, this request need not have done it
-	Forget             // its time on record is over
+	Claim              // a run is about to begin; it counts as a crash until it is returned or the suspect is cleared
+	Return             // a claimed run has ended without a crash and without a complete answer
+	Clear              // the request was answered completely, so it need not have caused the crashes
+	Forget             // its retention on record has ended
 )
 
-// String names a step in logs.
+// String returns the name of a step in logs.
 func (s Step) String() string {
 	return [...]string{Report: "report", Claim: "claim", Return: "return", Clear: "clear", Forget: "forget"}[s]
 }
 
-// Want is one step of one process.
+// Want is one step that a process wants to take on the record of a suspect.
 type Want struct {
 	Step     Step
 	Digest   Digest
-	Instance string // of Report: the back end that crashed
-	Subject  string // of Report: the request for people, see Identity.Subject
-	Counted  bool   // of Report: its run was claimed, and is counted already
-	Crashes  uint32 // of Claim, Return and Forget: the number of crashes that the step goes out from
+	Instance string // for Report: the back end that crashed
+	Subject  string // for Report: human-readable description of the request, see Identity.Subject
+	Counted  bool   // for Report: the run was claimed, so the record counts it already
+	Crashes  uint32 // for Claim, Return and Forget: the number of crashes on record that the step assumes
 }
 
-// Outcome is what became of a step.
+// Outcome is the result of a step.
 type Outcome struct {
-	Done    bool   // the record says what was wanted, or will with the change
-	Changed bool   // the change does something for it
-	Crashes uint32 // that the record then holds; 0: it holds none
+	Done    bool   // the record is as wanted, or will be with the planned change
+	Changed bool   // the planned change includes cells or rows for this step
+	Crashes uint32 // number of crashes on record afterwards; 0 if the suspect is not on record
 }
 
-// crashedKept bounds the back ends that the record names of a suspect: a crash that two processes saw is counted once.
-const crashedKept = 6
+// maximumCrashed bounds the back ends that the record names for a suspect. They are named so that a crash that two
+// processes observed counts once.
+const maximumCrashed = 6
 
 // maximumSubject bounds a subject, in bytes.
 const maximumSubject = 200
 
-// Subject is the request for people.
+// Subject returns a human-readable description of the request: tenant, method, host and path in printable ASCII, at
+// most maximumSubject bytes.
 func (i *Identity) Subject() string {
 	text := i.Method + " " + i.Host + i.Path
 	if i.Tenant != "" {
 		text = i.Tenant + ": " + text
 	}
-	text = printable(text)
+	text = replaceUnprintable(text)
 	return strings.TrimSpace(text[:min(len(text), maximumSubject)])
 }
 
-// printable replaces what a cell of the table can't hold.
-func printable(text string) string {
+// replaceUnprintable replaces characters that a cell of the table cannot hold by underscores.
+func replaceUnprintable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
 			return '_'
@@ -69,45 +71,46 @@
 	}, text)
 }
 
-// RowName is the name of a suspect's row of the table.
+// RowName returns the name of a suspect's row in the table.
 func RowName(digest Digest) string { return table.SuspectPrefix + digest.String() }
 
-// Records reads the record from a view of the table.
+// Records returns the record of suspects in a view of the table.
 func Records(view *table.View) []Record {
 	rows := view.Suspects()
 	records := make([]Record, 0, len(rows))
 	for _, row := range rows {
 		digest, err := strconv.ParseUint(strings.TrimPrefix(row.Name, table.SuspectPrefix), 16, 64)
 		if err != nil {
-			continue // no row of such a name passes the table's check
+			continue // cannot happen: the table rejects such a row name
 		}
-		records = append(records, Record{Digest: Digest(digest), Crashes: row.Crashes, Crashed: crashedOf(row)})
+		records = append(records, Record{Digest: Digest(digest), Crashes: row.Crashes, Crashed: parseCrashed(row)})
 	}
 	return records
 }
 
-func crashedOf(row *table.Row) []string {
+// parseCrashed returns the instances of the crashed back ends that a suspect's row names; nil if row is nil.
+func parseCrashed(row *table.Row) []string {
 	if row == nil || row.CrashedBackEnds == "" {
 		return nil
 	}
 	return strings.Split(row.CrashedBackEnds, ",")
 }
 
-// Planned is one change of the table for some steps; no step is wanted of a suspect twice.
+// Planned is one change of the table that performs several steps.
 type Planned struct {
-	Change   *wire.TableChange // without id and operator; no cells and rows: nothing is to be changed
-	Outcomes []Outcome         // of the steps, in their order
+	Change   *wire.TableChange // without id and operator; without cells and rows if there is nothing to change
+	Outcomes []Outcome         // outcomes of the steps, in the order of the steps
 }
 
-// Plan makes the change that does what is wanted on a view of the table.
+// Plan returns the change that performs the steps on a view of the table. No two steps may be for the same suspect.
 func Plan(view *table.View, wants []Want, settings Settings) Planned {
-	p := &planner{view: view, room: settings.WithDefaults().Maximum - len(view.Suspects()),
+	p := &planner{view: view, freeRows: settings.WithDefaults().Maximum - len(view.Suspects()),
 		planned: Planned{Change: &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote}}}
 	touched := make(map[string]bool, len(wants))
 	for _, want := range wants {
 		touched[RowName(want.Digest)] = true
 	}
-	p.weakest = weakest(view, touched)
+	p.evictable = listEvictable(view, touched)
 	for _, want := range wants {
 		before := p.size()
 		outcome := p.step(want)
@@ -117,8 +120,8 @@
 	return p.planned
 }
 
-// weakest are the suspects with one crash, which make room for others.
-func weakest(view *table.View, touched map[string]bool) []string {
+// listEvictable returns the rows of suspects with a single crash that no step is for. New suspects may replace them.
+func listEvictable(view *table.View, touched map[string]bool) []string {
 	var names []string
 	for _, row := range view.Suspects() {
 		if row.Crashes < TrialCrashes && !touched[row.Name] {
@@ -128,14 +131,15 @@
 	return names
 }
 
+// planner collects the change for several steps.
 type planner struct {
-	view    *table.View
-	room    int
-	weakest []string
-	planned Planned
+	view      *table.View
+	freeRows  int      // number of suspects that can be added; negative if the record exceeds its maximum
+	evictable []string // rows that may be removed for new suspects
+	planned   Planned
 }
 
-// size is how much the change does so far.
+// size returns the number of cells and rows in the change so far.
 func (p *planner) size() int { return len(p.planned.Change.Cells) + len(p.planned.Change.RemoveRows) }
 
 func (p *planner) step(want Want) Outcome {
@@ -144,7 +148,7 @@
 	if want.Step == Report {
 		return p.report(name, row, want)
 	}
-	if row == nil { // somebody cleared or forgot it: the request is free
+	if row == nil { // the suspect was cleared or forgotten: the request is free
 		return Outcome{Done: true}
 	}
 	switch {
@@ -152,48 +156,48 @@
 		p.planned.Change.RemoveRows = append(p.planned.Change.RemoveRows, name)
 		return Outcome{Done: true}
 	case want.Step == Claim && row.Crashes == want.Crashes:
-		p.set(name, table.ColumnCrashes, count(row.Crashes+1))
+		p.set(name, table.ColumnCrashes, formatCount(row.Crashes+1))
 		return Outcome{Done: true, Crashes: row.Crashes + 1}
 	case want.Step == Return && row.Crashes == want.Crashes && row.Crashes > 1:
-		p.set(name, table.ColumnCrashes, count(row.Crashes-1))
+		p.set(name, table.ColumnCrashes, formatCount(row.Crashes-1))
 		return Outcome{Done: true, Crashes: row.Crashes - 1}
 	}
-	return Outcome{Crashes: row.Crashes} // another process was faster
+	return Outcome{Crashes: row.Crashes} // another process has changed the number of crashes
 }
 
-// report counts a crash, once for each back end.
+// report counts a crash, unless the record names the back end already.
 func (p *planner) report(name string, row *table.Row, want Want) Outcome {
 	if row == nil {
 		return p.add(name, want)
 	}
-	crashed := crashedOf(row)
+	crashed := parseCrashed(row)
 	if slices.Contains(crashed, want.Instance) {
 		return Outcome{Done: true, Crashes: row.Crashes}
 	}
 	crashed = append(crashed, want.Instance)
-	p.set(name, table.ColumnCrashed, joined(crashed))
+	p.set(name, table.ColumnCrashed, formatCrashed(crashed))
 	if want.Counted {
 		return Outcome{Done: true, Crashes: row.Crashes}
 	}
-	p.set(name, table.ColumnCrashes, count(row.Crashes+1))
+	p.set(name, table.ColumnCrashes, formatCount(row.Crashes+1))
 	return Outcome{Done: true, Crashes: row.Crashes + 1}
 }
 
-// add puts a new suspect on record. Where the record is full one with a single crash makes room: under a burst of many such requests
-// those that crashed twice are the ones to remember.
+// add puts a new suspect on record. If the record is full, the new suspect replaces one with a single crash: during a
+// burst of many suspects, those with two or more crashes are the ones to keep.
 func (p *planner) add(name string, want Want) Outcome {
-	if p.room <= 0 {
-		if len(p.weakest) == 0 {
+	if p.freeRows <= 0 {
+		if len(p.evictable) == 0 {
 			return Outcome{}
 		}
-		p.planned.Change.RemoveRows = append(p.planned.Change.RemoveRows, p.weakest[0])
-		p.weakest = p.weakest[1:]
-		p.room++
+		p.planned.Change.RemoveRows = append(p.planned.Change.RemoveRows, p.evictable[0])
+		p.evictable = p.evictable[1:]
+		p.freeRows++
 	}
-	p.room--
+	p.freeRows--
 	p.set(name, table.ColumnKind, string(table.Suspect))
-	p.set(name, table.ColumnCrashes, count(1))
-	p.set(name, table.ColumnCrashed, joined([]string{want.Instance}))
+	p.set(name, table.ColumnCrashes, formatCount(1))
+	p.set(name, table.ColumnCrashed, formatCrashed([]string{want.Instance}))
 	p.set(name, table.ColumnSubject, want.Subject)
 	return Outcome{Done: true, Crashes: 1}
 }
@@ -202,11 +206,11 @@
 	p.planned.Change.Cells = append(p.planned.Change.Cells, &wire.CellChange{Row: row, Column: column, Value: value})
 }
 
-func count(crashes uint32) string { return strconv.FormatUint(uint64(crashes), 10) }
+func formatCount(crashes uint32) string { return strconv.FormatUint(uint64(crashes), 10) }
 
-// joined are the last of the back ends that crashed, as a cell holds them.
-func joined(crashed []string) string {
-	crashed = crashed[max(len(crashed)-crashedKept, 0):]
+// formatCrashed returns the cell that names the crashed back ends: the most recent ones that fit into it.
+func formatCrashed(crashed []string) string {
+	crashed = crashed[max(len(crashed)-maximumCrashed, 0):]
 	text := strings.Join(crashed, ",")
 	for len(text) > table.MaximumHeaderValueBytes && len(crashed) > 1 {
 		crashed = crashed[1:]
--- a/internal/poison/settings.go
+++ b/internal/poison/settings.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// The numbers of crashes from which on a suspect is treated differently.
+// The numbers of crashes at which the restrictions of a suspect become stricter.
 const (
-	// TrialCrashes is from how many crashes on a suspect runs one at a time in the whole deployment. One crash may be any back end's
-	// own fault; a second one under the same request is reason enough to risk one back end at a time.
+	// TrialCrashes is the number of crashes from which on a suspect runs one at a time in the whole deployment. A
+	// single crash may be the back end's own fault. A second one under the same request justifies risking only one back
+	// end at a time.
 	TrialCrashes = 2
-	// CondemnedCrashes is from how many crashes on a suspect counts as the cause and rests for long.
+	// CondemnedCrashes is the number of crashes from which on a suspect is considered the cause and rests for
+	// Settings.CondemnedRest or longer.
 	CondemnedCrashes = 3
 )
 
 // Defaults of Settings.
 const (
-	// DefaultTrialRest lets the back ends of the first two crashes come back, which takes 3.2 s to 3.4 s for a process that starts
-	// again, so that a third crash leaves a service of three with two. A batch item that was beside two crashes waits no longer than
-	// that for nothing.
+	// DefaultTrialRest gives the back ends of the first two crashes time to restart, which takes a process 3.2 s to 3.4
+	// s. A third crash then leaves a service of three replicas with two. It is also the longest needless wait of a
+	// batch item that merely ran beside two crashes.
 	DefaultTrialRest = 4 * time.Second
-	// DefaultCondemnedRest is the rest after the third crash. A caller that comes again without end costs one more back end after it,
-	// and the next one ten times as late.
+	// DefaultCondemnedRest is the rest after the third crash. A caller that retries without end crashes one more back
+	// end after this rest, and the next one after a rest that is ten times as long.
 	DefaultCondemnedRest = 10 * time.Minute
-	// DefaultMaximum bounds the suspects on record, which all processes hold: a fortieth of the table's rows.
+	// DefaultMaximum bounds the suspects on record, all of which every process holds. It is 1/40 of the table's rows.
 	DefaultMaximum = 512
 )
 
-// Settings say how long suspects rest. Zero fields take the defaults.
+// Settings holds the rests of suspects and the size of the record. Zero fields stand for the defaults.
 type Settings struct {
-	TrialRest     time.Duration // after the second crash
-	CondemnedRest time.Duration // after the third; ten times as long after each further one
-	Maximum       int           // suspects on record; beyond it those with one crash make room
+	TrialRest     time.Duration // rest after the second crash
+	CondemnedRest time.Duration // rest after the third crash; ten times as long after each further one
+	Maximum       int           // suspects on record; further ones replace suspects with a single crash
 }
 
-// WithDefaults fills unset fields.
+// WithDefaults returns a copy in which unset fields have their default values.
 func (s Settings) WithDefaults() Settings {
 	if s.TrialRest == 0 {
 		s.TrialRest = DefaultTrialRest
@@ -45,14 +47,14 @@
 	return s
 }
 
-// restGrowth is how many times as long as the last one the rest after a further crash is.
+// restGrowth is the factor by which each crash after the third one lengthens the rest.
 const restGrowth = 10
 
 // maximumRest bounds a suspect's rest.
 const maximumRest = 7 * 24 * time.Hour
 
-// rest is how long nothing runs of a suspect after so many crashes.
-func (s *Settings) rest(crashes uint32) time.Duration {
+// restAfter returns how long a suspect must not run after the given number of crashes.
+func (s *Settings) restAfter(crashes uint32) time.Duration {
 	switch {
 	case crashes < TrialCrashes:
 		return 0
@@ -69,10 +71,10 @@
 	return rest
 }
 
-// keptRests is for how many of its rests a suspect stays on record without another crash.
-const keptRests = 2
+// retainedRests is the retention of a suspect without another crash, as a multiple of its rest.
+const retainedRests = 2
 
-// retention is how long a suspect stays on record.
-func (s *Settings) retention(crashes uint32) time.Duration {
-	return keptRests * max(s.rest(crashes), s.CondemnedRest/keptRests)
+// retentionAfter returns how long a suspect stays on record after its last crash. It is at least CondemnedRest.
+func (s *Settings) retentionAfter(crashes uint32) time.Duration {
+	return retainedRests * max(s.restAfter(crashes), s.CondemnedRest/retainedRests)
 }
