--- a/internal/poisonguard/doc.go
+++ b/internal/poisonguard/doc.go
@@ -1,6 +1,7 @@
-// Package poisonguard is the runtime of package poison in one process: it permits the runs of requests, reports under which of them back
-// ends crashed to the table of the control group, which all processes follow under their leases, and claims the runs of suspects there.
+// Package poisonguard applies package poison in one process. It permits runs of requests, reports the requests under
+// which back ends crashed to the table of the control group, and claims the runs of suspects there. All processes
+// follow this table under their leases.
 //
-// A process that can't reach the control group judges by what it has seen itself and loses its lease within a second or so, after
-// which it sends nothing at all.
+// A process that cannot reach the control group decides by the crashes that it observed itself. It loses its lease
+// within about one second and then sends nothing at all.
 package poisonguard
--- a/internal/poisonguard/guard.go
+++ b/internal/poisonguard/guard.go
@@ -17,41 +17,42 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// Config says what a Guard works with.
+// Config holds the dependencies and settings of a Guard.
 type Config struct {
 	// Control reaches the leader of the control group. Required.
 	Control configure.Control
-	// Leading says whether this process leads the control group and so forgets outdated suspects; nil: it never does.
+	// Leading reports whether this process leads the control group. The leader removes outdated suspects. Nil means
+	// that this process never leads.
 	Leading  func() bool
 	Settings poison.Settings
-	// Recorded tells whether every process reads the rows of suspects, so that they may be written into a table that holds none.
-	// Nil: they may.
+	// Recorded reports whether every process understands rows of suspects, so that they may be written into a table
+	// that has none. Nil means that they may.
 	Recorded func() bool
-	// Operator is named in the table's history. Default "suspects".
+	// Operator is the author of changes in the table's history. Default "suspects".
 	Operator string
-	Clock    monotonic.Clock
-	Log      *logrus.Entry
+	Clock    monotonic.Clock // default monotonic.Now
+	Log      *logrus.Entry   // default: discarded
 }
 
-// Guard judges the runs of one process. It is safe for concurrent use.
+// Guard decides on the runs of one process. It is safe for concurrent use.
 type Guard struct {
 	config Config
 	counts *counts
-	queue  batching.Queue[*wanted]
-
-	mutex   sync.Mutex // guards what follows
-	book    *poison.Book
-	view    *table.View // nil before the first
-	beside  map[string]int
-	broken  []brokenRun
-	waiting []poison.Want // steps that could not be sent yet
-	changed chan struct{} // closed when the book has
+	queue  batching.Queue[*pendingStep]
+
+	mutex       sync.Mutex // guards the fields below
+	book        *poison.Book
+	view        *table.View    // followed view; nil before the first
+	suspectRuns map[string]int // number of running suspects by the instance of their back end
+	brokenRuns  []brokenRun    // oldest first
+	postponed   []poison.Want  // steps to send again
+	changed     chan struct{}  // closed and replaced whenever the book changes
 }
 
-// New returns a guard that knows no suspect. Run makes it send again what could not be sent.
+// New returns a guard without suspects. Call Run to have it send postponed steps again.
 func New(config Config) (*Guard, error) {
 	if config.Control == nil {
-		return nil, trace.BadParameter("a guard needs control")
+		return nil, trace.BadParameter("a guard needs Config.Control")
 	}
 	if config.Operator == "" {
 		config.Operator = "suspects"
@@ -62,7 +63,7 @@
 	if config.Log == nil {
 		config.Log = logging.Discard()
 	}
-	guard := &Guard{config: config, counts: newCounts(), book: poison.NewBook(config.Settings), beside: map[string]int{},
+	guard := &Guard{config: config, counts: newCounts(), book: poison.NewBook(config.Settings), suspectRuns: map[string]int{},
 		changed: make(chan struct{})}
 	guard.queue.Take, guard.queue.Run = takeDistinct, guard.commit
 	return guard, nil
@@ -71,7 +72,7 @@
 // Collector returns the guard's metrics.
 func (g *Guard) Collector() prometheus.Collector { return g.counts }
 
-// Follow takes over a view of the table. It is a listener of the control session.
+// Follow takes over a view of the table; an older or equal version has no effect. It is called by the control session.
 func (g *Guard) Follow(view *table.View) {
 	g.mutex.Lock()
 	if g.view != nil && g.view.Version() >= view.Version() {
@@ -82,22 +83,22 @@
 	now := g.config.Clock()
 	g.book.Follow(now, poison.Records(view))
 	g.counts.suspects.Set(float64(g.book.Len()))
-	crashed := g.crashedMeanwhile(now)
-	g.signal()
+	crashed := g.takeCrashed(now)
+	g.notifyChanged()
 	g.mutex.Unlock()
 	for _, run := range crashed {
-		go run.settle(context.Background(), Crashed)
+		go run.recordEnding(context.Background(), Crashed)
 	}
 }
 
 const (
-	// retryInterval is how often steps are sent again that the control group did not take.
+	// retryInterval is the interval at which postponed steps are sent again.
 	retryInterval = 500 * time.Millisecond
-	// maximumWaiting bounds them.
-	maximumWaiting = 256
+	// maximumPostponed bounds the postponed steps.
+	maximumPostponed = 256
 )
 
-// Run sends again what could not be sent, and on the leader of the control group forgets outdated suspects, until ctx ends.
+// Run sends postponed steps again until ctx ends. On the leader of the control group it also removes outdated suspects.
 func (g *Guard) Run(ctx context.Context) {
 	ticker := time.NewTicker(retryInterval)
 	defer ticker.Stop()
@@ -106,18 +107,18 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.sendWaiting(ctx)
+			g.sendPostponed(ctx)
 			g.forgetOutdated(ctx)
 		}
 	}
 }
 
-func (g *Guard) sendWaiting(ctx context.Context) {
+func (g *Guard) sendPostponed(ctx context.Context) {
 	g.mutex.Lock()
-	waiting := g.waiting
-	g.waiting = nil
+	postponed := g.postponed
+	g.postponed = nil
 	g.mutex.Unlock()
-	for _, want := range waiting {
+	for _, want := range postponed {
 		g.deliver(ctx, want)
 	}
 }
@@ -134,41 +135,43 @@
 	}
 }
 
-// deliver has the record take a step; one that it did not take waits for the next look.
+// deliver sends a step to the record. A step that fails is postponed, and a report that the full record cannot hold is
+// dropped.
 func (g *Guard) deliver(ctx context.Context, want poison.Want) {
 	outcome, err := g.send(ctx, want)
 	switch {
-	case err != nil && want.Step != poison.Forget: // what is outdated is looked for anew each time
+	case err != nil && want.Step != poison.Forget: // outdated suspects are determined again at each interval
 		g.postpone(want)
 	case err == nil && want.Step == poison.Report && !outcome.Done:
 		g.drop(want)
 	case err == nil && want.Step == poison.Report:
-		g.onRecord(want)
+		g.noteRecorded(want)
 	}
 }
 
-// onRecord notes a crash that the control group has taken.
-func (g *Guard) onRecord(want poison.Want) {
+// noteRecorded notes that the control group has accepted the report of a crash.
+func (g *Guard) noteRecorded(want poison.Want) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.book.Recorded(want.Digest, want.Instance)
-	g.signal()
+	g.notifyChanged()
 }
 
-// postpone keeps a step for the next look.
+// postpone queues a step to be sent again by Run, or drops it if too many are queued.
 func (g *Guard) postpone(want poison.Want) {
 	g.mutex.Lock()
-	room := len(g.waiting) < maximumWaiting
-	if room {
-		g.waiting = append(g.waiting, want)
+	fits := len(g.postponed) < maximumPostponed
+	if fits {
+		g.postponed = append(g.postponed, want)
 	}
 	g.mutex.Unlock()
-	if !room {
+	if !fits {
 		g.drop(want)
 	}
 }
 
-// drop gives up a step that there is no room for. A crash that is never recorded must not count here for ever.
+// drop abandons a step that neither the record nor the queue can hold. A crash that is never recorded must not count in
+// this process for ever.
 func (g *Guard) drop(want poison.Want) {
 	g.counts.dropped.WithLabelValues(want.Step.String()).Inc()
 	if want.Step != poison.Report {
@@ -177,5 +180,5 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.book.Lost(want.Digest, want.Instance)
-	g.signal()
+	g.notifyChanged()
 }
--- a/internal/poisonguard/guard_test.go
+++ b/internal/poisonguard/guard_test.go
@@ -21,18 +21,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// group is the control group with its table; all guards follow it.
+// group is a control group with its table. Its guards follow the table when follow is called.
 type group struct {
-	t       *testing.T
-	mutex   sync.Mutex
-	held    *table.Table
-	away    bool          // no leader
-	commit  time.Duration // that a change takes
-	changes int
-	guards  []*Guard
+	t          *testing.T
+	mutex      sync.Mutex
+	held       *table.Table
+	leaderless bool          // the group has no leader
+	commit     time.Duration // duration of a change
+	changes    int
+	guards     []*Guard
 }
 
-var errAway = errors.New("no leader")
+var errNoLeader = errors.New("no leader")
 
 func newGroup(t *testing.T, rows ...string) *group {
 	g := &group{t: t, held: table.New()}
@@ -42,7 +42,7 @@
 	return g
 }
 
-// put changes the table as another process does.
+// put changes the table as another process would. An entry is "row column value", or "-row" to remove a row.
 func (g *group) put(rows ...string) {
 	g.t.Helper()
 	g.mutex.Lock()
@@ -63,7 +63,7 @@
 	g.follow()
 }
 
-// follow has all guards follow the table.
+// follow passes the current table to all guards.
 func (g *group) follow() {
 	g.mutex.Lock()
 	view, err := table.NewView().Apply(g.held.Update(0))
@@ -81,8 +81,8 @@
 func (g *group) Query(_ context.Context, _ uint32, query *wire.Query) (*wire.View, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.away {
-		return nil, errAway
+	if g.leaderless {
+		return nil, errNoLeader
 	}
 	return &wire.View{Kind: &wire.View_Table{Table: g.held.Update(query.GetTable().GetKnownVersion())}}, nil
 }
@@ -92,20 +92,20 @@
 	time.Sleep(g.commit)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.away {
-		return nil, 0, errAway
+	if g.leaderless {
+		return nil, 0, errNoLeader
 	}
 	g.changes++
 	return g.held.Apply(change), 0, nil
 }
 
-func (g *group) setAway(away bool) {
+func (g *group) setLeaderless(leaderless bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.away = away
+	g.leaderless = leaderless
 }
 
-// records is the record.
+// records returns the record of suspects.
 func (g *group) records() []poison.Record {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -116,8 +116,9 @@
 	return poison.Records(view)
 }
 
-// TestSuspectsAreRecordedOnceAllReadThem: a build that does not know suspects would refuse the change, and go on with another
-// table. Where the record holds some already, all read it.
+// TestSuspectsAreRecordedOnceAllReadThem guards against recording suspects while an older build runs, which would
+// reject the change and continue with a different table. If the table has suspects already, every build understands
+// them.
 func TestSuspectsAreRecordedOnceAllReadThem(t *testing.T) {
 	g := &group{t: t, held: table.New()}
 	made, err := New(Config{Control: g, Recorded: func() bool { return false }})
@@ -127,23 +128,23 @@
 	g.guards = append(g.guards, made)
 	g.follow()
 	want := poison.Want{Digest: 7, Step: poison.Report, Instance: "i-1@5", Subject: "x"}
-	if _, err := made.change(t.Context(), []poison.Want{want}); err != errNotRecorded || g.changes != 0 {
-		t.Fatalf("%v after %d changes", err, g.changes)
+	if _, err := made.applySteps(t.Context(), []poison.Want{want}); err != errNotRecorded || g.changes != 0 {
+		t.Fatalf("got error %v and %d changes, want errNotRecorded and none", err, g.changes)
 	}
 	made.config.Recorded = nil
-	if _, err := made.change(t.Context(), []poison.Want{want}); err != nil || len(g.records()) != 1 {
-		t.Fatalf("%v: %v", err, g.records())
+	if _, err := made.applySteps(t.Context(), []poison.Want{want}); err != nil || len(g.records()) != 1 {
+		t.Fatalf("got error %v and records %v, want one record", err, g.records())
 	}
 	g.follow()
 	made.config.Recorded = func() bool { return false }
 	want.Digest = 8
-	if _, err := made.change(t.Context(), []poison.Want{want}); err != nil || len(g.records()) != 2 {
-		t.Errorf("%v: %v", err, g.records())
+	if _, err := made.applySteps(t.Context(), []poison.Want{want}); err != nil || len(g.records()) != 2 {
+		t.Errorf("got error %v and records %v, want two records", err, g.records())
 	}
 }
 
-// guard is a process that follows the table.
-func (g *group) guard() *Guard {
+// newGuard returns the guard of a new process, which has followed the current table.
+func (g *group) newGuard() *Guard {
 	start := time.Now()
 	made, err := New(Config{Control: g, Clock: func() time.Duration { return time.Since(start) }, Leading: func() bool { return true }})
 	if err != nil {
@@ -160,7 +161,7 @@
 	}
 }
 
-// run begins a run at a back end, ends it and returns what it was permitted by.
+// run begins a run, sends it to a back end unless it is refused, ends it and returns the judgment of Begin.
 func run(t *testing.T, guard *Guard, body, instance string, ending Ending) poison.Judgment {
 	t.Helper()
 	made, judged := guard.Begin(t.Context(), identify(body))
@@ -173,173 +174,177 @@
 	}
 	made.At(instance, address)
 	made.End(t.Context(), ending)
-	synctest.Wait() // an answer goes on record behind its back
+	synctest.Wait() // an answer is recorded in the background
 	return judged
 }
 
-// TestCrashesAreKnownEverywhere: a request crashes one back end under each of two processes, rests, has one trial in the whole
-// deployment, and is condemned; a process that starts then knows it. What runs beside it is free.
+// TestCrashesAreKnownEverywhere checks that all processes share the crashes of a request. It crashes one back end in
+// each of two processes, rests, gets one trial in the whole deployment, and is condemned, also in a process that starts
+// afterwards. Other requests stay free.
 func TestCrashesAreKnownEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one, other := g.guard(), g.guard()
+		one, other := g.newGuard(), g.newGuard()
 		run(t, one, "bad", "a", Crashed)
 		g.follow()
 		if judged := run(t, other, "bad", "b", Crashed); judged.Permission != poison.Apart {
-			t.Fatalf("after one crash: %+v", judged)
+			t.Fatalf("after one crash: got %+v, want apart", judged)
 		}
 		g.follow()
 		for _, guard := range g.guards {
 			if judged := run(t, guard, "bad", "c", Crashed); judged.Permission != poison.Rest || judged.Left != poison.DefaultTrialRest || judged.Condemned() {
-				t.Fatalf("after two crashes: %+v", judged)
+				t.Fatalf("after two crashes: got %+v, want the rest before a trial", judged)
 			}
 		}
 		time.Sleep(poison.DefaultTrialRest)
 		trial, _ := one.Begin(t.Context(), identify("bad"))
 		if second, judged := other.Begin(t.Context(), identify("bad")); trial == nil || second != nil || judged.Permission != poison.Rest {
-			t.Fatalf("of two claims %v and %v were taken: %+v", trial, second, judged)
+			t.Fatalf("two claims: got runs %v and %v, the second with %+v, want only the first permitted", trial, second, judged)
 		}
 		trial.At("c@1", "10.0.0.3:1")
 		trial.End(t.Context(), Crashed)
-		late := g.guard()
+		late := g.newGuard()
 		g.follow()
 		for _, guard := range []*Guard{one, other, late} {
 			if judged := run(t, guard, "bad", "a", Crashed); !judged.Condemned() || judged.Left != poison.DefaultCondemnedRest {
-				t.Errorf("after three crashes: %+v", judged)
+				t.Errorf("after three crashes: got %+v, want condemned with the default rest", judged)
 			}
 			if judged := run(t, guard, "good", "a", Answered); judged.Permission != poison.Free {
-				t.Errorf("another request: %+v", judged)
+				t.Errorf("another request: got %+v, want free", judged)
 			}
 		}
 		if records := g.records(); len(records) != 1 || records[0].Crashes != 3 || fmt.Sprint(records[0].Crashed) != "[a@1 b@1 c@1]" {
-			t.Errorf("on record %+v", records)
+			t.Errorf("got records %+v, want one with 3 crashes of a@1, b@1 and c@1", records)
 		}
 	})
 }
 
-// TestCrashesOfOneStartCountOnce: two processes saw one crash. A back end that does not say when it started may have started again
-// under its name, so each of its crashes counts.
+// TestCrashesOfOneStartCountOnce guards against counting a crash twice that two processes observed. A back end whose
+// start is not known may have restarted under the same name, so each report of its crash counts.
 func TestCrashesOfOneStartCountOnce(t *testing.T) {
 	for instance, want := range map[string]uint32{"a": 1, "old": 2} {
 		synctest.Test(t, func(t *testing.T) {
 			g := newGroup(t)
-			one, other := g.guard(), g.guard()
+			one, other := g.newGuard(), g.newGuard()
 			run(t, one, "bad", instance, Crashed)
 			run(t, other, "bad", instance, Crashed)
 			if records := g.records(); len(records) != 1 || records[0].Crashes != want {
-				t.Errorf("two reports of %s: %+v, want %d crashes", instance, records, want)
+				t.Errorf("two reports of %s: got %+v, want %d crashes", instance, records, want)
 			}
 		})
 	}
 }
 
-// TestBystandersAreCleared: a harmless request was beside a crash twice; it rests, its trial is answered, and it is free everywhere. A
-// trial that its caller has left says nothing and is given back.
+// TestBystandersAreCleared checks that a harmless request which ran beside two crashes is free in all processes after
+// its trial was answered. A trial that was stopped or did not run proves nothing, and its claim is returned.
 func TestBystandersAreCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one, other := g.guard(), g.guard()
+		one, other := g.newGuard(), g.newGuard()
 		run(t, one, "good", "a", Crashed)
 		run(t, one, "good", "b", Crashed)
 		g.follow()
 		for _, ending := range []Ending{Stopped, NotRun, Answered} {
 			time.Sleep(poison.DefaultTrialRest)
 			if judged := run(t, one, "good", "c", ending); judged.Permission != poison.Trial {
-				t.Fatalf("before a trial that is %d: %+v", ending, judged)
+				t.Fatalf("before a trial with ending %d: got %+v, want a trial", ending, judged)
 			}
 			g.follow()
 		}
 		if judged := run(t, other, "good", "a", Answered); judged.Permission != poison.Free || len(g.records()) != 0 {
-			t.Errorf("after the answer %+v, on record %v", judged, g.records())
+			t.Errorf("after the answer: got %+v and records %v, want free and none", judged, g.records())
 		}
 	})
 }
 
-// TestWithoutALeader: a process judges by its own crashes, holds nobody up for long, runs nothing of a request again whose crash is not
-// on record, and reports once there is a leader.
+// TestWithoutALeader checks a process whose control group has no leader. It counts the crashes that it observed, does
+// not delay requests for long, does not run a request whose crash is not on record, and reports once there is a leader.
 func TestWithoutALeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { one.Run(ctx); close(ended) }()
-		g.setAway(true)
+		g.setLeaderless(true)
 		began := time.Now()
 		run(t, one, "bad", "a", Crashed)
-		if took := time.Since(began); took > sendTime {
-			t.Errorf("a crash held its request up for %s", took)
+		if took := time.Since(began); took > sendTimeout {
+			t.Errorf("the report of a crash delayed its request by %s, want at most 150ms", took)
 		}
 		if judged := run(t, one, "bad", "b", Crashed); judged.Permission != poison.Rest || judged.Crashes != 1 || judged.Left <= 0 {
-			t.Errorf("without a leader: %+v", judged)
+			t.Errorf("without a leader: got %+v, want a rest after one crash", judged)
 		}
-		if took := time.Since(began); took > sendTime+recordWait {
-			t.Errorf("a request waited %s for a record that could not be written", took)
+		if took := time.Since(began); took > sendTimeout+maximumRecordWait {
+			t.Errorf("two runs took %s without a leader, want at most 1.15s", took)
 		}
 		began = time.Now()
 		if judged := run(t, one, "good", "b", Answered); judged.Permission != poison.Free || time.Since(began) > 0 {
-			t.Errorf("another request: %+v after %s", judged, time.Since(began))
+			t.Errorf("another request: got %+v after %s, want free without delay", judged, time.Since(began))
 		}
-		g.setAway(false)
+		g.setLeaderless(false)
 		time.Sleep(2 * retryInterval)
 		if records := g.records(); len(records) != 1 || records[0].Crashes != 1 {
-			t.Errorf("with a leader again, on record %+v", records)
+			t.Errorf("with a leader again: got records %+v, want one with one crash", records)
 		}
 		cancel()
 		<-ended
 	})
 }
 
-// TestRunsWaitForTheRecord: a request whose crash could not be put on record runs again as soon as it is, which a leader that is elected
-// meanwhile brings about. A process that is killed before has taken along the one crash.
+// TestRunsWaitForTheRecord guards against a second run of a request whose crash is not on record yet: if the process
+// were killed then, both crashes would be lost. The run waits, and begins as soon as a newly elected leader has taken
+// the report.
 func TestRunsWaitForTheRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { one.Run(ctx); close(ended) }()
-		g.setAway(true)
+		g.setLeaderless(true)
 		run(t, one, "good", "a", Crashed)
 		if made, judged := one.TryBegin(t.Context(), identify("good")); made != nil || judged.Permission != poison.Rest {
-			t.Errorf("a run beside another: %+v", judged)
+			t.Errorf("a hedged run: got %+v, want refused with a rest", judged)
 		}
 		began := time.Now()
-		time.AfterFunc(400*time.Millisecond, func() { g.setAway(false) })
-		if judged := run(t, one, "good", "b", Answered); judged.Permission != poison.Apart || time.Since(began) > recordWait {
-			t.Errorf("%+v after %s", judged, time.Since(began))
+		time.AfterFunc(400*time.Millisecond, func() { g.setLeaderless(false) })
+		if judged := run(t, one, "good", "b", Answered); judged.Permission != poison.Apart || time.Since(began) > maximumRecordWait {
+			t.Errorf("got %+v after %s, want apart within 1s", judged, time.Since(began))
 		}
 		if len(g.records()) != 0 {
-			t.Errorf("after its answer, on record %+v", g.records())
+			t.Errorf("after its answer: got records %+v, want none", g.records())
 		}
 		cancel()
 		<-ended
 	})
 }
 
-// TestRunsWaitForNoRecordThatIsNotKept: while some process may not read the record, each judges by what it saw itself.
+// TestRunsWaitForNoRecordThatIsNotKept guards against waiting for a record that may not be written: while some process
+// may not understand rows of suspects, each process decides by the crashes that it observed itself.
 func TestRunsWaitForNoRecordThatIsNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		one.config.Recorded = func() bool { return false }
 		began := time.Now()
 		for number, instance := range []string{"a", "b"} {
 			if judged := run(t, one, "bad", instance, Crashed); judged.Permission == poison.Rest {
-				t.Errorf("run %d: %+v", number, judged)
+				t.Errorf("run %d: got %+v, want no rest", number, judged)
 			}
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("two runs took %s", took)
+			t.Errorf("two runs took %s, want no delay", took)
 		}
 		if judged := run(t, one, "bad", "c", Crashed); judged.Permission != poison.Rest || judged.Crashes != 2 {
-			t.Errorf("after two crashes: %+v", judged)
+			t.Errorf("after two crashes: got %+v, want a rest", judged)
 		}
 	})
 }
 
-// TestCrashesThatShowLate: a run that broke off for a reason that nobody can tell counts as a crash once its back end is known to have
-// started again, or another one has its address; not when it lives on, leaves by plan, or its end has nothing to do with the run.
+// TestCrashesThatShowLate checks runs that broke off for an unknown reason. Such a run counts as a crash once the table
+// shows that its back end has restarted or that another one has its address. It does not count if the back end keeps
+// running, leaves as planned, or ends long after the run.
 func TestCrashesThatShowLate(t *testing.T) {
 	for name, test := range map[string]struct {
 		before, after []string
@@ -350,13 +355,13 @@
 		"another one there":   {after: []string{"-a", "n kind backend", "n pool app", "n address 10.0.0.1:1"}, want: 1},
 		"lives on":            {after: []string{"b start_unix_millis 9"}},
 		"left by plan":        {before: []string{"a state draining"}, after: []string{"-a", "n kind backend", "n pool app", "n address 10.0.0.1:1"}},
-		"long after the run":  {wait: 2 * brokenTime, after: []string{"a start_unix_millis 9"}},
+		"long after the run":  {wait: 2 * brokenRunTime, after: []string{"a start_unix_millis 9"}},
 		"taken out by nobody": {after: []string{"-a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newGroup(t)
-				one := g.guard()
+				one := g.newGuard()
 				if test.before != nil {
 					g.put(test.before...)
 				}
@@ -365,32 +370,33 @@
 				g.put(test.after...)
 				synctest.Wait()
 				if records := g.records(); len(records) != test.want {
-					t.Errorf("on record %+v, want %d", records, test.want)
+					t.Errorf("got records %+v, want %d", records, test.want)
 				}
 			})
 		})
 	}
 }
 
-// TestPlannedEndsAreNoCrash: what is left at a back end that leaves is cut off at its end.
+// TestPlannedEndsAreNoCrash guards against suspecting a request that the planned end of a draining back end
+// interrupted.
 func TestPlannedEndsAreNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		g.put("a state draining")
 		run(t, one, "good", "a", Crashed)
 		if records := g.records(); len(records) != 0 {
-			t.Errorf("on record %+v", records)
+			t.Errorf("got records %+v, want none", records)
 		}
 	})
 }
 
-// TestManyAtOneCrashAreFewChanges: an engine crashed with sixteen runs; while the first one's report is committed the others wait and go
-// together.
+// TestManyAtOneCrashAreFewChanges guards against one change of the table for each run of a crashed engine: while the
+// report of the first of sixteen runs is committed, the others queue and are committed together.
 func TestManyAtOneCrashAreFewChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		g.commit = 5 * time.Millisecond
 		var ending sync.WaitGroup
 		for number := range 16 {
@@ -400,42 +406,43 @@
 		}
 		ending.Wait()
 		if g.changes != 2 || len(g.records()) != 16 {
-			t.Errorf("%d changes for %d suspects", g.changes, len(g.records()))
+			t.Errorf("%d changes for %d suspects, want 2 for 16", g.changes, len(g.records()))
 		}
 		if occupied := one.Occupied(); len(occupied) != 0 {
-			t.Errorf("suspects run at %v after their end", occupied)
+			t.Errorf("got %v as occupied after all runs ended, want none", occupied)
 		}
 	})
 }
 
-// TestLateReportsToAFullRecord: a crash that the control group refuses only once it has a leader again is not held for ever.
+// TestLateReportsToAFullRecord guards against a crash that counts for ever: its report is postponed without a leader,
+// and the record is full once there is one.
 func TestLateReportsToAFullRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		one.config.Settings.Maximum = 1
 		other := identify("other")()
 		name := poison.RowName(other.Digest())
 		g.put(name+" kind suspect", name+" crashes 3")
-		g.setAway(true)
+		g.setLeaderless(true)
 		run(t, one, "good", "a", Crashed)
-		g.setAway(false)
+		g.setLeaderless(false)
 		if one.book.Len() != 2 {
-			t.Fatalf("%d suspects are known before the report is refused, want 2", one.book.Len())
+			t.Fatalf("%d suspects before the report is refused, want 2", one.book.Len())
 		}
-		one.sendWaiting(t.Context())
+		one.sendPostponed(t.Context())
 		g.follow()
 		if one.book.Len() != 1 {
-			t.Errorf("%d suspects are known, want the one on record", one.book.Len())
+			t.Errorf("%d suspects, want only the one on record", one.book.Len())
 		}
 	})
 }
 
-// TestOutdatedSuspectsAreForgotten, by the leader.
+// TestOutdatedSuspectsAreForgotten checks that the leader removes a suspect after its retention and not before.
 func TestOutdatedSuspectsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { one.Run(ctx); close(ended) }()
@@ -443,35 +450,37 @@
 		g.follow()
 		time.Sleep(poison.DefaultCondemnedRest - time.Second)
 		if len(g.records()) != 1 {
-			t.Error("forgotten too soon")
+			t.Error("the suspect was removed before its retention ended")
 		}
 		time.Sleep(2 * time.Second)
 		if records := g.records(); len(records) != 0 {
-			t.Errorf("on record %+v", records)
+			t.Errorf("after the retention: got records %+v, want none", records)
 		}
 		cancel()
 		<-ended
 	})
 }
 
-// TestOperatorsReleaseAndCondemn by the row of a suspect.
+// TestOperatorsReleaseAndCondemn checks that an operator can condemn a request by adding the row of a suspect, and
+// release it by removing the row.
 func TestOperatorsReleaseAndCondemn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t)
-		one := g.guard()
+		one := g.newGuard()
 		identity := identify("bad")()
 		name := poison.RowName(identity.Digest())
 		g.put(name+" kind suspect", name+" crashes 3")
 		if judged := run(t, one, "bad", "a", Answered); !judged.Condemned() {
-			t.Errorf("condemned by hand: %+v", judged)
+			t.Errorf("after an operator added the row: got %+v, want condemned", judged)
 		}
 		g.put("-" + name)
 		if judged := run(t, one, "bad", "a", Answered); judged.Permission != poison.Free {
-			t.Errorf("released: %+v", judged)
+			t.Errorf("after an operator removed the row: got %+v, want free", judged)
 		}
 	})
 }
 
+// TestEndingsOfCalls checks the ending that EndingOf derives from each kind of outcome of a call.
 func TestEndingsOfCalls(t *testing.T) {
 	for want, outcome := range map[Ending]replica.Outcome{
 		NotRun:   {Verdict: verdict.DidNotRun, Peer: replica.PeerGone},
@@ -480,7 +489,7 @@
 		BrokeOff: {Verdict: verdict.Ran, Peer: replica.PeerListening},
 	} {
 		if got := EndingOf(outcome); got != want {
-			t.Errorf("%+v is ending %d, want %d", outcome, got, want)
+			t.Errorf("%+v: got ending %d, want %d", outcome, got, want)
 		}
 	}
 }
--- a/internal/poisonguard/judge.go
+++ b/internal/poisonguard/judge.go
@@ -7,34 +7,35 @@
 	"github.com/tamarindring/tamarindring/internal/poison"
 )
 
-// recordWait is how long a run waits for the record: most elections are over by then, and a lease that is not renewed is as well.
-const recordWait = time.Second
+// maximumRecordWait bounds how long a run waits until observed crashes are on record. Most elections end within this
+// time, and so does a lease that is not renewed.
+const maximumRecordWait = time.Second
 
-func (g *Guard) nobodySuspected() bool {
+func (g *Guard) hasNoSuspects() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.book.Empty()
 }
 
-// judge says what a request may do now; changed is closed when that may have changed. A suspect that would run freely rests while a crash
-// seen here is not on record, unless no record is kept.
+// judge returns the permission of a request now. changed is closed when the permission may have changed. A suspect that
+// may run without a claim rests while a crash observed here is not on record, unless no suspects may be recorded.
 func (g *Guard) judge(digest poison.Digest) (judged poison.Judgment, changed <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	judged = g.book.Judge(g.config.Clock(), digest)
-	if judged.Permission == poison.Apart && judged.Unrecorded && g.recorded(g.view) {
+	if judged.Permission == poison.Apart && judged.Unrecorded && g.canRecord(g.view) {
 		judged.Permission, judged.Left = poison.Rest, poison.UnrecordedRest
 	}
 	return judged, g.changed
 }
 
-// judgeOnRecord is judge that waits for the record of the crashes seen here.
-func (g *Guard) judgeOnRecord(ctx context.Context, digest poison.Digest) poison.Judgment {
+// judgeRecorded is like judge, but waits until the crashes observed here are on record, for maximumRecordWait at most.
+func (g *Guard) judgeRecorded(ctx context.Context, digest poison.Digest) poison.Judgment {
 	judged, changed := g.judge(digest)
 	if judged.Permission != poison.Rest || !judged.Unrecorded {
 		return judged
 	}
-	limit := time.NewTimer(recordWait)
+	limit := time.NewTimer(maximumRecordWait)
 	defer limit.Stop()
 	for judged.Permission == poison.Rest && judged.Unrecorded {
 		select {
@@ -49,8 +50,8 @@
 	return judged
 }
 
-// signal wakes the runs that wait for the record. The caller holds the mutex.
-func (g *Guard) signal() {
+// notifyChanged wakes the runs that wait for the record. The caller holds the mutex.
+func (g *Guard) notifyChanged() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
--- a/internal/poisonguard/late.go
+++ b/internal/poisonguard/late.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// brokenTime is for how long after a run broke off the end of its back end is put down to it: a back end that starts again has
-	// registered within 3.4 s, one heartbeat late at most.
-	brokenTime = 5 * time.Second
-	// maximumBroken bounds the runs that are remembered for it; the oldest go first.
-	maximumBroken = 1024
+	// brokenRunTime is how long after a run broke off the end of its back end is attributed to the run. A back end that
+	// restarts has registered within 3.4 s, at most one heartbeat late.
+	brokenRunTime = 5 * time.Second
+	// maximumBrokenRuns bounds the remembered runs. Beyond it the oldest are dropped.
+	maximumBrokenRuns = 1024
 )
 
-// brokenRun is a run that broke off while what became of its back end was not known.
+// brokenRun is a run that broke off without this process knowing whether its back end crashed.
 type brokenRun struct {
 	run *Run
 	at  time.Duration
 }
 
-// remember keeps a run that broke off until the table tells what became of its back end.
-func (g *Guard) remember(run *Run) {
+// rememberBroken remembers a run that broke off until the table shows whether its back end has ended.
+func (g *Guard) rememberBroken(run *Run) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.leavingLocked(run.instance) {
+	if g.isLeavingLocked(run.instance) {
 		return
 	}
-	if len(g.broken) >= maximumBroken {
-		g.broken = slices.Delete(g.broken, 0, 1)
+	if len(g.brokenRuns) >= maximumBrokenRuns {
+		g.brokenRuns = slices.Delete(g.brokenRuns, 0, 1)
 	}
-	g.broken = append(g.broken, brokenRun{run: run, at: g.config.Clock()})
+	g.brokenRuns = append(g.brokenRuns, brokenRun{run: run, at: g.config.Clock()})
 }
 
-// crashedMeanwhile takes out the runs that broke off and whose back ends are known to have ended since: they have started again, or
-// another one has their address. Behind a cut nothing else tells. The caller holds the mutex.
-func (g *Guard) crashedMeanwhile(now time.Duration) (crashed []*Run) {
-	g.broken = slices.DeleteFunc(g.broken, func(one brokenRun) bool { return now-one.at > brokenTime })
-	if len(g.broken) == 0 {
+// takeCrashed removes and returns the remembered runs whose back ends have ended since: the back end has restarted, or
+// another one serves at its address. If a network partition separates this process from the back end, the table is the
+// only evidence. The caller holds the mutex.
+func (g *Guard) takeCrashed(now time.Duration) (crashed []*Run) {
+	g.brokenRuns = slices.DeleteFunc(g.brokenRuns, func(one brokenRun) bool { return now-one.at > brokenRunTime })
+	if len(g.brokenRuns) == 0 {
 		return nil
 	}
 	holders := map[string]string{} // instance by address
@@ -47,27 +48,27 @@
 			holders[row.Address] = row.Instance
 		}
 	}
-	g.broken = slices.DeleteFunc(g.broken, func(one brokenRun) bool {
+	g.brokenRuns = slices.DeleteFunc(g.brokenRuns, func(one brokenRun) bool {
 		holder := holders[one.run.address]
-		over := g.view.Ended(one.run.instance) || holder != "" && holder != one.run.instance
-		if over {
-			g.book.Crashed(now, one.run.named(), one.run.crash())
+		ended := g.view.Ended(one.run.instance) || holder != "" && holder != one.run.instance
+		if ended {
+			g.book.Crashed(now, one.run.ensureDigest(), one.run.crashName())
 			g.counts.crashes.WithLabelValues().Inc()
 			crashed = append(crashed, one.run)
 		}
-		return over
+		return ended
 	})
 	return crashed
 }
 
-// leaving tells whether a back end leaves by plan, as far as the table tells.
-func (g *Guard) leaving(instance string) bool {
+// isLeaving reports whether the followed table shows a planned end of a back end: its state is not active.
+func (g *Guard) isLeaving(instance string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.leavingLocked(instance)
+	return g.isLeavingLocked(instance)
 }
 
-func (g *Guard) leavingLocked(instance string) bool {
+func (g *Guard) isLeavingLocked(instance string) bool {
 	if g.view == nil {
 		return false
 	}
--- a/internal/poisonguard/metrics.go
+++ b/internal/poisonguard/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// counts are the guard's metrics.
+// counts holds the guard's metrics.
 type counts struct {
 	metrics.Set
 	suspects prometheus.Gauge
--- a/internal/poisonguard/occupied.go
+++ b/internal/poisonguard/occupied.go
@@ -1,22 +1,22 @@
 package poisonguard
 
-// count counts the suspects that this process runs at a back end.
-func (g *Guard) count(instance string, by int) {
+// addSuspectRuns changes the number of suspects that this process runs at a back end.
+func (g *Guard) addSuspectRuns(instance string, difference int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.beside[instance] += by
-	if g.beside[instance] == 0 {
-		delete(g.beside, instance)
+	g.suspectRuns[instance] += difference
+	if g.suspectRuns[instance] == 0 {
+		delete(g.suspectRuns, instance)
 	}
 }
 
-// Occupied are the back ends at which this process runs suspects: another one is better run elsewhere, so that a crash tells which of
-// them it was.
+// Occupied returns the instances of the back ends at which this process runs suspects. A further suspect should run
+// elsewhere, so that a crash identifies its cause.
 func (g *Guard) Occupied() []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	occupied := make([]string, 0, len(g.beside))
-	for instance := range g.beside {
+	occupied := make([]string, 0, len(g.suspectRuns))
+	for instance := range g.suspectRuns {
 		occupied = append(occupied, instance)
 	}
 	return occupied
--- a/internal/poisonguard/poisonguardtest/nocontrol.go
+++ b/internal/poisonguard/poisonguardtest/nocontrol.go
@@ -1,4 +1,4 @@
-// Package poisonguardtest is what tests of several packages need of guards; only tests import it.
+// Package poisonguardtest provides helpers for tests of packages that use poisonguard. Only tests import it.
 package poisonguardtest
 
 import (
@@ -8,10 +8,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// ErrNoLeader is what NoControl answers.
+// ErrNoLeader is the error of all methods of NoControl.
 var ErrNoLeader = errors.New("no leader")
 
-// NoControl is a control group without a leader: a guard that works with it judges by what it saw itself. It implements configure.Control.
+// NoControl is a control group without a leader. A guard that uses it decides by the crashes that it observed itself.
+// It implements configure.Control.
 type NoControl struct{}
 
 // Query implements configure.Control.
@@ -24,5 +25,6 @@
 	return nil, 0, ErrNoLeader
 }
 
-// NotRecorded is for poisonguard.Config.Recorded: no record is kept yet, so that a guard waits for none and permits by what it saw itself.
+// NotRecorded is a value for poisonguard.Config.Recorded: suspects must not be recorded yet. A guard then does not wait
+// for the record and decides by the crashes that it observed itself.
 func NotRecorded() bool { return false }
--- a/internal/poisonguard/record.go
+++ b/internal/poisonguard/record.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// maximumBatch bounds the steps of one change: an engine that crashes takes as many runs along as it has slots.
+	// maximumBatch bounds the steps of one change. An engine that crashes ends as many runs as it has slots.
 	maximumBatch = 64
-	// changeTime bounds the making of one change, conflicts included.
-	changeTime = time.Second
-	// sendTime is how long whoever waits for a step waits: a harmless request is not held up for longer by a control group that
-	// has no leader.
-	sendTime = 150 * time.Millisecond
+	// changeTimeout bounds the time for one change, including repetitions after conflicts.
+	changeTimeout = time.Second
+	// sendTimeout bounds how long a caller waits for a step, so that a control group without a leader does not delay a
+	// harmless request for longer.
+	sendTimeout = 150 * time.Millisecond
 )
 
-// wanted is a step on its way into the record.
-type wanted struct {
+// pendingStep is a step that is queued for the record.
+type pendingStep struct {
 	poison.Want
-	outcome poison.Outcome // set before the answer
+	outcome poison.Outcome // set before the call finishes
 }
 
-// send has the record take a step, together with those of others, and returns what became of it. An error leaves open whether it did.
+// send queues a step for the record, where it is batched with others, and returns its outcome. After an error it is
+// unknown whether the step was or will be taken.
 func (g *Guard) send(ctx context.Context, want poison.Want) (poison.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, sendTime)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	sent := &wanted{Want: want}
+	sent := &pendingStep{Want: want}
 	if err := g.queue.Do(ctx, sent); err != nil {
 		g.counts.steps.WithLabelValues(want.Step.String(), "failed").Inc()
 		return poison.Outcome{}, err
@@ -49,8 +50,9 @@
 	return sent.outcome, nil
 }
 
-// takeDistinct takes those that wait in their order, up to the second one of a suspect.
-func takeDistinct(waiting []*batching.Call[*wanted]) int {
+// takeDistinct returns how many of the waiting steps, from the first, go into the next batch: at most maximumBatch, and
+// none from the second step of the same suspect on.
+func takeDistinct(waiting []*batching.Call[*pendingStep]) int {
 	taken := map[poison.Digest]bool{}
 	for count, call := range waiting {
 		if count == maximumBatch || taken[call.Value.Digest] {
@@ -61,15 +63,15 @@
 	return len(waiting)
 }
 
-// commit makes one change of the table for a batch of steps.
-func (g *Guard) commit(batch []*batching.Call[*wanted]) (postponed []*batching.Call[*wanted]) {
-	ctx, cancel := context.WithTimeout(context.Background(), changeTime)
+// commit performs a batch of steps with one change of the table.
+func (g *Guard) commit(batch []*batching.Call[*pendingStep]) (postponed []*batching.Call[*pendingStep]) {
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
 	wants := make([]poison.Want, 0, len(batch))
 	for _, call := range batch {
 		wants = append(wants, call.Value.Want)
 	}
-	outcomes, err := g.change(ctx, wants)
+	outcomes, err := g.applySteps(ctx, wants)
 	for position, call := range batch {
 		if err == nil {
 			call.Value.outcome = outcomes[position]
@@ -79,25 +81,26 @@
 	return nil
 }
 
-// change brings the table to what is wanted. It is planned on the view that this process follows, and on the newest one where that
-// was too old: a cell has changed since, or a row that is to go has gone.
-func (g *Guard) change(ctx context.Context, wants []poison.Want) ([]poison.Outcome, error) {
-	view := g.followed()
-	if !g.recorded(view) {
+// applySteps changes the table as the steps want. The change is planned on the view that this process follows. If that
+// view is too old, because a cell has changed or a row to remove has gone, the change is planned again on the newest
+// view.
+func (g *Guard) applySteps(ctx context.Context, wants []poison.Want) ([]poison.Outcome, error) {
+	view := g.followedView()
+	if !g.canRecord(view) {
 		return nil, errNotRecorded
 	}
 	fresh := false
 	for {
 		if view == nil {
 			var err error
-			if view, err = configure.ReadView(ctx, g.config.Control, g.followed()); err != nil {
+			if view, err = configure.ReadView(ctx, g.config.Control, g.followedView()); err != nil {
 				return nil, trace.Wrap(err)
 			}
 			fresh = true
 		}
 		planned := poison.Plan(view, wants, g.config.Settings)
 		if !fresh && slices.ContainsFunc(planned.Outcomes, func(outcome poison.Outcome) bool { return !outcome.Changed }) {
-			view = nil // only a view that is known to be the newest says that there is nothing to do
+			view = nil // only the newest view can show that a step needs no change
 			continue
 		}
 		if len(planned.Change.Cells)+len(planned.Change.RemoveRows) == 0 {
@@ -117,16 +120,17 @@
 	}
 }
 
-// errNotRecorded refuses a step while some process may not read rows of suspects; it is taken again later.
-var errNotRecorded = trace.LimitExceeded("a process of an older build would not read the record of suspects")
+// errNotRecorded rejects a step while some process may not understand rows of suspects. The step is sent again later.
+var errNotRecorded = trace.LimitExceeded("suspects cannot be recorded: a process of an older build would not understand their rows")
 
-// recorded tells whether suspects may be recorded. Where some are, every build beside this one reads them.
-func (g *Guard) recorded(view *table.View) bool {
+// canRecord reports whether suspects may be recorded. If the table has some already, every running build understands
+// them.
+func (g *Guard) canRecord(view *table.View) bool {
 	return g.config.Recorded == nil || view != nil && len(view.Suspects()) > 0 || g.config.Recorded()
 }
 
-// followed is the table as this process follows it; nil before it does.
-func (g *Guard) followed() *table.View {
+// followedView returns the table as this process follows it; nil before the first view.
+func (g *Guard) followedView() *table.View {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.view
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -11,20 +11,20 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// Ending is how a run ended, as far as it says something of the request.
+// Ending classifies how a run ended.
 type Ending uint8
 
 // The endings.
 const (
-	NotRun       Ending = iota // it never began
-	Answered                   // whole, with whatever status: the back end has survived it
-	Stopped                    // by its caller or by this process
-	BrokeOff                   // it may have run, and what became of the back end is not known yet
+	NotRun       Ending = iota // the run never began
+	Answered                   // the answer was complete, with any status: the back end survived the run
+	Stopped                    // the caller or this process stopped the run
+	BrokeOff                   // the request may have run, and it is not known yet whether the back end crashed
 	Crashed                    // the back end crashed
-	CrashedBySum               // the back end crashed by the sum of the large requests that it held, not by one of them
+	CrashedBySum               // the back end crashed because of its large requests together, not because of a single one
 )
 
-// EndingOf is the ending of a call to a back end that nobody has stopped.
+// EndingOf returns the ending of a call to a back end that was not stopped.
 func EndingOf(outcome replica.Outcome) Ending {
 	switch {
 	case outcome.Verdict == verdict.DidNotRun:
@@ -40,40 +40,41 @@
 // Run is one permitted run of a request at one back end.
 type Run struct {
 	guard    *Guard
-	identify func() poison.Identity // what it reads may change once the run has ended
+	identify func() poison.Identity // must not be called after the run has ended, as the request may change then
 	digest   poison.Digest          // NoDigest until it is needed
-	subject  string                 // likewise
+	subject  string                 // set together with digest
 	judged   poison.Judgment
-	claimed  uint32 // crashes on record with the claim; 0: it was not claimed
+	claimed  uint32 // crashes on record including the claim; 0 if the run was not claimed
 	instance string // empty until the back end is chosen
 	address  string
-	alone    string // name of its crash where the start of the back end is not known
-	placed   bool   // it counts among the suspects at the back end
+	ownCrash string // name of its crash if the start of the back end is not known; empty until it is needed
+	placed   bool   // the run is counted in Guard.suspectRuns
 }
 
-// Begin asks for one run of a request. The run is nil if it must not run now; otherwise it is ended by End, or by Note and what that
-// returns. identify is called only when somebody is suspected or something crashes. Where a crash of the request was seen here that is not
-// on record yet, Begin waits until it is, for recordWait at most and no longer than ctx: run before, it could take another back end whose
-// end only this process knows.
+// Begin asks for one run of a request. The run is nil if the request must not run now. Otherwise the caller ends the
+// run with End, or with Note and the function that Note returns. identify is called only if there are suspects or a
+// back end crashes. If this process observed a crash of the request that is not on record yet, Begin waits until it is,
+// for maximumRecordWait at most and no longer than ctx. A run before that could crash another back end of which only
+// this process would know.
 func (g *Guard) Begin(ctx context.Context, identify func() poison.Identity) (*Run, poison.Judgment) {
 	run := &Run{guard: g, identify: identify}
-	if g.nobodySuspected() {
+	if g.hasNoSuspects() {
 		return run, poison.Judgment{}
 	}
-	return run.begin(ctx, g.judgeOnRecord(ctx, run.named()))
+	return run.begin(ctx, g.judgeRecorded(ctx, run.ensureDigest()))
 }
 
-// TryBegin is Begin that does not wait for the record, for a run beside another one.
+// TryBegin is like Begin, but does not wait for the record. It is meant for a hedged run beside another one.
 func (g *Guard) TryBegin(ctx context.Context, identify func() poison.Identity) (*Run, poison.Judgment) {
 	run := &Run{guard: g, identify: identify}
-	if g.nobodySuspected() {
+	if g.hasNoSuspects() {
 		return run, poison.Judgment{}
 	}
-	judged, _ := g.judge(run.named())
+	judged, _ := g.judge(run.ensureDigest())
 	return run.begin(ctx, judged)
 }
 
-// begin acts on a judgment.
+// begin permits, claims or refuses the run according to a judgment.
 func (r *Run) begin(ctx context.Context, judged poison.Judgment) (*Run, poison.Judgment) {
 	r.judged = judged
 	switch judged.Permission {
@@ -86,22 +87,22 @@
 	return r, judged
 }
 
-// overtakenRest is how long a request is put off whose run another process has claimed just now, or whose claim has no answer.
-const overtakenRest = time.Second
+// failedClaimRest is the rest of a request whose run another process has just claimed, or whose claim was not answered.
+const failedClaimRest = time.Second
 
-// claim takes the right to the one run of a suspect.
+// claim claims the only run of a suspect that is permitted at a time in the whole deployment.
 func (r *Run) claim(ctx context.Context) (*Run, poison.Judgment) {
 	outcome, err := r.guard.send(ctx, poison.Want{Step: poison.Claim, Digest: r.digest, Crashes: r.judged.Recorded})
 	if err != nil || !outcome.Done {
 		r.guard.counts.refused.WithLabelValues(poison.Trial.String()).Inc()
-		return nil, poison.Judgment{Permission: poison.Rest, Crashes: r.judged.Crashes, Recorded: r.judged.Recorded, Left: overtakenRest}
+		return nil, poison.Judgment{Permission: poison.Rest, Crashes: r.judged.Crashes, Recorded: r.judged.Recorded, Left: failedClaimRest}
 	}
 	r.claimed = outcome.Crashes
 	return r, r.judged
 }
 
-// named is the digest of the run's request.
-func (r *Run) named() poison.Digest {
+// ensureDigest returns the digest of the run's request and computes it on the first call, together with the subject.
+func (r *Run) ensureDigest() poison.Digest {
 	if r.digest == poison.NoDigest {
 		identity := r.identify()
 		r.digest, r.subject = identity.Digest(), identity.Subject()
@@ -109,32 +110,32 @@
 	return r.digest
 }
 
-// Suspected tells whether the request is suspected: nothing may run beside this run for it.
+// Suspected reports whether the request is a suspect, so that it must not be hedged by a second run.
 func (r *Run) Suspected() bool { return r.judged.Permission != poison.Free }
 
-// Claimed tells whether the run is the one that is permitted in the whole deployment. It stays permitted whatever others do meanwhile;
-// any other run is asked for again before it is sent under a newer table.
+// Claimed reports whether the run holds the claim of its request. A claimed run stays permitted regardless of what
+// other processes do. Any other run must be requested again before it is sent under a newer table.
 func (r *Run) Claimed() bool { return r.claimed > 0 }
 
-// At says which back end the run goes to.
+// At notes the back end to which the run is sent.
 func (r *Run) At(instance, address string) {
 	r.instance, r.address = instance, address
 	if r.Suspected() {
-		r.guard.count(instance, 1)
+		r.guard.addSuspectRuns(instance, 1)
 		r.placed = true
 	}
 }
 
-// Leave says that the run does not go to the back end that it was to go to.
+// Leave notes that the run is not, or no longer, at the back end that was passed to At.
 func (r *Run) Leave() {
 	if r.placed {
-		r.guard.count(r.instance, -1)
+		r.guard.addSuspectRuns(r.instance, -1)
 		r.placed = false
 	}
 }
 
-// End notes how the run ended and returns once that is on record, or after sendTime. An answer waits for nobody: that it clears its
-// request goes on record behind its back.
+// End notes how the run ended and returns once that is on record, or after sendTimeout. For an answered run it returns
+// at once and records the ending in the background, so that the answer is not delayed.
 func (r *Run) End(ctx context.Context, ending Ending) {
 	settle := r.Note(ending)
 	if ending == Answered {
@@ -144,20 +145,20 @@
 	settle(ctx)
 }
 
-// Note notes how the run ended for this process, which judges by it from then on. The function that it returns puts it on record and
-// must be called.
+// Note notes how the run ended in this process only, which takes it into account from then on. The returned function
+// puts the ending on record and must be called.
 func (r *Run) Note(ending Ending) (settle func(ctx context.Context)) {
 	r.Leave()
 	switch {
 	case ending == CrashedBySum && r.Suspected():
-		ending = Crashed // a suspect doesn't hide behind others
-	case ending == Crashed && r.guard.leaving(r.instance):
-		ending = Stopped // a planned end cuts off what is left
+		ending = Crashed // a suspect may itself have caused the crash
+	case ending == Crashed && r.guard.isLeaving(r.instance):
+		ending = Stopped // the planned end of a back end interrupts its remaining runs
 	case ending == BrokeOff:
-		r.named()
-		unclaimed := *r // a claim is given back now, so the crash counts if it shows later
+		r.ensureDigest()
+		unclaimed := *r // the claim is returned now, so a crash that is detected later must be counted
 		unclaimed.claimed = 0
-		r.guard.remember(&unclaimed)
+		r.guard.rememberBroken(&unclaimed)
 	}
 	if ending == Crashed {
 		r.noteCrash()
@@ -165,44 +166,47 @@
 	if ending != Crashed && r.claimed == 0 && (ending != Answered || !r.Suspected()) {
 		return func(context.Context) {}
 	}
-	return func(ctx context.Context) { r.settle(ctx, ending) }
+	return func(ctx context.Context) { r.recordEnding(ctx, ending) }
 }
 
+// noteCrash notes the crash in the book of this process.
 func (r *Run) noteCrash() {
-	digest := r.named()
+	digest := r.ensureDigest()
 	r.guard.counts.crashes.WithLabelValues().Inc()
 	r.guard.mutex.Lock()
 	defer r.guard.mutex.Unlock()
-	if r.claimed == 0 { // otherwise it is counted already
-		r.guard.book.Crashed(r.guard.config.Clock(), digest, r.crash())
+	if r.claimed == 0 { // a claimed run counts as a crash already
+		r.guard.book.Crashed(r.guard.config.Clock(), digest, r.crashName())
 	}
 }
 
-// crash names the crash of the run's back end: by the instance, so that all processes that saw it name it alike. Where the start of a
-// back end is not known its next crash would have the same name, so each run names its own.
-func (r *Run) crash() string {
+// crashName returns the name under which the crash of the run's back end is recorded. It is the instance, so that all
+// processes that observed the crash use the same name. If the start of the back end is not known, its next crash would
+// have the same instance, so each run uses a name of its own.
+func (r *Run) crashName() string {
 	if incarnation.Parse(r.instance).Start > 0 {
 		return r.instance
 	}
-	if r.alone == "" {
-		r.alone = r.instance + "#" + rand.Text()[:suffixLength]
+	if r.ownCrash == "" {
+		r.ownCrash = r.instance + "#" + rand.Text()[:suffixLength]
 	}
-	return r.alone
+	return r.ownCrash
 }
 
-// suffixLength tells crashes of one back end apart, of which few are on record at a time.
+// suffixLength is enough to distinguish the crashes of one back end, of which few are on record at a time.
 const suffixLength = 6
 
-// settle puts the end of a run on record. Callers may be gone by then, so their contexts don't end it.
-func (r *Run) settle(ctx context.Context, ending Ending) {
+// recordEnding puts the ending of a run on record. It ignores the cancellation of ctx because the caller may be gone by
+// then.
+func (r *Run) recordEnding(ctx context.Context, ending Ending) {
 	ctx = context.WithoutCancel(ctx)
 	switch ending {
 	case Crashed:
-		digest := r.named() // sets the subject
-		r.guard.deliver(ctx, poison.Want{Step: poison.Report, Digest: digest, Instance: r.crash(), Subject: r.subject, Counted: r.claimed > 0})
+		digest := r.ensureDigest() // also sets the subject
+		r.guard.deliver(ctx, poison.Want{Step: poison.Report, Digest: digest, Instance: r.crashName(), Subject: r.subject, Counted: r.claimed > 0})
 	case Answered:
-		r.guard.deliver(ctx, poison.Want{Step: poison.Clear, Digest: r.named()})
+		r.guard.deliver(ctx, poison.Want{Step: poison.Clear, Digest: r.ensureDigest()})
 	default:
-		r.guard.deliver(ctx, poison.Want{Step: poison.Return, Digest: r.named(), Crashes: r.claimed})
+		r.guard.deliver(ctx, poison.Want{Step: poison.Return, Digest: r.ensureDigest(), Crashes: r.claimed})
 	}
 }
