--- a/internal/claim/retention.go
+++ b/internal/claim/retention.go
@@ -149,8 +149,8 @@
 // retentionList is a doubly linked list of records in the order of their last change.
 type retentionList struct{ first, last *record }
 
-// expired reports whether the last change of the first record is before a time in Unix milliseconds.
-func (l *retentionList) expired(before int64) bool { return l.first != nil && l.first.changedAt < before }
+// expired reports whether the last change of the first record is before limit, in Unix milliseconds.
+func (l *retentionList) expired(limit int64) bool { return l.first != nil && l.first.changedAt < limit }
 
 func (l *retentionList) push(r *record) {
 	r.previous, r.next = l.last, nil
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -159,16 +159,16 @@
 	if answer == nil {
 		return &wire.Answer{}
 	}
-	kept := &wire.Answer{Status: answer.GetStatus(), ContentType: answer.GetContentType()}
-	if len(kept.ContentType) > MaximumIDBytes {
-		kept.ContentType = ""
+	stored := &wire.Answer{Status: answer.GetStatus(), ContentType: answer.GetContentType()}
+	if len(stored.ContentType) > MaximumIDBytes {
+		stored.ContentType = ""
 	}
 	if len(answer.GetBody()) <= MaximumAnswerBytes {
-		kept.Body = append([]byte(nil), answer.GetBody()...)
-		return kept
+		stored.Body = append([]byte(nil), answer.GetBody()...)
+		return stored
 	}
-	kept.BodyDropped = true
-	kept.BodySize = uint64(len(answer.GetBody()))
-	kept.BodyDigest = xxhash.Sum64(answer.GetBody())
-	return kept
+	stored.BodyDropped = true
+	stored.BodySize = uint64(len(answer.GetBody()))
+	stored.BodyDigest = xxhash.Sum64(answer.GetBody())
+	return stored
 }
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -225,13 +225,13 @@
 		}
 		for r, runner := range w.runs {
 			if w.calls[runner].arrived <= call.refusedAt {
-				return fmt.Sprintf("call %d was told did-not-run as of %d, call %d ran at %d", i, call.refusedAt, runner, w.runAt[r])
+				return fmt.Sprintf("call %d got the verdict did-not-run as of step %d, but call %d ran at step %d", i, call.refusedAt, runner, w.runAt[r])
 			}
 		}
 	}
 	for i, call := range w.calls {
 		if call.reply != nil && call.reply.Verdict == verdict.Ran && len(w.runs) == 0 {
-			return fmt.Sprintf("call %d was told ran, nothing ran", i)
+			return fmt.Sprintf("call %d got the verdict ran, but nothing ran", i)
 		}
 	}
 	return ""
--- a/internal/registry/batch.go
+++ b/internal/registry/batch.go
@@ -18,52 +18,54 @@
 const (
 	// maximumBatch bounds the replicas of one change of the table, so that a change stays a small message.
 	maximumBatch = 128
-	// batchTimeout bounds the making of one change, conflicts included.
+	// batchTimeout bounds the time for one change, including repetitions after conflicts.
 	batchTimeout = time.Second
 )
 
-// wanted is what one caller wants the table to say of a replica.
-type wanted struct {
+// pendingUpdate is a registration or deregistration that is queued for the table.
+type pendingUpdate struct {
 	replica   incarnation.Incarnation
-	heartbeat *Registration // nil: the replica leaves for good
-	version   uint64        // set before the answer: table version with the change; 0 when there was nothing to change
-	former    uint64        // likewise: the start that the change ended, in Unix milliseconds; 0: none that is known
+	heartbeat *Registration // nil to deregister the replica
+
+	// The fields below are set before the call finishes.
+	version     uint64 // table version that includes the change; 0 if there was nothing to change
+	formerStart uint64 // start that the change replaced, in Unix milliseconds; 0 if none is known
 }
 
-// plan returns the change that brings the table to what is wanted; nil when it says so already.
-func (w *wanted) plan(view *table.View, at addresses) *wire.TableChange {
-	if w.heartbeat == nil {
-		return Leave(view, w.replica)
+// plan returns the change that applies the update to a view of the table; nil if the table needs no change.
+func (u *pendingUpdate) plan(view *table.View, byAddress addressIndex) *wire.TableChange {
+	if u.heartbeat == nil {
+		return PlanDeregistration(view, u.replica)
 	}
-	row := view.Row(w.replica.ID)
-	if Judge(row, w.heartbeat) != Changed {
+	row := view.Row(u.replica.ID)
+	if Classify(row, u.heartbeat) != Changed {
 		return nil
 	}
-	w.former = 0
-	if row != nil && w.replica.Compare(row.Incarnation()) == incarnation.Newer {
-		w.former = row.Start
+	u.formerStart = 0
+	if row != nil && u.replica.Compare(row.Incarnation()) == incarnation.Newer {
+		u.formerStart = row.Start
 	}
-	return changeAt(view, w.heartbeat, at)
+	return planRegistration(view, u.heartbeat, byAddress)
 }
 
-// address is where the replica says that it listens, in canonical form; empty for one that leaves.
-func (w *wanted) address() string {
-	if w.heartbeat == nil {
+// address returns the replica's address in canonical form; empty for a deregistration.
+func (u *pendingUpdate) address() string {
+	if u.heartbeat == nil {
 		return ""
 	}
-	if parsed, err := netip.ParseAddrPort(w.heartbeat.Address); err == nil {
+	if parsed, err := netip.ParseAddrPort(u.heartbeat.Address); err == nil {
 		return parsed.String()
 	}
-	return w.heartbeat.Address
+	return u.heartbeat.Address
 }
 
-type wantedCall = batching.Call[*wanted]
+type updateCall = batching.Call[*pendingUpdate]
 
-// batches makes few changes of the table of what many replicas want at once. Each change makes a new version that every
-// process of the fleet adopts, so replicas that start or leave together must not take one each.
+// batches combines the updates of many replicas into few changes of the table. Each change creates a new version that
+// every process of the fleet adopts, so replicas that start or leave at the same time must not cause one change each.
 type batches struct {
 	config *Config
-	queue  batching.Queue[*wanted]
+	queue  batching.Queue[*pendingUpdate]
 }
 
 func newBatches(config *Config) *batches {
@@ -72,16 +74,17 @@
 	return b
 }
 
-// do waits until the table says what is wanted, and returns the outcome; its version is 0 when the table said so already. An
-// error leaves open whether it does.
-func (b *batches) do(ctx context.Context, replica incarnation.Incarnation, heartbeat *Registration) (done *wanted, err error) {
-	done = &wanted{replica: replica, heartbeat: heartbeat}
+// submit queues an update, waits until the table includes it and returns it with its results. After an error it is
+// unknown whether the table includes the update or will.
+func (b *batches) submit(ctx context.Context, replica incarnation.Incarnation, heartbeat *Registration) (done *pendingUpdate, err error) {
+	done = &pendingUpdate{replica: replica, heartbeat: heartbeat}
 	return done, b.queue.Do(ctx, done)
 }
 
-// takeIndependent takes those that wait in their order, up to the first that builds on an earlier one: the same instance
-// or the same address.
-func takeIndependent(waiting []*wantedCall) int {
+// takeIndependent returns how many of the waiting updates, from the first, go into the next batch: at most
+// maximumBatch, and none from the first update on that depends on an earlier one because of the same instance or
+// address.
+func takeIndependent(waiting []*updateCall) int {
 	taken := map[string]bool{}
 	for count, call := range waiting {
 		address := call.Value.address()
@@ -96,15 +99,15 @@
 	return len(waiting)
 }
 
-// commit makes one batch's change. A change that the table refuses is made again for each replica alone, so that one bad
-// registration fails by itself.
-func (b *batches) commit(batch []*wantedCall) (postponed []*wantedCall) {
+// commit makes the change for one batch. If the table rejects it, commit makes a change for each replica separately, so
+// that an invalid registration does not fail the others. It returns the updates that need another change.
+func (b *batches) commit(batch []*updateCall) (postponed []*updateCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
-	postponed, err := b.settle(ctx, batch)
+	postponed, err := b.apply(ctx, batch)
 	if trace.IsBadParameter(err) && len(batch) > 1 {
 		for _, call := range batch {
-			_, err = b.settle(ctx, []*wantedCall{call})
+			_, err = b.apply(ctx, []*updateCall{call})
 			call.Finish(err)
 		}
 		return nil
@@ -115,10 +118,11 @@
 	return postponed
 }
 
-// settle brings the table to what a batch wants, again after each conflict, and notes the version that does. It
-// returns those that must wait for another change, from the first that wants a cell otherwise than an earlier one.
-func (b *batches) settle(ctx context.Context, batch []*wantedCall) (postponed []*wantedCall, err error) {
-	view := b.followed()
+// apply makes the change for a batch, repeats it after each conflict, and stores the resulting version in the updates.
+// It returns the updates that need another change: those from the first one on that sets a cell to a different value
+// than an earlier one.
+func (b *batches) apply(ctx context.Context, batch []*updateCall) (postponed []*updateCall, err error) {
+	view := b.recentView()
 	for {
 		fresh := view == nil
 		if fresh {
@@ -127,14 +131,14 @@
 			}
 		}
 		planned := mergeChanges(view, batch)
-		if planned.nothing > 0 && !fresh {
-			view = nil // only a table that is known to be the newest says that there is nothing to do
+		if planned.unchanged > 0 && !fresh {
+			view = nil // only the newest table can show that an update needs no change
 			continue
 		}
 		if len(planned.change.Cells) == 0 {
 			return planned.postponed, nil
 		}
-		version, done, err := b.send(ctx, planned.change)
+		version, done, err := b.sendChange(ctx, planned.change)
 		if err != nil {
 			return nil, err
 		}
@@ -148,16 +152,18 @@
 	}
 }
 
-// followed is the table as this process follows it, where that is recent: at the leader.
-func (b *batches) followed() *table.View {
+// recentView returns the table as this process follows it if it is the leader, whose view is recent. Otherwise it
+// returns nil.
+func (b *batches) recentView() *table.View {
 	if !b.config.Leading() {
 		return nil
 	}
 	return b.config.View()
 }
 
-// send makes a change of the table; done is false after a conflict.
-func (b *batches) send(ctx context.Context, change *wire.TableChange) (version uint64, done bool, err error) {
+// sendChange sends a change to the control group; done is false after a conflict. It returns trace.BadParameter if the
+// table rejects the change.
+func (b *batches) sendChange(ctx context.Context, change *wire.TableChange) (version uint64, done bool, err error) {
 	change.ChangeId, change.Operator = rand.Text(), b.config.Operator
 	result, _, err := b.config.Control.ChangeTable(ctx, change, false)
 	if err != nil {
@@ -172,26 +178,26 @@
 	return 0, false, trace.BadParameter("the table refused a registration: %v", result.GetRefusals())
 }
 
-// plannedBatch is one change for what many want.
+// plannedBatch is one change of the table for a batch of updates.
 type plannedBatch struct {
 	change    *wire.TableChange
-	included  []*wantedCall // by the change
-	postponed []*wantedCall // for another change: the last ones of the batch
-	nothing   int           // how many the table satisfies already
+	included  []*updateCall // updates that the change includes
+	postponed []*updateCall // updates that need another change: the last ones of the batch
+	unchanged int           // number of updates that the table includes already
 }
 
-// mergeChanges plans one change for a batch on a view.
-func mergeChanges(view *table.View, batch []*wantedCall) plannedBatch {
+// mergeChanges plans one change for a batch on a view of the table.
+func mergeChanges(view *table.View, batch []*updateCall) plannedBatch {
 	planned := plannedBatch{change: &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote}}
-	at := addressesOf(view)
+	byAddress := indexAddresses(view)
 	cells := map[cellName]string{}
 	for number, one := range batch {
-		change := one.Value.plan(view, at)
+		change := one.Value.plan(view, byAddress)
 		if change == nil {
-			planned.nothing++
+			planned.unchanged++
 			continue
 		}
-		if contradicts(cells, change.Cells) {
+		if hasContradiction(cells, change.Cells) {
 			planned.postponed = batch[number:]
 			break
 		}
@@ -201,26 +207,27 @@
 	return planned
 }
 
-// cellName names a cell of the table.
+// cellName identifies a cell of the table.
 type cellName struct{ row, column string }
 
-func contradicts(held map[cellName]string, cells []*wire.CellChange) bool {
+// hasContradiction reports whether a cell differs from the planned value of the same cell.
+func hasContradiction(planned map[cellName]string, cells []*wire.CellChange) bool {
 	for _, cell := range cells {
-		if value, set := held[cellName{cell.GetRow(), cell.GetColumn()}]; set && value != cell.GetValue() {
+		if value, set := planned[cellName{cell.GetRow(), cell.GetColumn()}]; set && value != cell.GetValue() {
 			return true
 		}
 	}
 	return false
 }
 
-// add puts cells into the change, each once.
-func (p *plannedBatch) add(held map[cellName]string, cells []*wire.CellChange) {
+// add adds the cells that are not planned yet to the change.
+func (p *plannedBatch) add(planned map[cellName]string, cells []*wire.CellChange) {
 	for _, cell := range cells {
 		name := cellName{cell.GetRow(), cell.GetColumn()}
-		if _, set := held[name]; set {
+		if _, set := planned[name]; set {
 			continue
 		}
-		held[name] = cell.GetValue()
+		planned[name] = cell.GetValue()
 		p.change.Cells = append(p.change.Cells, cell)
 	}
 }
--- a/internal/registry/batch_test.go
+++ b/internal/registry/batch_test.go
@@ -14,11 +14,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// slowControl holds the first change back until release is closed.
+// slowControl delays the first change until release is closed.
 type slowControl struct {
 	*fakeControl
 	mutex   sync.Mutex
-	held    chan struct{} // closed when the first change has come
+	held    chan struct{} // closed when the first change has arrived
 	release chan struct{}
 	changes int
 	reads   int
@@ -55,15 +55,16 @@
 	return s.fakeControl.view()
 }
 
-// waitingFor returns once count callers wait behind the change under way.
+// waitingFor returns once at least count callers are queued behind the outstanding change.
 func waitingFor(b *batches, count int) {
 	for b.queue.Waiting() < count {
 		runtime.Gosched()
 	}
 }
 
-// TestReplicasThatStartTogetherTakeFewVersions: a thousand replicas that register while one change is under way are in
-// the table after a few more versions, and no table is read for them.
+// TestReplicasThatStartTogetherTakeFewVersions guards against one table version for each of a thousand replicas that
+// register while one change is outstanding. A few changes must be enough, and the leader must not read the table for
+// them.
 func TestReplicasThatStartTogetherTakeFewVersions(t *testing.T) {
 	const count = 1000
 	f := newFixture(t)
@@ -88,17 +89,18 @@
 	close(control.release)
 	callers.Wait()
 	if got := len(f.control.view().Backends("pool")); got != count {
-		t.Fatalf("%d replicas are in the table, not %d", got, count)
+		t.Fatalf("%d replicas in the table, want %d", got, count)
 	}
 	if most := 2 + count/maximumBatch; control.changes > most {
-		t.Errorf("%d changes for %d replicas, more than %d", control.changes, count, most)
+		t.Errorf("%d changes for %d replicas, want at most %d", control.changes, count, most)
 	}
 	if control.reads > 0 {
-		t.Errorf("the table was read %d times at the leader, which follows it", control.reads)
+		t.Errorf("the leader, which follows the table, read it %d times, want none", control.reads)
 	}
 }
 
-// TestRefusedRegistrationFailsAlone: what the table refuses takes nothing with it that came in the same change.
+// TestRefusedRegistrationFailsAlone guards against a registration that the table rejects failing the other
+// registrations in the same change.
 func TestRefusedRegistrationFailsAlone(t *testing.T) {
 	f := newFixture(t)
 	control := newSlowControl(f.control)
@@ -121,48 +123,48 @@
 	callers.Wait()
 	for number, err := range errs {
 		if refused := trace.IsBadParameter(err); refused != (number == 2) {
-			t.Errorf("replica %d: %v", number, err)
+			t.Errorf("replica %d: got error %v, want BadParameter for replica 2 only", number, err)
 		}
 		if in := f.state(fmt.Sprint("i-", number)) == table.Active; in != (number != 2) {
-			t.Errorf("replica %d in the table: %v", number, in)
+			t.Errorf("replica %d in the table: got %v, want all but replica 2", number, in)
 		}
 	}
 }
 
-// TestBatchedIsAsOneByOne: whatever waits together ends as it would one after the other, in the order of arrival:
-// replicas that move, take each other's addresses, drain and leave.
-func TestBatchedIsAsOneByOne(t *testing.T) {
+// TestBatchedUpdatesEqualSequentialOnes compares updates that are queued together with the same updates made one by one
+// in the order of arrival: replicas that move, reuse each other's addresses, drain and leave.
+func TestBatchedUpdatesEqualSequentialOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		together, alone := newFixture(t), newFixture(t)
-		var arrived []*wanted
+		var arrived []*pendingUpdate
 		for count := range rapid.IntRange(1, 12).Draw(t, "count") {
 			number := rapid.IntRange(0, 3).Draw(t, "replica")
 			heartbeat := replica(number, uint64(count+1))
 			heartbeat.Address = fmt.Sprintf("10.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address"))
 			heartbeat.Draining = rapid.Bool().Draw(t, "draining")
 			heartbeat.Start = rapid.Uint64Range(0, 2).Draw(t, "start")
-			one := &wanted{replica: heartbeat.Incarnation(), heartbeat: &heartbeat}
+			one := &pendingUpdate{replica: heartbeat.Incarnation(), heartbeat: &heartbeat}
 			if rapid.IntRange(0, 4).Draw(t, "leaves") == 0 {
 				one.heartbeat = nil
 			}
 			arrived = append(arrived, one)
-			if _, err := alone.service.batches.do(context.Background(), one.replica, one.heartbeat); err != nil {
+			if _, err := alone.service.batches.submit(context.Background(), one.replica, one.heartbeat); err != nil {
 				t.Fatal(err)
 			}
 		}
 		control := newSlowControl(together.control)
 		together.service.config.Control, together.service.config.View = control, control.view
 		var callers sync.WaitGroup
-		do := func(one *wanted) {
+		do := func(one *pendingUpdate) {
 			callers.Go(func() {
 				if err := together.service.batches.queue.Do(context.Background(), one); err != nil {
 					t.Error(err)
 				}
 			})
 		}
-		first := replica(9, 1) // holds the queue until all have arrived
+		first := replica(9, 1) // its change blocks the queue until all have arrived
 		first.Address = "10.0.0.99:80"
-		do(&wanted{replica: first.Incarnation(), heartbeat: &first})
+		do(&pendingUpdate{replica: first.Incarnation(), heartbeat: &first})
 		<-control.held
 		for count, one := range arrived {
 			do(one)
@@ -174,7 +176,7 @@
 			name := fmt.Sprint("i-", number)
 			left, right := together.control.view().Row(name), alone.control.view().Row(name)
 			if (left == nil) != (right == nil) || left != nil && (left.State != right.State || left.Address != right.Address || left.Sequence != right.Sequence) {
-				t.Fatalf("%s: together %+v, alone %+v", name, left, right)
+				t.Fatalf("%s: got row %+v from the batch, want %+v as from single changes", name, left, right)
 			}
 		}
 	})
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -11,7 +11,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// startedAt is a heartbeat of a start of the replica i-0.
+// startedAt returns a heartbeat of the replica i-0 with a start time.
 func startedAt(start, sequence uint64) Registration {
 	heartbeat := replica(0, sequence)
 	heartbeat.Start = start
@@ -26,17 +26,17 @@
 	return row
 }
 
-// changeLeader has another node lead, which heard nobody.
+// changeLeader simulates a new leader, which has received no heartbeats.
 func (f *fixture) changeLeader(t *testing.T) {
 	f.leading = false
 	f.service.tick(t.Context())
 	f.leading = true
 }
 
-// A replica that crashed started again under its id at another address. Its heartbeats count anew, so that all of them had a
-// lower number than the row and were acknowledged as late ones: the row kept the dead address and the draining state of the
-// former process, and the replica got no work.
-func TestRestartBeginsWithNothing(t *testing.T) {
+// TestRestartReplacesRegistration guards against a restarted replica that gets no work. Its sequences begin at 1 again,
+// so without comparing the starts all its heartbeats are acknowledged as late, and the row keeps the former process's
+// address and draining state.
+func TestRestartReplacesRegistration(t *testing.T) {
 	f := newFixture(t)
 	former := startedAt(1000, 40)
 	former.Draining = true
@@ -48,15 +48,15 @@
 	f.send(t, again)
 	row := f.row(t)
 	if row.Start != 2000 || row.Sequence != 1 || row.Address != again.Address || row.State != table.Active {
-		t.Fatalf("%+v", row)
+		t.Fatalf("got row %+v, want the new start, sequence 1, the new address and state active", row)
 	}
 	if row.Weight != 0 {
-		t.Fatal("what an operator had set was lost at the restart")
+		t.Fatal("the weight that an operator set was lost at the restart")
 	}
 }
 
-// TestFormerStartChangesNothing delivers what a former start said after the replica started again: here, through another node,
-// and after a change of the leader. Its leaving says nothing of the new start either.
+// TestFormerStartChangesNothing delivers a heartbeat and the deregistration of a former start after the replica
+// restarted: at the leader, at a new leader, and the heartbeat also through another node. The row must not change.
 func TestFormerStartChangesNothing(t *testing.T) {
 	f := newFixture(t)
 	f.send(t, startedAt(1000, 3))
@@ -78,13 +78,13 @@
 	f.changeLeader(t)
 	deliver("at a new leader")
 	f.leading = false
-	_ = f.service.TakeHere(t.Context(), &late) // not acknowledged: this node does not know the newest table
+	_ = f.service.TakeHere(t.Context(), &late) // returns an error because this node is not the leader
 	if f.control.table.Version() != version {
 		t.Fatalf("through another node: a former start changed the row to %+v", f.row(t))
 	}
 }
 
-// TestFormerStartIsNotHeard: a late heartbeat of a former start does not keep the row of the new one, which is silent.
+// TestFormerStartIsNotHeard guards against heartbeats of a former start hiding the silence of the new start.
 func TestFormerStartIsNotHeard(t *testing.T) {
 	f := newFixture(t)
 	for number := 1; number < 4; number++ {
@@ -92,7 +92,7 @@
 	}
 	f.send(t, startedAt(2000, 1))
 	for sequence := uint64(2); sequence < 9; sequence++ {
-		f.now += beat
+		f.now += heartbeatInterval
 		for number := 1; number < 4; number++ {
 			f.send(t, replica(number, sequence))
 		}
@@ -100,16 +100,17 @@
 		f.service.tick(t.Context())
 	}
 	if f.state("i-0") != table.Removed {
-		t.Fatalf("state %q", f.state("i-0"))
+		t.Fatalf("got state %q, want removed", f.state("i-0"))
 	}
 	f.send(t, startedAt(2000, 2))
 	if f.state("i-0") != table.Active {
-		t.Fatalf("state %q after its own heartbeat", f.state("i-0"))
+		t.Fatalf("got state %q after its own heartbeat, want active", f.state("i-0"))
 	}
 }
 
-// TestRestartAfterItsLeaving: a replica that left for good comes back with a later start.
-func TestRestartAfterItsLeaving(t *testing.T) {
+// TestRestartAfterDeregistration checks that a deregistered replica comes back with a later start, but not with the
+// same.
+func TestRestartAfterDeregistration(t *testing.T) {
 	f := newFixture(t)
 	f.send(t, startedAt(1000, 3))
 	if err := f.service.Deregister(t.Context(), incarnation.Incarnation{ID: "i-0", Start: 1000}); err != nil {
@@ -117,21 +118,21 @@
 	}
 	f.send(t, startedAt(1000, 4))
 	if f.state("i-0") != table.Removed {
-		t.Fatal("a start that left came back")
+		t.Fatal("a deregistered start came back")
 	}
 	f.send(t, startedAt(2000, 1))
 	if row := f.row(t); row.State != table.Active || row.Sequence != 1 {
-		t.Fatalf("%+v", row)
+		t.Fatalf("got row %+v, want state active and sequence 1", row)
 	}
 }
 
-// TestRestartWhileItsAddressPassesOn: a replica starts again at another address at the moment at which another replica
-// registers at its former one. Both serve, whichever is heard first.
-func TestRestartWhileItsAddressPassesOn(t *testing.T) {
+// TestRestartWhileItsAddressIsReused restarts a replica at another address while another replica registers at its
+// former address. Both must serve, regardless of which heartbeat arrives first.
+func TestRestartWhileItsAddressIsReused(t *testing.T) {
 	for _, restartFirst := range []bool{true, false} {
 		f := newFixture(t)
 		f.send(t, startedAt(1000, 3))
-		f.now += 2 * beat
+		f.now += 2 * heartbeatInterval
 		again, other := startedAt(2000, 1), replica(1, 1)
 		again.Address, other.Address = "10.0.9.9:80", startedAt(1000, 3).Address
 		if restartFirst {
@@ -143,13 +144,13 @@
 		}
 		f.send(t, startedAt(1000, 4))
 		if f.state("i-0") != table.Active || f.state("i-1") != table.Active || f.row(t).Address != again.Address {
-			t.Fatalf("restart first %t: states %q and %q", restartFirst, f.state("i-0"), f.state("i-1"))
+			t.Fatalf("restart first %t: got states %q and %q, want both active, i-0 at its new address", restartFirst, f.state("i-0"), f.state("i-1"))
 		}
 	}
 }
 
-// TestNewestStartPrevails delivers what some starts of a replica say in any order, some of it twice, with changes of the leader
-// among it: the row is what the newest delivered message of the latest start says.
+// TestNewestStartPrevails delivers heartbeats and deregistrations of several starts of a replica in random order, some
+// twice, with changes of the leader in between. The row must always match the newest message of the latest start.
 func TestNewestStartPrevails(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		f := newFixture(t)
@@ -182,33 +183,34 @@
 				}
 			}
 			if f.state("i-0") != want || want != "" && f.row(t).Start != start {
-				t.Fatalf("state %q, not %q of start %d", f.state("i-0"), want, start)
+				t.Fatalf("got state %q, want %q of start %d", f.state("i-0"), want, start)
 			}
 		}
 	})
 }
 
-// A heartbeat that named a service of nobody and the address of a replica that serves was registered: it ended that replica for
-// good, since what else is registered at an address is gone. Before the first configuration any pool may be named yet.
+// TestUnknownPoolEndsNobody guards against a heartbeat with an unknown pool and the address of a running replica: if it
+// were registered, it would permanently deregister that replica. Before the first configuration any pool is accepted.
 func TestUnknownPoolEndsNobody(t *testing.T) {
 	f := newFixture(t)
 	f.send(t, replica(0, 1))
 	f.control.table.Apply(&wire.TableChange{ChangeId: "config", BaseVersion: f.control.table.Version(), Operator: "ops", Cells: []*wire.CellChange{
 		{Row: "route", Column: table.ColumnKind, Value: string(table.Route)}, {Row: "route", Column: table.ColumnHost, Value: "a.example"},
 		{Row: "route", Column: table.ColumnPathPrefix, Value: "/"}, {Row: "route", Column: table.ColumnPools, Value: "pool:1"}}})
-	f.now += 2 * beat
+	f.now += 2 * heartbeatInterval
 	other := replica(1, 1)
 	other.Address, other.Pool = replica(0, 1).Address, "nobody"
 	if err := f.service.Heartbeat(t.Context(), &other); err != ErrUnknownPool {
-		t.Fatalf("answered %v", err)
+		t.Fatalf("got error %v, want ErrUnknownPool", err)
 	}
 	if f.state("i-0") != table.Active || f.state("i-1") != "" || f.control.view().Row("nobody") != nil {
-		t.Fatalf("states %q and %q", f.state("i-0"), f.state("i-1"))
+		t.Fatalf("got states %q and %q, want active and no row, and no new pool", f.state("i-0"), f.state("i-1"))
 	}
 }
 
-// TestRegistrationThatNoRowHolds: what the table would refuse is refused before it waits beside others.
-func TestRegistrationThatNoRowHolds(t *testing.T) {
+// TestCheckRejectsInvalidCells checks that a registration with a cell that the table would reject fails before it is
+// batched with others.
+func TestCheckRejectsInvalidCells(t *testing.T) {
 	for _, change := range []func(*Registration){
 		func(r *Registration) { r.Address = "0.0.0.0:80" },
 		func(r *Registration) { r.Address = "[fe80::1%eth0]:80" },
@@ -218,13 +220,13 @@
 		heartbeat := replica(0, 1)
 		change(&heartbeat)
 		if heartbeat.Check() == nil {
-			t.Errorf("%+v was taken", heartbeat)
+			t.Errorf("Check accepted %+v, want an error", heartbeat)
 		}
 	}
 }
 
-// TestSilenceOfAFormerStart: a replica starts again while the leader takes its former start out for its silence. The row of the
-// new start is not touched.
+// TestSilenceOfAFormerStart restarts a replica while the leader removes its former start as silent. The row of the new
+// start must not change.
 func TestSilenceOfAFormerStart(t *testing.T) {
 	f := newFixture(t)
 	for number := 1; number < 4; number++ {
@@ -233,7 +235,7 @@
 	f.send(t, startedAt(1000, 1))
 	raced := false
 	for sequence := uint64(2); sequence < 9 && !raced; sequence++ {
-		f.now += beat
+		f.now += heartbeatInterval
 		for number := 1; number < 4; number++ {
 			f.send(t, replica(number, sequence))
 		}
@@ -245,6 +247,6 @@
 		f.control.before = nil
 	}
 	if row := f.row(t); !raced || row.State != table.Active || row.Start != 2000 {
-		t.Fatalf("raced: %t, %s of start %d", raced, row.State, row.Start)
+		t.Fatalf("raced %t: got state %s of start %d, want a race and active of start 2000", raced, row.State, row.Start)
 	}
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// counts are the registry's metrics, of this node since its start.
+// counts holds the registry's metrics for this node since its start.
 type counts struct {
 	metrics.Set
 	restarts *prometheus.CounterVec
@@ -26,21 +26,22 @@
 // Collector returns the registry's metrics.
 func (s *Service) Collector() prometheus.Collector { return s.counts }
 
-// What a heartbeat of a former start counts as.
+// The labels under which a heartbeat of a former start is counted as skipped.
 const (
 	sourceHeartbeat = "heartbeat"
 	reasonFormer    = "former_start"
 )
 
-// SkippedEntry is a message that names no replica, because another writer made it.
+// SkippedEntry is a message that is ignored because it does not name a valid replica, for instance because another
+// program wrote it.
 type SkippedEntry struct {
 	Source  string // kind of message
-	Reason  string // why it names no replica; one of a few
-	Replica string // that it spoke of, bounded
-	Cause   string // bounded
+	Reason  string // why it was ignored; one of a few values, as it is a metric label
+	Replica string // replica that the message names; limited in length
+	Cause   string // details; limited in length
 }
 
-// Skipped counts an entry that was passed over, and tells of it unless one of its kind was told of lately.
+// Skipped counts an ignored entry and logs it, unless one of the same kind was logged recently.
 func (s *Service) Skipped(entry SkippedEntry) {
 	s.counts.skipped.WithLabelValues(entry.Source, entry.Reason).Inc()
 	logging.Emit(s.config.Log, &events.EntrySkipped{Source: entry.Source, Reason: entry.Reason, Replica: entry.Replica, Cause: entry.Cause})
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -11,24 +11,24 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// node is one of the control nodes: it follows the table, at times late.
+// node is a control node whose view of the table may lag.
 type node struct {
 	*Service
 	view *table.View
 }
 
-// nodes are the control nodes over one table, of which one leads or none does.
+// nodes holds control nodes that share one table.
 type nodes struct {
 	*fixture
 	members []*node
-	leader  int
+	leader  int // index in members; -1 for no leader
 }
 
 func newNodes(t interface{ Fatal(...any) }, count int) *nodes {
 	made := &nodes{fixture: newFixture(t)}
 	for number := range count {
 		member := &node{view: made.control.view()}
-		service, err := New(Config{Control: made.control, View: func() *table.View { return member.view }, Heartbeat: beat,
+		service, err := New(Config{Control: made.control, View: func() *table.View { return member.view }, Heartbeat: heartbeatInterval,
 			Leading: func() bool { return made.leader == number }, Clock: func() time.Duration { return made.now }})
 		if err != nil {
 			t.Fatal(err)
@@ -39,9 +39,10 @@
 	return made
 }
 
-// TestStartsOnlyRiseOverAllNodes has three nodes with views that lag, and a leader that changes, hear the starts of one replica and
-// of another one that takes its addresses, in any order: heartbeats, leavings and silence. Whatever comes, the start in the
-// replica's row never falls, a start that left never takes work again, and the row never says what a former start said.
+// TestStartsOnlyRiseOverAllNodes delivers heartbeats, deregistrations and silence in random order to three nodes with
+// lagging views and a changing leader, for several starts of one replica and for another replica that reuses its
+// addresses. The start in the replica's row must never decrease, a deregistered start must never get work again, and
+// the row must never hold the address of a former start.
 func TestStartsOnlyRiseOverAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := newNodes(t, 3)
@@ -57,14 +58,14 @@
 			case 1:
 				member.view = all.control.view()
 			case 2:
-				all.now += beat
+				all.now += heartbeatInterval
 				member.tick(context.Background())
 			case 3:
 				if member.Deregister(context.Background(), incarnation.Incarnation{ID: "i-0", Start: start}) == nil {
 					left[start] = start >= highest
 				}
 			case 4:
-				other := replica(1, uint64(all.now/beat)+1)
+				other := replica(1, uint64(all.now/heartbeatInterval)+1)
 				other.Address = addressOf(start)
 				_ = member.TakeHere(context.Background(), &other)
 			default:
@@ -74,16 +75,16 @@
 			}
 			row := all.control.view().Row("i-0")
 			if row == nil {
-				highest = 0 // dropped a while after it went out, or not there yet
+				highest = 0 // the row does not exist yet, or was dropped after its retention
 				clear(left)
 				continue
 			}
 			if row.Start < highest {
-				t.Fatalf("the start fell from %d to %d", highest, row.Start)
+				t.Fatalf("the start decreased from %d to %d", highest, row.Start)
 			}
 			highest = row.Start
 			if row.State != table.Removed && (left[row.Start] || row.Address != addressOf(row.Start)) {
-				t.Fatalf("start %d is %s at %s after it left: %t", row.Start, row.State, row.Address, left[row.Start])
+				t.Fatalf("start %d is %s at %s, deregistered before: %t", row.Start, row.State, row.Address, left[row.Start])
 			}
 		}
 	})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,9 +1,9 @@
-// Package registry keeps the operators' table in step with replicas that register themselves: a heartbeat
-// that says something new becomes a change of the replica's row, one that says nothing new is answered from
-// memory, and a replica that falls silent is taken out until it is heard again.
+// Package registry keeps the operators' table up to date with replicas that register themselves. A heartbeat with new
+// information becomes a change of the replica's row. One without new information is answered from memory. A replica
+// whose heartbeats stop is removed from service until its next heartbeat.
 //
-// Judge, Leave and Tracker are pure: time is an argument (since an arbitrary start, monotonic). Service is
-// the runtime over a client of the control nodes.
+// Classify, PlanDeregistration and Tracker do no I/O and read no clock; times are monotonic durations since an
+// arbitrary start. Service runs them with a client of the control nodes.
 package registry
 
 import (
@@ -17,34 +17,34 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// LastSequence is the sequence of a replica that left for good: no heartbeat comes after it.
+// LastSequence is the sequence in the row of a replica that was deregistered. It is higher than that of any heartbeat.
 const LastSequence = table.MaximumSequence
 
-// Registration is what a replica says of itself with a heartbeat.
+// Registration is the content of a replica's heartbeat.
 type Registration struct {
-	Instance string // the name of its row; a replica that starts again keeps it
-	Start    uint64 // of the replica, in Unix milliseconds; 0: not known
+	Instance string // name of the replica's row; it stays the same over restarts
+	Start    uint64 // start time of the replica in Unix milliseconds; 0 if not known
 	Pool     string
 	Address  string // IP:port
 	Zone     string // may be empty
-	Slots    uint64 // requests that it works on at once
+	Slots    uint64 // requests that it can process at the same time
 	Draining bool
-	Sequence uint64 // rises with every heartbeat of the instance, from 1
+	Sequence uint64 // rises with each heartbeat of a start, from 1
 	Models   []ModelVersion
 }
 
-// Incarnation is the start of the replica that speaks.
+// Incarnation returns the instance and start of the replica that sent the heartbeat.
 func (r *Registration) Incarnation() incarnation.Incarnation {
 	return incarnation.Incarnation{ID: r.Instance, Start: r.Start}
 }
 
-// ModelVersion is the weight version of a model that a replica serves.
+// ModelVersion is a model that a replica serves and the number of its weight version.
 type ModelVersion struct {
 	Model  string
 	Number uint64
 }
 
-// Check returns why a registration can't be taken; nil if it can.
+// Check returns a trace.BadParameter error if a registration cannot be accepted.
 func (r *Registration) Check() error {
 	switch {
 	case r.Instance == "" || r.Pool == "":
@@ -54,7 +54,7 @@
 	case r.Sequence >= LastSequence:
 		return trace.BadParameter("sequence %d is too high", r.Sequence)
 	}
-	// The table would refuse a change with such a cell, and all that was registered together with it.
+	// The table would reject a change with an invalid cell, including the other registrations in the same change.
 	for name, value := range r.rowCells() {
 		column, _ := table.Lookup(name)
 		if _, err := column.Canonical(value); err != nil {
@@ -64,42 +64,42 @@
 	return nil
 }
 
-// Judgement is what a heartbeat means for the table.
-type Judgement uint8
+// Effect is the effect of a heartbeat on the table.
+type Effect uint8
 
-// The judgements.
+// The effects.
 const (
-	Unchanged Judgement = iota + 1 // the row says it already
-	Late                           // a later heartbeat or start, or the replica's leaving, was taken before
-	Changed                        // the row must be changed before the heartbeat is acknowledged
+	Unchanged Effect = iota + 1 // the row holds the same values already
+	Outdated                    // a later heartbeat, a later start or the deregistration was recorded before
+	Changed                     // the row must be changed before the heartbeat is acknowledged
 )
 
-// Judge compares a heartbeat with the replica's row; nil if it has none.
-func Judge(row *table.Row, heartbeat *Registration) Judgement {
+// Classify compares a heartbeat with the replica's row, which is nil if there is none.
+func Classify(row *table.Row, heartbeat *Registration) Effect {
 	switch {
 	case row == nil:
 		return Changed
 	case row.Kind != table.Backend:
-		return Late // the name stands for something else
+		return Outdated // the row with this name is no back end
 	}
 	switch heartbeat.Incarnation().Compare(row.Incarnation()) {
 	case incarnation.Newer:
-		return Changed // its counts start anew
+		return Changed // the sequence of a new start begins at 1 again
 	case incarnation.Older:
-		return Late
+		return Outdated
 	}
 	switch {
 	case heartbeat.Sequence < row.Sequence:
-		return Late
-	case len(differing(row, heartbeat)) == 0:
+		return Outdated
+	case len(diffCells(row, heartbeat)) == 0:
 		return Unchanged
 	case heartbeat.Sequence == row.Sequence && row.Sequence > 0:
-		return Late // the row was changed by this very heartbeat, and by silence or an operator since
+		return Outdated // this heartbeat was recorded; since then silence or an operator has changed the row
 	}
 	return Changed
 }
 
-// rowCells returns the cells that a registration stands for, without the sequence.
+// rowCells returns the values of the row for a registration by column, without the sequence.
 func (r *Registration) rowCells() map[string]string {
 	state := table.Active
 	if r.Draining {
@@ -119,54 +119,57 @@
 	return cells
 }
 
+// maximumSlots bounds the number of slots that is recorded for a replica.
 const maximumSlots = 100_000
 
-// columnOrder is the order in which a registration's cells stand in a change.
+// columnOrder is the order of a registration's cells in a change.
 var columnOrder = []string{
 	table.ColumnKind, table.ColumnPool, table.ColumnAddress, table.ColumnZone, table.ColumnState, table.ColumnMaxInFlight,
 	table.ColumnStart,
 }
 
-// differing returns the cells in which a row is not what a heartbeat says. Those of a later start are all set, also where they
-// stay: a change that was made of the former start meanwhile, such as for its silence, conflicts then.
-func differing(row *table.Row, heartbeat *Registration) []*wire.CellChange {
+// diffCells returns the cells of a heartbeat that differ from the replica's row. For a later start it returns all
+// cells, including equal ones. A concurrent change for the former start, for example because of its silence, then
+// conflicts.
+func diffCells(row *table.Row, heartbeat *Registration) []*wire.CellChange {
 	var cells []*wire.CellChange
 	desired := heartbeat.rowCells()
 	if row != nil && heartbeat.Incarnation().Compare(row.Incarnation()) == incarnation.Newer {
 		row = nil
 	}
 	for _, column := range columnOrder {
-		value, said := desired[column]
-		if !said {
+		value, present := desired[column]
+		if !present {
 			continue
 		}
-		held := ""
+		current := ""
 		if row != nil {
-			held, _ = row.Explicit(column)
+			current, _ = row.Explicit(column)
 		}
-		if held != value {
+		if current != value {
 			cells = append(cells, &wire.CellChange{Row: heartbeat.Instance, Column: column, Value: value})
 		}
 	}
 	return cells
 }
 
-// addresses holds the registered replicas that have not left for good, by address.
-type addresses map[string][]*table.Row
+// addressIndex holds the rows of registered replicas by address, without deregistered ones.
+type addressIndex map[string][]*table.Row
 
-func addressesOf(view *table.View) addresses {
-	found := addresses{}
+func indexAddresses(view *table.View) addressIndex {
+	found := addressIndex{}
 	for _, row := range view.Rows() {
-		if registered(row) && row.Sequence != LastSequence {
+		if isRegistered(row) && row.Sequence != LastSequence {
 			found[row.Address] = append(found[row.Address], row)
 		}
 	}
 	return found
 }
 
-// changeAt returns the change that makes the table say what a heartbeat says, without id and operator. It makes
-// the pool if there is none yet, and ends what else was registered at the address: that replica is gone.
-func changeAt(view *table.View, heartbeat *Registration, at addresses) *wire.TableChange {
+// planRegistration returns the change that records a heartbeat in the table, without id and operator. The change
+// creates the pool if there is none. It deregisters every other replica at the same address, because that replica must
+// have ended.
+func planRegistration(view *table.View, heartbeat *Registration, byAddress addressIndex) *wire.TableChange {
 	change := &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote}
 	set := func(row, column, value string) {
 		change.Cells = append(change.Cells, &wire.CellChange{Row: row, Column: column, Value: value})
@@ -174,19 +177,19 @@
 	if pool := configure.RowName(heartbeat.Pool); view.Pool(pool) == nil {
 		set(pool, table.ColumnKind, string(table.Pool))
 	}
-	change.Cells = append(change.Cells, differing(view.Row(heartbeat.Instance), heartbeat)...)
+	change.Cells = append(change.Cells, diffCells(view.Row(heartbeat.Instance), heartbeat)...)
 	set(heartbeat.Instance, table.ColumnSequence, strconv.FormatUint(heartbeat.Sequence, 10))
-	for _, row := range at[heartbeat.Address] {
+	for _, row := range byAddress[heartbeat.Address] {
 		if row.Name != heartbeat.Instance {
-			change.Cells = append(change.Cells, leaving(row)...)
+			change.Cells = append(change.Cells, deregistrationCells(row)...)
 		}
 	}
 	return change
 }
 
-// Leave returns the change that takes one start of a replica out for good, without id and operator; nil when there is
-// nothing to change. Who names no start means the one that is registered.
-func Leave(view *table.View, replica incarnation.Incarnation) *wire.TableChange {
+// PlanDeregistration returns the change that removes one start of a replica permanently, without id and operator. It
+// returns nil if there is nothing to change. A replica without a start stands for the start that is registered.
+func PlanDeregistration(view *table.View, replica incarnation.Incarnation) *wire.TableChange {
 	row := view.Row(replica.ID)
 	if row == nil || row.Kind != table.Backend {
 		return nil
@@ -198,7 +201,7 @@
 	if relation == incarnation.Older || relation == incarnation.Same && row.Sequence == LastSequence {
 		return nil
 	}
-	change := &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote, Cells: leaving(row)}
+	change := &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote, Cells: deregistrationCells(row)}
 	if relation == incarnation.Newer {
 		change.Cells = append(change.Cells, &wire.CellChange{Row: row.Name, Column: table.ColumnStart,
 			Value: strconv.FormatUint(replica.Start, 10)})
@@ -206,7 +209,8 @@
 	return change
 }
 
-func leaving(row *table.Row) []*wire.CellChange {
+// deregistrationCells returns the cells that mark a row as removed and make all its later heartbeats outdated.
+func deregistrationCells(row *table.Row) []*wire.CellChange {
 	cells := []*wire.CellChange{{Row: row.Name, Column: table.ColumnSequence, Value: strconv.FormatUint(LastSequence, 10)}}
 	if own, _ := row.Explicit(table.ColumnState); own != string(table.Removed) {
 		cells = append(cells, &wire.CellChange{Row: row.Name, Column: table.ColumnState, Value: string(table.Removed)})
@@ -214,8 +218,8 @@
 	return cells
 }
 
-// registered says whether a row was made by a registration; rows that operators made are left alone.
-func registered(row *table.Row) bool {
+// isRegistered reports whether a row was created by a registration. Rows that operators created are not changed.
+func isRegistered(row *table.Row) bool {
 	_, explicit := row.Explicit(table.ColumnSequence)
 	return row.Kind == table.Backend && explicit
 }
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// relayTimeout bounds one message with heartbeats to the leader, so that a lost leader leaves time for another way.
+	// relayTimeout bounds one message with heartbeats to the leader, so that time remains for another route if the
+	// leader is lost.
 	relayTimeout = 300 * time.Millisecond
-	// maximumRelayed bounds the heartbeats of one message.
+	// maximumRelayed bounds the heartbeats in one message.
 	maximumRelayed = 256
-	// spreadAbove is the number of registered replicas from which on they keep to the control node that they reached: one
-	// node would hold a connection for each, and work through all of their heartbeats by itself. Below, heartbeats that
-	// go straight to the leader cost the fleet least.
-	spreadAbove = 600
+	// spreadThreshold is the number of registered replicas above which replicas stay with the control node that they
+	// reached. Otherwise the leader would hold a connection to each replica and process all heartbeats alone. Up to the
+	// threshold, heartbeats that go directly to the leader cost the fleet the least.
+	spreadThreshold = 600
 )
 
-// errRefused stands for a heartbeat that the leader was told of and did not take.
+// errRefused is the result for a heartbeat that the leader received and did not accept.
 var errRefused = errors.New("the leader did not take the heartbeat")
 
-// relays passes heartbeats to the leader, those that come while a message is under way together in the next one.
+// relays forwards heartbeats to the leader. Heartbeats that arrive while a message is outstanding are sent together in
+// the next one.
 type relays struct {
 	send  func(ctx context.Context, heartbeats []*Registration) (taken []bool, err error)
 	queue batching.Queue[*Registration]
@@ -32,12 +34,12 @@
 
 func newRelays(send func(context.Context, []*Registration) ([]bool, error)) *relays {
 	r := &relays{send: send}
-	r.queue.Take, r.queue.Run = batching.AtMost[*Registration](maximumRelayed), r.pass
+	r.queue.Take, r.queue.Run = batching.AtMost[*Registration](maximumRelayed), r.forward
 	return r
 }
 
-// pass sends one message and answers the callers of its heartbeats.
-func (r *relays) pass(batch []*batching.Call[*Registration]) (postponed []*batching.Call[*Registration]) {
+// forward sends one message with a batch of heartbeats and answers their callers.
+func (r *relays) forward(batch []*batching.Call[*Registration]) (postponed []*batching.Call[*Registration]) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
 	heartbeats := make([]*Registration, 0, len(batch))
@@ -58,8 +60,8 @@
 	return nil
 }
 
-// TakeRelayed takes heartbeats that another node passed on, and says of each whether it may be acknowledged; one that could not
-// be read is nil, and may not.
+// TakeRelayed processes heartbeats that another node forwarded, and reports for each whether it may be acknowledged. An
+// element is nil if the heartbeat could not be decoded; it must not be acknowledged.
 func (s *Service) TakeRelayed(ctx context.Context, heartbeats []*Registration) []bool {
 	taken := make([]bool, len(heartbeats))
 	var waiting sync.WaitGroup
@@ -73,31 +75,31 @@
 	return taken
 }
 
-// Spread reports that replicas should go on with the control node that they reached, since there are many of them;
-// otherwise they should turn to the leader.
+// Spread reports whether replicas should stay with the control node that they reached because there are many of them.
+// Otherwise they should send their heartbeats to the leader.
 func (s *Service) Spread() bool {
 	view := s.config.View()
-	return view != nil && s.counted.of(view) > spreadAbove
+	return view != nil && s.replicas.count(view) > spreadThreshold
 }
 
-// replicaCount counts the registered replicas of a view, once for each version.
+// replicaCount counts the registered replicas of a view that are not removed, and caches the count for the latest view.
 type replicaCount struct {
-	mutex sync.Mutex
-	view  *table.View
-	count int
+	mutex       sync.Mutex
+	view        *table.View
+	cachedCount int
 }
 
-func (c *replicaCount) of(view *table.View) int {
+func (c *replicaCount) count(view *table.View) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.view == view {
-		return c.count
+		return c.cachedCount
 	}
-	c.view, c.count = view, 0
+	c.view, c.cachedCount = view, 0
 	for _, row := range view.Rows() {
-		if registered(row) && row.State != table.Removed {
-			c.count++
+		if isRegistered(row) && row.State != table.Removed {
+			c.cachedCount++
 		}
 	}
-	return c.count
+	return c.cachedCount
 }
--- a/internal/registry/relay_test.go
+++ b/internal/registry/relay_test.go
@@ -14,9 +14,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestHeartbeatsArePassedOnTogether: what comes while a message to the leader is under way goes into the next one, and
-// each replica gets the leader's answer for itself.
-func TestHeartbeatsArePassedOnTogether(t *testing.T) {
+// TestHeartbeatsAreForwardedTogether checks that heartbeats which arrive while a message to the leader is outstanding
+// are sent in the next message, and that each replica gets its own answer.
+func TestHeartbeatsAreForwardedTogether(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	var messages [][]string
 	relays := newRelays(func(_ context.Context, heartbeats []*Registration) (taken []bool, err error) {
@@ -49,40 +49,43 @@
 	close(release)
 	callers.Wait()
 	if len(messages) != 2 || len(messages[1]) != len(errs)-1 {
-		t.Fatalf("messages %v", messages)
+		t.Fatalf("got messages %v, want two, the second with 49 heartbeats", messages)
 	}
 	for number, err := range errs {
 		if (err != nil) != (number == 3) {
-			t.Errorf("replica %d: %v", number, err)
+			t.Errorf("replica %d: got error %v, want one for replica 3 only", number, err)
 		}
 	}
 }
 
-// TestShortAnswerAcknowledgesNothingMore: heartbeats that the leader's answer does not cover aren't acknowledged.
+// TestShortAnswerAcknowledgesNothingMore checks that heartbeats without an entry in the leader's answer are not
+// acknowledged.
 func TestShortAnswerAcknowledgesNothingMore(t *testing.T) {
 	relays := newRelays(func(context.Context, []*Registration) ([]bool, error) { return nil, nil })
 	heartbeat := replica(0, 1)
 	if err := relays.queue.Do(t.Context(), &heartbeat); err == nil {
-		t.Fatal("acknowledged without the leader's word")
+		t.Fatal("a heartbeat was acknowledged that the leader's answer does not include")
 	}
 }
 
-// TestRelayedHeartbeatsAreJudgedOneByOne: the leader takes the good ones and names the others.
+// TestRelayedHeartbeatsAreJudgedOneByOne checks that an invalid heartbeat in a forwarded message does not fail the
+// others.
 func TestRelayedHeartbeatsAreJudgedOneByOne(t *testing.T) {
 	f := newFixture(t)
 	good, bad, other := replica(0, 1), replica(1, 1), replica(2, 1)
 	bad.Address = "nowhere"
 	taken := f.service.TakeRelayed(t.Context(), []*Registration{&good, &bad, &other})
 	if !slices.Equal(taken, []bool{true, false, true}) {
-		t.Fatalf("taken %v", taken)
+		t.Fatalf("got %v, want all but the second accepted", taken)
 	}
 	if f.state("i-0") != table.Active || f.state("i-2") != table.Active || f.state("i-1") != "" {
-		t.Fatal("the table says something else")
+		t.Fatal("the table does not hold exactly the accepted replicas")
 	}
 }
 
-// TestManyReplicasKeepToTheirNode: a small fleet's heartbeats go to the leader, a large one's stay where they are.
-func TestManyReplicasKeepToTheirNode(t *testing.T) {
+// TestManyReplicasStayWithTheirNode checks the number of replicas above which replicas stay with the node that they
+// reached and no longer turn to the leader.
+func TestManyReplicasStayWithTheirNode(t *testing.T) {
 	f := newFixture(t)
 	change := &wire.TableChange{ChangeId: "many", Operator: "test", Note: table.ForceNote,
 		Cells: []*wire.CellChange{{Row: "pool", Column: table.ColumnKind, Value: string(table.Pool)}}}
@@ -93,20 +96,20 @@
 			change.Cells = append(change.Cells, &wire.CellChange{Row: name, Column: column, Value: value})
 		}
 	}
-	for number := range spreadAbove {
+	for number := range spreadThreshold {
 		add(number)
 	}
 	if result, _, err := f.control.ChangeTable(t.Context(), change, false); err != nil || result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 		t.Fatal(err, result)
 	}
 	if f.service.Spread() {
-		t.Fatalf("spread at %d replicas", spreadAbove)
+		t.Fatalf("Spread is true with %d replicas, want false", spreadThreshold)
 	}
 	one := replica(1, 1)
 	if err := f.service.Heartbeat(t.Context(), &one); err != nil {
 		t.Fatal(trace.DebugReport(err))
 	}
 	if !f.service.Spread() {
-		t.Fatalf("not spread above %d replicas", spreadAbove)
+		t.Fatalf("Spread is false with more than %d replicas, want true", spreadThreshold)
 	}
 }
--- a/internal/registry/service.go
+++ b/internal/registry/service.go
@@ -21,55 +21,58 @@
 )
 
 const (
-	// silentHeartbeats is how many heartbeats a replica may miss before it is taken out.
-	silentHeartbeats = 3
-	// addressRest is for how many half heartbeats an address belongs to the replica that was heard from it last: a living one
-	// speaks once each heartbeat, and an address passes on after two seconds or more at heartbeats of 1.2 s.
-	addressRest = 3
-	// keepSilent is how long the row of a replica that is out is kept.
-	keepSilent = 90 * time.Second
-	// tickTimeout bounds one look at the silent replicas.
+	// missedHeartbeats is the number of heartbeats that a replica may miss before it is removed from service.
+	missedHeartbeats = 3
+	// addressHold is how long an address is reserved for the replica that last sent a heartbeat from it, in half
+	// heartbeat intervals. A running replica sends one heartbeat per interval. With an interval of 1.2 s the hold is
+	// 1.8 s, and it takes at least two seconds until a new replica uses the address of an ended one.
+	addressHold = 3
+	// removedRetention is how long the row of a removed replica is retained.
+	removedRetention = 90 * time.Second
+	// tickTimeout bounds the change that removes silent replicas.
 	tickTimeout = time.Second
-	// ticksPerSilence is how often silence is looked for within its limit.
+	// ticksPerSilence is the number of checks for silent replicas within the time after which a replica counts as
+	// silent.
 	ticksPerSilence = 8
 )
 
-// Config says what a Service works with.
+// Config holds the dependencies and settings of a Service.
 type Config struct {
 	// Control reaches the leader of the control group. Required.
 	Control configure.Control
-	// View is a view that follows the table and may lag. Required; it may return nil.
+	// View returns the followed view of the table, which may lag behind the newest one. Required; it may return nil.
 	View func() *table.View
-	// Leading says whether this process leads the control group. Required.
+	// Leading reports whether this process leads the control group. Required.
 	Leading func() bool
-	// Relay passes heartbeats to the leader's TakeRelayed and returns its answer; an error says that the fate of all of
-	// them is not known. Nil: not done.
+	// Relay forwards heartbeats to the leader's TakeRelayed and returns its answer. After an error it is unknown
+	// whether any of them was recorded. Nil means that heartbeats are not forwarded.
 	Relay func(ctx context.Context, heartbeats []*Registration) (taken []bool, err error)
-	// Starts tells whether every process reads replicas' starts, so that they may be recorded; an error says that this is not
-	// known yet. Nil: they are recorded.
+	// Starts reports whether every process understands the starts of replicas, so that they may be recorded. An error
+	// means that this is not known yet. Nil means that they are recorded.
 	Starts func() (bool, error)
-	// Heartbeat is the replicas' interval. Required.
+	// Heartbeat is the interval between two heartbeats of a replica. Required.
 	Heartbeat time.Duration
-	// Operator is named in the table's history. Default "registry".
+	// Operator is the author of changes in the table's history. Default "registry".
 	Operator string
-	Clock    monotonic.Clock
-	Log      *logrus.Entry
+	Clock    monotonic.Clock // default monotonic.Now
+	Log      *logrus.Entry   // default: discarded
 }
 
-// Service takes replicas' heartbeats. It is safe for concurrent use.
+// Service processes replicas' heartbeats. It is safe for concurrent use.
 type Service struct {
-	config  Config
-	batches *batches
-	relays  *relays // nil: none are passed on
-	counted replicaCount
-	counts  *counts
+	config   Config
+	batches  *batches
+	relays   *relays // nil if heartbeats are not forwarded
+	replicas replicaCount
+	counts   *counts
 
-	mutex   sync.Mutex
-	tracker *Tracker // nil while this process does not lead
-	heard   func(*Registration)
+	mutex       sync.Mutex          // guards tracker
+	tracker     *Tracker            // nil while this process does not lead
+	onHeartbeat func(*Registration) // may be nil
 }
 
-// New returns a service; Run makes it look for silent replicas.
+// New returns a service. Call Run to have it remove silent replicas. New returns a trace.BadParameter error if a
+// required field of config is missing.
 func New(config Config) (*Service, error) {
 	if config.Control == nil || config.View == nil || config.Leading == nil || config.Heartbeat <= 0 {
 		return nil, trace.BadParameter("a registry needs control, view, leading and the heartbeats' interval")
@@ -91,11 +94,13 @@
 	return service, nil
 }
 
-// OnHeartbeat sets a listener that is called with every heartbeat that the leader hears. Set it before use.
-func (s *Service) OnHeartbeat(listener func(*Registration)) { s.heard = listener }
+// OnHeartbeat sets a listener that is called with every heartbeat that this process receives as the leader. Call it
+// before the service is used.
+func (s *Service) OnHeartbeat(listener func(*Registration)) { s.onHeartbeat = listener }
 
-// Heartbeat takes one heartbeat. nil: the table says what it says, or something newer. Errors:
-// trace.BadParameter for one that can't be taken; any other says that its fate is not known.
+// Heartbeat processes one heartbeat. On success the table holds its values or newer ones. Heartbeat returns
+// trace.BadParameter for an invalid heartbeat and ErrUnknownPool for a pool without configuration. After any other
+// error it is unknown whether the heartbeat was recorded.
 func (s *Service) Heartbeat(ctx context.Context, heartbeat *Registration) error {
 	if err := heartbeat.Check(); err != nil {
 		return err
@@ -106,60 +111,62 @@
 	return s.TakeHere(ctx, heartbeat)
 }
 
-// errNotHeard refuses a heartbeat that says nothing new and that the leader did not get: were it acknowledged, a
-// replica would stay with a node that is cut off, and the leader would take it out as silent.
+// errNotHeard rejects a heartbeat without new information that did not reach the leader. If it were acknowledged, the
+// replica would stay with a node that is cut off, and the leader would remove the replica as silent.
 var errNotHeard = trace.ConnectionProblem(nil, "the leader did not hear the heartbeat")
 
-// errAddressHeld refuses the first heartbeat of a replica at whose address another one was heard a moment ago.
+// errAddressHeld rejects the first heartbeat of a replica whose address another replica used within addressHold.
 var errAddressHeld = trace.ConnectionProblem(nil, "another replica spoke from that address a moment ago")
 
-// ErrUnknownPool refuses a heartbeat whose pool the configuration does not name. Were it registered, it would end the replica
-// that has its address.
+// ErrUnknownPool rejects a heartbeat whose pool is not in the configuration. Registering it would deregister the
+// replica that has its address.
 var ErrUnknownPool = &trace.NotFoundError{Message: "the configuration does not name the pool"}
 
-// unknownPool reports whether there is a configuration, and it does not name a replica's pool. Before the first one every pool
-// may be named yet.
-func (s *Service) unknownPool(heartbeat *Registration) bool {
+// hasUnknownPool reports whether there is a configuration that does not include the replica's pool. Before the first
+// configuration, any pool is accepted because it may be configured later.
+func (s *Service) hasUnknownPool(heartbeat *Registration) bool {
 	view := s.config.View()
-	return view != nil && view.Pool(configure.RowName(heartbeat.Pool)) == nil && configured(view)
+	return view != nil && view.Pool(configure.RowName(heartbeat.Pool)) == nil && hasConfiguration(view)
 }
 
-func configured(view *table.View) bool {
+// hasConfiguration reports whether the table has a route, and therefore a configuration.
+func hasConfiguration(view *table.View) bool {
 	return slices.ContainsFunc(view.Rows(), func(row *table.Row) bool { return row.Kind == table.Route })
 }
 
-// TakeHere is Heartbeat without a relay to the leader.
+// TakeHere is like Heartbeat, but does not forward the heartbeat to the leader.
 func (s *Service) TakeHere(ctx context.Context, heartbeat *Registration) error {
 	if err := heartbeat.Check(); err != nil {
 		return err
 	}
-	heartbeat, err := s.recordable(heartbeat)
+	heartbeat, err := s.stripUnrecordableStart(heartbeat)
 	if err != nil {
 		return err
 	}
-	if s.unknownPool(heartbeat) {
+	if s.hasUnknownPool(heartbeat) {
 		return ErrUnknownPool
 	}
 	heard := s.noteHeard(heartbeat)
-	if view := s.config.View(); view != nil && Judge(view.Row(heartbeat.Instance), heartbeat) != Changed {
-		s.noteFormer(view, heartbeat)
+	if view := s.config.View(); view != nil && Classify(view.Row(heartbeat.Instance), heartbeat) != Changed {
+		s.logFormerStart(view, heartbeat)
 		if !heard {
 			return errNotHeard
 		}
 		return nil
 	}
-	if s.deferred(heartbeat) {
+	if s.mustDefer(heartbeat) {
 		return errAddressHeld
 	}
-	done, err := s.batches.do(ctx, heartbeat.Incarnation(), heartbeat)
+	done, err := s.batches.submit(ctx, heartbeat.Incarnation(), heartbeat)
 	if err == nil && done.version > 0 {
-		s.noteRegistered(done)
+		s.logRegistered(done)
 	}
 	return err
 }
 
-// noteFormer tells of a heartbeat of a start before the one that is registered: it was held up, or the replica's clock is behind.
-func (s *Service) noteFormer(view *table.View, heartbeat *Registration) {
+// logFormerStart counts and logs a heartbeat of a start before the registered one. Either the heartbeat was delayed or
+// the replica's clock is behind.
+func (s *Service) logFormerStart(view *table.View, heartbeat *Registration) {
 	row := view.Row(heartbeat.Instance)
 	if row == nil || heartbeat.Incarnation().Compare(row.Incarnation()) != incarnation.Older {
 		return
@@ -168,29 +175,30 @@
 		Cause: "registered is " + row.Instance})
 }
 
-// noteRegistered tells of a heartbeat that changed the table.
-func (s *Service) noteRegistered(done *wanted) {
+// logRegistered logs a heartbeat that changed the table, and counts and logs the restart if it was one.
+func (s *Service) logRegistered(done *pendingUpdate) {
 	heartbeat := done.heartbeat
 	logging.Emit(s.config.Log, &events.ReplicaRegistered{Replica: heartbeat.Instance, Start: heartbeat.Start, Pool: heartbeat.Pool,
 		Address: heartbeat.Address, State: heartbeat.rowCells()[table.ColumnState], Heartbeat: heartbeat.Sequence, TableVersion: done.version})
-	if done.former > 0 {
+	if done.formerStart > 0 {
 		s.counts.restarts.WithLabelValues().Inc()
-		logging.Emit(s.config.Log, &events.ReplicaRestarted{Replica: heartbeat.Instance, Start: heartbeat.Start, Former: done.former,
+		logging.Emit(s.config.Log, &events.ReplicaRestarted{Replica: heartbeat.Instance, Start: heartbeat.Start, Former: done.formerStart,
 			Address: heartbeat.Address, TableVersion: done.version})
 	}
 }
 
-// deferred reports whether an unknown replica's registration must wait, because the replica that holds its address was heard
-// within addressRest: then the heartbeat is one that was held up on its way, and its sender has ended. Taken at once, it would end the
-// living replica for good, since what else is registered at an address is gone.
-func (s *Service) deferred(heartbeat *Registration) bool {
+// mustDefer reports whether an unknown replica must not be registered yet, because another replica sent a heartbeat
+// from the same address within addressHold. The unknown replica's heartbeat was then delayed in transit, and its sender
+// has ended. Recording it would permanently deregister the running replica, because a registration deregisters all
+// others at its address.
+func (s *Service) mustDefer(heartbeat *Registration) bool {
 	view := s.config.View()
 	if view == nil || view.Row(heartbeat.Instance) != nil || !s.config.Leading() {
 		return false
 	}
-	for _, row := range addressesOf(view)[heartbeat.Address] {
-		ago, heard := s.heardAgo(row.Name)
-		if row.State == table.Removed || !heard || ago >= addressRest*s.config.Heartbeat/2 {
+	for _, row := range indexAddresses(view)[heartbeat.Address] {
+		ago, heard := s.sinceHeard(row.Name)
+		if row.State == table.Removed || !heard || ago >= addressHold*s.config.Heartbeat/2 {
 			continue
 		}
 		logging.Emit(s.config.Log, &events.ReplicaDeferred{Replica: heartbeat.Instance, Address: heartbeat.Address,
@@ -200,21 +208,23 @@
 	return false
 }
 
-// heardAgo is how long ago this leadership heard a replica; false if it did not.
-func (s *Service) heardAgo(instance string) (time.Duration, bool) {
+// sinceHeard returns the time since the last heartbeat of a replica. It returns false if this process has received none
+// since it became the leader.
+func (s *Service) sinceHeard(instance string) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.lead().HeardAgo(s.config.Clock(), instance)
+	return s.currentTracker().SinceHeard(s.config.Clock(), instance)
 }
 
-// Deregister takes one start of a replica out for good; one that is unknown is no error.
+// Deregister removes one start of a replica permanently. An unknown replica is not an error. After an error it is
+// unknown whether the replica was removed.
 func (s *Service) Deregister(ctx context.Context, leaving incarnation.Incarnation) error {
-	if recorded, err := s.startsRecorded(); err != nil {
+	if recorded, err := s.canRecordStarts(); err != nil {
 		return err
 	} else if !recorded {
 		leaving.Start = 0
 	}
-	done, err := s.batches.do(ctx, leaving, nil)
+	done, err := s.batches.submit(ctx, leaving, nil)
 	if err == nil && done.version > 0 {
 		logging.Emit(s.config.Log, &events.ReplicaRegistered{Replica: leaving.ID, Start: leaving.Start, State: string(table.Removed),
 			TableVersion: done.version})
@@ -222,33 +232,35 @@
 	return err
 }
 
-// noteHeard notes a heartbeat where this process leads, and reports whether it does.
+// noteHeard notes a heartbeat in the tracker and passes it to the listener if this process leads. It reports whether
+// this process leads.
 func (s *Service) noteHeard(heartbeat *Registration) bool {
 	if !s.config.Leading() {
 		return false
 	}
 	s.mutex.Lock()
-	s.lead().Heard(s.config.Clock(), heartbeat)
+	s.currentTracker().NoteHeartbeat(s.config.Clock(), heartbeat)
 	s.mutex.Unlock()
-	if s.heard != nil {
-		s.heard(heartbeat)
+	if s.onHeartbeat != nil {
+		s.onHeartbeat(heartbeat)
 	}
 	return true
 }
 
-// lead returns the tracker of this leadership. The caller holds the mutex.
-func (s *Service) lead() *Tracker {
+// currentTracker returns the tracker of the current leadership and creates it if necessary. The caller holds the mutex.
+func (s *Service) currentTracker() *Tracker {
 	if s.tracker == nil {
-		s.tracker = NewTracker(s.config.Clock(), TrackerConfig{Silence: silentHeartbeats * s.config.Heartbeat, Keep: keepSilent})
+		s.tracker = NewTracker(s.config.Clock(), TrackerConfig{Silence: missedHeartbeats * s.config.Heartbeat, Retention: removedRetention})
 	}
 	return s.tracker
 }
 
-// Run looks for silent replicas while this process leads, until ctx ends.
+// Run removes silent replicas while this process leads, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
-	pause.Every(ctx, silentHeartbeats*s.config.Heartbeat/ticksPerSilence, s.tick)
+	pause.Every(ctx, missedHeartbeats*s.config.Heartbeat/ticksPerSilence, s.tick)
 }
 
+// tick makes the change that removes silent replicas, if there is one and this process leads.
 func (s *Service) tick(ctx context.Context) {
 	view := s.config.View()
 	s.mutex.Lock()
@@ -257,7 +269,7 @@
 		s.mutex.Unlock()
 		return
 	}
-	change := s.lead().Tick(s.config.Clock(), view)
+	change := s.currentTracker().Tick(s.config.Clock(), view)
 	s.mutex.Unlock()
 	if change == nil {
 		return
@@ -265,10 +277,11 @@
 	ctx, cancel := context.WithTimeout(ctx, tickTimeout)
 	defer cancel()
 	change.ChangeId, change.Operator = rand.Text(), s.config.Operator
-	// A conflict or an error is left to the next look: the replica may have been heard meanwhile.
+	// After a conflict or an error the next tick decides again, because the replica may have sent a heartbeat
+	// meanwhile.
 	result, _, err := s.config.Control.ChangeTable(ctx, change, false)
 	if err == nil && result.GetOutcome() == wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
-		event := &events.ReplicasSilent{Dropped: len(change.RemoveRows), LimitMs: events.Millis(silentHeartbeats * s.config.Heartbeat)}
+		event := &events.ReplicasSilent{Dropped: len(change.RemoveRows), LimitMs: events.Millis(missedHeartbeats * s.config.Heartbeat)}
 		for _, cell := range change.Cells {
 			event.Silent = append(event.Silent, cell.GetRow())
 		}
--- a/internal/registry/starts.go
+++ b/internal/registry/starts.go
@@ -1,17 +1,17 @@
 package registry
 
-// startsRecorded tells whether replicas' starts may be recorded.
-func (s *Service) startsRecorded() (bool, error) {
+// canRecordStarts reports whether the starts of replicas may be recorded. An error means that this is not known yet.
+func (s *Service) canRecordStarts() (bool, error) {
 	if s.config.Starts == nil {
 		return true, nil
 	}
 	return s.config.Starts()
 }
 
-// recordable is a heartbeat as it may be recorded. Builds that don't know starts would refuse the change and go on with another
-// table than those that do.
-func (s *Service) recordable(heartbeat *Registration) (*Registration, error) {
-	recorded, err := s.startsRecorded()
+// stripUnrecordableStart returns a heartbeat without its start if starts may not be recorded. Builds that do not
+// understand starts would reject the change, and their table would differ from that of the builds that do.
+func (s *Service) stripUnrecordableStart(heartbeat *Registration) (*Registration, error) {
+	recorded, err := s.canRecordStarts()
 	if err != nil || recorded || heartbeat.Start == 0 {
 		return heartbeat, err
 	}
--- a/internal/registry/starts_test.go
+++ b/internal/registry/starts_test.go
@@ -8,24 +8,25 @@
 	"github.com/tamarindring/tamarindring/internal/incarnation"
 )
 
-// TestStartsAreRecordedOnceAllReadThem: a build that does not know starts would refuse the whole change.
+// TestStartsAreRecordedOnceAllReadThem guards against recording starts before every process understands them: a build
+// that does not would reject the whole change.
 func TestStartsAreRecordedOnceAllReadThem(t *testing.T) {
 	var recorded bool
 	var unknown error
 	service := &Service{config: Config{Starts: func() (bool, error) { return recorded, unknown }}}
 	heartbeat := &Registration{Instance: "i", Start: 7}
-	if taken, err := service.recordable(heartbeat); err != nil || taken.Start != 0 || heartbeat.Start != 7 {
-		t.Errorf("%+v (%v)", taken, err)
+	if taken, err := service.stripUnrecordableStart(heartbeat); err != nil || taken.Start != 0 || heartbeat.Start != 7 {
+		t.Errorf("got %+v (%v), want a copy without the start", taken, err)
 	}
 	recorded = true
-	if taken, err := service.recordable(heartbeat); err != nil || taken.Start != 7 {
-		t.Errorf("%+v (%v)", taken, err)
+	if taken, err := service.stripUnrecordableStart(heartbeat); err != nil || taken.Start != 7 {
+		t.Errorf("got %+v (%v), want start 7", taken, err)
 	}
 	unknown = trace.ConnectionProblem(nil, "not known")
-	if _, err := service.recordable(heartbeat); err == nil {
-		t.Error("a heartbeat is taken before it is known what may be recorded")
+	if _, err := service.stripUnrecordableStart(heartbeat); err == nil {
+		t.Error("a heartbeat was accepted before it is known whether starts may be recorded")
 	}
 	if service.Deregister(t.Context(), incarnation.Incarnation{ID: "i", Start: 7}) == nil {
-		t.Error("a replica is taken out before it is known what may be recorded")
+		t.Error("a replica was deregistered before it is known whether starts may be recorded")
 	}
 }
--- a/internal/registry/tracker.go
+++ b/internal/registry/tracker.go
@@ -9,40 +9,42 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// sleepSilences is the number of silences between two looks from which on a process slept, and was not just late: a look waits for
-// a change of the table for up to a second, and runs another one late where the processor is shared.
-const sleepSilences = 4
+// suspendedSilences is the time between two ticks, as a multiple of TrackerConfig.Silence, above which the process
+// counts as having been suspended. Below it the process may only have been late: a tick waits up to one second for a
+// change of the table, and on a shared processor the next tick runs late.
+const suspendedSilences = 4
 
 // TrackerConfig holds a Tracker's parameters.
 type TrackerConfig struct {
-	// Silence is how long a replica may say nothing before it is taken out.
+	// Silence is the time without a heartbeat after which a replica is removed from service.
 	Silence time.Duration
-	// Keep is how long the row of a replica that is out is kept, so that its late heartbeats are known as
-	// such.
-	Keep time.Duration
+	// Retention is how long the row of a removed replica is retained, so that its late heartbeats are recognised as
+	// late.
+	Retention time.Duration
 }
 
-// Tracker remembers which replicas were heard. It belongs to the process that leads the control group, and
-// is not safe for concurrent use.
+// Tracker remembers the last heartbeat of each replica. It belongs to the process that leads the control group, and is
+// not safe for concurrent use.
 type Tracker struct {
-	config    TrackerConfig
-	attention *monotonic.Attention // silences are measured on it
-	since     time.Duration        // silence counts from here at the earliest: the end of this process's last sleep
-	ticked    time.Duration
-	heard     map[string]heard
-	out       map[string]time.Duration // since when a row is known to be out
+	config       TrackerConfig
+	attention    *monotonic.Attention     // clock on which silence is measured
+	silenceFrom  time.Duration            // earliest start of silence on that clock: the end of the last suspension of this process
+	lastTick     time.Duration            // time of the last Tick
+	heartbeats   map[string]lastHeartbeat // by instance
+	removedSince map[string]time.Duration // time at which a row was first seen as removed, by instance
 }
 
-type heard struct {
+// lastHeartbeat is the newest heartbeat of a replica.
+type lastHeartbeat struct {
 	at        time.Duration
-	attention time.Duration
-	who       incarnation.Incarnation
+	attention time.Duration // the same time on Tracker.attention
+	replica   incarnation.Incarnation
 	sequence  uint64
 }
 
-// outdates reports whether a heartbeat says nothing after what was heard.
-func (h heard) outdates(heartbeat *Registration) bool {
-	switch heartbeat.Incarnation().Compare(h.who) {
+// outdates reports whether a heartbeat is older than this one, or from a former start.
+func (h lastHeartbeat) outdates(heartbeat *Registration) bool {
+	switch heartbeat.Incarnation().Compare(h.replica) {
 	case incarnation.Older:
 		return true
 	case incarnation.Same:
@@ -51,43 +53,44 @@
 	return false
 }
 
-// NewTracker returns a tracker of a process that begins to lead now.
+// NewTracker returns a tracker for a process that becomes the leader now.
 func NewTracker(now time.Duration, config TrackerConfig) *Tracker {
-	return &Tracker{config: config, ticked: now, attention: monotonic.NewAttention(now, config.Silence/2), heard: map[string]heard{}, out: map[string]time.Duration{}}
+	return &Tracker{config: config, lastTick: now, attention: monotonic.NewAttention(now, config.Silence/2),
+		heartbeats: map[string]lastHeartbeat{}, removedSince: map[string]time.Duration{}}
 }
 
-// Heard notes a heartbeat; one that is older than the newest, or of a former start, says nothing.
-func (t *Tracker) Heard(now time.Duration, heartbeat *Registration) {
-	if known, ok := t.heard[heartbeat.Instance]; ok && known.outdates(heartbeat) {
+// NoteHeartbeat notes a heartbeat. One that is older than the newest, or from a former start, has no effect.
+func (t *Tracker) NoteHeartbeat(now time.Duration, heartbeat *Registration) {
+	if known, ok := t.heartbeats[heartbeat.Instance]; ok && known.outdates(heartbeat) {
 		return
 	}
-	t.heard[heartbeat.Instance] = heard{at: now, attention: t.attention.At(now), who: heartbeat.Incarnation(), sequence: heartbeat.Sequence}
+	t.heartbeats[heartbeat.Instance] = lastHeartbeat{at: now, attention: t.attention.At(now), replica: heartbeat.Incarnation(), sequence: heartbeat.Sequence}
 }
 
-// HeardAgo is how long ago a replica was heard; false if it was not.
-func (t *Tracker) HeardAgo(now time.Duration, instance string) (time.Duration, bool) {
-	known, ok := t.heard[instance]
+// SinceHeard returns the time since the last heartbeat of a replica, and false if there was none.
+func (t *Tracker) SinceHeard(now time.Duration, instance string) (time.Duration, bool) {
+	known, ok := t.heartbeats[instance]
 	return now - known.at, ok
 }
 
-// Tick returns the change that takes out the replicas of the view that fell silent and drops rows that have been out for long;
-// nil when there is nothing to change. It is called at least every half of Silence; where it is called later, half of Silence
-// counts: what was sent meanwhile may not be read yet.
+// Tick returns the change that removes the silent replicas of the view from service and drops rows whose retention has
+// ended. It returns nil if there is nothing to change. Call Tick at least once per half of Silence. After a longer
+// interval only half of Silence counts, because heartbeats that arrived meanwhile may not have been read yet.
 func (t *Tracker) Tick(now time.Duration, view *table.View) *wire.TableChange {
 	attention := t.attention.Look(now)
-	if now-t.ticked > sleepSilences*t.config.Silence {
-		t.since = attention // this process slept: what was sent meanwhile was not read yet
+	if now-t.lastTick > suspendedSilences*t.config.Silence {
+		t.silenceFrom = attention // the process was suspended and has not read the heartbeats that arrived meanwhile
 	}
-	t.ticked = now
+	t.lastTick = now
 	change := &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote}
 	known := map[string]bool{}
 	for _, pool := range view.Pools() {
-		t.tickPool(attention, view.Backends(pool.Name), change)
+		t.removeSilent(attention, view.Backends(pool.Name), change)
 	}
 	for _, row := range view.Rows() {
-		if registered(row) {
+		if isRegistered(row) {
 			known[row.Name] = true
-			t.tickOut(now, row, change)
+			t.dropRemoved(now, row, change)
 		}
 	}
 	t.forget(known, now)
@@ -97,17 +100,17 @@
 	return change
 }
 
-// tickPool takes out a pool's silent replicas, but never more than half of it at once: then it is rather
-// this process that hears nothing.
-func (t *Tracker) tickPool(attention time.Duration, backends []*table.Row, change *wire.TableChange) {
+// removeSilent removes a pool's silent replicas from service. If more than half of the pool's replicas are silent, and
+// the pool has more than one, it removes none: more likely this process does not receive their heartbeats.
+func (t *Tracker) removeSilent(attention time.Duration, backends []*table.Row, change *wire.TableChange) {
 	var silent []*table.Row
 	count := 0
 	for _, row := range backends {
-		if !registered(row) {
+		if !isRegistered(row) {
 			continue
 		}
 		count++
-		if attention-max(t.since, t.heard[row.Name].attention) > t.config.Silence {
+		if attention-max(t.silenceFrom, t.heartbeats[row.Name].attention) > t.config.Silence {
 			silent = append(silent, row)
 		}
 	}
@@ -119,31 +122,32 @@
 	}
 }
 
-// tickOut drops the row of a replica that has been out for long.
-func (t *Tracker) tickOut(now time.Duration, row *table.Row, change *wire.TableChange) {
+// dropRemoved drops the row of a replica that has been removed for longer than Retention.
+func (t *Tracker) dropRemoved(now time.Duration, row *table.Row, change *wire.TableChange) {
 	own, _ := row.Explicit(table.ColumnState)
 	if own != string(table.Removed) {
-		delete(t.out, row.Name)
+		delete(t.removedSince, row.Name)
 		return
 	}
-	since, known := t.out[row.Name]
+	since, known := t.removedSince[row.Name]
 	if !known {
-		t.out[row.Name] = now
-	} else if now-since > t.config.Keep {
+		t.removedSince[row.Name] = now
+	} else if now-since > t.config.Retention {
 		change.RemoveRows = append(change.RemoveRows, row.Name)
 	}
 }
 
-// forget drops what is remembered of instances without a row, a while after they were heard.
+// forget drops the state of instances without a row, of their heartbeats once they are older than Retention. known
+// holds the instances with a row.
 func (t *Tracker) forget(known map[string]bool, now time.Duration) {
-	for instance, last := range t.heard {
-		if !known[instance] && now-last.at > t.config.Keep {
-			delete(t.heard, instance)
+	for instance, last := range t.heartbeats {
+		if !known[instance] && now-last.at > t.config.Retention {
+			delete(t.heartbeats, instance)
 		}
 	}
-	for instance := range t.out {
+	for instance := range t.removedSince {
 		if !known[instance] {
-			delete(t.out, instance)
+			delete(t.removedSince, instance)
 		}
 	}
 }
