--- a/internal/claim/store_test.go
+++ b/internal/claim/store_test.go
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if found := result.GetState() == idle; found != unsafe.RefuseBelowFloor {
-			t.Errorf("with %+v the refusal returned state %v", unsafe, result.GetState())
+			t.Errorf("with %+v: got state %v, want UNSPECIFIED only with RefuseBelowFloor", unsafe, result.GetState())
 		}
 		if fresh, err := d.store.Refuse(d.index+1, &wire.ClaimRefuse{Key: "other", Ticket: d.index}); err != nil || fresh.GetState() != idle {
 			t.Errorf("refusal of an unknown key with a recent ticket: got %v, %v, want UNSPECIFIED", fresh.GetState(), err)
@@ -216,7 +216,7 @@
 		}
 		for key, count := range runs {
 			if count > 1 {
-				t.Fatalf("key %s ran %d times", key, count)
+				t.Fatalf("key %s ran %d times, want at most once", key, count)
 			}
 		}
 	})
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -266,7 +266,7 @@
 	m.state = stateSendEnded
 	failure := Outcome{Status: http.StatusServiceUnavailable, Code: CodeBackendRefused,
 		Reason: "the back ends that were tried did not take the request", RetryAfter: m.retryAfter(event)}
-	if m.mayHaveReachedBackend && !m.mayRepeat() {
+	if m.mayHaveReachedBackend && !m.canRepeat() {
 		m.fail(failure) // only the resume did not run; the request itself has run or is running
 		return
 	}
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -68,15 +68,15 @@
 		m.fail(Outcome{Status: event.Status, Code: event.Code, Reason: event.Reason})
 		return
 	}
-	if !m.mayRepeat() || (m.hasForwarded() && !m.request.Continuable) {
+	if !m.canRepeat() || (m.hasForwarded() && !m.request.Continuable) {
 		m.fail(failure)
 		return
 	}
 	m.retryElsewhere(now, failure, false)
 }
 
-// mayRepeat reports whether the request may be sent again although it may have run.
-func (m *Machine) mayRepeat() bool {
+// canRepeat reports whether the request may be sent again although it may have run.
+func (m *Machine) canRepeat() bool {
 	return m.request.Repeatable || m.settings.Unsafe.RetryAfterFirstByte
 }
 
@@ -91,7 +91,7 @@
 	answer := event.Answer
 	if answer.GetStatus() >= http.StatusInternalServerError && !m.hasForwarded() {
 		failure := Outcome{Status: int(answer.GetStatus()), Answer: answer}
-		if m.mayRepeat() {
+		if m.canRepeat() {
 			m.retryElsewhere(now, failure, false)
 			return
 		}
--- a/internal/poison/identity.go
+++ b/internal/poison/identity.go
@@ -60,15 +60,15 @@
 	part(strings.ToLower(i.Host))
 	part(i.Path)
 	for _, name := range callerFields {
-		part(strings.Join(i.values(name), "\x00"))
+		part(strings.Join(i.headerValues(name), "\x00"))
 	}
 	part("")
 	_, _ = hash.Write(i.Body)
 	return max(Digest(hash.Sum64()), 1)
 }
 
-// values returns the values of a header field, sorted because an intermediary may forward them in a different order.
-func (i *Identity) values(lowerName string) []string {
+// headerValues returns the values of a header field, sorted because an intermediary may forward them in a different order.
+func (i *Identity) headerValues(lowerName string) []string {
 	var found []string
 	for _, field := range i.Header {
 		if strings.ToLower(field.Name) == lowerName {
