--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -62,7 +62,7 @@
 // modelCall is one arrival of the key at some gateway.
 type modelCall struct {
 	machine *Machine
-	arrived int // step
+	arrived int // step of the arrival
 	inbox   []Event
 	reply   *Outcome
 	// refusedAt is the step at which a refusal was last applied. Without a refusal it is the step of the reply.
@@ -117,7 +117,7 @@
 		w.performSend(index, action)
 	case Reply:
 		if call.reply != nil {
-			w.t.Fatalf("second reply: %+v then %+v", call.reply, action.Outcome)
+			w.t.Fatalf("got a second reply: %+v, then %+v", call.reply, action.Outcome)
 		}
 		outcome := action.Outcome
 		call.reply = &outcome
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -43,7 +43,7 @@
 // needsClaim reports whether the request runs under a claim.
 func (r *Request) needsClaim() bool { return r.Key != "" && !r.Repeatable }
 
-// Settings are the parameters shared by all requests of a gateway.
+// Settings holds the parameters shared by all requests of a gateway.
 type Settings struct {
 	// MaxTries bounds the sends of one request without progress in between. Default 3: a second replica may have the
 	// same fault as the first one, a third rarely does.
--- a/internal/poison/plan.go
+++ b/internal/poison/plan.go
@@ -12,7 +12,7 @@
 // Step is a kind of change to the record of one suspect.
 type Step uint8
 
-// The steps.
+// The kinds of steps.
 const (
 	Report Step = iota // a back end crashed under the request
 	Claim              // a run is about to begin; it counts as a crash until it is returned or the suspect is cleared
