--- a/internal/consensus/abandoned_test.go
+++ b/internal/consensus/abandoned_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestAbandonedQuestionsShareNothing: a question whose asker gave up is still answered by the loop, at that moment or
-// later. Its answer must not touch what the asker reads, which the race detector sees.
-func TestAbandonedQuestionsShareNothing(t *testing.T) {
+// TestAbandonedCallsDoNotRace: a call whose caller has given up is still run by the loop, at the same moment or
+// later. Its result must not be written to memory that the caller reads. The race detector finds a violation.
+func TestAbandonedCallsDoNotRace(t *testing.T) {
 	host := newCluster(t, 1, nil).leader(0).host
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -18,16 +18,16 @@
 		if errors.Is(err, context.Canceled) {
 			abandoned++
 			if status.Term != 0 {
-				t.Fatalf("an abandoned question was answered with %+v", status)
+				t.Fatalf("an abandoned call returned %+v, want a zero status", status)
 			}
 		} else if err != nil || status.Term == 0 {
-			t.Fatalf("%+v, %v", status, err)
+			t.Fatalf("got status %+v and error %v, want a status with a term", status, err)
 		}
 		if _, _, err = host.Capture(ctx, 0); err != nil && !errors.Is(err, context.Canceled) {
 			t.Fatal(err)
 		}
 	}
 	if abandoned == 0 {
-		t.Fatal("no question was abandoned: nothing was examined")
+		t.Fatal("no call was abandoned, so nothing was tested")
 	}
 }
--- a/internal/consensus/absence.go
+++ b/internal/consensus/absence.go
@@ -11,109 +11,111 @@
 )
 
 const (
-	// leaderlessPatience is how long a group may be without a leader before a line tells of it: twice the longest
-	// election timeout of the defaults (1 s), so that an ordinary election writes none.
-	leaderlessPatience = 2 * time.Second
-	// leaderlessInterval is the least time between two such lines of a group.
-	leaderlessInterval = 5 * time.Second
+	// leaderlessReportDelay is how long a group may be without a leader before this is logged. It is twice the
+	// longest default election timeout (1 s), so that an ordinary election is not logged.
+	leaderlessReportDelay = 2 * time.Second
+	// leaderlessReportInterval is the minimum time between two such log lines of a group.
+	leaderlessReportInterval = 5 * time.Second
 )
 
-// absence follows one group while this node knows no leader of it. The loop owns it.
-type absence struct {
-	since       time.Time // zero while a leader is known
-	lookedAt    time.Time // when a line was last due; zero: not yet
-	told        bool      // whether one was written
-	term        uint64    // when the leader was lost
-	before      raft.Elections
-	syncs       int
-	lastSync    time.Duration
-	longestSync time.Duration
+// leaderlessPeriod tracks one group while this node knows no leader of it. The loop owns it.
+type leaderlessPeriod struct {
+	since           time.Time      // zero while a leader is known
+	lastReportDueAt time.Time      // when a log line was last due; zero: never
+	reported        bool           // whether a log line was written
+	termAtLoss      uint64         // term when the leader was lost
+	electionsAtLoss raft.Elections // election counters when the leader was lost
+	syncCount       int            // synced writes since then
+	lastSync        time.Duration
+	longestSync     time.Duration
 }
 
-// synced notes the time of a synced write.
-func (a *absence) synced(took time.Duration) {
-	if a.since.IsZero() {
+// recordSync records the duration of a synced write.
+func (p *leaderlessPeriod) recordSync(duration time.Duration) {
+	if p.since.IsZero() {
 		return
 	}
-	a.syncs++
-	a.lastSync = took
-	a.longestSync = max(a.longestSync, took)
+	p.syncCount++
+	p.lastSync = duration
+	p.longestSync = max(p.longestSync, duration)
 }
 
-// due tells whether a line is to be written now.
-func (a *absence) due(now time.Time) bool {
-	if a.lookedAt.IsZero() {
-		return now.Sub(a.since) >= leaderlessPatience
+// isReportDue reports whether a log line is due now.
+func (p *leaderlessPeriod) isReportDue(now time.Time) bool {
+	if p.lastReportDueAt.IsZero() {
+		return now.Sub(p.since) >= leaderlessReportDelay
 	}
-	return now.Sub(a.lookedAt) >= leaderlessInterval
+	return now.Sub(p.lastReportDueAt) >= leaderlessReportInterval
 }
 
-// watchLeaders notes which groups are without a leader, and tells of those that have been for a while.
-func (h *Host) watchLeaders(now time.Time) {
+// trackLeaders records which groups have no known leader, and logs those that have had none for longer than
+// leaderlessReportDelay.
+func (h *Host) trackLeaders(now time.Time) {
 	for _, g := range h.groups {
-		h.watchLeader(g, now)
+		h.trackLeader(g, now)
 	}
 }
 
-func (h *Host) watchLeader(g *hostedGroup, now time.Time) {
+func (h *Host) trackLeader(g *hostedGroup, now time.Time) {
 	known := g.leadership.Leader != raft.None
 	switch {
-	case known && g.absence.since.IsZero():
+	case known && g.leaderless.since.IsZero():
 	case known:
-		h.tellLeaderKnown(g, now)
-		g.absence = absence{}
-	case g.absence.since.IsZero():
-		g.absence = absence{since: now, term: g.node.Status().Term, before: g.node.Elections()}
-	case g.absence.due(now):
-		g.absence.lookedAt = now
-		h.tellWithoutLeader(g, now)
+		h.logLeaderKnown(g, now)
+		g.leaderless = leaderlessPeriod{}
+	case g.leaderless.since.IsZero():
+		g.leaderless = leaderlessPeriod{since: now, termAtLoss: g.node.Status().Term, electionsAtLoss: g.node.Elections()}
+	case g.leaderless.isReportDue(now):
+		g.leaderless.lastReportDueAt = now
+		h.logWithoutLeader(g, now)
 	}
 }
 
-// tellWithoutLeader writes a line, unless the node is in no configuration: such a node waits to be added.
-func (h *Host) tellWithoutLeader(g *hostedGroup, now time.Time) {
+// logWithoutLeader logs that a group has no leader. It logs nothing if this node is not in the group's configuration,
+// since such a node waits to be added.
+func (h *Host) logWithoutLeader(g *hostedGroup, now time.Time) {
 	if !isMember(g.node.Status()) {
 		return
 	}
-	g.absence.told = true
-	logging.Emit(h.config.Log, h.withoutLeader(g, now))
+	g.leaderless.reported = true
+	logging.Emit(h.config.Log, h.describeWithoutLeader(g, now))
 }
 
-// isMember tells whether a node is in its own configuration in force.
+// isMember reports whether a node is a voter or learner of its own current configuration.
 func isMember(status raft.Status) bool {
 	return status.Configuration.IsVoter(status.ID) || status.Configuration.IsLearner(status.ID)
 }
 
-// tellLeaderKnown ends the account of an absence that a line told of.
-func (h *Host) tellLeaderKnown(g *hostedGroup, now time.Time) {
-	absence := &g.absence
-	if !absence.told {
+// logLeaderKnown logs that a group has a leader again, if its missing leader was logged.
+func (h *Host) logLeaderKnown(g *hostedGroup, now time.Time) {
+	leaderless := &g.leaderless
+	if !leaderless.reported {
 		return
 	}
-	counts := g.node.Elections().Since(absence.before)
+	counts := g.node.Elections().Since(leaderless.electionsAtLoss)
 	logging.Emit(h.config.Log, &events.GroupLeaderKnown{
 		Group: g.id, Leader: g.leadership.Leader, Term: g.leadership.Term,
-		WithoutMs: events.Millis(now.Sub(absence.since)), Terms: g.leadership.Term - absence.term,
+		WithoutMs: events.Millis(now.Sub(leaderless.since)), Terms: g.leadership.Term - leaderless.termAtLoss,
 		PreCampaigns: counts.PreCampaigns, Campaigns: counts.Campaigns, Overtaken: counts.Overtaken, Expired: counts.Expired,
-		Syncs: absence.syncs, LongestSyncMs: events.Millis(absence.longestSync),
+		Syncs: leaderless.syncCount, LongestSyncMs: events.Millis(leaderless.longestSync),
 	})
 }
 
-// withoutLeader is this node's account of a group without a leader.
-func (h *Host) withoutLeader(g *hostedGroup, now time.Time) *events.GroupWithoutLeader {
-	status, absence := g.node.Status(), &g.absence
-	counts := g.node.Elections().Since(absence.before)
+// describeWithoutLeader returns the event for a group that has no leader, as seen by this node.
+func (h *Host) describeWithoutLeader(g *hostedGroup, now time.Time) *events.GroupWithoutLeader {
+	status, leaderless := g.node.Status(), &g.leaderless
+	counts := g.node.Elections().Since(leaderless.electionsAtLoss)
 	event := &events.GroupWithoutLeader{
-		Group: g.id, ForMs: events.Millis(now.Sub(absence.since)), Self: status.ID, Role: status.Role.String(),
-		TakesPart: h.book.takesPart(), Awaits: h.book.awaits(),
-		Term: status.Term, Terms: status.Term - absence.term, Vote: status.Vote,
+		Group: g.id, ForMs: events.Millis(now.Sub(leaderless.since)), Self: status.ID, Role: status.Role.String(),
+		TakesPart: h.book.canParticipate(), Awaits: h.book.listUnconfirmedVoters(),
+		Term: status.Term, Terms: status.Term - leaderless.termAtLoss, Vote: status.Vote,
 		LastIndex: status.LastIndex, LastTerm: status.LastTerm, Commit: status.Commit,
-		Voters: h.groupPeers(status.Configuration.Voters, now), Learners: h.groupPeers(status.Configuration.Learners, now),
+		Voters: h.describePeers(status.Configuration.Voters, now), Learners: h.describePeers(status.Configuration.Learners, now),
 		PreCampaigns: counts.PreCampaigns, Campaigns: counts.Campaigns, Overtaken: counts.Overtaken, Expired: counts.Expired,
-		Syncs: absence.syncs, LastSyncMs: events.Millis(absence.lastSync), LongestSyncMs: events.Millis(absence.longestSync),
+		Syncs: leaderless.syncCount, LastSyncMs: events.Millis(leaderless.lastSync), LongestSyncMs: events.Millis(leaderless.longestSync),
 	}
 	if h.writer.busy {
-		event.WritingMs = events.Millis(now.Sub(h.writer.began))
+		event.WritingMs = events.Millis(now.Sub(h.writer.startedAt))
 	}
 	for _, peer := range counts.Peers {
 		event.Votes = append(event.Votes, events.PeerVotes{
@@ -127,19 +129,19 @@
 	return event
 }
 
-// groupPeers describes nodes of a group as this one sees them.
-func (h *Host) groupPeers(nodes []uint64, now time.Time) []events.GroupPeer {
+// describePeers describes nodes of a group as seen by this node.
+func (h *Host) describePeers(nodes []uint64, now time.Time) []events.GroupPeer {
 	peers := make([]events.GroupPeer, 0, len(nodes))
 	for _, node := range nodes {
 		if node == h.config.NodeID {
 			peers = append(peers, events.GroupPeer{ID: node, Self: true, Address: h.config.Address, Connected: true,
-				Standby: h.isStandby(node), Folder: folderText(h.config.Store.Identity().Folder)})
+				Standby: h.isStandby(node), Folder: formatFolder(h.config.Store.Identity().Folder)})
 			continue
 		}
-		seen := h.contacts.of(node)
+		seen := h.contacts.get(node)
 		peer := events.GroupPeer{ID: node, Address: h.book.address(node), Standby: h.isStandby(node),
-			Folder: folderText(h.book.knownFolder(node)), HeardMs: neverHeard, Connected: !seen.connectedAt.IsZero(),
-			Refused: seen.refused, RefusedBy: seen.lastRefusalBy(now)}
+			Folder: formatFolder(h.book.knownFolder(node)), HeardMs: neverHeard, Connected: !seen.connectedAt.IsZero(),
+			Refused: seen.greetingRefusal, RefusedBy: seen.currentStreamRefusal(now)}
 		if !seen.heardAt.IsZero() {
 			peer.HeardMs = events.Millis(max(0, now.Sub(seen.heardAt)))
 		}
@@ -148,35 +150,35 @@
 	return peers
 }
 
-// neverHeard stands for the time since a node was heard that never was.
+// neverHeard is reported in place of the time since a node was heard, if it has not been heard since the start.
 const neverHeard = -1
 
 func (h *Host) isStandby(node uint64) bool {
 	return h.config.IsStandby != nil && h.config.IsStandby(node)
 }
 
-// folderText is a folder's identity as refusals show it; empty if none is known.
-func folderText(folder uint64) string {
+// formatFolder returns a data folder ID in the format of refusal messages, empty if it is unknown.
+func formatFolder(folder uint64) string {
 	if folder == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%x", folder)
 }
 
-// SilentFor returns the time since any message of a node was heard, or since the start if none was.
-func (h *Host) SilentFor(node uint64) time.Duration { return h.contacts.silentFor(node, time.Now()) }
+// SilentFor returns the time since any message of a node was received, or since the start if none was.
+func (h *Host) SilentFor(node uint64) time.Duration { return h.contacts.sinceHeard(node, time.Now()) }
 
-// Sight is what a node has seen of a group's elections, for operators.
+// Sight is a node's view of a group's elections, for operators.
 type Sight struct {
-	WithoutLeader time.Duration // 0 while a leader is known, or the node is no member
+	WithoutLeader time.Duration // 0 while a leader is known or the node is not a member
 	Elections     raft.Elections
 }
 
-// Sight returns what this node has seen of a group's elections. Errors: those of Status.
+// Sight returns this node's view of a group's elections. Errors: those of Status.
 func (h *Host) Sight(ctx context.Context, group uint32) (Sight, error) {
-	return ask(ctx, h, group, func(g *hostedGroup) (Sight, error) {
+	return callWithResult(ctx, h, group, func(g *hostedGroup) (Sight, error) {
 		sight := Sight{Elections: g.node.Elections()}
-		if since := g.absence.since; !since.IsZero() && g.leadership.Leader == raft.None && isMember(g.node.Status()) {
+		if since := g.leaderless.since; !since.IsZero() && g.leadership.Leader == raft.None && isMember(g.node.Status()) {
 			sight.WithoutLeader = time.Since(since)
 		}
 		return sight, nil
--- a/internal/consensus/addressbook.go
+++ b/internal/consensus/addressbook.go
@@ -9,34 +9,35 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// addressBook knows the other nodes: where they listen, and which data folder each has. What it learns
-// from greetings is durable before it counts.
+// addressBook stores the addresses and the data folder IDs of the other nodes. Information from a greeting is made
+// durable before it is used.
 type addressBook struct {
-	store Store
-	self  uint64
-	own   storage.Identity
-
-	// greetings is held while one greeting is judged and written. mutex is not held during the write: the loop asks the book at
-	// each tick, and with syncs of 2 s a leader that waited for one sent no heartbeat for 4 s.
-	greetings sync.Mutex
-
-	mutex    sync.Mutex
-	records  map[uint64]storage.PeerRecord
-	settings map[uint64]string // addresses from the settings
-	required []uint64          // voters that have to know this folder before the node takes part
-	admitted bool
+	store    Store
+	self     uint64
+	identity storage.Identity
+
+	// greetingMutex is held while a greeting is checked and written. mutex is not held during the write, because the
+	// loop calls canParticipate at each tick: with syncs of 2 s a leader that waited for such a write sent no
+	// heartbeat for 4 s.
+	greetingMutex sync.Mutex
+
+	mutex          sync.Mutex
+	records        map[uint64]storage.PeerRecord
+	configured     map[uint64]string // addresses from the settings, by node
+	requiredVoters []uint64          // voters that have to know this folder before the node may participate
+	participates   bool              // set once all required voters know this folder
 }
 
 func newAddressBook(config *Config) (*addressBook, error) {
 	book := &addressBook{
-		store:    config.Store,
-		self:     config.NodeID,
-		own:      config.Store.Identity(),
-		records:  map[uint64]storage.PeerRecord{},
-		settings: map[uint64]string{},
+		store:      config.Store,
+		self:       config.NodeID,
+		identity:   config.Store.Identity(),
+		records:    map[uint64]storage.PeerRecord{},
+		configured: map[uint64]string{},
 	}
 	for _, peer := range config.Peers {
-		book.settings[peer.ID] = peer.Address
+		book.configured[peer.ID] = peer.Address
 	}
 	records, err := config.Store.Peers()
 	if err != nil {
@@ -48,47 +49,47 @@
 	return book, nil
 }
 
-// requireKnown names the voters that must durably know this node's folder before it takes part. It is
-// called for a node that has never voted or stored an entry: such a node may be one that lost its disk,
-// and then one of the voters knows another folder of it.
-func (b *addressBook) requireKnown(voters []uint64) {
+// requireConfirmation sets the voters that must durably know this node's data folder before the node may participate.
+// It is called for a node that has never voted or stored an entry. Such a node may have lost its disk, and then one
+// of the voters knows another data folder of it.
+func (b *addressBook) requireConfirmation(voters []uint64) {
 	for _, voter := range voters {
 		if voter != b.self {
-			b.required = append(b.required, voter)
+			b.requiredVoters = append(b.requiredVoters, voter)
 		}
 	}
 }
 
-// takesPart tells whether the node may vote, stand for election and store entries.
-func (b *addressBook) takesPart() bool {
+// canParticipate reports whether the node may vote, start elections and store entries.
+func (b *addressBook) canParticipate() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.admitted {
+	if b.participates {
 		return true
 	}
-	for _, voter := range b.required {
+	for _, voter := range b.requiredVoters {
 		if !b.records[voter].KnowsThisFolder {
 			return false
 		}
 	}
-	b.admitted = true
+	b.participates = true
 	return true
 }
 
-// awaits lists the voters that do not know this folder yet, while the node waits for them.
-func (b *addressBook) awaits() []uint64 {
+// listUnconfirmedVoters lists the voters that do not know this data folder yet, while the node waits for them.
+func (b *addressBook) listUnconfirmedVoters() []uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var awaited []uint64
-	for _, voter := range b.required {
-		if !b.admitted && !b.records[voter].KnowsThisFolder {
-			awaited = append(awaited, voter)
+	var unconfirmed []uint64
+	for _, voter := range b.requiredVoters {
+		if !b.participates && !b.records[voter].KnowsThisFolder {
+			unconfirmed = append(unconfirmed, voter)
 		}
 	}
-	return awaited
+	return unconfirmed
 }
 
-// address returns where a node listens, empty if unknown.
+// address returns the listener address of a node, empty if unknown.
 func (b *addressBook) address(node uint64) string {
 	if addresses := b.addresses(node); len(addresses) > 0 {
 		return addresses[0]
@@ -96,7 +97,7 @@
 	return ""
 }
 
-// addresses returns where a node may listen: what it said last, then what the settings say.
+// addresses returns the possible listener addresses of a node: the one it announced last, then the configured one.
 func (b *addressBook) addresses(node uint64) []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -104,73 +105,73 @@
 		return nil
 	}
 	var addresses []string
-	if said := b.records[node].Address; said != "" {
-		addresses = append(addresses, said)
+	if announced := b.records[node].Address; announced != "" {
+		addresses = append(addresses, announced)
 	}
-	if set := b.settings[node]; set != "" && (len(addresses) == 0 || addresses[0] != set) {
-		addresses = append(addresses, set)
+	if configured := b.configured[node]; configured != "" && (len(addresses) == 0 || addresses[0] != configured) {
+		addresses = append(addresses, configured)
 	}
 	return addresses
 }
 
-// nodes lists all other nodes with a known address.
+// nodes lists all other known nodes.
 func (b *addressBook) nodes() []uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var nodes []uint64
-	for node := range b.settings {
+	for node := range b.configured {
 		if node != b.self {
 			nodes = append(nodes, node)
 		}
 	}
 	for node := range b.records {
-		if _, listed := b.settings[node]; !listed && node != b.self {
+		if _, listed := b.configured[node]; !listed && node != b.self {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// knownFolder returns the folder identity that is durably known of a node, 0 if none is.
+// knownFolder returns the durably recorded data folder ID of a node, 0 if there is none.
 func (b *addressBook) knownFolder(node uint64) uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.records[node].Folder
 }
 
-// greet checks a greeting against what is known of the node and remembers it durably. news tells that
-// the sender was not known like this before. A *refusal says that it must not take part; *ErrRefused
-// that this node must not.
-func (b *addressBook) greet(greeting *wire.RaftBatch) (news bool, err error) {
-	b.greetings.Lock()
-	defer b.greetings.Unlock()
-	known, record, err := b.judge(greeting)
-	if err != nil || record == known {
+// acceptGreeting checks a greeting against the record of its sender and durably updates the record. isNew reports
+// whether the sender was unknown before. Errors: a *refusal if the sender must not participate, an *ErrRefused if
+// this node must not participate, those of the store, and others if the greeting is rejected for now.
+func (b *addressBook) acceptGreeting(greeting *wire.RaftBatch) (isNew bool, err error) {
+	b.greetingMutex.Lock()
+	defer b.greetingMutex.Unlock()
+	known, updated, err := b.checkGreeting(greeting)
+	if err != nil || updated == known {
 		return false, err
 	}
-	if err := b.store.PutPeer(record); err != nil {
+	if err := b.store.PutPeer(updated); err != nil {
 		return false, err
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.records[greeting.FromNode] = record
+	b.records[greeting.FromNode] = updated
 	return known.Folder == 0, nil
 }
 
-// judge checks a greeting and returns what is known of its sender, and what is to be known.
-func (b *addressBook) judge(greeting *wire.RaftBatch) (known, record storage.PeerRecord, err error) {
+// checkGreeting checks a greeting and returns the current and the updated record of its sender.
+func (b *addressBook) checkGreeting(greeting *wire.RaftBatch) (known, updated storage.PeerRecord, err error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if greeting.ToNode != raft.None && greeting.ToNode != b.self {
-		return known, record, fmt.Errorf("node %d looks for node %d, this is node %d: it has that one's address now",
+		return known, updated, fmt.Errorf("node %d looks for node %d, this is node %d: it has that one's address now",
 			greeting.FromNode, greeting.ToNode, b.self)
 	}
 	if err := b.checkSender(greeting); err != nil {
-		return known, record, err
+		return known, updated, err
 	}
-	if greeting.KnownIdentity != 0 && greeting.KnownIdentity != b.own.Folder {
-		return known, record, &ErrRefused{Peer: greeting.FromNode, Reason: fmt.Sprintf(
-			"it knows node %d with data folder %x, this one is %x", b.self, greeting.KnownIdentity, b.own.Folder)}
+	if greeting.KnownIdentity != 0 && greeting.KnownIdentity != b.identity.Folder {
+		return known, updated, &ErrRefused{Peer: greeting.FromNode, Reason: fmt.Sprintf(
+			"it knows node %d with data folder %x, this one is %x", b.self, greeting.KnownIdentity, b.identity.Folder)}
 	}
 	known = b.records[greeting.FromNode]
 	return known, storage.PeerRecord{
@@ -179,19 +180,19 @@
 		Folder:          greeting.FromIdentity,
 		Starts:          greeting.Starts,
 		StartNonce:      greeting.StartNonce,
-		KnowsThisFolder: known.KnowsThisFolder || greeting.KnownIdentity == b.own.Folder,
+		KnowsThisFolder: known.KnowsThisFolder || greeting.KnownIdentity == b.identity.Folder,
 	}, nil
 }
 
-// refusal says why a node's greeting is refused.
+// refusal is the error for a greeting whose sender must not participate.
 type refusal struct{ reason string }
 
 // Error implements error.
 func (r *refusal) Error() string { return r.reason }
 
 func (b *addressBook) checkSender(greeting *wire.RaftBatch) error {
-	if greeting.ClusterId != b.own.ClusterID {
-		return fmt.Errorf("this is a node of cluster %q, not of %q", b.own.ClusterID, greeting.ClusterId)
+	if greeting.ClusterId != b.identity.ClusterID {
+		return fmt.Errorf("this is a node of cluster %q, not of %q", b.identity.ClusterID, greeting.ClusterId)
 	}
 	if greeting.FromNode == raft.None || greeting.FromIdentity == 0 {
 		return fmt.Errorf("a greeting without a node ID or a folder identity")
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -23,10 +23,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits in tests; nothing asserts on how much of it is used.
-const patience = 20 * time.Second
+// waitTimeout limits waits in tests. No assertion depends on how much of it is used.
+const waitTimeout = 20 * time.Second
 
-// journal is a state machine that lists the request IDs that it applied.
+// journal is a state machine that lists the request IDs of the commands that it has applied.
 type journal struct{ applied []string }
 
 func (j *journal) Readable(*wire.Command) error { return nil }
@@ -56,7 +56,8 @@
 	return json.Unmarshal(bytes.Join(parts, nil), &j.applied)
 }
 
-func listOf(t *testing.T, view *wire.View) []string {
+// decodeList returns the request IDs in a view of a journal.
+func decodeList(t *testing.T, view *wire.View) []string {
 	t.Helper()
 	var applied []string
 	if err := json.Unmarshal([]byte(view.GetTrainer().GetTrainer()), &applied); err != nil {
@@ -65,7 +66,7 @@
 	return applied
 }
 
-// network dials between nodes and can cut links.
+// network dials connections between nodes and can cut the links between them.
 type network struct {
 	mutex sync.Mutex
 	cut   map[[2]uint64]bool
@@ -88,7 +89,7 @@
 	}
 }
 
-// isolate cuts or heals all links of a node.
+// isolate cuts or restores the links between a node and others.
 func (n *network) isolate(node uint64, cut bool, others ...uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -103,16 +104,16 @@
 	}
 }
 
-// testNode is one node; it can be stopped and started on the same folder and address.
+// testNode is one node of a testCluster. It can be stopped and started again with the same data folder and address.
 type testNode struct {
 	cluster  *testCluster
 	id       uint64
 	folder   string
 	address  string
-	reserved net.Listener // on address, until the first start
+	reserved net.Listener // holds the address until the first start
 	join     bool
 	change   func(*Config)
-	hooks    storage.Hooks // faults of its disk
+	hooks    storage.Hooks // injected disk faults
 	store    *storage.Store
 	host     *Host
 	stop     context.CancelFunc
@@ -140,7 +141,7 @@
 	return c
 }
 
-// add prepares a node with a reserved address.
+// add prepares a node with a reserved address. The caller starts it.
 func (c *testCluster) add(id uint64, change func(*Config)) *testNode {
 	c.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -201,7 +202,7 @@
 	}()
 }
 
-// kill stops a node abruptly and returns Run's error.
+// kill stops a node abruptly and logs the error that Run returned.
 func (n *testNode) kill() {
 	if n.host == nil {
 		return
@@ -220,7 +221,7 @@
 	n.host = nil
 }
 
-// running lists the hosts that are up.
+// running lists the nodes that are running.
 func (c *testCluster) running() []*testNode {
 	var nodes []*testNode
 	for _, peer := range c.peers {
@@ -231,15 +232,15 @@
 	return nodes
 }
 
-// leader waits until a running node leads the group and can confirm it.
+// leader waits until a running node leads the group and has confirmed this by a read.
 func (c *testCluster) leader(group uint32) *testNode {
 	c.t.Helper()
-	return c.leaderAmong(group, c.running()...)
+	return c.waitForLeaderAmong(group, c.running()...)
 }
 
-func (c *testCluster) leaderAmong(group uint32, nodes ...*testNode) *testNode {
+func (c *testCluster) waitForLeaderAmong(group uint32, nodes ...*testNode) *testNode {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		for _, node := range nodes {
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
@@ -255,23 +256,24 @@
 	return nil
 }
 
-func named(name string) *wire.Command {
+// newCommand returns a command whose request ID is name.
+func newCommand(name string) *wire.Command {
 	return &wire.Command{RequestId: name,
 		Kind: &wire.Command_FenceAcquire{FenceAcquire: &wire.FenceAcquire{Resource: name}}}
 }
 
-// commit proposes to whoever leads until it is committed; a command may be applied more than once.
+// commit proposes a command to the current leader until it is committed. The command may be applied more than once.
 func (c *testCluster) commit(group uint32, name string) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		node := c.leader(group)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		result, _, err := node.host.Propose(ctx, group, named(name))
+		result, _, err := node.host.Propose(ctx, group, newCommand(name))
 		cancel()
 		if err == nil {
 			if result.GetFence().GetOwner() != name {
-				c.t.Fatalf("%s was answered with %v", name, result)
+				c.t.Fatalf("the command %s returned the result %v, want the owner to be its name", name, result)
 			}
 			return
 		}
@@ -279,26 +281,26 @@
 	c.t.Fatalf("%s was not committed", name)
 }
 
-// wait polls until the condition holds.
+// wait polls until the condition holds and fails the test after waitTimeout.
 func (c *testCluster) wait(what string, condition func() bool) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("waited in vain: %s", what)
+			c.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// localList returns what a node has applied.
-func (n *testNode) localList(group uint32) []string {
+// appliedLocally returns the request IDs of the commands that a node has applied.
+func (n *testNode) appliedLocally(group uint32) []string {
 	n.cluster.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	view, err := n.host.LocalQuery(ctx, group, &wire.Query{})
 	if err != nil {
 		n.cluster.t.Fatal(err)
 	}
-	return listOf(n.cluster.t, view)
+	return decodeList(n.cluster.t, view)
 }
--- a/internal/consensus/compaction.go
+++ b/internal/consensus/compaction.go
@@ -6,21 +6,21 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// freeSnapshotBytes is what a snapshot may write without Config.SnapshotCost counting.
-const freeSnapshotBytes = 1 << 20
+// minCostedSnapshotBytes is the size in bytes up to which Config.SnapshotCost does not delay a snapshot.
+const minCostedSnapshotBytes = 1 << 20
 
-// snapshots is a group's account of when the next snapshot is due. The loop owns it.
-type snapshots struct {
-	index        uint64        // of the last one
-	size         int           // of the last one, in bytes
-	written      int           // bytes of it that were in none before
-	appliedBytes int           // of the entries since its state was captured
-	encoding     bool          // one is being encoded beside the loop
-	wanted       bool          // one is due at once: what an older build may not read is to replace what it would
-	encoded      *encodedState // one is encoded and waits until no Ready is out
+// snapshotSchedule decides when a group takes its next snapshot. The loop owns it.
+type snapshotSchedule struct {
+	index        uint64        // log index of the last snapshot
+	size         int           // bytes of the last snapshot
+	newBytes     int           // bytes of the last snapshot that were in no earlier one
+	appliedBytes int           // bytes of the entries applied since its state was captured
+	encoding     bool          // whether a goroutine is encoding a snapshot
+	forced       bool          // set when a level is raised: replaces at once a snapshot that an older build would read
+	encoded      *encodedState // encoded state that waits until no Ready is in progress
 }
 
-// encodedState is a group's state as of an index.
+// encodedState is the encoded state of a group as of a log index.
 type encodedState struct {
 	group *hostedGroup
 	index uint64
@@ -28,32 +28,32 @@
 	err   error
 }
 
-// due tells whether enough was applied since the last snapshot.
-func (s *snapshots) due(config *Config, applied uint64) bool {
+// isDue reports whether enough entries were applied since the last snapshot to take another one.
+func (s *snapshotSchedule) isDue(config *Config, applied uint64) bool {
 	if s.encoding || s.encoded != nil || applied == s.index {
 		return false
 	}
-	if s.wanted {
+	if s.forced {
 		return true
 	}
-	if s.written > freeSnapshotBytes && s.appliedBytes < s.written/config.SnapshotCost {
+	if s.newBytes > minCostedSnapshotBytes && s.appliedBytes < s.newBytes/config.SnapshotCost {
 		return false
 	}
 	return applied-s.index >= uint64(config.SnapshotEntries) || s.appliedBytes >= config.SnapshotBytes
 }
 
-// received notes a snapshot that replaced the state.
-func (s *snapshots) received(snapshot *raft.Snapshot) {
-	s.index, s.size, s.written, s.appliedBytes = snapshot.Index, snapshot.Data.Size(), 0, 0
+// recordReceived records a snapshot from the leader that has replaced the state.
+func (s *snapshotSchedule) recordReceived(snapshot *raft.Snapshot) {
+	s.index, s.size, s.newBytes, s.appliedBytes = snapshot.Index, snapshot.Data.Size(), 0, 0
 }
 
-// compact moves a group's snapshot on: it captures the state when that is due, and compacts the log once the
-// captured state is encoded. No Ready may be out in either step.
+// compact captures a group's state when a snapshot is due, and compacts the log once a captured state is encoded. It
+// does neither while a Ready is in progress.
 func (h *Host) compact(g *hostedGroup) error {
 	if !g.cycle.Idle() {
 		return nil
 	}
-	if g.snapshots.due(g.config, g.applied) {
+	if g.snapshots.isDue(g.config, g.applied) {
 		h.startEncoding(g)
 	}
 	if encoded := g.snapshots.encoded; encoded != nil {
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// startEncoding captures a group's state and has it encoded beside the loop, which goes on meanwhile.
+// startEncoding captures a group's state and encodes it in another goroutine while the loop continues.
 func (h *Host) startEncoding(g *hostedGroup) {
-	g.snapshots.encoding, g.snapshots.appliedBytes, g.snapshots.wanted = true, 0, false
+	g.snapshots.encoding, g.snapshots.appliedBytes, g.snapshots.forced = true, 0, false
 	encode, index := g.machine.Capture(), g.applied
 	h.encoders.Go(func() {
 		parts, err := encode()
@@ -73,13 +73,13 @@
 	})
 }
 
-// finishEncoding takes over a state that was encoded.
+// finishEncoding stores an encoded state until compact can use it.
 func (h *Host) finishEncoding(encoded *encodedState) {
 	encoded.group.snapshots.encoding = false
 	encoded.group.snapshots.encoded = encoded
 }
 
-// takeSnapshot makes an encoded state the group's snapshot, unless a newer one came from the leader.
+// takeSnapshot makes an encoded state the group's snapshot, unless the leader has sent a newer one meanwhile.
 func (g *hostedGroup) takeSnapshot(encoded *encodedState) error {
 	if encoded.err != nil {
 		return trace.Wrap(encoded.err, "consensus: group %d cannot take a snapshot", g.id)
@@ -93,13 +93,13 @@
 	}
 	g.cycle.Compact(&snapshot)
 	g.snapshots.index, g.snapshots.size = encoded.index, encoded.parts.Size()
-	g.snapshots.written = g.config.Store.SizeOfNew(g.id, encoded.parts)
+	g.snapshots.newBytes = g.config.Store.SizeOfNew(g.id, encoded.parts)
 	return nil
 }
 
-// sendStored sends a snapshot that raft no longer holds, read from disk beside the loop. One that a newer one has
-// replaced meanwhile is not sent: raft begins anew when the snapshot isn't acknowledged.
-func (h *Host) sendStored(group uint32, message raft.Message) {
+// sendStoredSnapshot sends a snapshot that raft no longer holds in memory. A goroutine reads it from disk. If a newer
+// snapshot has replaced it meanwhile nothing is sent: raft starts again when the snapshot is not acknowledged.
+func (h *Host) sendStoredSnapshot(group uint32, message raft.Message) {
 	h.encoders.Go(func() {
 		stored, err := h.config.Store.LoadSnapshot(group)
 		switch {
--- a/internal/consensus/compaction_test.go
+++ b/internal/consensus/compaction_test.go
@@ -7,33 +7,34 @@
 	"testing"
 )
 
-// slowJournal encodes a captured state only when it is let.
-type slowJournal struct {
+// blockingEncodeJournal blocks the encoding of a captured state until allowEncode is closed.
+type blockingEncodeJournal struct {
 	journal
-	captured chan struct{}
-	let      chan struct{}
+	captured    chan struct{}
+	allowEncode chan struct{}
 }
 
-func (j *slowJournal) Capture() func() ([][]byte, error) {
+func (j *blockingEncodeJournal) Capture() func() ([][]byte, error) {
 	encode := j.journal.Capture()
 	return func() ([][]byte, error) {
 		select {
 		case j.captured <- struct{}{}:
 		default:
 		}
-		<-j.let
+		<-j.allowEncode
 		return encode()
 	}
 }
 
-// TestEncodingHoldsUpCommands commits while a snapshot is being encoded, and restarts from that snapshot.
+// TestEncodingHoldsUpCommands guards against commands that wait for the encoding of a snapshot. It commits while a
+// snapshot is being encoded, and then restarts from that snapshot.
 func TestEncodingHoldsUpCommands(t *testing.T) {
-	captured, let := make(chan struct{}, 1), make(chan struct{})
-	release := sync.OnceFunc(func() { close(let) })
+	captured, allowEncode := make(chan struct{}, 1), make(chan struct{})
+	release := sync.OnceFunc(func() { close(allowEncode) })
 	defer release()
 	c := newCluster(t, 1, func(config *Config) {
 		config.SnapshotEntries = 10
-		config.NewStateMachine = func(uint32) StateMachine { return &slowJournal{captured: captured, let: let} }
+		config.NewStateMachine = func(uint32) StateMachine { return &blockingEncodeJournal{captured: captured, allowEncode: allowEncode} }
 	})
 	for i := range 20 {
 		c.commit(0, fmt.Sprint("before ", i))
@@ -47,8 +48,8 @@
 	c.nodes[1].kill()
 	c.nodes[1].start()
 	c.commit(0, "after the restart")
-	if got := c.nodes[1].localList(0); len(got) != 41 {
-		t.Fatalf("%d commands after the restart: %v", len(got), got)
+	if got := c.nodes[1].appliedLocally(0); len(got) != 41 {
+		t.Fatalf("got %d commands after the restart, want 41: %v", len(got), got)
 	}
 }
 
@@ -64,51 +65,55 @@
 	return index
 }
 
-func TestLargeStateIsEncodedTooOften(t *testing.T) {
+// TestSnapshotCostIsBounded guards against a large state that is encoded and written too often, and against snapshots
+// that are taken while another one is in progress or nothing new was applied.
+func TestSnapshotCostIsBounded(t *testing.T) {
 	config := &Config{SnapshotEntries: 10, SnapshotBytes: 1 << 30, SnapshotCost: 4}
 	for _, example := range []struct {
-		name    string
-		account snapshots
-		applied uint64
-		due     bool
+		name     string
+		schedule snapshotSchedule
+		applied  uint64
+		due      bool
 	}{
-		{"few entries", snapshots{index: 5, written: 100, appliedBytes: 50}, 14, false},
-		{"enough entries of a small state", snapshots{index: 5, written: 100, appliedBytes: 1}, 15, true},
-		{"enough entries, too few bytes for a large state", snapshots{index: 5, written: 8 << 20, appliedBytes: 2<<20 - 1}, 500, false},
-		{"a quarter of a large state", snapshots{index: 5, written: 8 << 20, appliedBytes: 2 << 20}, 500, true},
-		{"one is being encoded", snapshots{index: 5, encoding: true, appliedBytes: 1 << 30}, 500, false},
-		{"one waits to be taken", snapshots{index: 5, encoded: &encodedState{}, appliedBytes: 1 << 30}, 500, false},
-		{"nothing new", snapshots{index: 5, appliedBytes: 1 << 31}, 5, false},
+		{"few entries", snapshotSchedule{index: 5, newBytes: 100, appliedBytes: 50}, 14, false},
+		{"enough entries of a small state", snapshotSchedule{index: 5, newBytes: 100, appliedBytes: 1}, 15, true},
+		{"enough entries, too few bytes for a large state", snapshotSchedule{index: 5, newBytes: 8 << 20, appliedBytes: 2<<20 - 1}, 500, false},
+		{"a quarter of a large state", snapshotSchedule{index: 5, newBytes: 8 << 20, appliedBytes: 2 << 20}, 500, true},
+		{"one is being encoded", snapshotSchedule{index: 5, encoding: true, appliedBytes: 1 << 30}, 500, false},
+		{"one waits to be taken", snapshotSchedule{index: 5, encoded: &encodedState{}, appliedBytes: 1 << 30}, 500, false},
+		{"nothing new", snapshotSchedule{index: 5, appliedBytes: 1 << 31}, 5, false},
 	} {
-		if got := example.account.due(config, example.applied); got != example.due {
-			t.Errorf("%s: due is %v", example.name, got)
+		if got := example.schedule.isDue(config, example.applied); got != example.due {
+			t.Errorf("%s: got due %v, want the opposite", example.name, got)
 		}
 	}
 }
 
-// heldSnapshotBytes is what raft holds of a group's snapshot in memory.
-func (n *testNode) heldSnapshotBytes(group uint32) int {
-	var held int
+// snapshotBytesInMemory returns how many bytes of a snapshot of a group raft holds in memory.
+func (n *testNode) snapshotBytesInMemory(group uint32) int {
+	var bytes int
 	err := n.host.call(context.Background(), group, func(g *hostedGroup) error {
-		held = g.node.SnapshotBytes()
+		bytes = g.node.SnapshotBytes()
 		return nil
 	})
 	if err != nil {
 		n.cluster.t.Fatal(err)
 	}
-	return held
+	return bytes
 }
 
-func TestStoredSnapshotStaysInMemory(t *testing.T) {
+// TestStoredSnapshotIsReleasedFromMemory guards against a node that keeps a snapshot in memory after it was written
+// to disk or loaded by a restart.
+func TestStoredSnapshotIsReleasedFromMemory(t *testing.T) {
 	c := newCluster(t, 1, func(config *Config) { config.SnapshotEntries = 10 })
 	for i := range 40 {
 		c.commit(0, fmt.Sprint(i))
 	}
 	node := c.nodes[1]
-	released := func() bool { return node.snapshotIndex(0) > 0 && node.heldSnapshotBytes(0) == 0 }
+	released := func() bool { return node.snapshotIndex(0) > 0 && node.snapshotBytesInMemory(0) == 0 }
 	c.wait("the snapshot is stored and not held", released)
 	if stored, err := node.store.LoadSnapshot(0); err != nil || len(stored.Data) == 0 {
-		t.Fatalf("%d bytes of snapshot are stored: %v", len(stored.Data), err)
+		t.Fatalf("got %d parts of a stored snapshot and error %v, want at least one part", len(stored.Data), err)
 	}
 	node.kill()
 	node.start()
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -16,150 +16,154 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Peer is a node of the cluster: this one or another.
+// Peer identifies a node of the cluster, which may be the local one.
 type Peer struct {
 	ID      uint64 // raft node ID, positive, never reused
 	Name    string // for logs
 	Address string // IP:port of its drpc listener
 }
 
-// StateMachine is what a group replicates. Its methods are called from one goroutine at a time and must be
+// StateMachine is the replicated state of a group. Its methods are called from one goroutine at a time and must be
 // deterministic.
 type StateMachine interface {
-	// Readable returns an error for a command that this build can't apply as other builds do; the host then stops.
+	// Readable returns an error for a command that this build cannot apply in the same way as other builds do. The
+	// host then stops.
 	Readable(command *wire.Command) error
-	// Apply carries out the command at a log index.
+	// Apply executes the command at a log index.
 	Apply(index uint64, command *wire.Command) *wire.Result
-	// Query answers from the applied state.
+	// Query answers a query from the applied state.
 	Query(query *wire.Query) *wire.View
-	// Capture fixes the whole state as it is now. The function that it returns encodes that state; it is
-	// called from another goroutine while further commands are applied. Parts that were in an encoding before may be the
-	// same memory again: they are not written to the disk again.
+	// Capture takes a consistent view of the whole current state. The returned function encodes that view. It is
+	// called from another goroutine while further commands are applied. A part that is unchanged since an earlier
+	// encoding may be returned as the same memory and is then not written to disk again.
 	Capture() (encode func() ([][]byte, error))
-	// RestoreParts replaces the state by an encoded one, whose parts it may share.
+	// RestoreParts replaces the state by a decoded snapshot. The state may keep references to the memory of the
+	// parts.
 	RestoreParts(parts [][]byte) error
 }
 
-// Store is the durable state of a node; *storage.Store is one, a simulated disk another.
+// Store is the durable state of a node. It is implemented by *storage.Store and by simulated disks.
 type Store interface {
 	// Load returns what a group has on disk.
 	Load(group uint32) (raft.Restored, error)
 	// LoadSnapshot returns a group's snapshot, also while Write is called.
 	LoadSnapshot(group uint32) (raft.Snapshot, error)
-	// Groups lists the groups that were founded or joined on this disk.
+	// Groups lists the groups that were created or joined in this data folder.
 	Groups() ([]uint32, error)
-	// Write makes a batch durable as a whole. storage.ErrNoSpace says that nothing of it was written
-	// and that it may be repeated; any other error ends the host.
+	// Write makes a batch durable atomically. storage.ErrNoSpace means that nothing was written and the call may be
+	// repeated. Any other error stops the host.
 	Write(batch []storage.GroupWrite) error
-	// Room tells what there is room for, beside the headroom.
+	// Room returns which kinds of writes the free disk space admits beside the headroom.
 	Room() storage.Room
-	// HasRoomFor tells whether a snapshot of a group fits and leaves what votes need.
+	// HasRoomFor reports whether a snapshot of a group fits while leaving the space that votes need.
 	HasRoomFor(group uint32, snapshot raft.Parts) bool
-	// SizeOfNew is the size of what a snapshot of a group would add to the disk.
+	// SizeOfNew returns the number of bytes that storing a snapshot of a group would add to the disk.
 	SizeOfNew(group uint32, snapshot raft.Parts) int
-	// Peers and PutPeer keep what is known of other nodes.
+	// Peers and PutPeer read and durably write the records of other nodes.
 	Peers() ([]storage.PeerRecord, error)
 	PutPeer(record storage.PeerRecord) error
-	// Identity and Starts tell this folder from a lost or older one.
+	// Identity and Starts identify the data folder and count its starts. They distinguish it from a lost folder and
+	// from an older copy.
 	Identity() storage.Identity
 	Starts() uint64
 }
 
-// Credentials prove to a peer who speaks to it; *credentials.Client is the usual one.
+// Credentials authenticate this node to its peers. The usual implementation is *credentials.Client.
 type Credentials interface {
-	// Context returns ctx with the token, for a stream that is about to be opened.
+	// Context returns ctx with the authentication token for a stream that is about to be opened.
 	Context(ctx context.Context) context.Context
-	// Secure wraps a connection that was just opened.
+	// Secure wraps a newly opened connection.
 	Secure(conn net.Conn) net.Conn
 }
 
 // Config holds a host's settings.
 type Config struct {
-	// NodeID is this node's raft ID, unique in the cluster for ever. Required.
+	// NodeID is this node's raft ID, which is unique in the cluster and never reused. Required.
 	NodeID uint64
-	// ClusterID must be the same on all nodes; messages of another cluster are refused. Required.
+	// ClusterID must be the same on all nodes. Messages from another cluster are rejected. Required.
 	ClusterID string
 	// Name is used in logs. Default: the name in Peers.
 	Name string
 	// Address is the IP:port under which other nodes reach this one. Default: the address in Peers.
 	Address string
-	// Peers lists the nodes known at the start, this one included unless Join is set. At the first start
-	// without Join they are the voters of every group; later, the replicated membership counts and
-	// Peers only helps to find the others.
+	// Peers lists the nodes known at start, including this one unless Join is set. At the first start without Join
+	// they become the voters of every group. Afterwards the replicated membership is authoritative, and Peers only
+	// helps to find the other nodes.
 	Peers []Peer
-	// Join starts a node with an empty folder as one that waits to be added as a learner. Default false.
+	// Join starts a node that has an empty data folder and waits to be added as a learner. Default false.
 	Join bool
-	// Groups lists the groups' IDs; the same on all nodes, fixed at the first start. Required.
+	// Groups lists the IDs of the groups. They are the same on all nodes and fixed at the first start. Required.
 	Groups []uint32
 	// Store is the node's durable state. The host does not close it. Required.
 	Store Store
-	// NewStateMachine makes the empty state machine of a group. Required.
+	// NewStateMachine returns an empty state machine for a group. Required.
 	NewStateMachine func(group uint32) StateMachine
-	// Tick is the unit of the timeouts. Default 50ms: with 10 election ticks a dead leader is replaced
-	// in 0.5 s to 1 s and a pause of a few hundred milliseconds passes unnoticed.
+	// Tick is the unit of the timeouts. Default 50 ms: with 10 election ticks a failed leader is replaced within 0.5
+	// s to 1 s, and a pause of a few hundred milliseconds does not cause an election.
 	Tick time.Duration
-	// ElectionTicks is the least number of ticks without a leader before a node stands for election. It grows to
-	// eight times as many while elections fail, as on slow disks. Default 10.
+	// ElectionTicks is the minimum number of ticks without a leader before a node starts an election. The number
+	// grows up to eightfold while elections fail, as they do on slow disks. Default 10.
 	ElectionTicks int
-	// CampaignDelayTicks is how much later than others this node stands for election. Default 0.
+	// CampaignDelayTicks delays elections started by this node by a number of ticks. Default 0.
 	CampaignDelayTicks int
 	// HeartbeatTicks is the number of ticks between heartbeats. Default 2.
 	HeartbeatTicks int
-	// SnapshotEntries is the number of applied entries after which a group takes a snapshot and
-	// compacts its log. Default 10000: a restart replays them in well under a second.
+	// SnapshotEntries is the number of applied entries after which a group takes a snapshot and compacts its log.
+	// Default 10000, which a restart replays in well under a second.
 	SnapshotEntries int
-	// SnapshotBytes is the size of applied entries after which a group takes a snapshot. Default 64 MiB.
+	// SnapshotBytes is the size in bytes of applied entries after which a group takes a snapshot. Default 64 MiB.
 	SnapshotBytes int
-	// RetainedBytes is the size of entries that may stay in memory behind a snapshot, for followers that are a little behind: one
-	// that lacks others is sent the whole state. Default a quarter of SnapshotBytes.
+	// RetainedBytes is the size in bytes of the entries that may stay in memory although a snapshot covers them, for
+	// followers that lag slightly. A follower that needs older entries is sent the whole state. Default a quarter of
+	// SnapshotBytes.
 	RetainedBytes int
-	// SnapshotCost bounds what snapshots of a large state write: at most about so many bytes of snapshot for
-	// each byte of applied entries. Default 4: little beside the entries' own synced writes, while the log
-	// that a restart replays stays at a quarter of the state. It does not hold back a snapshot of up to
-	// 1 MiB.
+	// SnapshotCost limits the write volume of snapshots of a large state to about this many snapshot bytes per byte
+	// of applied entries. Default 4: this is little compared with the synced writes of the entries themselves, while
+	// the log that a restart replays stays at a quarter of the state. Snapshots of up to 1 MiB are not limited.
 	SnapshotCost int
-	// MaxPendingProposals bounds the proposals that wait for their answer, over all groups; above it
-	// Propose returns ErrOverloaded. Default 16384.
+	// MaxPendingProposals limits the number of unanswered proposals of all groups. Above it Propose returns
+	// ErrOverloaded. Default 16384.
 	MaxPendingProposals int
-	// MaxBatchProposals bounds the proposals of one synced write. Default 1024. One gives a sync per
-	// proposal, the baseline of the bench.
+	// MaxBatchProposals limits the number of proposals in one synced write. Default 1024. A value of 1 gives one sync
+	// per proposal, which is the baseline of the benchmark.
 	MaxBatchProposals int
-	// Dial connects to a peer. Default: TCP. Tests cut links with it.
+	// Dial connects to a peer. Default: TCP. Tests use it to cut links.
 	Dial DialFunc
-	// Credentials are shown to the peers. Default: none.
+	// Credentials authenticate this node to its peers. Default: none.
 	Credentials Credentials
-	// OnLeaderChange is called from the loop when a group's leader or this node's role changes. It must
-	// not block. Optional.
+	// OnLeaderChange is called from the loop when a group's leader or term, or this node's role, changes. It must not
+	// block. Optional.
 	OnLeaderChange func(group uint32, leadership Leadership)
-	// OnApply is called from the loop, in order, for each command applied, also while a restart replays
-	// the log. It must not block. Optional.
+	// OnApply is called from the loop, in order, for each applied command, including commands that a restart replays
+	// from the log. It must not block. Optional.
 	OnApply func(group uint32, index uint64, command *wire.Command, result *wire.Result)
-	// OnRestore is called from the loop after a snapshot replaced a group's state. It must not block.
-	// Optional.
+	// OnRestore is called from the loop after a snapshot has replaced a group's state. It must not block. Optional.
 	OnRestore func(group uint32, index uint64)
-	// IsStandby tells whether a node is to lead only where others can't; for log lines. Optional.
+	// IsStandby reports whether a node should lead only where no other node can. It is used for log lines. Optional.
 	IsStandby func(node uint64) bool
-	// Reserved tells of the groups that take new work also below the headroom: small ones that the others rest on. Default:
-	// none.
+	// Reserved reports whether a group accepts new commands even when free disk space is below the headroom. It is
+	// meant for small groups that the other groups depend on. Default: no group.
 	Reserved func(group uint32) bool
-	// Speaks is the highest level of package compat that this node reads and writes; greetings tell it. Default Base.
+	// Speaks is the highest level of package compat that this node reads and writes. It is announced in greetings.
+	// Default Base.
 	Speaks compat.Level
-	// CapacityBytes is the size of state that this node can hold, as it tells the others. Default: it does not tell.
+	// CapacityBytes is the state size in bytes that this node can hold. It is announced in greetings. Default 0: no
+	// capacity is announced.
 	CapacityBytes uint64
-	// Agreed is the level in force: a greeting of a node that does not speak it is refused. Default: Base.
+	// Agreed returns the level in force. Greetings of nodes that do not support it are rejected. Default: Base.
 	Agreed compat.Agreed
-	// Log receives what operators should know. Default: nothing is logged.
+	// Log receives log lines for operators. Default: nothing is logged.
 	Log *logrus.Entry
 }
 
-// Leadership is what this node knows of a group's leader.
+// Leadership is this node's knowledge of a group's leader.
 type Leadership struct {
 	Term    uint64
 	Leader  uint64 // raft.None if unknown
-	Leading bool   // this node is the leader
+	Leading bool   // whether this node is the leader
 }
 
-// The defaults of Config.
+// Default values of Config fields.
 const (
 	DefaultTick                = 50 * time.Millisecond
 	DefaultElectionTicks       = 10
--- a/internal/consensus/contacts.go
+++ b/internal/consensus/contacts.go
@@ -9,135 +9,138 @@
 )
 
 const (
-	// maximumContacts bounds the nodes of which contacts are kept: greetings name any.
-	maximumContacts = 1024
-	// firstRefusalPause is the least time between the first two lines of one refusal, which comes again each
-	// lastBackoff; it doubles up to lastRefusalPause, for a node that is gone may be looked for for days where
-	// another one listens.
-	firstRefusalPause = 5 * time.Second
-	lastRefusalPause  = 5 * time.Minute
+	// maxContacts limits the number of nodes that are tracked, since greetings may name any node ID.
+	maxContacts = 1024
+	// minRefusalLogInterval is the minimum time between the first two log lines of one refusal, which recurs each
+	// maxBackoff. The interval doubles up to maxRefusalLogInterval, because a removed node may be dialed for days at
+	// an address where another node listens.
+	minRefusalLogInterval = 5 * time.Second
+	maxRefusalLogInterval = 5 * time.Minute
 )
 
-// contact is what this node has seen of another one's connections.
+// contact is the state of the connections between this node and another one.
 type contact struct {
-	heardAt     time.Time                // zero: never since the start
-	connectedAt time.Time                // when this node's stream to the other one came up; zero: it is not
-	greeted     bool                     // it has greeted since the start
-	speaks      compat.Level             // as its last greeting told
-	capacity    uint64                   // likewise, bytes; 0: it does not tell
-	toldAt      time.Time                // when it said last whom it does not hear; zero: never
-	unheard     map[uint64]time.Duration // whom, and for how long
-	refused     string                   // why this node refused its last greeting; empty: it did not
-	refusedBy   string                   // why this node's last stream to it was refused; empty: none was
-}
-
-// refusalKey names the node that refused, the one that was refused, and the one that was looked for.
-type refusalKey struct{ by, of, sought uint64 }
-
-// refusalLine bounds the lines of one refusal.
-type refusalLine struct {
-	reason string
-	toldAt time.Time
-	pause  time.Duration
-}
-
-// due tells whether a line is to be written of a refusal, and notes it.
-func (r *refusalLine) due(reason string, now time.Time) bool {
+	heardAt            time.Time                // last message or greeting; zero: none since the start
+	connectedAt        time.Time                // when the stream to the node was established; zero: no stream
+	greeted            bool                     // whether the node has greeted since the start
+	level              compat.Level             // supported level according to its last greeting
+	capacityBytes      uint64                   // state size it can hold according to its last greeting; 0: not announced
+	silencesReportedAt time.Time                // when it last reported the nodes that it does not hear; zero: never
+	reportedSilences   map[uint64]time.Duration // for how long it had not heard other nodes, by node
+	greetingRefusal    string                   // why its last greeting was refused; empty: it was not
+	streamRefusal      string                   // why it refused the last stream; empty: it did not
+}
+
+// refusalKey identifies a refusal by the node that refused, the node that was refused, and the node that it wanted to
+// reach.
+type refusalKey struct{ refuser, sender, intended uint64 }
+
+// refusalLog limits how often one refusal is logged.
+type refusalLog struct {
+	reason   string
+	loggedAt time.Time
+	interval time.Duration
+}
+
+// isDue reports whether a refusal should be logged now, and if so records that it is logged.
+func (r *refusalLog) isDue(reason string, now time.Time) bool {
 	switch {
 	case reason != r.reason:
-		*r = refusalLine{reason: reason, toldAt: now, pause: firstRefusalPause}
+		*r = refusalLog{reason: reason, loggedAt: now, interval: minRefusalLogInterval}
 		return true
-	case now.Sub(r.toldAt) < r.pause:
+	case now.Sub(r.loggedAt) < r.interval:
 		return false
 	}
-	r.toldAt, r.pause = now, min(2*r.pause, lastRefusalPause)
+	r.loggedAt, r.interval = now, min(2*r.interval, maxRefusalLogInterval)
 	return true
 }
 
-// contacts keeps one contact per other node, for operators.
+// contacts tracks the connections to the other nodes. It serves log lines, operators and the detection of lost nodes.
 type contacts struct {
 	startedAt time.Time
 
-	mutex  sync.Mutex
-	byNode map[uint64]*contact
-	lines  map[refusalKey]*refusalLine
+	mutex       sync.Mutex
+	byNode      map[uint64]*contact
+	refusalLogs map[refusalKey]*refusalLog
 }
 
 func newContacts(now time.Time) *contacts {
-	return &contacts{startedAt: now, byNode: map[uint64]*contact{}, lines: map[refusalKey]*refusalLine{}}
+	return &contacts{startedAt: now, byNode: map[uint64]*contact{}, refusalLogs: map[refusalKey]*refusalLog{}}
 }
 
-// update changes a node's contact; one more than the bound is forgotten at once.
+// update changes a node's contact. The change is discarded for a new node when maxContacts nodes are tracked.
 func (c *contacts) update(node uint64, change func(*contact)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known := c.byNode[node]
 	if known == nil {
 		known = &contact{}
-		if len(c.byNode) < maximumContacts {
+		if len(c.byNode) < maxContacts {
 			c.byNode[node] = known
 		}
 	}
 	change(known)
 }
 
-// heard notes a batch of messages or a greeting that was taken.
-func (c *contacts) heard(node uint64, now time.Time) {
-	c.update(node, func(contact *contact) { contact.heardAt, contact.refused = now, "" })
+// recordHeard records that an accepted batch or greeting arrived from a node.
+func (c *contacts) recordHeard(node uint64, now time.Time) {
+	c.update(node, func(contact *contact) { contact.heardAt, contact.greetingRefusal = now, "" })
 }
 
-// spoke notes the level and the capacity that a node's greeting told.
-func (c *contacts) spoke(node uint64, speaks compat.Level, capacity uint64) {
+// recordGreeting records the level and the capacity that a node announced in its greeting.
+func (c *contacts) recordGreeting(node uint64, level compat.Level, capacityBytes uint64) {
 	c.update(node, func(contact *contact) {
-		contact.greeted, contact.speaks, contact.capacity = true, speaks, capacity
+		contact.greeted, contact.level, contact.capacityBytes = true, level, capacityBytes
 	})
 }
 
-// told notes whom a node does not hear.
-func (c *contacts) told(node uint64, unheard []*wire.NodeSilence, now time.Time) {
+// recordSilences records which nodes a node reports as unheard.
+func (c *contacts) recordSilences(node uint64, unheard []*wire.NodeSilence, now time.Time) {
 	silent := make(map[uint64]time.Duration, len(unheard))
 	for _, other := range unheard {
 		silent[other.Node] = time.Duration(other.Millis) * time.Millisecond
 	}
-	c.update(node, func(contact *contact) { contact.toldAt, contact.unheard = now, silent })
+	c.update(node, func(contact *contact) { contact.silencesReportedAt, contact.reportedSilences = now, silent })
 }
 
-// toldBy is for how long a node has not heard another one, 0 if it hears it; false if it has not told lately.
-func (c *contacts) toldBy(node, other uint64, now time.Time) (time.Duration, bool) {
-	known := c.of(node)
-	return known.unheard[other], !known.toldAt.IsZero() && now.Sub(known.toldAt) < toldFor
+// reportedSilence returns for how long a node has not heard another one, 0 if it hears it. It returns false if the
+// node has not reported within silenceReportTTL.
+func (c *contacts) reportedSilence(node, other uint64, now time.Time) (time.Duration, bool) {
+	known := c.get(node)
+	return known.reportedSilences[other], !known.silencesReportedAt.IsZero() && now.Sub(known.silencesReportedAt) < silenceReportTTL
 }
 
-// refused notes why this node refused a greeting that was meant for it.
-func (c *contacts) refused(node uint64, reason string) {
-	c.update(node, func(contact *contact) { contact.refused = reason })
+// recordGreetingRefused records why this node refused a greeting that was addressed to it.
+func (c *contacts) recordGreetingRefused(node uint64, reason string) {
+	c.update(node, func(contact *contact) { contact.greetingRefusal = reason })
 }
 
-// refusedBy notes why this node's stream was refused.
-func (c *contacts) refusedBy(node uint64, reason string) {
-	c.update(node, func(contact *contact) { contact.refusedBy = reason })
+// recordStreamRefused records why a node refused the stream of this one.
+func (c *contacts) recordStreamRefused(node uint64, reason string) {
+	c.update(node, func(contact *contact) { contact.streamRefusal = reason })
 }
 
-// lineDue tells whether a line is to be written of a refusal. One more than the bound is told of each time.
-func (c *contacts) lineDue(key refusalKey, reason string, now time.Time) bool {
+// isRefusalLogDue reports whether a refusal should be logged now. Refusals beyond maxContacts are not tracked and are
+// logged each time.
+func (c *contacts) isRefusalLogDue(key refusalKey, reason string, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	line := c.lines[key]
-	if line == nil {
-		line = &refusalLine{}
-		if len(c.lines) < maximumContacts {
-			c.lines[key] = line
+	refusal := c.refusalLogs[key]
+	if refusal == nil {
+		refusal = &refusalLog{}
+		if len(c.refusalLogs) < maxContacts {
+			c.refusalLogs[key] = refusal
 		}
 	}
-	return line.due(reason, now)
+	return refusal.isDue(reason, now)
 }
 
-// connected notes that a stream to a node is up; the zero time, that it is not any more.
-func (c *contacts) connected(node uint64, at time.Time) {
+// setConnectedAt records when a stream to a node was established. The zero time means that there is no stream.
+func (c *contacts) setConnectedAt(node uint64, at time.Time) {
 	c.update(node, func(contact *contact) { contact.connectedAt = at })
 }
 
-func (c *contacts) of(node uint64) contact {
+func (c *contacts) get(node uint64) contact {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if known := c.byNode[node]; known != nil {
@@ -146,19 +149,20 @@
 	return contact{}
 }
 
-// silentFor returns the time since a node was heard, or since the start if it never was.
-func (c *contacts) silentFor(node uint64, now time.Time) time.Duration {
-	since := c.of(node).heardAt
+// sinceHeard returns the time since a node was last heard, or since the start if it never was.
+func (c *contacts) sinceHeard(node uint64, now time.Time) time.Duration {
+	since := c.get(node).heardAt
 	if since.IsZero() {
 		since = c.startedAt
 	}
 	return max(0, now.Sub(since))
 }
 
-// lastRefusalBy is why the node refuses this one's streams; empty if one works, or lasts as if it did.
-func (c *contact) lastRefusalBy(now time.Time) string {
-	if !c.connectedAt.IsZero() && now.Sub(c.connectedAt) >= steadyTime {
+// currentStreamRefusal returns why the node refuses this node's streams. It is empty if the current stream has lasted
+// long enough to count as successful.
+func (c *contact) currentStreamRefusal(now time.Time) string {
+	if !c.connectedAt.IsZero() && now.Sub(c.connectedAt) >= stableConnectionTime {
 		return ""
 	}
-	return c.refusedBy
+	return c.streamRefusal
 }
--- a/internal/consensus/convert.go
+++ b/internal/consensus/convert.go
@@ -7,10 +7,10 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// chunkBytes is the size of one piece of a snapshot on its way to another node.
+// chunkBytes is the maximum size of one chunk of a snapshot that is sent to another node.
 const chunkBytes = 512 << 10
 
-// toWire encodes a message. The entries' data is shared; raft never changes it.
+// toWire encodes a message. It shares the data of the entries, which raft never modifies.
 func toWire(group uint32, message *raft.Message) *wire.RaftMessage {
 	encoded := &wire.RaftMessage{
 		Group:      group,
@@ -38,11 +38,11 @@
 	return encoded
 }
 
-// snapshotChunks encodes a snapshot message as several, each with a piece of a part of the data.
+// snapshotChunks encodes a snapshot message as several messages. Each holds a chunk of one part of the data.
 func snapshotChunks(group uint32, message *raft.Message, partsAgreed bool) []*wire.RaftMessage {
 	snapshot := message.Snapshot
 	var chunks []*wire.RaftMessage
-	add := func(data []byte, begins bool) {
+	add := func(data []byte, beginsPart bool) {
 		chunk := toWire(group, message)
 		chunk.Snapshot = &wire.RaftSnapshot{
 			Index: snapshot.Index,
@@ -51,7 +51,7 @@
 				Voters:   snapshot.Configuration.Voters,
 				Learners: snapshot.Configuration.Learners,
 			},
-			Data: data, Chunk: uint32(len(chunks)), BeginsPart: begins, PartsAgreed: partsAgreed,
+			Data: data, Chunk: uint32(len(chunks)), BeginsPart: beginsPart, PartsAgreed: partsAgreed,
 		}
 		chunks = append(chunks, chunk)
 	}
@@ -69,7 +69,8 @@
 	return chunks
 }
 
-// fromWire decodes a message from a node; one that cannot come from it is an error.
+// fromWire decodes a message received from the given node. It returns an error if the sender's ID differs, the kind
+// is unknown, or a snapshot is missing or unexpected.
 func fromWire(from uint64, encoded *wire.RaftMessage) (raft.Message, error) {
 	if encoded.From != from {
 		return raft.Message{}, trace.BadParameter("node %d sent a message of node %d", from, encoded.From)
@@ -103,19 +104,20 @@
 	return message, nil
 }
 
-// assembler puts the chunks of snapshots that come over one stream together.
+// assembler joins the snapshot chunks that arrive over one stream.
 type assembler struct {
 	partial map[uint32]*partialSnapshot // by group
 }
 
 type partialSnapshot struct {
-	index, term uint64
-	next, count uint32
-	parts       raft.Parts
+	index, term           uint64
+	nextChunk, chunkCount uint32
+	parts                 raft.Parts
 }
 
-// take adds a chunk's data. It has memory of its own. One that begins no part goes on with the part before.
-func (p *partialSnapshot) take(chunk *wire.RaftSnapshot) {
+// addChunk adds the data of a chunk. The slice belongs to the chunk alone, so it is kept without a copy. A chunk that
+// does not begin a part is appended to the last part.
+func (p *partialSnapshot) addChunk(chunk *wire.RaftSnapshot) {
 	if last := len(p.parts) - 1; last >= 0 && !chunk.BeginsPart {
 		p.parts[last] = append(p.parts[last], chunk.Data...)
 		return
@@ -126,13 +128,14 @@
 	}
 }
 
-// trimShare is the part of a received part's size that may be lost to its growth: the state keeps the part for as long as the job.
-const trimShare = 8
+// maxUnusedShare limits the unused capacity of a received part to its length divided by this number. The state keeps
+// the part for as long as the batch job exists, so unused capacity would be held that long too.
+const maxUnusedShare = 8
 
-// trim gives back what the growth of the newest part took beyond its size.
+// trim reallocates the newest part if growing it left too much unused capacity.
 func (p *partialSnapshot) trim() {
 	last := len(p.parts) - 1
-	if last < 0 || cap(p.parts[last]) <= len(p.parts[last])+len(p.parts[last])/trimShare {
+	if last < 0 || cap(p.parts[last]) <= len(p.parts[last])+len(p.parts[last])/maxUnusedShare {
 		return
 	}
 	exact := make([]byte, len(p.parts[last]))
@@ -140,26 +143,26 @@
 	p.parts[last] = exact
 }
 
-// add returns the whole snapshot once its last chunk is there, else nil. Chunks come in order; one out of
-// order drops what was gathered, and the leader sends the snapshot again.
+// add adds a chunk and returns the snapshot once it is complete, otherwise nil. Chunks have to arrive in order. A
+// chunk out of order discards the partial snapshot, and the leader sends the snapshot again.
 func (a *assembler) add(group uint32, chunk *wire.RaftSnapshot) *raft.Snapshot {
-	gathered := a.partial[group]
+	partial := a.partial[group]
 	if chunk.Chunk == 0 {
-		gathered = &partialSnapshot{index: chunk.Index, term: chunk.Term, count: max(1, chunk.ChunkCount)}
-		a.partial[group] = gathered
+		partial = &partialSnapshot{index: chunk.Index, term: chunk.Term, chunkCount: max(1, chunk.ChunkCount)}
+		a.partial[group] = partial
 	}
-	if gathered == nil || gathered.index != chunk.Index || gathered.term != chunk.Term || gathered.next != chunk.Chunk ||
-		chunk.Chunk >= gathered.count {
+	if partial == nil || partial.index != chunk.Index || partial.term != chunk.Term || partial.nextChunk != chunk.Chunk ||
+		chunk.Chunk >= partial.chunkCount {
 		delete(a.partial, group)
 		return nil
 	}
-	gathered.take(chunk)
-	gathered.next++
-	if gathered.next < gathered.count {
+	partial.addChunk(chunk)
+	partial.nextChunk++
+	if partial.nextChunk < partial.chunkCount {
 		return nil
 	}
 	delete(a.partial, group)
-	gathered.trim()
+	partial.trim()
 	return &raft.Snapshot{
 		Index: chunk.Index,
 		Term:  chunk.Term,
@@ -167,6 +170,6 @@
 			Voters:   chunk.Configuration.GetVoters(),
 			Learners: chunk.Configuration.GetLearners(),
 		},
-		Data: gathered.parts,
+		Data: partial.parts,
 	}
 }
--- a/internal/consensus/dial.go
+++ b/internal/consensus/dial.go
@@ -9,19 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// DialFunc connects to a peer's listener.
+// DialFunc opens a connection to a peer's listener.
 type DialFunc func(ctx context.Context, peer Peer) (net.Conn, error)
 
 const (
 	dialTimeout = time.Second
-	// unacknowledgedTimeout ends a connection whose data nobody acknowledges, so that a healed network
-	// is used at once, not after TCP's own backed-off retransmission.
+	// unacknowledgedTimeout closes a connection whose data is not acknowledged. A new connection is then made as soon
+	// as the network works again, without waiting for TCP's exponential retransmission backoff.
 	unacknowledgedTimeout = 2 * time.Second
-	firstBackoff          = 20 * time.Millisecond
-	lastBackoff           = 500 * time.Millisecond
-	// steadyTime is how long a connection lasts that counts as one that works; maximumDoublings bounds the shift.
-	steadyTime       = time.Second
-	maximumDoublings = 10
+	minBackoff            = 20 * time.Millisecond
+	maxBackoff            = 500 * time.Millisecond
+	// stableConnectionTime is the minimum duration of a connection that counts as successful. maxDoublings limits the
+	// shift in the computation of the backoff.
+	stableConnectionTime = time.Second
+	maxDoublings         = 10
 )
 
 func dialTCP(ctx context.Context, peer Peer) (net.Conn, error) {
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -13,11 +13,11 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// faultyDisk is the state of one node's disk.
+// faultyDisk holds the injected faults of the disk of one node.
 type faultyDisk struct {
 	syncFails atomic.Bool
-	full      atomic.Bool // writes find no space
-	lowSpace  atomic.Bool // less free space than the headroom
+	full      atomic.Bool // writes fail with ENOSPC
+	lowSpace  atomic.Bool // free space is below the headroom
 	refused   atomic.Int64
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// newFaultyCluster starts three nodes whose disks can be made to fail.
+// newFaultyCluster starts three nodes with disks that can be made to fail.
 func newFaultyCluster(t *testing.T) (*testCluster, map[uint64]*faultyDisk) {
 	t.Helper()
 	c := newCluster(t, 0, nil)
@@ -60,61 +60,63 @@
 	return c, disks
 }
 
-// TestFailedSyncStopsTheNode fails the leader's sync: it stops rather than guess, the others go on, and after
-// a restart it holds all that was acknowledged.
+// TestFailedSyncStopsTheNode guards against a node that continues after a failed sync, when it is unknown what
+// reached the disk. The sync of the leader fails: the leader must stop while the other nodes continue, and after a
+// restart it must hold everything that was acknowledged.
 func TestFailedSyncStopsTheNode(t *testing.T) {
 	c, disks := newFaultyCluster(t)
 	c.commit(0, "before")
 	leader := c.leader(0)
 	disks[leader.id].syncFails.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if _, _, err := leader.host.Propose(ctx, 0, named("unsynced")); err == nil {
-		// Two other disks may have it; this node's own copy is not needed.
+	if _, _, err := leader.host.Propose(ctx, 0, newCommand("unsynced")); err == nil {
+		// The two other nodes may have stored the entry. The copy of this node is not needed for a quorum.
 		t.Log("the others committed the entry")
 	}
-	if err := leader.runError(); !errors.Is(err, unix.EIO) {
-		t.Fatalf("after a failed sync the node ended with %v", err)
+	if err := leader.waitForRunError(); !errors.Is(err, unix.EIO) {
+		t.Fatalf("after a failed sync the node ended with %v, want EIO", err)
 	}
 	c.commit(0, "goes on")
 	disks[leader.id].syncFails.Store(false)
 	leader.start()
 	c.wait("the node has caught up", func() bool {
-		applied := leader.localList(0)
+		applied := leader.appliedLocally(0)
 		return slices.Contains(applied, "before") && slices.Contains(applied, "goes on")
 	})
 }
 
-// TestFullDiskRefusesAndKeeps takes the leader's free space below the headroom: new work is refused as not
-// proposed, what is there is still served, and the node takes new work once there is room.
-func TestFullDiskRefusesAndKeeps(t *testing.T) {
+// TestLowDiskSpaceRejectsNewCommands takes the leader's free space below the headroom. New commands must be rejected
+// as not proposed, the existing state must still be served, and commands must be accepted again once there is enough
+// space.
+func TestLowDiskSpaceRejectsNewCommands(t *testing.T) {
 	c, disks := newFaultyCluster(t)
 	c.commit(0, "kept")
 	leader := c.leader(0)
 	disks[leader.id].lowSpace.Store(true)
 	propose := func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
-		_, _, err := leader.host.Propose(ctx, 0, named("new"))
-		if other := new(ErrNotLeader); errors.As(err, &other) && other.Leader != 0 { // an election in between
+		_, _, err := leader.host.Propose(ctx, 0, newCommand("new"))
+		if other := new(ErrNotLeader); errors.As(err, &other) && other.Leader != 0 { // another node was elected meanwhile
 			_ = c.nodes[other.Leader].host.TransferLeadership(ctx, 0, leader.id)
 		}
 		return err
 	}
-	c.wait("the disk is found full", func() bool { return errors.Is(propose(), ErrDiskFull) })
+	c.wait("new commands are rejected for lack of disk space", func() bool { return errors.Is(propose(), ErrDiskFull) })
 	if err := leader.host.Read(context.Background(), 0); err != nil {
-		t.Fatalf("a read on a full disk: %v", err)
+		t.Fatalf("a read with little free disk space failed: %v", err)
 	}
-	if applied := leader.localList(0); !slices.Contains(applied, "kept") {
-		t.Fatalf("on a full disk the node holds %v", applied)
+	if applied := leader.appliedLocally(0); !slices.Contains(applied, "kept") {
+		t.Fatalf("with little free disk space the node has applied %v, want also the command kept", applied)
 	}
 	disks[leader.id].lowSpace.Store(false)
-	c.wait("there is room again", func() bool { return propose() == nil })
+	c.wait("there is enough free space again", func() bool { return propose() == nil })
 }
 
-// TestWriteWithoutSpaceIsRepeated lets a follower's and the leader's writes find no space: nothing of theirs
-// is acknowledged meanwhile, and both go on by themselves.
-func TestWriteWithoutSpaceIsRepeated(t *testing.T) {
+// TestWriteIsRetriedWhenDiskIsFull makes the writes of a follower and the leader fail for lack of space. The entry
+// must not be acknowledged meanwhile, and both nodes must continue by themselves once there is space.
+func TestWriteIsRetriedWhenDiskIsFull(t *testing.T) {
 	c, disks := newFaultyCluster(t)
 	c.commit(0, "kept")
 	leader := c.leader(0)
@@ -125,12 +127,12 @@
 	}
 	answered := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
-		_, _, err := leader.host.Propose(ctx, 0, named("waits"))
+		_, _, err := leader.host.Propose(ctx, 0, newCommand("waits"))
 		answered <- err
 	}()
-	c.wait("both disks have refused", func() bool {
+	c.wait("writes have failed on both disks", func() bool {
 		return disks[leader.id].refused.Load() > 0 && disks[leader.id%3+1].refused.Load() > 0
 	})
 	select {
@@ -147,7 +149,7 @@
 	for _, peer := range c.peers {
 		node := c.nodes[peer.ID]
 		c.wait("all nodes hold everything", func() bool {
-			applied := node.localList(0)
+			applied := node.appliedLocally(0)
 			return slices.Contains(applied, "kept") && slices.Contains(applied, "after")
 		})
 	}
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// ErrNotLeader means that the request was not and will not be applied; ask the leader.
+// ErrNotLeader means that the request was not and will not be applied because this node does not lead the group. The
+// caller should ask the leader.
 type ErrNotLeader struct {
 	Leader        uint64 // node ID, raft.None if unknown
 	LeaderAddress string // IP:port, empty if unknown
@@ -20,23 +21,23 @@
 }
 
 var (
-	// ErrUnknownOutcome means that the command was proposed and may or may not be applied: send the same
-	// command again.
+	// ErrUnknownOutcome means that the command was proposed and may or may not be applied. The caller should send the
+	// same command again.
 	ErrUnknownOutcome = errors.New("consensus: proposed, outcome unknown; send the same command again")
-	// ErrOverloaded means that the request was not proposed: too much is waiting.
+	// ErrOverloaded means that the request was not proposed because too many requests are pending.
 	ErrOverloaded = errors.New("consensus: overloaded, not proposed")
-	// ErrDiskFull means that the request was not proposed: the disk has too little room.
+	// ErrDiskFull means that the request was not proposed because there is too little free disk space.
 	ErrDiskFull = errors.New("consensus: too little disk space, not proposed")
-	// ErrInvalid means that the request was not proposed: it is malformed or names an unknown group.
+	// ErrInvalid means that the request was not proposed because it is malformed or names an unknown group.
 	ErrInvalid = errors.New("consensus: invalid request, not proposed")
-	// ErrClosed means that the host has stopped; what was proposed before has an unknown outcome.
+	// ErrClosed means that the host has stopped. Earlier proposals have an unknown outcome.
 	ErrClosed = errors.New("consensus: closed")
 )
 
-// ErrRefused ends Run: a peer knows another data folder under this node's ID. The node may have
-// forgotten votes and entries that it acknowledged, so it must not take part under this ID again.
+// ErrRefused is returned by Run if a peer knows another data folder under this node's ID. This node may have lost
+// votes and entries that it acknowledged, so it must not participate under this ID again.
 type ErrRefused struct {
-	Peer   uint64
+	Peer   uint64 // ID of the node that refused
 	Reason string
 }
 
@@ -46,5 +47,5 @@
 		e.Peer, e.Reason)
 }
 
-// errStopped ends the loop in an orderly way.
+// errStopped ends the loop without an error.
 var errStopped = errors.New("consensus: stopped")
--- a/internal/consensus/exchange.go
+++ b/internal/consensus/exchange.go
@@ -13,11 +13,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// refusedCode is the drpc error code by which a node learns that it must not take part.
+// refusedCode is the drpc error code that tells a node that it must not participate.
 const refusedCode = 4001
 
-// turnedAwayCode is the drpc error code of a greeting that is refused for now: the node may come again.
-const turnedAwayCode = 4002
+// rejectedCode is the drpc error code of a greeting that is rejected for now. The node may retry.
+const rejectedCode = 4002
 
 // Exchange serves the stream of another node's messages (wire.DRPCRaftServer).
 func (h *Host) Exchange(stream wire.DRPCRaft_ExchangeStream) error {
@@ -25,7 +25,7 @@
 	for {
 		batch, err := stream.Recv()
 		if err != nil {
-			return nil // the sender is gone; it will come again
+			return nil // the sender has disconnected and will reconnect
 		}
 		if h.ctx.Err() != nil {
 			return ErrClosed
@@ -39,24 +39,25 @@
 // receiver is the state of one incoming stream.
 type receiver struct {
 	host      *Host
-	from      uint64 // raft.None before the greeting
+	from      uint64 // node ID of the sender; raft.None before the greeting
 	assembler assembler
 }
 
+// receive processes one batch. An error ends the stream.
 func (r *receiver) receive(batch *wire.RaftBatch) error {
 	if batch.ClusterId != "" {
-		if err := r.greet(batch); err != nil {
+		if err := r.handleGreeting(batch); err != nil {
 			return err
 		}
 	}
 	if r.from == raft.None {
 		return errors.New("the first batch of a stream has to be a greeting")
 	}
-	r.host.contacts.heard(r.from, time.Now())
+	r.host.contacts.recordHeard(r.from, time.Now())
 	if batch.KeepAlive {
-		r.host.contacts.told(r.from, batch.Unheard, time.Now())
+		r.host.contacts.recordSilences(r.from, batch.Unheard, time.Now())
 	}
-	if len(batch.Messages) == 0 || !r.host.book.takesPart() {
+	if len(batch.Messages) == 0 || !r.host.book.canParticipate() {
 		return nil
 	}
 	messages := make([]envelope, 0, len(batch.Messages))
@@ -79,57 +80,60 @@
 	return nil
 }
 
-func (r *receiver) greet(greeting *wire.RaftBatch) error {
-	news, err := r.host.judgeGreeting(greeting)
+// handleGreeting records the sender of an accepted greeting. Otherwise it records the refusal and returns the error that
+// ends the stream. It stops this host if the greeting shows that this node must not participate.
+func (r *receiver) handleGreeting(greeting *wire.RaftBatch) error {
+	isNew, err := r.host.acceptGreeting(greeting)
 	var refused *refusal
 	var refusedSelf *ErrRefused
 	switch {
 	case err == nil:
 	case errors.As(err, &refused):
-		r.host.tellGreetingRefused(greeting, refused.reason, endsPeer)
-		r.host.config.Log.Errorf("refused %s", refused.reason)
+		r.host.recordGreetingRefused(greeting, refused.reason, endsPeer)
+		r.host.config.Log.Errorf("refused greeting: %s", refused.reason)
 		return drpcerr.WithCode(err, refusedCode)
 	case errors.As(err, &refusedSelf):
-		r.host.tellGreetingRefused(greeting, refusedSelf.Reason, endsSelf)
+		r.host.recordGreetingRefused(greeting, refusedSelf.Reason, endsSelf)
 		r.host.fail(err)
 		return err
 	default:
-		r.host.tellGreetingRefused(greeting, err.Error(), "")
-		return drpcerr.WithCode(err, turnedAwayCode)
+		r.host.recordGreetingRefused(greeting, err.Error(), "")
+		return drpcerr.WithCode(err, rejectedCode)
 	}
 	r.from = greeting.FromNode
-	r.host.contacts.spoke(greeting.FromNode, compat.Level(greeting.Speaks), greeting.CapacityBytes)
-	r.host.peers.met(greeting.FromNode, news)
+	r.host.contacts.recordGreeting(greeting.FromNode, compat.Level(greeting.Speaks), greeting.CapacityBytes)
+	r.host.peers.noteGreeting(greeting.FromNode, isNew)
 	return nil
 }
 
-// The processes that stop because of a refused greeting.
+// These values of the event field Ends name the process that stops because of a refused greeting.
 const (
 	endsPeer = "peer"
 	endsSelf = "self"
 )
 
-// tellGreetingRefused notes a greeting that this node refuses.
-func (h *Host) tellGreetingRefused(greeting *wire.RaftBatch, reason, ends string) {
+// recordGreetingRefused records a greeting that this node refuses and logs it, unless the same refusal was logged
+// recently. ends names the process that stops, empty for none.
+func (h *Host) recordGreetingRefused(greeting *wire.RaftBatch, reason, ends string) {
 	self := h.config.NodeID
 	if greeting.ToNode == raft.None || greeting.ToNode == self {
-		h.contacts.refused(greeting.FromNode, reason)
+		h.contacts.recordGreetingRefused(greeting.FromNode, reason)
 	}
-	if !h.contacts.lineDue(refusalKey{by: self, of: greeting.FromNode, sought: greeting.ToNode}, reason, time.Now()) {
+	if !h.contacts.isRefusalLogDue(refusalKey{refuser: self, sender: greeting.FromNode, intended: greeting.ToNode}, reason, time.Now()) {
 		return
 	}
 	logging.Emit(h.config.Log, &events.GreetingRefused{Peer: greeting.FromNode, Address: greeting.FromAddress,
 		Reason: events.ErrorText(errors.New(reason)), Ends: ends})
 }
 
-// tellStreamRefused notes that the node at an address refused this one's stream, if that is why it ended.
-func (h *Host) tellStreamRefused(node uint64, address string, err error) {
+// recordStreamRefused records and logs that the node at an address refused this node's stream, if err says so.
+func (h *Host) recordStreamRefused(node uint64, address string, err error) {
 	code := drpcerr.Code(err)
-	if code != refusedCode && code != turnedAwayCode {
+	if code != refusedCode && code != rejectedCode {
 		return
 	}
-	h.contacts.refusedBy(node, events.ErrorText(err))
-	if !h.contacts.lineDue(refusalKey{by: node, of: h.config.NodeID, sought: node}, err.Error(), time.Now()) {
+	h.contacts.recordStreamRefused(node, events.ErrorText(err))
+	if !h.contacts.isRefusalLogDue(refusalKey{refuser: node, sender: h.config.NodeID, intended: node}, err.Error(), time.Now()) {
 		return
 	}
 	logging.Emit(h.config.Log, &events.StreamRefused{Peer: node, Address: address, Reason: events.ErrorText(err), Ends: code == refusedCode})
--- a/internal/consensus/faults_test.go
+++ b/internal/consensus/faults_test.go
@@ -15,7 +15,9 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-func TestPartitionedLeaderGivesWay(t *testing.T) {
+// TestPartitionedLeaderIsReplaced guards against a leader that commits commands or confirms reads without a quorum, and
+// against its uncommitted command being applied after the partition ends.
+func TestPartitionedLeaderIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.commit(0, "before")
 	old := c.leader(0)
@@ -26,27 +28,29 @@
 			c.network.isolate(old.id, true, node.id)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	if _, _, err := old.host.Propose(ctx, 0, named("cut off")); err == nil {
+	if _, _, err := old.host.Propose(ctx, 0, newCommand("cut off")); err == nil {
 		t.Fatal("a leader without a quorum committed")
 	}
-	leader := c.leaderAmong(0, others...)
-	if _, _, err := leader.host.Propose(ctx, 0, named("meanwhile")); err != nil {
+	leader := c.waitForLeaderAmong(0, others...)
+	if _, _, err := leader.host.Propose(ctx, 0, newCommand("meanwhile")); err != nil {
 		t.Fatal(err)
 	}
 	if err := old.host.Read(ctx, 0); err == nil {
-		t.Fatal("a deposed leader confirmed a read")
+		t.Fatal("a leader without a quorum confirmed a read")
 	}
 	for _, node := range others {
 		c.network.isolate(old.id, false, node.id)
 	}
-	c.wait("the old leader follows", func() bool { return slices.Contains(old.localList(0), "meanwhile") })
-	if slices.Contains(old.localList(0), "cut off") {
-		t.Fatal("a command that no quorum held was applied")
+	c.wait("the old leader follows", func() bool { return slices.Contains(old.appliedLocally(0), "meanwhile") })
+	if slices.Contains(old.appliedLocally(0), "cut off") {
+		t.Fatal("a command that was not stored by a quorum was applied")
 	}
 }
 
+// TestSnapshotCatchUp guards against a node that cannot catch up by a snapshot after the entries that it lacks were
+// compacted.
 func TestSnapshotCatchUp(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.SnapshotEntries = 50 })
 	c.commit(0, "first")
@@ -64,29 +68,31 @@
 	}
 	lagging.start()
 	c.wait("the node that was away has everything", func() bool {
-		return slices.Contains(lagging.localList(0), fmt.Sprint(changes-1))
+		return slices.Contains(lagging.appliedLocally(0), fmt.Sprint(changes-1))
 	})
-	if got, want := lagging.localList(0), c.leader(0).localList(0); !slices.Equal(got, want) {
-		t.Fatalf("%d commands on the node that was away, %d on the leader", len(got), len(want))
+	if got, want := lagging.appliedLocally(0), c.leader(0).appliedLocally(0); !slices.Equal(got, want) {
+		t.Fatalf("got %d commands on the restarted node, want the %d of the leader", len(got), len(want))
 	}
 	if restored, err := lagging.store.Load(0); err != nil || restored.Snapshot.Index == 0 {
-		t.Fatalf("no snapshot was stored: %v", err)
+		t.Fatalf("the restarted node has stored no snapshot: %v", err)
 	}
 }
 
-// runError waits for a node to stop by itself.
-func (n *testNode) runError() error {
+// waitForRunError waits for a node to stop by itself and returns the error of Run.
+func (n *testNode) waitForRunError() error {
 	n.cluster.t.Helper()
 	select {
 	case err := <-n.finished:
 		n.close()
 		return err
-	case <-time.After(patience):
-		n.cluster.t.Fatal("the node went on")
+	case <-time.After(waitTimeout):
+		n.cluster.t.Fatal("the node kept running")
 		return nil
 	}
 }
 
+// TestLostDiskIsRefused guards against a node that participates under its old ID after its data folder was lost. It
+// may have forgotten votes and acknowledged entries.
 func TestLostDiskIsRefused(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.commit(0, "kept")
@@ -97,15 +103,16 @@
 	}
 	node.start()
 	var refused *ErrRefused
-	if err := node.runError(); !errors.As(err, &refused) {
-		t.Fatalf("a node without its disk ended with %v", err)
+	if err := node.waitForRunError(); !errors.As(err, &refused) {
+		t.Fatalf("a node that lost its data folder ended with %v, want *ErrRefused", err)
 	}
 	c.commit(0, "goes on")
 }
 
-// TestLostDiskBeforeOthersAgree has node 1, which knows the lost folder, down: the node that lost its disk
-// and one that never took part must not found the cluster a second time.
-func TestLostDiskBeforeOthersAgree(t *testing.T) {
+// TestLostDisksDoNotFoundClusterAgain guards against a node that lost its data folder and a node that never
+// participated founding the cluster a second time while node 1, which knows the lost folder, is down. Node 3 plays
+// the second of these nodes: its folder is removed as well.
+func TestLostDisksDoNotFoundClusterAgain(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.commit(0, "kept")
 	c.nodes[1].kill()
@@ -121,16 +128,18 @@
 	node.start()
 	c.nodes[3].start()
 	c.wait("the two have met", func() bool { return node.host.book.knownFolder(3) != 0 && c.nodes[3].host.book.knownFolder(2) != 0 })
-	if node.host.book.takesPart() || c.nodes[3].host.book.takesPart() {
-		t.Fatal("two empty nodes found the cluster without the third")
+	if node.host.book.canParticipate() || c.nodes[3].host.book.canParticipate() {
+		t.Fatal("two nodes with empty data folders participate without the third")
 	}
 	c.nodes[1].start()
 	var refused *ErrRefused
-	if err := node.runError(); !errors.As(err, &refused) {
-		t.Fatalf("ended with %v", err)
+	if err := node.waitForRunError(); !errors.As(err, &refused) {
+		t.Fatalf("node 2 ended with %v, want *ErrRefused", err)
 	}
 }
 
+// TestOlderFolderIsRefused guards against a node that starts with an older copy of its data folder, which may lack
+// votes and acknowledged entries.
 func TestOlderFolderIsRefused(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.commit(0, "old")
@@ -143,55 +152,56 @@
 	node.start()
 	c.commit(0, "new")
 	c.wait("the others know the later start", func() bool {
-		return c.nodes[1].startsKnown(3) == 2 && c.nodes[2].startsKnown(3) == 2
+		return c.nodes[1].knownStarts(3) == 2 && c.nodes[2].knownStarts(3) == 2
 	})
 	node.kill()
 	node.folder = copied
-	node.start() // its second start, as the real folder had
+	node.start() // the second start of the copy, as of the original
 	var refused *ErrRefused
-	if err := node.runError(); !errors.As(err, &refused) {
-		t.Fatalf("a node with an older folder ended with %v", err)
+	if err := node.waitForRunError(); !errors.As(err, &refused) {
+		t.Fatalf("a node with an older data folder ended with %v, want *ErrRefused", err)
 	}
 }
 
-func (n *testNode) startsKnown(node uint64) uint64 {
+func (n *testNode) knownStarts(node uint64) uint64 {
 	n.host.book.mutex.Lock()
 	defer n.host.book.mutex.Unlock()
 	return n.host.book.records[node].Starts
 }
 
-// TestReplaceThenLoseAnother replaces a lost machine by a learner under a new ID and then loses a second.
+// TestReplaceThenLoseAnother guards against lost commands when a lost node is replaced by a learner under a new ID
+// and a second node is lost afterwards.
 func TestReplaceThenLoseAnother(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) { config.SnapshotEntries = 20 })
 	for i := range 100 {
 		c.commit(0, fmt.Sprint(i))
 	}
 	c.nodes[3].kill()
-	fresh := c.add(4, c.nodes[1].change)
-	fresh.join = true
-	fresh.start()
+	replacement := c.add(4, c.nodes[1].change)
+	replacement.join = true
+	replacement.start()
 	for _, group := range c.groups {
-		c.manage("add the learner", group, func(ctx context.Context, leader *Host) error { return leader.AddLearner(ctx, group, 4) },
+		c.retryMembershipChange("add the learner", group, func(ctx context.Context, leader *Host) error { return leader.AddLearner(ctx, group, 4) },
 			raft.ErrAlreadyMember)
-		c.manage("promote it", group, func(ctx context.Context, leader *Host) error { return leader.Promote(ctx, group, 4) },
+		c.retryMembershipChange("promote it", group, func(ctx context.Context, leader *Host) error { return leader.Promote(ctx, group, 4) },
 			raft.ErrAlreadyMember)
-		c.manage("remove the lost node", group, func(ctx context.Context, leader *Host) error { return leader.Remove(ctx, group, 3) },
+		c.retryMembershipChange("remove the lost node", group, func(ctx context.Context, leader *Host) error { return leader.Remove(ctx, group, 3) },
 			raft.ErrNotMember)
 	}
 	c.nodes[1].kill()
 	c.commit(0, "after the second loss")
-	if got := c.leader(0).localList(0); !slices.Contains(got, "0") || !slices.Contains(got, "99") {
-		t.Fatalf("commands are lost: %v", got)
+	if got := c.leader(0).appliedLocally(0); !slices.Contains(got, "0") || !slices.Contains(got, "99") {
+		t.Fatalf("got the commands %v, want at least 0 and 99", got)
 	}
 	c.nodes[1].start()
-	c.wait("the second comes back", func() bool { return slices.Contains(c.nodes[1].localList(0), "after the second loss") })
+	c.wait("the second comes back", func() bool { return slices.Contains(c.nodes[1].appliedLocally(0), "after the second loss") })
 }
 
-// manage repeats a membership operation until it worked or has worked before.
-func (c *testCluster) manage(what string, group uint32, operate func(context.Context, *Host) error, done error) {
+// retryMembershipChange repeats a membership change until it succeeds or its error shows that it succeeded before.
+func (c *testCluster) retryMembershipChange(what string, group uint32, operate func(context.Context, *Host) error, done error) {
 	c.t.Helper()
 	var last error
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		leader := c.leader(group)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -205,6 +215,7 @@
 	c.t.Fatalf("could not %s: %v", what, last)
 }
 
+// TestTransferLeadership guards against a leadership transfer that does not reach the requested voter.
 func TestTransferLeadership(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	leader := c.leader(0)
@@ -220,16 +231,17 @@
 	c.commit(0, "under the new leader")
 }
 
-// TestDialOfANodeThatStartsLater: no first attempt of a node to connect to one with a higher number ever ends by
-// itself, as when that one's machine had no power yet. They elect a leader all the same, once they hear each other.
-func TestDialOfANodeThatStartsLater(t *testing.T) {
+// TestHangingDialIsRestartedWhenPeerIsHeard guards against a dial attempt that never ends, as when the machine of the
+// peer had no power yet. The first attempt of each node to dial a node with a higher ID hangs. The nodes must still
+// elect a leader once they hear each other.
+func TestHangingDialIsRestartedWhenPeerIsHeard(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) {
-		dial, hung := config.Dial, map[uint64]bool{}
+		dial, attempted := config.Dial, map[uint64]bool{}
 		var mutex sync.Mutex
 		config.Dial = func(ctx context.Context, peer Peer) (net.Conn, error) {
 			mutex.Lock()
-			hangs := peer.ID > config.NodeID && !hung[peer.ID]
-			hung[peer.ID] = true
+			hangs := peer.ID > config.NodeID && !attempted[peer.ID]
+			attempted[peer.ID] = true
 			mutex.Unlock()
 			if hangs {
 				<-ctx.Done()
--- a/internal/consensus/fuzz_test.go
+++ b/internal/consensus/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// FuzzMessage takes any bytes as a message from another node: it is refused, or converts without loss.
-// Snapshots that come in pieces are put together from whatever pieces come.
+// FuzzMessage decodes arbitrary bytes as a message from another node. A message is either rejected or converted
+// without loss, and the assembler accepts any sequence of snapshot chunks.
 func FuzzMessage(f *testing.F) {
 	entries := []raft.Entry{{Index: 7, Term: 2, Data: []byte("x")}, {Index: 8, Term: 2, Kind: raft.EntryConfiguration}}
 	messages := []*wire.RaftMessage{
@@ -38,7 +38,7 @@
 		}
 		again, err := fromWire(message.From, withSnapshot(toWire(encoded.Group, &message), encoded.Snapshot))
 		if err != nil || !reflect.DeepEqual(message, again) {
-			t.Fatalf("%+v became %+v (%v)", message, again, err)
+			t.Fatalf("the message %+v became %+v after encoding and decoding (%v)", message, again, err)
 		}
 		if encoded.Snapshot == nil {
 			return
@@ -46,7 +46,7 @@
 		pieces := assembler{partial: map[uint32]*partialSnapshot{}}
 		whole := pieces.add(encoded.Group, encoded.Snapshot)
 		if whole != nil && (encoded.Snapshot.ChunkCount > 1 || encoded.Snapshot.Chunk != 0) {
-			t.Fatal("one piece of several was taken for the whole")
+			t.Fatal("one chunk of several was returned as the whole snapshot")
 		}
 		pieces.add(encoded.Group, encoded.Snapshot)
 	})
--- a/internal/consensus/greeting_test.go
+++ b/internal/consensus/greeting_test.go
@@ -8,57 +8,58 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// stuckStore holds up the writes of what is known of other nodes.
-type stuckStore struct {
+// blockingPutPeerStore blocks writes of the records of other nodes until release is closed.
+type blockingPutPeerStore struct {
 	Store
 	entered, release chan struct{}
 }
 
-func (s *stuckStore) PutPeer(record storage.PeerRecord) error {
+func (s *blockingPutPeerStore) PutPeer(record storage.PeerRecord) error {
 	close(s.entered)
 	<-s.release
 	return s.Store.PutPeer(record)
 }
 
-// TestGreetingDoesNotHoldUpTheLoop: a node that starts greets the others, and each writes that down. The loop asks the same book
-// at every tick whether it takes part, and waited for that write: with syncs of 2 s a leader sent no heartbeat for 4 s, and the
-// group went from term 1 to term 4.
-func TestGreetingDoesNotHoldUpTheLoop(t *testing.T) {
+// TestGreetingWriteDoesNotBlockLoop guards against a loop that waits for the write of a greeting. Every node writes a
+// record when another node starts and greets it. The loop asks the address book at each tick whether the node may
+// participate, and used to wait for that write: with syncs of 2 s a leader sent no heartbeat for 4 s, and the group
+// went from term 1 to 4.
+func TestGreetingWriteDoesNotBlockLoop(t *testing.T) {
 	store, err := storage.Open(storage.Options{Folder: t.TempDir(), ClusterID: "test", NodeID: 1, NodeName: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	stuck := &stuckStore{Store: store, entered: make(chan struct{}), release: make(chan struct{})}
-	book, err := newAddressBook(&Config{NodeID: 1, ClusterID: "test", Store: stuck})
+	blocking := &blockingPutPeerStore{Store: store, entered: make(chan struct{}), release: make(chan struct{})}
+	book, err := newAddressBook(&Config{NodeID: 1, ClusterID: "test", Store: blocking})
 	if err != nil {
 		t.Fatal(err)
 	}
 	greeted := make(chan error, 1)
 	go func() {
-		_, err := book.greet(&wire.RaftBatch{ClusterId: "test", FromNode: 2, FromIdentity: 7, Starts: 1})
+		_, err := book.acceptGreeting(&wire.RaftBatch{ClusterId: "test", FromNode: 2, FromIdentity: 7, Starts: 1})
 		greeted <- err
 	}()
-	<-stuck.entered
-	asked := make(chan struct{})
+	<-blocking.entered
+	answered := make(chan struct{})
 	go func() {
-		defer close(asked)
-		book.takesPart()
+		defer close(answered)
+		book.canParticipate()
 	}()
 	select {
-	case <-asked:
+	case <-answered:
 		if book.knownFolder(2) != 0 {
-			t.Error("a greeting counts before it is written")
+			t.Error("a greeting is used before it is written")
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("the loop waits for the write of a greeting")
 	}
-	close(stuck.release)
+	close(blocking.release)
 	if err := <-greeted; err != nil {
 		t.Fatal(err)
 	}
-	<-asked
+	<-answered
 	if book.knownFolder(2) != 7 {
-		t.Error("the greeting is not known once it is written")
+		t.Error("the greeting is not recorded after it was written")
 	}
 }
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// hostedGroup is one raft node with its state machine and everybody who waits for it. The loop owns it.
+// hostedGroup is one raft node with its state machine and its pending proposals and reads. The loop owns it.
 type hostedGroup struct {
 	config  *Config
 	id      uint32
@@ -24,11 +24,11 @@
 	cycle      *durable.Cycle
 	applied    uint64
 	leadership Leadership
-	absence    absence // of a leader
+	leaderless leaderlessPeriod
 
-	snapshots snapshots
+	snapshots snapshotSchedule
 
-	pending map[uint64]*proposal // proposed, by log index
+	pending map[uint64]*proposal // proposed commands by log index
 	reads   readQueue
 }
 
@@ -38,7 +38,7 @@
 		id:        id,
 		machine:   config.NewStateMachine(id),
 		applied:   restored.Snapshot.Index,
-		snapshots: snapshots{index: restored.Snapshot.Index, size: restored.Snapshot.Data.Size()},
+		snapshots: snapshotSchedule{index: restored.Snapshot.Index, size: restored.Snapshot.Data.Size()},
 		pending:   map[uint64]*proposal{},
 	}
 	if len(restored.Snapshot.Data) > 0 {
@@ -63,14 +63,14 @@
 	return g, nil
 }
 
-// electionSeed differs between nodes and groups, so that they draw different timeouts.
+// electionSeed returns a random seed that differs between nodes and groups, so that their election timeouts differ.
 func electionSeed(config *Config, group uint32) int64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s/%d/%d/%d", config.ClusterID, config.NodeID, group, config.Store.Starts())
 	return int64(hash.Sum64())
 }
 
-// propose hands a command to raft, or answers its proposer.
+// propose passes a command to raft. If raft rejects it, the proposer is answered at once.
 func (g *hostedGroup) propose(p *proposal) {
 	index, term, err := g.node.Propose(p.data)
 	switch {
@@ -86,7 +86,7 @@
 	}
 }
 
-// finishReady applies the rest once the Ready is durable, and lets raft go on.
+// finishReady applies the remaining entries of a durable Ready and lets raft continue.
 func (g *hostedGroup) finishReady(ready *raft.Ready) error {
 	if ready.Snapshot != nil {
 		if err := g.restore(ready.Snapshot); err != nil {
@@ -102,10 +102,10 @@
 	return nil
 }
 
-// confirmReads notes which reads are confirmed and answers those whose index is applied.
+// confirmReads records which reads are confirmed and answers those whose index has been applied.
 func (g *hostedGroup) confirmReads(states []raft.ReadState) {
-	g.reads.confirm(states)
-	g.reads.serve(g)
+	g.reads.markConfirmed(states)
+	g.reads.answerApplied(g)
 }
 
 func (g *hostedGroup) restore(snapshot *raft.Snapshot) error {
@@ -113,7 +113,7 @@
 		return trace.Wrap(err, "consensus: group %d cannot restore a snapshot at %d", g.id, snapshot.Index)
 	}
 	g.applied = snapshot.Index
-	g.snapshots.received(snapshot)
+	g.snapshots.recordReceived(snapshot)
 	if g.config.OnRestore != nil {
 		g.config.OnRestore(g.id, snapshot.Index)
 	}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// apply applies entries in order; those applied before are skipped.
+// apply applies entries in log order and skips those that are already applied.
 func (g *hostedGroup) apply(entries []raft.Entry) error {
 	for i := range entries {
 		entry := &entries[i]
@@ -134,23 +134,23 @@
 			continue
 		}
 		if entry.Index != g.applied+1 {
-			return trace.Errorf("consensus: group %d is at %d and was given entry %d", g.id, g.applied, entry.Index)
+			return trace.Errorf("consensus: group %d has applied entries up to %d and cannot apply entry %d next", g.id, g.applied, entry.Index)
 		}
 		if err := g.applyEntry(entry); err != nil {
-			return trace.Wrap(err, "consensus: group %d stops at entry %d", g.id, entry.Index)
+			return trace.Wrap(err, "consensus: group %d cannot apply entry %d", g.id, entry.Index)
 		}
 		g.applied = entry.Index
 	}
 	return nil
 }
 
-// applyEntry applies one entry. An error says that this build can't apply it as the other nodes do.
+// applyEntry applies one entry. It returns an error if this build cannot apply the entry as the other nodes do.
 func (g *hostedGroup) applyEntry(entry *raft.Entry) error {
 	g.snapshots.appliedBytes += len(entry.Data)
 	waiting := g.pending[entry.Index]
 	delete(g.pending, entry.Index)
 	if waiting != nil && waiting.term != entry.Term {
-		// Another leader's entry took its place: it can never be applied.
+		// Another leader's entry has this index, so the proposal can never be applied.
 		waiting.answer(nil, 0, &ErrNotLeader{Leader: g.leadership.Leader})
 		waiting = nil
 	}
@@ -169,7 +169,7 @@
 	}
 	result := g.machine.Apply(entry.Index, command)
 	if result.GetLevel().GetAccepted() {
-		g.snapshots.wanted = true
+		g.snapshots.forced = true
 	}
 	if g.config.OnApply != nil {
 		g.config.OnApply(g.id, entry.Index, command, result)
@@ -180,8 +180,9 @@
 	return nil
 }
 
-// observeLeadership reports whether the leader, the term or this node's role changed.
-func (g *hostedGroup) observeLeadership() bool {
+// updateLeadership records raft's current leader, term and role and reports whether any of them changed. It answers
+// proposals and reads that this node can no longer complete.
+func (g *hostedGroup) updateLeadership() bool {
 	status := g.node.Status()
 	now := Leadership{Term: status.Term, Leader: status.Leader, Leading: status.Role == raft.Leader}
 	if now == g.leadership {
@@ -198,7 +199,7 @@
 	return true
 }
 
-// failPending answers all proposals whose fate this node will not learn in time.
+// failPending answers all pending proposals with err. This node will not learn their outcome in time.
 func (g *hostedGroup) failPending(err error) {
 	for index, p := range g.pending {
 		delete(g.pending, index)
--- a/internal/consensus/holdings.go
+++ b/internal/consensus/holdings.go
@@ -2,17 +2,17 @@
 
 import "context"
 
-// Holdings is what a node holds of a group beside its state machine, in bytes.
+// Holdings lists the sizes in bytes of the data that a node holds of a group beside its state machine.
 type Holdings struct {
-	Log        int // entries' data in memory
-	SinceState int // entries' data applied since the last snapshot was captured
-	Snapshot   int // size of the last snapshot, on disk or not
-	Unstored   int // part of it that is in memory since it is on no disk
+	Log        int // data of the log entries in memory
+	SinceState int // data of the entries applied since the last snapshot was captured
+	Snapshot   int // size of the last snapshot, on disk or in memory
+	Unstored   int // part of the snapshot that is held in memory because it is not on disk
 }
 
-// Holdings returns what this node holds of a group. Errors: those of Status.
+// Holdings returns the sizes of the data that this node holds of a group. Errors: those of Status.
 func (h *Host) Holdings(ctx context.Context, group uint32) (Holdings, error) {
-	return ask(ctx, h, group, func(g *hostedGroup) (Holdings, error) {
+	return callWithResult(ctx, h, group, func(g *hostedGroup) (Holdings, error) {
 		return Holdings{
 			Log: g.node.LogBytes(), SinceState: g.snapshots.appliedBytes,
 			Snapshot: g.snapshots.size, Unstored: g.node.SnapshotBytes(),
@@ -20,8 +20,8 @@
 	})
 }
 
-// Capacity is the size of state that each voter of a group can hold, as far as they have told since this node started; 0 if none
-// has. Errors: those of Status.
+// Capacity returns the state size in bytes that every voter of a group can hold. It considers this node and the
+// voters that have announced a capacity since this node started, and is 0 if none has. Errors: those of Status.
 func (h *Host) Capacity(ctx context.Context, group uint32) (uint64, error) {
 	status, err := h.Status(ctx, group)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}
 	least := h.config.CapacityBytes
 	for _, voter := range status.Configuration.Voters {
-		if told := h.contacts.of(voter).capacity; told > 0 && (least == 0 || told < least) {
-			least = told
+		if capacity := h.contacts.get(voter).capacityBytes; capacity > 0 && (least == 0 || capacity < least) {
+			least = capacity
 		}
 	}
 	return least, nil
--- a/internal/consensus/host.go
+++ b/internal/consensus/host.go
@@ -21,29 +21,31 @@
 	book     *addressBook
 	peers    *peerSet
 	contacts *contacts
-	silences *silences
-	// partsAgreed: a node that sent a snapshot has told that SnapshotParts is in force. Levels never fall.
+	silences *silenceTracker
+	// partsAgreed is set once a node that sent a snapshot has announced that level SnapshotParts is in force. Levels
+	// never decrease.
 	partsAgreed atomic.Bool
 
 	// Owned by the loop.
-	groups    []*hostedGroup
-	groupByID map[uint32]*hostedGroup
-	writer    *writer
-	nextWrite []*hostedGroup // groups with work for the next write
-	inWrite   []*hostedGroup // groups of the write in progress
-	proposed  int            // proposals taken since the last write began
-	room      storage.Room
-	encoded   chan *encodedState // has room for one of each group
-	encoders  sync.WaitGroup     // goroutines that encode a state or read one
-
-	ctx    context.Context // ends with the host
-	cancel context.CancelFunc
-	done   chan struct{} // closed when Run has returned
-	once   sync.Once
-	failed chan error // a cause to stop found outside the loop
+	groups        []*hostedGroup
+	groupByID     map[uint32]*hostedGroup
+	writer        *writer
+	nextWrite     []*hostedGroup // groups with data for the next write
+	inWrite       []*hostedGroup // groups of the write in progress
+	proposedCount int            // proposals taken since the last write started
+	freeSpace     storage.Room
+	encoded       chan *encodedState // buffered for one per group
+	encoders      sync.WaitGroup     // goroutines that encode a state or read a stored snapshot
+
+	ctx      context.Context // canceled when the host stops
+	cancel   context.CancelFunc
+	done     chan struct{} // closed when Run has returned
+	once     sync.Once
+	failures chan error // reason to stop that arose outside the loop
 }
 
-// New loads all groups from the store. It founds them at the first start, unless the node joins.
+// New loads all groups from the store. At the first start it creates them, with Config.Peers as voters unless
+// Config.Join is set. Errors: an invalid configuration, those of the store, and a snapshot that cannot be restored.
 func New(config Config) (*Host, error) {
 	config.setDefaults()
 	if err := config.check(); err != nil {
@@ -60,17 +62,17 @@
 		inbox:     newInbox(config.MaxPendingProposals),
 		book:      book,
 		contacts:  newContacts(time.Now()),
-		silences:  newSilences(config.NodeID, 0),
+		silences:  newSilenceTracker(config.NodeID, 0),
 		groupByID: map[uint32]*hostedGroup{},
 		writer:    newWriter(config.Store),
 		ctx:       ctx,
 		cancel:    cancel,
 		done:      make(chan struct{}),
-		failed:    make(chan error, 1),
+		failures:  make(chan error, 1),
 		encoded:   make(chan *encodedState, len(config.Groups)),
 	}
 	host.peers = newPeerSet(host, nonce)
-	if err := host.found(); err != nil {
+	if err := host.foundGroups(); err != nil {
 		cancel()
 		return nil, err
 	}
@@ -80,19 +82,19 @@
 			return nil, err
 		}
 	}
-	host.requireKnown()
+	host.requireVoterConfirmation()
 	return host, nil
 }
 
-// found writes the first configuration of all groups into an empty store: from then on the stored
-// membership counts, never the settings.
-func (h *Host) found() error {
-	known, err := h.config.Store.Groups()
+// foundGroups writes the initial configuration of all groups into an empty store. Afterwards the stored membership is
+// authoritative and the settings are ignored.
+func (h *Host) foundGroups() error {
+	storedIDs, err := h.config.Store.Groups()
 	if err != nil {
 		return err
 	}
-	if len(known) > 0 {
-		return h.checkFounded(known)
+	if len(storedIDs) > 0 {
+		return h.checkStoredGroups(storedIDs)
 	}
 	var configuration raft.Configuration
 	if !h.config.Join {
@@ -107,15 +109,15 @@
 	return h.config.Store.Write(batch)
 }
 
-func (h *Host) checkFounded(known []uint32) error {
+func (h *Host) checkStoredGroups(storedIDs []uint32) error {
 	stored := map[uint32]bool{}
-	for _, id := range known {
+	for _, id := range storedIDs {
 		stored[id] = true
 	}
 	for _, id := range h.config.Groups {
 		if !stored[id] {
 			return trace.BadParameter("consensus: group %d is not in the data folder, which holds groups %v; "+
-				"the number of groups is fixed at the first start", id, known)
+				"the number of groups is fixed at the first start", id, storedIDs)
 		}
 	}
 	return nil
@@ -135,20 +137,20 @@
 	return nil
 }
 
-// requireKnown makes a node that is new to all its groups wait until every voter knows its folder.
-func (h *Host) requireKnown() {
+// requireVoterConfirmation makes a node that is new to all its groups wait until every voter knows its data folder.
+func (h *Host) requireVoterConfirmation() {
 	for _, group := range h.groups {
 		if !group.cycle.Blank() || group.applied > 0 {
 			return
 		}
 	}
 	for _, group := range h.groups {
-		h.book.requireKnown(group.node.Status().Configuration.Voters)
+		h.book.requireConfirmation(group.node.Status().Configuration.Voters)
 	}
 }
 
-// Run drives the host until ctx ends or Close is called (nil), or until it must stop: a failed write,
-// a damaged state, or an *ErrRefused from a peer.
+// Run drives the host until ctx ends or Close is called, and then returns nil. It returns an error if a write fails,
+// the state is damaged, or a peer refuses this node (*ErrRefused).
 func (h *Host) Run(ctx context.Context) error {
 	defer h.finish()
 	running, ctx := errgroup.WithContext(ctx)
@@ -164,18 +166,18 @@
 	return err
 }
 
-// fail makes the loop end with err; nil is an orderly end.
+// fail makes the loop end with err. A nil err is an orderly end.
 func (h *Host) fail(err error) {
 	if err == nil {
 		err = errStopped
 	}
 	select {
-	case h.failed <- err:
+	case h.failures <- err:
 	default:
 	}
 }
 
-// finish answers everybody who still waits.
+// finish stops the background work and answers all pending requests.
 func (h *Host) finish() {
 	h.cancel()
 	h.encoders.Wait()
@@ -187,9 +189,9 @@
 	}
 }
 
-// Close stops the host abruptly: what waits is answered with ErrUnknownOutcome or ErrClosed. It does not
-// wait for Run to return; Done tells when it has.
+// Close stops the host abruptly. Pending requests are answered with ErrUnknownOutcome or ErrClosed. Close does not
+// wait for Run to return; use Done for that.
 func (h *Host) Close() { h.cancel() }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (h *Host) Done() <-chan struct{} { return h.done }
--- a/internal/consensus/host_test.go
+++ b/internal/consensus/host_test.go
@@ -10,6 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
+// TestElectCommitRestart guards against committed commands that are lost or reordered when all nodes are restarted.
 func TestElectCommitRestart(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	for _, group := range c.groups {
@@ -17,7 +18,7 @@
 			c.commit(group, fmt.Sprintf("g%d-%d", group, i))
 		}
 	}
-	want := c.leader(0).localList(0)
+	want := c.leader(0).appliedLocally(0)
 	for _, node := range c.running() {
 		node.kill()
 	}
@@ -29,14 +30,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := listOf(t, view); !slices.Equal(got, want) {
-		t.Fatalf("after the restart %v, before %v", got, want)
+	if got := decodeList(t, view); !slices.Equal(got, want) {
+		t.Fatalf("got %v after the restart, want %v as before", got, want)
 	}
 	for _, node := range c.running() {
-		c.wait("every node has applied the list", func() bool { return slices.Equal(node.localList(0), want) })
+		c.wait("every node has applied the list", func() bool { return slices.Equal(node.appliedLocally(0), want) })
 	}
 }
 
+// TestLeaderKilled guards against acknowledged commands that are lost when the leader is killed.
 func TestLeaderKilled(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	for round := range 3 {
@@ -46,17 +48,18 @@
 		c.commit(0, fmt.Sprintf("after-%d", round))
 		leader.start()
 		c.wait("the old leader catches up", func() bool {
-			return slices.Contains(leader.localList(0), fmt.Sprintf("after-%d", round))
+			return slices.Contains(leader.appliedLocally(0), fmt.Sprintf("after-%d", round))
 		})
 	}
-	list := c.leader(0).localList(0)
+	list := c.leader(0).appliedLocally(0)
 	for round := range 3 {
 		if !slices.Contains(list, fmt.Sprintf("before-%d", round)) {
-			t.Fatalf("an acknowledged command is lost: %v", list)
+			t.Fatalf("an acknowledged command is missing in %v", list)
 		}
 	}
 }
 
+// TestFollowerNamesLeader guards against a follower that rejects a proposal without naming the leader's address.
 func TestFollowerNamesLeader(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	leader := c.leader(0)
@@ -65,12 +68,12 @@
 			continue
 		}
 		c.wait("followers know the leader", func() bool {
-			_, _, err := node.host.Propose(context.Background(), 0, named("x"))
+			_, _, err := node.host.Propose(context.Background(), 0, newCommand("x"))
 			var notLeader *ErrNotLeader
 			return errors.As(err, &notLeader) && notLeader.LeaderAddress == leader.address
 		})
 	}
-	if _, _, err := leader.host.Propose(context.Background(), 9, named("x")); !errors.Is(err, ErrInvalid) {
-		t.Fatalf("an unknown group was answered with %v", err)
+	if _, _, err := leader.host.Propose(context.Background(), 9, newCommand("x")); !errors.Is(err, ErrInvalid) {
+		t.Fatalf("a proposal to an unknown group returned %v, want ErrInvalid", err)
 	}
 }
--- a/internal/consensus/inbox.go
+++ b/internal/consensus/inbox.go
@@ -8,23 +8,23 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// maxInboxMessages bounds the protocol messages that wait for the loop; more are dropped, which raft
-// takes for loss on the network.
+// maxInboxMessages limits the raft messages that wait for the loop. Further messages are dropped, which raft handles
+// like loss on the network.
 const maxInboxMessages = 16_384
 
-// envelope is a protocol message of one group.
+// envelope is a raft message with its group.
 type envelope struct {
 	group   uint32
 	message raft.Message
 }
 
-// proposal is a command on its way through the log.
+// proposal is a command or configuration change that waits to be applied.
 type proposal struct {
 	group    uint32
 	data     []byte
-	term     uint64               // set when proposed
+	term     uint64               // set when raft accepts the proposal
 	done     chan proposalOutcome // buffered, answered once
-	inflight *atomic.Int64        // counts proposals that are not answered
+	inFlight *atomic.Int64        // number of unanswered proposals
 }
 
 type proposalOutcome struct {
@@ -34,15 +34,15 @@
 }
 
 func (p *proposal) answer(result *wire.Result, index uint64, err error) {
-	p.inflight.Add(-1)
+	p.inFlight.Add(-1)
 	p.done <- proposalOutcome{result: result, index: index, err: err}
 }
 
-// readRequest waits for a linearizable barrier and then, if it has a query, for its answer.
+// readRequest waits for a linearizable read barrier and then, if it has a query, for the answer to it.
 type readRequest struct {
 	group uint32
 	query *wire.Query
-	local bool             // answer from the applied state at once, without a barrier
+	local bool             // answered from the applied state at once, without a barrier
 	done  chan readOutcome // buffered, answered once
 }
 
@@ -53,7 +53,7 @@
 
 func (r *readRequest) answer(view *wire.View, err error) { r.done <- readOutcome{view: view, err: err} }
 
-// work is what the loop takes from the inbox in one round.
+// work is the input that the loop takes from the inbox in one round.
 type work struct {
 	messages  []envelope
 	proposals []*proposal
@@ -61,11 +61,11 @@
 	calls     []func(closed bool)
 }
 
-// inbox hands work from any goroutine to the loop.
+// inbox passes work from any goroutine to the loop.
 type inbox struct {
 	notify       chan struct{} // has a token when there may be work
 	maxProposals int
-	inflight     atomic.Int64 // proposals accepted and not yet answered
+	inFlight     atomic.Int64 // proposals accepted and not yet answered
 
 	mutex   sync.Mutex
 	waiting work
@@ -83,11 +83,11 @@
 	}
 }
 
-// addMessages drops what exceeds the bound.
+// addMessages queues messages and drops those that exceed maxInboxMessages.
 func (i *inbox) addMessages(messages []envelope) {
 	i.mutex.Lock()
-	if room := maxInboxMessages - len(i.waiting.messages); room < len(messages) {
-		messages = messages[:room]
+	if free := maxInboxMessages - len(i.waiting.messages); free < len(messages) {
+		messages = messages[:free]
 	}
 	if !i.closed {
 		i.waiting.messages = append(i.waiting.messages, messages...)
@@ -102,17 +102,17 @@
 	if i.closed {
 		return ErrClosed
 	}
-	if i.inflight.Load() >= int64(i.maxProposals) {
+	if i.inFlight.Load() >= int64(i.maxProposals) {
 		return ErrOverloaded
 	}
-	i.inflight.Add(1)
-	p.inflight = &i.inflight
+	i.inFlight.Add(1)
+	p.inFlight = &i.inFlight
 	i.waiting.proposals = append(i.waiting.proposals, p)
 	i.wake()
 	return nil
 }
 
-// hasProposals tells whether proposals were left behind by take.
+// hasProposals reports whether proposals are still queued after take.
 func (i *inbox) hasProposals() bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// addCall runs a function on the loop, or elsewhere with closed set when the host has stopped.
+// addCall queues a function for the loop. If the host stops first, the function is called elsewhere with closed set
+// to true.
 func (i *inbox) addCall(call func(closed bool)) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// take empties the inbox, except that at most maxProposals proposals are taken; the rest stays.
+// take empties the inbox, except that it returns at most maxProposals proposals and keeps the rest.
 func (i *inbox) take(maxProposals int) work {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -158,7 +159,7 @@
 	return taken
 }
 
-// close refuses later work and answers what still waits.
+// close rejects all later work and answers everything that is still queued.
 func (i *inbox) close() {
 	i.mutex.Lock()
 	i.closed = true
--- a/internal/consensus/introduce.go
+++ b/internal/consensus/introduce.go
@@ -2,7 +2,7 @@
 
 import "github.com/tamarindring/tamarindring/internal/raft"
 
-// Nodes lists the nodes that this one knows, itself included.
+// Nodes lists the nodes that this node knows, including itself.
 func (h *Host) Nodes() []Peer {
 	nodes := []Peer{{ID: h.config.NodeID, Name: h.config.Name, Address: h.config.Address}}
 	for _, id := range h.book.nodes() {
@@ -11,22 +11,22 @@
 	return nodes
 }
 
-// Introduce tells of nodes that may be reached at the given addresses; those that were not known are greeted.
+// Introduce adds nodes with their addresses. Nodes that were unknown are dialed and greeted.
 func (h *Host) Introduce(nodes []Peer) {
 	for _, node := range nodes {
-		if h.book.introduce(node) {
+		if h.book.addIfUnknown(node) {
 			h.peers.sender(node.ID)
 		}
 	}
 }
 
-// introduce notes a node that is not known yet, and tells whether it was not.
-func (b *addressBook) introduce(node Peer) bool {
+// addIfUnknown adds a node that is not known yet, and reports whether it did.
+func (b *addressBook) addIfUnknown(node Peer) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if _, met := b.records[node.ID]; met || node.ID == raft.None || node.ID == b.self || b.settings[node.ID] != "" {
+	if _, known := b.records[node.ID]; known || node.ID == raft.None || node.ID == b.self || b.configured[node.ID] != "" {
 		return false
 	}
-	b.settings[node.ID] = node.Address
+	b.configured[node.ID] = node.Address
 	return true
 }
--- a/internal/consensus/levels.go
+++ b/internal/consensus/levels.go
@@ -7,26 +7,27 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// judgeGreeting refuses a node that does not speak the level in force: it would take entries for what they are not. The book
-// judges it first, for a greeting may be meant for another node.
-func (h *Host) judgeGreeting(greeting *wire.RaftBatch) (news bool, err error) {
-	news, err = h.book.greet(greeting)
+// acceptGreeting refuses a node that does not support the level in force, since it would misinterpret log entries.
+// The address book checks the greeting first, because it may be addressed to another node.
+func (h *Host) acceptGreeting(greeting *wire.RaftBatch) (isNew bool, err error) {
+	isNew, err = h.book.acceptGreeting(greeting)
 	if err != nil {
 		return false, err
 	}
-	speaks, agreed := compat.Level(greeting.Speaks), h.config.Agreed()
-	if !speaks.Includes(agreed) {
+	level, agreed := compat.Level(greeting.Speaks), h.config.Agreed()
+	if !level.Includes(agreed) {
 		return false, &refusal{reason: fmt.Sprintf("node %d speaks up to %s, and %s is in force: it needs a newer build",
-			greeting.FromNode, speaks, agreed)}
+			greeting.FromNode, level, agreed)}
 	}
-	return news, nil
+	return isNew, nil
 }
 
-// Speaks is the level that a node told with its last greeting; false if it has not greeted since this node started.
+// Speaks returns the level that a node announced in its last greeting, or false if it has not greeted since this node
+// started.
 func (h *Host) Speaks(node uint64) (compat.Level, bool) {
 	if node == h.config.NodeID {
 		return h.config.Speaks, true
 	}
-	known := h.contacts.of(node)
-	return known.speaks, known.greeted
+	known := h.contacts.get(node)
+	return known.level, known.greeted
 }
--- a/internal/consensus/loop.go
+++ b/internal/consensus/loop.go
@@ -11,13 +11,13 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// headroomTicks is the number of ticks between two looks at the disk's free space.
-const headroomTicks = 20
+// freeSpaceCheckTicks is the number of ticks between two checks of the disk's free space.
+const freeSpaceCheckTicks = 20
 
-// loop drives all groups until ctx ends or something fails.
+// loop drives all groups until ctx ends or an error occurs.
 func (h *Host) loop(ctx context.Context) error {
-	// A ticker keeps at most one tick for a slow receiver: after a pause of the process one tick passes,
-	// not all that were missed.
+	// A ticker buffers at most one tick for a slow receiver: after a pause of the process one tick is delivered, not
+	// all that were missed.
 	ticker := time.NewTicker(h.config.Tick)
 	defer ticker.Stop()
 	ticks := 0
@@ -25,27 +25,27 @@
 		select {
 		case <-ctx.Done():
 			return errStopped
-		case err := <-h.failed:
+		case err := <-h.failures:
 			return err
 		case <-ticker.C:
-			if ticks%headroomTicks == 0 {
-				h.watchRoom()
+			if ticks%freeSpaceCheckTicks == 0 {
+				h.updateFreeSpace()
 			}
-			if ticks%silenceTicks == 0 {
-				h.lookForSilences(time.Now())
+			if ticks%silenceCheckTicks == 0 {
+				h.updateSilences(time.Now())
 			}
 			ticks++
 			h.tick()
-			h.watchLeaders(time.Now())
-		case end := <-h.writer.done:
-			if err := h.finishWrite(end); err != nil {
+			h.trackLeaders(time.Now())
+		case result := <-h.writer.done:
+			if err := h.finishWrite(result); err != nil {
 				return err
 			}
 		case encoded := <-h.encoded:
 			h.finishEncoding(encoded)
 		case <-h.inbox.notify:
 		}
-		h.takeWork()
+		h.processInbox()
 		if err := h.advance(); err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 }
 
 func (h *Host) tick() {
-	if !h.book.takesPart() {
+	if !h.book.canParticipate() {
 		return
 	}
 	for _, g := range h.groups {
@@ -64,10 +64,10 @@
 	}
 }
 
-// takeWork feeds raft with all that came since the last round.
-func (h *Host) takeWork() {
-	taken := h.inbox.take(h.config.MaxBatchProposals - h.proposed)
-	h.proposed += len(taken.proposals)
+// processInbox passes everything that arrived since the last round to raft.
+func (h *Host) processInbox() {
+	taken := h.inbox.take(h.config.MaxBatchProposals - h.proposedCount)
+	h.proposedCount += len(taken.proposals)
 	for i := range taken.messages {
 		h.step(&taken.messages[i])
 	}
@@ -82,24 +82,24 @@
 
 func (h *Host) step(received *envelope) {
 	g := h.groupByID[received.group]
-	if g == nil || !h.fits(g, &received.message) {
-		return // what has no room is taken for lost: the leader sends it again when there may be some
+	if g == nil || !h.hasSpaceFor(g, &received.message) {
+		return // raft treats it as lost: the leader sends it again, possibly when there is enough space
 	}
 	if err := g.node.Step(received.message); err != nil {
-		h.config.Log.Warnf("group %d dropped a message: %v", g.id, err)
+		h.config.Log.Warnf("group %d rejected a raft message: %v", g.id, err)
 	}
 }
 
 func (h *Host) propose(p *proposal) {
 	g := h.groupByID[p.group]
-	if !h.takesNewWork(g) {
+	if !h.acceptsNewCommands(g) {
 		p.answer(nil, 0, ErrDiskFull)
 		return
 	}
 	g.propose(p)
 }
 
-// startReads begins one barrier per group for all reads of this round.
+// startReads answers local reads and starts one read barrier per group for the others.
 func (h *Host) startReads(reads []*readRequest) {
 	if len(reads) == 0 {
 		return
@@ -119,8 +119,8 @@
 	}
 }
 
-// advance takes every group's Ready until none has more to do without a sync, then starts the next
-// write if the writer is idle.
+// advance processes every group's Readies until none can continue without a sync, then starts the next write if the
+// writer is idle.
 func (h *Host) advance() error {
 	for _, g := range h.groups {
 		if err := h.advanceGroup(g); err != nil {
@@ -132,7 +132,7 @@
 }
 
 func (h *Host) advanceGroup(g *hostedGroup) error {
-	if err := h.doUrgent(g); err != nil {
+	if err := h.handleUrgent(g); err != nil {
 		return err
 	}
 	for ready := g.cycle.Take(); ready != nil; ready = g.cycle.Take() {
@@ -151,8 +151,8 @@
 			return err
 		}
 	}
-	if g.observeLeadership() {
-		h.announce(g)
+	if g.updateLeadership() {
+		h.reportLeadership(g)
 	}
 	if err := h.compact(g); err != nil {
 		return err
@@ -163,9 +163,9 @@
 	return nil
 }
 
-// doUrgent does what waits for no sync. Reads that waited for the syncs under way took up to three of them: with 450 ms each
-// and commands on their way, 17 of 19 were given up after 600 ms.
-func (h *Host) doUrgent(g *hostedGroup) error {
+// handleUrgent sends and applies everything that needs no sync. Reads that wait for the syncs in progress may wait
+// for up to three of them: with syncs of 450 ms and commands in flight, 17 of 19 reads were abandoned after 600 ms.
+func (h *Host) handleUrgent(g *hostedGroup) error {
 	urgent := g.cycle.Urgent()
 	h.send(g, urgent.Messages)
 	if err := g.apply(urgent.Committed); err != nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (h *Host) announce(g *hostedGroup) {
+func (h *Host) reportLeadership(g *hostedGroup) {
 	leadership := g.leadership
 	logging.Emit(h.config.Log, &events.LeaderChanged{Group: g.id, Term: leadership.Term, Leader: leadership.Leader, Self: leadership.Leading})
 	if h.config.OnLeaderChange != nil {
@@ -189,47 +189,47 @@
 	}
 }
 
-// startWrite hands the waiting Readies of all groups to the writer as one batch.
+// startWrite passes the queued Readies of all groups to the writer as one batch, if the writer is idle.
 func (h *Host) startWrite() {
 	if h.writer.busy {
 		return
 	}
-	h.proposed = 0
+	h.proposedCount = 0
 	if len(h.nextWrite) == 0 {
 		return
 	}
 	batch := make([]storage.GroupWrite, 0, len(h.nextWrite))
 	for _, g := range h.nextWrite {
 		write := g.cycle.Write()
-		write.InParts = h.storesParts()
+		write.InParts = h.canStoreParts()
 		batch = append(batch, write)
 	}
 	h.inWrite, h.nextWrite = h.nextWrite, h.inWrite[:0]
 	h.writer.submit(batch)
 }
 
-// finishWrite sends and applies what had to wait for the sync. A failed write ends the host: nobody can
-// tell what reached the disk.
-func (h *Host) finishWrite(end written) error {
+// finishWrite sends messages and applies entries that had to wait for the sync. A failed write ends the host, because
+// it is unknown what reached the disk.
+func (h *Host) finishWrite(result writeResult) error {
 	h.writer.busy = false
-	if end.err != nil {
-		return end.err
+	if result.err != nil {
+		return result.err
 	}
-	took := time.Since(h.writer.began)
+	duration := time.Since(h.writer.startedAt)
 	for _, g := range h.groups {
-		g.absence.synced(took)
+		g.leaderless.recordSync(duration)
 	}
 	for _, g := range h.inWrite {
 		ready, compacted := g.cycle.Written()
 		switch {
 		case compacted == 0:
-		case end.uncompacted: // raft keeps the state that is on no disk, for followers that need it
+		case result.compactionSkipped: // raft keeps the state in memory for followers that need it, since it is not on disk
 			logging.Emit(h.config.Log, &events.SnapshotLeftOut{Group: g.id, Index: compacted, Bytes: g.snapshots.size})
 		default:
 			g.node.ReleaseSnapshot(compacted)
 		}
 		if ready == nil {
-			continue // only a compaction
+			continue // the write held only a compaction
 		}
 		h.send(g, ready.Messages)
 		if err := g.finishReady(ready); err != nil {
@@ -239,16 +239,16 @@
 	return nil
 }
 
-// storesParts tells whether all builds that may read the folder know states in parts. A node whose disk is empty is sent states
-// before it knows the level: their sender tells.
-func (h *Host) storesParts() bool {
+// canStoreParts reports whether all builds that may read the data folder support snapshots in parts. A node with an
+// empty disk receives snapshots before it knows the level in force, so the sender of the snapshot announces it.
+func (h *Host) canStoreParts() bool {
 	return h.partsAgreed.Load() || h.config.Agreed().Includes(compat.SnapshotParts)
 }
 
 func (h *Host) send(g *hostedGroup, messages []raft.Message) {
 	for i := range messages {
 		if snapshot := messages[i].Snapshot; snapshot != nil && snapshot.Data == nil {
-			h.sendStored(g.id, messages[i])
+			h.sendStoredSnapshot(g.id, messages[i])
 			continue
 		}
 		h.peers.send(g.id, &messages[i])
--- a/internal/consensus/lowroom_test.go
+++ b/internal/consensus/lowroom_test.go
@@ -13,11 +13,12 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestGroupsServeWithLittleRoom: the disks of all control machines fill alike, since each holds the same batch jobs; all
-// four told "disk_changed full=true" within half a second. Below the headroom nodes dropped every entry that another node
-// sent them, also the first entry of a new leader, without which it confirms no read and grants no lease. So the loss of one
-// leader left every group without service for good, and the table, which takes next to no room, could not be changed either.
-func TestGroupsServeWithLittleRoom(t *testing.T) {
+// TestGroupsServeWithLowDiskSpace guards against groups that stop serving when all disks fill up. The disks of all
+// control nodes fill at the same time, since each holds the same batch jobs: all four logged "disk_changed full=true"
+// within half a second. Below the headroom nodes dropped every entry of another node, including the first entry of a
+// new leader, without which the leader confirms no read and grants no lease. The loss of one leader therefore left
+// every group without service for good. The table, which needs almost no space, could not be changed either.
+func TestGroupsServeWithLowDiskSpace(t *testing.T) {
 	const reserved, ledger = 0, 1
 	const headroom = 256 << 20 // package storage's default
 	var free atomic.Uint64
@@ -32,22 +33,22 @@
 	}
 	c.commit(reserved, "before")
 	c.commit(ledger, "before")
-	refused := func(group uint32) func() bool {
+	isRejected := func(group uint32) func() bool {
 		return func() bool {
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second) // a node may lead no more
+			ctx, cancel := context.WithTimeout(context.Background(), time.Second) // the node may have lost the leadership
 			defer cancel()
-			_, _, err := c.leader(group).host.Propose(ctx, group, named("refused"))
+			_, _, err := c.leader(group).host.Propose(ctx, group, newCommand("refused"))
 			return errors.Is(err, ErrDiskFull)
 		}
 	}
 	changeLeaders := func(name string) {
 		c.leader(ledger).kill()
 		for _, group := range []uint32{reserved, ledger} {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			view, err := c.leader(group).host.Query(ctx, group, &wire.Query{})
 			cancel()
-			if err != nil || !slices.Contains(listOf(t, view), "before") {
-				t.Errorf("%s: group %d is read as %v, %v", name, group, view, err)
+			if err != nil || !slices.Contains(decodeList(t, view), "before") {
+				t.Errorf("%s: group %d returned %v and error %v, want a list with the command before", name, group, view, err)
 			}
 		}
 		for _, node := range c.nodes {
@@ -57,21 +58,21 @@
 		}
 	}
 	free.Store(headroom * 3 / 4)
-	c.wait("new work of the ledger group is refused", refused(ledger))
+	c.wait("new commands of the ledger group are rejected", isRejected(ledger))
 	for range 2 {
 		changeLeaders("below the headroom")
 		c.commit(reserved, "a change of the table")
 	}
 	free.Store(headroom / 4)
-	c.wait("the table takes no change either", refused(reserved))
+	c.wait("changes of the table are rejected too", isRejected(reserved))
 	changeLeaders("below half the headroom")
 	free.Store(2 * headroom)
 	c.commit(ledger, "after")
 }
 
-// TestLastRoomIsForLeadersAndVoters: with less than half the headroom a node takes no commands any more, but a new leader's
-// first entry and changes of the voters, on which all that is stored depends.
-func TestLastRoomIsForLeadersAndVoters(t *testing.T) {
+// TestHasNoCommands: with less than half the headroom a node accepts no commands, but still a new leader's first
+// entry and changes of the voters, which are needed to keep all groups available.
+func TestHasNoCommands(t *testing.T) {
 	command := raft.Entry{Kind: raft.EntryCommand, Data: []byte("work")}
 	first := raft.Entry{Kind: raft.EntryCommand}
 	voters := raft.Entry{Kind: raft.EntryConfiguration, Data: []byte("voters")}
@@ -84,8 +85,8 @@
 		{"a leader's first entry and new voters", []raft.Entry{first, voters}, true},
 		{"a command", []raft.Entry{first, command}, false},
 	} {
-		if got := fitsLastRoom(test.entries); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+		if got := hasNoCommands(test.entries); got != test.want {
+			t.Errorf("%s: hasNoCommands returned %v, want the opposite", test.name, got)
 		}
 	}
 }
--- a/internal/consensus/partsagreed_test.go
+++ b/internal/consensus/partsagreed_test.go
@@ -10,17 +10,17 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// bulkyJournal has a state with two large parts that never change.
-type bulkyJournal struct {
+// largeStateJournal is a journal with two additional large parts that never change.
+type largeStateJournal struct {
 	journal
 	large [][]byte
 }
 
-func newBulkyJournal() *bulkyJournal {
-	return &bulkyJournal{large: [][]byte{bytes.Repeat([]byte{'a'}, 1<<20), bytes.Repeat([]byte{'b'}, 1<<20)}}
+func newLargeStateJournal() *largeStateJournal {
+	return &largeStateJournal{large: [][]byte{bytes.Repeat([]byte{'a'}, 1<<20), bytes.Repeat([]byte{'b'}, 1<<20)}}
 }
 
-func (j *bulkyJournal) Capture() func() ([][]byte, error) {
+func (j *largeStateJournal) Capture() func() ([][]byte, error) {
 	encode := j.journal.Capture()
 	return func() ([][]byte, error) {
 		parts, err := encode()
@@ -28,17 +28,18 @@
 	}
 }
 
-func (j *bulkyJournal) RestoreParts(parts [][]byte) error {
+func (j *largeStateJournal) RestoreParts(parts [][]byte) error {
 	j.large = parts[len(parts)-2:]
 	return j.journal.RestoreParts(parts[:len(parts)-2])
 }
 
-// TestReceivedSnapshotIsStoredInParts: a node with an empty disk was sent a state of 86 MB before it knew the level, and wrote it as one
-// file. Its next snapshot, in parts, found no room beside that file on a disk of 128 MB, nor did any later one.
+// TestReceivedSnapshotIsStoredInParts guards against a received snapshot that is stored as one file. A node with an
+// empty disk received a state of 86 MB before it knew the level in force, and wrote it as one file. On a disk of 128
+// MB neither its next snapshot, in parts, nor any later one fitted beside that file.
 func TestReceivedSnapshotIsStoredInParts(t *testing.T) {
 	c := newCluster(t, 3, func(config *Config) {
 		config.SnapshotEntries, config.SnapshotCost = 4, 1<<30
-		config.NewStateMachine = func(uint32) StateMachine { return newBulkyJournal() }
+		config.NewStateMachine = func(uint32) StateMachine { return newLargeStateJournal() }
 		config.Agreed = func() compat.Level { return compat.SnapshotParts }
 		config.Speaks = compat.SnapshotParts
 	})
@@ -50,15 +51,15 @@
 	}
 	late := c.add(4, func(config *Config) {
 		config.SnapshotEntries = 1 << 20
-		config.NewStateMachine = func(uint32) StateMachine { return newBulkyJournal() }
-		config.Speaks = compat.SnapshotParts // it knows no level
+		config.NewStateMachine = func(uint32) StateMachine { return newLargeStateJournal() }
+		config.Speaks = compat.SnapshotParts // it does not know the level in force
 	})
 	late.join = true
 	late.start()
-	c.manage("add the late node", 0, func(ctx context.Context, host *Host) error { return host.AddLearner(ctx, 0, 4) }, raft.ErrAlreadyMember)
+	c.retryMembershipChange("add the late node", 0, func(ctx context.Context, host *Host) error { return host.AddLearner(ctx, 0, 4) }, raft.ErrAlreadyMember)
 	c.wait("the late node has the state", func() bool { return late.snapshotIndex(0) > 0 })
 	files, err := filepath.Glob(filepath.Join(late.folder, "snapshot-0-*"))
 	if err != nil || len(files) < 3 {
-		t.Fatalf("the received state is in %d files: %v", len(files), err)
+		t.Fatalf("the received snapshot is stored in %d files, want at least 3: %v", len(files), err)
 	}
 }
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -6,20 +6,20 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// readQueue serves linearizable reads. The reads of one round of the loop share one raft context.
+// readQueue tracks linearizable reads. The reads of one round of the loop share one raft read context.
 type readQueue struct {
 	lastContext uint64
-	rounds      []readRound // in the order of their contexts
+	rounds      []readRound // ordered by context
 }
 
 type readRound struct {
 	context   uint64
 	confirmed bool
-	index     uint64 // the state must be applied up to here
+	index     uint64 // the round is answered once this index is applied
 	requests  []*readRequest
 }
 
-// start asks raft for one barrier for all requests.
+// start requests one read barrier from raft for all requests. If raft rejects it, the requests are answered at once.
 func (q *readQueue) start(g *hostedGroup, requests []*readRequest) {
 	q.lastContext++
 	err := g.node.ReadIndex(q.lastContext)
@@ -36,7 +36,8 @@
 	}
 }
 
-func (q *readQueue) confirm(states []raft.ReadState) {
+// markConfirmed records the index up to which the state must be applied before a confirmed round is answered.
+func (q *readQueue) markConfirmed(states []raft.ReadState) {
 	for _, state := range states {
 		for i := range q.rounds {
 			if q.rounds[i].context == state.Context {
@@ -46,8 +47,8 @@
 	}
 }
 
-// serve answers the confirmed rounds whose index is applied.
-func (q *readQueue) serve(g *hostedGroup) {
+// answerApplied answers the confirmed rounds whose index has been applied.
+func (q *readQueue) answerApplied(g *hostedGroup) {
 	rest := q.rounds[:0]
 	for _, round := range q.rounds {
 		if !round.confirmed || round.index > g.applied {
@@ -61,6 +62,7 @@
 	q.rounds = rest
 }
 
+// fail answers all waiting reads with err.
 func (q *readQueue) fail(err error) {
 	for _, round := range q.rounds {
 		for _, request := range round.requests {
@@ -70,7 +72,7 @@
 	q.rounds = nil
 }
 
-// answerRead answers from the applied state.
+// answerRead answers a request from the applied state.
 func (g *hostedGroup) answerRead(request *readRequest) {
 	if request.query == nil {
 		request.answer(nil, nil)
--- a/internal/consensus/room.go
+++ b/internal/consensus/room.go
@@ -7,23 +7,24 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// The disks of a group's nodes fill alike, since its state is the same on all. So what is refused for lack of room must not
-// be what brings a leader or makes room: a new leader serves nothing before its first entry is on a quorum's disks. Nodes that
-// dropped all entries below the headroom left every group without service from the next loss of a leader on.
+// The disks of a group's nodes fill up at the same time, since all hold the same state. What is rejected for lack of
+// space must therefore not be needed to elect a leader or to free space: a new leader serves nothing before its first
+// entry is on the disks of a quorum. If nodes dropped all entries below the headroom, every group would be
+// without service as soon as it lost its leader.
 
-// watchRoom measures the disk's free space.
-func (h *Host) watchRoom() {
-	room := h.config.Store.Room()
-	if room == h.room {
+// updateFreeSpace checks the disk's free space and logs a change of the kinds of writes that it admits.
+func (h *Host) updateFreeSpace() {
+	freeSpace := h.config.Store.Room()
+	if freeSpace == h.freeSpace {
 		return
 	}
-	h.room = room
-	logging.Emit(h.config.Log, &events.DiskChanged{Full: room != storage.RoomForAll, Room: room.String()})
+	h.freeSpace = freeSpace
+	logging.Emit(h.config.Log, &events.DiskChanged{Full: freeSpace != storage.RoomForAll, Room: freeSpace.String()})
 }
 
-// takesNewWork tells whether there is room for new commands of a group.
-func (h *Host) takesNewWork(g *hostedGroup) bool {
-	switch h.room {
+// acceptsNewCommands reports whether there is enough free space for new commands of a group.
+func (h *Host) acceptsNewCommands(g *hostedGroup) bool {
+	switch h.freeSpace {
 	case storage.RoomForAll:
 		return true
 	case storage.RoomForReserved:
@@ -36,21 +37,21 @@
 	return h.config.Reserved != nil && h.config.Reserved(g.id)
 }
 
-// fits tells whether there is room for what another node sends. Commands that a leader has taken are kept down to the last
-// room, and always in a reserved group: a leader whose disk has more room may take one that the next leader must hand on
-// before its own first entry.
-func (h *Host) fits(g *hostedGroup, message *raft.Message) bool {
+// hasSpaceFor reports whether there is enough free space for a message of another node. Commands that a leader has
+// accepted are stored until only the space for votes is left, and always in a reserved group: a leader with more free
+// space may accept a command that the next leader must replicate before its own first entry.
+func (h *Host) hasSpaceFor(g *hostedGroup, message *raft.Message) bool {
 	if message.Snapshot != nil && !h.config.Store.HasRoomFor(g.id, message.Snapshot.Data) {
-		// Its write would be repeated until there is room, with the votes of all groups behind it.
+		// The write would be retried until there is enough space, and the votes of all groups would wait for it.
 		logging.Emit(h.config.Log, &events.SnapshotLeftOut{Group: g.id, Index: message.Snapshot.Index, Bytes: message.Snapshot.Data.Size(), Received: true})
 		return false
 	}
-	return h.room != storage.RoomForVotes || h.isReserved(g) || fitsLastRoom(message.Entries)
+	return h.freeSpace != storage.RoomForVotes || h.isReserved(g) || hasNoCommands(message.Entries)
 }
 
-// fitsLastRoom tells whether none of the entries holds a command: new leaders' first entries and changes of the voters, on
-// which all that is stored depends.
-func fitsLastRoom(entries []raft.Entry) bool {
+// hasNoCommands reports whether none of the entries holds a command. Such entries are the first entry of a new leader
+// and changes of the voters, which are needed to keep all groups available.
+func hasNoCommands(entries []raft.Entry) bool {
 	for i := range entries {
 		if entries[i].Kind == raft.EntryCommand && len(entries[i].Data) > 0 {
 			return false
--- a/internal/consensus/sender.go
+++ b/internal/consensus/sender.go
@@ -20,13 +20,13 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// sender keeps one stream to another node and sends it the messages of all groups.
+// sender keeps one stream to another node and sends it the raft messages of all groups.
 type sender struct {
 	host   *Host
 	nonce  uint64
 	node   uint64
-	notify chan struct{} // has a token when the queue may have work
-	wake   chan struct{} // has a token when the node was heard from: dial at once
+	notify chan struct{} // has a token when the queue may have messages
+	wake   chan struct{} // has a token when the node was heard from and should be dialed at once
 
 	mutex sync.Mutex
 	queue queue
@@ -39,7 +39,7 @@
 func (s *sender) enqueue(group uint32, message *raft.Message) {
 	s.mutex.Lock()
 	if message.Snapshot != nil {
-		s.queue.addChunks(snapshotChunks(group, message, s.host.storesParts()))
+		s.queue.addChunks(snapshotChunks(group, message, s.host.canStoreParts()))
 	} else {
 		s.queue.add(toWire(group, message))
 	}
@@ -47,10 +47,10 @@
 	signal(s.notify)
 }
 
-func (s *sender) met(news bool) {
-	if news {
+func (s *sender) noteGreeting(isNew bool) {
+	if isNew {
 		s.mutex.Lock()
-		s.queue.greeting = true
+		s.queue.greetAgain = true
 		s.mutex.Unlock()
 		signal(s.notify)
 	}
@@ -64,52 +64,52 @@
 	}
 }
 
-// run connects again and again until ctx ends.
+// run connects and reconnects until ctx ends.
 func (s *sender) run(ctx context.Context) {
-	var wait reconnect
+	var backoff reconnectBackoff
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		began := time.Now()
 		connected, err := s.serve(ctx, attempt)
-		s.host.contacts.connected(s.node, time.Time{})
+		s.host.contacts.setConnectedAt(s.node, time.Time{})
 		if drpcerr.Code(err) == refusedCode {
 			s.host.fail(&ErrRefused{Peer: s.node, Reason: err.Error()})
 		}
 		if connected {
 			logging.Emit(s.host.config.Log, &events.PeerLost{Peer: s.node, Cause: events.ErrorText(err)})
 		}
-		s.forget()
+		s.clearQueue()
 		select {
 		case <-ctx.Done():
 		case <-s.wake:
-		case <-time.After(wait.pause(connected, time.Since(began))):
+		case <-time.After(backoff.next(connected, time.Since(began))):
 		}
 	}
 }
 
-// reconnect is the wait between connections to a node.
-type reconnect struct {
-	failures int // in a row
+// reconnectBackoff computes the delay between connection attempts to a node.
+type reconnectBackoff struct {
+	failures int // consecutive failed or short connections
 }
 
-// pause returns how long to wait after a connection that lasted so long. One that ended at once counts as failed: the
-// node refuses this one, or another one has its address.
-func (r *reconnect) pause(connected bool, lasted time.Duration) time.Duration {
-	if connected && lasted >= steadyTime {
+// next returns the delay after a connection attempt. lasted is how long the connection existed. A connection that
+// ended early counts as a failure: the node rejects this one, or its address now belongs to another node.
+func (r *reconnectBackoff) next(connected bool, lasted time.Duration) time.Duration {
+	if connected && lasted >= stableConnectionTime {
 		r.failures = 0
 	}
-	pause := min(firstBackoff<<min(r.failures, maximumDoublings), lastBackoff)
+	pause := min(minBackoff<<min(r.failures, maxDoublings), maxBackoff)
 	r.failures++
 	return pause
 }
 
-// forget drops what waited for a connection that failed: raft sends anew what still matters.
-func (s *sender) forget() {
+// clearQueue drops the messages queued for a failed connection. Raft sends again what is still needed.
+func (s *sender) clearQueue() {
 	s.mutex.Lock()
 	s.queue = queue{}
 	s.mutex.Unlock()
 }
 
-// serve dials one of the node's addresses, greets and sends until the stream breaks.
+// serve dials one of the node's addresses, sends a greeting and then queued messages until the stream ends.
 func (s *sender) serve(ctx context.Context, attempt int) (connected bool, err error) {
 	addresses := s.host.book.addresses(s.node)
 	if len(addresses) == 0 {
@@ -133,22 +133,22 @@
 	if err != nil {
 		return false, err
 	}
-	if err := stream.Send(s.greeting()); err != nil {
+	if err := stream.Send(s.newGreeting()); err != nil {
 		return false, err
 	}
 	var watching sync.WaitGroup
-	watching.Go(func() { cancel(watch(stream)) })
+	watching.Go(func() { cancel(waitForEnd(stream)) })
 	defer watching.Wait()
 	defer conn.Close()
-	s.host.contacts.connected(s.node, time.Now())
+	s.host.contacts.setConnectedAt(s.node, time.Now())
 	logging.Emit(s.host.config.Log, &events.PeerFound{Peer: s.node, Address: address})
-	err = s.pump(ctx, stream)
-	s.host.tellStreamRefused(s.node, address, err)
+	err = s.sendQueued(ctx, stream)
+	s.host.recordStreamRefused(s.node, address, err)
 	return true, err
 }
 
-// dial connects to the node. An attempt under way ends when the node is heard from, and another one begins: a
-// machine without power does not answer the first packet, and it is sent again no sooner than after a second.
+// dial connects to the node. If the node is heard from during an attempt, the attempt is canceled and restarted: a
+// machine without power does not answer the first packet, and TCP repeats that packet only after a second.
 func (s *sender) dial(ctx context.Context, peer Peer) (net.Conn, error) {
 	for {
 		attempt, cancel := context.WithCancelCause(ctx)
@@ -157,26 +157,26 @@
 			defer close(watched)
 			select {
 			case <-s.wake:
-				cancel(errHeard)
+				cancel(errPeerHeard)
 			case <-done:
 			}
 		}()
 		connection, err := s.host.config.Dial(attempt, peer)
 		close(done)
 		<-watched
-		heard := errors.Is(context.Cause(attempt), errHeard)
+		peerHeard := errors.Is(context.Cause(attempt), errPeerHeard)
 		cancel(nil)
-		if err == nil || !heard {
+		if err == nil || !peerHeard {
 			return connection, err
 		}
 	}
 }
 
-// errHeard ends an attempt to dial.
-var errHeard = errors.New("the node was heard from")
+// errPeerHeard cancels a dial attempt so that it can be restarted.
+var errPeerHeard = errors.New("the node was heard from")
 
-// watch returns why the other side ended the stream.
-func watch(stream drpc.Stream) error {
+// waitForEnd waits until the peer ends the stream and returns the reason.
+func waitForEnd(stream drpc.Stream) error {
 	err := stream.MsgRecv(&wire.RaftAcknowledgement{}, protoEncoding{})
 	if err == nil {
 		err = errors.New("the peer ended the stream")
@@ -184,42 +184,42 @@
 	return err
 }
 
-// pump sends what is queued until the stream breaks, and returns why.
-func (s *sender) pump(ctx context.Context, stream wire.DRPCRaft_ExchangeClient) error {
-	alive := time.NewTicker(keepAliveInterval)
-	defer alive.Stop()
+// sendQueued sends queued messages and keep-alives until the stream ends, and returns the reason.
+func (s *sender) sendQueued(ctx context.Context, stream wire.DRPCRaft_ExchangeClient) error {
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
 	for {
 		batch := &wire.RaftBatch{}
 		select {
-		case <-alive.C:
-			batch = s.host.keepAlive()
+		case <-keepAlive.C:
+			batch = s.host.newKeepAlive()
 		default:
 		}
 		s.mutex.Lock()
-		if s.queue.greeting {
-			s.queue.greeting = false
-			batch = s.greeting()
+		if s.queue.greetAgain {
+			s.queue.greetAgain = false
+			batch = s.newGreeting()
 		}
-		any := s.queue.take(batch)
+		hasMessages := s.queue.fill(batch)
 		s.mutex.Unlock()
-		if !any && batch.ClusterId == "" && !batch.KeepAlive {
+		if !hasMessages && batch.ClusterId == "" && !batch.KeepAlive {
 			select {
 			case <-ctx.Done():
 				return context.Cause(ctx)
 			case <-s.notify:
 				continue
-			case <-alive.C:
-				batch = s.host.keepAlive()
+			case <-keepAlive.C:
+				batch = s.host.newKeepAlive()
 			}
 		}
 		if err := stream.Send(batch); err != nil {
-			<-ctx.Done() // the watcher knows why
+			<-ctx.Done() // waitForEnd supplies the reason
 			return context.Cause(ctx)
 		}
 	}
 }
 
-func (s *sender) greeting() *wire.RaftBatch {
+func (s *sender) newGreeting() *wire.RaftBatch {
 	return &wire.RaftBatch{
 		ClusterId:     s.host.config.ClusterID,
 		FromIdentity:  s.host.config.Store.Identity().Folder,
--- a/internal/consensus/sender_test.go
+++ b/internal/consensus/sender_test.go
@@ -14,30 +14,31 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestConnectionsThatEndAtOnceAreRare: a node whose address another one has takes the connection and ends it; after the
-// first tries it is asked twice a second, and at once again after a connection that worked.
-func TestConnectionsThatEndAtOnceAreRare(t *testing.T) {
-	var wait reconnect
+// TestReconnectBacksOffAfterShortConnections guards against rapid reconnects to a node whose address now belongs to
+// another node, which accepts each connection and closes it. After the first attempts the node must be dialed twice a
+// second, and with the minimum delay after a connection that worked.
+func TestReconnectBacksOffAfterShortConnections(t *testing.T) {
+	var backoff reconnectBackoff
 	var spent time.Duration
 	tries := 0
 	for spent < 10*time.Second {
-		spent += wait.pause(true, 2*time.Millisecond)
+		spent += backoff.next(true, 2*time.Millisecond)
 		tries++
 	}
-	if most := int(10*time.Second/lastBackoff) + 6; tries > most {
+	if most := int(10*time.Second/maxBackoff) + 6; tries > most {
 		t.Fatalf("%d connections in 10 s, want %d at most", tries, most)
 	}
-	if pause := wait.pause(true, time.Minute); pause != firstBackoff {
-		t.Fatalf("after a connection that worked the pause is %v", pause)
+	if pause := backoff.next(true, time.Minute); pause != minBackoff {
+		t.Fatalf("got a delay of %v after a connection that worked, want the minimum", pause)
 	}
-	if first, second := wait.pause(false, 0), wait.pause(false, 0); second <= first {
-		t.Fatalf("pauses %v and %v", first, second)
+	if first, second := backoff.next(false, 0), backoff.next(false, 0); second <= first {
+		t.Fatalf("got delays %v and %v after failures, want them to increase", first, second)
 	}
 }
 
-// TestSentSnapshotIsNotHeld: once all pieces of a snapshot were taken to be sent, nothing of the queue keeps its data in
-// memory; a node that has sent one would otherwise hold it for as long as the connection lasts.
-func TestSentSnapshotIsNotHeld(t *testing.T) {
+// TestSentSnapshotIsReleased guards against a queue that keeps the data of a sent snapshot in memory for as long as
+// the connection lasts.
+func TestSentSnapshotIsReleased(t *testing.T) {
 	waiting := &queue{}
 	data := func() weak.Pointer[byte] {
 		snapshot := &raft.Snapshot{Index: 7, Term: 1, Data: raft.Parts{make([]byte, 3*chunkBytes+1)}}
@@ -47,23 +48,24 @@
 	taken := 0
 	for {
 		batch := &wire.RaftBatch{}
-		if !waiting.take(batch) {
+		if !waiting.fill(batch) {
 			break
 		}
 		taken += len(batch.Messages)
 	}
 	if taken != 4 {
-		t.Fatalf("%d pieces were taken", taken)
+		t.Fatalf("%d chunks were taken from the queue, want 4", taken)
 	}
 	runtime.GC()
 	if data.Value() != nil {
-		t.Fatal("the queue holds a snapshot that was sent")
+		t.Fatal("the queue keeps a sent snapshot in memory")
 	}
 	runtime.KeepAlive(waiting)
 }
 
-// TestPartsArriveAsTheyWereSent, and in one piece where sender or receiver is a build that knows no parts.
-func TestPartsArriveAsTheyWereSent(t *testing.T) {
+// TestSnapshotPartsRoundTrip: the parts of a snapshot must arrive as they were sent, or as one part if the sender or
+// the receiver is a build that does not support parts.
+func TestSnapshotPartsRoundTrip(t *testing.T) {
 	parts := raft.Parts{[]byte("head"), bytes.Repeat([]byte{1}, 2*chunkBytes+1), bytes.Repeat([]byte{2}, chunkBytes), []byte("end")}
 	chunks := snapshotChunks(1, &raft.Message{Kind: raft.MessageSnapshot, Snapshot: &raft.Snapshot{Index: 7, Term: 1, Data: parts}}, true)
 	receive := func() raft.Parts {
@@ -78,11 +80,11 @@
 	}
 	got := receive()
 	if !reflect.DeepEqual(got, parts) {
-		t.Errorf("%d parts of %d bytes arrived", len(got), got.Size())
+		t.Errorf("got %d parts of %d bytes in all, want the parts that were sent", len(got), got.Size())
 	}
 	for position, part := range got {
-		if cap(part) > len(part)+len(part)/trimShare {
-			t.Errorf("part %d takes %d bytes for %d", position, cap(part), len(part))
+		if cap(part) > len(part)+len(part)/maxUnusedShare {
+			t.Errorf("part %d has a capacity of %d bytes for %d bytes of data", position, cap(part), len(part))
 		}
 	}
 	var older []byte
@@ -91,9 +93,9 @@
 		chunk.Snapshot.BeginsPart = false
 	}
 	if !bytes.Equal(older, parts.Join()) {
-		t.Error("a receiver that knows no parts gets another state")
+		t.Error("a receiver without support for parts gets another state")
 	}
 	if got := receive(); len(got) != 1 || !bytes.Equal(got[0], older) {
-		t.Errorf("from a sender that knows no parts came %d", len(got))
+		t.Errorf("got %d parts from a sender without support for parts, want one with the whole state", len(got))
 	}
 }
--- a/internal/consensus/silences.go
+++ b/internal/consensus/silences.go
@@ -10,35 +10,39 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// A leader's account of who is silent ends with its leadership. So that leaders which follow each other quickly find a lost voter
-// all the same, every node hears every other one at regular intervals, whoever leads, counts for how long it has not, and tells.
+// A leader only knows how long a voter has been silent since it became leader. If leaders change quickly, none of
+// them would detect a lost voter. Therefore every node sends keep-alives to every other one whoever leads, measures
+// for how long it has not heard each of them, and reports these times in its own keep-alives.
 
 const (
-	// keepAliveInterval is how often a node says to each other one that it is there, and whom it does not hear.
+	// keepAliveInterval is the interval of the keep-alives, which also report the nodes that the sender does not
+	// hear.
 	keepAliveInterval = 250 * time.Millisecond
-	// heardFor is for how long a node counts as heard: one sign of life may be lost or late.
-	heardFor = 2 * keepAliveInterval
-	// toldFor is for how long counts what a node has told.
-	toldFor = 4 * keepAliveInterval
-	// silenceTicks is the number of ticks between two looks at whom this node hears, 0.2 s with the default tick.
-	silenceTicks = 4
-	// maximumSilenceGap is what counts of the time between two looks at most: this node may have been paused itself.
-	maximumSilenceGap = time.Second
+	// heardTimeout is how long a node counts as heard after a message. One keep-alive may be lost or late.
+	heardTimeout = 2 * keepAliveInterval
+	// silenceReportTTL is how long a report of another node is used.
+	silenceReportTTL = 4 * keepAliveInterval
+	// silenceCheckTicks is the number of ticks between two updates of the silences: 0.2 s with the default tick.
+	silenceCheckTicks = 4
+	// maxSilenceGap is the maximum time that one update adds to a silence, because this node itself may have been
+	// paused between two updates.
+	maxSilenceGap = time.Second
 )
 
-// silences is this node's account of the members of its groups that it does not hear. It begins with the process.
-type silences struct {
+// silenceTracker measures for how long this node has not heard the members of its groups. It starts from zero with
+// the process.
+type silenceTracker struct {
 	mutex   sync.Mutex
 	hearing *member.Hearing
 	members []uint64
 }
 
-func newSilences(self uint64, now time.Duration) *silences {
-	return &silences{hearing: member.NewHearing(self, now, maximumSilenceGap)}
+func newSilenceTracker(self uint64, now time.Duration) *silenceTracker {
+	return &silenceTracker{hearing: member.NewHearing(self, now, maxSilenceGap)}
 }
 
-// lookForSilences counts the silence of the groups' members up to now. It is called from the loop.
-func (h *Host) lookForSilences(now time.Time) {
+// updateSilences updates the silences of all members of the groups. It is called from the loop.
+func (h *Host) updateSilences(now time.Time) {
 	var members []uint64
 	for _, g := range h.groups {
 		configuration := g.node.Status().Configuration
@@ -48,9 +52,9 @@
 	members = slices.DeleteFunc(slices.Compact(members), func(id uint64) bool { return id == h.config.NodeID })
 	sightings := make([]member.Sighting, 0, len(members))
 	for _, id := range members {
-		heardAt := h.contacts.of(id).heardAt
+		heardAt := h.contacts.get(id).heardAt
 		heard := !heardAt.IsZero()
-		sightings = append(sightings, member.Sighting{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardFor})
+		sightings = append(sightings, member.Sighting{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
 	}
 	h.silences.mutex.Lock()
 	defer h.silences.mutex.Unlock()
@@ -58,46 +62,47 @@
 	h.silences.hearing.Look(now.Sub(h.contacts.startedAt), sightings)
 }
 
-// unheard lists the members that this node does not hear.
-func (s *silences) unheard() []*wire.NodeSilence {
+// listUnheard returns the members that this node does not hear, with the lengths of their silences.
+func (s *silenceTracker) listUnheard() []*wire.NodeSilence {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var silent []*wire.NodeSilence
+	var unheard []*wire.NodeSilence
 	for _, id := range s.members {
 		if silence := s.hearing.Silence(id); silence > 0 {
-			silent = append(silent, &wire.NodeSilence{Node: id, Millis: uint32(silence.Milliseconds())})
+			unheard = append(unheard, &wire.NodeSilence{Node: id, Millis: uint32(silence.Milliseconds())})
 		}
 	}
-	return silent
+	return unheard
 }
 
-func (s *silences) of(node uint64) time.Duration {
+// get returns for how long this node has not heard a node, 0 if it hears it.
+func (s *silenceTracker) get(node uint64) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.hearing.Silence(node)
 }
 
-// keepAlive is a sign of life.
-func (h *Host) keepAlive() *wire.RaftBatch {
-	return &wire.RaftBatch{KeepAlive: true, Unheard: h.silences.unheard()}
+// newKeepAlive returns a keep-alive with the silences that this node has measured.
+func (h *Host) newKeepAlive() *wire.RaftBatch {
+	return &wire.RaftBatch{KeepAlive: true, Unheard: h.silences.listUnheard()}
 }
 
-// Unheard is for how long this node and others have not heard a node, the longest of the times that they have told lately; 0 if
-// one of them hears it.
+// Unheard returns for how long a node has not been heard. It is the longest of the times that this node has measured
+// and that the other nodes have reported recently, or 0 if one of them hears the node.
 func (h *Host) Unheard(node uint64, others []uint64) time.Duration {
-	longest := h.silences.of(node)
+	longest := h.silences.get(node)
 	if longest == 0 {
 		return 0
 	}
 	now := time.Now()
 	for _, other := range others {
-		told, tells := h.contacts.toldBy(other, node, now)
+		reported, recent := h.contacts.reportedSilence(other, node, now)
 		switch {
-		case !tells || other == node || other == raft.None:
-		case told == 0:
+		case !recent || other == node || other == raft.None:
+		case reported == 0:
 			return 0
 		default:
-			longest = max(longest, told)
+			longest = max(longest, reported)
 		}
 	}
 	return longest
--- a/internal/consensus/snapshotroom_test.go
+++ b/internal/consensus/snapshotroom_test.go
@@ -9,17 +9,17 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// crampedStore has room for entries and votes, but not for a snapshot.
-type crampedStore struct {
+// noSnapshotSpaceStore has space for entries and votes, but not for snapshots while noSpace is set.
+type noSnapshotSpaceStore struct {
 	Store
-	cramped *atomic.Bool
+	noSpace *atomic.Bool
 	refused *atomic.Int64
 }
 
 // Write implements Store.
-func (s crampedStore) Write(batch []storage.GroupWrite) error {
+func (s noSnapshotSpaceStore) Write(batch []storage.GroupWrite) error {
 	for i := range batch {
-		if batch[i].Compaction != nil && s.cramped.Load() {
+		if batch[i].Compaction != nil && s.noSpace.Load() {
 			s.refused.Add(1)
 			return storage.ErrNoSpace
 		}
@@ -27,23 +27,24 @@
 	return s.Store.Write(batch)
 }
 
-// TestGroupGoesOnWithoutRoomForItsSnapshot: after 86 s of batch jobs a group of five voters lost its leader for more than
-// 22 s, although all of them ran and heard each other: "group_without_leader ... terms=0, campaigns=0, syncs=0,
-// writing_ms=22998" on all four core machines, whose disks of 128 MB had told "disk_changed full=true" in the same half
-// second. The state is the same on all nodes, so their own snapshots fall due together; none fitted, the whole batch was
-// repeated each half second for ever, and the votes and acknowledgements of all groups waited behind it. Entries and
-// votes that fit must not wait for a snapshot that doesn't.
-func TestGroupGoesOnWithoutRoomForItsSnapshot(t *testing.T) {
-	var cramped atomic.Bool
+// TestGroupServesWithoutSpaceForSnapshot guards against entries and votes that fit on the disk but wait for a
+// snapshot that does not. The state is the same on all nodes, so their own snapshots are due at the same time. On
+// disks of 128 MB none fitted, each node retried the whole batch every half second forever, and the votes and
+// acknowledgements of all groups waited behind it. After 86 s of batch jobs a group of five voters was without a
+// leader for more than 22 s, although all voters were running and heard each other: all four core machines logged
+// "group_without_leader ... terms=0, campaigns=0, syncs=0, writing_ms=22998" and had logged "disk_changed full=true"
+// in the same half second.
+func TestGroupServesWithoutSpaceForSnapshot(t *testing.T) {
+	var noSpace atomic.Bool
 	var refused atomic.Int64
-	c, logs := startLogged(t, func(node *testNode) {
+	c, logs := startWithEvents(t, func(node *testNode) {
 		node.change = func(config *Config) {
 			config.SnapshotEntries = 8
-			config.Store = crampedStore{Store: config.Store, cramped: &cramped, refused: &refused}
+			config.Store = noSnapshotSpaceStore{Store: config.Store, noSpace: &noSpace, refused: &refused}
 		}
 	})
 	c.commit(0, "kept")
-	cramped.Store(true)
+	noSpace.Store(true)
 	for refused.Load() == 0 {
 		c.commit(1, "fills the log")
 	}
@@ -53,11 +54,11 @@
 	c.commit(0, "under another leader")
 	leader.start()
 	c.wait("all entries on the node that started again on its old snapshot", func() bool {
-		return slices.Contains(leader.localList(0), "under another leader") && slices.Contains(leader.localList(1), "fills the log")
+		return slices.Contains(leader.appliedLocally(0), "under another leader") && slices.Contains(leader.appliedLocally(1), "fills the log")
 	})
 	if !anyEvent(logs, func(event *events.SnapshotLeftOut) bool { return event.Group == 1 && event.Bytes > 0 }) {
-		t.Error("no line tells of the snapshot that found no room")
+		t.Error("no event reports the snapshot that was left out for lack of space")
 	}
-	cramped.Store(false)
+	noSpace.Store(false)
 	c.commit(1, "with room again")
 }
--- a/internal/consensus/stuckwrite.go
+++ b/internal/consensus/stuckwrite.go
@@ -8,42 +8,42 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// StuckWrite is a write of this node that lasts while others have stored what it holds: the disk hangs, or has no room while theirs
-// have some.
+// StuckWrite describes a write of this node that is still in progress while other nodes have already stored the same
+// entries. The disk hangs, or is full while theirs are not.
 type StuckWrite struct {
-	Lasts time.Duration // since its beginning; 0: no such write is under way
-	// Ahead are the voters that have stored entries of some group led here that are not on this node's disk yet, in the order of
-	// their numbers.
+	Lasts time.Duration // time since the write started; 0: there is no such write
+	// Ahead lists the IDs, in ascending order, of the voters that have stored entries of some group led by this node
+	// that are not on this node's disk yet.
 	Ahead []uint64
 }
 
-// StuckWrite tells of the write that is under way. It is zero as long as no voter has stored more than this node: where all disks are
-// full or slow alike no other leader would do better. Errors: those of Status.
+// StuckWrite returns the stuck write of this node. It is zero as long as no voter has stored more than this node: if
+// all disks are equally full or slow, another leader would not do better. Errors: those of Status.
 func (h *Host) StuckWrite(ctx context.Context) (StuckWrite, error) {
-	return ask(ctx, h, h.groups[0].id, func(*hostedGroup) (StuckWrite, error) { return h.stuckWrite(time.Now()), nil })
+	return callWithResult(ctx, h, h.groups[0].id, func(*hostedGroup) (StuckWrite, error) { return h.findStuckWrite(time.Now()), nil })
 }
 
-func (h *Host) stuckWrite(now time.Time) StuckWrite {
+func (h *Host) findStuckWrite(now time.Time) StuckWrite {
 	if !h.writer.busy {
 		return StuckWrite{}
 	}
 	var ahead []uint64
 	for _, g := range h.groups {
-		ahead = append(ahead, votersAhead(g.node.Status())...)
+		ahead = append(ahead, findVotersAhead(g.node.Status())...)
 	}
 	if len(ahead) == 0 {
 		return StuckWrite{}
 	}
 	slices.Sort(ahead)
-	return StuckWrite{Lasts: now.Sub(h.writer.began), Ahead: slices.Compact(ahead)}
+	return StuckWrite{Lasts: now.Sub(h.writer.startedAt), Ahead: slices.Compact(ahead)}
 }
 
-// votersAhead are the voters that were heard lately and have stored more of a group than its leader.
-func votersAhead(leader raft.Status) []uint64 {
+// findVotersAhead returns the voters that were active recently and have stored more of a group than its leader.
+func findVotersAhead(leader raft.Status) []uint64 {
 	var ahead []uint64
-	for _, other := range leader.Match {
-		if other.Node != leader.ID && !other.Learner && other.RecentActive && other.Match > leader.Stable {
-			ahead = append(ahead, other.Node)
+	for _, peer := range leader.Match {
+		if peer.Node != leader.ID && !peer.Learner && peer.RecentActive && peer.Match > leader.Stable {
+			ahead = append(ahead, peer.Node)
 		}
 	}
 	return ahead
--- a/internal/consensus/stuckwrite_test.go
+++ b/internal/consensus/stuckwrite_test.go
@@ -6,21 +6,22 @@
 	"testing"
 )
 
-// proposeWithoutAnswer proposes at a node whose answer may never come.
+// proposeWithoutAnswer proposes a command at a node that may never answer.
 func proposeWithoutAnswer(t *testing.T, node *testNode, name string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	answered := make(chan struct{})
 	t.Cleanup(func() { cancel(); <-answered })
 	go func() {
 		defer close(answered)
-		_, _, _ = node.host.Propose(ctx, 0, named(name))
+		_, _, _ = node.host.Propose(ctx, 0, newCommand(name))
 	}()
 }
 
-// TestLeaderWithAFullDiskHandsOver: a leader whose disk takes no writes goes on sending heartbeats, so its followers stayed with it for
-// 4 s, while reads and with them the leases waited. Others have stored what it holds: one of them leads as soon as it is asked, though the
-// leader has taken entries meanwhile that it can't send on.
+// TestLeaderWithAFullDiskHandsOver guards against a leader that keeps the leadership although its disk accepts no
+// writes. It continued to send heartbeats, so its followers kept it for 4 s, while reads and with them the leases
+// waited. Another voter has stored what the leader holds and must lead as soon as it is asked, although the leader
+// has accepted entries meanwhile that it cannot send.
 func TestLeaderWithAFullDiskHandsOver(t *testing.T) {
 	c, disks := newFaultyCluster(t)
 	c.commit(0, "kept")
@@ -33,7 +34,7 @@
 		return len(stuck.Ahead) > 0
 	})
 	if slices.Contains(stuck.Ahead, leader.id) || stuck.Lasts <= 0 {
-		t.Fatalf("the leader tells of %+v", stuck)
+		t.Fatalf("the leader returned %+v, want the time of the write and other voters ahead", stuck)
 	}
 	proposeWithoutAnswer(t, leader, "taken but not sent")
 	if err := leader.host.HandOver(t.Context(), 0, stuck.Ahead[0]); err != nil {
@@ -43,15 +44,16 @@
 		status, err := c.nodes[stuck.Ahead[0]].host.Status(t.Context(), 0)
 		return err == nil && status.Leader == stuck.Ahead[0]
 	})
-	if _, _, err := c.nodes[stuck.Ahead[0]].host.Propose(t.Context(), 0, named("after")); err != nil {
-		t.Fatalf("the next leader commits nothing while the disk of the last one is full: %v", err)
+	if _, _, err := c.nodes[stuck.Ahead[0]].host.Propose(t.Context(), 0, newCommand("after")); err != nil {
+		t.Fatalf("the next leader cannot commit while the disk of the former one is full: %v", err)
 	}
 	disks[leader.id].full.Store(false)
-	c.wait("the former leader has caught up", func() bool { return slices.Contains(leader.localList(0), "after") })
+	c.wait("the former leader has caught up", func() bool { return slices.Contains(leader.appliedLocally(0), "after") })
 }
 
-// TestDisksThatAreFullAlikeKeepTheirLeader: where no disk takes writes nobody is ahead, and another leader would serve no better.
-func TestDisksThatAreFullAlikeKeepTheirLeader(t *testing.T) {
+// TestEquallyFullDisksKeepLeader: if no disk accepts writes, no voter is ahead of the leader, and another leader
+// would not do better.
+func TestEquallyFullDisksKeepLeader(t *testing.T) {
 	c, disks := newFaultyCluster(t)
 	c.commit(0, "kept")
 	leader := c.leader(0)
@@ -59,11 +61,11 @@
 		disk.full.Store(true)
 	}
 	proposeWithoutAnswer(t, leader, "waits")
-	c.wait("all disks have refused", func() bool {
+	c.wait("writes have failed on all disks", func() bool {
 		return !slices.ContainsFunc(c.peers, func(peer Peer) bool { return disks[peer.ID].refused.Load() < 2 })
 	})
 	if stuck, err := leader.host.StuckWrite(t.Context()); err != nil || len(stuck.Ahead) > 0 {
-		t.Errorf("the leader tells of %+v, %v", stuck, err)
+		t.Errorf("the leader returned %+v and error %v, want no voters ahead", stuck, err)
 	}
 	for _, disk := range disks {
 		disk.full.Store(false)
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// maxQueueBytes bounds what waits for one peer; more is dropped, which raft takes for loss.
+	// maxQueueBytes limits the messages queued for one peer. Further messages are dropped, which raft handles like
+	// loss on the network.
 	maxQueueBytes    = 32 << 20
 	maxQueueMessages = 8192
-	// maxBatchBytes ends a batch; with one more message and one chunk it stays below drpc's 4 MiB frame.
+	// maxBatchBytes is the size at which a batch is closed. With one more message and one more chunk it stays below
+	// drpc's frame limit of 4 MiB.
 	maxBatchBytes = 1 << 20
-	// messageOverheadBytes is counted for a message or an entry besides its data.
+	// messageOverheadBytes is added to the data size of each message and of each entry.
 	messageOverheadBytes = 64
 )
 
 // peerSet holds one sender per other node.
 type peerSet struct {
 	host  *Host
-	nonce uint64 // of this start
+	nonce uint64 // identifies this start of the process
 
 	mutex   sync.Mutex
 	senders map[uint64]*sender
@@ -35,7 +37,7 @@
 	return &peerSet{host: host, nonce: nonce, senders: map[uint64]*sender{}, ctx: ctx, cancel: cancel}
 }
 
-// run keeps connections to all known nodes until ctx ends.
+// run starts a sender for every known node and stops all senders when ctx ends.
 func (p *peerSet) run(ctx context.Context) error {
 	for _, node := range p.host.book.nodes() {
 		p.sender(node)
@@ -48,7 +50,7 @@
 	return nil
 }
 
-// sender returns the sender to a node, starting it if need be; nil if the set has ended.
+// sender returns the sender to a node and starts it if necessary. It returns nil if the set has been stopped.
 func (p *peerSet) sender(node uint64) *sender {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -75,23 +77,24 @@
 	}
 }
 
-// met notes a greeting from a node: it is reachable now, and if it was unknown before it should hear that
-// it is known from now on.
-func (p *peerSet) met(node uint64, news bool) {
+// noteGreeting makes the sender to a node that has just greeted dial at once. If the node was unknown before, the
+// sender greets it again, so that the node learns that it is known now.
+func (p *peerSet) noteGreeting(node uint64, isNew bool) {
 	if sender := p.sender(node); sender != nil {
-		sender.met(news)
+		sender.noteGreeting(isNew)
 	}
 }
 
-// queue is what waits for one peer.
+// queue holds the messages and snapshot chunks that wait to be sent to one peer.
 type queue struct {
-	messages []*wire.RaftMessage
-	sizes    []int
-	bytes    int
-	chunks   []*wire.RaftMessage // of snapshots; one goes along with each batch
-	greeting bool                // the next batch greets again
+	messages   []*wire.RaftMessage
+	sizes      []int
+	bytes      int
+	chunks     []*wire.RaftMessage // chunks of snapshots; each batch carries one
+	greetAgain bool                // the next batch repeats the greeting
 }
 
+// add queues a message, or drops it if the queue is full.
 func (q *queue) add(message *wire.RaftMessage) {
 	size := messageOverheadBytes
 	for _, entry := range message.Entries {
@@ -105,7 +108,7 @@
 	q.bytes += size
 }
 
-// addChunks drops a snapshot while one of the same group is on its way.
+// addChunks queues the chunks of a snapshot, or drops them while another snapshot of the same group is queued.
 func (q *queue) addChunks(chunks []*wire.RaftMessage) {
 	for _, waiting := range q.chunks {
 		if waiting.Group == chunks[0].Group {
@@ -115,8 +118,8 @@
 	q.chunks = append(q.chunks, chunks...)
 }
 
-// take fills a batch and tells whether anything is in it.
-func (q *queue) take(batch *wire.RaftBatch) bool {
+// fill moves messages from the queue to a batch and reports whether the batch has any.
+func (q *queue) fill(batch *wire.RaftBatch) bool {
 	size, count := 0, 0
 	for count < len(q.messages) && size < maxBatchBytes {
 		size += q.sizes[count]
@@ -130,7 +133,7 @@
 	}
 	if len(q.chunks) > 0 {
 		batch.Messages = append(batch.Messages, q.chunks[0])
-		q.chunks[0] = nil // it refers to the whole snapshot
+		q.chunks[0] = nil // the chunk refers to the memory of the whole snapshot
 		q.chunks = q.chunks[1:]
 	}
 	if len(q.chunks) == 0 {
--- a/internal/consensus/writer.go
+++ b/internal/consensus/writer.go
@@ -8,27 +8,28 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// noSpaceRetry is the pause before a write is repeated that found the disk full.
-const noSpaceRetry = 500 * time.Millisecond
+// noSpaceRetryInterval is the delay before a write is retried after the disk was full.
+const noSpaceRetryInterval = 500 * time.Millisecond
 
-// written is the end of a batch.
-type written struct {
+// writeResult is the outcome of writing one batch.
+type writeResult struct {
 	err error
-	// uncompacted: the snapshots of the nodes' own found no room and were left out; the log before them stays.
-	uncompacted bool
+	// compactionSkipped is set if the disk had no space for the snapshots that this node took itself. They were left
+	// out of the batch, and the log entries before them stay.
+	compactionSkipped bool
 }
 
-// writer makes batches durable, one at a time, so that the loop can go on while a sync runs.
+// writer makes batches durable one at a time, so that the loop can continue while a sync is in progress.
 type writer struct {
-	store Store
-	batch chan []storage.GroupWrite
-	done  chan written // one value per batch
-	busy  bool         // owned by the loop
-	began time.Time    // of the last batch; owned by the loop
+	store     Store
+	batch     chan []storage.GroupWrite
+	done      chan writeResult // one result per batch
+	busy      bool             // owned by the loop
+	startedAt time.Time        // when the last batch was submitted; owned by the loop
 }
 
 func newWriter(store Store) *writer {
-	return &writer{store: store, batch: make(chan []storage.GroupWrite, 1), done: make(chan written, 1)}
+	return &writer{store: store, batch: make(chan []storage.GroupWrite, 1), done: make(chan writeResult, 1)}
 }
 
 func (w *writer) run(ctx context.Context) error {
@@ -42,30 +43,31 @@
 	}
 }
 
-// write repeats a write for as long as the disk is full: the old state stands, and nothing of the batch
-// was acknowledged. The nodes' own snapshots are left out then: they are the largest part, nobody waits for them, and all
-// nodes of a group would wait at the same index for ever, with the votes of every group behind them.
-func (w *writer) write(ctx context.Context, batch []storage.GroupWrite) (end written) {
+// write retries a write for as long as the disk is full. This is safe because the old state is intact and nothing of
+// the batch was acknowledged. After the first failure it leaves out the snapshots that this node took itself: they
+// are the largest part and nobody waits for them. Otherwise all nodes of a group would wait at the same index
+// forever, and the votes of every group would wait with them.
+func (w *writer) write(ctx context.Context, batch []storage.GroupWrite) (result writeResult) {
 	for {
-		end.err = w.store.Write(batch)
-		if !errors.Is(end.err, storage.ErrNoSpace) {
-			return end
+		result.err = w.store.Write(batch)
+		if !errors.Is(result.err, storage.ErrNoSpace) {
+			return result
 		}
-		if leaveCompactionsOut(batch) {
-			end.uncompacted = true
+		if dropCompactions(batch) {
+			result.compactionSkipped = true
 			continue
 		}
 		select {
 		case <-ctx.Done():
-			end.err = errStopped
-			return end
-		case <-time.After(noSpaceRetry):
+			result.err = errStopped
+			return result
+		case <-time.After(noSpaceRetryInterval):
 		}
 	}
 }
 
-// leaveCompactionsOut takes the nodes' own snapshots out of a batch, and tells whether there were any.
-func leaveCompactionsOut(batch []storage.GroupWrite) bool {
+// dropCompactions removes the snapshots that this node took itself from a batch and reports whether there were any.
+func dropCompactions(batch []storage.GroupWrite) bool {
 	found := false
 	for i := range batch {
 		found = found || batch[i].Compaction != nil
@@ -74,8 +76,8 @@
 	return found
 }
 
-// submit hands over a batch; the loop does so only when the writer is idle.
+// submit passes a batch to the writer goroutine. The loop calls it only when the writer is idle.
 func (w *writer) submit(batch []storage.GroupWrite) {
-	w.busy, w.began = true, time.Now()
+	w.busy, w.startedAt = true, time.Now()
 	w.batch <- batch
 }
