--- a/internal/executor/displaced_test.go
+++ b/internal/executor/displaced_test.go
@@ -14,14 +14,14 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// testPatience bounds waits; nothing asserts on how much of it is used.
-const testPatience = 20 * time.Second
+// testTimeout bounds waits. No test asserts on how much of it is used.
+const testTimeout = 20 * time.Second
 
-// unreadConn is the executor's end of a pipe that is read no more after some writes.
+// unreadConn is the executor's end of a pipe whose peer stops reading after some writes.
 type unreadConn struct {
 	net.Conn
-	writes  int           // that are read
-	stuck   chan struct{} // closed once a write waits
+	writes  int           // that the peer still reads
+	stuck   chan struct{} // closed when a write blocks
 	waiting sync.Once
 	closed  chan struct{}
 	closing sync.Once
@@ -42,24 +42,25 @@
 	return c.Conn.Close()
 }
 
-// TestDisplacedStreamsEndThoughNobodyReads: a former leader is frozen, and a report, or the welcome, to it waits for room. Once its
-// successor greets, the connection ends, and with it the routines.
-func TestDisplacedStreamsEndThoughNobodyReads(t *testing.T) {
-	for name, writes := range map[string]int{"the welcome waits": 0, "a report waits": 1} {
+// TestSupersededStreamsEndThoughNobodyReads guards against leaked goroutines: a former leader is frozen, and the write
+// of a report, or of the welcome, to it blocks. When its successor connects, the old connection must be closed and its
+// goroutines must end.
+func TestSupersededStreamsEndThoughNobodyReads(t *testing.T) {
+	for name, writes := range map[string]int{"the write of the welcome blocks": 0, "the write of a report blocks": 1} {
 		t.Run(name, func(t *testing.T) {
-			next := newStream(t, make(writing))
+			next := newTestStream(t, make(writtenReplica))
 			near, far := net.Pipe()
 			conn := &unreadConn{Conn: near, writes: writes, stuck: make(chan struct{}), closed: make(chan struct{})}
 			ended := serveOne(t, next.server, conn)
-			greetAndAttach(t, far)
-			await(t, conn.stuck, "a write that waits")
-			next.greet(&wire.RunHello{Term: 9, Number: 1, Protocol: Protocol})
-			await(t, ended, "the end of the displaced stream")
+			connectAndAttach(t, far)
+			await(t, conn.stuck, "a blocked write")
+			next.handshake(&wire.RunHello{Term: 9, Number: 1, Protocol: Protocol})
+			await(t, ended, "the end of the superseded stream")
 		})
 	}
 }
 
-// serveOne serves one leader's connection; the channel is closed once its routines are over.
+// serveOne serves one leader's connection. The returned channel is closed when its goroutines have ended.
 func serveOne(t *testing.T, server *Server, conn *unreadConn) <-chan struct{} {
 	t.Helper()
 	mux := drpcmux.New()
@@ -78,8 +79,9 @@
 	return ended
 }
 
-// greetAndAttach plays a leader of term 4 that attaches to a run which is not held: it is to be told so at once.
-func greetAndAttach(t *testing.T, transport net.Conn) {
+// connectAndAttach plays a leader of term 4 that attaches to a run that is not held, which the executor reports at
+// once.
+func connectAndAttach(t *testing.T, transport net.Conn) {
 	t.Helper()
 	conn := drpcconn.New(transport)
 	t.Cleanup(func() { _ = conn.Close() })
@@ -104,7 +106,7 @@
 	t.Helper()
 	select {
 	case <-reached:
-	case <-time.After(testPatience):
-		t.Fatalf("never came: %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 	}
 }
--- a/internal/executor/drive.go
+++ b/internal/executor/drive.go
@@ -16,42 +16,43 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Kinds of orders in metrics.
+// Values of the label that names the kind of an ignored order.
 const (
 	orderAttach = "attach"
 	orderStop   = "stop"
 )
 
-// leaderStream is one leader's stream: what of each run has gone out on it. Its reader and its writer share the runs under the server's
-// mutex.
+// leaderStream is the stream of one leader, with the progress of each run sent on it. Its reader and its writer share
+// the fields guarded by the server's mutex.
 type leaderStream struct {
-	server *Server
-	stream wire.DRPCExecutor_DriveStream
-	number uint64        // of the stream, by the table
-	term   uint64        // of the leader
-	urgent chan struct{} // capacity 1: something is to be reported at once
-	packer packer
-	// displaced is closed once a newer stream counts.
-	displaced chan struct{}
+	server    *Server
+	stream    wire.DRPCExecutor_DriveStream
+	number    uint64        // identifies the stream in the RunTable
+	term      uint64        // term of the leader
+	reportNow chan struct{} // capacity 1; has the writer send a report at once
+	packer    packer
+	// superseded is closed when a newer stream takes over.
+	superseded chan struct{}
 
 	// Guarded by the server's mutex:
-	told    map[Key]*told
-	refused []*wire.RunEnded // orders that were not carried out, to be told
+	followed map[Key]*followedRun
+	refused  []*wire.RunEnded // refused orders, to be sent with the next report
 }
 
+// newLeaderStream returns a stream that has not been accepted yet; see handshake.
 func newLeaderStream(server *Server, stream wire.DRPCExecutor_DriveStream) *leaderStream {
-	return &leaderStream{server: server, stream: stream, urgent: make(chan struct{}, 1), displaced: make(chan struct{}), told: map[Key]*told{}}
+	return &leaderStream{server: server, stream: stream, reportNow: make(chan struct{}, 1), superseded: make(chan struct{}), followed: map[Key]*followedRun{}}
 }
 
-// told is what of a run's answer a leader has.
-type told struct {
-	order    Order // that began it
-	run      *run
-	position uint64
-	head     bool
+// followedRun records how much of a run has been sent to a leader.
+type followedRun struct {
+	order     Order // started the run
+	run       *run
+	sentBytes uint64 // of the body
+	headSent  bool
 }
 
-// Drive implements wire.DRPCExecutorServer.
+// Drive implements wire.DRPCExecutorServer. It serves one leader until the stream ends or a newer stream takes over.
 func (s *Server) Drive(stream wire.DRPCExecutor_DriveStream) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -62,7 +63,7 @@
 		return trace.BadParameter("the first order of a stream must be the hello")
 	}
 	f := newLeaderStream(s, stream)
-	welcome := f.greet(hello)
+	welcome := f.handshake(hello)
 	if !welcome.GetAccepted() {
 		return endOfStream(stream.Send(&wire.RunReport{Welcome: welcome, Leaving: s.isLeaving()}))
 	}
@@ -71,20 +72,21 @@
 	var routines sync.WaitGroup
 	defer routines.Wait()
 	defer cancel()
-	routines.Go(func() { f.endWhenDisplaced(ctx) })
+	routines.Go(func() { f.closeWhenSuperseded(ctx) })
 	if err := stream.Send(&wire.RunReport{Welcome: welcome, Leaving: s.isLeaving()}); err != nil {
 		return endOfStream(err)
 	}
-	routines.Go(func() { f.write(ctx) })
-	return endOfStream(f.read())
+	routines.Go(func() { f.sendReports(ctx) })
+	return endOfStream(f.readOrders())
 }
 
-// endWhenDisplaced closes the transport once a newer stream counts; it returns when ctx ends. A frozen leader reads nothing, so a report to
-// it waits for room until then, and only the transport's end frees it.
-func (f *leaderStream) endWhenDisplaced(ctx context.Context) {
+// closeWhenSuperseded closes the transport when a newer stream takes over, and returns when ctx ends. A frozen leader
+// does not read, so that sending a report to it blocks on the full send buffer; only closing the transport unblocks the
+// writer.
+func (f *leaderStream) closeWhenSuperseded(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-f.displaced:
+	case <-f.superseded:
 		if transport, found := drpcctx.Transport(f.stream.Context()); found {
 			_ = transport.Close()
 		}
@@ -94,51 +96,53 @@
 func (s *Server) isLeaving() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.table.Leaving()
+	return s.table.IsLeaving()
 }
 
-// greet lets a leader's stream in, or tells it that a newer leader was.
-func (f *leaderStream) greet(hello *wire.RunHello) *wire.RunWelcome {
+// handshake accepts the stream of a leader and makes it the current one, or rejects it if it speaks another protocol or
+// if a newer term or stream is known.
+func (f *leaderStream) handshake(hello *wire.RunHello) *wire.RunWelcome {
 	s := f.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var number uint64
 	refused := hello.GetProtocol() != Protocol
 	if !refused {
-		number, refused = s.table.Greet(hello.GetTerm(), hello.GetNumber(), s.config.Clock())
+		number, refused = s.table.OpenStream(hello.GetTerm(), hello.GetNumber(), s.config.Clock())
 	}
 	logging.Emit(s.config.Log, &events.ExecutorGreeted{Leader: hello.GetLeader(), Term: hello.GetTerm(), Refused: refused, Held: len(s.runs)})
 	if refused {
-		return &wire.RunWelcome{Term: s.table.term, Protocol: Protocol}
+		return &wire.RunWelcome{Term: s.table.highestTerm, Protocol: Protocol}
 	}
 	f.number, f.term = number, hello.GetTerm()
 	if s.current != nil {
-		close(s.current.displaced)
+		close(s.current.superseded)
 	}
 	s.current = f
-	return &wire.RunWelcome{Accepted: true, Term: hello.GetTerm(), Protocol: Protocol, Runs: s.held()}
+	return &wire.RunWelcome{Accepted: true, Term: hello.GetTerm(), Protocol: Protocol, Runs: s.heldRuns()}
 }
 
+// wake has sendReports send a report at once.
 func (f *leaderStream) wake() {
 	select {
-	case f.urgent <- struct{}{}:
+	case f.reportNow <- struct{}{}:
 	default:
 	}
 }
 
-// close notes that the stream has ended; the runs go on.
+// close removes the stream. Its runs continue.
 func (f *leaderStream) close() {
 	s := f.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.table.Closed(f.number, s.config.Clock())
+	s.table.CloseStream(f.number, s.config.Clock())
 	if s.current == f {
 		s.current = nil
 	}
 }
 
-// read carries out orders until the stream ends.
-func (f *leaderStream) read() error {
+// readOrders carries out orders until the stream ends, and returns the error that ended it.
+func (f *leaderStream) readOrders() error {
 	for {
 		order, err := f.stream.Recv()
 		if err != nil {
@@ -155,7 +159,7 @@
 	}
 }
 
-// start begins a run and follows it; a refusal is told as its end.
+// start starts a run and follows it. A refusal is reported as the end of the run.
 func (f *leaderStream) start(start *wire.RunStart) {
 	key := keyOf(start.GetKey())
 	refusal := f.server.begin(f.number, start)
@@ -163,34 +167,36 @@
 	defer f.server.mutex.Unlock()
 	order := Order{Term: f.term, Number: start.GetNumber()}
 	if refusal != Accepted {
-		f.refuse(key, order, refusal)
+		f.queueRefusal(key, order, refusal)
 		return
 	}
-	f.told[key] = &told{order: order, run: f.server.runs[key]}
+	f.followed[key] = &followedRun{order: order, run: f.server.runs[key]}
 }
 
-// refuse has a refusal told; a run of the item that is followed still is. The caller holds the server's mutex.
-func (f *leaderStream) refuse(key Key, order Order, refusal Refusal) {
-	f.refused = append(f.refused, refusedRun(key, order, refusal))
+// queueRefusal queues the refusal of an order for the next report. It does not affect another run of the item that the
+// stream follows. The caller holds the server's mutex.
+func (f *leaderStream) queueRefusal(key Key, order Order, refusal Refusal) {
+	f.refused = append(f.refused, encodeRefusal(key, order, refusal))
 	f.wake()
 }
 
-// attach follows a run that the executor holds.
+// attach follows a run that the executor holds, or reports that it is not held.
 func (f *leaderStream) attach(attach *wire.RunAttach) {
 	key, order := keyOf(attach.GetKey()), OrderOf(attach.GetOrder())
 	f.server.mutex.Lock()
 	defer f.server.mutex.Unlock()
 	if f.server.table.Follow(f.number, key, order) {
-		f.told[key] = &told{order: order, run: f.server.runs[key], position: attach.GetFrom()}
+		f.followed[key] = &followedRun{order: order, run: f.server.runs[key], sentBytes: attach.GetFrom()}
 	} else {
 		f.server.counts.ignored.WithLabelValues(orderAttach).Inc()
-		f.refuse(key, order, NotHeld)
+		f.queueRefusal(key, order, NotHeld)
 	}
 	f.wake()
 }
 
-// write reports until ctx ends or the stream fails.
-func (f *leaderStream) write(ctx context.Context) {
+// sendReports sends reports until ctx ends or the stream fails. It sends one each reportInterval, or at once after
+// wake, and skips up to maxSkippedReports empty ones in a row.
+func (f *leaderStream) sendReports(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for idle := 0; ; {
@@ -198,10 +204,10 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-f.urgent:
+		case <-f.reportNow:
 		}
-		collected := f.report()
-		if len(collected.GetProgress())+len(collected.GetEnded()) == 0 && idle < idleReports {
+		collected := f.collectReport()
+		if len(collected.GetProgress())+len(collected.GetEnded()) == 0 && idle < maxSkippedReports {
 			idle++
 			continue
 		}
@@ -211,38 +217,38 @@
 			err = f.stream.Send(report)
 		}
 		if err != nil {
-			_ = f.stream.Close() // ends the reader too
+			_ = f.stream.Close() // unblocks readOrders
 			return
 		}
 	}
 }
 
-// report collects what has come since the last one.
-func (f *leaderStream) report() *wire.RunReport {
+// collectReport returns the news of all followed runs since the last report, and stops following those that have ended.
+func (f *leaderStream) collectReport() *wire.RunReport {
 	s := f.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	report := &wire.RunReport{Leaving: s.table.Leaving(), Ended: f.refused}
+	report := &wire.RunReport{Leaving: s.table.IsLeaving(), Ended: f.refused}
 	f.refused = nil
-	for key, entry := range f.told {
-		progress, outcome := entry.run.answer.since(entry.position, entry.head)
+	for key, entry := range f.followed {
+		progress, outcome := entry.run.answer.progressSince(entry.sentBytes, entry.headSent)
 		if progress != nil {
 			progress.Key, progress.Order = wireKey(key), WireOrder(entry.order)
 			report.Progress = append(report.Progress, progress)
-			entry.position += uint64(len(progress.GetData()))
-			entry.head = entry.head || progress.GetHead() != nil
+			entry.sentBytes += uint64(len(progress.GetData()))
+			entry.headSent = entry.headSent || progress.GetHead() != nil
 		}
 		if outcome != nil {
 			report.Ended = append(report.Ended, EndOf(key, entry.order, outcome))
-			s.table.Told(f.number, key, entry.order, s.config.Clock())
-			delete(f.told, key)
+			s.table.MarkReported(f.number, key, entry.order, s.config.Clock())
+			delete(f.followed, key)
 		}
 	}
 	return report
 }
 
-// refusedRun tells a leader that its order was not carried out.
-func refusedRun(key Key, order Order, refusal Refusal) *wire.RunEnded {
+// encodeRefusal encodes the refusal of an order as the end of its run.
+func encodeRefusal(key Key, order Order, refusal Refusal) *wire.RunEnded {
 	if refusal == NotHeld {
 		return &wire.RunEnded{Key: wireKey(key), Order: WireOrder(order), NotHeld: true, Verdict: uint32(verdict.MayHaveRun)}
 	}
@@ -252,7 +258,7 @@
 	}
 }
 
-// endOfStream hides the errors of a stream that ended as planned.
+// endOfStream returns nil for the errors by which a stream ends regularly, and err otherwise.
 func endOfStream(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, context.Canceled) {
 		return nil
--- a/internal/executor/drive_test.go
+++ b/internal/executor/drive_test.go
@@ -11,10 +11,10 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// writing is a replica whose one answer goes on as the test writes it.
-type writing chan string
+// writtenReplica is a replica whose single answer consists of the parts that the test sends on the channel.
+type writtenReplica chan string
 
-func (w writing) Do(ctx context.Context, _ *replica.Call, sink replica.Sink) replica.Outcome {
+func (w writtenReplica) Do(ctx context.Context, _ *replica.Call, sink replica.Sink) replica.Outcome {
 	for {
 		select {
 		case part := <-w:
@@ -27,127 +27,131 @@
 	}
 }
 
-// newStream is a leader's stream that is connected to nothing: the test plays the leader.
-func newStream(t *testing.T, caller replica.Caller) *leaderStream {
+// newTestStream returns an accepted leader stream without a connection: the test plays the leader.
+func newTestStream(t *testing.T, caller replica.Caller) *leaderStream {
 	t.Helper()
 	server, err := New(Config{Caller: caller, Admit: func(*wire.RunStart) bool { return true }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		server.endAll()
+		server.cancelAll()
 		server.routines.Wait()
 	})
 	f := newLeaderStream(server, nil)
-	if welcome := f.greet(&wire.RunHello{Term: 3, Number: 1, Protocol: Protocol}); !welcome.GetAccepted() {
-		t.Fatal("the leader was not let in")
+	if welcome := f.handshake(&wire.RunHello{Term: 3, Number: 1, Protocol: Protocol}); !welcome.GetAccepted() {
+		t.Fatal("the stream of the leader was rejected")
 	}
 	return f
 }
 
-func orderOfRun(number uint64) *wire.RunStart {
+func startOrder(number uint64) *wire.RunStart {
 	return &wire.RunStart{Key: &wire.RunKey{Job: "job", Item: "item"}, Number: number, Item: &wire.JobItem{}}
 }
 
-// TestRefusedStartsHideNoRun: while a run is followed, an order to begin another one of its item is refused. The refusal is told, and what
-// comes of the run still is.
+// TestRefusedStartsHideNoRun: a second order to start a followed item is refused. The refusal must be reported, and so
+// must the later progress of the run that is already followed.
 func TestRefusedStartsHideNoRun(t *testing.T) {
-	answer := make(writing)
-	f := newStream(t, answer)
-	f.start(orderOfRun(1))
-	f.start(orderOfRun(2))
-	refused := f.report().GetEnded()
+	answer := make(writtenReplica)
+	f := newTestStream(t, answer)
+	f.start(startOrder(1))
+	f.start(startOrder(2))
+	refused := f.collectReport().GetEnded()
 	if len(refused) != 1 || refused[0].GetOrder().GetNumber() != 2 || !refused[0].GetNotAdmitted() {
-		t.Fatalf("ended %v, want the second order", refused)
+		t.Fatalf("ended: %v, want the second order only", refused)
 	}
 	if refusal := RefusalOf(refused[0]); refusal != Held {
-		t.Errorf("refused as %s, want held", refusal)
+		t.Errorf("refusal %s, want held", refusal)
 	}
 	answer <- "part"
-	answer <- "" // the first part is taken
-	progress := f.report().GetProgress()
+	answer <- "" // returns only after the first part was taken
+	progress := f.collectReport().GetProgress()
 	if len(progress) != 1 || string(progress[0].GetData()) != "part" || progress[0].GetOrder().GetNumber() != 1 {
 		t.Errorf("progress %v, want the part of the first order's run", progress)
 	}
-	if ended := f.report().GetEnded(); len(ended) != 0 {
-		t.Errorf("ended again: %v", ended)
+	if ended := f.collectReport().GetEnded(); len(ended) != 0 {
+		t.Errorf("ended: %v, want none", ended)
 	}
 }
 
-// TestRefusalsAreToldByTheirKind: a leader tells a run that the executor's table or lease does not permit from one that it has no room for.
-func TestRefusalsAreToldByTheirKind(t *testing.T) {
+// TestRefusalsAreReportedByKind: a leader must distinguish a run that the executor's table or lease does not permit
+// from one that the executor has no capacity for.
+func TestRefusalsAreReportedByKind(t *testing.T) {
 	for _, refusal := range []Refusal{Superseded, Held, Leaving, Full} {
-		if told := RefusalOf(refusedRun(someRun, someOrder, refusal)); told != refusal {
-			t.Errorf("%s is told as %s", refusal, told)
+		if told := RefusalOf(encodeRefusal(someRun, someOrder, refusal)); told != refusal {
+			t.Errorf("refusal %s is reported as %s", refusal, told)
 		}
 	}
 	if told := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Err: ErrNotAdmitted})); told != NotPermitted {
-		t.Errorf("a run that is not permitted is told as %s", told)
+		t.Errorf("a run that is not permitted is reported as %s, want not_permitted", told)
 	}
 	if told := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Whole: true})); told != Accepted {
-		t.Errorf("a run that ended is told as %s", told)
+		t.Errorf("a run that ended is reported as %s, want accepted", told)
 	}
 }
 
-// TestLeadersOfAnotherProtocolAreNotLetIn: their orders name runs in another way.
-func TestLeadersOfAnotherProtocolAreNotLetIn(t *testing.T) {
-	f := newStream(t, make(writing))
+// TestLeadersOfAnotherProtocolAreRejected: orders of another protocol version identify runs differently, so that they
+// must not be accepted, nor supersede the current leader.
+func TestLeadersOfAnotherProtocolAreRejected(t *testing.T) {
+	f := newTestStream(t, make(writtenReplica))
 	for _, protocol := range []uint32{0, 1, Protocol + 1} {
-		welcome := f.greet(&wire.RunHello{Term: 9, Number: 1, Protocol: protocol})
+		welcome := f.handshake(&wire.RunHello{Term: 9, Number: 1, Protocol: protocol})
 		if welcome.GetAccepted() || welcome.GetProtocol() != Protocol {
-			t.Errorf("protocol %d: %v", protocol, welcome)
+			t.Errorf("protocol %d: welcome %v, want a rejection that names the own protocol", protocol, welcome)
 		}
 	}
-	if refusal := f.server.begin(f.number, orderOfRun(1)); refusal != Accepted {
-		t.Errorf("the present leader was displaced by one that was not let in: %s", refusal)
+	if refusal := f.server.begin(f.number, startOrder(1)); refusal != Accepted {
+		t.Errorf("the rejected leader superseded the current one: start gives %s, want accepted", refusal)
 	}
 }
 
-// TestLoadReportsAreTold: what a replica says of its own load with an answer's head is told once, with its age, and read as it was said.
-func TestLoadReportsAreTold(t *testing.T) {
+// TestLoadReportsAreReportedOnce: the load report that a replica sends with the head of an answer must be reported
+// once, unchanged and with its age.
+func TestLoadReportsAreReportedOnce(t *testing.T) {
 	now := time.Second
 	said := loadreport.Report{Running: 3, Waiting: 2, Slots: 4, Pace: 2.5}
-	made := &answer{maximum: 100, clock: func() time.Duration { return now }}
+	made := &answer{maxBytes: 100, clock: func() time.Duration { return now }}
 	if err := made.Head(replica.Head{Status: 200, Stream: true, Load: &said}); err != nil {
 		t.Fatal(err)
 	}
 	now += 150 * time.Millisecond
-	told, _ := made.since(0, false)
+	told, _ := made.progressSince(0, false)
 	load, age := LoadOf(told.GetHead().GetLoad())
 	if load == nil || *load != said || age != 150*time.Millisecond {
-		t.Errorf("told %v, %v old", load, age)
+		t.Errorf("reported load %v with age %v", load, age)
 	}
-	if again, _ := made.since(0, true); again != nil {
-		t.Errorf("told twice: %v", again)
+	if again, _ := made.progressSince(0, true); again != nil {
+		t.Errorf("reported twice: %v", again)
 	}
 	refused := OutcomeOf(EndOf(someRun, someOrder, &replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedFull, Load: &said}))
 	if refused.Load == nil || *refused.Load != said {
-		t.Errorf("with a refusal: %v", refused.Load)
+		t.Errorf("load of a refused run: %v", refused.Load)
 	}
 	if silent := OutcomeOf(EndOf(someRun, someOrder, &replica.Outcome{})); silent.Load != nil {
-		t.Errorf("a replica that said nothing: %v", silent.Load)
+		t.Errorf("load %v of a replica that reported none", silent.Load)
 	}
 }
 
-// TestDisplacedStreamsEnd: a stream that counts no more tells its leader so by its end, and not by a refusal of each order.
-func TestDisplacedStreamsEnd(t *testing.T) {
-	former := newStream(t, make(writing))
+// TestSupersededStreamsEnd: a superseded stream must be ended as a whole instead of refusing each of its orders, and a
+// late hello with an older stream number must not supersede the newest stream.
+func TestSupersededStreamsEnd(t *testing.T) {
+	former := newTestStream(t, make(writtenReplica))
 	next := newLeaderStream(former.server, nil)
-	if welcome := next.greet(&wire.RunHello{Term: 3, Number: 2, Protocol: Protocol}); !welcome.GetAccepted() {
-		t.Fatal("the newer stream was not let in")
+	if welcome := next.handshake(&wire.RunHello{Term: 3, Number: 2, Protocol: Protocol}); !welcome.GetAccepted() {
+		t.Fatal("the newer stream was rejected")
 	}
 	select {
-	case <-former.displaced:
+	case <-former.superseded:
 	default:
-		t.Error("the older stream goes on")
+		t.Error("the older stream was not superseded")
 	}
 	late := newLeaderStream(former.server, nil)
-	if welcome := late.greet(&wire.RunHello{Term: 3, Number: 1, Protocol: Protocol}); welcome.GetAccepted() {
-		t.Error("a late greeting was let in")
+	if welcome := late.handshake(&wire.RunHello{Term: 3, Number: 1, Protocol: Protocol}); welcome.GetAccepted() {
+		t.Error("a late hello of an older stream was accepted")
 	}
 	select {
-	case <-next.displaced:
-		t.Error("a late greeting displaced the newest stream")
+	case <-next.superseded:
+		t.Error("a late hello of an older stream superseded the newest stream")
 	default:
 	}
 }
--- a/internal/executor/message.go
+++ b/internal/executor/message.go
@@ -19,37 +19,40 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Protocol is what executors and leaders of this build speak with each other. Of another one nothing is accepted: a leader drives its runs
-// itself beside executors of another protocol. In the first, reports did not name the order that began their run.
+// Protocol is the version of the protocol between executors and leaders of this build. Orders and reports of any other
+// version are rejected, and a leader drives its runs itself if an executor speaks another version. In version 1,
+// reports did not name the order that started their run, so that a late report could be taken for that of a newer run
+// of the same item.
 const Protocol = 2
 
-// The errors of a run that the leader is told of.
+// Errors of a run as the leader sees them.
 var (
-	// ErrNotAdmitted: the executor did not begin the run, by its table or lease or for the cause that follows.
+	// ErrNotAdmitted: the executor did not start the run. Either its routing table or its lease did not permit it, or
+	// it refused the order; see RefusedError.
 	ErrNotAdmitted = errors.New("executor: the run was not begun")
-	// ErrNotHeld: the executor has dropped the run that the leader wants to go on with.
+	// ErrNotHeld: the executor no longer holds the run that the leader wants to attach to.
 	ErrNotHeld = errors.New("executor: the run is not held any more")
-	// ErrBrokeOff: the replica's connection ended before its answer did.
-	ErrBrokeOff = errors.New("executor: the connection to the replica broke off")
+	// ErrConnectionLost: the connection to the replica was lost before the answer was complete.
+	ErrConnectionLost = errors.New("executor: the connection to the replica broke off")
 
 	errTooLong    = errors.New("executor: the answer is too long")
 	errOldVersion = errors.New("executor: the weights are older than the job allows")
 	errStopped    = errors.New("executor: the run was ended by its leader")
 )
 
-// RefusedError tells why an executor did not begin a run. It is an ErrNotAdmitted.
+// RefusedError says why an executor did not start a run. It unwraps to ErrNotAdmitted.
 type RefusedError struct {
 	Refusal Refusal
-	Cause   string // for people
+	Cause   string // human-readable reason
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string { return fmt.Sprintf("%v: %s", ErrNotAdmitted, e.Cause) }
 
-// Unwrap has errors.Is find ErrNotAdmitted.
+// Unwrap makes errors.Is match ErrNotAdmitted.
 func (e *RefusedError) Unwrap() error { return ErrNotAdmitted }
 
-// RefusedAs returns why an executor did not begin the run that ended with the error; Accepted for any other end.
+// RefusedAs returns the refusal that err carries, or Accepted if err is not a RefusedError.
 func RefusedAs(err error) Refusal {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
@@ -58,17 +61,18 @@
 	return Accepted
 }
 
-// WireOrder describes an order.
+// WireOrder encodes an order.
 func WireOrder(order Order) *wire.OrderID {
 	return &wire.OrderID{Term: order.Term, Number: order.Number}
 }
 
-// OrderOf is the inverse of WireOrder; none is the zero Order, which nobody gives.
+// OrderOf decodes an order. A missing one becomes the zero Order, which no leader issues.
 func OrderOf(order *wire.OrderID) Order {
 	return Order{Term: order.GetTerm(), Number: order.GetNumber()}
 }
 
-// LoadOf returns what a replica said of its load, nil for nothing, and how long before the report it did.
+// LoadOf decodes the load report of a replica and its age at the time of the executor's report. report is nil if the
+// replica sent none.
 func LoadOf(load *wire.RunLoad) (report *loadreport.Report, age time.Duration) {
 	if load == nil {
 		return nil, 0
@@ -78,7 +82,7 @@
 	}, time.Duration(load.GetAgeMicros()) * time.Microsecond
 }
 
-// wireLoad is the inverse of LoadOf.
+// wireLoad is the inverse of LoadOf; nil for no report.
 func wireLoad(report *loadreport.Report, age time.Duration) *wire.RunLoad {
 	if report == nil {
 		return nil
@@ -88,18 +92,18 @@
 	}
 }
 
-// ageMicros is an age as reports tell it.
-func ageMicros(age time.Duration) uint32 { return uint32(min(max(age, 0), maximumAge).Microseconds()) }
+// ageMicros returns an age in microseconds, limited to 0 to maxAge.
+func ageMicros(age time.Duration) uint32 { return uint32(min(max(age, 0), maxAge).Microseconds()) }
 
-// causeNotPermitted is the cause of a run that the executor was not permitted to begin.
+// causeNotPermitted is the cause reported for a run that the executor's table or lease did not permit.
 const causeNotPermitted = "the table or the lease does not permit it"
 
-// EndOf describes the end of a run for its leader.
+// EndOf encodes the end of the run that order started.
 func EndOf(key Key, order Order, outcome *replica.Outcome) *wire.RunEnded {
 	ended := &wire.RunEnded{
 		Key: wireKey(key), Order: WireOrder(order), Verdict: uint32(outcome.Verdict), Status: uint32(outcome.Status), Whole: outcome.Whole,
 		Refused: uint32(outcome.Refused), Peer: uint32(outcome.Peer), NotAdmitted: errors.Is(outcome.Err, ErrNotAdmitted),
-		Lost: isLoss(outcome.Err), Load: wireLoad(outcome.Load, 0),
+		Lost: isConnectionLoss(outcome.Err), Load: wireLoad(outcome.Load, 0),
 	}
 	switch {
 	case ended.NotAdmitted:
@@ -110,8 +114,8 @@
 	return ended
 }
 
-// RefusalOf is why an executor did not begin a run; Accepted for one that it began. A build that does not tell why counts as NotPermitted.
-// The result may be one that only later builds know.
+// RefusalOf returns why an executor did not start a run, or Accepted if it did. It returns NotPermitted for an executor
+// of an older build, which reports no reason. The result may be a value that only newer builds define.
 func RefusalOf(ended *wire.RunEnded) Refusal {
 	switch {
 	case !ended.GetNotAdmitted():
@@ -122,13 +126,14 @@
 	return Refusal(min(ended.GetRefusal(), math.MaxUint8))
 }
 
-// isLoss tells whether a run ended with its connection.
-func isLoss(err error) bool {
+// isConnectionLoss reports whether err means that the connection to the replica was lost.
+func isConnectionLoss(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network)
 }
 
-// OutcomeOf is the inverse of EndOf, as far as decisions are made on it.
+// OutcomeOf decodes the end of a run. It restores the parts of the outcome on which decisions depend. Errors other than
+// those of this package keep only their text.
 func OutcomeOf(ended *wire.RunEnded) replica.Outcome {
 	outcome := replica.Outcome{
 		Verdict: verdict.Verdict(ended.GetVerdict()), Status: int(ended.GetStatus()), Whole: ended.GetWhole(),
@@ -141,7 +146,7 @@
 	case ended.GetNotHeld():
 		outcome.Err = ErrNotHeld
 	case ended.GetLost():
-		outcome.Err = errors.Join(ErrBrokeOff, io.ErrUnexpectedEOF, errors.New(ended.GetCause()))
+		outcome.Err = errors.Join(ErrConnectionLost, io.ErrUnexpectedEOF, errors.New(ended.GetCause()))
 	case ended.GetCause() != "":
 		outcome.Err = errors.New(ended.GetCause())
 	}
@@ -149,21 +154,22 @@
 }
 
 const (
-	// packBytes is the size from which a report is deflated: answers are text, and most executors and leaders stand in different zones.
-	packBytes = 1 << 10
-	// maximumUnpacked bounds an unpacked report.
-	maximumUnpacked = 64 << 20
+	// minPackedBytes is the size from which a report is compressed. Answers are text, and most executors and leaders
+	// are in different zones.
+	minPackedBytes = 1 << 10
+	// maxUnpackedBytes limits the size of a decompressed report.
+	maxUnpackedBytes = 64 << 20
 )
 
-// packer deflates reports. It keeps its compressor, which takes more memory than a report.
+// packer compresses reports. It reuses its compressor, which takes more memory than a report.
 type packer struct {
 	writer *flate.Writer
 	buffer bytes.Buffer
 }
 
-// pack returns the report as it is sent.
+// pack returns the report in the form in which it is sent: small ones unchanged, others compressed.
 func (p *packer) pack(report *wire.RunReport) (*wire.RunReport, error) {
-	if proto.Size(report) < packBytes {
+	if proto.Size(report) < minPackedBytes {
 		return report, nil
 	}
 	encoded, err := proto.Marshal(report)
@@ -186,14 +192,15 @@
 	return &wire.RunReport{Packed: bytes.Clone(p.buffer.Bytes())}, nil
 }
 
-// Unpack returns a report as it was before it was packed. Errors: trace.BadParameter for bytes that are no packed report.
+// Unpack reverses the compression of a report; an uncompressed one is returned unchanged. It returns trace.BadParameter
+// if the data can't be decompressed or decoded, or exceeds maxUnpackedBytes.
 func Unpack(report *wire.RunReport) (*wire.RunReport, error) {
 	if len(report.GetPacked()) == 0 {
 		return report, nil
 	}
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(report.GetPacked())), maximumUnpacked+1))
-	if err != nil || len(encoded) > maximumUnpacked {
-		return nil, trace.BadParameter("a packed report can't be inflated, or has more than %d bytes: %v", maximumUnpacked, err)
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(report.GetPacked())), maxUnpackedBytes+1))
+	if err != nil || len(encoded) > maxUnpackedBytes {
+		return nil, trace.BadParameter("a packed report can't be inflated, or has more than %d bytes: %v", maxUnpackedBytes, err)
 	}
 	whole := &wire.RunReport{}
 	if err = proto.Unmarshal(encoded, whole); err != nil {
--- a/internal/executor/run_table.go
+++ b/internal/executor/run_table.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Key names a run: the item of a batch job that it makes the answer of.
+// Key identifies a run by the batch job and the item that it produces the answer of.
 type Key struct{ Job, Item string }
 
 func (k Key) compare(other Key) int {
 	return cmp.Or(cmp.Compare(k.Job, other.Job), cmp.Compare(k.Item, other.Item))
 }
 
-// Order is where an order stands among others: those of a newer term go before all of an older one.
+// Order identifies an order and ranks it among others: orders of a newer term take precedence over those of all older
+// terms.
 type Order struct {
-	Term   uint64 // of the leader that gave it
-	Number uint64 // rises within the term
+	Term   uint64 // of the leader that issued the order
+	Number uint64 // increases within the term
 }
 
-// Refusal says why an order is not carried out.
+// Refusal is the reason for which an order is not carried out.
 type Refusal uint8
 
-// The refusals. Their numbers are those of RunEnded.refusal: further ones go to the end.
+// The values are those of RunEnded.refusal on the wire, so that new ones are appended at the end.
 const (
 	Accepted     Refusal = iota
-	Superseded           // a newer leader, or a newer stream of the same one, has greeted the executor
-	Held                 // the executor still drives a run of the item
-	Leaving              // the executor takes no new runs
-	Full                 // the executor drives as many runs as it may
-	NotHeld              // the run to attach to is not there any more
-	NotPermitted         // the process's table or lease does not permit it; a RunTable does not refuse for it
+	Superseded           // a newer leader, or a newer stream of the same leader, has taken over
+	Held                 // a run of the item is still in progress here
+	Leaving              // the executor is draining
+	Full                 // the executor is at its limit of concurrent runs
+	NotHeld              // the run to attach to is no longer held
+	NotPermitted         // the process's routing table or lease does not permit the run; not returned by RunTable
 )
 
-// String names the refusal in logs.
+// String returns the name of the refusal in logs and metrics.
 func (r Refusal) String() string {
 	return [...]string{Accepted: "accepted", Superseded: "superseded", Held: "held", Leaving: "leaving", Full: "full",
 		NotHeld: "not_held", NotPermitted: "not_permitted"}[r]
@@ -41,48 +42,50 @@
 
 // Defaults of Settings.
 const (
-	// DefaultAbandoned is longer than a leader's loss takes to be noticed, its successor to be elected, and that one to survey the
-	// executors: about two seconds. A run that nobody asks for by then takes a slot from those that are waited for.
-	DefaultAbandoned = 5 * time.Second
-	// DefaultMaximumRuns bounds the runs that one executor drives, and the answers that it keeps beside them, all in memory.
+	// DefaultAbandonAfter exceeds the time to detect the loss of a leader, elect its successor and have that one survey
+	// the executors, about 2 s in total. A run that nobody has asked for by then occupies a slot that other runs wait
+	// for.
+	DefaultAbandonAfter = 5 * time.Second
+	// DefaultMaximumRuns limits the runs in progress at one executor, and separately the ended answers that it retains.
+	// All of them are in memory.
 	DefaultMaximumRuns = 256
 )
 
-// Settings of a RunTable. Zero fields take the defaults.
+// Settings configures a RunTable. Zero fields take the defaults.
 type Settings struct {
-	// Abandoned is how long a run goes on, or its answer is kept, while no leader follows it.
-	Abandoned time.Duration
-	// MaximumRuns bounds the runs that are not over, and again the answers of those that are.
+	// AbandonAfter is the time after which a run or a retained answer that no leader follows is dropped.
+	AbandonAfter time.Duration
+	// MaximumRuns limits the number of runs in progress, and separately the number of retained answers of ended runs.
 	MaximumRuns int
 }
 
-// RunTable decides which orders an executor carries out, and what becomes of its runs when leaders change. It answers this load: the leader
-// that drives hundreds of runs is lost at any moment, its successor greets the executor a second later, and the former one may come back
-// and go on giving orders until it notices.
+// RunTable decides which orders an executor carries out, and which runs it keeps when leaders change. A leader that
+// drives hundreds of runs may be lost at any moment. Its successor connects about a second later, and the former leader
+// may return and keep sending orders until it notices that it was replaced.
 //
 // A RunTable is pure: times are durations since an arbitrary start. It is not safe for concurrent use.
 type RunTable struct {
-	settings Settings
-	term     uint64 // highest that greeted
-	number   uint64 // highest of its streams, as the leader counts them
-	stream   uint64 // newest of that term; 0: none greeted yet
-	streams  uint64
-	leaving  bool
-	runs     map[Key]*entry
+	settings      Settings
+	highestTerm   uint64 // highest term of a leader that has connected
+	highestNumber uint64 // highest number of a stream of that term, as assigned by the leader
+	currentStream uint64 // newest stream of that term; 0: none is open
+	streamCount   uint64 // streams opened so far; the last assigned stream id
+	leaving       bool
+	runs          map[Key]*entry
 }
 
 // entry is a run that the executor holds.
 type entry struct {
-	order    Order
-	ended    bool
-	followed bool          // a stream of the present leader asked for it
-	since    time.Duration // when it was not followed any more
+	order           Order
+	ended           bool
+	followed        bool          // a stream of the current leader follows the run
+	unfollowedSince time.Duration // start of the period after which the run is dropped, unless it is followed
 }
 
 // NewRunTable returns a table without runs.
 func NewRunTable(settings Settings) *RunTable {
-	if settings.Abandoned == 0 {
-		settings.Abandoned = DefaultAbandoned
+	if settings.AbandonAfter == 0 {
+		settings.AbandonAfter = DefaultAbandonAfter
 	}
 	if settings.MaximumRuns == 0 {
 		settings.MaximumRuns = DefaultMaximumRuns
@@ -90,46 +93,47 @@
 	return &RunTable{settings: settings, runs: map[Key]*entry{}}
 }
 
-// Greet notes a leader's new stream, with the leader's number for it. It displaces those of older terms, and older ones of its own term.
-// refused: a newer term has greeted, or a newer stream of the term. The stream's number goes with each of its orders.
+// OpenStream registers a new stream of a leader, with the leader's number for it. It supersedes the streams of older
+// terms and older streams of its own term. refused is true if a newer term, or a stream of the same term with this
+// number or a higher one, is known. The returned stream id accompanies each order of the stream.
 //
-// The leader is told of what is held, and needs time to attach to what it wants: with the first greeting of a term all that is held is kept
-// for the whole time from now on. With a later one that holds for what was followed until now; otherwise a leader whose stream breaks off
-// again and again would keep alive what nobody wants.
-func (t *RunTable) Greet(term, number uint64, now time.Duration) (stream uint64, refused bool) {
-	if term < t.term || term == t.term && number <= t.number {
+// The leader is told which runs are held, and needs time to attach to those it wants. The first stream of a term
+// therefore restarts the AbandonAfter period of all held runs. Later streams of the term restart it only for runs that
+// were followed until now. Otherwise a leader whose stream breaks repeatedly would keep alive runs that nobody wants.
+func (t *RunTable) OpenStream(term, number uint64, now time.Duration) (stream uint64, refused bool) {
+	if term < t.highestTerm || term == t.highestTerm && number <= t.highestNumber {
 		return 0, true
 	}
-	t.unfollow(now)
-	if term > t.term {
-		t.extend(now)
+	t.unfollowAll(now)
+	if term > t.highestTerm {
+		t.extendAll(now)
 	}
-	t.term, t.number = term, number
-	t.streams++
-	t.stream = t.streams
-	return t.stream, false
+	t.highestTerm, t.highestNumber = term, number
+	t.streamCount++
+	t.currentStream = t.streamCount
+	return t.currentStream, false
 }
 
-// extend keeps all that is held for the whole time from now on.
-func (t *RunTable) extend(now time.Duration) {
+// extendAll restarts the AbandonAfter period of all held runs.
+func (t *RunTable) extendAll(now time.Duration) {
 	for _, held := range t.runs {
-		held.since = now
+		held.unfollowedSince = now
 	}
 }
 
-// isCurrent tells whether a stream's orders are carried out.
-func (t *RunTable) isCurrent(stream uint64) bool { return stream != 0 && stream == t.stream }
+// isCurrent reports whether orders of the stream are carried out.
+func (t *RunTable) isCurrent(stream uint64) bool { return stream != 0 && stream == t.currentStream }
 
-// unfollow notes that no stream asks for the runs any more.
-func (t *RunTable) unfollow(now time.Duration) {
+// unfollowAll marks all followed runs as not followed from now on.
+func (t *RunTable) unfollowAll(now time.Duration) {
 	for _, held := range t.runs {
 		if held.followed {
-			held.followed, held.since = false, now
+			held.followed, held.unfollowedSince = false, now
 		}
 	}
 }
 
-// Start decides on the order to begin a run, and counts it as held and followed when it is accepted.
+// Start decides on the order to start a run. If it returns Accepted, the run is held and followed.
 func (t *RunTable) Start(stream uint64, key Key, number uint64) Refusal {
 	held := t.runs[key]
 	switch {
@@ -142,12 +146,12 @@
 	case t.Running() >= t.settings.MaximumRuns:
 		return Full
 	}
-	t.runs[key] = &entry{order: Order{Term: t.term, Number: number}, followed: true}
+	t.runs[key] = &entry{order: Order{Term: t.highestTerm, Number: number}, followed: true}
 	return Accepted
 }
 
-// Follow notes that a stream asks for the answer of the run that an order began; false if the stream counts no more or the run is not
-// held. Another run of the item is not meant.
+// Follow marks the run that order started as followed. It returns false if the stream is not the current one or the run
+// is not held, including when another order's run of the item is held.
 func (t *RunTable) Follow(stream uint64, key Key, order Order) bool {
 	held := t.runs[key]
 	if !t.isCurrent(stream) || held == nil || held.order != order {
@@ -157,47 +161,49 @@
 	return true
 }
 
-// Stop tells whether the run that an order began is to be ended on a stream's word: the stream counts and the run is held. Another run of
-// the item is not meant.
-func (t *RunTable) Stop(stream uint64, key Key, order Order) bool {
+// CanStop reports whether the stream may stop the run that order started: the stream is the current one, and the run is
+// held. Another order's run of the item does not match.
+func (t *RunTable) CanStop(stream uint64, key Key, order Order) bool {
 	held := t.runs[key]
 	return t.isCurrent(stream) && held != nil && held.order == order
 }
 
-// Ended notes that a run is over. Its answer is kept: a leader that was lost with it can't commit it, the next one can.
-func (t *RunTable) Ended(key Key, order Order) {
+// MarkEnded marks a run as ended. Its answer is retained, because a leader that is lost after receiving it may not have
+// committed it, and the next leader can.
+func (t *RunTable) MarkEnded(key Key, order Order) {
 	if held := t.runs[key]; held != nil && held.order == order {
 		held.ended = true
 	}
 }
 
-// Told notes that the end of a run has gone out on a stream. From then on its answer is kept only for the next leader.
-func (t *RunTable) Told(stream uint64, key Key, order Order, now time.Duration) {
+// MarkReported records that the end of a run was sent on the stream. From then on the answer is retained only for the
+// next leader.
+func (t *RunTable) MarkReported(stream uint64, key Key, order Order, now time.Duration) {
 	if held := t.runs[key]; held != nil && held.order == order && t.isCurrent(stream) && held.followed {
-		held.followed, held.since = false, now
+		held.followed, held.unfollowedSince = false, now
 	}
 }
 
-// Closed notes the end of a stream; its runs go on.
-func (t *RunTable) Closed(stream uint64, now time.Duration) {
+// CloseStream records the end of a stream. Its runs continue.
+func (t *RunTable) CloseStream(stream uint64, now time.Duration) {
 	if t.isCurrent(stream) {
-		t.stream = 0
-		t.unfollow(now)
+		t.currentStream = 0
+		t.unfollowAll(now)
 	}
 }
 
-// Leave has no further runs begin.
+// Leave starts draining: Start refuses all further runs.
 func (t *RunTable) Leave() { t.leaving = true }
 
-// Leaving tells whether no further runs begin.
-func (t *RunTable) Leaving() bool { return t.leaving }
+// IsLeaving reports whether the executor is draining.
+func (t *RunTable) IsLeaving() bool { return t.leaving }
 
-// Abandoned drops the runs that nobody has followed for too long, and the oldest answers beyond as many as may be kept. It returns them,
-// sorted. Those that are not over are to be ended.
-func (t *RunTable) Abandoned(now time.Duration) []Key {
+// DropAbandoned removes the runs that nobody has followed for AbandonAfter, and the oldest retained answers beyond
+// MaximumRuns. It returns the keys in order. The caller stops those still in progress.
+func (t *RunTable) DropAbandoned(now time.Duration) []Key {
 	var dropped []Key
 	for key, held := range t.runs {
-		if !held.followed && now-held.since >= t.settings.Abandoned {
+		if !held.followed && now-held.unfollowedSince >= t.settings.AbandonAfter {
 			dropped = append(dropped, key)
 			delete(t.runs, key)
 		}
@@ -207,7 +213,7 @@
 	return dropped
 }
 
-// dropOldest drops answers that are over and that nobody follows, beyond as many as may be kept.
+// dropOldest removes the oldest answers of ended runs that nobody follows, beyond MaximumRuns.
 func (t *RunTable) dropOldest() []Key {
 	var kept []Key
 	for key, held := range t.runs {
@@ -220,7 +226,7 @@
 		return nil
 	}
 	slices.SortFunc(kept, func(a, b Key) int {
-		return cmp.Or(cmp.Compare(t.runs[a].since, t.runs[b].since), a.compare(b))
+		return cmp.Or(cmp.Compare(t.runs[a].unfollowedSince, t.runs[b].unfollowedSince), a.compare(b))
 	})
 	for _, key := range kept[:beyond] {
 		delete(t.runs, key)
@@ -228,7 +234,7 @@
 	return kept[:beyond]
 }
 
-// Running returns the number of runs that are not over.
+// Running returns the number of runs in progress.
 func (t *RunTable) Running() int {
 	count := 0
 	for _, held := range t.runs {
@@ -239,7 +245,7 @@
 	return count
 }
 
-// Keys returns the runs that are held, sorted.
+// Keys returns the keys of all held runs, in order.
 func (t *RunTable) Keys() []Key {
 	keys := make([]Key, 0, len(t.runs))
 	for key := range t.runs {
@@ -249,8 +255,8 @@
 	return keys
 }
 
-// OrderOf returns the order by which a run is held.
-func (t *RunTable) OrderOf(key Key) (order Order, held bool) {
+// HeldOrder returns the order that started the held run of the item.
+func (t *RunTable) HeldOrder(key Key) (order Order, held bool) {
 	if found := t.runs[key]; found != nil {
 		return found.order, true
 	}
--- a/internal/executor/server.go
+++ b/internal/executor/server.go
@@ -25,26 +25,29 @@
 )
 
 const (
-	// reportInterval is the time between two reports of what has come. It bounds what a leader's knowledge of a run lags, and how often a
-	// small process wakes for it; ends are reported at once.
+	// reportInterval is the interval between reports of progress. It bounds both how far a leader's view of a run lags
+	// and how often the writer wakes a small process. Ends of runs are reported at once.
 	reportInterval = 200 * time.Millisecond
-	// idleReports is how many reports without news are left out before an empty one says that the executor is there.
-	idleReports = 2
-	// sweepInterval is how often runs that nobody follows are looked for.
+	// maxSkippedReports is the number of empty reports that are skipped before one is sent to show that the executor is
+	// alive.
+	maxSkippedReports = 2
+	// sweepInterval is the interval at which abandoned runs are dropped.
 	sweepInterval = 250 * time.Millisecond
-	// maximumMessageBytes bounds one message of a stream.
+	// maximumMessageBytes limits the size of one message on a stream.
 	maximumMessageBytes = 64 << 20
 )
 
-// Config says what a Server needs. Zero fields take the defaults.
+// Config configures a Server. Caller and Admit are required; other zero fields take their defaults.
 type Config struct {
+	// Caller sends the requests of the runs to the replicas.
 	Caller replica.Caller
-	// Admit is asked directly before a run's first byte is sent: whether this process's table and lease permit it.
+	// Admit is called directly before the first byte of a run is sent. It reports whether this process's routing table
+	// and lease permit the run.
 	Admit    func(order *wire.RunStart) bool
 	Settings Settings
-	// Clock measures times. Default monotonic.Now.
+	// Clock is the time source. Default: monotonic.Now.
 	Clock monotonic.Clock
-	// Log receives events. Default: nothing.
+	// Log receives the events. Default: they are discarded.
 	Log *logrus.Entry
 }
 
@@ -54,13 +57,13 @@
 	counts   *counts
 	routines sync.WaitGroup
 
-	mutex   sync.Mutex // guards what follows
+	mutex   sync.Mutex // guards the fields below
 	table   *RunTable
 	runs    map[Key]*run
-	current *leaderStream // that counts; nil: there is none
+	current *leaderStream // the stream whose orders are accepted; nil: none
 }
 
-// run is one run that the server holds.
+// run is a run that the server holds, in progress or ended.
 type run struct {
 	start  *wire.RunStart
 	order  Order
@@ -68,10 +71,10 @@
 	cancel context.CancelCauseFunc
 }
 
-// New returns a server without runs.
+// New returns a server without runs. It returns trace.BadParameter if Caller or Admit is missing.
 func New(config Config) (*Server, error) {
 	if config.Caller == nil || config.Admit == nil {
-		return nil, trace.BadParameter("an executor needs a caller and an admission")
+		return nil, trace.BadParameter("executor: Config.Caller and Config.Admit are required")
 	}
 	if config.Clock == nil {
 		config.Clock = monotonic.Now
@@ -82,7 +85,7 @@
 	return &Server{config: config, counts: newCounts(), table: NewRunTable(config.Settings), runs: map[Key]*run{}}, nil
 }
 
-// Serve answers leaders on the listener until ctx ends, and ends all runs then.
+// Serve serves leaders on the listener until ctx ends. It then stops all runs and waits for them.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterExecutor(mux, s); err != nil {
@@ -91,44 +94,44 @@
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
 		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes},
-	}, Log: func(err error) { s.config.Log.WithError(err).Debug("a connection of a leader ended") }})
+	}, Log: func(err error) { s.config.Log.WithError(err).Debug("leader connection failed") }})
 	swept, stop := context.WithCancel(ctx)
 	defer stop()
 	s.routines.Go(func() { pause.Every(swept, sweepInterval, func(context.Context) { s.sweep() }) })
 	err := server.Serve(ctx, listener)
 	stop()
-	s.endAll()
+	s.cancelAll()
 	s.routines.Wait()
 	return trace.Wrap(err)
 }
 
-// Leave begins no further runs; those that are held go on.
+// Leave starts draining: no further runs are accepted, and those that are held continue.
 func (s *Server) Leave() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.table.Leave()
-	s.notify()
+	s.wakeCurrent()
 }
 
-// Running returns the number of runs that are not over.
+// Running returns the number of runs in progress.
 func (s *Server) Running() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.Running()
 }
 
-// notify wakes the stream that counts. The caller holds the mutex.
-func (s *Server) notify() {
+// wakeCurrent has the current stream, if any, send a report at once. The caller holds the mutex.
+func (s *Server) wakeCurrent() {
 	if s.current != nil {
 		s.current.wake()
 	}
 }
 
-// sweep ends and forgets the runs that no leader has asked for.
+// sweep drops the runs that no leader has followed for too long, and stops those still in progress.
 func (s *Server) sweep() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, key := range s.table.Abandoned(s.config.Clock()) {
+	for _, key := range s.table.DropAbandoned(s.config.Clock()) {
 		dropped := s.runs[key]
 		delete(s.runs, key)
 		if _, over := dropped.answer.received(); over != nil {
@@ -142,7 +145,8 @@
 	}
 }
 
-func (s *Server) endAll() {
+// cancelAll stops all runs.
+func (s *Server) cancelAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, held := range s.runs {
@@ -150,7 +154,7 @@
 	}
 }
 
-// begin starts a run on the order of a stream.
+// begin starts a run on an order of the given stream, unless the RunTable refuses it.
 func (s *Server) begin(stream uint64, start *wire.RunStart) Refusal {
 	key := keyOf(start.GetKey())
 	s.mutex.Lock()
@@ -159,37 +163,38 @@
 		s.counts.refused.WithLabelValues(refusal.String()).Inc()
 		return refusal
 	}
-	order, _ := s.table.OrderOf(key)
+	order, _ := s.table.HeldOrder(key)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	begun := &run{start: start, order: order, cancel: cancel,
-		answer: &answer{maximum: batch.MaximumResultBytes * bodyPerText, minVersion: start.GetMinVersion(), clock: s.config.Clock}}
+		answer: &answer{maxBytes: batch.MaximumResultBytes * maxBodyPerText, minVersion: start.GetMinVersion(), clock: s.config.Clock}}
 	s.runs[key] = begun
 	s.counts.running.Inc()
 	s.routines.Go(func() { s.drive(ctx, key, begun) })
 	return Accepted
 }
 
-// bodyPerText bounds an answer's body, in multiples of the longest text: events have names and ids beside their data.
-const bodyPerText = 2
+// maxBodyPerText limits the body of an answer to a multiple of the longest result text. The events of a streamed answer
+// carry names and ids beside their data.
+const maxBodyPerText = 2
 
-// drive carries a run out and notes its end.
+// drive sends the request of a run to its replica and records the outcome.
 func (s *Server) drive(ctx context.Context, key Key, begun *run) {
-	outcome := s.config.Caller.Do(ctx, s.call(begun.start), begun.answer)
+	outcome := s.config.Caller.Do(ctx, s.newCall(begun.start), begun.answer)
 	if cause := context.Cause(ctx); cause != nil && outcome.Err != nil {
 		outcome.Err = cause
 	}
 	begun.cancel(nil)
-	begun.answer.end(outcome)
+	begun.answer.setOutcome(outcome)
 	s.counts.running.Dec()
-	s.counts.ended.WithLabelValues(endingText(&outcome)).Inc()
+	s.counts.ended.WithLabelValues(endingLabel(&outcome)).Inc()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.table.Ended(key, begun.order)
-	s.notify()
+	s.table.MarkEnded(key, begun.order)
+	s.wakeCurrent()
 }
 
-// call is the request to the replica.
-func (s *Server) call(start *wire.RunStart) *replica.Call {
+// newCall returns the request to the replica.
+func (s *Server) newCall(start *wire.RunStart) *replica.Call {
 	item := start.GetItem()
 	call := &replica.Call{
 		Target:    replica.Target{Instance: start.GetTarget().GetInstance(), Address: start.GetTarget().GetAddress()},
@@ -209,19 +214,19 @@
 	return call
 }
 
-// stop ends the run that an order began, on the word of a stream.
+// stop cancels the run that order started, if the stream is the current one.
 func (s *Server) stop(stream uint64, key Key, order Order) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.table.Stop(stream, key, order) {
+	if !s.table.CanStop(stream, key, order) {
 		s.counts.ignored.WithLabelValues(orderStop).Inc()
 		return
 	}
 	s.runs[key].cancel(errStopped)
 }
 
-// held describes what the executor holds, for a leader that greets it. The caller holds the mutex.
-func (s *Server) held() []*wire.HeldRun {
+// heldRuns describes all held runs, for the welcome of a new leader stream. The caller holds the mutex.
+func (s *Server) heldRuns() []*wire.HeldRun {
 	found := make([]*wire.HeldRun, 0, len(s.runs))
 	for _, key := range s.table.Keys() {
 		one := s.runs[key]
@@ -240,8 +245,8 @@
 // wireKey is the inverse of keyOf.
 func wireKey(key Key) *wire.RunKey { return &wire.RunKey{Job: key.Job, Item: key.Item} }
 
-// endingText names how a run ended in metrics.
-func endingText(outcome *replica.Outcome) string {
+// endingLabel returns the metric label for how a run ended.
+func endingLabel(outcome *replica.Outcome) string {
 	switch {
 	case outcome.Whole:
 		return "whole"
