--- a/internal/executorclient/choose.go
+++ b/internal/executorclient/choose.go
@@ -2,9 +2,11 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// choose picks the executor of a run at a replica among those that take runs: one of the replica's zone, and for each replica the same one
-// while it stays, so that its connections to the replica are used again. In the leader's own process a run would be lost with the leader,
-// so there another one is picked, of whatever zone. false where the zone has none: the caller drives the run itself.
+// choose selects the executor for a run at a replica among the usable ones. It prefers executors in the zone of the
+// replica, and always selects the same one for the same replica while that one stays, so that its connections to the
+// replica are reused. An executor in the leader's own process would be lost together with the leader, so that it is
+// avoided: if it is the only one in the zone, an executor of another zone is selected, and the leader's own only if
+// there is none. It returns false if the zone has no executor, and the caller then drives the run itself.
 func choose(usable []Peer, leader, zone, instance string) (Peer, bool) {
 	var near, elsewhere, own []Peer
 	for _, peer := range usable {
@@ -21,17 +23,17 @@
 	}
 	switch {
 	case len(near) > 0:
-		return highest(near, instance), true
+		return highestRanked(near, instance), true
 	case len(own) == 0:
 		return Peer{}, false
 	case len(elsewhere) > 0:
-		return highest(elsewhere, instance), true
+		return highestRanked(elsewhere, instance), true
 	}
 	return own[0], true
 }
 
-// highest is the executor with the highest rank for a replica.
-func highest(peers []Peer, instance string) (best Peer) {
+// highestRanked returns the executor with the highest rendezvous hash for a replica.
+func highestRanked(peers []Peer, instance string) (best Peer) {
 	var bestRank uint64
 	for position, peer := range peers {
 		if rank := xxhash.Sum64String(instance + "\x00" + peer.Name); position == 0 || rank > bestRank {
--- a/internal/executorclient/choose_test.go
+++ b/internal/executorclient/choose_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestRunsAreNotDrivenByTheirLeader: in each zone another process drives the runs, so that none is lost with the leader; the leader's own
-// executor is the last resort of its zone.
+// TestRunsAreNotDrivenByTheirLeader: in each zone a process other than the leader's must drive the runs, so that none
+// is lost with the leader. The leader's own executor is the last resort for its zone.
 func TestRunsAreNotDrivenByTheirLeader(t *testing.T) {
 	lead, b, c := Peer{Name: "lead", Zone: "a"}, Peer{Name: "b", Zone: "b"}, Peer{Name: "c", Zone: "c"}
 	beside := Peer{Name: "beside", Zone: "a"}
 	for _, one := range []struct {
 		usable []Peer
 		zone   string
-		want   []string // any of them; none: the leader drives the run without an executor
+		want   []string // any of these names; nil: no executor, the leader drives the run itself
 	}{
 		{[]Peer{lead, b, c}, "b", []string{"b"}},
 		{[]Peer{lead, b, c}, "a", []string{"b", "c"}},
@@ -25,26 +25,27 @@
 	} {
 		found, is := choose(one.usable, "lead", one.zone, "r1")
 		if is != (one.want != nil) || is && !slices.Contains(one.want, found.Name) {
-			t.Errorf("zone %s of %v: %q, want one of %v", one.zone, one.usable, found.Name, one.want)
+			t.Errorf("zone %s, usable %v: chose %q, want one of %v", one.zone, one.usable, found.Name, one.want)
 		}
 	}
 }
 
-// TestReplicasKeepTheirExecutor: the choice does not depend on the order of the members, and spreads replicas.
+// TestReplicasKeepTheirExecutor: the choice must not depend on the order of the members, and must spread replicas over
+// the executors.
 func TestReplicasKeepTheirExecutor(t *testing.T) {
 	peers := []Peer{{Name: "lead", Zone: "a"}, {Name: "b", Zone: "b"}, {Name: "c", Zone: "c"}}
-	turned := []Peer{peers[2], peers[1], peers[0]}
-	counted := map[string]int{}
+	reversed := []Peer{peers[2], peers[1], peers[0]}
+	replicasByExecutor := map[string]int{}
 	for number := range 100 {
 		instance := fmt.Sprint("r", number)
 		first, _ := choose(peers, "lead", "a", instance)
-		second, _ := choose(turned, "lead", "a", instance)
+		second, _ := choose(reversed, "lead", "a", instance)
 		if first != second {
-			t.Errorf("%s: %s, and %s in another order", instance, first.Name, second.Name)
+			t.Errorf("replica %s: chose %s, and %s with the members in another order", instance, first.Name, second.Name)
 		}
-		counted[first.Name]++
+		replicasByExecutor[first.Name]++
 	}
-	if counted["b"] < 30 || counted["c"] < 30 {
-		t.Errorf("100 replicas are spread as %v", counted)
+	if replicasByExecutor["b"] < 30 || replicasByExecutor["c"] < 30 {
+		t.Errorf("100 replicas by executor: %v, want at least 30 each at b and c", replicasByExecutor)
 	}
 }
--- a/internal/executorclient/fixture_test.go
+++ b/internal/executorclient/fixture_test.go
@@ -16,22 +16,22 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// testPatience bounds waits; nothing asserts on how much of it is used.
-const testPatience = 20 * time.Second
+// testTimeout bounds waits. No test asserts on how much of it is used.
+const testTimeout = 20 * time.Second
 
-// scripted is a replica whose answers go on only when the test says so.
-type scripted struct {
+// scriptedReplica is a replica whose answers continue only when the test sends a part.
+type scriptedReplica struct {
 	mutex sync.Mutex
 	calls []*replica.Call
-	parts chan string // of the body; closed: the answer is whole
-	ended chan error  // one value for each call that has ended
+	parts chan string // parts of the body; closed: the answer is complete
+	ended chan error  // the error of each call that has ended
 }
 
-func newScripted() *scripted {
-	return &scripted{parts: make(chan string, 100), ended: make(chan error, 100)}
+func newScriptedReplica() *scriptedReplica {
+	return &scriptedReplica{parts: make(chan string, 100), ended: make(chan error, 100)}
 }
 
-func (s *scripted) Do(ctx context.Context, call *replica.Call, sink replica.Sink) (outcome replica.Outcome) {
+func (s *scriptedReplica) Do(ctx context.Context, call *replica.Call, sink replica.Sink) (outcome replica.Outcome) {
 	defer func() { s.ended <- outcome.Err }()
 	if err := call.Admit(); err != nil {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: err}
@@ -57,17 +57,18 @@
 	}
 }
 
-func (s *scripted) begun() int {
+// begun returns the number of admitted calls.
+func (s *scriptedReplica) begun() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.calls)
 }
 
-// process is an executor that can be stopped and whose connections can be cut.
+// process is an executor whose connections the test can cut.
 type process struct {
 	peer     Peer
 	server   *executor.Server
-	replica  *scripted
+	replica  *scriptedReplica
 	admitted bool
 	mutex    sync.Mutex
 	conns    []net.Conn
@@ -76,7 +77,7 @@
 
 func startProcess(t *testing.T, name string) *process {
 	t.Helper()
-	p := &process{replica: newScripted(), admitted: true}
+	p := &process{replica: newScriptedReplica(), admitted: true}
 	server, err := executor.New(executor.Config{Caller: p.replica, Admit: func(*wire.RunStart) bool {
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
@@ -100,7 +101,7 @@
 	return p
 }
 
-// dial connects a leader to the process unless it is cut off.
+// dial connects a leader to the process, or fails while it is cut off.
 func (p *process) dial(ctx context.Context, address string) (net.Conn, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -115,7 +116,7 @@
 	return conn, err
 }
 
-// reset closes all connections; cut keeps new ones away.
+// reset closes all connections. If cut is set, new ones are refused until the next reset.
 func (p *process) reset(cut bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -126,7 +127,7 @@
 	p.conns = nil
 }
 
-// leader is one term's fleet.
+// leader is the running Fleet of one term.
 type leader struct {
 	*Fleet
 	stop func()
@@ -146,53 +147,55 @@
 	}()
 	stop := sync.OnceFunc(func() { cancel(); <-done })
 	t.Cleanup(stop)
-	until(t, "the executor's word", fleet.Surveyed)
+	until(t, "the survey of the executor", fleet.Surveyed)
 	return &leader{Fleet: fleet, stop: stop}
 }
 
+// until polls reached until it returns true, and fails the test after testTimeout.
 func until(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(testPatience); !reached(); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// collected is a sink that keeps what comes.
-type collected struct {
+// collectingSink is a sink that stores the answer.
+type collectingSink struct {
 	mutex sync.Mutex
 	head  replica.Head
 	body  strings.Builder
 	came  time.Duration
 }
 
-func (c *collected) Head(head replica.Head) error {
+func (c *collectingSink) Head(head replica.Head) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.head = head
 	return nil
 }
 
-func (c *collected) Came(at time.Duration) {
+func (c *collectingSink) Came(at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.came = at
 }
 
-func (c *collected) Body(chunk []byte) error {
+func (c *collectingSink) Body(chunk []byte) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.body.Write(chunk)
 	return nil
 }
 
-func (c *collected) text() string {
+func (c *collectingSink) text() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.body.String()
 }
 
+// startOrder returns the order of the run that the tests use.
 func startOrder() *wire.RunStart {
 	return &wire.RunStart{
 		Key: &wire.RunKey{Job: "job", Item: "item"}, Target: &wire.RunTarget{Instance: "r1", Address: "10.0.0.1:1", Pool: "p"},
@@ -200,36 +203,36 @@
 	}
 }
 
-// driven is a run that goes on in the background.
-type driven struct {
-	sink    *collected
+// backgroundRun is a run whose Do call is in progress in another goroutine.
+type backgroundRun struct {
+	sink    *collectingSink
 	cancel  context.CancelCauseFunc
 	outcome chan replica.Outcome
 }
 
-func drive(do func(context.Context, Sink) replica.Outcome) *driven {
+func drive(do func(context.Context, Sink) replica.Outcome) *backgroundRun {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	d := &driven{sink: &collected{}, cancel: cancel, outcome: make(chan replica.Outcome, 1)}
+	d := &backgroundRun{sink: &collectingSink{}, cancel: cancel, outcome: make(chan replica.Outcome, 1)}
 	go func() { d.outcome <- do(ctx, d.sink) }()
 	return d
 }
 
-func (l *leader) start(t *testing.T) *driven {
+func (l *leader) start(t *testing.T) *backgroundRun {
 	t.Helper()
 	chosen := l.For("a", "r1")
 	if chosen == nil {
-		t.Fatal("no executor takes the run")
+		t.Fatal("no executor accepts the run")
 	}
 	return drive(func(ctx context.Context, sink Sink) replica.Outcome { return chosen.Do(ctx, startOrder(), sink) })
 }
 
-func (d *driven) end(t *testing.T) replica.Outcome {
+func (d *backgroundRun) end(t *testing.T) replica.Outcome {
 	t.Helper()
 	select {
 	case outcome := <-d.outcome:
 		return outcome
-	case <-time.After(testPatience):
-		t.Fatal("the run never ended")
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for the end of the run")
 	}
 	return replica.Outcome{}
 }
--- a/internal/executorclient/fleet.go
+++ b/internal/executorclient/fleet.go
@@ -1,7 +1,9 @@
-// Package executorclient is how the leader that schedules batch jobs has their items run by executors near the replicas. A Fleet keeps a
-// stream to each executor for one term; Do has one run carried out there and takes its answer as if it came from the replica.
+// Package executorclient is the leader's side of package executor: it has the items of batch jobs run by executors near
+// the replicas. A Fleet keeps a stream to each executor for one term. Executor.Do has one run carried out by an
+// executor and delivers the answer as if it came directly from the replica.
 //
-// A run goes on when its leader is lost: the next leader's Fleet finds it as Held. Only a run whose context ends with ErrStop is ended.
+// A run survives the loss of its leader: the Fleet of the next leader finds it as Held. A run is stopped only if its
+// context ends with the cause ErrStop.
 package executorclient
 
 import (
@@ -24,57 +26,60 @@
 )
 
 var (
-	// ErrStop as the cause of a context's end has the run ended. After any other cause it goes on without this leader.
+	// ErrStop, as the cause with which the context of a run ends, has the executor stop the run. With any other cause
+	// the run continues without this leader.
 	ErrStop = errors.New("executorclient: the run is to end")
-	// ErrLost: the executor can't be reached any more.
+	// ErrLost: the executor is no longer reachable.
 	ErrLost = errors.New("executorclient: the executor is lost")
 )
 
-// Peer is an executor as the deployment's members name it.
+// Peer is an executor as listed in the membership of the deployment.
 type Peer struct {
 	Name    string
-	Address string // IP:port
+	Address string // IP:port of its listener
 	Zone    string
 }
 
-// Config says what a Fleet needs. Zero fields take the defaults.
+// Config configures a Fleet. Peers is required; other zero fields take their defaults.
 type Config struct {
-	Term   uint64
-	Leader string // this node, by the name that members have for it
-	// Peers returns the executors that there are now.
+	Term   uint64 // term of the leader, sent with each stream
+	Leader string // name of this node in the membership
+	// Peers returns the current executors.
 	Peers func() []Peer
-	// Numbers is the number of the last stream or order. Fleets of one process share it: it may lead twice in a term. Default: a new one.
+	// Numbers holds the number that was last assigned to a stream or an order. All Fleets of one process share it,
+	// because a node may lead twice in the same term and executors reject numbers that don't increase. Default: a new
+	// counter.
 	Numbers *atomic.Uint64
-	// Ignored is called, and must not block, for each report of a run that is not followed. Default: nothing.
+	// Ignored is called for each report about a run that is not followed. It must not block. Default: no call.
 	Ignored func()
-	// Dial opens connections. Default: plain TCP.
+	// Dial opens a connection to an executor. Default: plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Clock measures times. Default monotonic.Now.
+	// Clock is the time source. Default: monotonic.Now.
 	Clock monotonic.Clock
-	// Log receives events. Default: nothing.
+	// Log receives the events. Default: they are discarded.
 	Log *logrus.Entry
 }
 
-// followInterval is how often the members are looked at for new executors.
-const followInterval = 100 * time.Millisecond
+// membersInterval is the interval at which the membership is checked for new and removed executors.
+const membersInterval = 100 * time.Millisecond
 
-// Fleet is a leader's streams to the executors. It is safe for concurrent use.
+// Fleet manages the streams of one leader to all executors. It is safe for concurrent use.
 type Fleet struct {
 	config   Config
 	routines sync.WaitGroup
 
-	mutex sync.Mutex // guards what follows
+	mutex sync.Mutex // guards the fields below
 	links map[Peer]*link
-	held  []Held // of executors that were greeted for the first time, until they are taken
+	held  []Held // runs found at executors on their first stream, until TakeHeld
 }
 
-// New returns a fleet without streams; Run opens them.
+// New returns a Fleet without streams; Run opens them. It returns trace.BadParameter if Peers is missing.
 func New(config Config) (*Fleet, error) {
 	if config.Peers == nil {
-		return nil, trace.BadParameter("a fleet needs its peers")
+		return nil, trace.BadParameter("executorclient: Config.Peers is required")
 	}
 	if config.Dial == nil {
-		dialer := net.Dialer{Timeout: dialTime}
+		dialer := net.Dialer{Timeout: dialTimeout}
 		config.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
@@ -94,15 +99,15 @@
 	return &Fleet{config: config, links: map[Peer]*link{}}, nil
 }
 
-// Run keeps a stream to each executor until ctx ends.
+// Run keeps a stream open to each executor until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
-	f.follow(ctx)
-	pause.Every(ctx, followInterval, f.follow)
+	f.updateLinks(ctx)
+	pause.Every(ctx, membersInterval, f.updateLinks)
 	f.routines.Wait()
 }
 
-// follow opens links to new executors and closes those to executors that are no more.
-func (f *Fleet) follow(ctx context.Context) {
+// updateLinks opens links to new executors and closes those to executors that have left the membership.
+func (f *Fleet) updateLinks(ctx context.Context) {
 	peers := f.config.Peers()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -123,45 +128,46 @@
 	}
 }
 
-// Surveyed tells whether each executor has told what it holds, or could not be reached.
+// Surveyed reports whether each current executor has either listed the runs that it holds or could not be reached.
 func (f *Fleet) Surveyed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, peer := range f.config.Peers() {
-		if open := f.links[peer]; open == nil || !open.tried.Load() {
+		if open := f.links[peer]; open == nil || !open.surveyed.Load() {
 			return false
 		}
 	}
 	return true
 }
 
-// Usable returns how many executors take runs now.
+// Usable returns the number of executors that accept new runs now.
 func (f *Fleet) Usable() (count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, open := range f.links {
-		if open.usable() {
+		if open.isUsable() {
 			count++
 		}
 	}
 	return count
 }
 
-// Held is a run that an executor holds and this leader has not ordered.
+// Held is a run that an executor holds and that an earlier leader ordered.
 type Held struct {
 	*wire.HeldRun
 	link *link
 }
 
-// Executor is the process that holds the run.
+// Executor returns the executor that holds the run.
 func (h Held) Executor() *Executor { return &Executor{link: h.link} }
 
-// Stop ends the run.
+// Stop has the executor stop the run. It does not wait for it.
 func (h Held) Stop() {
 	h.link.order(stopOrder(h.GetKey(), orderOf(h.HeldRun)))
 }
 
-// TakeHeld returns the runs that executors were found to hold since the last call, the newest order of each item first.
+// TakeHeld returns the runs found at executors since the last call. Of several runs of one item, those in progress or
+// complete come before those that broke off, and newer orders before older ones.
 func (f *Fleet) TakeHeld() []Held {
 	f.mutex.Lock()
 	held := f.held
@@ -171,7 +177,8 @@
 	return held
 }
 
-// compare orders runs of one item: a run that goes on or is whole before one that broke off, and then the newer order.
+// compare returns a positive number if h is to be preferred to other, another run of the same item: a run in progress
+// or complete is preferred to one that broke off, and then the newer order.
 func (h Held) compare(other Held) int {
 	rank := func(held Held) int {
 		if held.GetEnded() && !held.GetWhole() {
@@ -183,50 +190,53 @@
 	case rank(h) != rank(other):
 		return rank(h) - rank(other)
 	case h.GetTerm() != other.GetTerm():
-		return order(h.GetTerm(), other.GetTerm())
+		return compareUnequal(h.GetTerm(), other.GetTerm())
 	}
-	return order(h.GetNumber(), other.GetNumber())
+	return compareUnequal(h.GetNumber(), other.GetNumber())
 }
 
-func order(a, b uint64) int {
+// compareUnequal compares two different numbers: -1 if a is less than b, else 1.
+func compareUnequal(a, b uint64) int {
 	if a < b {
 		return -1
 	}
 	return 1
 }
 
-func (f *Fleet) found(held []Held) {
+// addHeld adds runs for TakeHeld.
+func (f *Fleet) addHeld(held []Held) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.held = append(f.held, held...)
 }
 
-// hello is the first order of a new stream.
+// hello returns the first order of a new stream. Each call assigns a new number.
 func (f *Fleet) hello() *wire.RunHello {
 	return &wire.RunHello{Term: f.config.Term, Leader: f.config.Leader, Number: f.config.Numbers.Add(1), Protocol: executor.Protocol}
 }
 
-// Executor is an executor that takes runs.
+// Executor is a handle to an executor to which runs can be ordered.
 type Executor struct{ link *link }
 
-// Name is the process's.
+// Name returns the name of the executor in the membership.
 func (e *Executor) Name() string { return e.link.peer.Name }
 
-// Heard is when the executor reported last, on the fleet's clock. A run of which it said nothing until then was silent until then; what
-// it did since is not known.
+// Heard returns the time of the executor's last report, by the fleet's clock; 0 if there was none. The state of a run
+// is known only up to that time: a run without progress by then had made none, and what it did since is unknown.
 func (e *Executor) Heard() time.Duration {
 	e.link.mutex.Lock()
 	defer e.link.mutex.Unlock()
-	return e.link.heard
+	return e.link.lastReportAt
 }
 
-// For returns the executor of a run at a replica, as choose says; nil where there is none: the caller drives the run itself.
+// For returns the executor that is to drive a run at the given replica; see choose. It returns nil if there is none,
+// and the caller then drives the run itself.
 func (f *Fleet) For(zone, instance string) *Executor {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	usable := make([]Peer, 0, len(f.links))
 	for peer, open := range f.links {
-		if open.usable() {
+		if open.isUsable() {
 			usable = append(usable, peer)
 		}
 	}
--- a/internal/executorclient/fleet_test.go
+++ b/internal/executorclient/fleet_test.go
@@ -12,64 +12,66 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestAnswersComeThroughExecutors: what a leader gets is what the replica sent, with its head and its end.
+// TestAnswersComeThroughExecutors: the leader must receive exactly the head, body and end that the replica sent, also
+// from compressed reports.
 func TestAnswersComeThroughExecutors(t *testing.T) {
 	p := startProcess(t, "e1")
 	run := startLeader(t, 1, p).start(t)
 	before := monotonic.Now()
 	p.replica.parts <- "one "
 	until(t, "the first part", func() bool { return run.sink.text() == "one " })
-	for range 2000 { // a report that is packed
+	for range 2000 { // enough for a compressed report
 		p.replica.parts <- "many "
 	}
 	close(p.replica.parts)
 	outcome := run.end(t)
 	if !outcome.Whole || outcome.Status != 200 || outcome.Err != nil || outcome.Verdict != verdict.Ran {
-		t.Errorf("%+v", outcome)
+		t.Errorf("outcome %+v, want a complete answer with status 200", outcome)
 	}
 	if want := "one " + strings.Repeat("many ", 2000); run.sink.text() != want {
-		t.Errorf("%d bytes, want %d", len(run.sink.text()), len(want))
+		t.Errorf("body of %d bytes, want %d", len(run.sink.text()), len(want))
 	}
 	if head := run.sink.head; head.Status != 200 || !head.Stream || head.Versions != 7 {
-		t.Errorf("head %+v", head)
+		t.Errorf("head %+v, want status 200, stream, version 7", head)
 	}
 	if run.sink.came < before || run.sink.came > monotonic.Now() {
-		t.Errorf("the last part came at %v, between %v and now", run.sink.came, before)
+		t.Errorf("the last part was received at %v, want a time between %v and now", run.sink.came, before)
 	}
 	call := p.replica.calls[0]
 	if call.Instance != "r1" || call.AttemptID != "item" || string(call.Body) != "prompt" || call.Urgency != 6 || call.ResumeAfter != -1 {
-		t.Errorf("%+v", call)
+		t.Errorf("call %+v, want the order of the run", call)
 	}
 }
 
-// TestRunsOutliveTheirLeader loses the leader in the middle of an answer: the replica is not asked again, and the next leader gets the
-// answer from its beginning to its end.
+// TestRunsOutliveTheirLeader loses the leader in the middle of an answer. The replica must not be called again, and the
+// next leader must get the whole answer from its beginning.
 func TestRunsOutliveTheirLeader(t *testing.T) {
 	p := startProcess(t, "e1")
 	former := startLeader(t, 1, p)
 	run := former.start(t)
 	p.replica.parts <- "one "
 	until(t, "the first part", func() bool { return run.sink.text() == "one " })
-	run.cancel(nil) // the leader's work is over; nobody has ended the run
+	run.cancel(nil) // the leader's term is over; no ErrStop, so that the run continues
 	former.stop()
 	p.replica.parts <- "two "
 	next := startLeader(t, 2, p)
 	held := next.TakeHeld()
 	if len(held) != 1 || held[0].GetTerm() != 1 || held[0].GetEnded() || held[0].Executor().Name() != "e1" {
-		t.Fatalf("held %+v", held)
+		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
 	p.replica.parts <- "three"
 	close(p.replica.parts)
 	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "one two three" {
-		t.Errorf("%+v, %q", outcome, taken.sink.text())
+		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 	if p.replica.begun() != 1 {
-		t.Errorf("the item ran %d times", p.replica.begun())
+		t.Errorf("the item ran %d times, want 1", p.replica.begun())
 	}
 }
 
-// TestAnswersThatEndWithoutALeaderAreKept: the run ends while nobody follows it.
+// TestAnswersThatEndWithoutALeaderAreKept: the run ends while no leader follows it. The next leader must get the
+// complete answer.
 func TestAnswersThatEndWithoutALeaderAreKept(t *testing.T) {
 	p := startProcess(t, "e1")
 	former := startLeader(t, 1, p)
@@ -83,15 +85,15 @@
 	until(t, "the end at the executor", func() bool { return p.server.Running() == 0 })
 	held := startLeader(t, 2, p).TakeHeld()
 	if len(held) != 1 || !held[0].GetEnded() || !held[0].GetWhole() {
-		t.Fatalf("held %+v", held)
+		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
 	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "all" {
-		t.Errorf("%+v, %q", outcome, taken.sink.text())
+		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 }
 
-// TestFormerLeadersAreNotObeyed: a leader that comes back after the next one has greeted can neither begin nor end anything.
+// TestFormerLeadersAreNotObeyed: a leader that acts after the next one has connected must neither start nor stop a run.
 func TestFormerLeadersAreNotObeyed(t *testing.T) {
 	p := startProcess(t, "e1")
 	former := startLeader(t, 1, p)
@@ -101,30 +103,30 @@
 	next := startLeader(t, 2, p)
 	held := next.TakeHeld()
 	if len(held) != 1 {
-		t.Fatalf("held %+v", held)
+		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
 	if chosen := former.For("a", "r1"); chosen != nil {
 		other := startOrder()
 		other.Key.Item = "other"
-		if outcome := chosen.Do(context.Background(), other, &collected{}); outcome.Verdict != verdict.DidNotRun || outcome.Err == nil {
-			t.Errorf("the former leader began a run: %+v", outcome)
+		if outcome := chosen.Do(context.Background(), other, &collectingSink{}); outcome.Verdict != verdict.DidNotRun || outcome.Err == nil {
+			t.Errorf("the former leader started a run: %+v", outcome)
 		}
 	}
-	run.cancel(ErrStop) // the former leader ends it
+	run.cancel(ErrStop) // the former leader stops the run
 	run.end(t)
 	p.replica.parts <- "two"
 	close(p.replica.parts)
 	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "one two" {
-		t.Errorf("%+v, %q", outcome, taken.sink.text())
+		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 	if p.replica.begun() != 1 {
-		t.Errorf("%d runs began", p.replica.begun())
+		t.Errorf("%d runs started, want 1", p.replica.begun())
 	}
 }
 
-// TestEndedRunsEndAtTheReplica: a run that its leader ends is over at the replica when Do returns.
-func TestEndedRunsEndAtTheReplica(t *testing.T) {
+// TestStoppedRunsEndAtTheReplica: a run stopped by its leader must have ended at the replica when Do returns.
+func TestStoppedRunsEndAtTheReplica(t *testing.T) {
 	p := startProcess(t, "e1")
 	run := startLeader(t, 1, p).start(t)
 	p.replica.parts <- "one "
@@ -134,15 +136,15 @@
 	select {
 	case err := <-p.replica.ended:
 		if err == nil {
-			t.Error("the run ended well")
+			t.Error("the run ended without an error, want that it was stopped")
 		}
 	default:
-		t.Error("the run goes on at the replica")
+		t.Error("the run is still in progress at the replica")
 	}
 }
 
-// TestResetStreamsAreOpenedAgain: a connection that is reset costs nothing of the runs on it.
-func TestResetStreamsAreOpenedAgain(t *testing.T) {
+// TestResetStreamsAreReopened: the reset of a connection must not lose or repeat any part of the runs on it.
+func TestResetStreamsAreReopened(t *testing.T) {
 	p := startProcess(t, "e1")
 	run := startLeader(t, 1, p).start(t)
 	p.replica.parts <- "one "
@@ -152,12 +154,13 @@
 	until(t, "the second part", func() bool { return run.sink.text() == "one two " })
 	close(p.replica.parts)
 	if outcome := run.end(t); !outcome.Whole || run.sink.text() != "one two " || p.replica.begun() != 1 {
-		t.Errorf("%+v, %q, %d runs", outcome, run.sink.text(), p.replica.begun())
+		t.Errorf("outcome %+v, body %q, %d runs, want a complete answer of one run", outcome, run.sink.text(), p.replica.begun())
 	}
 }
 
-// TestLostExecutorsGiveTheirRunsBack: a leader that can't reach an executor gives its runs up, and ends them when it is back.
-func TestLostExecutorsGiveTheirRunsBack(t *testing.T) {
+// TestRunsOfLostExecutorsAreGivenUp: a leader that can't reach an executor must give up its runs there, and stop them
+// once the executor is back, without treating them as those of an earlier leader.
+func TestRunsOfLostExecutorsAreGivenUp(t *testing.T) {
 	p := startProcess(t, "e1")
 	lead := startLeader(t, 1, p)
 	run := lead.start(t)
@@ -165,55 +168,57 @@
 	until(t, "the first part", func() bool { return run.sink.text() == "one " })
 	p.reset(true)
 	if outcome := run.end(t); !errors.Is(outcome.Err, ErrLost) || outcome.Verdict == verdict.DidNotRun {
-		t.Errorf("%+v", outcome)
+		t.Errorf("outcome %+v, want ErrLost and not did-not-run", outcome)
 	}
 	if lead.For("a", "r1") != nil {
-		t.Error("a lost executor is chosen")
+		t.Error("a lost executor was chosen for a run")
 	}
 	p.reset(false)
 	select {
 	case <-p.replica.ended:
-	case <-time.After(testPatience):
-		t.Fatal("the run that was given up goes on")
+	case <-time.After(testTimeout):
+		t.Fatal("the run that was given up was not stopped")
 	}
 	if held := lead.TakeHeld(); len(held) != 0 {
-		t.Errorf("the leader's own run counts as an earlier one's: %+v", held)
+		t.Errorf("the leader's own run is listed as an earlier leader's: %+v", held)
 	}
 }
 
-// TestRunsThatAreNotAdmitted: the executor's own table or lease goes before the leader's, and the executor rests then.
+// TestRunsThatAreNotAdmitted: if the executor's own table or lease does not permit a run, it must not be sent to the
+// replica, and the executor must get no further runs for a while.
 func TestRunsThatAreNotAdmitted(t *testing.T) {
 	p := startProcess(t, "e1")
 	p.admitted = false
 	lead := startLeader(t, 1, p)
 	run := lead.start(t)
 	if outcome := run.end(t); !errors.Is(outcome.Err, executor.ErrNotAdmitted) || outcome.Verdict != verdict.DidNotRun {
-		t.Errorf("%+v", outcome)
+		t.Errorf("outcome %+v, want ErrNotAdmitted and did-not-run", outcome)
 	}
 	if lead.For("a", "r1") != nil {
-		t.Error("an executor that admits nothing is chosen at once again")
+		t.Error("an executor that did not permit a run was chosen again at once")
 	}
 	if p.replica.begun() != 0 {
-		t.Error("the run was sent")
+		t.Error("the run was sent to the replica")
 	}
 }
 
-// TestWhereRunsAreDriven: in the replica's zone, by an executor that takes more.
-func TestWhereRunsAreDriven(t *testing.T) {
+// TestRunsAreDrivenInTheZoneOfTheReplica: runs must go to an executor in the zone of the replica, and to none that is
+// draining. A run in progress must survive the start of the draining.
+func TestRunsAreDrivenInTheZoneOfTheReplica(t *testing.T) {
 	p := startProcess(t, "e1")
 	lead := startLeader(t, 1, p)
 	if lead.For("b", "r1") != nil {
-		t.Error("an executor of another zone is chosen")
+		t.Error("an executor of another zone was chosen")
 	}
 	if count := lead.Usable(); count != 1 {
-		t.Errorf("%d executors take runs, want 1", count)
+		t.Errorf("%d usable executors, want 1", count)
 	}
 	run := lead.start(t)
 	until(t, "the run", func() bool { return p.replica.begun() == 1 })
 	p.server.Leave()
-	until(t, "word that it leaves", func() bool { return lead.For("a", "r1") == nil && lead.Usable() == 0 })
+	until(t, "the report that the executor is draining", func() bool { return lead.For("a", "r1") == nil && lead.Usable() == 0 })
 	close(p.replica.parts)
 	if outcome := run.end(t); !outcome.Whole {
-		t.Errorf("the run ended with its executor's leave: %+v", outcome)
+		t.Errorf("outcome %+v of a run at a draining executor, want a complete answer", outcome)
 	}
 }
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -19,19 +19,21 @@
 )
 
 const (
-	// dialTime bounds the opening of a connection: executors are in the leader's region.
-	dialTime = 300 * time.Millisecond
-	// silence is the time without a report after which an executor counts as lost: it reports each 0.6 s at least, and a process
-	// with a seventh of a core may be late by some of that.
-	silence = 1500 * time.Millisecond
-	// lateAfter is the time without a report after which an executor gets no new runs: it reports each 0.6 s at least, and one that is
-	// late by another 0.2 s may be frozen.
+	// dialTimeout limits opening a connection and the exchange of hello and welcome. Executors are in the leader's
+	// region.
+	dialTimeout = 300 * time.Millisecond
+	// silenceTimeout is the time without a report after which an executor counts as lost. Executors report at least
+	// every 0.6 s, and a process with a seventh of a core may be late by a part of that interval.
+	silenceTimeout = 1500 * time.Millisecond
+	// lateAfter is the time without a report after which an executor gets no new runs. Executors report at least every
+	// 0.6 s, and one that is 0.2 s late may be frozen.
 	lateAfter = 800 * time.Millisecond
-	// restTime is how long an executor whose table or lease did not permit a run gets none: it is behind, and would refuse the next one too.
-	restTime = 300 * time.Millisecond
-	// orderQueue is the number of orders that may wait for an executor.
-	orderQueue = 1024
-	// maximumMessageBytes bounds one message of a stream.
+	// notPermittedPause is the time for which an executor gets no runs after its routing table or lease did not permit
+	// one. Its copy is behind, so that it would refuse the next run too.
+	notPermittedPause = 300 * time.Millisecond
+	// maxQueuedOrders limits the orders that wait to be sent to one executor.
+	maxQueuedOrders = 1024
+	// maximumMessageBytes limits the size of one message on a stream.
 	maximumMessageBytes = 64 << 20
 )
 
@@ -41,44 +43,44 @@
 	errSilent   = errors.New("executorclient: the executor says nothing")
 )
 
-// link is the stream to one executor, opened again when it breaks off.
+// link maintains the stream to one executor and reopens it when it breaks.
 type link struct {
-	fleet  *Fleet
-	peer   Peer
-	cancel context.CancelFunc
-	orders chan *wire.RunOrder
-	tried  atomic.Bool // it was greeted, or could not be reached
+	fleet    *Fleet
+	peer     Peer
+	cancel   context.CancelFunc
+	orders   chan *wire.RunOrder
+	surveyed atomic.Bool // the executor has sent its welcome or could not be reached
 
-	mutex   sync.Mutex // guards what follows
-	open    bool
-	leaving bool
-	greeted bool          // at least once
-	heard   time.Duration // when it reported last
-	alive   time.Duration // when it reported or greeted last
-	restsTo time.Duration // takes no runs before: its table or lease is behind
-	runs    map[executor.Key]*following
+	mutex        sync.Mutex // guards the fields below
+	open         bool
+	leaving      bool          // the executor is draining
+	greeted      bool          // a stream was accepted at least once
+	lastReportAt time.Duration // time of the last report; 0: none yet
+	lastSeenAt   time.Duration // time of the last report or welcome
+	pausedUntil  time.Duration // the executor gets no runs before this time: its table or lease is behind
+	runs         map[executor.Key]*followedRun
 }
 
 func newLink(fleet *Fleet, peer Peer, cancel context.CancelFunc) *link {
-	return &link{fleet: fleet, peer: peer, cancel: cancel, orders: make(chan *wire.RunOrder, orderQueue), runs: map[executor.Key]*following{}}
+	return &link{fleet: fleet, peer: peer, cancel: cancel, orders: make(chan *wire.RunOrder, maxQueuedOrders), runs: map[executor.Key]*followedRun{}}
 }
 
-// usable tells whether the executor takes runs.
-func (l *link) usable() bool {
+// isUsable reports whether the executor may be given new runs.
+func (l *link) isUsable() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.fleet.config.Clock()
-	return l.open && !l.leaving && now >= l.restsTo && now-l.alive <= lateAfter
+	return l.open && !l.leaving && now >= l.pausedUntil && now-l.lastSeenAt <= lateAfter
 }
 
-// order sends an order; false when the stream is not open or can't take it.
+// order queues an order for the executor. It returns false if the stream is not open or the queue is full.
 func (l *link) order(order *wire.RunOrder) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.open && l.enqueue(order)
 }
 
-// enqueue hands an order to the stream's writer; false when too many wait.
+// enqueue queues an order for the writer of the stream. It returns false if the queue is full.
 func (l *link) enqueue(order *wire.RunOrder) bool {
 	select {
 	case l.orders <- order:
@@ -88,9 +90,10 @@
 	}
 }
 
-// greet opens a stream and returns what the executor holds.
-func (l *link) greet(ctx context.Context) (wire.DRPCExecutor_DriveClient, *drpcconn.Conn, *wire.RunWelcome, error) {
-	dialing, cancel := context.WithTimeout(ctx, dialTime)
+// openStream connects to the executor, sends the hello and returns the stream with the welcome, which lists the held
+// runs. It returns an error if the executor rejects the stream.
+func (l *link) openStream(ctx context.Context) (wire.DRPCExecutor_DriveClient, *drpcconn.Conn, *wire.RunWelcome, error) {
+	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	transport, err := l.fleet.config.Dial(dialing, l.peer.Address)
 	if err != nil {
@@ -125,7 +128,7 @@
 	return stream, conn, report.GetWelcome(), nil
 }
 
-// checkWelcome tells why an executor is not followed.
+// checkWelcome returns an error if the executor rejected the stream or speaks another protocol.
 func checkWelcome(welcome *wire.RunWelcome) error {
 	switch {
 	case welcome.GetProtocol() != executor.Protocol:
@@ -136,13 +139,14 @@
 	return nil
 }
 
-// follow sends orders and takes reports until the stream breaks off or ctx ends. It tells whether a report came, and why it ended.
-func (l *link) follow(
+// followStream sends orders and processes reports until the stream breaks or ctx ends. It returns whether a report was
+// received, and why the stream ended.
+func (l *link) followStream(
 	ctx context.Context, stream wire.DRPCExecutor_DriveClient, conn *drpcconn.Conn, welcome *wire.RunWelcome,
 ) (reported bool, cause error) {
 	limited, cancel := context.WithCancelCause(ctx)
-	l.welcomed(welcome)
-	l.tried.Store(true)
+	l.reconcile(welcome)
+	l.surveyed.Store(true)
 	heard := make(chan struct{}, 1)
 	var routines sync.WaitGroup
 	routines.Go(func() {
@@ -151,7 +155,7 @@
 		cancel(err)
 	})
 	routines.Go(func() { cancel(l.write(limited, stream)) })
-	routines.Go(func() { cancel(watch(limited, heard)) })
+	routines.Go(func() { cancel(awaitSilence(limited, heard)) })
 	<-limited.Done()
 	l.mutex.Lock()
 	l.open = false
@@ -162,23 +166,23 @@
 	return reported, context.Cause(limited)
 }
 
-// watch returns once nothing was heard for too long, or ctx has ended.
-func watch(ctx context.Context, heard <-chan struct{}) error {
-	timer := time.NewTimer(silence)
+// awaitSilence returns errSilent after silenceTimeout without a value on heard, or the error of ctx once that ends.
+func awaitSilence(ctx context.Context, heard <-chan struct{}) error {
+	timer := time.NewTimer(silenceTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-heard:
-			timer.Reset(silence)
+			timer.Reset(silenceTimeout)
 		case <-timer.C:
 			return errSilent
 		}
 	}
 }
 
-// read takes reports until the stream breaks off, and tells whether one came.
+// read processes reports until the stream breaks, and returns whether at least one was received.
 func (l *link) read(stream wire.DRPCExecutor_DriveClient, heard chan<- struct{}) (reported bool, err error) {
 	for {
 		packed, err := stream.Recv()
@@ -193,11 +197,12 @@
 		if err != nil {
 			return reported, err
 		}
-		l.take(report)
+		l.applyReport(report)
 		reported = true
 	}
 }
 
+// write sends queued orders until ctx ends or the stream breaks.
 func (l *link) write(ctx context.Context, stream wire.DRPCExecutor_DriveClient) error {
 	for {
 		select {
@@ -211,7 +216,8 @@
 	}
 }
 
-// dropOrders forgets what was not sent on a stream that is over: its runs are attached again, or given up.
+// dropOrders discards the unsent orders of a stream that has ended. The runs that they are about are attached again or
+// given up.
 func (l *link) dropOrders() {
 	for {
 		select {
@@ -222,15 +228,16 @@
 	}
 }
 
-// welcomed compares what the executor holds with what this leader follows there. Runs of both go on where they were; what only the
-// leader knows is lost; what only the executor knows was left by an earlier leader when it is greeted for the first time, and by this one
-// afterwards, which has given it up.
-func (l *link) welcomed(welcome *wire.RunWelcome) {
+// reconcile compares the runs that the executor holds with those followed there. Runs known to both continue from the
+// received position. Runs that only the leader knows are lost. Runs that only the executor knows were started by an
+// earlier leader if this is the first stream, and are kept for TakeHeld. On a later stream this leader itself has given
+// them up, and they are stopped.
+func (l *link) reconcile(welcome *wire.RunWelcome) {
 	l.mutex.Lock()
-	l.open, l.alive = true, l.fleet.config.Clock()
+	l.open, l.lastSeenAt = true, l.fleet.config.Clock()
 	first := !l.greeted
 	l.greeted = true
-	held := map[*following]bool{}
+	held := map[*followedRun]bool{}
 	var unknown []Held
 	for _, one := range welcome.GetRuns() {
 		if followed := l.runs[keyOf(one.GetKey())]; followed != nil && followed.order == orderOf(one) {
@@ -240,7 +247,7 @@
 		}
 		unknown = append(unknown, Held{HeldRun: one, link: l})
 	}
-	var missing []*following
+	var missing []*followedRun
 	for _, followed := range l.runs {
 		if !held[followed] {
 			missing = append(missing, followed)
@@ -251,7 +258,7 @@
 		followed.lose(ErrLost)
 	}
 	if first {
-		l.fleet.found(unknown)
+		l.fleet.addHeld(unknown)
 		return
 	}
 	for _, one := range unknown {
@@ -259,44 +266,46 @@
 	}
 }
 
-// take hands what a report tells to its runs.
-func (l *link) take(report *wire.RunReport) {
+// applyReport passes the contents of a report to the followed runs.
+func (l *link) applyReport(report *wire.RunReport) {
 	now := l.fleet.config.Clock()
-	defer l.noteHeard(now) // after what it tells: a run must not look silent up to now before
+	defer l.markReported(now) // last: otherwise Heard would make a run look silent up to now
 	l.mutex.Lock()
 	l.leaving = report.GetLeaving()
 	l.mutex.Unlock()
 	for _, progress := range report.GetProgress() {
-		if followed := l.following(progress.GetKey(), progress.GetOrder()); followed != nil {
-			followed.progressed(progress, now)
+		if followed := l.lookup(progress.GetKey(), progress.GetOrder()); followed != nil {
+			followed.queueProgress(progress, now)
 		}
 	}
 	for _, ended := range report.GetEnded() {
-		followed := l.following(ended.GetKey(), ended.GetOrder())
+		followed := l.lookup(ended.GetKey(), ended.GetOrder())
 		if followed == nil {
 			continue
 		}
 		if executor.RefusalOf(ended) == executor.NotPermitted {
-			l.rest(now)
+			l.pauseRuns(now)
 		}
-		followed.end(ended)
+		followed.finishWith(ended)
 	}
 }
 
-func (l *link) noteHeard(now time.Duration) {
+// markReported records the time of a report.
+func (l *link) markReported(now time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.heard, l.alive = now, now
+	l.lastReportAt, l.lastSeenAt = now, now
 }
 
-func (l *link) rest(now time.Duration) {
+// pauseRuns keeps new runs away from the executor for notPermittedPause.
+func (l *link) pauseRuns(now time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.restsTo = now + restTime
+	l.pausedUntil = now + notPermittedPause
 }
 
-// following returns the run that an order began, if it is followed still. What tells of another one is counted.
-func (l *link) following(key *wire.RunKey, order *wire.OrderID) *following {
+// lookup returns the followed run that order started. For any other run it returns nil and counts an ignored report.
+func (l *link) lookup(key *wire.RunKey, order *wire.OrderID) *followedRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	followed := l.runs[keyOf(key)]
@@ -307,8 +316,9 @@
 	return followed
 }
 
-// endAll gives all runs up and returns how many there were.
-func (l *link) endAll(cause error) int {
+// loseAll ends all followed runs on this side with the given cause and returns their number. They may continue at the
+// executor.
+func (l *link) loseAll(cause error) int {
 	l.mutex.Lock()
 	followed := slices.Collect(maps.Values(l.runs))
 	l.mutex.Unlock()
--- a/internal/executorclient/link_test.go
+++ b/internal/executorclient/link_test.go
@@ -9,10 +9,10 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// testLink is an open link of a leader of term 3 that is connected to nothing: the test plays the executor.
+// testLink is an open link of a leader of term 3 without a connection: the test plays the executor.
 type testLink struct {
 	*link
-	ignored int // reports
+	ignored int // ignored reports
 }
 
 func newTestLink(t *testing.T) *testLink {
@@ -23,14 +23,14 @@
 		t.Fatal(err)
 	}
 	made.link = newLink(fleet, Peer{Name: "e1"}, func() {})
-	made.welcomed(&wire.RunWelcome{Accepted: true})
+	made.reconcile(&wire.RunWelcome{Accepted: true})
 	return made
 }
 
-// begin orders a run of the usual item.
-func (l *testLink) begin(t *testing.T, number uint64) *following {
+// begin orders the run that the tests use.
+func (l *testLink) begin(t *testing.T, number uint64) *followedRun {
 	t.Helper()
-	run := newFollowing(executor.Order{Term: 3, Number: number})
+	run := newFollowedRun(executor.Order{Term: 3, Number: number})
 	start := startOrder()
 	start.Number = number
 	if !l.link.begin(start.GetKey(), run, &wire.RunOrder{Kind: &wire.RunOrder_Start{Start: start}}) {
@@ -39,7 +39,7 @@
 	return run
 }
 
-// reportOf tells of a part of the answer that an order's run made, and of its end.
+// reportOf returns a report with a part of the answer of the run that order started, and with its end.
 func reportOf(order executor.Order, data string) *wire.RunReport {
 	key := startOrder().GetKey()
 	return &wire.RunReport{
@@ -48,48 +48,50 @@
 	}
 }
 
-// TestReportsMeanOneRun: the link was frozen, the item runs again, and what was said of its former run arrives: it reaches nobody.
-func TestReportsMeanOneRun(t *testing.T) {
+// TestReportsReachOnlyTheirRun: the link was frozen, the item runs again, and reports about its former run arrive late.
+// They must not reach the new run.
+func TestReportsReachOnlyTheirRun(t *testing.T) {
 	l := newTestLink(t)
 	former := l.begin(t, 1)
-	l.leave(keyOf(startOrder().GetKey()), former)
+	l.unfollow(keyOf(startOrder().GetKey()), former)
 	run := l.begin(t, 2)
 	for _, other := range []executor.Order{former.order, {Term: 2, Number: 2}, {}} {
-		l.take(reportOf(other, "former "))
+		l.applyReport(reportOf(other, "former "))
 	}
-	if pieces, outcome := run.take(); len(pieces) > 0 || outcome != nil {
-		t.Errorf("the run got %v and %v of another one", pieces, outcome)
+	if pieces, outcome := run.takeQueued(); len(pieces) > 0 || outcome != nil {
+		t.Errorf("the run received %v and %v of other runs", pieces, outcome)
 	}
 	if l.ignored != 6 {
-		t.Errorf("%d reports were counted as ignored, want 6", l.ignored)
+		t.Errorf("%d reports counted as ignored, want 6", l.ignored)
 	}
-	l.take(reportOf(run.order, "own"))
-	if pieces, outcome := run.take(); len(pieces) != 1 || string(pieces[0].data) != "own" || outcome == nil || !outcome.Whole {
-		t.Errorf("the run's own report: %v, %v", pieces, outcome)
+	l.applyReport(reportOf(run.order, "own"))
+	if pieces, outcome := run.takeQueued(); len(pieces) != 1 || string(pieces[0].data) != "own" || outcome == nil || !outcome.Whole {
+		t.Errorf("the run received %v, %v, want its own report", pieces, outcome)
 	}
 }
 
-// TestHeldRunsOfOtherOrders: a stream that comes back holds a run of the item that another order began. It is ended, and the run that
-// was followed is lost, not waited for.
+// TestHeldRunsOfOtherOrders: after a reconnect the executor holds a run of the item that another order started. That
+// run must be stopped, and the followed run must end as lost instead of waiting for reports.
 func TestHeldRunsOfOtherOrders(t *testing.T) {
 	l := newTestLink(t)
 	run := l.begin(t, 2)
 	<-l.orders
-	l.welcomed(&wire.RunWelcome{Accepted: true, Runs: []*wire.HeldRun{{Key: startOrder().GetKey(), Term: 3, Number: 1}}})
-	if _, outcome := run.take(); outcome == nil || !errors.Is(outcome.Err, ErrLost) {
-		t.Errorf("outcome %v, want a lost run", outcome)
+	l.reconcile(&wire.RunWelcome{Accepted: true, Runs: []*wire.HeldRun{{Key: startOrder().GetKey(), Term: 3, Number: 1}}})
+	if _, outcome := run.takeQueued(); outcome == nil || !errors.Is(outcome.Err, ErrLost) {
+		t.Errorf("outcome %v, want ErrLost", outcome)
 	}
 	select {
 	case order := <-l.orders:
 		if executor.OrderOf(order.GetStop().GetOrder()) != (executor.Order{Term: 3, Number: 1}) {
-			t.Errorf("ordered %v", order)
+			t.Errorf("order %v, want a stop of order 1", order)
 		}
 	default:
-		t.Error("the run that nobody asks for was not stopped")
+		t.Error("the run of the other order was not stopped")
 	}
 }
 
-// TestProtocolsAreNotMixed: an executor of a build that names no orders in its reports gets no runs.
+// TestProtocolsAreNotMixed: an executor of another protocol version must get no runs; in version 1, reports do not name
+// their order.
 func TestProtocolsAreNotMixed(t *testing.T) {
 	for _, one := range []struct {
 		welcome *wire.RunWelcome
@@ -101,65 +103,67 @@
 		{&wire.RunWelcome{Accepted: true, Protocol: executor.Protocol}, nil},
 	} {
 		if err := checkWelcome(one.welcome); !errors.Is(err, one.want) {
-			t.Errorf("%v: %v, want %v", one.welcome, err, one.want)
+			t.Errorf("welcome %v: %v, want %v", one.welcome, err, one.want)
 		}
 	}
 }
 
-// TestSilentExecutorsAreKnownAsSuch: what a leader knows of a run ends with the executor's last report, whatever time has passed since.
-func TestSilentExecutorsAreKnownAsSuch(t *testing.T) {
+// TestHeardIsTheLastReport: what a leader knows of a run ends with the executor's last report, however much time has
+// passed since. Heard must not advance without a report.
+func TestHeardIsTheLastReport(t *testing.T) {
 	l := newTestLink(t)
 	now := 10 * time.Second
 	l.fleet.config.Clock = func() time.Duration { return now }
 	run := l.begin(t, 1)
 	at := &Executor{link: l.link}
 	if heard := at.Heard(); heard != 0 {
-		t.Errorf("heard at %v before the first report", heard)
+		t.Errorf("heard at %v before the first report, want 0", heard)
 	}
-	l.take(&wire.RunReport{})
+	l.applyReport(&wire.RunReport{})
 	now += time.Second
 	if heard := at.Heard(); heard != 10*time.Second {
-		t.Errorf("heard at %v", heard)
+		t.Errorf("heard at %v, want 10s", heard)
 	}
-	l.endAll(ErrLost)
-	if _, outcome := run.take(); outcome == nil || !errors.Is(outcome.Err, ErrLost) {
-		t.Errorf("outcome %v", outcome)
+	l.loseAll(ErrLost)
+	if _, outcome := run.takeQueued(); outcome == nil || !errors.Is(outcome.Err, ErrLost) {
+		t.Errorf("outcome %v, want ErrLost", outcome)
 	}
 }
 
-// TestLoadReportsReachTheLeader: what a replica says of its load comes with the time when it said so, not when the link brought it.
+// TestLoadReportsReachTheLeader: the load report of a replica must be delivered with the time at which the executor
+// received it, not the time at which the link delivered it.
 func TestLoadReportsReachTheLeader(t *testing.T) {
 	l := newTestLink(t)
 	l.fleet.config.Clock = func() time.Duration { return 10 * time.Second }
 	run := l.begin(t, 1)
 	head := &wire.RunHead{Status: 200, Load: &wire.RunLoad{Running: 3, Slots: 4, Pace: 2.5, AgeMicros: 400_000}}
-	l.take(&wire.RunReport{Progress: []*wire.RunProgress{{Key: startOrder().GetKey(), Order: executor.WireOrder(run.order), Head: head}}})
-	pieces, _ := run.take()
-	sink := &collected{}
-	if err := pass(pieces, sink); err != nil {
+	l.applyReport(&wire.RunReport{Progress: []*wire.RunProgress{{Key: startOrder().GetKey(), Order: executor.WireOrder(run.order), Head: head}}})
+	pieces, _ := run.takeQueued()
+	sink := &collectingSink{}
+	if err := deliver(pieces, sink); err != nil {
 		t.Fatal(err)
 	}
 	if load := sink.head.Load; load == nil || load.Running != 3 || load.Slots != 4 || load.Pace != 2.5 {
-		t.Errorf("load %+v", load)
+		t.Errorf("load %+v, want 3 running, 4 slots, pace 2.5", load)
 	}
 	if sink.came != 10*time.Second-400*time.Millisecond {
-		t.Errorf("said at %v", sink.came)
+		t.Errorf("received at %v, want 9.6s", sink.came)
 	}
 }
 
-// TestLateExecutorsGetNoRuns: an executor that is late with its report may be frozen. What it follows waits for it for a while, and what
-// begins does so elsewhere.
+// TestLateExecutorsGetNoRuns: an executor whose report is late may be frozen. Runs already there wait for it for a
+// while, but new runs must go elsewhere.
 func TestLateExecutorsGetNoRuns(t *testing.T) {
 	l := newTestLink(t)
 	now := 10 * time.Second
 	l.fleet.config.Clock = func() time.Duration { return now }
-	l.welcomed(&wire.RunWelcome{Accepted: true})
+	l.reconcile(&wire.RunWelcome{Accepted: true})
 	for _, step := range []struct {
 		pass   time.Duration
 		report bool
 		usable bool
 	}{
-		{0, false, true}, // its greeting is a sign of life
+		{0, false, true}, // the welcome counts like a report
 		{lateAfter, false, true},
 		{time.Millisecond, false, false},
 		{0, true, true},
@@ -167,43 +171,44 @@
 	} {
 		now += step.pass
 		if step.report {
-			l.take(&wire.RunReport{})
+			l.applyReport(&wire.RunReport{})
 		}
-		if l.usable() != step.usable {
-			t.Errorf("at %v: usable %v", now, !step.usable)
+		if l.isUsable() != step.usable {
+			t.Errorf("at %v: usable %v, want the opposite", now, !step.usable)
 		}
 	}
 }
 
-// TestOneRefusedItemRestsNoExecutor: an executor gets no runs for a while where its table or lease is behind, as it would refuse the next one
-// too. What it refuses for one item, for want of room, or of a run that is not followed any more says nothing of the next one.
-func TestOneRefusedItemRestsNoExecutor(t *testing.T) {
+// TestOnlyNotPermittedPausesAnExecutor: an executor whose routing table or lease is behind would refuse the next run
+// too, and must get no runs for a while. A refusal that concerns one item, lack of capacity, or a run that is no longer
+// followed must not pause it.
+func TestOnlyNotPermittedPausesAnExecutor(t *testing.T) {
 	for _, one := range []struct {
 		refusal executor.Refusal
-		number  uint64 // of the order that was refused; 1 is followed
-		rests   bool
+		number  uint64 // number of the refused order; the followed run has number 1
+		paused  bool
 	}{
 		{executor.NotPermitted, 1, true},
-		{executor.Accepted, 1, true}, // of a build that does not tell
+		{executor.Accepted, 1, true}, // from an older build, which reports no reason
 		{executor.NotPermitted, 9, false},
 		{executor.Held, 1, false},
 		{executor.Full, 1, false},
 		{executor.Leaving, 1, false},
 		{executor.Superseded, 1, false},
-		{executor.NotPermitted + 1, 1, false}, // of a later build
+		{executor.NotPermitted + 1, 1, false}, // from a newer build
 	} {
 		l := newTestLink(t)
 		l.fleet.config.Clock = func() time.Duration { return 10 * time.Second }
-		l.welcomed(&wire.RunWelcome{Accepted: true})
+		l.reconcile(&wire.RunWelcome{Accepted: true})
 		run := l.begin(t, 1)
 		order := executor.WireOrder(executor.Order{Term: run.order.Term, Number: one.number})
 		ended := &wire.RunEnded{Key: startOrder().GetKey(), Order: order, NotAdmitted: true, Refusal: uint32(one.refusal)}
-		l.take(&wire.RunReport{Ended: []*wire.RunEnded{ended}})
-		if l.usable() == one.rests {
-			t.Errorf("refusal %d of order %d: rests %v", one.refusal, one.number, !one.rests)
+		l.applyReport(&wire.RunReport{Ended: []*wire.RunEnded{ended}})
+		if l.isUsable() == one.paused {
+			t.Errorf("refusal %d of order %d: paused %v, want the opposite", one.refusal, one.number, !one.paused)
 		}
-		if _, outcome := run.take(); (outcome != nil) != (one.number == 1) {
-			t.Errorf("refusal %d of order %d: outcome %v", one.refusal, one.number, outcome)
+		if _, outcome := run.takeQueued(); (outcome != nil) != (one.number == 1) {
+			t.Errorf("refusal %d of order %d: outcome %v, want one only for order 1", one.refusal, one.number, outcome)
 		}
 	}
 }
--- a/internal/executorclient/reconnect.go
+++ b/internal/executorclient/reconnect.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// patience is how long runs wait for a stream that broke off to come back. Within it a connection that was reset is opened again; a
-	// process that was killed is not back.
-	patience = 400 * time.Millisecond
-	// retryPause is the least pause between two tries to open a stream; it doubles up to maximumRetryPause.
+	// reconnectTimeout is how long runs wait for a broken stream to be reopened. It suffices to reopen a connection
+	// that was reset. A process that was killed takes longer to return.
+	reconnectTimeout = 400 * time.Millisecond
+	// retryPause is the first pause between attempts to open a stream. It doubles up to maximumRetryPause.
 	retryPause        = 20 * time.Millisecond
 	maximumRetryPause = time.Second
 )
 
-// streamEnd is how a try to keep a stream open ended.
+// streamEnd describes how an attempt to open and follow a stream ended.
 type streamEnd struct {
-	greeted  bool // the executor let the leader in
-	reported bool // at least once since
+	greeted  bool // the executor accepted the stream
+	reported bool // at least one report was received on it
 	cause    error
 }
 
 // run keeps the stream open until ctx ends.
 func (l *link) run(ctx context.Context) {
-	defer l.endAll(ErrLost)
+	defer l.loseAll(ErrLost)
 	wait := retryPause
 	for ctx.Err() == nil {
-		ended := l.attach(ctx, ctx)
-		l.tried.Store(true)
+		ended := l.openAndFollow(ctx, ctx)
+		l.surveyed.Store(true)
 		reported := ended.reported
 		if ended.greeted {
-			reported = l.awaitReturn(ctx, ended) || reported
+			reported = l.reconnect(ctx, ended) || reported
 		}
 		if reported {
 			wait = retryPause
@@ -47,37 +47,38 @@
 	}
 }
 
-// awaitReturn opens the stream again whenever it breaks off, and gives the runs up that were followed on it when it does not come back in
-// time. It tells whether a stream has brought a report meanwhile.
-func (l *link) awaitReturn(ctx context.Context, last streamEnd) (reported bool) {
+// reconnect reopens a broken stream as long as each new one delivers a report. Once one does not within
+// reconnectTimeout, it gives up the runs followed on the stream and returns. It reports whether any of the reopened
+// streams delivered a report.
+func (l *link) reconnect(ctx context.Context, last streamEnd) (reported bool) {
 	cause := last.cause
 	for {
-		last = l.attachAgain(ctx, last)
+		last = l.reconnectOnce(ctx, last)
 		if !last.reported {
 			break
 		}
 		reported, cause = true, last.cause
 	}
 	if ctx.Err() != nil {
-		return reported // nothing is lost: the term is over, or the executor left the members
+		return reported // not a loss of the executor: the term is over, or the executor left the membership
 	}
-	lost := l.endAll(errors.Join(ErrLost, cause))
+	lost := l.loseAll(errors.Join(ErrLost, cause))
 	logging.Emit(l.fleet.config.Log, &events.ExecutorLost{Executor: l.peer.Name, Runs: lost, Cause: events.ErrorText(cause)})
 	return reported
 }
 
-// attachAgain opens the stream again at once, and follows it, until one has brought a report or patience is over. A stream that brought
-// none is no return, and the next one waits for a pause: an executor that lets the leader in and fails right after would be greeted
-// without end.
-func (l *link) attachAgain(ctx context.Context, last streamEnd) streamEnd {
-	limited, cancel := context.WithTimeout(ctx, patience)
+// reconnectOnce reopens the stream and follows it, until a stream has delivered a report or reconnectTimeout has
+// passed. The first attempt is immediate if the last stream delivered a report. Otherwise attempts are separated by
+// retryPause: an executor that accepts the leader and fails right afterwards would be contacted in a busy loop.
+func (l *link) reconnectOnce(ctx context.Context, last streamEnd) streamEnd {
+	limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
 	defer cancel()
 	wait := retryPause
 	if last.reported {
 		wait = 0
 	}
 	for pause.For(limited, wait) == nil {
-		last = l.attach(ctx, limited)
+		last = l.openAndFollow(ctx, limited)
 		if last.reported || errors.Is(last.cause, errRefused) || errors.Is(last.cause, errProtocol) {
 			return last
 		}
@@ -86,12 +87,12 @@
 	return streamEnd{cause: last.cause}
 }
 
-// attach opens a stream while greeting goes on, and follows it until it breaks off or ctx ends.
-func (l *link) attach(ctx, greeting context.Context) streamEnd {
-	stream, conn, welcome, err := l.greet(greeting)
+// openAndFollow opens a stream before opening ends, and follows it until it breaks or ctx ends.
+func (l *link) openAndFollow(ctx, opening context.Context) streamEnd {
+	stream, conn, welcome, err := l.openStream(opening)
 	if err != nil {
 		return streamEnd{cause: err}
 	}
-	reported, err := l.follow(ctx, stream, conn, welcome)
+	reported, err := l.followStream(ctx, stream, conn, welcome)
 	return streamEnd{greeted: true, reported: reported, cause: err}
 }
--- a/internal/executorclient/reconnect_test.go
+++ b/internal/executorclient/reconnect_test.go
@@ -16,10 +16,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// brief is an executor that lets each leader in, tells it of the usual run, and ends the stream with the order to attach to it.
-type brief struct{}
+// briefExecutor is an executor that accepts each leader, lists the run that the tests use, and ends the stream when the
+// order to attach to it arrives.
+type briefExecutor struct{}
 
-func (brief) Drive(stream wire.DRPCExecutor_DriveStream) error {
+func (briefExecutor) Drive(stream wire.DRPCExecutor_DriveStream) error {
 	if _, err := stream.Recv(); err != nil {
 		return err
 	}
@@ -32,11 +33,12 @@
 	return err
 }
 
-// dialBrief connects through a pipe, which takes no time.
-func dialBrief(t *testing.T) net.Conn {
+// dialBriefExecutor connects to a new briefExecutor through a pipe, so that connecting takes no time on the synthetic
+// clock.
+func dialBriefExecutor(t *testing.T) net.Conn {
 	t.Helper()
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterExecutor(mux, brief{}); err != nil {
+	if err := wire.DRPCRegisterExecutor(mux, briefExecutor{}); err != nil {
 		t.Fatal(err)
 	}
 	near, far := net.Pipe()
@@ -44,39 +46,40 @@
 	return near
 }
 
-// TestStreamsWithoutReportsAreNoReturn: each stream of an executor ends right after the welcome. There is a pause between two greetings, and
-// the run that is followed there is given up as if no stream had come back.
-func TestStreamsWithoutReportsAreNoReturn(t *testing.T) {
+// TestStreamsWithoutReportsDontCountAsReconnected: an executor ends each stream right after the welcome. The leader
+// must pause between two attempts instead of reconnecting in a busy loop, and must give up the followed run as if no
+// stream had been reopened.
+func TestStreamsWithoutReportsDontCountAsReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const looked = patience + retryPause
-		const most = int64(looked/retryPause) + 1
+		const observed = reconnectTimeout + retryPause
+		const maxGreetings = int64(observed/retryPause) + 1
 		var greetings atomic.Int64
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		fleet, err := New(Config{Term: 3, Peers: func() []Peer { return nil }, Dial: func(context.Context, string) (net.Conn, error) {
-			if greetings.Add(1) > most {
-				cancel() // without pauses, time would stand still
+			if greetings.Add(1) > maxGreetings {
+				cancel() // without pauses the synthetic clock would never advance
 			}
-			return dialBrief(t), nil
+			return dialBriefExecutor(t), nil
 		}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := newLink(fleet, Peer{Name: "e1"}, cancel)
-		run := newFollowing(executor.Order{Term: 3, Number: 1})
+		run := newFollowedRun(executor.Order{Term: 3, Number: 1})
 		l.runs[keyOf(startOrder().GetKey())] = run
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			l.run(ctx)
 		}()
-		time.Sleep(looked)
+		time.Sleep(observed)
 		synctest.Wait()
-		if _, outcome := run.take(); outcome == nil || !errors.Is(outcome.Err, ErrLost) {
-			t.Errorf("after %v the run's outcome is %v, want that it is lost", looked, outcome)
+		if _, outcome := run.takeQueued(); outcome == nil || !errors.Is(outcome.Err, ErrLost) {
+			t.Errorf("outcome after %v: %v, want ErrLost", observed, outcome)
 		}
-		if count := greetings.Load(); count < 2 || count > most {
-			t.Errorf("greeted %d times in %v, want a pause of %v between two", count, looked, retryPause)
+		if count := greetings.Load(); count < 2 || count > maxGreetings {
+			t.Errorf("connected %d times in %v, want a pause of %v between two attempts", count, observed, retryPause)
 		}
 		cancel()
 		<-ended
--- a/internal/executorclient/run.go
+++ b/internal/executorclient/run.go
@@ -12,45 +12,47 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// stopTime is how long a leader waits for the end of a run that it has ended, before the item may run elsewhere. It covers a round trip
-// to a busy executor; one that is frozen says nothing, and the item need not wait for it.
-const stopTime = 300 * time.Millisecond
+// stopTimeout is how long a leader waits until a run that it has stopped has ended, before the item may run elsewhere.
+// It covers a round trip to a busy executor. A frozen executor does not answer, and the item need not wait for it.
+const stopTimeout = 300 * time.Millisecond
 
-// Sink takes an answer as it comes.
+// Sink receives an answer as it arrives.
 type Sink interface {
 	replica.Sink
-	// Came says when what comes next came to the executor, on the fleet's clock: the load report of a Head, or the bytes of a Body.
+	// Came is called directly before Head and Body with the time, by the fleet's clock, at which the executor received
+	// the load report of that Head or the newest byte of that Body.
 	Came(at time.Duration)
 }
 
-// following is a run that this leader follows at an executor. What comes is queued by the link and taken by the run's own routine.
-type following struct {
-	order executor.Order // that began it; an earlier leader's for a run that was taken over
-	wake  chan struct{}  // capacity 1
+// followedRun is a run that this leader follows at an executor. The link queues what the executor reports, and the
+// goroutine of the run takes it from there.
+type followedRun struct {
+	order executor.Order // started the run; an earlier leader's for a run that was taken over
+	wake  chan struct{}  // capacity 1; signals new pieces or the outcome
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	pieces   []piece
-	position uint64 // bytes of the answer that were queued
+	position uint64 // bytes of the body that were queued
 	outcome  *replica.Outcome
 }
 
 // piece is a part of an answer.
 type piece struct {
-	head   *wire.RunHead // nil: the piece has none
-	told   time.Duration // when the report came that the piece is from
-	data   []byte
-	newest time.Duration // when the newest byte of data came to the executor
+	head       *wire.RunHead // nil: the piece has no head
+	reportedAt time.Duration // time of receipt of the report that the piece is from
+	data       []byte
+	newestAt   time.Duration // time at which the executor received the newest byte of data
 }
 
-func newFollowing(order executor.Order) *following {
-	return &following{order: order, wake: make(chan struct{}, 1)}
+func newFollowedRun(order executor.Order) *followedRun {
+	return &followedRun{order: order, wake: make(chan struct{}, 1)}
 }
 
 func keyOf(key *wire.RunKey) executor.Key {
 	return executor.Key{Job: key.GetJob(), Item: key.GetItem()}
 }
 
-// orderOf is the order that began a run which an executor holds.
+// orderOf returns the order that started a held run.
 func orderOf(held *wire.HeldRun) executor.Order {
 	return executor.Order{Term: held.GetTerm(), Number: held.GetNumber()}
 }
@@ -63,14 +65,16 @@
 	return &wire.RunOrder{Kind: &wire.RunOrder_Stop{Stop: &wire.RunStop{Key: key, Order: executor.WireOrder(order)}}}
 }
 
-func (f *following) received() uint64 {
+// received returns the position up to which the body was queued.
+func (f *followedRun) received() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.position
 }
 
-// progressed queues a part of the answer. What was queued before is passed over: after a stream breaks off the executor may repeat it.
-func (f *following) progressed(progress *wire.RunProgress, now time.Duration) {
+// queueProgress queues a part of the answer. It skips bytes that were queued before, because the executor may repeat
+// them after a reconnect.
+func (f *followedRun) queueProgress(progress *wire.RunProgress, now time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	data := progress.GetData()
@@ -79,21 +83,23 @@
 	}
 	f.position += uint64(len(data))
 	newest := now - time.Duration(progress.GetAgeMicros())*time.Microsecond
-	f.pieces = append(f.pieces, piece{head: progress.GetHead(), told: now, data: data, newest: newest})
+	f.pieces = append(f.pieces, piece{head: progress.GetHead(), reportedAt: now, data: data, newestAt: newest})
 	f.notify()
 }
 
-func (f *following) end(ended *wire.RunEnded) {
+// finishWith ends the run with the outcome reported by the executor.
+func (f *followedRun) finishWith(ended *wire.RunEnded) {
 	outcome := executor.OutcomeOf(ended)
 	f.finish(outcome)
 }
 
-// lose ends the run here; at the executor it may go on.
-func (f *following) lose(cause error) {
+// lose ends the run on this side only. It may continue at the executor.
+func (f *followedRun) lose(cause error) {
 	f.finish(replica.Outcome{Verdict: verdict.MayHaveRun, Err: cause})
 }
 
-func (f *following) finish(outcome replica.Outcome) {
+// finish sets the outcome unless there is one, and wakes the goroutine of the run.
+func (f *followedRun) finish(outcome replica.Outcome) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.outcome == nil {
@@ -102,16 +108,16 @@
 	f.notify()
 }
 
-// notify wakes the run's routine. The caller holds the mutex.
-func (f *following) notify() {
+// notify wakes the goroutine of the run. The caller holds the mutex.
+func (f *followedRun) notify() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take returns what is queued.
-func (f *following) take() ([]piece, *replica.Outcome) {
+// takeQueued removes and returns the queued pieces. The outcome is nil while the run is in progress.
+func (f *followedRun) takeQueued() ([]piece, *replica.Outcome) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	pieces := f.pieces
@@ -119,29 +125,31 @@
 	return pieces, f.outcome
 }
 
-// Do has the executor begin a run and takes its answer. It returns once the run has ended there, or ctx has: with ErrStop as the cause the
-// run is ended too, and otherwise it goes on for the next leader. The outcome is that of the replica; ErrLost is in its error when the
-// executor can't be reached any more.
+// Do has the executor start a run and delivers its answer to sink. It returns when the run has ended at the executor or
+// when ctx ends. If ctx ends with the cause ErrStop, the run is stopped as well; with any other cause it continues for
+// the next leader. The outcome is that of the replica. Its error matches ErrLost if the executor is no longer
+// reachable.
 func (e *Executor) Do(ctx context.Context, start *wire.RunStart, sink Sink) replica.Outcome {
 	start.Number = e.link.fleet.config.Numbers.Add(1)
-	run := newFollowing(executor.Order{Term: e.link.fleet.config.Term, Number: start.Number})
+	run := newFollowedRun(executor.Order{Term: e.link.fleet.config.Term, Number: start.Number})
 	if !e.link.begin(start.GetKey(), run, &wire.RunOrder{Kind: &wire.RunOrder_Start{Start: start}}) {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: ErrLost}
 	}
 	return e.link.drive(ctx, start.GetKey(), run, sink)
 }
 
-// Do takes over a run that an earlier leader began; as Executor.Do.
+// Do takes over a run that an earlier leader started, and delivers its answer from the beginning; see Executor.Do.
 func (h Held) Do(ctx context.Context, sink Sink) replica.Outcome {
-	run := newFollowing(orderOf(h.HeldRun))
+	run := newFollowedRun(orderOf(h.HeldRun))
 	if !h.link.begin(h.GetKey(), run, attachOrder(h.GetKey(), run.order, 0)) {
 		return replica.Outcome{Verdict: verdict.MayHaveRun, Err: ErrLost}
 	}
 	return h.link.drive(ctx, h.GetKey(), run, sink)
 }
 
-// begin follows a run and sends the order for it; false when the executor can't be reached or another run of the item is followed there.
-func (l *link) begin(key *wire.RunKey, run *following, order *wire.RunOrder) bool {
+// begin follows a run and queues the order for it. It returns false if the executor can't be reached or another run of
+// the item is followed there.
+func (l *link) begin(key *wire.RunKey, run *followedRun, order *wire.RunOrder) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.runs[keyOf(key)] != nil || !l.open || !l.enqueue(order) {
@@ -151,7 +159,8 @@
 	return true
 }
 
-func (l *link) leave(key executor.Key, run *following) {
+// unfollow stops following a run.
+func (l *link) unfollow(key executor.Key, run *followedRun) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.runs[key] == run {
@@ -159,13 +168,13 @@
 	}
 }
 
-// drive hands a run's answer to its sink until the run has ended.
-func (l *link) drive(ctx context.Context, key *wire.RunKey, run *following, sink Sink) replica.Outcome {
-	defer l.leave(keyOf(key), run)
+// drive delivers the answer of a run to its sink until the run has ended or ctx ends.
+func (l *link) drive(ctx context.Context, key *wire.RunKey, run *followedRun, sink Sink) replica.Outcome {
+	defer l.unfollow(keyOf(key), run)
 	for {
-		pieces, outcome := run.take()
-		if err := pass(pieces, sink); err != nil {
-			l.end(key, run)
+		pieces, outcome := run.takeQueued()
+		if err := deliver(pieces, sink); err != nil {
+			l.stopRun(key, run)
 			return replica.Outcome{Verdict: verdict.Ran, Err: err}
 		}
 		if outcome != nil {
@@ -175,25 +184,25 @@
 		case <-run.wake:
 		case <-ctx.Done():
 			if errors.Is(context.Cause(ctx), ErrStop) {
-				l.end(key, run)
+				l.stopRun(key, run)
 			}
 			return replica.Outcome{Verdict: verdict.MayHaveRun, Err: ctx.Err()}
 		}
 	}
 }
 
-// pass hands parts of an answer to the sink.
-func pass(pieces []piece, sink Sink) error {
+// deliver passes pieces of an answer to the sink, and returns the first error of the sink.
+func deliver(pieces []piece, sink Sink) error {
 	for _, one := range pieces {
 		if one.head != nil {
-			if err := passHead(one, sink); err != nil {
+			if err := deliverHead(one, sink); err != nil {
 				return err
 			}
 		}
 		if len(one.data) == 0 {
 			continue
 		}
-		sink.Came(one.newest)
+		sink.Came(one.newestAt)
 		if err := sink.Body(one.data); err != nil {
 			return err
 		}
@@ -201,24 +210,25 @@
 	return nil
 }
 
-// passHead hands the head of an answer to the sink, with when its replica's load report came.
-func passHead(one piece, sink Sink) error {
+// deliverHead passes the head of an answer to the sink, after the time at which its load report was received.
+func deliverHead(one piece, sink Sink) error {
 	load, age := executor.LoadOf(one.head.GetLoad())
-	sink.Came(one.told - age)
+	sink.Came(one.reportedAt - age)
 	return sink.Head(replica.Head{
 		Status: int(one.head.GetStatus()), Stream: one.head.GetStream(), Versions: one.head.GetVersion(), Length: -1, Load: load,
 	})
 }
 
-// end has the executor end a run and waits until it has, for a while. The parts of the answer that still come are not taken.
-func (l *link) end(key *wire.RunKey, run *following) {
+// stopRun has the executor stop a run and waits up to stopTimeout for its end. Parts of the answer that still arrive
+// are discarded.
+func (l *link) stopRun(key *wire.RunKey, run *followedRun) {
 	if !l.order(stopOrder(key, run.order)) {
 		return
 	}
-	timer := time.NewTimer(stopTime)
+	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	for {
-		if _, outcome := run.take(); outcome != nil {
+		if _, outcome := run.takeQueued(); outcome != nil {
 			return
 		}
 		select {
