--- a/internal/batch/apply.go
+++ b/internal/batch/apply.go
@@ -11,8 +11,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Digest identifies what the caller of a job sent: everything but what was added on the way, such as the
-// route's settings and the clock. Two submits with one id are the same job only with one digest.
+// Digest returns a hash of what the caller of a job sent, without what was added later, such as the settings of the
+// route and the time of receipt. Two submits with the same id are the same job only if their digests are equal. It
+// returns nil if the job can't be encoded.
 func Digest(submit *wire.JobSubmit) []byte {
 	content := &wire.JobSubmit{
 		Id: submit.GetId(), Model: submit.GetModel(), Step: submit.GetStep(),
@@ -20,14 +21,15 @@
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(content)
 	if err != nil {
-		return nil // text that is not UTF-8; Submit refuses a job without a digest
+		return nil // a string is not valid UTF-8; Submit rejects a job without a digest
 	}
 	sum := sha256.Sum256(data)
 	return sum[:]
 }
 
-// Submit takes a job over. ACCEPTED also answers the resend of a job that is held, which changes nothing.
-// Errors: malformed command, nothing changed.
+// Submit stores a job. The outcome is ACCEPTED for a new job and for a resend of a stored one, which changes nothing;
+// OTHER_CONTENT if a job with this id and another digest is stored; FULL if the job does not fit in the limit of bytes.
+// It returns trace.BadParameter for a malformed command, which changes nothing.
 func (s *Store) Submit(submit *wire.JobSubmit) (*wire.JobReply, error) {
 	if err := checkSubmit(submit); err != nil {
 		return nil, trace.Wrap(err)
@@ -38,16 +40,17 @@
 		}
 		return reply(wire.JobOutcome_JOB_OUTCOME_ACCEPTED), nil
 	}
-	if uint64(s.held+proto.Size(submit)) > cmp.Or(submit.GetMostHeldBytes(), MaximumHeldBytes) {
+	if uint64(s.heldBytes+proto.Size(submit)) > cmp.Or(submit.GetMostHeldBytes(), MaximumHeldBytes) {
 		return reply(wire.JobOutcome_JOB_OUTCOME_FULL), nil
 	}
 	s.revision++
-	s.add(submit, s.revision)
+	s.addJob(submit, s.revision)
 	return reply(wire.JobOutcome_JOB_OUTCOME_ACCEPTED), nil
 }
 
 func reply(outcome wire.JobOutcome) *wire.JobReply { return &wire.JobReply{Outcome: outcome} }
 
+// checkSubmit checks the form and the size limits of a job.
 func checkSubmit(submit *wire.JobSubmit) error {
 	switch {
 	case submit.GetId() == "" || len(submit.GetId()) > MaximumIDBytes:
@@ -75,6 +78,7 @@
 	return nil
 }
 
+// checkReward checks the reward call of an item, if it has one.
 func checkReward(item *wire.JobItem) error {
 	reward := item.GetReward()
 	switch {
@@ -88,9 +92,10 @@
 	return nil
 }
 
-// Store appends results to the lists of their jobs and says how many were new. The first result of an item
-// wins; results of unknown items, unknown jobs and ended jobs are passed over, since only a runner that does
-// not know of the end yet sends them. Errors: malformed command, nothing changed.
+// Store appends results to the lists of their jobs and returns how many were new. The first result of an item wins.
+// Results of unknown items, unknown jobs and ended jobs are ignored, because they come only from a runner that does not
+// know of the end yet. The reply names the items whose text continues one that is not stored, and those whose score
+// arrives without a stored text. It returns trace.BadParameter for a malformed command, which changes nothing.
 func (s *Store) Store(command *wire.JobStore) (*wire.JobReply, error) {
 	for _, results := range command.GetJobs() {
 		if err := s.checkResults(results); err != nil {
@@ -103,10 +108,10 @@
 		if held == nil || held.ended && !s.unsafe.ListAfterEnd {
 			continue
 		}
-		answer.Unmatched = append(answer.Unmatched, s.takeTexts(held, results)...)
+		answer.Unmatched = append(answer.Unmatched, s.storeTexts(held, results)...)
 		for _, score := range results.GetScores() {
 			switch id := score.GetItem(); {
-			case s.score(held, score):
+			case s.listScored(held, score):
 				answer.Stored++
 			case held.items[id].GetReward() != nil && !held.listed[id]:
 				answer.Unmatched = append(answer.Unmatched, &wire.JobItemRef{Job: results.GetJob(), Item: id})
@@ -117,35 +122,36 @@
 			if held.items[id] == nil || held.listed[id] && !s.unsafe.ListTwice {
 				continue
 			}
-			whole, matched := s.whole(held, result)
+			whole, matched := s.withPartialText(held, result)
 			if !matched {
 				answer.Unmatched = append(answer.Unmatched, &wire.JobItemRef{Job: results.GetJob(), Item: id})
 				continue
 			}
-			s.list(held, whole)
+			s.listResult(held, whole)
 			answer.Stored++
 		}
 	}
 	return answer, nil
 }
 
-// takeTexts takes what is new of texts that are not listed yet. It returns the whole texts that follow one that is not
-// held.
-func (s *Store) takeTexts(held *job, results *wire.JobResults) (unmatched []*wire.JobItemRef) {
+// storeTexts stores the partial and unscored texts of items that have no result. It returns the items whose unscored
+// text continues a partial text that is not stored.
+func (s *Store) storeTexts(held *job, results *wire.JobResults) (unmatched []*wire.JobItemRef) {
 	for _, partial := range results.GetPartials() {
 		id := partial.GetItem()
 		if held.items[id] != nil && !held.listed[id] && held.unscored[id] == nil {
-			s.extend(held, partial)
+			s.extendPartial(held, partial)
 		}
 	}
 	for _, text := range results.GetUnscored() {
-		if !s.awaitScore(held, text) {
+		if !s.holdUnscored(held, text) {
 			unmatched = append(unmatched, &wire.JobItemRef{Job: results.GetJob(), Item: text.GetItem()})
 		}
 	}
 	return unmatched
 }
 
+// checkResults checks all results, texts and scores of one job in a command.
 func (s *Store) checkResults(results *wire.JobResults) error {
 	for _, result := range results.GetResults() {
 		if err := cmp.Or(checkResult(result), checkPieces(result.GetItem(), result.GetPieces())); err != nil {
@@ -170,7 +176,8 @@
 	return s.checkScored(results)
 }
 
-// checkPieces refuses what a command must not have: the store itself puts texts together.
+// checkPieces rejects a text that consists of several pieces. Only the store itself joins pieces; commands must not
+// contain them.
 func checkPieces(item string, pieces []*wire.JobText) error {
 	if len(pieces) > 0 {
 		return trace.BadParameter("the text of item %q comes in pieces", item)
@@ -178,6 +185,7 @@
 	return nil
 }
 
+// checkResult checks the form and the size limits of a result.
 func checkResult(result *wire.JobResult) error {
 	switch result.GetState() {
 	case wire.JobItemState_JOB_ITEM_STATE_COMPLETED:
@@ -198,25 +206,26 @@
 	return nil
 }
 
-// End ends a job. Errors: malformed command, nothing changed.
+// End ends a job; a job that has ended already is not an error. The outcome is UNKNOWN_JOB if the tenant has no such
+// job. It returns trace.BadParameter for a malformed command, which changes nothing.
 func (s *Store) End(command *wire.JobEnd) (*wire.JobReply, error) {
 	if command.GetJob() == "" {
 		return nil, trace.BadParameter("a job's id is missing")
 	}
-	held := s.ofTenant(command.GetJob(), command.GetTenant())
+	held := s.jobOfTenant(command.GetJob(), command.GetTenant())
 	if held == nil {
 		return reply(wire.JobOutcome_JOB_OUTCOME_UNKNOWN_JOB), nil
 	}
 	if !held.ended {
 		held.ended = true
-		s.strip(held)
+		s.dropContent(held)
 		s.seal(held)
 	}
 	return reply(wire.JobOutcome_JOB_OUTCOME_ACCEPTED), nil
 }
 
-// Expire counts time that has passed and forgets ended jobs past their retention. Errors: malformed command,
-// nothing changed.
+// Expire advances the clock by the elapsed time and removes ended jobs whose retention has passed. It returns
+// trace.BadParameter for a malformed command, which changes nothing.
 func (s *Store) Expire(command *wire.JobExpire) (*wire.JobReply, error) {
 	const maximumMillis = 1 << 50
 	retention, elapsed := command.GetRetentionMillis(), command.GetElapsedMillis()
@@ -226,7 +235,7 @@
 	before := s.clock
 	s.clock += elapsed
 	kept := make([]*job, 0, len(s.order))
-	s.roomIn = 0
+	s.nextExpiryMillis = 0
 	for _, held := range s.order {
 		if held.countedFrom == 0 {
 			held.countedFrom = s.clock
@@ -238,13 +247,13 @@
 		expired := (held.ended || s.unsafe.ExpireOpen) && s.clock-held.countedFrom > retention
 		if !expired {
 			kept = append(kept, held)
-			if left := retention - min(s.clock-held.countedFrom, retention); held.ended && (s.roomIn == 0 || left < s.roomIn) {
-				s.roomIn = max(left, 1)
+			if left := retention - min(s.clock-held.countedFrom, retention); held.ended && (s.nextExpiryMillis == 0 || left < s.nextExpiryMillis) {
+				s.nextExpiryMillis = max(left, 1)
 			}
 			continue
 		}
 		delete(s.jobs, held.submit.GetId())
-		s.held -= held.bytes
+		s.heldBytes -= held.bytes
 	}
 	s.order = kept
 	return reply(wire.JobOutcome_JOB_OUTCOME_ACCEPTED), nil
--- a/internal/batch/doc.go
+++ b/internal/batch/doc.go
@@ -1,7 +1,7 @@
-// Package batch holds the batch jobs of one ledger group: many requests that are submitted together, run
-// later and read as an append-only list of results. A job is taken once however often it is submitted, every
-// item gets one result at most, and a result's position and content never change while the job is kept.
+// Package batch stores the batch jobs of one ledger group: many requests that are submitted together, run later and
+// read as an append-only list of results. A job is stored once however often it is submitted, every item gets at most
+// one result, and the position and content of a result never change while the job is stored.
 //
-// The package is pure and deterministic: equal sequences of commands give equal stores and equal snapshots.
-// Who runs the items is not its concern (see package batchrun).
+// The package is pure and deterministic: equal sequences of commands give equal stores and equal snapshots. Package
+// batchrun runs the items.
 package batch
--- a/internal/batch/history_test.go
+++ b/internal/batch/history_test.go
@@ -15,35 +15,35 @@
 const (
 	historyRetention = 20
 	historySteps     = 80
-	mutationSeeds    = 300 // histories within which each mutation must be found
+	mutationSeeds    = 300 // number of histories within which each mutation must be detected
 )
 
-// expectedJob is what callers were told of a job.
+// expectedJob is the state of a job as callers know it from the replies.
 type expectedJob struct {
 	variant int
-	sent    int64
+	sent    int64 // time of the submit
 	ended   bool
 	results []*wire.JobResult
 }
 
-// run is one leader's run of an item. Runs differ in their texts, but neither in length nor in event ids.
+// run is the run of an item by one leader. The texts of runs differ, but not their lengths and event ids.
 type run struct {
 	text      []byte
-	committed int
+	committed int // bytes of text
 }
 
-// history plays commands against a store and compares it with what its callers were told. Runs commit their texts
-// in parts that may come late, as those of a leader that was deposed.
+// history applies commands to a store and compares the store with the replies to its callers. Runs commit their texts
+// in parts, which may arrive late, as those of a leader that has been replaced.
 type history struct {
 	store   *Store
 	now     int64
-	counted int64 // up to when time was counted
+	counted int64 // time up to which Expire has counted
 	jobs    map[string]*expectedJob
-	runs    map[string]*run // by job, item and leader
-	texts   map[string]bool // job, item and a text that a run had
-	late    []*wire.JobStore
-	whole   map[string]*wire.JobResult // by job and item: the text that waits for its score
-	letters int
+	runs    map[string]*run            // by concatenated job, item and leader
+	texts   map[string]bool            // concatenated job, item and each text that one of its runs had
+	late    []*wire.JobStore           // commands that may be applied again or late
+	whole   map[string]*wire.JobResult // by job: the text of the first item that waits for its score
+	letters int                        // written so far
 }
 
 func newHistory(unsafe Unsafe) *history {
@@ -51,12 +51,13 @@
 }
 
 func variantOf(id string, variant int) *wire.JobSubmit {
-	submit := rewarded(id) // its first item needs a score
+	submit := rewarded(id) // the first item needs a score
 	submit.Model = fmt.Sprint("m", variant)
 	submit.Digest = Digest(submit)
 	return submit
 }
 
+// step applies one random command and checks its reply.
 func (h *history) step(t *rapid.T) error {
 	h.now += rapid.Int64Range(0, 3).Draw(t, "passes")
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job")
@@ -88,6 +89,7 @@
 	return h.progress(t, id, item)
 }
 
+// submit submits a variant of a job and checks the outcome.
 func (h *history) submit(id string, variant int) error {
 	submit := variantOf(id, variant)
 	submit.SentUnixMillis = h.now
@@ -100,12 +102,12 @@
 		want = wire.JobOutcome_JOB_OUTCOME_OTHER_CONTENT
 	}
 	if err == nil && reply.GetOutcome() != want {
-		return trace.Errorf("submitting %s gives %v, want %v", id, reply.GetOutcome(), want)
+		return trace.Errorf("submit of %s: %v, want %v", id, reply.GetOutcome(), want)
 	}
 	return err
 }
 
-// finish commits an item's result: of the first item, which needs a score, without it.
+// finish commits the result of an item without a score. For the first item, which needs one, the store must reject it.
 func (h *history) finish(id, item string) error {
 	result := completed(item, fmt.Sprint(h.now))
 	known := h.jobs[id]
@@ -122,7 +124,8 @@
 	return err
 }
 
-// finishRun commits the end of a run of which a part is committed: it counts only after the text of that very run.
+// finishRun commits the end of a run of which a part is committed. It must be accepted only if the stored text is that
+// of the same run.
 func (h *history) finishRun(id, item string, leader int) error {
 	running := h.runs[fmt.Sprint(id, item, leader)]
 	if running == nil || running.committed == 0 {
@@ -144,7 +147,7 @@
 	}
 	wanted := open && !(waits && h.whole[id] != nil)
 	if unmatched := len(reply.GetUnmatched()) > 0; wanted && unmatched == matches {
-		return trace.Errorf("the end of a run of %s of %s is taken: %v, the text before it is held: %v", item, id, !unmatched, matches)
+		return trace.Errorf("end of a run of item %s of %s: accepted %v, the text before it is stored %v", item, id, !unmatched, matches)
 	}
 	if !wanted || !matches {
 		return nil
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// read is a result with its text in one piece, as it is read.
+// read returns a copy of a result with its decompressed text in one piece.
 func read(result *wire.JobResult) (*wire.JobResult, error) {
 	text, err := Text(result)
 	if err != nil {
@@ -172,7 +175,7 @@
 	return slices.ContainsFunc(e.results, func(listed *wire.JobResult) bool { return listed.GetItem() == item })
 }
 
-// awaitScore commits the whole text of the first item.
+// awaitScore commits the whole text of the first item without a score.
 func (h *history) awaitScore(id string) error {
 	text := completed("i0", fmt.Sprint("whole at ", h.now))
 	if known := h.jobs[id]; known != nil && !known.ended && !known.lists("i0") && h.whole[id] == nil {
@@ -204,7 +207,7 @@
 	return err
 }
 
-// expire counts the time since the last count, or nothing that passed before a new leader began.
+// expire counts the time since the last count. A new leader does not count time that passed before its term.
 func (h *history) expire(newLeader bool) error {
 	if newLeader {
 		h.counted = h.now
@@ -217,19 +220,20 @@
 	return err
 }
 
+// restore replaces the store with one restored from its snapshot.
 func (h *history) restore() error {
 	restored := NewUnsafe(h.store.unsafe)
 	if err := restored.Restore(h.store.Snapshot()); err != nil {
 		return err
 	}
-	if !proto.Equal(restored.Snapshot(), h.store.Snapshot()) || restored.held != h.store.held {
-		return trace.Errorf("a restored store differs")
+	if !proto.Equal(restored.Snapshot(), h.store.Snapshot()) || restored.heldBytes != h.store.heldBytes {
+		return trace.Errorf("the restored store differs from the original")
 	}
 	h.store = restored
 	return nil
 }
 
-// progress begins a run of an item, goes on with the held text, or commits one more event.
+// progress starts a run of an item, continues from the stored text, or commits one more event.
 func (h *history) progress(t *rapid.T, id, item string) error {
 	key := fmt.Sprint(id, item, rapid.IntRange(0, 1).Draw(t, "leader"))
 	running := h.runs[key]
@@ -255,7 +259,7 @@
 	return err
 }
 
-// partials returns the held texts of a job's items.
+// partials returns the stored partial texts of a job by item.
 func (h *history) partials(id string) map[string][]byte {
 	texts := map[string][]byte{}
 	for _, work := range h.store.Work(&wire.JobWorkQuery{}).GetJobs() {
@@ -263,7 +267,7 @@
 			if work.GetJob().GetId() == id {
 				text, err := PartialText(held)
 				if err != nil {
-					panic(err) // made by this test
+					panic(err) // the text was compressed by this test
 				}
 				texts[held.GetItem()] = text
 			}
@@ -272,6 +276,7 @@
 	return texts
 }
 
+// check compares all jobs of the store with what their callers know.
 func (h *history) check() error {
 	for id, known := range h.jobs {
 		view := h.store.Results(&wire.JobResultsQuery{Job: id})
@@ -280,7 +285,7 @@
 			continue
 		}
 		if !view.GetKnown() || view.GetEnded() != known.ended || len(view.GetResults()) != len(known.results) {
-			return trace.Errorf("job %s is %v, want %+v", id, view, known)
+			return trace.Errorf("job %s: %v, want %+v", id, view, known)
 		}
 		for position, result := range view.GetResults() {
 			result, err := read(result)
@@ -293,16 +298,17 @@
 		}
 		for item, text := range h.partials(id) {
 			if !h.texts[id+item+string(text)] {
-				return trace.Errorf("item %s of %s has text %q of no run", item, id, text)
+				return trace.Errorf("item %s of %s has text %q, which no run had", item, id, text)
 			}
 		}
 	}
 	if h.store.Len() != len(h.jobs) {
-		return trace.Errorf("%d jobs are held, want %d", h.store.Len(), len(h.jobs))
+		return trace.Errorf("%d jobs are stored, want %d", h.store.Len(), len(h.jobs))
 	}
 	return nil
 }
 
+// playCommands applies a random history to a store and returns the first violation.
 func playCommands(t *rapid.T, unsafe Unsafe) error {
 	played := newHistory(unsafe)
 	for range rapid.IntRange(1, historySteps).Draw(t, "steps") {
@@ -316,7 +322,8 @@
 	return nil
 }
 
-func TestStoreKeepsWhatCallersWereTold(t *testing.T) {
+// TestStoreMatchesItsReplies: after any history of commands, the store must contain exactly what its replies promised.
+func TestStoreMatchesItsReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := playCommands(t, Unsafe{}); err != nil {
 			t.Fatal(err)
@@ -324,8 +331,9 @@
 	})
 }
 
-// TestMutationsOfTheStoreAreFound switches each safety step off: some history must show it.
-func TestMutationsOfTheStoreAreFound(t *testing.T) {
+// TestStoreMutationsAreDetected disables each safety step in turn: some history must show the fault. It guards against
+// a check that no longer detects anything.
+func TestStoreMutationsAreDetected(t *testing.T) {
 	for _, unsafe := range []Unsafe{{TakeTwice: true}, {ForgetDigest: true}, {ListTwice: true}, {ListAfterEnd: true},
 		{JoinRuns: true}, {ListUnscored: true}, {ReplaceText: true}, {ExpireOpen: true}, {CountEarly: true}} {
 		histories := rapid.Custom(func(t *rapid.T) error { return playCommands(t, unsafe) })
@@ -334,7 +342,7 @@
 			seed++
 		}
 		if seed == mutationSeeds {
-			t.Errorf("%+v was not found in %d histories", unsafe, mutationSeeds)
+			t.Errorf("mutation %+v was not detected in %d histories", unsafe, mutationSeeds)
 			continue
 		}
 		t.Logf("%+v: seed %d: %v", unsafe, seed, histories.Example(seed))
--- a/internal/batch/partial.go
+++ b/internal/batch/partial.go
@@ -11,6 +11,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
+// checkPartial checks the form and the size limit of a partial text.
 func checkPartial(partial *wire.JobPartial) error {
 	switch {
 	case len(partial.GetData()) == 0 || partial.GetEvents() == 0:
@@ -23,41 +24,42 @@
 	return nil
 }
 
-// extend takes a partial text that begins anew or goes on where the held one ends.
-func (s *Store) extend(j *job, partial *wire.JobPartial) {
+// extendPartial stores a partial text that starts anew or continues the stored one. Any other is ignored.
+func (s *Store) extendPartial(j *job, partial *wire.JobPartial) {
 	held := j.partials[partial.GetItem()]
 	added := &wire.JobPartial{
 		Item: partial.GetItem(), Data: partial.GetData(), DeflatedFrom: partial.GetDeflatedFrom(), Events: partial.GetEvents(),
 		NextLastId: partial.GetNextLastId(), Dense: partial.GetDense(), Versions: partial.GetVersions(), Sum: partial.GetSum(),
 	}
 	if partial.GetLength() > 0 {
-		if held == nil || held.GetNextLastId() != partial.GetLastId() || !s.holds(held, partial.GetLength(), partial.GetFollows()) {
+		if held == nil || held.GetNextLastId() != partial.GetLastId() || !s.matchesPartial(held, partial.GetLength(), partial.GetFollows()) {
 			return
 		}
 		added.Pieces = partialPieces(held)
 	}
-	if added.Sum == 0 { // of an earlier version of the program, which told none
+	if added.Sum == 0 { // from an older version of the program, which sent no sum
 		text, err := PartialText(added)
 		if err != nil {
 			return
 		}
 		added.Sum = TextSum(text)
 	}
-	s.hold(j, added)
+	s.setPartial(j, added)
 }
 
-// holds tells whether a held partial text is the one that something follows.
-func (s *Store) holds(held *wire.JobPartial, length, sum uint64) bool {
+// matchesPartial reports whether held is the partial text, of the given length and sum, that another text continues.
+func (s *Store) matchesPartial(held *wire.JobPartial, length, sum uint64) bool {
 	return uint64(rawBytes(partialPieces(held))) == length && (held.GetSum() == sum || s.unsafe.JoinRuns)
 }
 
-// whole returns a result with the held partial text that it follows; false if that is not held.
-func (s *Store) whole(j *job, result *wire.JobResult) (*wire.JobResult, bool) {
+// withPartialText returns the result joined with the stored partial text that it continues. It returns false if that
+// text is not stored.
+func (s *Store) withPartialText(j *job, result *wire.JobResult) (*wire.JobResult, bool) {
 	if result.GetFollowsLength() == 0 {
 		return result, true
 	}
 	held := j.partials[result.GetItem()]
-	if held == nil || !s.holds(held, result.GetFollowsLength(), result.GetFollows()) {
+	if held == nil || !s.matchesPartial(held, result.GetFollowsLength(), result.GetFollows()) {
 		return nil, false
 	}
 	return &wire.JobResult{
@@ -66,30 +68,34 @@
 	}, true
 }
 
-func (s *Store) hold(j *job, partial *wire.JobPartial) {
-	s.drop(j, partial.GetItem())
+// setPartial replaces the partial text of an item.
+func (s *Store) setPartial(j *job, partial *wire.JobPartial) {
+	s.dropPartial(j, partial.GetItem())
 	j.partials[partial.GetItem()] = partial
-	s.count(j, proto.Size(partial))
+	s.addBytes(j, proto.Size(partial))
 }
 
-// drop forgets the partial text of an item.
-func (s *Store) drop(j *job, item string) {
+// dropPartial removes the partial text of an item.
+func (s *Store) dropPartial(j *job, item string) {
 	if held := j.partials[item]; held != nil {
-		s.count(j, -proto.Size(held))
+		s.addBytes(j, -proto.Size(held))
 		delete(j.partials, item)
 	}
 }
 
-func (s *Store) count(j *job, bytes int) {
+// addBytes adds to the size of a job and of the store.
+func (s *Store) addBytes(j *job, bytes int) {
 	j.bytes += bytes
-	s.held += bytes
+	s.heldBytes += bytes
 }
 
-// sortedPartials returns a job's partial texts in order of the items' ids.
+// sortedPartials returns the partial texts of a job, ordered by item id.
 func (j *job) sortedPartials() []*wire.JobPartial {
 	return slices.SortedFunc(maps.Values(j.partials), func(a, b *wire.JobPartial) int { return cmp.Compare(a.GetItem(), b.GetItem()) })
 }
 
+// restorePartials adds the partial texts of a snapshot to a job. It returns an error for a text that the job can't
+// have.
 func (s *Store) restorePartials(held *job, partials []*wire.JobPartial) error {
 	for _, partial := range partials {
 		if err := checkPartial(partial); err != nil {
@@ -99,7 +105,7 @@
 		if held.ended || held.items[id] == nil || held.listed[id] || held.partials[id] != nil || partial.GetLength() > 0 {
 			return trace.BadParameter("snapshot has a partial text that no running item can have: %q", id)
 		}
-		s.hold(held, partial)
+		s.setPartial(held, partial)
 	}
 	return nil
 }
--- a/internal/batch/query.go
+++ b/internal/batch/query.go
@@ -6,10 +6,10 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Results returns results of a job from a position on: at least one if one exists there. Their bound counts
-// the texts as they are read, not as they are stored.
+// Results returns the results of a job from a position on: at least one if there is one. MaxBytes limits the texts by
+// their decompressed length, as the caller reads them.
 func (s *Store) Results(query *wire.JobResultsQuery) *wire.JobResultsView {
-	held := s.ofTenant(query.GetJob(), query.GetTenant())
+	held := s.jobOfTenant(query.GetJob(), query.GetTenant())
 	if held == nil {
 		return &wire.JobResultsView{}
 	}
@@ -34,16 +34,16 @@
 	return view
 }
 
-// Room returns whether a job is held, how much all jobs take, and when the next one is forgotten.
+// Room returns whether a job is stored, the size of all jobs, and the time until the next one is removed.
 func (s *Store) Room(query *wire.JobRoomQuery) *wire.JobRoomView {
 	return &wire.JobRoomView{
-		Known: s.ofTenant(query.GetJob(), query.GetTenant()) != nil, HeldBytes: uint64(s.held), RoomInMillis: uint32(s.roomIn),
+		Known: s.jobOfTenant(query.GetJob(), query.GetTenant()) != nil, HeldBytes: uint64(s.heldBytes), RoomInMillis: uint32(s.nextExpiryMillis),
 	}
 }
 
-// Item returns what is known of a job's item; the body only while the job is open.
+// Item returns the state of an item of a job. The body is included only while the job is open.
 func (s *Store) Item(query *wire.JobItemQuery) *wire.JobItemView {
-	held := s.ofTenant(query.GetJob(), query.GetTenant())
+	held := s.jobOfTenant(query.GetJob(), query.GetTenant())
 	if held == nil {
 		return &wire.JobItemView{}
 	}
@@ -54,8 +54,8 @@
 	return &wire.JobItemView{Known: true, Listed: listed, Held: !held.ended, Body: held.items[query.GetItem()].GetBody()}
 }
 
-// Work returns the open jobs that were taken after a revision, with their finished items, and the ids of all
-// open jobs.
+// Work returns the open jobs that were stored after a revision, with their finished items and stored texts, and the ids
+// of all open jobs.
 func (s *Store) Work(query *wire.JobWorkQuery) *wire.JobWorkView {
 	view := &wire.JobWorkView{Revision: s.revision, Kept: len(s.order) > 0}
 	for _, held := range s.order {
--- a/internal/batch/sealed.go
+++ b/internal/batch/sealed.go
@@ -8,11 +8,12 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// A job that has ended changes no more once the count of its retention has begun. It is kept encoded from then on, as the part
-// that it is of every encoded state: texts are most of a state, and are in memory and on the disk once.
+// A job is sealed once it has ended and its retention is being counted, because it can't change any more. From then on
+// it is kept encoded, in the form in which it is part of every snapshot. Texts are most of the state, so that they are
+// in memory and on disk only once.
 
-// JobsField and RecordsField are the numbers of the fields that frame a job's record in an encoded state: MachineSnapshot.jobs
-// and, within it, JobSnapshot.jobs.
+// JobsField and RecordsField are the numbers of the fields that contain the record of a job in an encoded state:
+// MachineSnapshot.jobs and, within it, JobSnapshot.jobs.
 var (
 	JobsField    = fieldNumber(&wire.MachineSnapshot{}, "jobs")
 	RecordsField = fieldNumber(&wire.JobSnapshot{}, "jobs")
@@ -23,21 +24,21 @@
 	return message.ProtoReflect().Descriptor().Fields().ByName(name).Number()
 }
 
-// Record is a job's record in an encoded state.
+// Record is the record of a job in an encoded state.
 type Record struct {
-	Encoded []byte // a wire.JobRecord
-	Part    []byte // the part of the state that holds it and nothing else; nil if it stands among others
+	Encoded []byte // an encoded wire.JobRecord
+	Part    []byte // the snapshot part that contains this record only; nil if the record shares its part with others
 }
 
-// sealedJob is a job that changes no more.
+// sealedJob is a job that can no longer change, in encoded form.
 type sealedJob struct {
 	Record
-	items   int
-	results int
+	items   int // number of items
+	results int // number of results
 }
 
-// frame returns a part of an encoded state that holds one record.
-func frame(record *wire.JobRecord) (Record, error) {
+// encodePart encodes a record as a snapshot part of its own.
+func encodePart(record *wire.JobRecord) (Record, error) {
 	size := proto.Size(record)
 	framed := protowire.SizeTag(RecordsField) + protowire.SizeBytes(size)
 	part := make([]byte, 0, protowire.SizeTag(JobsField)+protowire.SizeBytes(framed))
@@ -52,7 +53,7 @@
 	return Record{Encoded: part[len(part)-size:], Part: part}, nil
 }
 
-// record is the job as snapshots hold it. Messages are shared.
+// record returns the job as snapshots contain it. Its messages are shared with the job and must not be modified.
 func (j *job) record() *wire.JobRecord {
 	if j.sealed != nil {
 		return j.sealed.decode()
@@ -63,33 +64,34 @@
 	}
 }
 
-// decode returns the record; an empty one can't come, since what is sealed was encoded or decoded before.
+// decode returns the record. Decoding can't fail, because the bytes were encoded or decoded successfully before.
 func (s *sealedJob) decode() *wire.JobRecord {
 	record := &wire.JobRecord{}
 	_ = proto.Unmarshal(s.Encoded, record)
 	return record
 }
 
-// seal encodes a job once nothing of it changes any more. One that can't be encoded stays as it is; snapshots tell why.
+// seal seals a job if it can no longer change. A job that can't be encoded stays as it is, and the next snapshot
+// reports the error.
 func (s *Store) seal(j *job) {
 	if j.sealed != nil || !j.ended || j.countedFrom == 0 || s.unsafe.ListAfterEnd {
 		return
 	}
-	framed, err := frame(j.record())
+	framed, err := encodePart(j.record())
 	if err != nil {
 		return
 	}
 	s.sealAs(j, framed)
 }
 
-// sealAs keeps a job as its record and drops the messages.
+// sealAs replaces the messages of a job by its encoded record.
 func (s *Store) sealAs(j *job, record Record) {
 	j.sealed = &sealedJob{Record: record, items: len(j.items), results: len(j.results)}
 	j.submit = &wire.JobSubmit{Id: j.submit.GetId(), Digest: j.submit.GetDigest(), Tenant: j.submit.GetTenant()}
 	j.results, j.listed, j.partials, j.unscored, j.items = nil, nil, nil, nil, nil
 }
 
-// resultCount is how many results are listed.
+// resultCount returns the number of results.
 func (j *job) resultCount() int {
 	if j.sealed != nil {
 		return j.sealed.results
@@ -97,7 +99,7 @@
 	return len(j.results)
 }
 
-// itemCount is how many items the job has.
+// itemCount returns the number of items.
 func (j *job) itemCount() int {
 	if j.sealed != nil {
 		return j.sealed.items
@@ -105,7 +107,7 @@
 	return len(j.items)
 }
 
-// eachResult calls visit with the results from a position on until it returns false.
+// eachResult calls visit for the results from position since on, until visit returns false.
 func (j *job) eachResult(since uint64, visit func(*wire.JobResult) bool) {
 	if j.sealed != nil {
 		j.sealed.eachResult(since, visit)
@@ -118,7 +120,7 @@
 	}
 }
 
-// eachResult decodes only what is visited.
+// eachResult calls visit for the results from position since on, until visit returns false. It decodes only those.
 func (s *sealedJob) eachResult(since uint64, visit func(*wire.JobResult) bool) {
 	position := uint64(0)
 	eachField(s.Encoded, func(number protowire.Number, value []byte) bool {
@@ -134,7 +136,8 @@
 	})
 }
 
-// eachField visits the length-delimited fields of an encoded message until visit returns false.
+// eachField calls visit for the length-delimited fields of an encoded message, until visit returns false or the message
+// is malformed.
 func eachField(encoded []byte, visit func(number protowire.Number, value []byte) bool) {
 	for len(encoded) > 0 {
 		number, kind, length := protowire.ConsumeTag(encoded)
@@ -156,7 +159,7 @@
 	}
 }
 
-// hasItem tells whether the job has an item, and whether that is listed.
+// hasItem reports whether the job has the item, and whether the item has a result.
 func (j *job) hasItem(id string) (known, listed bool) {
 	if j.sealed == nil {
 		return j.items[id] != nil, j.listed[id]
--- a/internal/batch/snapshot.go
+++ b/internal/batch/snapshot.go
@@ -9,20 +9,20 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Captured is a Store's state at one moment. Later commands don't change it: it shares messages with the store, which
-// never modifies them.
+// Captured is the state of a Store at one moment. Later commands don't change it: it shares messages with the store,
+// which never modifies them.
 type Captured struct {
 	head *wire.JobSnapshot
 	jobs []capturedJob
 }
 
-// capturedJob is either sealed or a message.
+// capturedJob is a job in encoded form if it is sealed, or else its record.
 type capturedJob struct {
 	sealed *sealedJob
 	record *wire.JobRecord
 }
 
-// Capture fixes the state as it is now.
+// Capture returns the current state. It copies no texts.
 func (s *Store) Capture() *Captured {
 	captured := &Captured{head: &wire.JobSnapshot{Revision: s.revision, ClockMillis: s.clock}, jobs: make([]capturedJob, 0, len(s.order))}
 	for _, held := range s.order {
@@ -37,14 +37,14 @@
 	return captured
 }
 
-// Head is the state without its jobs.
+// Head returns the state without its jobs.
 func (c *Captured) Head() *wire.JobSnapshot { return c.head }
 
-// Parts encodes the jobs, each part as a wire.MachineSnapshot that holds nothing else: merged in their order they are all
-// jobs. Sealed jobs are parts by themselves, shared with the store.
+// Parts encodes the jobs as parts, each a wire.MachineSnapshot that contains nothing else. Merging the parts in order
+// gives all jobs. A sealed job is a part of its own, which shares its bytes with the store.
 func (c *Captured) Parts() ([][]byte, error) {
 	var parts [][]byte
-	var open *wire.JobSnapshot // neighbours that are not sealed
+	var open *wire.JobSnapshot // adjacent jobs that are not sealed
 	flush := func() error {
 		if open == nil {
 			return nil
@@ -69,7 +69,7 @@
 	return parts, flush()
 }
 
-// Snapshot returns the whole state as a message; equal stores give equal messages.
+// Snapshot returns the whole state as a message. Equal stores give equal messages.
 func (s *Store) Snapshot() *wire.JobSnapshot {
 	captured := s.Capture()
 	snapshot := captured.head
@@ -83,7 +83,7 @@
 	return snapshot
 }
 
-// Restore replaces the state with a snapshot's. On an error the store is unchanged.
+// Restore replaces the state with that of a snapshot. On an error the store is unchanged.
 func (s *Store) Restore(snapshot *wire.JobSnapshot) error {
 	records := make([]Record, 0, len(snapshot.GetJobs()))
 	for _, record := range snapshot.GetJobs() {
@@ -96,8 +96,8 @@
 	return s.RestoreRecords(snapshot, records)
 }
 
-// RestoreRecords replaces the state with the head of a snapshot and the records of its jobs, in their order. On an error the
-// store is unchanged. The store keeps the parts of records that change no more.
+// RestoreRecords replaces the state with the head of a snapshot and the records of its jobs, in order. On an error the
+// store is unchanged. The store retains the bytes of the parts of sealed jobs.
 func (s *Store) RestoreRecords(head *wire.JobSnapshot, records []Record) error {
 	restored := NewUnsafe(s.unsafe)
 	restored.revision, restored.clock = head.GetRevision(), head.GetClockMillis()
@@ -121,7 +121,8 @@
 	return nil
 }
 
-// restoreJob adds a job, unless its record is malformed or out of order.
+// restoreJob adds the job of a record. It returns an error for a record that is malformed, a duplicate, or out of
+// order: its revision must be above after and at most that of the store.
 func (s *Store) restoreJob(record *wire.JobRecord, after uint64) (*job, error) {
 	if err := checkSubmit(record.GetSubmit()); err != nil {
 		return nil, trace.Wrap(err, "snapshot has a malformed job")
@@ -130,7 +131,7 @@
 	if s.jobs[id] != nil || record.GetRevision() <= after || record.GetRevision() > s.revision || record.GetCountedFromMillis() > s.clock {
 		return nil, trace.BadParameter("snapshot has a job twice or out of order: %q", id)
 	}
-	held := s.add(record.GetSubmit(), record.GetRevision())
+	held := s.addJob(record.GetSubmit(), record.GetRevision())
 	held.ended, held.countedFrom = record.GetEnded(), record.GetCountedFromMillis()
 	for _, result := range record.GetResults() {
 		if err := checkResult(result); err != nil {
@@ -139,7 +140,7 @@
 		if held.items[result.GetItem()] == nil || held.listed[result.GetItem()] || result.GetFollowsLength() > 0 {
 			return nil, trace.BadParameter("snapshot has a result of job %q for no item or twice: %q", id, result.GetItem())
 		}
-		s.list(held, result)
+		s.listResult(held, result)
 	}
 	if err := s.restorePartials(held, record.GetPartials()); err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -6,82 +6,84 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of the jobs, in bytes unless said otherwise.
+// Limits, in bytes unless stated otherwise.
 const (
 	MaximumIDBytes     = 256
 	MaximumDigestBytes = 32
-	MaximumItems       = 20_000       // of one job (a count)
-	MaximumJobBytes    = 2<<20 - 4096 // a command of the log holds no more
-	// MaximumHeldBytes bounds all jobs together where a submit names no other bound: above it another job is refused as FULL.
+	MaximumItems       = 20_000       // items per job
+	MaximumJobBytes    = 2<<20 - 4096 // limit of a command in the replicated log
+	// MaximumHeldBytes limits the size of all jobs together if a submit names no other limit. A job that would exceed
+	// it is rejected as FULL.
 	MaximumHeldBytes = 48 << 20
-	// MaximumResultBytes bounds one result's text. A longer one is refused as malformed.
+	// MaximumResultBytes limits the text of one result. A longer one is rejected as malformed.
 	MaximumResultBytes = 1 << 20
-	// MaximumReplyBytes bounds the results of one answer unless a single one is longer.
+	// MaximumReplyBytes limits the results of one reply, unless a single one is longer.
 	MaximumReplyBytes = 1 << 20
 )
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety steps. Only tests set it, to show that their checks detect each fault.
 type Unsafe struct {
-	TakeTwice    bool // take a job anew that is submitted again
-	ForgetDigest bool // accept other content under the id of a job
-	ListTwice    bool // list every result of an item
-	ListAfterEnd bool // list results of jobs that have ended
-	JoinRuns     bool // let a partial text follow the text of another run
-	ListUnscored bool // list a text as completed without the score that its item needs
-	ReplaceText  bool // let another run's text take the place of one that waits for its score
-	ExpireOpen   bool // forget jobs that have not ended
-	AnyTenant    bool // show and end the jobs of other tenants
-	CountEarly   bool // count time for a job that had passed before it was taken
+	TakeTwice    bool // store a job again when it is submitted again
+	ForgetDigest bool // accept different content under the id of a stored job
+	ListTwice    bool // list all results of an item instead of the first
+	ListAfterEnd bool // accept results of jobs that have ended
+	JoinRuns     bool // let a text continue the partial text of another run
+	ListUnscored bool // accept a completed result without the score that its item needs
+	ReplaceText  bool // let the text of another run replace one that waits for its score
+	ExpireOpen   bool // expire jobs that have not ended
+	AnyTenant    bool // let a tenant read and end the jobs of other tenants
+	CountEarly   bool // count time towards the retention of a job that passed before the job was stored
 }
 
 // Store holds the batch jobs of one ledger group.
 type Store struct {
-	unsafe   Unsafe
-	jobs     map[string]*job
-	order    []*job // in the order in which they were taken
-	revision uint64 // rises with every job that is taken
-	clock    uint64 // time that leaders have counted, milliseconds
-	held     int    // bytes of all jobs
-	// roomIn is the time, in milliseconds, until the next ended job is forgotten, as of the last count. It is no part of the state:
-	// 0 until time is counted here.
-	roomIn uint64
+	unsafe    Unsafe
+	jobs      map[string]*job
+	order     []*job // in the order in which they were stored
+	revision  uint64 // increases with every job that is stored
+	clock     uint64 // time counted by leaders so far, in milliseconds
+	heldBytes int    // size of all jobs in bytes
+	// nextExpiryMillis is the time, as of the last Expire, until the next ended job is removed. 0: there is no ended
+	// job, or no Expire since the store was created or restored. It is not part of the replicated state.
+	nextExpiryMillis uint64
 }
 
-// job is one batch job. Messages are shared with snapshots and views and never modified.
+// job is one batch job. Its messages are shared with snapshots and views and never modified.
 type job struct {
 	submit   *wire.JobSubmit
 	revision uint64
 	ended    bool
-	// countedFrom is the store's clock at the first count after the job was taken, from which its retention is
-	// counted: the time of that count began before it. 0: there was none yet.
+	// countedFrom is the clock of the store at the first Expire after the job was stored, and the start of its
+	// retention. The time counted by that Expire began to pass before the job was stored, so that it is not included.
+	// 0: there was no Expire yet.
 	countedFrom uint64
-	results     []*wire.JobResult           // by position
-	listed      map[string]bool             // items with a result
-	partials    map[string]*wire.JobPartial // texts of items that run, as far as they are committed
-	unscored    map[string]*wire.JobResult  // whole texts whose score is still out
-	items       map[string]*wire.JobItem
-	bytes       int
-	sealed      *sealedJob // once it changes no more: in place of the messages above, of which submit keeps what names the job
+	results     []*wire.JobResult           // in the order of their positions
+	listed      map[string]bool             // ids of the items with a result
+	partials    map[string]*wire.JobPartial // committed parts of the texts of unfinished items, by item id
+	unscored    map[string]*wire.JobResult  // whole texts that wait for their score, by item id
+	items       map[string]*wire.JobItem    // by id
+	bytes       int                         // encoded size of submit, results and texts
+	sealed      *sealedJob                  // if not nil, replaces the messages above; submit then keeps only id, digest and tenant
 }
 
 // New returns an empty Store.
 func New() *Store { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty Store with safety steps switched off.
+// NewUnsafe returns an empty Store with safety steps disabled.
 func NewUnsafe(unsafe Unsafe) *Store { return &Store{unsafe: unsafe, jobs: map[string]*job{}} }
 
-// Len returns the number of jobs that are kept.
+// Len returns the number of stored jobs.
 func (s *Store) Len() int { return len(s.order) }
 
-// HeldBytes is the size of all jobs that are kept.
-func (s *Store) HeldBytes() int { return s.held }
+// HeldBytes returns the size of all stored jobs in bytes.
+func (s *Store) HeldBytes() int { return s.heldBytes }
 
-// Revision rises with every job that is taken.
+// Revision returns a number that increases with every job that is stored.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// ofTenant returns a job of a tenant; nil if there is none. Another tenant's job is as good as none, so that nobody learns of
-// it, however its id came to be known.
-func (s *Store) ofTenant(id, tenant string) *job {
+// jobOfTenant returns a job of a tenant, or nil if there is none. The job of another tenant is treated as unknown, so
+// that nobody learns of it even with its id.
+func (s *Store) jobOfTenant(id, tenant string) *job {
 	held := s.jobs[id]
 	if held == nil || held.submit.GetTenant() != tenant && !s.unsafe.AnyTenant {
 		return nil
@@ -89,7 +91,8 @@
 	return held
 }
 
-func (s *Store) add(submit *wire.JobSubmit, revision uint64) *job {
+// addJob adds a job without results.
+func (s *Store) addJob(submit *wire.JobSubmit, revision uint64) *job {
 	added := &job{submit: submit, revision: revision, bytes: proto.Size(submit), listed: map[string]bool{}, partials: map[string]*wire.JobPartial{},
 		unscored: map[string]*wire.JobResult{},
 		items:    make(map[string]*wire.JobItem, len(submit.GetItems()))}
@@ -98,21 +101,21 @@
 	}
 	s.jobs[submit.GetId()] = added
 	s.order = append(s.order, added)
-	s.held += added.bytes
+	s.heldBytes += added.bytes
 	return added
 }
 
-// list appends a result.
-func (s *Store) list(j *job, result *wire.JobResult) {
+// listResult appends a result and removes the texts that it replaces.
+func (s *Store) listResult(j *job, result *wire.JobResult) {
 	j.results = append(j.results, result)
 	j.listed[result.GetItem()] = true
-	s.drop(j, result.GetItem())
+	s.dropPartial(j, result.GetItem())
 	s.dropUnscored(j, result.GetItem())
-	s.count(j, proto.Size(result))
+	s.addBytes(j, proto.Size(result))
 }
 
-// strip drops the content of an ended job's items, which nobody may ask for any more.
-func (s *Store) strip(j *job) {
+// dropContent removes the content of an ended job's items and its unfinished texts, which can't be read any more.
+func (s *Store) dropContent(j *job) {
 	stripped := &wire.JobSubmit{
 		Id: j.submit.GetId(), Digest: j.submit.GetDigest(), Route: j.submit.GetRoute(), Pools: j.submit.GetPools(),
 		Model: j.submit.GetModel(), Step: j.submit.GetStep(), MinVersion: j.submit.GetMinVersion(),
@@ -127,10 +130,10 @@
 		stripped.Items = append(stripped.Items, kept)
 		j.items[item.GetId()] = kept
 	}
-	s.count(j, proto.Size(stripped)-proto.Size(j.submit))
+	s.addBytes(j, proto.Size(stripped)-proto.Size(j.submit))
 	j.submit = stripped
 	for item := range j.partials {
-		s.drop(j, item)
+		s.dropPartial(j, item)
 	}
 	for item := range j.unscored {
 		s.dropUnscored(j, item)
--- a/internal/batch/store_test.go
+++ b/internal/batch/store_test.go
@@ -28,7 +28,7 @@
 	return &wire.JobStore{Jobs: []*wire.JobResults{{Job: job, Results: results}}}
 }
 
-// partial goes on after a text of events of one byte each.
+// partial returns a partial text that continues before. Each event of both texts has one byte.
 func partial(item, before, data string) *wire.JobPartial {
 	earlier := uint64(len(before)+1) / 2
 	events := earlier + uint64(len(data)+1)/2
@@ -49,25 +49,27 @@
 	return &wire.JobStore{Jobs: []*wire.JobResults{{Job: job, Partials: partials}}}
 }
 
-func TestPartialTextsGoOnWhereTheyEnd(t *testing.T) {
+// TestPartialTextsContinueOnlyTheStoredText: a partial text must be stored only if it starts anew or continues exactly
+// the stored text. Repeated, late and missing parts and those of other runs must not be mixed in.
+func TestPartialTextsContinueOnlyTheStoredText(t *testing.T) {
 	store := New()
 	reply, err := store.Submit(exampleJob("a", 2))
 	wantOutcome(t, reply, err, wire.JobOutcome_JOB_OUTCOME_ACCEPTED)
-	held := store.held
+	held := store.heldBytes
 	for _, step := range []struct {
 		stored *wire.JobStore
 		want   string
 	}{
-		{storedPartial("a", partial("i0", "a", "\nb")), ""}, // nothing is held that it could follow
+		{storedPartial("a", partial("i0", "a", "\nb")), ""}, // nothing is stored that it could continue
 		{storedPartial("a", partial("i0", "", "a")), "a"},
 		{storedPartial("a", partial("i0", "a", "\nb")), "a\nb"},
 		{storedPartial("a", partial("i0", "a", "\nb")), "a\nb"},       // repeated
-		{storedPartial("a", partial("i0", "a\nb\nc", "\nd")), "a\nb"}, // one is missing
-		{storedPartial("a", partial("i0", "", "c")), "c"},             // a run from the start
-		{storedPartial("a", partial("i0", "a", "\nb")), "c"},          // an earlier leader's run, as long so far
+		{storedPartial("a", partial("i0", "a\nb\nc", "\nd")), "a\nb"}, // the part before it is missing
+		{storedPartial("a", partial("i0", "", "c")), "c"},             // a new run
+		{storedPartial("a", partial("i0", "a", "\nb")), "c"},          // the run of an earlier leader, of the same length so far
 		{storedPartial("x", partial("i0", "", "d")), "c"},
 		{stored("a", completed("i0", "c\nd")), ""},
-		{storedPartial("a", partial("i0", "", "d")), ""}, // later than the result
+		{storedPartial("a", partial("i0", "", "d")), ""}, // after the result
 	} {
 		if _, err := store.Store(step.stored); err != nil {
 			t.Fatal(err)
@@ -77,14 +79,14 @@
 			got += string(partialText(t, held))
 		}
 		if got != step.want {
-			t.Fatalf("after %v: %q is held, want %q", step.stored, got, step.want)
+			t.Fatalf("stored text after %v: %q, want %q", step.stored, got, step.want)
 		}
 	}
-	if want := held + proto.Size(completed("i0", "c\nd")); store.held != want {
-		t.Fatalf("%d bytes are held, want %d", store.held, want)
+	if want := held + proto.Size(completed("i0", "c\nd")); store.heldBytes != want {
+		t.Fatalf("%d bytes are stored, want %d", store.heldBytes, want)
 	}
 	if _, err := store.Store(storedPartial("a", partial("i1", "", ""))); err == nil {
-		t.Fatal("an empty text was taken")
+		t.Fatal("an empty text was accepted")
 	}
 }
 
@@ -95,7 +97,9 @@
 	}
 }
 
-func TestJobIsTakenOnce(t *testing.T) {
+// TestJobIsStoredOnce: a resend must change nothing, also after the end of the job, and other content under the same id
+// must be rejected.
+func TestJobIsStoredOnce(t *testing.T) {
 	store := New()
 	for range 2 {
 		reply, err := store.Submit(exampleJob("a", 3))
@@ -104,7 +108,7 @@
 	reply, err := store.Submit(exampleJob("a", 2))
 	wantOutcome(t, reply, err, wire.JobOutcome_JOB_OUTCOME_OTHER_CONTENT)
 	if store.Len() != 1 || store.Revision() != 1 {
-		t.Fatalf("%d jobs, revision %d", store.Len(), store.Revision())
+		t.Fatalf("%d jobs, revision %d, want 1 of each", store.Len(), store.Revision())
 	}
 	reply, err = store.End(&wire.JobEnd{Job: "a"})
 	wantOutcome(t, reply, err, wire.JobOutcome_JOB_OUTCOME_ACCEPTED)
@@ -121,22 +125,24 @@
 	first, second := exampleJob("a", 2), exampleJob("a", 2)
 	second.SentUnixMillis, second.Route, second.DeadlineMillis = 9, "other", 7
 	if !bytes.Equal(Digest(first), Digest(second)) {
-		t.Fatal("the digest follows what was added on the way")
+		t.Fatal("the digest depends on fields that the caller did not send")
 	}
 	second.Items[1].Body = []byte("x")
 	if bytes.Equal(Digest(first), Digest(second)) {
-		t.Fatal("two contents have one digest")
+		t.Fatal("two different contents have the same digest")
 	}
 }
 
-func TestResultsStayWhereTheyAre(t *testing.T) {
+// TestResultsKeepTheirPosition: readers continue from a position, so that a result must not move, and a second one of
+// the same item must be ignored.
+func TestResultsKeepTheirPosition(t *testing.T) {
 	store := New()
 	if _, err := store.Submit(exampleJob("a", 3)); err != nil {
 		t.Fatal(err)
 	}
 	reply, err := store.Store(stored("a", completed("i1", "one"), completed("i1", "again"), completed("none", "x")))
 	if err != nil || reply.GetStored() != 1 {
-		t.Fatalf("%v %v", reply, err)
+		t.Fatalf("%v (%v), want 1 result stored", reply, err)
 	}
 	if _, err := store.Store(stored("a", &wire.JobResult{Item: "i0", State: wire.JobItemState_JOB_ITEM_STATE_TERMINATED}, completed("i1", "z"))); err != nil {
 		t.Fatal(err)
@@ -153,7 +159,7 @@
 		t.Fatalf("%v", view)
 	}
 	if store.Results(&wire.JobResultsQuery{Job: "b"}).GetKnown() {
-		t.Fatal("an unknown job is known")
+		t.Fatal("an unknown job is reported as known")
 	}
 	item := store.Item(&wire.JobItemQuery{Job: "a", Item: "i2"})
 	if !item.GetHeld() || item.GetListed() || !bytes.Equal(item.GetBody(), []byte{2, 255}) {
@@ -176,7 +182,7 @@
 		t.Fatal(err)
 	}
 	for _, step := range []struct{ elapsed, retention, left int }{
-		{elapsed: 1 << 40, retention: 3000, left: 2}, // had begun to pass before the jobs were taken
+		{elapsed: 1 << 40, retention: 3000, left: 2}, // began to pass before the jobs were stored
 		{elapsed: 3000, retention: 3000, left: 2},
 		{elapsed: 1, retention: 3000, left: 1},
 	} {
@@ -184,25 +190,25 @@
 			t.Fatal(err)
 		}
 		if store.Len() != step.left {
-			t.Fatalf("%v: %d jobs", step, store.Len())
+			t.Fatalf("after %v: %d jobs", step, store.Len())
 		}
 	}
 }
 
-func TestFullStoreRefuses(t *testing.T) {
+func TestFullStoreRejectsJobs(t *testing.T) {
 	store := New()
-	store.held = MaximumHeldBytes
+	store.heldBytes = MaximumHeldBytes
 	reply, err := store.Submit(exampleJob("a", 1))
 	wantOutcome(t, reply, err, wire.JobOutcome_JOB_OUTCOME_FULL)
 	for _, malformed := range []*wire.JobSubmit{{}, {Id: "a"}, {Id: "a", Digest: []byte{1}},
 		{Id: "a", Digest: []byte{1}, Items: []*wire.JobItem{{Id: "x"}, {Id: "x"}}}} {
 		if _, err := store.Submit(malformed); err == nil {
-			t.Fatalf("%v was taken", malformed)
+			t.Fatalf("malformed job %v was accepted", malformed)
 		}
 	}
 }
 
-// checkedStore is a store with what its readers have seen: nothing that was read may change.
+// checkedStore is a store together with what its readers have seen. Nothing that was read may change.
 type checkedStore struct {
 	store *Store
 	read  map[string][]*wire.JobResult
@@ -237,7 +243,7 @@
 				t.Fatalf("position %d of %s changed from %v to %v", position, id, c.read[id][position], result)
 			}
 			if seen[result.GetItem()] {
-				t.Fatalf("item %s of %s stands at two positions", result.GetItem(), id)
+				t.Fatalf("item %s of %s has two results", result.GetItem(), id)
 			}
 			seen[result.GetItem()] = true
 		}
@@ -248,7 +254,8 @@
 	}
 }
 
-// TestReadersSeeOneHistory applies random commands, with restores from snapshots in between.
+// TestReadersSeeOneHistory applies random commands with restores from snapshots in between. Results that were read must
+// neither change nor disappear.
 func TestReadersSeeOneHistory(t *testing.T) {
 	rapid.Check(t, playHistory)
 }
@@ -265,15 +272,15 @@
 		if err := restored.Restore(checked.store.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
-		if !proto.Equal(restored.Snapshot(), checked.store.Snapshot()) || restored.held != checked.store.held {
-			t.Fatal("a restored store differs")
+		if !proto.Equal(restored.Snapshot(), checked.store.Snapshot()) || restored.heldBytes != checked.store.heldBytes {
+			t.Fatal("the restored store differs from the original")
 		}
 		checked.store = restored
 	}
 }
 
-// FuzzStore takes any bytes as a snapshot and as a command's parts: nothing may panic, and what is restored
-// survives another restore.
+// FuzzStore restores a store from arbitrary bytes. Nothing may panic, a rejected snapshot must change nothing, and an
+// accepted one must survive another restore.
 func FuzzStore(f *testing.F) {
 	store := New()
 	if _, err := store.Submit(exampleJob("a", 2)); err != nil {
@@ -295,7 +302,7 @@
 		first, second := New(), New()
 		if first.Restore(snapshot) != nil {
 			if first.Len() != 0 {
-				t.Fatal("a refused snapshot changed the store")
+				t.Fatal("a rejected snapshot changed the store")
 			}
 			return
 		}
@@ -305,7 +312,7 @@
 			}
 		}
 		if err := second.Restore(first.Snapshot()); err != nil || !proto.Equal(first.Snapshot(), second.Snapshot()) {
-			t.Fatalf("the store does not survive a restore (%v)", err)
+			t.Fatalf("the store differs after a second restore (%v)", err)
 		}
 	})
 }
--- a/internal/batch/tenant_test.go
+++ b/internal/batch/tenant_test.go
@@ -6,7 +6,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestJobIsKnownToItsTenantOnly, also once it has ended, and as long as the store keeps it.
+// TestJobIsKnownToItsTenantOnly: other tenants must be able neither to read nor to end a job, while it is open, after
+// its end and after a restore.
 func TestJobIsKnownToItsTenantOnly(t *testing.T) {
 	held := New()
 	job := exampleJob("j", 2)
@@ -24,7 +25,7 @@
 			results := held.Results(&wire.JobResultsQuery{Job: "j", Tenant: tenant})
 			item := held.Item(&wire.JobItemQuery{Job: "j", Item: "i0", Tenant: tenant})
 			if results.GetKnown() != known || item.GetKnown() != known || (results.GetTotal() == 2) != known {
-				t.Errorf("ended %v, tenant %q: %v %v", ended, tenant, results, item)
+				t.Errorf("ended %v, tenant %q: results %v, item %v", ended, tenant, results, item)
 			}
 		}
 		for _, tenant := range []string{"Two", ""} {
@@ -32,7 +33,7 @@
 			wantOutcome(t, reply, err, wire.JobOutcome_JOB_OUTCOME_UNKNOWN_JOB)
 		}
 		if open := len(held.Work(&wire.JobWorkQuery{}).GetOpen()) == 1; open == ended {
-			t.Errorf("another tenant ended the job: open %v", open)
+			t.Errorf("open %v after another tenant tried to end the job", open)
 		}
 		reply, err = held.End(&wire.JobEnd{Job: "j", Tenant: "One"})
 		wantOutcome(t, reply, err, wire.JobOutcome_JOB_OUTCOME_ACCEPTED)
@@ -40,6 +41,6 @@
 	restored := New()
 	if err = restored.Restore(held.Snapshot()); err != nil || restored.Results(&wire.JobResultsQuery{Job: "j", Tenant: "Two"}).GetKnown() ||
 		!restored.Results(&wire.JobResultsQuery{Job: "j", Tenant: "One"}).GetKnown() {
-		t.Errorf("after a restore: %v", err)
+		t.Errorf("the restore failed (%v), or the job is known to the wrong tenant after it", err)
 	}
 }
--- a/internal/batch/text.go
+++ b/internal/batch/text.go
@@ -12,31 +12,32 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Texts are most of what the log, the state, its snapshots and the messages between nodes hold: they are stored
-// deflated where that makes them smaller, and in the pieces in which they were committed, so that none is sent twice.
-// Who makes a text and who reads it does the work; the store only counts.
+// Texts are most of the bytes in the log, the state, its snapshots and the messages between nodes. They are stored
+// compressed where that makes them smaller, and in the pieces in which they were committed, so that no piece is sent
+// twice. The writer and the reader of a text compress and decompress it; the store only computes lengths.
 
-// leastDeflated is the length of a piece, in bytes, below which it is stored as it is.
-const leastDeflated = 128
+// minDeflatedBytes is the length from which a piece is compressed.
+const minDeflatedBytes = 128
 
 var (
 	deflaters = sync.Pool{New: func() any {
 		writer, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 		if err != nil {
-			panic(err) // only for a level that does not exist
+			panic(err) // fails only for a level that does not exist
 		}
 		return writer
 	}}
 	inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 )
 
-// TextSum identifies a text that another one follows. Length and last event are not enough: runs of one item
-// that different leaders began may have both in common.
+// TextSum returns a checksum that identifies the text which another one continues. Its length and last event id are not
+// sufficient, because runs of one item started by different leaders may have both in common.
 func TextSum(text []byte) uint64 { return xxhash.Sum64(text) }
 
-// Deflate returns a piece of a text as it is stored, and its length before if that makes it smaller.
+// Deflate returns a piece of a text in its stored form. If compression makes it smaller, data is compressed and
+// deflatedFrom is the original length; otherwise data is text and deflatedFrom is 0.
 func Deflate(text []byte) (data []byte, deflatedFrom uint32) {
-	if len(text) < leastDeflated {
+	if len(text) < minDeflatedBytes {
 		return text, 0
 	}
 	var small bytes.Buffer
@@ -51,12 +52,13 @@
 	return text, 0
 }
 
-// Completed returns the result of an item with its whole text.
+// Completed returns the completed result of an item with its whole text.
 func Completed(item string, text []byte, versions []uint64) *wire.JobResult {
 	return CompletedAfter(item, text, 0, versions)
 }
 
-// CompletedAfter returns the result of an item of whose text the first bytes are committed as a partial text already.
+// CompletedAfter returns the completed result of an item of whose text the first committed bytes are stored already as
+// a partial text. The result contains only the rest.
 func CompletedAfter(item string, text []byte, committed int, versions []uint64) *wire.JobResult {
 	result := &wire.JobResult{Item: item, State: wire.JobItemState_JOB_ITEM_STATE_COMPLETED, Versions: versions}
 	result.Text, result.DeflatedFrom = Deflate(text[committed:])
@@ -66,30 +68,33 @@
 	return result
 }
 
-// Text returns the text of a result as its item's replica gave it.
+// Text returns the decompressed text of a result. It returns trace.BadParameter for a text that is damaged or too long.
 func Text(result *wire.JobResult) ([]byte, error) {
-	text, err := join(append(result.GetPieces()[:len(result.GetPieces()):len(result.GetPieces())], lastPiece(result)))
+	text, err := joinPieces(append(result.GetPieces()[:len(result.GetPieces()):len(result.GetPieces())], newestPiece(result)))
 	return text, trace.Wrap(err, "item %q", result.GetItem())
 }
 
-// PartialText returns a partial text that is held.
+// PartialText returns the decompressed text of a stored partial text. It returns trace.BadParameter for a text that is
+// damaged or too long.
 func PartialText(partial *wire.JobPartial) ([]byte, error) {
-	text, err := join(partialPieces(partial))
+	text, err := joinPieces(partialPieces(partial))
 	return text, trace.Wrap(err, "item %q", partial.GetItem())
 }
 
-func lastPiece(result *wire.JobResult) *wire.JobText {
+// newestPiece returns the part of the text that the result itself contains.
+func newestPiece(result *wire.JobResult) *wire.JobText {
 	return &wire.JobText{Data: result.GetText(), DeflatedFrom: result.GetDeflatedFrom()}
 }
 
-// partialPieces are the pieces of a partial text, with its newest one.
+// partialPieces returns all pieces of a partial text, including the newest one.
 func partialPieces(partial *wire.JobPartial) []*wire.JobText {
 	pieces := make([]*wire.JobText, 0, len(partial.GetPieces())+1)
 	pieces = append(pieces, partial.GetPieces()...)
 	return append(pieces, &wire.JobText{Data: partial.GetData(), DeflatedFrom: partial.GetDeflatedFrom()})
 }
 
-func join(pieces []*wire.JobText) ([]byte, error) {
+// joinPieces decompresses pieces and joins them.
+func joinPieces(pieces []*wire.JobText) ([]byte, error) {
 	if length := rawBytes(pieces); length > MaximumResultBytes {
 		return nil, trace.BadParameter("the text is longer than %d bytes", MaximumResultBytes)
 	}
@@ -107,6 +112,7 @@
 	return text, nil
 }
 
+// inflate decompresses a piece. It returns trace.BadParameter if the length differs from the stated one.
 func inflate(piece *wire.JobText) ([]byte, error) {
 	if piece.GetDeflatedFrom() == 0 {
 		return piece.GetData(), nil
@@ -126,7 +132,7 @@
 	return text, nil
 }
 
-// rawBytes is the length of some pieces as they are read.
+// rawBytes returns the decompressed length of pieces.
 func rawBytes(pieces []*wire.JobText) int {
 	length := 0
 	for _, piece := range pieces {
@@ -135,6 +141,7 @@
 	return length
 }
 
+// rawLength returns the decompressed length of a piece.
 func rawLength(data []byte, deflatedFrom uint32) int {
 	if deflatedFrom > 0 {
 		return int(deflatedFrom)
@@ -142,12 +149,12 @@
 	return len(data)
 }
 
-// textBytes is the length of a result's text as it is read.
+// textBytes returns the decompressed length of a result's text.
 func textBytes(result *wire.JobResult) int {
 	return rawBytes(result.GetPieces()) + rawLength(result.GetText(), result.GetDeflatedFrom())
 }
 
-// storedBytes is what the text of a result takes.
+// storedBytes returns the stored length of the text of a result.
 func storedBytes(result *wire.JobResult) int {
 	length := len(result.GetText())
 	for _, piece := range result.GetPieces() {
--- a/internal/batch/text_test.go
+++ b/internal/batch/text_test.go
@@ -11,9 +11,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-func TestTextsAreReadAsTheyWere(t *testing.T) {
+// TestTextsSurviveCompression: a text must be read back unchanged, never take more bytes than before, and take far
+// fewer if it is repetitive.
+func TestTextsSurviveCompression(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := rapid.SliceOfN(rapid.Byte(), 0, 3*leastDeflated).Draw(t, "text")
+		text := rapid.SliceOfN(rapid.Byte(), 0, 3*minDeflatedBytes).Draw(t, "text")
 		text = bytes.Repeat(text, rapid.IntRange(1, 4).Draw(t, "repeats"))
 		result := Completed("i", text, []uint64{4})
 		got, err := Text(result)
@@ -22,11 +24,11 @@
 		}
 	})
 	if words := Completed("i", []byte(strings.Repeat("a rollout's words come again; ", 50)), nil); len(words.Text) > 150 {
-		t.Errorf("1500 repeated bytes take %d", len(words.Text))
+		t.Errorf("1500 repetitive bytes are stored as %d, want at most 150", len(words.Text))
 	}
 }
 
-func TestDamagedTextsAreRefused(t *testing.T) {
+func TestDamagedTextsAreRejected(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	good := Completed("i", []byte(strings.Repeat("words ", 100)), nil)
 	for _, change := range []func(*wire.JobResult){
@@ -49,12 +51,13 @@
 	store := New()
 	if _, err := store.Store(&wire.JobStore{Jobs: []*wire.JobResults{{Job: "j", Results: []*wire.JobResult{
 		{Item: "i", State: good.State, Text: make([]byte, 9), DeflatedFrom: 3}}}}}); err == nil {
-		t.Error("a text that grew when it was deflated was taken")
+		t.Error("a text that is longer compressed than decompressed was accepted")
 	}
 }
 
-// TestResultsAreBoundedAsTheyAreRead: a caller is promised a size, whatever the texts take here.
-func TestResultsAreBoundedAsTheyAreRead(t *testing.T) {
+// TestResultsAreBoundedByReadLength: MaxBytes is a promise to the reader, so that it must limit the decompressed
+// length, whatever the stored one is.
+func TestResultsAreBoundedByReadLength(t *testing.T) {
 	store := New()
 	submit := &wire.JobSubmit{Id: "j", Digest: []byte("d"), Items: []*wire.JobItem{{Id: "a"}, {Id: "b"}, {Id: "c"}}}
 	if _, err := store.Submit(submit); err != nil {
@@ -68,6 +71,6 @@
 		t.Fatal(err)
 	}
 	if view := store.Results(&wire.JobResultsQuery{Job: "j", MaxBytes: 2100}); len(view.Results) != 2 {
-		t.Errorf("%d results of 1000 bytes in 2100", len(view.Results))
+		t.Errorf("%d results of 1000 bytes for a limit of 2100 bytes, want 2", len(view.Results))
 	}
 }
