--- a/internal/batch/partial.go
+++ b/internal/batch/partial.go
@@ -52,8 +52,8 @@
 	return uint64(rawBytes(partialPieces(held))) == length && (held.GetSum() == sum || s.unsafe.JoinRuns)
 }
 
-// withPartialText returns the result joined with the stored partial text that it continues. It returns false if that
-// text is not stored.
+// withPartialText returns the result joined with the stored partial text that it continues, or unchanged if it
+// continues none. It returns false if that text is not stored.
 func (s *Store) withPartialText(j *job, result *wire.JobResult) (*wire.JobResult, bool) {
 	if result.GetFollowsLength() == 0 {
 		return result, true
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -63,7 +63,8 @@
 	unscored    map[string]*wire.JobResult  // whole texts that wait for their score, by item id
 	items       map[string]*wire.JobItem    // by id
 	bytes       int                         // encoded size of submit, results and texts
-	sealed      *sealedJob                  // if not nil, replaces the messages above; submit then keeps only id, digest and tenant
+	// sealed, if not nil, replaces the messages above. submit then contains only the id, the digest and the tenant.
+	sealed *sealedJob
 }
 
 // New returns an empty Store.
--- a/internal/batch/store_test.go
+++ b/internal/batch/store_test.go
@@ -149,25 +149,25 @@
 	}
 	view := store.Results(&wire.JobResultsQuery{Job: "a", MaxBytes: 1})
 	if !view.GetKnown() || view.GetTotal() != 3 || view.GetNext() != 1 || string(view.GetResults()[0].GetText()) != "one" {
-		t.Fatalf("%v", view)
+		t.Fatalf("results for a limit of 1 byte: %v, want 1 of 3", view)
 	}
 	view = store.Results(&wire.JobResultsQuery{Job: "a", Since: 1})
 	if view.GetNext() != 2 || view.GetResults()[0].GetItem() != "i0" {
-		t.Fatalf("%v", view)
+		t.Fatalf("results from position 1: %v, want item i0", view)
 	}
 	if view = store.Results(&wire.JobResultsQuery{Job: "a", Since: 9}); view.GetNext() != 9 || len(view.GetResults()) != 0 {
-		t.Fatalf("%v", view)
+		t.Fatalf("results after the end of the list: %v, want none", view)
 	}
 	if store.Results(&wire.JobResultsQuery{Job: "b"}).GetKnown() {
 		t.Fatal("an unknown job is reported as known")
 	}
 	item := store.Item(&wire.JobItemQuery{Job: "a", Item: "i2"})
 	if !item.GetHeld() || item.GetListed() || !bytes.Equal(item.GetBody(), []byte{2, 255}) {
-		t.Fatalf("%v", item)
+		t.Fatalf("unfinished item: %v, want its body", item)
 	}
 	work := store.Work(&wire.JobWorkQuery{})
 	if len(work.GetJobs()) != 1 || len(work.GetJobs()[0].GetFinished()) != 2 || len(store.Work(&wire.JobWorkQuery{AfterRevision: 1}).GetJobs()) != 0 {
-		t.Fatalf("%v", work)
+		t.Fatalf("work: %v, want 1 job with 2 finished items", work)
 	}
 }
 
--- a/internal/batch/unscored_test.go
+++ b/internal/batch/unscored_test.go
@@ -82,7 +82,8 @@
 			t.Errorf("%s was accepted", name)
 		}
 	}
-	mustStore(t, store, unscored("a", completed("i1", "text")), 0) // needs no score, so that it is not stored as waiting for one
+	// The second item needs no score, so that its text is not stored as waiting for one.
+	mustStore(t, store, unscored("a", completed("i1", "text")), 0)
 	if waiting := store.Work(&wire.JobWorkQuery{}).GetJobs()[0].GetUnscored(); len(waiting) != 0 {
 		t.Errorf("%v waits for a score that its item does not need", waiting)
 	}
--- a/internal/batchclient/client.go
+++ b/internal/batchclient/client.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// Group is the ledger group of the batch jobs.
+	// Group is the number of the ledger group that stores the batch jobs.
 	Group uint32 = 1
-	// callTime bounds one command or query of a batch call; resultsPoll is the pause between two looks for
-	// results that a caller waits for.
-	callTime    = 1200 * time.Millisecond
-	resultsPoll = 50 * time.Millisecond
-	// answerBytes bounds the results of one answer before their encoding, which may make them longer: callers
-	// are promised 1 MB at most. They are asked for in pieces of about pieceBytes: a control node keeps a buffer as
-	// large as the largest message for each gateway that it has answered.
+	// callTimeout limits one command or query of a call.
+	callTimeout = 1200 * time.Millisecond
+	// resultsPollInterval is the pause between two queries for results that a caller waits for.
+	resultsPollInterval = 50 * time.Millisecond
+	// answerBytes limits the results of one answer before their encoding, which may make them longer: callers are
+	// promised 1 MB at most. They are requested in pieces of about pieceBytes, because a control node retains a buffer
+	// as large as the largest message for each gateway that it has answered.
 	answerBytes = 400 << 10
 	pieceBytes  = 48 << 10
 )
 
-// FullError refuses a batch job since the jobs that are kept leave no room for it.
+// FullError rejects a batch job because the stored jobs leave no space for it.
 type FullError struct {
-	RoomIn time.Duration // until the next job is forgotten; 0: not known
+	RoomIn time.Duration // time until the next job is removed; 0: unknown
 }
 
 // Error implements error.
@@ -40,24 +40,23 @@
 	return "the batch jobs that are kept leave no room; the next one is forgotten in " + e.RoomIn.String()
 }
 
-// errOtherView is the answer of a control node that does not know the question.
-var errOtherView = verdict.New(verdict.DidNotRun, "the control node answered the query with something else")
+// errUnexpectedView reports a control node that does not know the kind of query.
+var errUnexpectedView = verdict.New(verdict.DidNotRun, "the control node answered the query with something else")
 
-// Ledger reaches the ledger groups; *controlclient.Client is the usual one.
+// Ledger executes commands and queries in ledger groups. It is implemented by *controlclient.Client.
 type Ledger interface {
 	Execute(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, error)
 	Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
 }
 
-// Client is the Service over the ledger group of the batch jobs.
+// Client implements Service on the ledger group of the batch jobs.
 type Client struct {
 	client Ledger
-	view   func() *table.View
-	near   *Near // nil: results are read from the leader
+	view   func() *table.View // nil result: not known yet
+	near   *Near              // nil: all results are read from the leader
 }
 
-// New returns a service that takes the routes' settings from the table that view returns; nil while
-// none is known.
+// New returns a Client that takes the settings of routes from the table that view returns; nil while no table is known.
 func New(client Ledger, view func() *table.View) *Client {
 	return &Client{client: client, view: view}
 }
@@ -91,12 +90,12 @@
 		full := &FullError{RoomIn: time.Duration(reply.GetRoomInMillis()) * time.Millisecond}
 		return verdict.Wrap(verdict.DidNotRun, full, "batch job %q was not taken", job.ID)
 	}
-	// An earlier, delayed copy of the command may still be taken: nothing is promised.
+	// An earlier, delayed copy of the command may still be applied, so that the job may yet run.
 	return verdict.New(verdict.MayHaveRun, "batch job %q was not taken: %s", job.ID, reply.GetOutcome())
 }
 
-// checkRewards refuses a job with a reward call that can't be made. One that has no route may have one soon, so that
-// the job may come again.
+// checkRewards rejects a job with an invalid reward call. If only the route of a call is missing, the error is
+// DidNotRun, because the route may be added soon and the job can be submitted again.
 func checkRewards(job *Job, view *table.View) error {
 	var routes *route.Table
 	for position := range job.Items {
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// submission is a job with the settings of its route.
+// submission returns the command that stores a job with the settings of its route.
 func submission(job *Job, row *table.Row) *wire.JobSubmit {
 	submit := &wire.JobSubmit{
 		Id: job.ID, Route: row.Name, Model: job.Model, Step: job.Step, MinVersion: job.MinVersion,
@@ -138,7 +137,8 @@
 		for _, header := range item.Header {
 			added.Headers = append(added.Headers, &wire.JobHeader{Name: header.Name, Value: header.Value})
 		}
-		slices.SortFunc(added.Headers, func(a, b *wire.JobHeader) int { // they came as a table, in no order
+		// The headers arrive in arbitrary order, and the digest of a resend must be equal.
+		slices.SortFunc(added.Headers, func(a, b *wire.JobHeader) int {
 			return cmp.Or(strings.Compare(a.GetName(), b.GetName()), strings.Compare(a.GetValue(), b.GetValue()))
 		})
 		submit.Items = append(submit.Items, added)
@@ -147,8 +147,9 @@
 	return submit
 }
 
+// execute executes a command within callTimeout.
 func (b *Client) execute(ctx context.Context, command *wire.Command) (*wire.JobReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := b.client.Execute(ctx, Group, command)
 	if err != nil {
@@ -160,29 +161,30 @@
 // Results implements Service.
 func (b *Client) Results(ctx context.Context, job Reference, from uint64, wait time.Duration) (*Results, error) {
 	for until := time.Now().Add(wait); ; {
-		near := b.near.address()
-		found, err := b.ask(ctx, job, from, near != "")
+		near := b.near.chooseNode()
+		found, err := b.queryResults(ctx, job, from, near != "")
 		if err != nil {
 			return nil, err
 		}
 		done := from >= found.GetTotal() || found.GetEnded()
-		if listed(found) > from || done || time.Now().Add(resultsPoll).After(until) {
-			return b.collect(ctx, job, from, near, found)
+		if listedCount(found) > from || done || time.Now().Add(resultsPollInterval).After(until) {
+			return b.collectResults(ctx, job, from, near, found)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, trace.Wrap(ctx.Err())
-		case <-time.After(resultsPoll):
+		case <-time.After(resultsPollInterval):
 		}
 	}
 }
 
+// pieceQuery returns the query for a piece of the results from a position on.
 func pieceQuery(job Reference, from uint64) *wire.Query {
 	return &wire.Query{Kind: &wire.Query_JobResults{JobResults: &wire.JobResultsQuery{Job: job.ID, Tenant: job.Tenant, Since: from, MaxBytes: pieceBytes}}}
 }
 
-// ask asks the leader for a job's results from a position on, or for their number only.
-func (b *Client) ask(ctx context.Context, job Reference, from uint64, countOnly bool) (*wire.JobResultsView, error) {
+// queryResults queries the leader for the results of a job from a position on, or only for their number.
+func (b *Client) queryResults(ctx context.Context, job Reference, from uint64, countOnly bool) (*wire.JobResultsView, error) {
 	query := pieceQuery(job, from)
 	query.GetJobResults().CountOnly = countOnly
 	view, err := b.query(ctx, query)
@@ -191,7 +193,7 @@
 	}
 	found := view.GetJobResults()
 	if found == nil {
-		return nil, errOtherView
+		return nil, errUnexpectedView
 	}
 	if !found.GetKnown() {
 		return nil, trace.NotFound("no batch job %q", job.ID)
@@ -199,19 +201,21 @@
 	return found, nil
 }
 
-// listed is how many results a job has. A control node of an earlier version names only those that it hands out.
-func listed(found *wire.JobResultsView) uint64 { return max(found.GetListed(), found.GetNext()) }
+// listedCount returns the number of results that a job has. A control node of an older version reports only the results
+// that it returns.
+func listedCount(found *wire.JobResultsView) uint64 { return max(found.GetListed(), found.GetNext()) }
 
-// collect adds pieces to what the leader has answered with, as far as the answer has room and they can be had: from the
-// near node, and from the leader where that has none.
-func (b *Client) collect(ctx context.Context, job Reference, from uint64, near string, first *wire.JobResultsView) (*Results, error) {
+// collectResults appends further pieces to the first answer of the leader, up to answerBytes. It reads them from the
+// near node, and from the leader once that node does not have them. If a piece can't be read, it returns the results
+// before it.
+func (b *Client) collectResults(ctx context.Context, job Reference, from uint64, near string, first *wire.JobResultsView) (*Results, error) {
 	results, err := resultsOf(first)
 	if err != nil {
 		return nil, err
 	}
 	for results.Bytes() < answerBytes-pieceBytes {
 		next := from + uint64(len(results.Results))
-		if next >= listed(first) {
+		if next >= listedCount(first) {
 			break
 		}
 		var piece *wire.JobResultsView
@@ -220,7 +224,7 @@
 		}
 		if piece == nil {
 			near = ""
-			if piece, err = b.ask(ctx, job, next, false); err != nil {
+			if piece, err = b.queryResults(ctx, job, next, false); err != nil {
 				break
 			}
 		}
@@ -236,10 +240,10 @@
 	if err != nil && len(results.Results) == 0 {
 		return nil, err
 	}
-	return results, nil // a part is an answer
+	return results, nil // a part of the results is a valid answer
 }
 
-// Bytes is the length of the texts.
+// Bytes returns the total length of the texts in bytes.
 func (r *Results) Bytes() int {
 	size := 0
 	for i := range r.Results {
@@ -248,6 +252,7 @@
 	return size
 }
 
+// resultsOf decodes a view and decompresses its texts.
 func resultsOf(found *wire.JobResultsView) (*Results, error) {
 	results := &Results{Total: found.GetTotal(), Results: make([]Result, 0, len(found.GetResults()))}
 	for _, result := range found.GetResults() {
@@ -263,8 +268,9 @@
 	return results, nil
 }
 
+// query executes a query within callTimeout.
 func (b *Client) query(ctx context.Context, query *wire.Query) (*wire.View, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return b.client.Query(ctx, Group, query)
 }
@@ -277,7 +283,7 @@
 	}
 	found := view.GetJobItem()
 	if found == nil {
-		return nil, errOtherView
+		return nil, errUnexpectedView
 	}
 	if !found.GetKnown() || !found.GetHeld() {
 		return nil, trace.NotFound("no item %q of an open batch job %q", item, job.ID)
--- a/internal/batchclient/client_test.go
+++ b/internal/batchclient/client_test.go
@@ -15,13 +15,13 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// fakeLedger is a ledger group in memory; failure, when set, answers in its place.
+// fakeLedger is a ledger group in memory. If failure is set, every call returns it.
 type fakeLedger struct {
 	machine *state.Machine
 	index   uint64
 	failure error
 	queries int
-	arrival *wire.JobStore // what comes to be stored with the third query
+	arrival *wire.JobStore // if not nil, applied before the third query
 	seen    func(query *wire.Query, view *wire.View)
 }
 
@@ -54,7 +54,7 @@
 	return New(ledger, viewOf(t)), ledger
 }
 
-// viewOf returns a table with one route for batch jobs.
+// viewOf returns a function that returns a table with one route for batch jobs.
 func viewOf(t *testing.T) func() *table.View {
 	t.Helper()
 	row := func(name string, cells ...string) *wire.TableRow {
@@ -80,32 +80,36 @@
 		MinVersion: 4, Desired: 1, Items: []Item{{ID: "i", Path: "/a/x", Header: header, Body: []byte{1, 2}, Tokens: 9, Group: "g"}}}
 }
 
+// TestBatchJobIsSubmittedWithItsRoute: a job must be stored with the settings of its route, and a resend must be equal
+// to it in any order of its headers.
 func TestBatchJobIsSubmittedWithItsRoute(t *testing.T) {
 	store, ledger := newClient(t)
 	first, second := replica.Header{Name: "X-Model", Value: "m"}, replica.Header{Name: "X-B", Value: "b"}
-	for _, job := range []*Job{exampleBatch(first, second), exampleBatch(second, first)} { // a resend has its fields in any order
+	// A resend may have its headers in any order.
+	for _, job := range []*Job{exampleBatch(first, second), exampleBatch(second, first)} {
 		if err := store.Submit(t.Context(), job); err != nil {
 			t.Fatal(err)
 		}
 	}
 	other := exampleBatch(first)
 	if err := store.Submit(t.Context(), other); !trace.IsBadParameter(err) {
-		t.Fatalf("other content: %v", err)
+		t.Fatalf("submit of other content: %v, want BadParameter", err)
 	}
 	work := ledger.machine.Query(&wire.Query{Kind: &wire.Query_JobWork{JobWork: &wire.JobWorkQuery{}}}).GetJobWork()
 	job := work.GetJobs()[0].GetJob()
 	if job.GetMaxAttempts() != 3 || job.GetQueueTtlMillis() != 40_000 || job.GetDeadlineMillis() != 7500 || !job.GetSingleVersion() ||
 		job.GetTableVersion() != 7 || job.GetSentUnixMillis() != 5000 || job.GetItems()[0].GetHost() != "h.example" {
-		t.Fatalf("%v", job)
+		t.Fatalf("stored job %v, want the settings of its route", job)
 	}
 	gone := exampleBatch()
 	gone.Route = "none"
 	if err := store.Submit(t.Context(), gone); verdict.Of(err) != verdict.DidNotRun {
-		t.Fatalf("without a route: %v", err)
+		t.Fatalf("submit without a route: %v, want DidNotRun", err)
 	}
 }
 
-// TestRewardCallsAreSubmittedWithTheirItem, and a job with one that can't be made is not taken.
+// TestRewardCallsAreSubmittedWithTheirItem: a reward call must be stored with its item, and a job with an invalid one
+// must not be stored.
 func TestRewardCallsAreSubmittedWithTheirItem(t *testing.T) {
 	for name, test := range map[string]struct {
 		reward Reward
@@ -127,7 +131,7 @@
 		}
 		jobs := ledger.machine.Query(&wire.Query{Kind: &wire.Query_JobWork{JobWork: &wire.JobWorkQuery{}}}).GetJobWork().GetJobs()
 		if taken := len(jobs) > 0; taken != test.taken {
-			t.Errorf("%s: taken %v", name, taken)
+			t.Errorf("%s: stored %v, want the opposite", name, taken)
 			continue
 		}
 		if !test.taken {
@@ -135,24 +139,28 @@
 		}
 		held := jobs[0].GetJob().GetItems()[0].GetReward()
 		if held.GetId() != "c" || held.GetHost() != "h.example" || held.GetPath() != "/a/score" || string(held.GetBody()) != "\x03" {
-			t.Errorf("held is %v", held)
+			t.Errorf("stored reward call: %v", held)
 		}
 	}
 }
 
+// TestBatchErrorsKeepTheirVerdict: callers decide on retries by the verdict, so that an error of the ledger must keep
+// it.
 func TestBatchErrorsKeepTheirVerdict(t *testing.T) {
 	store, ledger := newClient(t)
 	for _, known := range []verdict.Verdict{verdict.DidNotRun, verdict.MayHaveRun} {
 		ledger.failure = verdict.New(known, "no leader")
 		if err := store.Submit(t.Context(), exampleBatch()); verdict.Of(err) != known {
-			t.Fatalf("%v: %v", known, err)
+			t.Fatalf("want verdict %v, got %v", known, err)
 		}
 		if _, err := store.Results(t.Context(), Reference{ID: "j"}, 0, 0); err == nil || trace.IsNotFound(err) {
-			t.Fatalf("a read that failed says: %v", err)
+			t.Fatalf("a failed read returned: %v, want an error other than NotFound", err)
 		}
 	}
 }
 
+// TestBatchIsReadByPosition follows a job from before its submission to after its end, including a read that waits for
+// a result.
 func TestBatchIsReadByPosition(t *testing.T) {
 	store, ledger := newClient(t)
 	if _, err := store.Results(t.Context(), Reference{ID: "j"}, 0, 0); !trace.IsNotFound(err) {
@@ -166,16 +174,16 @@
 	}
 	body, err := store.Item(t.Context(), Reference{ID: "j"}, "i")
 	if err != nil || string(body) != "\x01\x02" {
-		t.Fatalf("%q %v", body, err)
+		t.Fatalf("body %q (%v), want 01 02", body, err)
 	}
 	found, err := store.Results(t.Context(), Reference{ID: "j"}, 0, 0)
 	if err != nil || found.Total != 1 || len(found.Results) != 0 {
-		t.Fatalf("%v %v", found, err)
+		t.Fatalf("%v (%v), want no results of 1 item", found, err)
 	}
 	result := &wire.JobResult{Item: "i", State: wire.JobItemState_JOB_ITEM_STATE_COMPLETED, Text: []byte("a\nb"), Versions: []uint64{4, 5}}
 	ledger.queries, ledger.arrival = 0, &wire.JobStore{Jobs: []*wire.JobResults{{Job: "j", Results: []*wire.JobResult{result}}}}
 	if found, err = store.Results(t.Context(), Reference{ID: "j"}, 0, time.Minute); err != nil || len(found.Results) != 1 {
-		t.Fatalf("a reader that waits gets %v %v", found, err)
+		t.Fatalf("a waiting reader got %v (%v), want 1 result", found, err)
 	}
 	for range 2 {
 		if err := store.End(t.Context(), Reference{ID: "j"}); err != nil {
@@ -184,7 +192,7 @@
 	}
 	found, err = store.Results(t.Context(), Reference{ID: "j"}, 0, time.Second)
 	if err != nil || !found.Results[0].Completed || found.Results[0].Text != "a\nb" || len(found.Results[0].Versions) != 2 {
-		t.Fatalf("%v %v", found, err)
+		t.Fatalf("after the end: %v (%v), want 1 completed result", found, err)
 	}
 	if _, err := store.Item(t.Context(), Reference{ID: "j"}, "i"); !trace.IsNotFound(err) {
 		t.Fatal(err)
--- a/internal/batchclient/full_test.go
+++ b/internal/batchclient/full_test.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// answeringLedger answers each command with one reply.
+// answeringLedger answers each command with the same reply.
 type answeringLedger struct {
 	Ledger
 	reply *wire.JobReply
@@ -20,9 +20,10 @@
 	return &wire.Result{Kind: &wire.Result_Job{Job: l.reply}}, nil
 }
 
-// TestJobsWithoutRoomAreRefusedAsNotRun: jobs that found no room were answered as if they might run, so that their callers waited
-// for results until the deadline. Where no attempt was proposed, the answer says so, and when there will be room.
-func TestJobsWithoutRoomAreRefusedAsNotRun(t *testing.T) {
+// TestFullStoreIsReportedAsNotRun: if a job that was rejected for lack of space is answered as if it might run, its
+// caller waits for results until the deadline. If no attempt was proposed to the ledger, the error must say that the
+// job did not run, and when there will be space.
+func TestFullStoreIsReportedAsNotRun(t *testing.T) {
 	full := wire.JobOutcome_JOB_OUTCOME_FULL
 	for name, example := range map[string]struct {
 		reply  *wire.JobReply
@@ -36,10 +37,10 @@
 			err := New(answeringLedger{reply: example.reply}, viewOf(t)).Submit(context.Background(), &Job{ID: "j", Route: "route-a"})
 			var refused *FullError
 			if verdict.Of(err) != example.want || errors.As(err, &refused) != (example.roomIn > 0) {
-				t.Fatalf("%v", err)
+				t.Fatalf("unexpected verdict or error type: %v", err)
 			}
 			if refused != nil && refused.RoomIn != example.roomIn {
-				t.Errorf("room in %v", refused.RoomIn)
+				t.Errorf("FullError.RoomIn is %v", refused.RoomIn)
 			}
 		})
 	}
--- a/internal/batchclient/near.go
+++ b/internal/batchclient/near.go
@@ -14,36 +14,40 @@
 )
 
 const (
-	// nearTime bounds one question to a near node: it is a hop within a zone, and the leader can still be asked.
-	nearTime = 250 * time.Millisecond
-	// nearPause is how long a near node that had nothing is not asked again: it may be a spare one, or catch up.
+	// nearTimeout limits one query to a near node, which is one hop within the zone. The leader can still be queried
+	// afterwards.
+	nearTimeout = 250 * time.Millisecond
+	// nearPause is how long a near node that returned no results is not queried again. It may be a spare node or still
+	// be catching up.
 	nearPause = 2 * time.Second
 )
 
-// NearLedger asks a named control node, and not the leader; *controlclient.Client is the usual one.
+// NearLedger queries a given control node instead of the leader. It is implemented by *controlclient.Client.
 type NearLedger interface {
 	LocalQuery(ctx context.Context, address string, group uint32, query *wire.Query) (*wire.View, error)
 	Leader(group uint32) string
 }
 
-// Near says where results may be read in place of the leader. Traffic between zones costs, and results are most of it:
-// a position never changes, so that any node that has applied it may hand it out once the leader has said that it exists.
+// Near selects control nodes from which results are read in place of the leader. Traffic between zones costs money, and
+// results are most of it. A result at a position never changes, so that any node that has applied it may return it once
+// the leader has confirmed that it exists.
 type Near struct {
 	Ledger NearLedger
-	// Zone is this process's own.
+	// Zone is the zone of this process. If empty, all results are read from the leader.
 	Zone string
-	// Members returns the members of the deployment; nil while they are not known.
+	// Members returns the members of the deployment; nil while they are unknown.
 	Members func() *wire.MembersView
-	// Now is the clock. Default time.Now.
+	// Now is the time source. Default: time.Now.
 	Now func() time.Time
-	// Log receives events. Default: nothing.
+	// Log receives the events. Default: they are discarded.
 	Log *logrus.Entry
 
 	mutex  sync.Mutex
-	paused map[string]time.Time // by address: not to be asked before
+	paused map[string]time.Time // by address: time before which the node is not queried
 }
 
-// ReadNear has results read from control nodes in this process's zone where there are any. Call it before the first read.
+// ReadNear makes the client read results from control nodes in the zone of this process where there are any. Call it
+// before the first read.
 func (b *Client) ReadNear(near *Near) {
 	if near.Now == nil {
 		near.Now = time.Now
@@ -55,8 +59,9 @@
 	b.near = near
 }
 
-// address is a control node in this zone that may have what the leader has; empty if there is none, or if it leads.
-func (n *Near) address() string {
+// chooseNode returns the address of a control node in this zone that may have the results. It returns an empty string
+// if there is none, or if one of them is the leader.
+func (n *Near) chooseNode() string {
 	if n == nil || n.Zone == "" {
 		return ""
 	}
@@ -65,9 +70,9 @@
 	defer n.mutex.Unlock()
 	var found []string
 	for _, member := range n.Members().GetMembers() {
-		keeps := member.GetRole() == wire.MemberRole_MEMBER_ROLE_CONTROL || member.GetRole() == wire.MemberRole_MEMBER_ROLE_STORAGE
+		storesJobs := member.GetRole() == wire.MemberRole_MEMBER_ROLE_CONTROL || member.GetRole() == wire.MemberRole_MEMBER_ROLE_STORAGE
 		alive := member.GetState() == wire.MemberState_MEMBER_STATE_ALIVE
-		if !keeps || !alive || member.GetZone() != n.Zone || n.paused[member.GetAddress()].After(now) {
+		if !storesJobs || !alive || member.GetZone() != n.Zone || n.paused[member.GetAddress()].After(now) {
 			continue
 		}
 		if member.GetAddress() == leader {
@@ -81,23 +86,23 @@
 	return found[rand.IntN(len(found))]
 }
 
-// results asks a near node for results from a position on; none if it has none or does not answer, which leaves it out
-// for a while.
+// results queries a near node for results from a position on. It returns nil if the node fails or has none, and pauses
+// it for nearPause.
 func (n *Near) results(ctx context.Context, address string, job Reference, from uint64) *wire.JobResultsView {
-	ctx, cancel := context.WithTimeout(ctx, nearTime)
+	ctx, cancel := context.WithTimeout(ctx, nearTimeout)
 	defer cancel()
 	view, err := n.Ledger.LocalQuery(ctx, address, Group, pieceQuery(job, from))
 	found := view.GetJobResults()
 	if err == nil && len(found.GetResults()) > 0 {
 		return found
 	}
-	n.rest(address)
+	n.pauseNode(address)
 	logging.Emit(n.Log, &events.NearNodeRests{Address: address, Job: job.ID, From: from, Cause: events.ErrorText(err), PauseMs: events.Millis(nearPause)})
 	return nil
 }
 
-// rest leaves a node out for a while.
-func (n *Near) rest(address string) {
+// pauseNode excludes a node for nearPause.
+func (n *Near) pauseNode(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.paused[address] = n.Now().Add(nearPause)
--- a/internal/batchclient/near_test.go
+++ b/internal/batchclient/near_test.go
@@ -16,7 +16,7 @@
 	nearAddress   = "10.0.1.1:1"
 )
 
-// nearLedger is a control node beside the leader, with a state of its own.
+// nearLedger is a control node in the zone of the client, with a state of its own.
 type nearLedger struct {
 	machine *state.Machine
 	failure error
@@ -30,22 +30,24 @@
 		return nil, n.failure
 	}
 	if address != nearAddress || group != Group {
-		return nil, fmt.Errorf("asked %s for group %d", address, group)
+		return nil, fmt.Errorf("query to %s for group %d, want the near node and the group of the batch jobs", address, group)
 	}
 	return n.machine.Query(query), nil
 }
 
 func (n *nearLedger) Leader(uint32) string { return n.leader }
 
-// nearFixture is a client in zone b, where a near node is, of a job with three results.
+// nearFixture is a client in zone b, which has a near node, with a job that has three results.
 type nearFixture struct {
 	*Client
 	leader *fakeLedger
 	ledger *nearLedger
 	now    time.Time
-	texts  int // that the leader has handed out
+	texts  int // results that the leader has returned
 }
 
+// newNearFixture returns a fixture whose near node has applied the given number of commands: the submit and then one
+// per result.
 func newNearFixture(t *testing.T, applied int) *nearFixture {
 	t.Helper()
 	client, leader := newClient(t)
@@ -86,6 +88,7 @@
 	return f
 }
 
+// read returns the results from a position on, and fails the test if one is wrong.
 func (f *nearFixture) read(t *testing.T, from uint64) []Result {
 	t.Helper()
 	results, err := f.Results(t.Context(), Reference{ID: "j"}, from, 0)
@@ -104,17 +107,18 @@
 func TestResultsAreReadNearby(t *testing.T) {
 	f := newNearFixture(t, 4)
 	if results := f.read(t, 1); len(results) != 2 || f.texts != 0 {
-		t.Fatalf("%d results, %d of them from the leader", len(results), f.texts)
+		t.Fatalf("%d results, %d of them from the leader, want 2 and 0", len(results), f.texts)
 	}
 	if asked := f.ledger.asked; asked == 0 {
-		t.Fatal("the near node was not asked")
+		t.Fatal("the near node was not queried")
 	}
 	if results := f.read(t, 3); len(results) != 0 {
-		t.Fatalf("%v after the last result", results)
+		t.Fatalf("results after the last one: %v, want none", results)
 	}
 }
 
-// TestNearNodesThatLag: what the leader has listed is handed out, wherever it is.
+// TestNearNodesThatLag: results that the leader has confirmed must be returned even if the near node has not applied
+// them yet; the missing ones come from the leader.
 func TestNearNodesThatLag(t *testing.T) {
 	for applied, texts := range map[int]int{0: 3, 1: 3, 2: 2, 3: 1} {
 		f := newNearFixture(t, applied)
@@ -124,27 +128,27 @@
 	}
 }
 
-func TestNearNodesThatFailRest(t *testing.T) {
+func TestFailingNearNodesArePaused(t *testing.T) {
 	f := newNearFixture(t, 4)
 	f.ledger.failure = errors.New("no connection")
 	for range 3 {
 		if results := f.read(t, 0); len(results) != 3 {
-			t.Fatalf("%d results", len(results))
+			t.Fatalf("%d results, want 3", len(results))
 		}
 	}
 	if f.ledger.asked != 1 {
-		t.Fatalf("a near node that does not answer was asked %d times", f.ledger.asked)
+		t.Fatalf("a failing near node was queried %d times, want 1", f.ledger.asked)
 	}
 	f.ledger.failure, f.texts, f.now = nil, 0, f.now.Add(nearPause+time.Millisecond)
 	if results := f.read(t, 0); len(results) != 3 || f.texts != 0 {
-		t.Fatalf("%d results, %d of them from the leader after the rest", len(results), f.texts)
+		t.Fatalf("after the pause: %d results, %d of them from the leader, want 3 and 0", len(results), f.texts)
 	}
 }
 
-func TestTheLeaderIsAskedWhereItIsNear(t *testing.T) {
+func TestLeaderInTheZoneIsQueried(t *testing.T) {
 	f := newNearFixture(t, 4)
 	f.ledger.leader = nearAddress
 	if results := f.read(t, 0); len(results) != 3 || f.ledger.asked != 0 || f.texts != 3 {
-		t.Fatalf("%d results, %d from the leader, the near node asked %d times", len(results), f.texts, f.ledger.asked)
+		t.Fatalf("%d results, %d from the leader, %d queries to the near node, want 3, 3 and 0", len(results), f.texts, f.ledger.asked)
 	}
 }
--- a/internal/batchclient/pieces_test.go
+++ b/internal/batchclient/pieces_test.go
@@ -11,7 +11,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// measuredLedger notes the largest answer of a control node.
+// measuredLedger records the size of the largest answer of a control node.
 type measuredLedger struct {
 	*fakeLedger
 	largest int
@@ -23,8 +23,8 @@
 	return view, err
 }
 
-// TestResultsAreReadInPieces reads far more than one message holds: each position once and in order, and no message from
-// a control node larger than a piece and one result.
+// TestResultsAreReadInPieces reads far more than one message may hold. Each position must be read once and in order,
+// and no message of a control node may be larger than a piece and one result.
 func TestResultsAreReadInPieces(t *testing.T) {
 	_, ledger := newClient(t)
 	measured := &measuredLedger{fakeLedger: ledger}
@@ -48,10 +48,10 @@
 	for from := uint64(0); from < items; reads++ {
 		found, err := store.Results(t.Context(), Reference{ID: "j"}, from, 0)
 		if err != nil || len(found.Results) == 0 || found.Total != items {
-			t.Fatalf("from %d: %v, %v", from, found, err)
+			t.Fatalf("results from %d: %v (%v)", from, found, err)
 		}
 		if found.Bytes() > answerBytes+pieceBytes {
-			t.Fatalf("an answer of %d bytes", found.Bytes())
+			t.Fatalf("answer of %d bytes, want at most answerBytes+pieceBytes", found.Bytes())
 		}
 		for offset, result := range found.Results {
 			if want := fmt.Sprint("i", from+uint64(offset)); result.ID != want || !strings.HasPrefix(result.Text, want+" ") {
@@ -61,9 +61,9 @@
 		from += uint64(len(found.Results))
 	}
 	if reads > items*length/(answerBytes-pieceBytes)+1 {
-		t.Errorf("%d answers", reads)
+		t.Errorf("%d answers, which are more than the sizes require", reads)
 	}
 	if limit := pieceBytes + 2*length; measured.largest > limit {
-		t.Errorf("a message of %d bytes, want %d at most", measured.largest, limit)
+		t.Errorf("message of %d bytes, want at most %d", measured.largest, limit)
 	}
 }
--- a/internal/batchclient/service.go
+++ b/internal/batchclient/service.go
@@ -1,5 +1,5 @@
-// Package batchclient is how gateways reach the batch jobs of the ledger group: it gives a job the settings of
-// its route, makes resends alike, and waits for results on behalf of a caller.
+// Package batchclient is the gateways' client of the batch jobs in the ledger group. It adds the settings of the route
+// to a job, makes resends of a job equal, and waits for results on behalf of a caller.
 package batchclient
 
 import (
@@ -9,32 +9,34 @@
 	"github.com/tamarindring/tamarindring/internal/replica"
 )
 
-// Service keeps batch jobs. Its errors carry a verdict: DidNotRun says that nothing was changed and
-// nothing will be; trace.NotFound says that there is no such batch job or item; anything else is not known.
+// Service stores batch jobs durably. Its errors carry a verdict: DidNotRun means that nothing was changed and nothing
+// will be. trace.NotFound means that there is no such batch job or item. After any other error the effect is unknown.
 type Service interface {
-	// Submit keeps a batch job, once however often it comes. nil: all of it is kept.
+	// Submit stores a batch job, once however often it is submitted. On nil, all of it is stored durably. It returns
+	// trace.BadParameter for an invalid job, or for other content than that stored under the same id, and an error that
+	// wraps FullError if there is no space for the job.
 	Submit(ctx context.Context, job *Job) error
-	// Results returns the results from a position on. When there is none it waits up to wait for one, and
-	// then returns none.
+	// Results returns results from a position on. If there is none yet, it waits for one for up to wait, and then
+	// returns an empty list.
 	Results(ctx context.Context, job Reference, from uint64, wait time.Duration) (*Results, error)
-	// Item returns the body of an item.
+	// Item returns the request body of an item of an open batch job.
 	Item(ctx context.Context, job Reference, item string) ([]byte, error)
-	// End ends a batch job; one that was ended already is no error.
+	// End ends a batch job. Ending it again is not an error.
 	End(ctx context.Context, job Reference) error
 }
 
-// Reference names a batch job as a caller does. Only the tenant that submitted a job finds it.
+// Reference identifies a batch job as callers do. Only the tenant that submitted the job can access it.
 type Reference struct {
 	ID     string
-	Tenant string // whose key the caller showed; empty: the caller is anonymous
+	Tenant string // tenant of the key that the caller presented; empty: anonymous
 }
 
 // Job is a batch job as it was submitted.
 type Job struct {
 	ID         string
-	Tenant     string // that submits it; empty: the caller is anonymous
-	Host       string // as the caller named it
-	Route      string // row name of the route that the job was matched to
+	Tenant     string // tenant that submits the job; empty: anonymous
+	Host       string // host of the request
+	Route      string // name of the table row of the matched route
 	Path       string
 	Received   time.Time
 	Step       uint64
@@ -52,10 +54,10 @@
 	Body   []byte
 	Tokens uint64
 	Group  string
-	Reward *Reward // nil: the text alone is the result
+	Reward *Reward // nil: the item needs no score
 }
 
-// Reward is the call whose answer scores an item's whole text: a POST by the route of its host and path.
+// Reward is the call whose answer is the score of an item's whole text: a POST that is routed by its host and path.
 type Reward struct {
 	ID   string
 	Host string
@@ -63,17 +65,17 @@
 	Body []byte
 }
 
-// Results are results from a position on.
+// Results are consecutive results of a job.
 type Results struct {
-	Total   uint64 // items of the job
+	Total   uint64 // number of items of the job
 	Results []Result
 }
 
-// Result is the end of one item.
+// Result is the result of one item.
 type Result struct {
 	ID        string
-	Completed bool // false: terminated
+	Completed bool // false: the item was terminated without a text
 	Text      string
 	Versions  []uint64
-	Score     string // of a completed item with a reward call
+	Score     string // only of a completed item with a reward call
 }
--- a/internal/executor/drive.go
+++ b/internal/executor/drive.go
@@ -93,6 +93,7 @@
 	}
 }
 
+// isLeaving reports whether the executor is draining.
 func (s *Server) isLeaving() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/executor/drive_test.go
+++ b/internal/executor/drive_test.go
@@ -78,15 +78,15 @@
 // from one that the executor has no capacity for.
 func TestRefusalsAreReportedByKind(t *testing.T) {
 	for _, refusal := range []Refusal{Superseded, Held, Leaving, Full} {
-		if told := RefusalOf(encodeRefusal(someRun, someOrder, refusal)); told != refusal {
-			t.Errorf("refusal %s is reported as %s", refusal, told)
+		if reported := RefusalOf(encodeRefusal(someRun, someOrder, refusal)); reported != refusal {
+			t.Errorf("refusal %s is reported as %s", refusal, reported)
 		}
 	}
-	if told := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Err: ErrNotAdmitted})); told != NotPermitted {
-		t.Errorf("a run that is not permitted is reported as %s, want not_permitted", told)
+	if reported := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Err: ErrNotAdmitted})); reported != NotPermitted {
+		t.Errorf("a run that is not permitted is reported as %s, want not_permitted", reported)
 	}
-	if told := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Whole: true})); told != Accepted {
-		t.Errorf("a run that ended is reported as %s, want accepted", told)
+	if reported := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Whole: true})); reported != Accepted {
+		t.Errorf("a run that ended is reported as %s, want accepted", reported)
 	}
 }
 
@@ -109,22 +109,22 @@
 // once, unchanged and with its age.
 func TestLoadReportsAreReportedOnce(t *testing.T) {
 	now := time.Second
-	said := loadreport.Report{Running: 3, Waiting: 2, Slots: 4, Pace: 2.5}
-	made := &answer{maxBytes: 100, clock: func() time.Duration { return now }}
-	if err := made.Head(replica.Head{Status: 200, Stream: true, Load: &said}); err != nil {
+	sent := loadreport.Report{Running: 3, Waiting: 2, Slots: 4, Pace: 2.5}
+	buffered := &answer{maxBytes: 100, clock: func() time.Duration { return now }}
+	if err := buffered.Head(replica.Head{Status: 200, Stream: true, Load: &sent}); err != nil {
 		t.Fatal(err)
 	}
 	now += 150 * time.Millisecond
-	told, _ := made.progressSince(0, false)
-	load, age := LoadOf(told.GetHead().GetLoad())
-	if load == nil || *load != said || age != 150*time.Millisecond {
+	progress, _ := buffered.progressSince(0, false)
+	load, age := LoadOf(progress.GetHead().GetLoad())
+	if load == nil || *load != sent || age != 150*time.Millisecond {
 		t.Errorf("reported load %v with age %v", load, age)
 	}
-	if again, _ := made.progressSince(0, true); again != nil {
+	if again, _ := buffered.progressSince(0, true); again != nil {
 		t.Errorf("reported twice: %v", again)
 	}
-	refused := OutcomeOf(EndOf(someRun, someOrder, &replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedFull, Load: &said}))
-	if refused.Load == nil || *refused.Load != said {
+	refused := OutcomeOf(EndOf(someRun, someOrder, &replica.Outcome{Verdict: verdict.DidNotRun, Refused: replica.RefusedFull, Load: &sent}))
+	if refused.Load == nil || *refused.Load != sent {
 		t.Errorf("load of a refused run: %v", refused.Load)
 	}
 	if silent := OutcomeOf(EndOf(someRun, someOrder, &replica.Outcome{})); silent.Load != nil {
--- a/internal/executor/run_table.go
+++ b/internal/executor/run_table.go
@@ -9,6 +9,7 @@
 // Key identifies a run by the batch job and the item that it produces the answer of.
 type Key struct{ Job, Item string }
 
+// compare orders keys by job and then by item.
 func (k Key) compare(other Key) int {
 	return cmp.Or(cmp.Compare(k.Job, other.Job), cmp.Compare(k.Item, other.Item))
 }
--- a/internal/executorclient/run.go
+++ b/internal/executorclient/run.go
@@ -57,10 +57,12 @@
 	return executor.Order{Term: held.GetTerm(), Number: held.GetNumber()}
 }
 
+// attachOrder returns the order to attach to a run and to report its answer from a position on.
 func attachOrder(key *wire.RunKey, order executor.Order, from uint64) *wire.RunOrder {
 	return &wire.RunOrder{Kind: &wire.RunOrder_Attach{Attach: &wire.RunAttach{Key: key, Order: executor.WireOrder(order), From: from}}}
 }
 
+// stopOrder returns the order to stop a run.
 func stopOrder(key *wire.RunKey, order executor.Order) *wire.RunOrder {
 	return &wire.RunOrder{Kind: &wire.RunOrder_Stop{Stop: &wire.RunStop{Key: key, Order: executor.WireOrder(order)}}}
 }
