--- a/internal/table/change.go
+++ b/internal/table/change.go
@@ -9,9 +9,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// malformed returns why a change cannot be judged at all, or an empty string. Such a change is not
-// remembered by its id.
-func malformed(change *wire.TableChange) string {
+// malformedReason returns why a change is malformed, or an empty string if it is well-formed. The result of a malformed
+// change is not kept for resends.
+func malformedReason(change *wire.TableChange) string {
 	switch {
 	case change.GetChangeId() == "":
 		return "change id is missing"
@@ -23,46 +23,48 @@
 		return "change is empty"
 	case len(change.GetCells())+len(change.GetRemoveRows()) > MaximumChangeCells:
 		return "change has too many cells"
-	case !validText(change):
+	case !hasValidText(change):
 		return "change holds a text that is too long or not valid UTF-8"
 	}
 	return ""
 }
 
-func validText(change *wire.TableChange) bool {
+// hasValidText reports whether all texts of a change are valid UTF-8 and within their bounds.
+func hasValidText(change *wire.TableChange) bool {
 	for _, text := range []string{change.GetChangeId(), change.GetOperator(), change.GetNote()} {
 		if !utf8.ValidString(text) {
 			return false
 		}
 	}
 	for _, cell := range change.GetCells() {
-		if !boundedText(cell.GetRow()) || !boundedText(cell.GetColumn()) || !boundedValue(cell) {
+		if !isBoundedText(cell.GetRow()) || !isBoundedText(cell.GetColumn()) || !isBoundedValue(cell) {
 			return false
 		}
 	}
 	for _, name := range change.GetRemoveRows() {
-		if !boundedText(name) {
+		if !isBoundedText(name) {
 			return false
 		}
 	}
 	return true
 }
 
-func boundedText(text string) bool { return len(text) <= MaximumValueBytes && utf8.ValidString(text) }
+func isBoundedText(text string) bool { return len(text) <= MaximumValueBytes && utf8.ValidString(text) }
 
-func boundedValue(cell *wire.CellChange) bool {
+func isBoundedValue(cell *wire.CellChange) bool {
 	if column := columnIndex[cell.GetColumn()]; column != nil && column.Type == Text {
 		return len(cell.GetValue()) <= MaximumTextBytes && utf8.ValidString(cell.GetValue())
 	}
-	return boundedText(cell.GetValue())
+	return isBoundedText(cell.GetValue())
 }
 
-func wholeChange(reason string) []*wire.CellRefusal {
+// refuseWholeChange returns a refusal that names no cell.
+func refuseWholeChange(reason string) []*wire.CellRefusal {
 	return []*wire.CellRefusal{{Reason: reason}}
 }
 
-// changeDigest identifies what a change does. The operator's clock is left out: a tool may stamp a resend
-// anew.
+// changeDigest returns a digest of a change's content. It excludes the operator's timestamp, because a tool may set a
+// new one when it resends the change.
 func changeDigest(change *wire.TableChange) uint64 {
 	digest := xxhash.New()
 	write := func(text string) {
@@ -88,22 +90,22 @@
 	return digest.Sum64()
 }
 
-// draft is the rows that a change would leave behind, before it is checked as a whole.
+// draft holds the rows as a change would leave them, before they are checked together.
 type draft struct {
-	rows    map[string]map[string]string // touched rows, own canonical cells; nil value: removed
+	rows    map[string]map[string]string // canonical own cells of the changed rows; nil for a removed row
 	cells   []*wire.CellChange           // canonical, in the change's order
 	removed []string
 }
 
-// draft applies the change cell by cell to copies, and refuses cells that are wrong by themselves.
-func (t *Table) draft(change *wire.TableChange) (*draft, []*wire.CellRefusal) {
+// buildDraft applies the change to copies of its rows and refuses cells that are invalid on their own.
+func (t *Table) buildDraft(change *wire.TableChange) (*draft, []*wire.CellRefusal) {
 	d := &draft{rows: map[string]map[string]string{}}
 	var refusals []*wire.CellRefusal
 	refuse := func(row, column, reason string) {
 		refusals = append(refusals, &wire.CellRefusal{Row: row, Column: column, Reason: reason})
 	}
 	for _, name := range change.GetRemoveRows() {
-		if _, twice := d.rows[name]; twice {
+		if _, duplicate := d.rows[name]; duplicate {
 			refuse(name, "", "row is removed twice")
 		} else if t.rows[name] == nil {
 			refuse(name, "", "row does not exist")
@@ -111,23 +113,24 @@
 		d.rows[name] = nil
 		d.removed = append(d.removed, name)
 	}
-	type position struct{ row, column string }
-	seen := map[position]bool{}
+	type cellKey struct{ row, column string }
+	seen := map[cellKey]bool{}
 	for _, cell := range orderedCells(change) {
-		at := position{cell.GetRow(), cell.GetColumn()}
-		if seen[at] {
-			refuse(at.row, at.column, "cell stands twice in the change")
+		key := cellKey{cell.GetRow(), cell.GetColumn()}
+		if seen[key] {
+			refuse(key.row, key.column, "cell stands twice in the change")
 			continue
 		}
-		seen[at] = true
-		if reason := t.draftCell(d, cell); reason != "" {
-			refuse(at.row, at.column, reason)
+		seen[key] = true
+		if reason := t.addToDraft(d, cell); reason != "" {
+			refuse(key.row, key.column, reason)
 		}
 	}
 	return d, refusals
 }
 
-// orderedCells puts the cells that set a row's kind first: the other cells are judged by it.
+// orderedCells returns the change's cells with those that set a row's kind first, because the kind determines which
+// other columns the row may have.
 func orderedCells(change *wire.TableChange) []*wire.CellChange {
 	ordered := append([]*wire.CellChange(nil), change.GetCells()...)
 	sort.SliceStable(ordered, func(i, j int) bool {
@@ -136,13 +139,13 @@
 	return ordered
 }
 
-// draftCell sets one cell in the draft, or returns why it cannot.
-func (t *Table) draftCell(d *draft, cell *wire.CellChange) string {
+// addToDraft sets one cell in the draft, or returns why it is refused.
+func (t *Table) addToDraft(d *draft, cell *wire.CellChange) string {
 	column, ok := columnIndex[cell.GetColumn()]
 	if !ok {
 		return "unknown column"
 	}
-	if reason := t.refusedLevel(column); reason != "" {
+	if reason := t.levelReason(column); reason != "" {
 		return reason
 	}
 	own, drafted := d.rows[cell.GetRow()]
@@ -150,7 +153,7 @@
 		return "row is removed by the same change"
 	}
 	if !drafted {
-		own = t.ownCells(cell.GetRow())
+		own = t.copyCells(cell.GetRow())
 		if len(own) == 0 {
 			if reason := newRowReason(cell); reason != "" {
 				return reason
@@ -158,10 +161,11 @@
 		}
 		d.rows[cell.GetRow()] = own
 	}
-	return setCell(d, own, column, cell)
+	return setDraftCell(d, own, column, cell)
 }
 
-func setCell(d *draft, own map[string]string, column *Column, cell *wire.CellChange) string {
+// setDraftCell sets one cell in the row's drafted cells, or returns why it is refused.
+func setDraftCell(d *draft, own map[string]string, column *Column, cell *wire.CellChange) string {
 	canonical := ""
 	if cell.GetValue() != "" {
 		value, err := column.Canonical(cell.GetValue())
@@ -185,6 +189,7 @@
 	return ""
 }
 
+// newRowReason returns why a cell cannot create its row, or an empty string.
 func newRowReason(cell *wire.CellChange) string {
 	if cell.GetColumn() != ColumnKind || cell.GetValue() == "" {
 		return "row does not exist; set its kind to make it"
@@ -195,8 +200,8 @@
 	return ""
 }
 
-// ownCells returns a copy of a row's cells without cleared ones; empty for an unknown row.
-func (t *Table) ownCells(name string) map[string]string {
+// copyCells returns the values of a row's own cells without cleared ones. It is empty for a row that does not exist.
+func (t *Table) copyCells(name string) map[string]string {
 	own := map[string]string{}
 	if stored := t.rows[name]; stored != nil {
 		for column, cell := range stored.cells {
--- a/internal/table/check.go
+++ b/internal/table/check.go
@@ -9,41 +9,41 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// check judges the table that a draft would leave behind. Every row was sound before, so whatever is wrong comes from
-// this change. A change of back ends and suspects alone, of which a large fleet makes many, is judged by the rows that it
-// touches: no other row depends on these.
+// check returns why the table as the draft would leave it is invalid. Every row was valid before, so every problem comes
+// from this change. For a change of back ends and suspects only, which a large fleet sends often, it checks just the
+// changed rows, because no other row depends on them.
 func (t *Table) check(d *draft, after *View, change *wire.TableChange) []*wire.CellRefusal {
 	if len(after.rows) > MaximumRows {
-		return wholeChange("table would have too many rows")
+		return refuseWholeChange("table would have too many rows")
 	}
 	before := t.current()
 	var refusals []*wire.CellRefusal
-	if d.onlyLeaves(before, after) {
-		refusals = checkRows(d.touched(), after)
+	if d.changesOnlyLeaves(before, after) {
+		refusals = checkRows(d.changedRows(), after)
 	} else {
 		refusals = append(append(checkRows(after.names, after), checkRoutes(after)...), checkTenants(after)...)
 	}
-	if len(refusals) == 0 && !forced(change) {
-		refusals = harmful(before.rows, after.rows, d)
+	if len(refusals) == 0 && !isForced(change) {
+		refusals = checkPoolsServed(before.rows, after.rows, d)
 	}
 	return refusals
 }
 
-// current returns the table as typed rows, without those of kinds that a newer build has made.
+// current returns the table as typed rows, without rows of a kind that this build does not know.
 func (t *Table) current() *View {
 	if t.view == nil {
 		own := make(map[string]map[string]string, len(t.rows))
 		for name := range t.rows {
-			if cells := t.ownCells(name); knownKind(cells[ColumnKind]) {
+			if cells := t.copyCells(name); isKnownKind(cells[ColumnKind]) {
 				own[name] = cells
 			}
 		}
-		t.view = NewView().amend(t.version, own)
+		t.view = NewView().withRows(t.version, own)
 	}
 	return t.view
 }
 
-// checkRows judges rows, in the order of their names.
+// checkRows checks the named rows in the given order. Rows that do not exist are skipped.
 func checkRows(names []string, after *View) []*wire.CellRefusal {
 	var refusals []*wire.CellRefusal
 	for _, name := range names {
@@ -54,11 +54,11 @@
 	return refusals
 }
 
-// touched returns the names of the draft's rows, sorted.
-func (d *draft) touched() []string { return slices.Sorted(maps.Keys(d.rows)) }
+// changedRows returns the names of the draft's rows, sorted.
+func (d *draft) changedRows() []string { return slices.Sorted(maps.Keys(d.rows)) }
 
-// onlyLeaves reports whether every row that the draft touches is one that no other row depends on, before and after.
-func (d *draft) onlyLeaves(before, after *View) bool {
+// changesOnlyLeaves reports whether no other row depends on any row that the draft changes, before or after the change.
+func (d *draft) changesOnlyLeaves(before, after *View) bool {
 	for name := range d.rows {
 		for _, view := range []*View{before, after} {
 			if row := view.rows[name]; row != nil && row.Kind != Backend && row.Kind != Suspect {
@@ -87,7 +87,7 @@
 		refuse(ColumnKind, "a row needs a kind")
 		return refusals
 	}
-	if reserved := checkNamed(row); reserved != nil {
+	if reserved := checkReservedName(row); reserved != nil {
 		return reserved
 	}
 	if row.Kind == Backend {
@@ -117,8 +117,8 @@
 	return refusals
 }
 
-// forced reports whether the change's note holds the word that lets harmful changes through.
-func forced(change *wire.TableChange) bool {
+// isForced reports whether the change's note contains ForceNote as a word, in any case.
+func isForced(change *wire.TableChange) bool {
 	for _, word := range strings.Fields(change.GetNote()) {
 		if strings.EqualFold(strings.Trim(word, ".,:;!"), ForceNote) {
 			return true
@@ -127,20 +127,19 @@
 	return false
 }
 
-// harmful refuses a change that leaves a pool, which stays, without any back end that takes new work
-// although it had one.
-func harmful(before, after map[string]*Row, d *draft) []*wire.CellRefusal {
-	servedBefore, servedAfter := servingByPool(before), servingByPool(after)
+// checkPoolsServed refuses a change that leaves an existing pool without any serving back end although it had one.
+func checkPoolsServed(before, after map[string]*Row, d *draft) []*wire.CellRefusal {
+	servingBefore, servingAfter := countServingByPool(before), countServingByPool(after)
 	var refusals []*wire.CellRefusal
 	for _, name := range sortedNames(after) {
-		if after[name].Kind == Pool && servedBefore[name] > 0 && servedAfter[name] == 0 {
-			refusals = append(refusals, blame(name, before, after, d)...)
+		if after[name].Kind == Pool && servingBefore[name] > 0 && servingAfter[name] == 0 {
+			refusals = append(refusals, refuseUnservedPool(name, before, after, d)...)
 		}
 	}
 	return refusals
 }
 
-func servingByPool(rows map[string]*Row) map[string]int {
+func countServingByPool(rows map[string]*Row) map[string]int {
 	count := map[string]int{}
 	for _, row := range rows {
 		if row.Kind == Backend && row.Serving() {
@@ -150,8 +149,8 @@
 	return count
 }
 
-// blame names the cells and removed rows of the change that took the pool's last serving back ends.
-func blame(pool string, before, after map[string]*Row, d *draft) []*wire.CellRefusal {
+// refuseUnservedPool refuses the cells and row removals by which the change takes the pool's last serving back ends.
+func refuseUnservedPool(pool string, before, after map[string]*Row, d *draft) []*wire.CellRefusal {
 	reason := "pool " + pool + " would have no back end that takes new work; write " + ForceNote + " in the note to do it all the same"
 	concerns := func(name string) bool {
 		if name == pool {
@@ -167,8 +166,8 @@
 		}
 	}
 	for _, cell := range d.cells {
-		takesWork := cell.GetColumn() == ColumnState || cell.GetColumn() == ColumnWeight || cell.GetColumn() == ColumnPool
-		if takesWork && concerns(cell.GetRow()) {
+		affectsServing := cell.GetColumn() == ColumnState || cell.GetColumn() == ColumnWeight || cell.GetColumn() == ColumnPool
+		if affectsServing && concerns(cell.GetRow()) {
 			refusals = append(refusals, &wire.CellRefusal{Row: cell.GetRow(), Column: cell.GetColumn(), Reason: reason})
 		}
 	}
--- a/internal/table/check_route.go
+++ b/internal/table/check_route.go
@@ -2,7 +2,7 @@
 
 import "github.com/tamarindring/tamarindring/internal/wire"
 
-// checkRoute judges one route: it names a host, a path prefix, and pools that exist.
+// checkRoute checks that a route has a host, a path prefix and key least one pool, and that its pools exist.
 func checkRoute(row *Row, rows map[string]*Row) []*wire.CellRefusal {
 	var refusals []*wire.CellRefusal
 	refuse := func(column, reason string) {
@@ -25,23 +25,23 @@
 	return refusals
 }
 
-// checkRoutes refuses two routes of one host and path prefix.
+// checkRoutes refuses two routes with the same host and path prefix.
 func checkRoutes(view *View) []*wire.CellRefusal {
-	type place struct{ host, prefix string }
+	type routeKey struct{ host, prefix string }
 	var refusals []*wire.CellRefusal
-	taken := map[place]string{}
+	taken := map[routeKey]string{}
 	for _, name := range view.names {
 		row := view.rows[name]
 		if row.Kind != Route || row.Host == "" || row.PathPrefix == "" {
 			continue
 		}
-		at := place{row.Host, row.PathPrefix}
-		if other, twice := taken[at]; twice {
+		key := routeKey{row.Host, row.PathPrefix}
+		if other, duplicate := taken[key]; duplicate {
 			refusals = append(refusals, &wire.CellRefusal{
 				Row: name, Column: ColumnPathPrefix, Reason: "route " + other + " has the same host and path prefix",
 			})
 		}
-		taken[at] = name
+		taken[key] = name
 	}
 	return refusals
 }
--- a/internal/table/check_suspect.go
+++ b/internal/table/check_suspect.go
@@ -7,25 +7,27 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// suspectDigits is the length of a request's digest in a suspect's name, in hexadecimal.
+// suspectDigits is the length of a request's digest in a suspect's name, in hexadecimal digits.
 const suspectDigits = 16
 
-// NamesSuspect tells whether a row's name is that of a suspect: the prefix and a digest in lower case.
+// NamesSuspect reports whether a row's name has the form of a suspect's: SuspectPrefix and a digest of 16 hexadecimal
+// digits in lower case.
 func NamesSuspect(name string) bool {
 	digest, named := strings.CutPrefix(name, SuspectPrefix)
 	_, err := strconv.ParseUint(digest, 16, 64)
 	return named && err == nil && len(digest) == suspectDigits && digest == strings.ToLower(digest)
 }
 
-// checkNamed refuses other rows under the names of suspects, which nodes make and remove by themselves.
-func checkNamed(row *Row) []*wire.CellRefusal {
+// checkReservedName refuses rows of other kinds whose names start with SuspectPrefix, because nodes create and remove
+// rows with such names by themselves.
+func checkReservedName(row *Row) []*wire.CellRefusal {
 	if row.Kind == Suspect || !strings.HasPrefix(row.Name, SuspectPrefix) {
 		return nil
 	}
 	return []*wire.CellRefusal{{Row: row.Name, Column: ColumnKind, Reason: "names that begin with " + SuspectPrefix + " are those of suspects"}}
 }
 
-// checkSuspect judges one suspect: its name holds a digest, so that requests can be compared with it.
+// checkSuspect checks that a suspect's name contains a digest, which requests are compared with.
 func checkSuspect(row *Row) []*wire.CellRefusal {
 	if NamesSuspect(row.Name) {
 		return nil
--- a/internal/table/check_tenant.go
+++ b/internal/table/check_tenant.go
@@ -8,10 +8,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// MaximumHeaderValueBytes bounds a cell of type HeaderValue: a tenant's name stands in the head of every request.
+// MaximumHeaderValueBytes bounds a cell of type HeaderValue. A tenant's name is sent in a header field of every
+// request.
 const MaximumHeaderValueBytes = 256
 
-// canonicalHeaderValue takes text that a header field can carry as it stands.
+// canonicalHeaderValue accepts text that can be sent unchanged as the value of a header field.
 func canonicalHeaderValue(text string) (string, error) {
 	if text == "" || len(text) > MaximumHeaderValueBytes || strings.TrimSpace(text) != text {
 		return "", trace.BadParameter("want 1 to %d bytes without blanks at either end", MaximumHeaderValueBytes)
@@ -22,7 +23,7 @@
 	return text, nil
 }
 
-// checkTenant judges one tenant: it has a name.
+// checkTenant checks that a tenant has a name.
 func checkTenant(row *Row) []*wire.CellRefusal {
 	if row.TenantName == "" {
 		return []*wire.CellRefusal{{Row: row.Name, Column: ColumnTenantName, Reason: "a tenant needs a name"}}
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// checkTenants refuses two tenants of one name, or with a key in common: a key must tell who calls.
+// checkTenants refuses two tenants with the same name or with a common key, because a key must identify one tenant.
 func checkTenants(view *View) []*wire.CellRefusal {
 	var refusals []*wire.CellRefusal
 	names, keys := map[string]string{}, map[string]string{}
@@ -39,12 +40,12 @@
 		if row.Kind != Tenant {
 			continue
 		}
-		if other, twice := names[row.TenantName]; twice {
+		if other, duplicate := names[row.TenantName]; duplicate {
 			refusals = append(refusals, &wire.CellRefusal{Row: name, Column: ColumnTenantName, Reason: "row " + other + " has the same tenant name"})
 		}
 		names[row.TenantName] = name
 		for _, digest := range row.KeyDigests {
-			if other, twice := keys[digest]; twice {
+			if other, duplicate := keys[digest]; duplicate {
 				refusals = append(refusals, &wire.CellRefusal{Row: name, Column: ColumnKeyDigests, Reason: "row " + other + " has the same key"})
 			}
 			keys[digest] = name
--- a/internal/table/columns_suspect.go
+++ b/internal/table/columns_suspect.go
@@ -1,17 +1,17 @@
 package table
 
-// SuspectPrefix begins the names of the rows of suspects; the digest of the request follows.
+// SuspectPrefix is the prefix of a suspect's row name; the digest of the request follows it.
 const SuspectPrefix = "suspect."
 
 const maximumCrashes = 1000
 
 var suspectOnly = []RowKind{Suspect}
 
-// suspectColumns are the columns of requests under which back ends crashed.
+// suspectColumns are the columns of suspects, which are requests that back ends crashed on.
 var suspectColumns = []Column{
 	{Name: ColumnCrashes, Type: Unsigned, Unit: "back ends", Minimum: 1, Maximum: maximumCrashes, Default: "1", Rows: suspectOnly, Optional: true,
 		Help:   "Back ends that crashed while they ran the request, counting a run that is claimed and not over. From 2 on it runs one at a time, from 3 on it rests.",
-		assign: func(row *Row, value string) { row.Crashes = uint32(number(value)) }},
+		assign: func(row *Row, value string) { row.Crashes = uint32(parseNumber(value)) }},
 	{Name: ColumnCrashed, Type: HeaderValue, Rows: suspectOnly, Optional: true,
 		Help:   "The back ends that crashed last, oldest first, separated by commas.",
 		assign: func(row *Row, value string) { row.CrashedBackEnds = value }},
--- a/internal/table/columns_tenant.go
+++ b/internal/table/columns_tenant.go
@@ -7,9 +7,9 @@
 	routeOrTenant = []RowKind{Route, Tenant}
 )
 
-// tenantColumns are the columns that say who may call the gateways.
+// tenantColumns are the columns that control who may call the gateways, and how much.
 var tenantColumns = []Column{
-	{Name: ColumnKeysRequired, Type: Choice, Choices: yesOrNo, Default: "false", Rows: listenOnly,
+	{Name: ColumnKeysRequired, Type: Choice, Choices: yesOrNo, Default: "false", Rows: listenerOnly,
 		Help:   "Whether requests need the key of a tenant; a route that is anonymous needs none.",
 		assign: func(row *Row, value string) { row.KeysRequired = value == "true" }},
 	{Name: ColumnAnonymous, Type: Choice, Choices: yesOrNo, Default: "false", Rows: routeOnly,
@@ -20,20 +20,20 @@
 		assign: func(row *Row, value string) { row.TenantName = value }},
 	{Name: ColumnKeyDigests, Type: NameList, Rows: tenantOnly,
 		Help:   "SHA-256 digests of the tenant's keys, in hexadecimal; no two tenants share one. Without any the tenant can't call.",
-		assign: func(row *Row, value string) { row.KeyDigests = names(value) }},
+		assign: func(row *Row, value string) { row.KeyDigests = parseNames(value) }},
 	{Name: ColumnRate, Type: Unsigned, Unit: "requests a second", Maximum: maximumRate, Default: "0", Rows: tenantOnly, Since: compat.Shares,
 		Help:   "Requests of the tenant that all gateways together let through in a second; 0 for no limit.",
-		assign: func(row *Row, value string) { row.Rate = uint32(number(value)) }},
+		assign: func(row *Row, value string) { row.Rate = uint32(parseNumber(value)) }},
 	{Name: ColumnBurst, Type: Unsigned, Unit: "requests", Maximum: maximumRate, Default: "0", Rows: tenantOnly, Since: compat.Shares,
 		Help:   "Requests of the tenant that may come at once beyond its rate; 0 for as many as the rate allows in a second.",
-		assign: func(row *Row, value string) { row.Burst = uint32(number(value)) }},
+		assign: func(row *Row, value string) { row.Burst = uint32(parseNumber(value)) }},
 	{Name: ColumnConcurrency, Type: Unsigned, Unit: "requests", Maximum: maximumSlots, Default: "0", Rows: tenantOnly, Since: compat.Shares,
 		Help:   "Requests of the tenant that all gateways together have in flight; 0 for no limit.",
-		assign: func(row *Row, value string) { row.Concurrency = uint32(number(value)) }},
+		assign: func(row *Row, value string) { row.Concurrency = uint32(parseNumber(value)) }},
 	{Name: ColumnTenantWeight, Type: Unsigned, Minimum: 1, Maximum: 1000, Default: "100", Rows: tenantOnly, Since: compat.Shares,
 		Help:   "Share of the tenant where requests of several tenants wait, relative to the others' weights.",
-		assign: func(row *Row, value string) { row.TenantWeight = uint32(number(value)) }},
+		assign: func(row *Row, value string) { row.TenantWeight = uint32(parseNumber(value)) }},
 }
 
-// maximumRate bounds a tenant's rate and burst.
+// maximumRate bounds a tenant's rate, in requests per second, and its burst, in requests.
 const maximumRate = 10_000_000
--- a/internal/table/commit.go
+++ b/internal/table/commit.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// commit makes a checked draft the table's next version.
+// commit makes a draft that passed all checks the table's next version.
 func (t *Table) commit(d *draft, change *wire.TableChange) {
 	t.version++
 	for _, name := range d.removed {
@@ -24,9 +24,9 @@
 func (t *Table) removeRow(name string, change *wire.TableChange) {
 	stored := t.rows[name]
 	for _, column := range sortedColumns(stored.cells) {
-		t.count(column, -1)
+		t.countOptional(column, -1)
 		if cell := stored.cells[column]; cell.value != "" {
-			t.remember(change, name, column, cell.value, "")
+			t.recordHistory(change, name, column, cell.value, "")
 		}
 	}
 	delete(t.rows, name)
@@ -38,38 +38,38 @@
 	if stored == nil {
 		stored = &storedRow{cells: map[string]storedCell{}}
 		t.rows[cell.GetRow()] = stored
-		t.forgetRemoval(cell.GetRow())
+		t.moveRemovalToCells(cell.GetRow())
 	}
 	stored.version = t.version
-	if _, held := stored.cells[cell.GetColumn()]; !held {
-		t.count(cell.GetColumn(), 1)
+	if _, exists := stored.cells[cell.GetColumn()]; !exists {
+		t.countOptional(cell.GetColumn(), 1)
 	}
-	t.remember(change, cell.GetRow(), cell.GetColumn(), stored.cells[cell.GetColumn()].value, cell.GetValue())
+	t.recordHistory(change, cell.GetRow(), cell.GetColumn(), stored.cells[cell.GetColumn()].value, cell.GetValue())
 	stored.cells[cell.GetColumn()] = storedCell{value: cell.GetValue(), version: t.version, operator: change.GetOperator()}
 }
 
-// forgetRemoval drops the mark of an earlier removal once the row exists again. The row's own cells cannot
-// stand in for it in conflicts, so each column without a cell keeps the removal as a cleared cell.
-func (t *Table) forgetRemoval(name string) {
-	kept := t.removed[:0]
+// moveRemovalToCells drops an earlier removal of a row that exists again. A change based on a version before the removal
+// must still conflict in every column, so the removal is recorded as a cleared cell of each column.
+func (t *Table) moveRemovalToCells(name string) {
+	remaining := t.removed[:0]
 	for _, removal := range t.removed {
 		if removal.name != name {
-			kept = append(kept, removal)
+			remaining = append(remaining, removal)
 			continue
 		}
 		for position := range columns {
 			column := &columns[position]
-			if !t.remembers(column) {
+			if !t.isKnownToAll(column) {
 				continue
 			}
-			t.count(column.Name, 1)
+			t.countOptional(column.Name, 1)
 			t.rows[name].cells[column.Name] = storedCell{version: removal.version, operator: removal.operator}
 		}
 	}
-	t.removed = kept
+	t.removed = remaining
 }
 
-func (t *Table) remember(change *wire.TableChange, row, column, from, to string) {
+func (t *Table) recordHistory(change *wire.TableChange, row, column, from, to string) {
 	t.history = append(t.history, &wire.HistoryEntry{
 		Version: t.version, Operator: change.GetOperator(), AtUnixMillis: change.GetAtUnixMillis(),
 		Row: row, Column: column, From: Shown(column, from), To: Shown(column, to),
@@ -77,7 +77,8 @@
 	})
 }
 
-// Shown is a cell's value as people read it in the history, refusals and lists: of a document, its length and digest.
+// Shown returns a cell's value for display in the history, refusals and lists. For a document it returns the length and
+// digest in place of the text.
 func Shown(column, value string) string {
 	if known := columnIndex[column]; known == nil || known.Type != Text || value == "" {
 		return value
@@ -85,7 +86,7 @@
 	return fmt.Sprintf("%d bytes, xxhash %016x", len(value), xxhash.Sum64String(value))
 }
 
-// trim keeps the history and the memory of removals within their bounds.
+// trim drops the oldest history entries and removals above their bounds.
 func (t *Table) trim() {
 	if surplus := len(t.history) - MaximumHistory; surplus > 0 {
 		t.history = append([]*wire.HistoryEntry(nil), t.history[surplus:]...)
@@ -96,9 +97,9 @@
 	}
 }
 
-// Update returns what moves a holder from fromVersion to the current version: a delta when every removal
-// since is known, else the whole table. A holder that is up to date, or ahead of this copy, gets an update
-// that moves nothing.
+// Update returns the update from fromVersion to the current version. It is a delta if all removals since then are still
+// listed, and the whole table otherwise. If fromVersion is the current version or newer, the update is empty and ends at
+// fromVersion.
 func (t *Table) Update(fromVersion uint64) *wire.TableUpdate {
 	if fromVersion >= t.version && fromVersion > 0 {
 		return &wire.TableUpdate{FromVersion: fromVersion, ToVersion: fromVersion}
@@ -129,7 +130,7 @@
 	return update
 }
 
-// wireRow returns a row's cells by column; cleared ones only if asked for.
+// wireRow encodes a row with its cells in order of column. Cleared cells are included only if cleared is set.
 func wireRow(name string, stored *storedRow, cleared bool) *wire.TableRow {
 	row := &wire.TableRow{Name: name}
 	for _, column := range sortedColumns(stored.cells) {
@@ -143,8 +144,8 @@
 	return row
 }
 
-// History returns up to limit entries, newest first, of a row and column; empty text stands for any, and
-// limit 0 for all that are kept (MaximumHistory).
+// History returns up to limit history entries of a row and column, newest first. An empty row or column matches all, and
+// limit 0 returns all entries that are kept (at most MaximumHistory).
 func (t *Table) History(row, column string, limit int) []*wire.HistoryEntry {
 	var found []*wire.HistoryEntry
 	for position := len(t.history) - 1; position >= 0; position-- {
--- a/internal/table/incarnation_test.go
+++ b/internal/table/incarnation_test.go
@@ -7,6 +7,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
+// cellsOf returns changes of a row's cells from pairs of column and value.
 func cellsOf(row string, pairs ...string) []*wire.CellChange {
 	var cells []*wire.CellChange
 	for at := 0; at < len(pairs); at += 2 {
@@ -15,15 +16,16 @@
 	return cells
 }
 
-// TestViewTellsStartsApart moves a back end to a later start: the view knows it under its new instance only, and says of the
-// former one that it has ended, also once the row takes nothing. Of an instance that it never knew it says nothing.
-func TestViewTellsStartsApart(t *testing.T) {
+// TestViewDistinguishesStarts guards against requests being sent to, or kept at, a former start of a back end. After a back
+// end restarts, Backend must return it under its new instance only, and Ended must be true for the former instance, even if
+// the row is removed. Ended must be false for a later start or a back end that the table does not know.
+func TestViewDistinguishesStarts(t *testing.T) {
 	held := New()
 	apply := func(cells ...*wire.CellChange) *View {
 		t.Helper()
 		result := held.Apply(&wire.TableChange{ChangeId: t.Name() + string(rune('a'+held.Version())), BaseVersion: held.Version(), Operator: "test", Note: ForceNote, Cells: cells})
 		if result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
-			t.Fatalf("the change was not accepted: %v", result)
+			t.Fatalf("got %v, want the change accepted", result)
 		}
 		view, err := NewView().Apply(held.Update(0))
 		if err != nil {
@@ -35,17 +37,17 @@
 	apply(cellsOf("pool", ColumnKind, string(Pool))...)
 	view := apply(cellsOf("i-1", ColumnKind, string(Backend), ColumnPool, "pool", ColumnAddress, "10.0.0.1:80")...)
 	if row := view.Backend("i-1"); row == nil || row.Instance != "i-1" || view.Ended("i-1") {
-		t.Fatalf("a start that is not known is %+v", row)
+		t.Fatalf("back end without a known start is %+v, want instance i-1, not ended", row)
 	}
 	view = apply(cellsOf("i-1", ColumnStart, "1000")...)
 	if view.Backend("i-1") != nil || !view.Ended("i-1") || view.Backend(name(1000)) == nil || view.Ended(name(1000)) {
-		t.Fatal("a start that became known is not a later one")
+		t.Fatal("the instance without a start is still current after start 1000 became known")
 	}
 	view = apply(cellsOf("i-1", ColumnStart, "2000", ColumnState, string(Removed))...)
 	if view.Backend(name(1000)) != nil || !view.Ended(name(1000)) || view.Backend(name(2000)) == nil {
-		t.Fatal("the former start is still believed")
+		t.Fatal("start 1000 is still current, or 2000 is not, after the row changed to start 2000")
 	}
 	if view.Ended(name(3000)) || view.Backend(name(3000)) != nil || view.Ended("i-2") || view.Ended("pool") {
-		t.Fatal("something is said of a start that the table never knew")
+		t.Fatal("an unknown start, back end or a pool is reported as known or ended")
 	}
 }
--- a/internal/table/incremental_test.go
+++ b/internal/table/incremental_test.go
@@ -16,27 +16,29 @@
 	"suspect.00000000000000ab kind suspect", "suspect.00000000000000ab crashes 2", "-suspect.00000000000000ab", "suspect.00000000000000ab kind pool",
 }, drawnTexts...)
 
-// wholeCheck judges every row that a draft would leave behind, as resolved from the table's cells anew.
-func wholeCheck(made *Table, d *draft, change *wire.TableChange) []*wire.CellRefusal {
+// checkWholeTable checks every row of the table as the draft would leave it, after resolving all rows again from their
+// cells.
+func checkWholeTable(made *Table, d *draft, change *wire.TableChange) []*wire.CellRefusal {
 	own := map[string]map[string]string{}
 	for name := range made.rows {
-		own[name] = made.ownCells(name)
+		own[name] = made.copyCells(name)
 	}
-	before := NewView().amend(made.version, own)
+	before := NewView().withRows(made.version, own)
 	for name, cells := range d.rows {
 		own[name] = cells
 	}
-	after := NewView().amend(made.version+1, own)
+	after := NewView().withRows(made.version+1, own)
 	refusals := append(append(checkRows(after.names, after), checkRoutes(after)...), checkTenants(after)...)
-	if len(refusals) == 0 && !forced(change) {
-		refusals = harmful(before.rows, after.rows, d)
+	if len(refusals) == 0 && !isForced(change) {
+		refusals = checkPoolsServed(before.rows, after.rows, d)
 	}
 	return refusals
 }
 
-// TestTouchedRowsAreEnough judges random changes by the rows that they touch and by the whole table: the refusals are the
-// same, and so are the typed rows that a change leaves and those that are made from nothing.
-func TestTouchedRowsAreEnough(t *testing.T) {
+// TestIncrementalCheckEqualsWholeCheck guards against a check of the changed rows only that misses an invalid table, and
+// against typed rows that go stale when they are shared. It checks random changes both by the changed rows and by the whole
+// table. Refusals must be equal, and so must the typed rows after the change and those resolved from scratch.
+func TestIncrementalCheckEqualsWholeCheck(t *testing.T) {
 	var accepted, refused int
 	rapid.Check(t, func(t *rapid.T) {
 		made := New()
@@ -45,11 +47,11 @@
 			if rapid.Bool().Draw(t, "forced") {
 				next.Note = ForceNote
 			}
-			if d, wrong := made.draft(next); len(wrong) == 0 {
-				after := made.current().amend(made.version+1, d.rows)
-				want, got := wholeCheck(made, d, next), made.check(d, after, next)
+			if d, wrong := made.buildDraft(next); len(wrong) == 0 {
+				after := made.current().withRows(made.version+1, d.rows)
+				want, got := checkWholeTable(made, d, next), made.check(d, after, next)
 				if fmt.Sprint(got) != fmt.Sprint(want) {
-					t.Fatalf("%v is refused for %v, by the whole table for %v", next, got, want)
+					t.Fatalf("change %v got refusals %v, want those of the whole table: %v", next, got, want)
 				}
 			}
 			if made.Apply(next).GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
@@ -67,13 +69,14 @@
 		}
 	})
 	if accepted == 0 || refused == 0 {
-		t.Fatalf("%d changes accepted, %d refused: nothing was examined", accepted, refused)
+		t.Fatalf("%d changes accepted and %d refused, want some of each", accepted, refused)
 	}
 }
 
-// TestRowsThatStayAreShared: a change resolves what it touches; holders compare the other rows by identity.
-func TestRowsThatStayAreShared(t *testing.T) {
-	made := fleetOf(t, 40)
+// TestUnchangedRowsAreShared checks that a change resolves only the rows that it touches. Readers compare rows by pointer to
+// find those that changed.
+func TestUnchangedRowsAreShared(t *testing.T) {
+	made := newFleet(t, 40)
 	before, err := NewView().Apply(made.Update(0))
 	if err != nil {
 		t.Fatal(err)
@@ -90,6 +93,6 @@
 		}
 	}
 	if len(renewed) != 1 || renewed[0] != "r00007" || after.Row("r00007").State != Draining || len(after.Backends("p")) != 40 {
-		t.Fatalf("rows made anew: %v", renewed)
+		t.Fatalf("resolved rows %v, want r00007 only, draining, among 40 back ends", renewed)
 	}
 }
--- a/internal/table/level_test.go
+++ b/internal/table/level_test.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// applier applies changes against the newest version.
+// applier applies changes based on the table's current version.
 type applier struct {
 	t    *testing.T
 	held *Table
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestColumnsOfALevelWaitForIt: what no build without levels takes is refused until the level is in force, with the reason.
-func TestColumnsOfALevelWaitForIt(t *testing.T) {
+// TestColumnIsRefusedBelowItsLevel checks that a cell of a column that older builds do not know is refused, with the reason,
+// until the column's level is in force. Accepting it earlier would leave replicas with different tables.
+func TestColumnIsRefusedBelowItsLevel(t *testing.T) {
 	a := &applier{t: t, held: New()}
 	a.held.SetLevel(compat.Base)
 	change := func() *wire.TableChange {
@@ -47,9 +48,10 @@
 	a.mustAccept(change())
 }
 
-// TestRowsMadeAgainStayReadable: while no level is in force, a row that is made again remembers its removal only in columns that
-// the builds beside know, and alike in a table that was restored.
-func TestRowsMadeAgainStayReadable(t *testing.T) {
+// TestRecreatedRowIsReadableByOlderBuilds guards against a row that older builds cannot read. When a removed row is created
+// again, its removal is recorded as cleared cells. Below the level of a column, and for an optional column that no row has,
+// there must be no such cell. A restored table must record the same cells.
+func TestRecreatedRowIsReadableByOlderBuilds(t *testing.T) {
 	backend := func(start string) *wire.TableChange {
 		cells := []string{ColumnKind, "backend", ColumnPool, "p", ColumnAddress, "127.0.0.1:1"}
 		if start != "" {
@@ -59,7 +61,7 @@
 	}
 	for _, known := range []struct {
 		level   compat.Level
-		starts  bool // the table holds another start
+		starts  bool // another row has a start
 		columns map[string]bool
 	}{
 		{compat.Base, false, map[string]bool{ColumnStart: false, ColumnCrashes: false, ColumnSharedSlots: false, ColumnZone: true}},
@@ -83,19 +85,19 @@
 		twin := &applier{t: t, held: restored, next: a.next - 1}
 		twin.mustAccept(backend(""))
 		if !proto.Equal(a.held.Snapshot(), restored.Snapshot()) {
-			t.Errorf("%+v: a restored table remembers otherwise", known)
+			t.Errorf("%+v: the snapshot after a restore differs from the original table's", known)
 		}
 		for column, want := range known.columns {
 			if _, remembered := a.held.rows["b"].cells[column]; remembered != want {
-				t.Errorf("%+v: %s is remembered: %v", known, column, remembered)
+				t.Errorf("%+v: removal is recorded in column %s: got %v, want the opposite", known, column, remembered)
 			}
 		}
 	}
 }
 
-// TestUnknownColumnsAndKindsAreKept: cells that a newer build wrote stay through a snapshot and changes of their row, and a row of
-// a kind that this build does not know keeps no view from being made.
-func TestUnknownColumnsAndKindsAreKept(t *testing.T) {
+// TestUnknownColumnsAndKindsArePreserved guards against losing what a newer build wrote. Cells of unknown columns and rows of
+// unknown kinds must survive a restore, a change of their row and another restore. A view must skip them without an error.
+func TestUnknownColumnsAndKindsArePreserved(t *testing.T) {
 	a := &applier{t: t, held: New()}
 	a.mustAccept(&wire.TableChange{Cells: cellsOf("p", ColumnKind, "pool")})
 	snapshot := proto.CloneOf(a.held.Snapshot())
@@ -112,13 +114,13 @@
 	}
 	update := again.Update(0)
 	if len(update.Rows) != 2 || !strings.Contains(update.Rows[0].String(), "made_up") {
-		t.Errorf("the update lacks what is unknown: %v", update)
+		t.Errorf("update %v, want both rows and the cell of the unknown column", update)
 	}
 	view, err := NewView().Apply(update)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if view.Row("q") != nil || view.Pool("p").Weight != 5 {
-		t.Errorf("the view holds %v", view.Rows())
+		t.Errorf("view has rows %v, want only pool p with weight 5", view.Rows())
 	}
 }
--- a/internal/table/memory.go
+++ b/internal/table/memory.go
@@ -6,22 +6,22 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// changeRecordBytes is the estimated memory of a remembered answer besides its own encoded size.
+// changeRecordBytes is the estimated memory of a kept result in addition to its encoded size.
 const changeRecordBytes = 200
 
-// rememberedChange is the answer that a change id got.
+// rememberedChange is the result of a change, with the digest of the change's content.
 type rememberedChange struct {
 	digest uint64
 	result *wire.TableResult
-	bytes  int
+	bytes  int // estimated memory
 }
 
-// changeMemory remembers the answers of the last change ids, bounded by count and bytes.
+// changeMemory keeps the results of the most recent change ids, bounded by count and bytes.
 type changeMemory struct {
 	byID  map[string]*rememberedChange
-	order []*rememberedChange // oldest first, from head on
+	order []*rememberedChange // oldest first, starting at head
 	head  int
-	bytes int
+	bytes int // sum over order
 }
 
 func newChangeMemory() changeMemory {
@@ -33,7 +33,7 @@
 	return known, ok
 }
 
-// put remembers an answer and forgets the oldest ones above the bounds.
+// put adds a result and drops the oldest ones above the bounds. A result whose id is known is ignored.
 func (m *changeMemory) put(digest uint64, result *wire.TableResult) {
 	if _, known := m.byID[result.GetChangeId()]; known {
 		return
@@ -59,11 +59,11 @@
 	}
 }
 
-// records returns the remembered answers, oldest first.
+// records returns the kept results, oldest first.
 func (m *changeMemory) records() []*wire.ChangeRecord {
-	kept := make([]*wire.ChangeRecord, 0, len(m.byID))
+	records := make([]*wire.ChangeRecord, 0, len(m.byID))
 	for _, record := range m.order[m.head:] {
-		kept = append(kept, &wire.ChangeRecord{Digest: record.digest, Result: record.result})
+		records = append(records, &wire.ChangeRecord{Digest: record.digest, Result: record.result})
 	}
-	return kept
+	return records
 }
--- a/internal/table/scale_test.go
+++ b/internal/table/scale_test.go
@@ -7,8 +7,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// fleetOf makes a table of a pool with replicas as registrations make them.
-func fleetOf(t testing.TB, replicas int) *Table {
+// newFleet returns a table with a pool and the rows of so many registered replicas.
+func newFleet(t testing.TB, replicas int) *Table {
 	t.Helper()
 	made := New()
 	first := &wire.TableChange{ChangeId: "pool", Cells: []*wire.CellChange{{Row: "p", Column: ColumnKind, Value: string(Pool)}}}
@@ -21,6 +21,7 @@
 	return made
 }
 
+// registrationOf returns the cells that a replica's registration sets.
 func registrationOf(number, sequence int) []*wire.CellChange {
 	name := fmt.Sprintf("r%05d", number)
 	cells := [][2]string{{ColumnKind, string(Backend)}, {ColumnPool, "p"}, {ColumnAddress, fmt.Sprintf("10.0.%d.%d:80", number/250, number%250+1)},
@@ -32,17 +33,18 @@
 	return changes
 }
 
+// drainOf returns the change that drains one replica.
 func drainOf(made *Table, number, sequence int) *wire.TableChange {
 	name := fmt.Sprintf("r%05d", number)
 	return &wire.TableChange{ChangeId: fmt.Sprintf("drain-%d-%d", number, sequence), BaseVersion: made.Version(), Note: ForceNote, Cells: []*wire.CellChange{
 		{Row: name, Column: ColumnState, Value: string(Draining)}, {Row: name, Column: ColumnSequence, Value: fmt.Sprint(sequence)}}}
 }
 
-// BenchmarkChange is one replica's change of a large table at the control nodes.
+// BenchmarkChange applies one replica's change to a large table, as a control node does.
 func BenchmarkChange(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := fleetOf(b, replicas)
+			made := newFleet(b, replicas)
 			for number := 0; b.Loop(); number++ {
 				made.Apply(drainOf(made, number%replicas, 2+number/replicas))
 			}
@@ -50,11 +52,11 @@
 	}
 }
 
-// BenchmarkDelta is the update that one change makes for the holders of the version before.
+// BenchmarkDelta builds the update for one change since the previous version.
 func BenchmarkDelta(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := fleetOf(b, replicas)
+			made := newFleet(b, replicas)
 			before := made.Version()
 			made.Apply(drainOf(made, 1, 2))
 			for b.Loop() {
@@ -64,11 +66,11 @@
 	}
 }
 
-// BenchmarkFollow is one change of one replica at a process that follows the table.
+// BenchmarkFollow applies the update for one replica's change to a view, as a process that follows the table does.
 func BenchmarkFollow(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := fleetOf(b, replicas)
+			made := newFleet(b, replicas)
 			view, err := NewView().Apply(made.Update(0))
 			if err != nil {
 				b.Fatal(err)
@@ -84,9 +86,9 @@
 	}
 }
 
-// BenchmarkReadWhole is a read of the whole table, as a process without a view makes it.
+// BenchmarkReadWhole builds a view from the whole table, as a process without a view does.
 func BenchmarkReadWhole(b *testing.B) {
-	made := fleetOf(b, 3000)
+	made := newFleet(b, 3000)
 	for b.Loop() {
 		if _, err := NewView().Apply(made.Update(0)); err != nil {
 			b.Fatal(err)
--- a/internal/table/schema.go
+++ b/internal/table/schema.go
@@ -6,31 +6,31 @@
 	"github.com/tamarindring/tamarindring/internal/compat"
 )
 
-// RowKind says what a row stands for.
+// RowKind is the kind of object that a row describes.
 type RowKind string
 
 // The kinds of row, as written in the column "kind".
 const (
 	Pool     RowKind = "pool"
 	Backend  RowKind = "backend"
-	Route    RowKind = "route"    // requests of a host under a path, and the pools that serve them
-	Listener RowKind = "listener" // what clients may send to the gateways
-	Tenant   RowKind = "tenant"   // a caller of the gateways, known by its keys
-	Document RowKind = "document" // text that a tool keeps as it was given, such as a site's configuration
-	Suspect  RowKind = "suspect"  // a request under which back ends crashed, named by SuspectPrefix and its digest
+	Route    RowKind = "route"    // a host and path prefix, and the pools that serve its requests
+	Listener RowKind = "listener" // limits on what clients may send to the gateways
+	Tenant   RowKind = "tenant"   // a caller of the gateways, identified by its keys
+	Document RowKind = "document" // text stored verbatim for a tool, such as a site's configuration
+	Suspect  RowKind = "suspect"  // a request that back ends crashed on; its name is SuspectPrefix and the request's digest
 )
 
-// State says whether a row takes new work, as written in the column "state".
+// State says whether a pool or back end accepts new work, as written in the column "state".
 type State string
 
 // The states of a row.
 const (
-	Active   State = "active"   // takes new work
-	Draining State = "draining" // finishes what it has, takes nothing new
-	Removed  State = "removed"  // takes nothing; kept for the record until the row is removed
+	Active   State = "active"   // accepts new work
+	Draining State = "draining" // finishes its running work and accepts no new work
+	Removed  State = "removed"  // accepts no work; the row stays as a record until it is removed
 )
 
-// Service is what the back ends of a pool are, as written in the column "service".
+// Service is the type of a pool's back ends, as written in the column "service".
 type Service string
 
 // The services.
@@ -39,36 +39,36 @@
 	Application Service = "application" // application replica with named operations
 )
 
-// RouteKind says how often a route's requests may run, as written in the column "route_kind".
+// RouteKind determines how often and how a route's requests may run, as written in the column "route_kind".
 type RouteKind string
 
 // The kinds of route.
 const (
 	Repeatable RouteKind = "repeatable" // may run more than once
-	Once       RouteKind = "once"       // at most once a try
-	Stream     RouteKind = "stream"     // answers with a series of events
-	Batch      RouteKind = "batch"      // many requests submitted together and run later
+	Once       RouteKind = "once"       // each attempt runs at most once
+	Stream     RouteKind = "stream"     // answered with a stream of events
+	Batch      RouteKind = "batch"      // a batch job: requests submitted together and run later
 )
 
-// ValueType says how the text of a cell is read.
+// ValueType determines how the text of a cell is validated and parsed.
 type ValueType uint8
 
 // The types of value.
 const (
 	Choice        ValueType = iota + 1 // one of Column.Choices
-	Name                               // letters, digits, '.', '_' and '-', at most 100 bytes
+	Name                               // letters, digits, '.', '_' and '-', at most MaximumNameBytes
 	Address                            // IP:port
 	Unsigned                           // decimal number between Column.Minimum and Column.Maximum
-	NameList                           // names separated by commas, no name twice
-	Host                               // host name, with a port or without; lower case
+	NameList                           // names separated by commas, without duplicates
+	Host                               // host name with an optional port, in lower case
 	Path                               // absolute path without a query
 	PathPrefix                         // path that starts and ends with a slash
-	WeightedNames                      // NAME:WEIGHT pairs separated by commas, no name twice
+	WeightedNames                      // NAME:WEIGHT pairs separated by commas, without duplicate names
 	HeaderValue                        // printable ASCII that an HTTP header field can carry, at most MaximumHeaderValueBytes
 	Text                               // any UTF-8 text up to MaximumTextBytes
 )
 
-// String returns the type's name as the operators' page prints it.
+// String returns the type's name as the operators' page shows it.
 func (t ValueType) String() string {
 	switch t {
 	case Choice:
@@ -98,27 +98,28 @@
 	}
 }
 
-// Column describes one column: what its cells may hold and what they mean.
+// Column describes one column: the values that its cells accept and their meaning.
 type Column struct {
 	Name      string
 	Type      ValueType
-	Unit      string // of a number; empty if it has none
-	Minimum   uint64
-	Maximum   uint64
+	Unit      string    // of an Unsigned; empty for a plain count
+	Minimum   uint64    // of an Unsigned, inclusive
+	Maximum   uint64    // of an Unsigned, inclusive
 	Choices   []string  // of a Choice
-	Default   string    // canonical text that a cleared or unset cell stands for; empty: none
-	Rows      []RowKind // kinds of row that may hold the column
-	Inherited bool      // a back end without a cell of its own takes its pool's
+	Default   string    // canonical value of an unset or cleared cell; empty if there is none
+	Rows      []RowKind // kinds of row that may have a cell of the column
+	Inherited bool      // a back end without its own cell uses its pool's
 	Help      string    // one sentence for operators
-	// Since is the level from which cells of the column are taken: builds that don't speak it refuse them.
+	// Since is the level from which cells of the column are accepted. Builds that do not support it reject such cells.
 	Since compat.Level
-	// Optional tells that some builds that name no level don't know the column: a table without cells of it may be theirs.
+	// Optional marks a column that some of the builds from before levels do not know. While a table has no cell of
+	// it, such a build may still be a member of the group.
 	Optional bool
 
 	assign func(row *Row, canonical string)
 }
 
-// AppliesTo reports whether a row of the kind may hold the column.
+// AppliesTo reports whether a row of the kind may have a cell of the column.
 func (c *Column) AppliesTo(kind RowKind) bool {
 	for _, candidate := range c.Rows {
 		if candidate == kind {
@@ -128,8 +129,8 @@
 	return false
 }
 
-// holds reports whether a row of the kind has a value of the column, of its own or its pool's.
-func (c *Column) holds(kind RowKind) bool {
+// hasValueIn reports whether a row of the kind can have a value of the column, either its own or its pool's.
+func (c *Column) hasValueIn(kind RowKind) bool {
 	return c.AppliesTo(kind) || (c.Inherited && kind == Backend)
 }
 
@@ -188,7 +189,7 @@
 	ColumnSubject        = "subject"
 )
 
-// columns are all columns in the order in which operators read them.
+// columns lists all columns in the order in which they are shown to operators.
 var columns = slices.Concat(poolColumns, routeColumns, tenantColumns, suspectColumns)
 
 var columnIndex = func() map[string]*Column {
@@ -199,10 +200,10 @@
 	return index
 }()
 
-// Schema returns every column in the order in which operators read them.
+// Schema returns all columns in the order in which they are shown to operators.
 func Schema() []Column { return append([]Column(nil), columns...) }
 
-// Lookup returns the column of a name.
+// Lookup returns the column with the given name, and whether it exists.
 func Lookup(name string) (Column, bool) {
 	column, ok := columnIndex[name]
 	if !ok {
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Snapshot returns the whole state. Equal tables give equal snapshots. It shares messages with the table:
+// Snapshot returns the whole state. Equal tables have equal snapshots. The snapshot shares messages with the table, so
 // encode it before the next Apply.
 func (t *Table) Snapshot() *wire.TableSnapshot {
 	snapshot := &wire.TableSnapshot{
@@ -24,8 +24,9 @@
 	return snapshot
 }
 
-// Restore replaces the state with a snapshot's. On an error the table is unchanged. The table keeps the
-// snapshot's messages.
+// Restore replaces the state with that of a snapshot, except for the level in force, which it leaves as it is. The table
+// retains the snapshot's messages. It fails, without changing the table, if a cell is newer than the snapshot or a kept
+// result has no change id.
 func (t *Table) Restore(snapshot *wire.TableSnapshot) error {
 	restored := NewUnsafe(t.unsafe)
 	restored.level = t.level
@@ -38,7 +39,7 @@
 		}
 		restored.rows[row.GetName()] = stored
 		for column := range stored.cells {
-			restored.count(column, 1)
+			restored.countOptional(column, 1)
 		}
 	}
 	for _, removal := range snapshot.GetRemoved() {
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// restoreRow keeps cells of columns that this build does not know: they stay in the row and in later snapshots.
+// restoreRow converts a row of a snapshot with the given version. It retains cells of columns that this build does not
+// know, so that they are part of later snapshots.
 func restoreRow(row *wire.TableRow, version uint64) (*storedRow, error) {
 	stored := &storedRow{cells: make(map[string]storedCell, len(row.GetCells()))}
 	for _, cell := range row.GetCells() {
--- a/internal/table/suspect_test.go
+++ b/internal/table/suspect_test.go
@@ -7,8 +7,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestSuspectsAreNamedByTheirDigests: rows of suspects have names that requests can be compared with, no other row has such a name, and
-// the view lists them as they come and go.
+// TestSuspectsAreNamedByTheirDigests guards against suspects that no request can be matched with. A suspect's name must be
+// the prefix and a digest of 16 lower-case hexadecimal digits, rows of other kinds must not have the prefix, and the view
+// must list suspects as they are added and removed.
 func TestSuspectsAreNamedByTheirDigests(t *testing.T) {
 	held := New()
 	changes := 0
@@ -18,7 +19,7 @@
 		change.ChangeId, change.BaseVersion, change.Operator = fmt.Sprint(changes), held.Version(), "test"
 		result := held.Apply(change)
 		if accepted := result.GetOutcome() == wire.TableOutcome_TABLE_OUTCOME_ACCEPTED; accepted != want {
-			t.Fatalf("%v: %v", change.GetCells(), result)
+			t.Fatalf("change of %v: got %v, want the opposite outcome", change.GetCells(), result)
 		}
 	}
 	suspects := func() (names []string) {
@@ -39,10 +40,10 @@
 	apply(true, &wire.TableChange{Cells: cellsOf("suspect.00000000000000aa", ColumnKind, "suspect", ColumnCrashes, "2")})
 	apply(true, &wire.TableChange{Cells: cellsOf("pool", ColumnKind, "pool")})
 	if got := fmt.Sprint(suspects()); got != "[suspect.00000000000000aa 2 suspect.00000000000000ab 1]" {
-		t.Errorf("listed %s", got)
+		t.Errorf("got suspects %s, want the digests ending in aa with 2 crashes and ab with 1", got)
 	}
 	apply(true, &wire.TableChange{RemoveRows: []string{"suspect.00000000000000aa"}})
 	if got := suspects(); len(got) != 1 {
-		t.Errorf("after a removal %v", got)
+		t.Errorf("got suspects %v after a removal, want one", got)
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -9,9 +9,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of a Table. All are counts unless said otherwise.
+// Bounds of a Table. They are counts unless a unit is given.
 const (
-	// MaximumRows bounds the rows.
+	// MaximumRows bounds the rows of the table.
 	MaximumRows = 20_000
 	// MaximumChangeCells bounds the cells and removed rows of one change.
 	MaximumChangeCells = 65_536
@@ -19,45 +19,45 @@
 	MaximumIDBytes = 128
 	// MaximumNoteBytes bounds a note, in bytes.
 	MaximumNoteBytes = 1024
-	// MaximumHistory bounds the history; the oldest entries go first.
+	// MaximumHistory bounds the history entries. The oldest are dropped first.
 	MaximumHistory = 10_000
-	// MaximumRemoved bounds the removed rows that are remembered for conflicts and deltas.
+	// MaximumRemoved bounds the removals that are kept to detect conflicts and to compute deltas.
 	MaximumRemoved = 10_000
-	// MaximumChangeIDs bounds the change ids whose answers are remembered; the oldest go first.
+	// MaximumChangeIDs bounds the change ids whose results are kept for resends. The oldest are dropped first.
 	MaximumChangeIDs = 100_000
-	// MaximumChangeBytes bounds the memory of those answers, in bytes.
+	// MaximumChangeBytes bounds the memory of those results, in bytes.
 	MaximumChangeBytes = 16 << 20
-	// MaximumRefusals bounds the refusals listed in one answer.
+	// MaximumRefusals bounds the refusals listed in one result.
 	MaximumRefusals = 64
 )
 
-// ForceNote is the word in a change's note that lets a harmful change through.
+// ForceNote is a word that, in the note of a change, permits the change to leave a pool without a serving back end.
 const ForceNote = "force"
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety checks. Only tests set it, to show that they detect the resulting fault.
 type Unsafe struct {
-	ForgetChangeIDs bool // judge a resent change anew
-	IgnoreConflicts bool // let the last writer win
+	ForgetChangeIDs bool // evaluate a resent change again instead of returning its earlier result
+	IgnoreConflicts bool // accept changes whose cells were changed after the base version
 }
 
-// Table is the authoritative table. The zero value is not ready; use New.
+// Table is the authoritative copy of the table. The zero value is not usable; use New.
 type Table struct {
 	unsafe       Unsafe
 	version      uint64
 	rows         map[string]*storedRow
-	removed      []removedRow // by version; a row that was made again is no longer listed
-	removalFloor uint64       // removals at or below it are forgotten
+	removed      []removedRow // in order of version; rows that were created again are not listed
+	removalFloor uint64       // removals at or below this version are no longer listed
 	history      []*wire.HistoryEntry
 	changes      changeMemory
 	level        compat.Level   // in force for the group
-	optional     map[string]int // rows with a cell of each optional column, cleared ones included
-	view         *View          // the rows, typed; nil until it is needed after a restore
+	optional     map[string]int // number of rows with a cell of each optional column, including cleared cells
+	view         *View          // typed rows; nil after a restore until first used
 }
 
-// storedRow is a row's cells with their origin. A cleared cell stays with an empty value, so that a change
-// made before the clearing conflicts.
+// storedRow holds a row's cells with the change that set each. A cleared cell is kept with an empty value, so that a
+// change based on a version before the clearing conflicts.
 type storedRow struct {
-	version uint64 // of the last change that touched the row
+	version uint64 // version of the last change of the row
 	cells   map[string]storedCell
 }
 
@@ -73,60 +73,61 @@
 	operator string
 }
 
-// New returns an empty table at version 0, at the level that this build speaks.
+// New returns an empty table at version 0 and at the newest level that this build supports.
 func New() *Table { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty table with safety steps switched off.
+// NewUnsafe is New with safety checks disabled.
 func NewUnsafe(unsafe Unsafe) *Table {
 	return &Table{unsafe: unsafe, rows: map[string]*storedRow{}, changes: newChangeMemory(), level: compat.Newest, optional: map[string]int{}}
 }
 
-// Version returns the number of the last accepted change.
+// Version returns the version of the last accepted change.
 func (t *Table) Version() uint64 { return t.version }
 
-// Apply judges a change and, if it is accepted, makes it. A change whose id was answered before gets that
-// answer again. The result is the caller's own.
+// Apply validates a change and, if it is accepted, commits it. A change whose id is known gets the result of the first
+// one, or INVALID if its content differs. The caller owns the result.
 func (t *Table) Apply(change *wire.TableChange) *wire.TableResult {
-	if refusal := malformed(change); refusal != "" {
-		return t.invalid(change, wholeChange(refusal))
+	if refusal := malformedReason(change); refusal != "" {
+		return t.invalidResult(change, refuseWholeChange(refusal))
 	}
 	digest := changeDigest(change)
 	if known, ok := t.changes.get(change.GetChangeId()); ok && !t.unsafe.ForgetChangeIDs {
 		if known.digest != digest {
-			return t.invalid(change, wholeChange("change id was used before with other content"))
+			return t.invalidResult(change, refuseWholeChange("change id was used before with other content"))
 		}
 		return proto.CloneOf(known.result)
 	}
-	result := t.judge(change)
+	result := t.evaluate(change)
 	t.changes.put(digest, result)
 	return proto.CloneOf(result)
 }
 
-func (t *Table) judge(change *wire.TableChange) *wire.TableResult {
+// evaluate decides on a change that is well-formed and not a resend, and commits it if it is accepted.
+func (t *Table) evaluate(change *wire.TableChange) *wire.TableResult {
 	if change.GetBaseVersion() > t.version {
-		return t.invalid(change, wholeChange("base version is above the table's"))
+		return t.invalidResult(change, refuseWholeChange("base version is above the table's"))
 	}
-	if conflicts := t.conflicts(change); len(conflicts) > 0 && !t.unsafe.IgnoreConflicts {
-		return t.result(change, wire.TableOutcome_TABLE_OUTCOME_CONFLICT, conflicts)
+	if conflicts := t.findConflicts(change); len(conflicts) > 0 && !t.unsafe.IgnoreConflicts {
+		return t.newResult(change, wire.TableOutcome_TABLE_OUTCOME_CONFLICT, conflicts)
 	}
-	draft, refusals := t.draft(change)
+	draft, refusals := t.buildDraft(change)
 	if len(refusals) > 0 {
-		return t.invalid(change, refusals)
+		return t.invalidResult(change, refusals)
 	}
-	after := t.current().amend(t.version+1, draft.rows)
+	after := t.current().withRows(t.version+1, draft.rows)
 	if refusals = t.check(draft, after, change); len(refusals) > 0 {
-		return t.invalid(change, refusals)
+		return t.invalidResult(change, refusals)
 	}
 	t.commit(draft, change)
 	t.view = after
-	return t.result(change, wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, nil)
+	return t.newResult(change, wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, nil)
 }
 
-func (t *Table) invalid(change *wire.TableChange, refusals []*wire.CellRefusal) *wire.TableResult {
-	return t.result(change, wire.TableOutcome_TABLE_OUTCOME_INVALID, refusals)
+func (t *Table) invalidResult(change *wire.TableChange, refusals []*wire.CellRefusal) *wire.TableResult {
+	return t.newResult(change, wire.TableOutcome_TABLE_OUTCOME_INVALID, refusals)
 }
 
-func (t *Table) result(change *wire.TableChange, outcome wire.TableOutcome, refusals []*wire.CellRefusal) *wire.TableResult {
+func (t *Table) newResult(change *wire.TableChange, outcome wire.TableOutcome, refusals []*wire.CellRefusal) *wire.TableResult {
 	if len(refusals) > MaximumRefusals {
 		refusals = refusals[:MaximumRefusals]
 	}
@@ -138,24 +139,24 @@
 	}
 }
 
-// conflicts lists every touched cell that was set after the change's base version.
-func (t *Table) conflicts(change *wire.TableChange) []*wire.CellRefusal {
+// findConflicts lists every touched cell that was set after the change's base version.
+func (t *Table) findConflicts(change *wire.TableChange) []*wire.CellRefusal {
 	var found []*wire.CellRefusal
 	for _, cell := range change.GetCells() {
-		if conflict := t.cellConflict(cell.GetRow(), cell.GetColumn(), change.GetBaseVersion()); conflict != nil {
+		if conflict := t.findCellConflict(cell.GetRow(), cell.GetColumn(), change.GetBaseVersion()); conflict != nil {
 			found = append(found, conflict)
 		}
 	}
 	for _, name := range change.GetRemoveRows() {
-		found = append(found, t.rowConflicts(name, change.GetBaseVersion())...)
+		found = append(found, t.findRowConflicts(name, change.GetBaseVersion())...)
 	}
 	return found
 }
 
-func (t *Table) cellConflict(row, column string, base uint64) *wire.CellRefusal {
+func (t *Table) findCellConflict(row, column string, base uint64) *wire.CellRefusal {
 	stored := t.rows[row]
 	if stored == nil {
-		return t.removalConflict(row, column, base)
+		return t.findRemovalConflict(row, column, base)
 	}
 	cell, ok := stored.cells[column]
 	if !ok || cell.version <= base {
@@ -167,9 +168,9 @@
 	}
 }
 
-// removalConflict refuses a change of a row that was removed after the base version, and of an unknown row
-// when the base is so old that its removal may have been forgotten.
-func (t *Table) removalConflict(row, column string, base uint64) *wire.CellRefusal {
+// findRemovalConflict reports a conflict for a row that was removed after the base version. It also does so for a row
+// that does not exist when the base version is so old that the row's removal may no longer be listed.
+func (t *Table) findRemovalConflict(row, column string, base uint64) *wire.CellRefusal {
 	for _, removal := range t.removed {
 		if removal.name == row && removal.version > base {
 			return &wire.CellRefusal{
@@ -187,17 +188,17 @@
 	return nil
 }
 
-func (t *Table) rowConflicts(name string, base uint64) []*wire.CellRefusal {
+func (t *Table) findRowConflicts(name string, base uint64) []*wire.CellRefusal {
 	stored := t.rows[name]
 	if stored == nil {
-		if conflict := t.removalConflict(name, "", base); conflict != nil {
+		if conflict := t.findRemovalConflict(name, "", base); conflict != nil {
 			return []*wire.CellRefusal{conflict}
 		}
 		return nil
 	}
 	var found []*wire.CellRefusal
 	for _, column := range sortedColumns(stored.cells) {
-		if conflict := t.cellConflict(name, column, base); conflict != nil {
+		if conflict := t.findCellConflict(name, column, base); conflict != nil {
 			found = append(found, conflict)
 		}
 	}
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// change builds a change from texts like "row column value" and "-row" for a removal.
+// change builds a change from texts of the form "row column value", or "-row" to remove a row.
 func change(id string, base uint64, texts ...string) *wire.TableChange {
 	made := &wire.TableChange{ChangeId: id, BaseVersion: base, Operator: "op-" + id}
 	for _, text := range texts {
@@ -25,7 +25,7 @@
 	return made
 }
 
-// example has a pool with two back ends, at version 1.
+// example returns a table at version 1 with a pool and two back ends.
 func example(t *testing.T) *Table {
 	t.Helper()
 	made := New()
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestDocumentReadsBackExactly: a document is neither trimmed nor kept in the history, and a pool that a
-// route names stays.
+// TestDocumentReadsBackExactly checks that a document is stored without trimming, that the history and refusals show only
+// its length and digest, and that a pool that a route names cannot be removed.
 func TestDocumentReadsBackExactly(t *testing.T) {
 	made, text := example(t), " {\"a\":\n\"\u017e\"}\n"+strings.Repeat("long ", 2000)
 	made.Apply(change("one", 1, "d kind document", "d revision 7", "d text "+text,
@@ -105,12 +105,12 @@
 	late := made.Apply(change("late", 1, "d text x"))
 	for _, shown := range []string{made.History("d", ColumnText, 0)[0].GetTo(), late.GetRefusals()[0].GetCurrentValue()} {
 		if len(shown) > 100 || shown == "" {
-			t.Fatalf("document shown as %q", shown)
+			t.Fatalf("document shown as %q, want 1 to 100 bytes", shown)
 		}
 	}
 	gone := change("gone", 2, "-chat", "-chat-1", "-chat-2")
 	if result := made.Apply(gone); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_INVALID {
-		t.Fatal("a pool was removed under its route")
+		t.Fatal("a pool that a route names was removed")
 	}
 }
 
@@ -133,21 +133,21 @@
 	resent := change("one", 1, "chat weight 5")
 	resent.AtUnixMillis = 77
 	if again := made.Apply(resent); !proto.Equal(first, again) {
-		t.Fatalf("first %v, again %v", first, again)
+		t.Fatalf("first result %v, resend got %v, want them equal", first, again)
 	}
 	if other := made.Apply(change("one", 1, "chat weight 7")); other.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_INVALID {
-		t.Fatalf("an id was taken with other content: %v", other)
+		t.Fatalf("known id with other content got %v, want INVALID", other)
 	}
 	lost := made.Apply(change("three", 1, "chat weight 8"))
 	refusal := lost.GetRefusals()[0]
 	if lost.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_CONFLICT || refusal.GetCurrentValue() != "6" ||
 		refusal.GetChangedBy() != "op-two" || refusal.GetChangedVersion() != 3 {
-		t.Fatalf("conflict %v", lost)
+		t.Fatalf("got %v, want a conflict with value 6, set by op-two at version 3", lost)
 	}
 }
 
-// TestRemovedRowConflicts: a change made before a removal never brings the row back, nor into a new row of
-// the same name.
+// TestRemovedRowConflicts guards against a change that was based on a version before a row's removal and creates the row
+// again, or changes a new row of the same name.
 func TestRemovedRowConflicts(t *testing.T) {
 	made := example(t)
 	made.Apply(change("remove", 1, "-chat-2"))
@@ -159,7 +159,7 @@
 		made.Apply(change("again "+step, 2, "chat-2 kind backend", "chat-2 pool chat", "chat-2 address 10.0.0.3:80"))
 	}
 	if made.Version() != 3 {
-		t.Fatalf("version %d", made.Version())
+		t.Fatalf("version %d, want 3", made.Version())
 	}
 }
 
@@ -172,32 +172,32 @@
 	backends := view.Backends("chat")
 	if len(backends) != 2 || backends[0].MaxInFlight != 8 || backends[0].LiveRoom != 2 || backends[0].Weight != 100 ||
 		backends[1].Weight != 50 || backends[0].Service != Engine || strings.Join(backends[0].ClassOrder, " ") != "live rollout" {
-		t.Fatalf("%+v %+v", backends[0], backends[1])
+		t.Fatalf("back ends %+v and %+v do not have their own and their pool's values", backends[0], backends[1])
 	}
 	drain := change("drain", 1, "chat state draining", "chat-2 state removed")
 	drain.Note = ForceNote
 	made.Apply(drain)
 	next, err := view.Apply(made.Update(1))
 	if err != nil || len(next.Backends("chat")) != 1 || next.Backends("chat")[0].State != Draining || next.Row("chat-2").State != Removed {
-		t.Fatalf("%v %+v", err, next)
+		t.Fatalf("got %v, %+v, want chat-1 listed as draining and chat-2 not listed", err, next)
 	}
 	if view.Backends("chat")[0].State != Active {
-		t.Fatal("an update changed the view that it was applied to")
+		t.Fatal("applying an update modified the earlier view")
 	}
 }
 
-func TestViewTellsGapsAndIgnoresOldUpdates(t *testing.T) {
+func TestViewRejectsGapsAndIgnoresOldUpdates(t *testing.T) {
 	made := example(t)
 	view, _ := NewView().Apply(made.Update(0))
 	if _, err := NewView().Apply(&wire.TableUpdate{FromVersion: 1, ToVersion: 2}); err == nil {
-		t.Fatal("a gap was taken")
+		t.Fatal("an update that starts above the view's version was accepted")
 	}
 	if same, err := view.Apply(made.Update(0)); err != nil || same != view {
-		t.Fatal("a doubled update changed the view")
+		t.Fatal("a duplicate update changed the view")
 	}
 	ahead, _ := view.Apply(&wire.TableUpdate{FromVersion: 1, ToVersion: 9})
 	if same, err := ahead.Apply(made.Update(ahead.Version())); err != nil || same != ahead {
-		t.Fatal("an update from a copy that is behind changed the view")
+		t.Fatal("an update from an older table changed the view")
 	}
 }
 
@@ -207,8 +207,9 @@
 	"q kind pool", "q queue_limit 3", "-q",
 }
 
-// TestDeltasSnapshotsAndRestoresAgree lets holders follow a random table by deltas from whatever version
-// they have; each must see what a new holder sees, and a restored table must go on as the original.
+// TestDeltasSnapshotsAndRestoresAgree guards against views that diverge from the table, and replicas that diverge after a
+// restore. Several views follow a table under random changes by deltas from their own versions. Each must equal a view of
+// the whole table, and a restored table must give the same results and snapshots as the original.
 func TestDeltasSnapshotsAndRestoresAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		made, holders := New(), []*View{NewView(), NewView(), NewView()}
@@ -223,16 +224,17 @@
 			before := made.Version()
 			result := made.Apply(next)
 			if again := copied.Apply(next); !proto.Equal(result, again) || !proto.Equal(made.Snapshot(), copied.Snapshot()) {
-				t.Fatalf("restored table answers %v instead of %v", again, result)
+				t.Fatalf("restored table: got %v, want %v with an equal snapshot", again, result)
 			}
 			if made.Version() > before && result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
-				t.Fatalf("refused change made a version: %v", result)
+				t.Fatalf("a refused change raised the version: %v", result)
 			}
 			follow(t, made, holders)
 		}
 	})
 }
 
+// follow updates one of the views by a delta and compares it with a view of the whole table.
 func follow(t *rapid.T, made *Table, holders []*View) {
 	fresh, err := NewView().Apply(made.Update(0))
 	if err != nil {
@@ -243,10 +245,11 @@
 		t.Fatal(err)
 	}
 	if got, want := describe(holders[at]), describe(fresh); got != want {
-		t.Fatalf("by delta:\n%s\nfresh:\n%s", got, want)
+		t.Fatalf("view after a delta:\n%s\nwant that of the whole table:\n%s", got, want)
 	}
 }
 
+// describe returns the version, rows and lists of back ends of a view as text.
 func describe(view *View) string {
 	var text strings.Builder
 	fmt.Fprintln(&text, view.Version())
@@ -261,23 +264,24 @@
 	return text.String()
 }
 
-func TestHistoryTellsFromAndTo(t *testing.T) {
+func TestHistoryHasOldAndNewValues(t *testing.T) {
 	made := example(t)
 	made.Apply(change("one", 1, "chat-2 weight 60"))
 	made.Apply(change("two", 2, "-chat-2"))
 	history := made.History("chat-2", "weight", 0)
 	if len(history) != 3 || history[0].GetFrom() != "60" || history[0].GetTo() != "" || history[1].GetFrom() != "50" ||
 		history[1].GetTo() != "60" || history[1].GetOperator() != "op-one" || history[2].GetVersion() != 1 {
-		t.Fatalf("%v", history)
+		t.Fatalf("history %v, want removal of 60, change from 50 to 60 by op-one, creation at version 1", history)
 	}
 	if len(made.History("", "", 2)) != 2 {
-		t.Fatal("limit is not kept")
+		t.Fatal("History returned another number of entries than the limit")
 	}
 }
 
-// TestBoundsAreKept goes past the bounds of history and removals: an old base is then refused rather than
-// guessed at, and an old holder gets the whole table.
-func TestBoundsAreKept(t *testing.T) {
+// TestHistoryAndRemovalsAreBounded exceeds the bounds of history and removals. A change with a base version older than the
+// listed removals must then conflict, because whether its row was removed is no longer known, and an update from such a
+// version must contain the whole table.
+func TestHistoryAndRemovalsAreBounded(t *testing.T) {
 	made := example(t)
 	for round := 0; made.removalFloor == 0; round++ {
 		id, texts := fmt.Sprint("r", round), []string{}
@@ -291,13 +295,13 @@
 		made.Apply(change("drop "+id, made.Version(), texts...))
 	}
 	if len(made.removed) > MaximumRemoved || len(made.history) > MaximumHistory {
-		t.Fatalf("%d removals, %d history entries", len(made.removed), len(made.history))
+		t.Fatalf("%d removals and %d history entries, want at most 10000 of each", len(made.removed), len(made.history))
 	}
 	if made.Update(2).GetFromVersion() != 0 {
-		t.Fatal("a holder from before the floor got a delta")
+		t.Fatal("an update from a version below the removal floor is a delta, want the whole table")
 	}
 	late := made.Apply(change("late", 2, "r0-1 kind pool"))
 	if late.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_CONFLICT {
-		t.Fatalf("a row whose removal is forgotten was made: %v", late)
+		t.Fatalf("change based below the removal floor got %v, want CONFLICT", late)
 	}
 }
--- a/internal/table/value.go
+++ b/internal/table/value.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// MaximumNameBytes bounds a row's name and any other name in a cell.
+	// MaximumNameBytes bounds a row's name and any other name in a cell, in bytes.
 	MaximumNameBytes = 100
-	// MaximumListNames bounds the names in one list.
+	// MaximumListNames bounds the number of names in one list.
 	MaximumListNames = 64
-	// MaximumValueBytes bounds the text of a cell as an operator sends it, except for documents.
+	// MaximumValueBytes bounds the text of a cell as an operator sends it, in bytes. Documents have their own bound.
 	MaximumValueBytes = 2048
-	// MaximumTextBytes bounds a document.
+	// MaximumTextBytes bounds a document, in bytes.
 	MaximumTextBytes = 512 << 10
 	// MaximumNameWeight bounds the weight of one name in a weighted list.
 	MaximumNameWeight = 1_000_000
 )
 
-// Canonical returns the one text form of a value of the column, or an error that says what the column
-// takes. Empty text clears a cell and is not a value.
+// Canonical returns the canonical text of a value of the column, or an error that says what the column accepts. Empty
+// text is not a value; in a change it clears the cell.
 func (c *Column) Canonical(text string) (string, error) {
 	if c.Type == Text {
 		return canonicalText(text)
@@ -83,14 +83,14 @@
 		return "", trace.BadParameter("a name has 1 to %d bytes", MaximumNameBytes)
 	}
 	for position, char := range []byte(text) {
-		if !nameByte(char, position) {
+		if !isNameByte(char, position) {
 			return "", trace.BadParameter("%q is not a name: letters, digits, '.', '_' and '-', a letter or digit first", text)
 		}
 	}
 	return text, nil
 }
 
-func nameByte(char byte, position int) bool {
+func isNameByte(char byte, position int) bool {
 	switch {
 	case char >= 'a' && char <= 'z', char >= 'A' && char <= 'Z', char >= '0' && char <= '9':
 		return true
@@ -132,15 +132,15 @@
 	return strings.Join(parts, ","), nil
 }
 
-// The readers below take canonical text only, which always parses.
+// The parse functions below accept canonical text only, which always parses.
 
-func number(canonical string) uint64 {
+func parseNumber(canonical string) uint64 {
 	value, _ := strconv.ParseUint(canonical, 10, 64)
 	return value
 }
 
-func milliseconds(canonical string) time.Duration {
-	return time.Duration(number(canonical)) * time.Millisecond
+func parseMilliseconds(canonical string) time.Duration {
+	return time.Duration(parseNumber(canonical)) * time.Millisecond
 }
 
-func names(canonical string) []string { return strings.Split(canonical, ",") }
+func parseNames(canonical string) []string { return strings.Split(canonical, ",") }
--- a/internal/table/value_route.go
+++ b/internal/table/value_route.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// maximumHostBytes bounds a host with its port.
+// maximumHostBytes bounds a host including its port, in bytes.
 const maximumHostBytes = 260
 
-// canonicalText takes a document as it stands, without trimming it.
+// canonicalText accepts a document unchanged, without trimming it.
 func canonicalText(text string) (string, error) {
 	switch {
 	case len(text) > MaximumTextBytes:
@@ -26,22 +26,22 @@
 	if text == "" || len(text) > maximumHostBytes {
 		return "", trace.BadParameter("a host has 1 to %d bytes", maximumHostBytes)
 	}
-	if strings.IndexFunc(text, notHostRune) >= 0 {
+	if strings.IndexFunc(text, isNotHostRune) >= 0 {
 		return "", trace.BadParameter("%q is not a host", text)
 	}
 	return strings.ToLower(text), nil
 }
 
-func notHostRune(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune("/?#@,\\\"", r) }
+func isNotHostRune(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune("/?#@,\\\"", r) }
 
 func canonicalPath(text string) (string, error) {
-	if !strings.HasPrefix(text, "/") || strings.IndexFunc(text, notPathRune) >= 0 {
+	if !strings.HasPrefix(text, "/") || strings.IndexFunc(text, isNotPathRune) >= 0 {
 		return "", trace.BadParameter("%q is not an absolute path", text)
 	}
 	return text, nil
 }
 
-func notPathRune(r rune) bool { return r <= ' ' || r == 0x7f || r == '?' || r == '#' }
+func isNotPathRune(r rune) bool { return r <= ' ' || r == 0x7f || r == '?' || r == '#' }
 
 func canonicalPrefix(text string) (string, error) {
 	path, err := canonicalPath(text)
@@ -79,12 +79,12 @@
 	return strings.Join(parts, ","), nil
 }
 
-func weightedNames(canonical string) []WeightedName {
+func parseWeightedNames(canonical string) []WeightedName {
 	parts := strings.Split(canonical, ",")
 	weighted := make([]WeightedName, 0, len(parts))
 	for _, part := range parts {
 		name, digits, _ := strings.Cut(part, ":")
-		weighted = append(weighted, WeightedName{Name: name, Weight: uint32(number(digits))})
+		weighted = append(weighted, WeightedName{Name: name, Weight: uint32(parseNumber(digits))})
 	}
 	return weighted
 }
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -12,11 +12,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// GapError is returned when an update starts above the view's version: the holder must say which version
-// it holds and gets a fitting update.
+// GapError is returned when an update starts at a version above the view's. The holder of the view has to request an
+// update from the version that it holds.
 type GapError struct {
-	From uint64 // version that the update starts at
-	Held uint64 // version that the view shows
+	From uint64 // version at which the update starts
+	Held uint64 // version of the view
 }
 
 // Error implements error.
@@ -24,16 +24,16 @@
 	return fmt.Sprintf("table update starts at version %d, held is %d", e.From, e.Held)
 }
 
-// View is one version of the table with typed rows. It is immutable and safe to share.
+// View is one version of the table with typed rows. It is immutable and safe for concurrent use.
 type View struct {
 	version  uint64
 	rows     map[string]*Row
-	names    []string // sorted
-	backends map[string][]*Row
+	names    []string          // sorted
+	backends map[string][]*Row // by pool and then name, without removed ones
 	// accessVersion is the version of the last change of a listener or tenant.
 	accessVersion uint64
-	suspects      []*Row // by name
-	started       int    // rows with a known start
+	suspects      []*Row // in order of name
+	started       int    // number of rows with a known start
 }
 
 // NewView returns the empty view at version 0.
@@ -41,17 +41,17 @@
 	return &View{rows: map[string]*Row{}, backends: map[string][]*Row{}}
 }
 
-// Version returns the table version that the view shows; 0 before the first update.
+// Version returns the version of the table in the view; 0 before the first update.
 func (v *View) Version() uint64 { return v.version }
 
-// AccessVersion is the version of the last change of who may call: what is made of the listeners and tenants of one view
-// holds for every later one with the same number.
+// AccessVersion returns the version of the last change of a listener or tenant. Data derived from the listeners and
+// tenants of one view is valid for every later view with the same number.
 func (v *View) AccessVersion() uint64 { return v.accessVersion }
 
-// Row returns a row of any kind; nil if there is none of the name.
+// Row returns the row with the name, of any kind; nil if there is none.
 func (v *View) Row(name string) *Row { return v.rows[name] }
 
-// Rows returns all rows by name.
+// Rows returns all rows in order of name.
 func (v *View) Rows() []*Row {
 	rows := make([]*Row, 0, len(v.names))
 	for _, name := range v.names {
@@ -60,38 +60,40 @@
 	return rows
 }
 
-// Backend returns the row of a back end's incarnation by its Row.Instance; nil if there is none, or if it stands for another
-// start of the back end.
+// Backend returns the back end's row with the given Row.Instance. It returns nil if there is no such back end, or if the
+// row describes another start of it.
 func (v *View) Backend(instance string) *Row {
 	named := incarnation.Parse(instance)
-	if row := v.backendNamed(named.ID); row != nil && row.Incarnation().Compare(named) == incarnation.Same {
+	if row := v.findBackend(named.ID); row != nil && row.Incarnation().Compare(named) == incarnation.Same {
 		return row
 	}
 	return nil
 }
 
-// Ended reports whether a back end is known to have started again since the start that instance names: that one holds and runs
-// nothing any more.
+// Ended reports whether the back end is known to have restarted after the start that instance names. The named instance
+// then no longer holds or runs any request.
 func (v *View) Ended(instance string) bool {
 	named := incarnation.Parse(instance)
-	row := v.backendNamed(named.ID)
+	row := v.findBackend(named.ID)
 	return row != nil && row.Incarnation().Compare(named) == incarnation.Newer
 }
 
-// StartedAgain is Ended where the instance names its start. One whose start was not recorded may be the start that is recorded
-// now: work at it goes on until its connection says otherwise.
+// StartedAgain is Ended for an instance that names its start, and false for one that does not. An instance without a
+// recorded start may be the same start as the one that is recorded now, so its requests continue until its connection
+// fails.
 func (v *View) StartedAgain(instance string) bool {
 	return incarnation.Parse(instance).Start > 0 && v.Ended(instance)
 }
 
-func (v *View) backendNamed(name string) *Row {
+// findBackend returns the row with the name if it is a back end, nil otherwise.
+func (v *View) findBackend(name string) *Row {
 	if row := v.rows[name]; row != nil && row.Kind == Backend {
 		return row
 	}
 	return nil
 }
 
-// Pool returns a pool's row; nil if there is no pool of the name.
+// Pool returns the row of the named pool; nil if there is no such pool.
 func (v *View) Pool(name string) *Row {
 	if row := v.rows[name]; row != nil && row.Kind == Pool {
 		return row
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// Pools returns the pools' rows by name.
+// Pools returns the rows of all pools in order of name.
 func (v *View) Pools() []*Row {
 	var pools []*Row
 	for _, name := range v.names {
@@ -110,17 +112,17 @@
 	return pools
 }
 
-// Suspects returns the rows of the requests under which back ends crashed, by name. The slice is shared: do not change it.
+// Suspects returns the rows of all suspects in order of name. The slice is shared and must not be modified.
 func (v *View) Suspects() []*Row { return v.suspects }
 
-// Backends returns the back ends of a pool by name, active and draining, without removed ones. The slice
-// is shared: do not change it.
+// Backends returns the active and draining back ends of a pool in order of name. The slice is shared and must not be
+// modified.
 func (v *View) Backends(pool string) []*Row { return v.backends[pool] }
 
-// Apply returns the view that the update leads to. An update to a version that is already held changes
-// nothing, so that late and doubled updates are harmless. Errors: *GapError; a malformed row or value. The
-// receiver is unchanged in every case. A column or kind of row that this program does not know is skipped: a newer control
-// node may serve an older holder during an upgrade.
+// Apply returns the view after the update. The receiver is never modified. An update to a version that the view already
+// has changes nothing, so late and duplicate updates are harmless. Columns and kinds of row that this build does not
+// know are skipped, because a newer control node may send updates to an older process during an upgrade. Apply fails
+// with *GapError, or with an error for a malformed row or value.
 func (v *View) Apply(update *wire.TableUpdate) (*View, error) {
 	if update == nil || update.GetToVersion() <= v.version {
 		return v, nil
@@ -137,8 +139,8 @@
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		if !knownKind(cells[ColumnKind]) {
-			cells = nil // a kind that a newer build has made
+		if !isKnownKind(cells[ColumnKind]) {
+			cells = nil // skip a kind that only newer builds know
 		}
 		changed[row.GetName()] = cells
 	}
@@ -149,11 +151,12 @@
 			}
 		}
 	}
-	return v.amend(update.GetToVersion(), changed), nil
+	return v.withRows(update.GetToVersion(), changed), nil
 }
 
-func knownKind(kind string) bool { return slices.Contains(everyKind, RowKind(kind)) }
+func isKnownKind(kind string) bool { return slices.Contains(everyKind, RowKind(kind)) }
 
+// readRow returns the canonical cells of a row in an update. For a row of an unknown kind, it returns the kind only.
 func readRow(row *wire.TableRow) (map[string]string, error) {
 	if _, err := canonicalName(row.GetName()); err != nil {
 		return nil, trace.Wrap(err, "row name in a table update")
@@ -164,7 +167,7 @@
 		if !known || cell.GetValue() == "" {
 			continue
 		}
-		if column.Name == ColumnKind && !knownKind(cell.GetValue()) {
+		if column.Name == ColumnKind && !isKnownKind(cell.GetValue()) {
 			return map[string]string{ColumnKind: cell.GetValue()}, nil
 		}
 		canonical, err := column.Canonical(cell.GetValue())
@@ -179,14 +182,15 @@
 	return cells, nil
 }
 
-// amend returns the view with other cells in the changed rows; nil cells take a row out. It resolves the rows that change
-// themselves or whose pool does, and shares the others: what it costs is what changes, and a copy of the map of rows.
-func (v *View) amend(version uint64, changed map[string]map[string]string) *View {
+// withRows returns the view with the changed rows replaced by the given cells; nil cells remove a row. It resolves only
+// rows that change themselves or whose pool changes, and shares the others with v. The cost is therefore that of the
+// changed rows, plus a copy of the map of rows.
+func (v *View) withRows(version uint64, changed map[string]map[string]string) *View {
 	next := &View{version: version, rows: maps.Clone(v.rows), names: v.names, backends: maps.Clone(v.backends), accessVersion: v.accessVersion,
 		suspects: v.suspects, started: v.started}
-	differing := v.differing(changed)
+	differing := v.findDiffering(changed)
 	var added, removed []string
-	pools := map[string]map[string]bool{} // rows whose place in their pool's list is to be made anew, by pool
+	pools := map[string]map[string]bool{} // by pool, back ends whose entry in the pool's list has to be updated
 	touch := func(row *Row) {
 		if row == nil || row.Kind != Backend {
 			return
@@ -198,11 +202,11 @@
 	}
 	suspectsChange := false
 	for name, cells := range differing {
-		held := v.rows[name]
-		touch(held)
-		next.started -= started(held)
+		previous := v.rows[name]
+		touch(previous)
+		next.started -= countStart(previous)
 		suspectsChange = suspectsChange || strings.HasPrefix(name, SuspectPrefix)
-		if governsAccess(held) || cells[ColumnKind] == string(Tenant) || cells[ColumnKind] == string(Listener) {
+		if isAccessRow(previous) || cells[ColumnKind] == string(Tenant) || cells[ColumnKind] == string(Listener) {
 			next.accessVersion = version
 		}
 		switch {
@@ -210,18 +214,18 @@
 			delete(next.rows, name)
 			removed = append(removed, name)
 			continue
-		case held == nil:
+		case previous == nil:
 			added = append(added, name)
 		}
 		next.rows[name] = resolve(name, cells, v.cellsAfter(cells[ColumnPool], differing))
 		touch(next.rows[name])
-		next.started += started(next.rows[name])
+		next.started += countStart(next.rows[name])
 	}
 	if len(added)+len(removed) > 0 {
 		next.names = mergeNames(v.names, added, removed)
 	}
 	for pool, names := range pools {
-		next.relist(pool, names)
+		next.updateBackends(pool, names)
 	}
 	if suspectsChange {
 		next.listSuspects()
@@ -229,17 +233,18 @@
 	return next
 }
 
-func started(row *Row) int {
+// countStart returns 1 for a row with a known start, and 0 otherwise.
+func countStart(row *Row) int {
 	if row == nil || row.Start == 0 {
 		return 0
 	}
 	return 1
 }
 
-// KnowsStarts reports whether some row holds the start of its back end: then every build beside this one knows the column.
+// KnowsStarts reports whether some row holds the start of its back end. If so, all builds in the cluster know the column.
 func (v *View) KnowsStarts() bool { return v.started > 0 }
 
-// listSuspects lists the rows of suspects anew; there are few of them.
+// listSuspects rebuilds the list of suspects, which is short.
 func (v *View) listSuspects() {
 	v.suspects = nil
 	first, _ := slices.BinarySearch(v.names, SuspectPrefix)
@@ -253,22 +258,23 @@
 	}
 }
 
-// governsAccess reports whether a row says who may call.
-func governsAccess(row *Row) bool {
+// isAccessRow reports whether a row controls who may call the gateways.
+func isAccessRow(row *Row) bool {
 	return row != nil && (row.Kind == Tenant || row.Kind == Listener)
 }
 
-// differing returns the cells of the rows that are not as they were, those of pools that changed included.
-func (v *View) differing(changed map[string]map[string]string) map[string]map[string]string {
+// findDiffering returns the new cells of the changed rows that differ from the view's, and the cells of all back ends
+// whose pool differs.
+func (v *View) findDiffering(changed map[string]map[string]string) map[string]map[string]string {
 	differing := make(map[string]map[string]string, len(changed))
 	poolChanged := false
 	for name, cells := range changed {
-		held := v.rows[name]
-		if cells == nil && held == nil || held != nil && cells != nil && maps.Equal(held.explicit, cells) {
+		previous := v.rows[name]
+		if cells == nil && previous == nil || previous != nil && cells != nil && maps.Equal(previous.explicit, cells) {
 			continue
 		}
 		differing[name] = cells
-		poolChanged = poolChanged || held != nil && held.Kind == Pool || cells[ColumnKind] == string(Pool)
+		poolChanged = poolChanged || previous != nil && previous.Kind == Pool || cells[ColumnKind] == string(Pool)
 	}
 	if !poolChanged {
 		return differing
@@ -284,26 +290,26 @@
 	return differing
 }
 
-// cellsAfter returns a row's own cells once the differing ones are taken over; nil if there is no such row.
+// cellsAfter returns a row's own cells after the differing rows are replaced; nil if there is no such row.
 func (v *View) cellsAfter(name string, differing map[string]map[string]string) map[string]string {
 	if cells, listed := differing[name]; listed {
 		return cells
 	}
-	if held := v.rows[name]; held != nil {
-		return held.explicit
+	if previous := v.rows[name]; previous != nil {
+		return previous.explicit
 	}
 	return nil
 }
 
-// mergeNames returns sorted names with some added and some removed.
+// mergeNames returns the names, sorted, with the added names and without the removed ones.
 func mergeNames(names, added, removed []string) []string {
-	gone := make(map[string]bool, len(removed))
+	isRemoved := make(map[string]bool, len(removed))
 	for _, name := range removed {
-		gone[name] = true
+		isRemoved[name] = true
 	}
 	merged := make([]string, 0, len(names)+len(added)-len(removed))
 	for _, name := range names {
-		if !gone[name] {
+		if !isRemoved[name] {
 			merged = append(merged, name)
 		}
 	}
@@ -312,8 +318,8 @@
 	return merged
 }
 
-// relist brings a pool's list of back ends up to date with the named rows.
-func (v *View) relist(pool string, names map[string]bool) {
+// updateBackends updates the entries of the named rows in a pool's list of back ends.
+func (v *View) updateBackends(pool string, names map[string]bool) {
 	listed := make([]*Row, 0, len(v.backends[pool])+len(names))
 	for _, row := range v.backends[pool] {
 		if !names[row.Name] {
