--- a/internal/state/fuzz_test.go
+++ b/internal/state/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// FuzzApply takes any bytes as a command after a few good ones: nothing may panic, the state must still be
-// encodable, and it must survive a restore.
+// FuzzApply applies arbitrary bytes as a command after a few valid ones. It must not panic, and the state must remain
+// encodable and be equal after a restore.
 func FuzzApply(f *testing.F) {
 	for _, command := range exampleCommands() {
 		data, err := proto.Marshal(command)
@@ -30,11 +30,12 @@
 			machine.Apply(uint64(position+1), good)
 		}
 		machine.Apply(machine.AppliedIndex()+1, command)
-		sameAfterRestore(t, machine)
+		checkRestore(t, machine)
 	})
 }
 
-func sameAfterRestore(t *testing.T, machine *Machine) {
+// checkRestore checks that a machine restored from a snapshot has the same snapshot.
+func checkRestore(t *testing.T, machine *Machine) {
 	data, err := machine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +45,12 @@
 		t.Fatal(err)
 	}
 	if again, err := restored.Snapshot(); err != nil || !bytes.Equal(data, again) {
-		t.Fatalf("restored state differs (%v)", err)
+		t.Fatalf("the snapshot after a restore differs from the original (error %v)", err)
 	}
 }
 
-// FuzzRestore takes any bytes as a snapshot: it is refused with the state unchanged, or works on.
+// FuzzRestore restores arbitrary bytes. Either they are refused and the state is unchanged, or the machine must work
+// afterwards.
 func FuzzRestore(f *testing.F) {
 	machine := New()
 	for position, command := range exampleCommands() {
@@ -79,7 +81,7 @@
 	})
 }
 
-// FuzzViewApply takes any bytes as a table update for a holder that has the example's table.
+// FuzzViewApply applies arbitrary bytes as an update to a view of the example's table.
 func FuzzViewApply(f *testing.F) {
 	machine := New()
 	for position, command := range exampleCommands() {
@@ -105,10 +107,10 @@
 		}
 		next, err := view.Apply(update)
 		if err == nil && next.Version() < view.Version() {
-			t.Fatalf("view went back from %d to %d", view.Version(), next.Version())
+			t.Fatalf("the view's version went back from %d to %d", view.Version(), next.Version())
 		}
 		if err != nil && next != nil {
-			t.Fatal("an error came with a view")
+			t.Fatal("got both a view and an error, want a nil view")
 		}
 	})
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// readGolden reads what TestWriteGolden of platform/blackbox wrote.
+// readGolden reads a file that TestWriteGolden of platform/blackbox wrote.
 func readGolden(t *testing.T, path string) *wire.RaftMessage {
 	t.Helper()
 	file, err := os.Open(path)
@@ -30,29 +30,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := &wire.RaftMessage{}
-	if err := proto.Unmarshal(data, kept); err != nil {
+	golden := &wire.RaftMessage{}
+	if err := proto.Unmarshal(data, golden); err != nil {
 		t.Fatal(err)
 	}
-	return kept
+	return golden
 }
 
-// TestOldLogsLeadToOldStates applies the entries that builds before levels wrote: the state is theirs, byte for byte, and their
-// own state is read and written again as it is.
-func TestOldLogsLeadToOldStates(t *testing.T) {
+// TestLogsOfOlderBuildsGiveEqualStates guards against a build whose state diverges from older replicas'. It replays log
+// entries that builds from before levels wrote, and restores those builds' snapshots. Both must give a snapshot equal to
+// the older build's, byte for byte.
+func TestLogsOfOlderBuildsGiveEqualStates(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "golden", "*.gz"))
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("no golden files: %v", err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			kept := readGolden(t, path)
-			want := kept.GetSnapshot().GetData()
-			if len(kept.Entries) == 0 || len(want) == 0 {
-				t.Fatal("the file holds nothing")
+			golden := readGolden(t, path)
+			want := golden.GetSnapshot().GetData()
+			if len(golden.Entries) == 0 || len(want) == 0 {
+				t.Fatal("the golden file has no entries or no snapshot")
 			}
 			replayed := New()
-			for _, entry := range kept.Entries {
+			for _, entry := range golden.Entries {
 				if raft.EntryKind(entry.Kind) != raft.EntryCommand || len(entry.Data) == 0 {
 					continue
 				}
@@ -75,7 +76,7 @@
 					t.Fatal(err)
 				}
 				if !bytes.Equal(got, want) {
-					t.Errorf("the %s state differs: %d bytes, the old build's has %d", name, len(got), len(want))
+					t.Errorf("the %s machine's snapshot differs: got %d bytes, the older build's has %d", name, len(got), len(want))
 				}
 			}
 		})
--- a/internal/state/level_test.go
+++ b/internal/state/level_test.go
@@ -15,8 +15,8 @@
 	return &wire.Command{Kind: &wire.Command_LevelRaise{LevelRaise: &wire.LevelRaise{Level: uint32(level)}}}
 }
 
-// TestLevelNeverFalls: a lower level, and the same again, change nothing.
-func TestLevelNeverFalls(t *testing.T) {
+// TestLevelNeverDecreases checks that raising the level to a lower or the same level is refused and changes nothing.
+func TestLevelNeverDecreases(t *testing.T) {
 	machine := New()
 	for position, step := range []struct {
 		level    compat.Level
@@ -24,15 +24,16 @@
 	}{{compat.Base, false}, {compat.Shares, true}, {compat.Shares, false}, {compat.Base, false}} {
 		result := machine.Apply(uint64(position+1), raiseTo(step.level)).GetLevel()
 		if result.GetAccepted() != step.accepted || result.GetLevel() != uint32(machine.Level()) {
-			t.Errorf("step %d: %v", position, result)
+			t.Errorf("step %d: got %v, want another acceptance or the level in force", position, result)
 		}
 	}
 	if machine.Level() != compat.Shares {
-		t.Errorf("%s is in force", machine.Level())
+		t.Errorf("%s is in force, want that of shares", machine.Level())
 	}
 }
 
-// TestSnapshotFormatFollowsTheLevel: builds before levels read snapshots until a level is agreed, and refuse those after it.
+// TestSnapshotFormatFollowsTheLevel checks that snapshots have the format that builds from before levels read until a level
+// is in force, and a format that they refuse afterwards.
 func TestSnapshotFormatFollowsTheLevel(t *testing.T) {
 	machine := New()
 	for position, want := range []struct {
@@ -46,17 +47,18 @@
 		}
 		written := &wire.MachineSnapshot{}
 		if err := proto.Unmarshal(data, written); err != nil || written.Format != want.format {
-			t.Errorf("%s is written in format %d (%v)", want.level, written.Format, err)
+			t.Errorf("snapshot at %s has format %d (error %v), want another", want.level, written.Format, err)
 		}
 		restored := New()
 		if err := restored.Restore(data); err != nil || restored.Level() != want.level {
-			t.Errorf("%s is restored (%v)", restored.Level(), err)
+			t.Errorf("restored level is %s (error %v), want the level of the snapshot", restored.Level(), err)
 		}
 	}
 }
 
-// TestUnknownFieldsOfASnapshotAreKept: what another build of the level keeps beside the state survives this one's snapshots.
-func TestUnknownFieldsOfASnapshotAreKept(t *testing.T) {
+// TestUnknownFieldsOfASnapshotArePreserved guards against losing state that another build of the same level wrote. Fields
+// that this build does not know must be part of its own snapshots.
+func TestUnknownFieldsOfASnapshotArePreserved(t *testing.T) {
 	data, err := proto.Marshal(&wire.MachineSnapshot{Format: baseFormat, AppliedIndex: 3})
 	if err != nil {
 		t.Fatal(err)
@@ -70,24 +72,25 @@
 	}
 	again, err := machine.Snapshot()
 	if err != nil || !bytes.Contains(again, []byte("kept")) {
-		t.Errorf("%q (%v)", again, err)
+		t.Errorf("got snapshot %q (error %v), want the unknown field in it", again, err)
 	}
 }
 
-// TestHigherLevelIsNotRead: neither an entry nor a snapshot of a level above what this build speaks.
-func TestHigherLevelIsNotRead(t *testing.T) {
+// TestHigherLevelIsRejected checks that log entries and snapshots of a level above the newest supported one are rejected,
+// because this build would apply them differently.
+func TestHigherLevelIsRejected(t *testing.T) {
 	machine := New()
 	if err := machine.Readable(raiseTo(compat.Newest)); err != nil {
 		t.Error(err)
 	}
 	if machine.Readable(raiseTo(compat.Newest+1)) == nil || machine.Readable(&wire.Command{}) == nil {
-		t.Error("an entry of a newer build is taken")
+		t.Error("an entry of a newer build was accepted")
 	}
 	data, err := proto.Marshal(&wire.MachineSnapshot{Format: SnapshotFormat, Level: uint32(compat.Newest + 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if machine.Restore(data) == nil {
-		t.Error("a snapshot of a newer build is taken")
+		t.Error("a snapshot of a newer build was accepted")
 	}
 }
--- a/internal/state/linear/claims.go
+++ b/internal/state/linear/claims.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// ClaimAction is what an operation does to a key.
+// ClaimAction is the kind of an operation on a key.
 type ClaimAction uint8
 
 // The actions.
@@ -18,24 +18,23 @@
 	FinishClaim
 	ReleaseClaim
 	RefuseClaim
-	OrphanClaim // of Owner; record it for every key of interest
+	OrphanClaim // of all keys of Owner; record it for every key of interest
 )
 
-// ClaimInput is one operation on one key. The model has no retention: record histories in which nothing
-// expires.
+// ClaimInput is one operation on one key. The model has no retention, so record only histories in which nothing expires.
 type ClaimInput struct {
 	Action  ClaimAction
 	Key     string
-	Body    string // hash; of a begin or refusal
-	Owner   string // of a begin or orphaning
+	Body    string // hash of the request body; of a begin or refusal
+	Owner   string // of a begin or orphan operation
 	Attempt string
 	Ticket  uint64          // of a begin
 	Outcome wire.ClaimState // of a finish
-	Answer  string          // body of a finish that is DONE
+	Answer  string          // body of the answer; of a finish with outcome DONE
 }
 
-// ClaimOutput is the answer. Index is the ledger index of the answer; Answer the stored body when State is
-// DONE and the answer came with it.
+// ClaimOutput is the result of an operation. Lost is set if it was lost. Index is the ledger index of the result. Answer is
+// the stored body if State is DONE and the result included it.
 type ClaimOutput struct {
 	Lost   bool
 	State  wire.ClaimState
@@ -43,32 +42,33 @@
 	Answer string
 }
 
-// claimState is one key. It is never changed in place.
+// claimState is the modelled state of one key. It is immutable.
 type claimState struct {
 	claimFields
-	released map[string]bool
+	released map[string]bool // attempts that were released
 }
 
+// claimFields is the comparable part of a claimState.
 type claimFields struct {
-	state          wire.ClaimState // UNSPECIFIED, GRANTED (runs), DONE or UNKNOWN_OUTCOME
+	state          wire.ClaimState // claimIdle, claimRunning, claimDone or claimUnknown
 	body           string
 	owner          string
 	attempt        string
 	answer         string
 	refusedIndex   uint64
-	refusedUnknown bool // a refusal whose index was lost may have taken effect
+	refusedUnknown bool // a refusal whose result was lost may have taken effect at an unknown index
 }
 
 const (
 	claimIdle    = wire.ClaimState_CLAIM_STATE_UNSPECIFIED
-	claimRuns    = wire.ClaimState_CLAIM_STATE_GRANTED
+	claimRunning = wire.ClaimState_CLAIM_STATE_GRANTED
 	claimDone    = wire.ClaimState_CLAIM_STATE_DONE
 	claimUnknown = wire.ClaimState_CLAIM_STATE_UNKNOWN_OUTCOME
 )
 
-// ClaimModel returns the model of claims that are all unknown when the history begins. It is partitioned by
-// key. It holds for histories with at most claim.MaximumReleased releases of a key, in which an attempt's
-// ticket is at most the index that its gateway knew when the attempt was made.
+// ClaimModel returns the model of claims, partitioned by key. No key is known when the history begins. The model is valid
+// for histories with at most claim.MaximumReleased releases of a key, in which an attempt's ticket is at most the index
+// that its gateway knew when it made the attempt.
 func ClaimModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: partitionClaims,
@@ -87,22 +87,23 @@
 }
 
 func partitionClaims(history []porcupine.Operation) [][]porcupine.Operation {
-	position := map[string]int{}
+	positions := map[string]int{}
 	var parts [][]porcupine.Operation
 	for _, operation := range history {
 		key := operation.Input.(ClaimInput).Key
-		at, known := position[key]
+		index, known := positions[key]
 		if !known {
-			at = len(parts)
-			position[key] = at
+			index = len(parts)
+			positions[key] = index
 			parts = append(parts, nil)
 		}
-		parts[at] = append(parts[at], operation)
+		parts[index] = append(parts[index], operation)
 	}
 	return parts
 }
 
-// stepClaim returns the states that the operation may lead to; none if the answer is wrong.
+// stepClaim returns the possible states after the operation, or none if its result is wrong. A begin whose result was lost
+// has two if a refusal at an unknown index may have made the attempt stale.
 func stepClaim(state, input, output any) []any {
 	current, operation, answer := state.(claimState), input.(ClaimInput), output.(ClaimOutput)
 	if operation.Action == BeginClaim && answer.Lost && current.refusedUnknown {
@@ -116,6 +117,7 @@
 	return []any{next}
 }
 
+// step returns whether the result is correct and the state after the operation.
 func (s claimState) step(operation ClaimInput, answer ClaimOutput) (bool, claimState) {
 	switch operation.Action {
 	case BeginClaim:
@@ -127,7 +129,7 @@
 	case RefuseClaim:
 		return s.refuse(operation, answer)
 	case OrphanClaim:
-		if s.state == claimRuns && s.owner == operation.Owner {
+		if s.state == claimRunning && s.owner == operation.Owner {
 			s.state, s.owner = claimUnknown, ""
 		}
 		return true, s
@@ -136,9 +138,9 @@
 	}
 }
 
-// seen is what somebody who does not hold the key is told.
-func (s claimState) seen(answer ClaimOutput) bool {
-	if s.state == claimRuns {
+// isSeenAs reports whether the result is correct for a caller that does not hold the key.
+func (s claimState) isSeenAs(answer ClaimOutput) bool {
+	if s.state == claimRunning {
 		return answer.State == wire.ClaimState_CLAIM_STATE_RUNNING
 	}
 	return answer.State == s.state && (s.state != claimDone || answer.Answer == s.answer)
@@ -148,11 +150,11 @@
 	if s.body != "" && s.body != operation.Body {
 		return answer.State == wire.ClaimState_CLAIM_STATE_OTHER_BODY, s
 	}
-	if s.state == claimRuns && s.attempt == operation.Attempt {
-		return answer.State == claimRuns, s
+	if s.state == claimRunning && s.attempt == operation.Attempt {
+		return answer.State == claimRunning, s
 	}
 	if s.state != claimIdle {
-		return s.seen(answer), s
+		return s.isSeenAs(answer), s
 	}
 	refused := answer.State == wire.ClaimState_CLAIM_STATE_STALE_ATTEMPT
 	if s.released[operation.Attempt] || operation.Ticket < s.refusedIndex {
@@ -161,15 +163,15 @@
 	if s.refusedUnknown && refused {
 		return true, s
 	}
-	s.state, s.body = claimRuns, operation.Body
+	s.state, s.body = claimRunning, operation.Body
 	s.owner, s.attempt = operation.Owner, operation.Attempt
-	return answer.State == claimRuns, s
+	return answer.State == claimRunning, s
 }
 
 func (s claimState) finish(operation ClaimInput, answer ClaimOutput) (bool, claimState) {
 	upgrade := s.state == claimUnknown && operation.Outcome == claimDone
-	if s.attempt != operation.Attempt || (s.state != claimRuns && !upgrade) {
-		return s.seen(answer), s
+	if s.attempt != operation.Attempt || (s.state != claimRunning && !upgrade) {
+		return s.isSeenAs(answer), s
 	}
 	s.state, s.owner = operation.Outcome, ""
 	if s.state == claimDone {
@@ -180,21 +182,22 @@
 
 func (s claimState) release(operation ClaimInput, answer ClaimOutput) (bool, claimState) {
 	s = s.free(operation.Attempt)
-	if s.state == claimIdle || s.state == claimRuns {
-		s = s.remember(operation.Attempt)
+	if s.state == claimIdle || s.state == claimRunning {
+		s = s.withReleased(operation.Attempt)
 	}
-	return s.seen(answer), s
+	return s.isSeenAs(answer), s
 }
 
-// free makes the key idle if the attempt holds it.
+// free returns the state with the key idle if the attempt holds it.
 func (s claimState) free(attempt string) claimState {
-	if attempt != "" && s.state == claimRuns && s.attempt == attempt {
+	if attempt != "" && s.state == claimRunning && s.attempt == attempt {
 		s.state, s.owner, s.attempt = claimIdle, "", ""
 	}
 	return s
 }
 
-func (s claimState) remember(attempt string) claimState {
+// withReleased returns the state with the attempt among the released ones.
+func (s claimState) withReleased(attempt string) claimState {
 	released := maps.Clone(s.released)
 	if released == nil {
 		released = map[string]bool{}
@@ -209,11 +212,11 @@
 		return answer.State == wire.ClaimState_CLAIM_STATE_OTHER_BODY, s
 	}
 	s = s.free(operation.Attempt)
-	if operation.Attempt != "" && s.state == claimRuns {
-		s = s.remember(operation.Attempt)
+	if operation.Attempt != "" && s.state == claimRunning {
+		s = s.withReleased(operation.Attempt)
 	}
 	if s.state != claimIdle {
-		return s.seen(answer), s
+		return s.isSeenAs(answer), s
 	}
 	if s.body == "" {
 		s.body = operation.Body
--- a/internal/state/linear/linear_test.go
+++ b/internal/state/linear/linear_test.go
@@ -14,15 +14,15 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// claimsRun drives a Machine with random claims and records the history. Operations overlap as they would
-// over a network: each takes effect at some point between its call and its return.
+// claimsRun applies random claim operations to a Machine and records the history. Operations overlap as over a network,
+// and each takes effect at some time between its call and its return.
 type claimsRun struct {
 	machine  *state.Machine
 	index    uint64
 	clock    int64
 	tickets  map[string]uint64
 	history  []porcupine.Operation
-	executed map[string]map[string]bool // key: attempts that were granted and not given up
+	executed map[string]map[string]bool // by key, attempts that were granted and not released
 }
 
 func newClaimsRun(unsafe claim.Unsafe) *claimsRun {
@@ -66,7 +66,7 @@
 	}
 }
 
-// do applies one operation. An attempt's ticket is fixed when it is first seen.
+// do applies and records one drawn operation. An attempt's ticket is the index at its first operation.
 func (r *claimsRun) do(t *rapid.T) {
 	input := drawClaim(t)
 	attempt := input.Key + input.Attempt
@@ -99,6 +99,7 @@
 	}
 }
 
+// checkClaims records a random history of claims and reports whether it is linearizable.
 func checkClaims(t *rapid.T, unsafe claim.Unsafe) bool {
 	run := newClaimsRun(unsafe)
 	for range rapid.IntRange(1, 24).Draw(t, "operations") {
@@ -115,7 +116,7 @@
 	})
 }
 
-// TestClaimModelFindsFaults switches one safety step off at a time; the model must notice each.
+// TestClaimModelFindsFaults disables one safety check at a time and expects the model to reject some history.
 func TestClaimModelFindsFaults(t *testing.T) {
 	for name, unsafe := range map[string]claim.Unsafe{
 		"grant twice": {GrantTwice: true}, "ignore tickets": {IgnoreTickets: true}, "forget releases": {ForgetReleases: true},
@@ -161,6 +162,7 @@
 	return output
 }
 
+// checkTable records a random history of the table and reports whether it is linearizable.
 func checkTable(t *rapid.T, unsafe table.Unsafe) bool {
 	machine := startTable(t, unsafe)
 	var sent []linear.TableInput
@@ -214,6 +216,7 @@
 	})
 }
 
+// TestTableModelFindsFaults disables one safety check at a time and expects the model to reject some history.
 func TestTableModelFindsFaults(t *testing.T) {
 	for name, unsafe := range map[string]table.Unsafe{"forget ids": {ForgetChangeIDs: true}, "ignore conflicts": {IgnoreConflicts: true}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/state/linear/table.go
+++ b/internal/state/linear/table.go
@@ -9,23 +9,23 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Cell names one cell of the table.
+// Cell identifies one cell of the table.
 type Cell struct {
 	Row    string
 	Column string
 }
 
-// TableInput is one operation on the table: a change when ChangeID is set, else a read of the whole table.
-// The model knows versions and values only: give it changes whose values are valid and canonical, of rows
-// that exist from the start and are never removed.
+// TableInput is one operation on the table. It is a change if ChangeID is set, and a read of the whole table otherwise.
+// The model covers versions and values only. Record only changes with valid, canonical values of rows that exist from the
+// start and are never removed.
 type TableInput struct {
 	ChangeID    string
 	BaseVersion uint64
 	Set         map[Cell]string
 }
 
-// TableOutput is the answer. For a change, Outcome and Version count; for a read, Version and Cells, which
-// holds every cell of interest that has a value.
+// TableOutput is the result of an operation. Lost is set if it was lost. For a change, the model checks Outcome and
+// Version. For a read, it checks Version and Cells, which must hold every modelled cell that has a value.
 type TableOutput struct {
 	Lost    bool
 	Outcome wire.TableOutcome
@@ -43,14 +43,14 @@
 	version uint64
 }
 
-// tableState is never changed in place.
+// tableState is the modelled state of the table. It is immutable.
 type tableState struct {
 	version uint64
 	cells   map[Cell]tableCell
-	answers map[string]tableAnswer
+	answers map[string]tableAnswer // by change id
 }
 
-// TableModel returns the model of a table that holds the given cells at a version when the history begins.
+// TableModel returns the model of a table that has the given version and cells when the history begins.
 func TableModel(version uint64, cells map[Cell]string) porcupine.Model {
 	start := tableState{version: version, cells: map[Cell]tableCell{}, answers: map[string]tableAnswer{}}
 	for cell, value := range cells {
@@ -78,12 +78,13 @@
 	expected, known := current.answers[operation.ChangeID]
 	next := current
 	if !known {
-		expected, next = current.change(operation)
+		expected, next = current.applyChange(operation)
 	}
 	matches := answer.Outcome == expected.outcome && answer.Version == expected.version
 	return answer.Lost || matches, next
 }
 
+// matches reports whether the result of a read is correct.
 func (s tableState) matches(answer TableOutput) bool {
 	if answer.Version != s.version {
 		return false
@@ -101,8 +102,8 @@
 	return held == len(answer.Cells)
 }
 
-// change judges a change that is not known yet.
-func (s tableState) change(operation TableInput) (tableAnswer, tableState) {
+// applyChange returns the result of a change whose id is not known yet, and the state after it.
+func (s tableState) applyChange(operation TableInput) (tableAnswer, tableState) {
 	answer := tableAnswer{outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, version: s.version + 1}
 	if operation.BaseVersion > s.version {
 		answer = tableAnswer{outcome: wire.TableOutcome_TABLE_OUTCOME_INVALID, version: s.version}
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -1,9 +1,10 @@
-// Package state is the replicated state machine of every consensus group. It composes the table, members,
-// fences and weight versions of the control group (group 0) with the claims, samples and batch jobs of the
-// ledger groups (1 to N), and routes each command to its part. Equal sequences of commands give equal states and equal snapshots, byte
-// for byte, on every node.
+// Package state is the replicated state machine of every consensus group. It composes the table, members, fencing tokens
+// and weight versions of the control group (group 0) with the claims, samples and batch jobs of the ledger groups (1 to
+// N), and with usage, and dispatches each command to its component. Equal sequences of commands give equal states and
+// equal snapshots, byte for byte, on every node.
 //
-// The package is pure. Apply commands in log order; a Machine is not safe for concurrent use.
+// The package uses no clock, no goroutine and no I/O. Apply commands in log order; a Machine is not safe for concurrent
+// use.
 package state
 
 import (
@@ -22,11 +23,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// ControlGroup is the consensus group of the table, members and fences.
+// ControlGroup is the consensus group that holds the table, members, fencing tokens and weight versions.
 const ControlGroup uint32 = 0
 
-// LedgerGroup returns the group, 1 to ledgerGroups, of a claim's key or a trainer's name. The number of
-// groups is fixed for the life of a cluster.
+// LedgerGroup returns the ledger group, from 1 to ledgerGroups, that holds a claim's key or a trainer's name. The number
+// of groups is fixed for the life of a cluster.
 func LedgerGroup(key string, ledgerGroups int) uint32 {
 	if ledgerGroups <= 1 {
 		return 1
@@ -34,7 +35,7 @@
 	return 1 + uint32(xxhash.Sum64String(key)%uint64(ledgerGroups))
 }
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety checks. Only tests set it, to show that they detect the resulting fault.
 type Unsafe struct {
 	Table  table.Unsafe
 	Claim  claim.Unsafe
@@ -44,16 +45,16 @@
 	Release release.Unsafe
 }
 
-// Machine is one group's state.
+// Machine is the state of one consensus group.
 type Machine struct {
-	applied uint64
-	level   compat.Level // in force for the group
-	unknown []byte       // fields of the snapshot that this build does not know
-	table   *table.Table
-	members *member.List
-	fences  *fence.Registry
-	claims  *claim.Store
-	ledger  *ledger.Ledger
+	applied       uint64       // log index of the last command that was applied or skipped
+	level         compat.Level // in force for the group
+	unknownFields []byte       // encoded fields of the restored snapshot that this build does not know
+	table         *table.Table
+	members       *member.List
+	fences        *fence.Registry
+	claims        *claim.Store
+	ledger        *ledger.Ledger
 
 	releases *release.Registry
 	jobs     *batch.Store
@@ -63,7 +64,7 @@
 // New returns an empty Machine.
 func New() *Machine { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty Machine with safety steps switched off.
+// NewUnsafe is New with safety checks disabled.
 func NewUnsafe(unsafe Unsafe) *Machine {
 	machine := &Machine{
 		table:   table.NewUnsafe(unsafe.Table),
@@ -86,7 +87,7 @@
 // TableVersion returns the version of the table.
 func (m *Machine) TableVersion() uint64 { return m.table.Version() }
 
-// TableUpdate returns what moves a holder of the table from a version to the current one.
+// TableUpdate returns the update of the table from a version to the current one.
 func (m *Machine) TableUpdate(fromVersion uint64) *wire.TableUpdate {
 	return m.table.Update(fromVersion)
 }
@@ -94,12 +95,12 @@
 // Members returns the list of members and its version.
 func (m *Machine) Members() *wire.MembersView { return m.members.View() }
 
-// Apply applies the command at a log index and returns its result, never nil. A malformed or unknown
-// command, and one at an index that was applied before, changes nothing and gets Result.invalid. The
-// Machine may keep parts of the command: the caller must not change it afterwards.
+// Apply applies the command at a log index and returns its result, which is never nil. A malformed or unknown command, or
+// a command at an index that was applied before, changes nothing else and gets Result.invalid. The Machine may retain
+// parts of the command, so the caller must not modify it afterwards.
 func (m *Machine) Apply(index uint64, command *wire.Command) *wire.Result {
 	if index <= m.applied {
-		return invalid(trace.BadParameter("index %d was applied before, up to %d", index, m.applied))
+		return invalidResult(trace.BadParameter("index %d was applied before, up to %d", index, m.applied))
 	}
 	m.applied = index
 	switch kind := command.GetKind().(type) {
@@ -108,20 +109,20 @@
 	case *wire.Command_MemberUpdate:
 		result, err := m.members.Apply(kind.MemberUpdate)
 		if err != nil {
-			return invalid(err)
+			return invalidResult(err)
 		}
 		return &wire.Result{Kind: &wire.Result_Member{Member: result}}
 	case *wire.Command_FenceAcquire:
 		result, err := m.fences.Acquire(kind.FenceAcquire)
 		if err != nil {
-			return invalid(err)
+			return invalidResult(err)
 		}
 		return &wire.Result{Kind: &wire.Result_Fence{Fence: result}}
 	case *wire.Command_VersionRelease:
 		token := m.fences.Current(release.Resource(kind.VersionRelease.GetPool())).GetToken()
 		result, err := m.releases.Release(kind.VersionRelease, token)
 		if err != nil {
-			return invalid(err)
+			return invalidResult(err)
 		}
 		return &wire.Result{Kind: &wire.Result_Version{Version: result}}
 	}
@@ -138,11 +139,12 @@
 		return result
 	}
 	if kind, raises := command.GetKind().(*wire.Command_LevelRaise); raises {
-		return &wire.Result{Kind: &wire.Result_Level{Level: m.raise(kind.LevelRaise)}}
+		return &wire.Result{Kind: &wire.Result_Level{Level: m.raiseLevel(kind.LevelRaise)}}
 	}
-	return invalid(trace.BadParameter("command has no known kind"))
+	return invalidResult(trace.BadParameter("command has no known kind"))
 }
 
+// applyUsage applies a command of the usage ledger, and reports whether the command is one.
 func (m *Machine) applyUsage(command *wire.Command) (*wire.Result, bool) {
 	var view *wire.UsageView
 	var err error
@@ -157,11 +159,12 @@
 		return nil, false
 	}
 	if err != nil {
-		return invalid(err), true
+		return invalidResult(err), true
 	}
 	return &wire.Result{Kind: &wire.Result_Usage{Usage: view}}, true
 }
 
+// applyJob applies a command of the batch jobs, and reports whether the command is one.
 func (m *Machine) applyJob(command *wire.Command) (*wire.Result, bool) {
 	var result *wire.JobReply
 	var err error
@@ -178,11 +181,12 @@
 		return nil, false
 	}
 	if err != nil {
-		return invalid(err), true
+		return invalidResult(err), true
 	}
 	return &wire.Result{Kind: &wire.Result_Job{Job: result}}, true
 }
 
+// applyClaim applies a command of the claims, and reports whether the command is one.
 func (m *Machine) applyClaim(index uint64, command *wire.Command) (*wire.Result, bool) {
 	var result *wire.ClaimResult
 	var err error
@@ -203,11 +207,12 @@
 		return nil, false
 	}
 	if err != nil {
-		return invalid(err), true
+		return invalidResult(err), true
 	}
 	return &wire.Result{Kind: &wire.Result_Claim{Claim: result}}, true
 }
 
+// applySample applies a command of the sample ledger, and reports whether the command is one.
 func (m *Machine) applySample(command *wire.Command) (*wire.Result, bool) {
 	var result *wire.SampleResult
 	var err error
@@ -226,17 +231,18 @@
 		return nil, false
 	}
 	if err != nil {
-		return invalid(err), true
+		return invalidResult(err), true
 	}
 	return &wire.Result{Kind: &wire.Result_Sample{Sample: result}}, true
 }
 
-func invalid(err error) *wire.Result {
+// invalidResult returns the result of a malformed command. Its text is part of the replicated results.
+func invalidResult(err error) *wire.Result {
 	return &wire.Result{Kind: &wire.Result_Invalid{Invalid: err.Error()}}
 }
 
-// Query answers from the state as it is; a caller that needs a linearizable answer passes a read barrier
-// first. A query of no known kind gets an empty View. A StatusView has only what the state machine knows.
+// Query answers from the current state. A caller that needs a linearizable answer must pass a read barrier first. A query
+// of an unknown kind gets an empty View. A StatusView has only the fields that the state machine knows.
 func (m *Machine) Query(query *wire.Query) *wire.View {
 	switch kind := query.GetKind().(type) {
 	case *wire.Query_Table:
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -22,7 +22,7 @@
 	return &wire.Command{Kind: &wire.Command_TableChange{TableChange: change}}
 }
 
-// exampleCommands touches every part of the machine.
+// exampleCommands returns valid commands for every component of the machine.
 func exampleCommands() []*wire.Command {
 	return []*wire.Command{
 		tableCommand("a", 0, "chat kind pool", "chat max_in_flight 8"),
@@ -60,27 +60,27 @@
 		}
 	}
 	if machine.TableVersion() != 2 {
-		t.Fatalf("table version %d", machine.TableVersion())
+		t.Fatalf("table version %d, want 2", machine.TableVersion())
 	}
 	fence := machine.Query(&wire.Query{Kind: &wire.Query_Fence{Fence: &wire.FenceQuery{Resource: "nobody's"}}}).GetFence()
 	if fence == nil || fence.GetToken() != 0 {
-		t.Fatalf("fence %v", fence)
+		t.Fatalf("fence of an unused resource is %v, want token 0", fence)
 	}
 	versions := machine.Query(&wire.Query{Kind: &wire.Query_Versions{Versions: &wire.VersionsQuery{Pool: "chat"}}}).GetVersions()
 	if len(versions.GetVersions()) != 1 || versions.GetVersions()[0].GetVersion() != "t-v1" {
-		t.Fatalf("versions %v", versions)
+		t.Fatalf("weight versions %v, want t-v1 only", versions)
 	}
 	claim := machine.Query(&wire.Query{Kind: &wire.Query_Claim{Claim: &wire.ClaimQuery{Key: "k"}}}).GetClaim()
 	if claim.GetState() != wire.ClaimState_CLAIM_STATE_DONE || string(claim.GetAnswer().GetBody()) != "ok" {
-		t.Fatalf("claim %v", claim)
+		t.Fatalf("claim %v, want DONE with answer ok", claim)
 	}
 	trainer := machine.Query(&wire.Query{Kind: &wire.Query_Trainer{Trainer: &wire.TrainerQuery{Trainer: "t"}}}).GetTrainer()
 	if trainer.GetDeliveredSamples() != 1 || trainer.GetAcknowledgedCursor() != 1 || len(trainer.GetSteps()) != 0 {
-		t.Fatalf("trainer %v", trainer)
+		t.Fatalf("trainer %v, want one delivered sample, cursor 1 acknowledged and no open step", trainer)
 	}
 	results := machine.Query(&wire.Query{Kind: &wire.Query_JobResults{JobResults: &wire.JobResultsQuery{Job: "j"}}}).GetJobResults()
 	if results.GetTotal() != 2 || results.GetNext() != 1 || string(results.GetResults()[0].GetText()) != "t" {
-		t.Fatalf("results %v", results)
+		t.Fatalf("job results %v, want a total of 2 and text t of the first", results)
 	}
 	before, err := machine.Snapshot()
 	if err != nil {
@@ -92,28 +92,28 @@
 	}
 	after, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(before, after) {
-		t.Fatalf("snapshot of a restored machine differs (%v)", err)
+		t.Fatalf("the snapshot after a restore differs from the original (error %v)", err)
 	}
 }
 
-func TestMachineRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestMachineRejectsInvalidCommandsAndSnapshots(t *testing.T) {
 	machine := New()
 	if machine.Apply(1, &wire.Command{}).GetInvalid() == "" || machine.Apply(2, nil).GetInvalid() == "" {
-		t.Fatal("a command without a kind was taken")
+		t.Fatal("a command without a kind was accepted")
 	}
 	if machine.Apply(2, tableCommand("a", 0, "chat kind pool")).GetInvalid() == "" {
 		t.Fatal("an index was applied twice")
 	}
 	if err := machine.Restore([]byte("not a snapshot")); err == nil {
-		t.Fatal("garbage was restored")
+		t.Fatal("data that is not a snapshot was restored")
 	}
 	if err := machine.Restore(nil); err == nil {
-		t.Fatal("nothing was restored")
+		t.Fatal("an empty snapshot was restored")
 	}
 }
 
-// TestRestoreIsInvisible applies random commands to three machines: one of them is restored from its own
-// snapshot at random points, one runs through, one repeats it. Answers and snapshots must stay equal.
+// TestRestoreIsInvisible guards against replicas that diverge after a restore. It applies random commands to two machines,
+// one of which is restored from its own snapshot at random points. Results and snapshots must stay equal.
 func TestRestoreIsInvisible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := []*Machine{New(), New()}
@@ -122,7 +122,7 @@
 			first := machines[0].Apply(uint64(index+1), proto.CloneOf(command))
 			second := machines[1].Apply(uint64(index+1), proto.CloneOf(command))
 			if !proto.Equal(first, second) {
-				t.Fatalf("%v: %v, on the restored machine %v", command, first, second)
+				t.Fatalf("%v: got %v, on the restored machine %v, want equal results", command, first, second)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "restore") > 0 {
 				continue
@@ -133,7 +133,7 @@
 			}
 			other, err := machines[1].Snapshot()
 			if err != nil || !bytes.Equal(data, other) {
-				t.Fatalf("equal machines have different snapshots (%v)", err)
+				t.Fatalf("the snapshots of equal machines differ (error %v)", err)
 			}
 			machines[1] = New()
 			if err := machines[1].Restore(other); err != nil {
@@ -143,7 +143,7 @@
 	})
 }
 
-// drawCommand returns a command that is likely to meet earlier ones.
+// drawCommand draws a command that is likely to concern the same keys and rows as earlier ones.
 func drawCommand(t *rapid.T, index int) *wire.Command {
 	key := rapid.SampledFrom([]string{"k1", "k2", "k3"}).Draw(t, "key")
 	attempt := fmt.Sprint("a", rapid.IntRange(max(0, index-9), index).Draw(t, "attempt"))
@@ -171,7 +171,7 @@
 	return rapid.SampledFrom(commands).Draw(t, "command")
 }
 
-func TestNewerSnapshotIsRefused(t *testing.T) {
+func TestInvalidSnapshotLeavesStateUnchanged(t *testing.T) {
 	machine := New()
 	machine.Apply(1, exampleCommands()[0])
 	for _, snapshot := range []*wire.MachineSnapshot{
@@ -184,7 +184,7 @@
 			t.Fatal(err)
 		}
 		if err := machine.Restore(data); err == nil || machine.TableVersion() != 1 || machine.AppliedIndex() != 1 {
-			t.Fatalf("%v: error %v, version %d", snapshot, err, machine.TableVersion())
+			t.Fatalf("%v: error %v, table version %d; want an error and version 1 at index 1", snapshot, err, machine.TableVersion())
 		}
 	}
 }
@@ -194,17 +194,17 @@
 	for key := range 200 {
 		group := LedgerGroup(fmt.Sprint(key), 5)
 		if group < 1 || group > 5 || group != LedgerGroup(fmt.Sprint(key), 5) {
-			t.Fatalf("group %d", group)
+			t.Fatalf("group %d is outside 1 to 5, or differs in a second call", group)
 		}
 		seen[group] = true
 	}
 	if len(seen) != 5 || LedgerGroup("x", 0) != 1 {
-		t.Fatal("groups are left out")
+		t.Fatal("200 keys do not cover all 5 groups, or there is no default group 1")
 	}
 }
 
-// inOnePiece reads an encoded state as builds that know no parts do, and encodes it anew.
-func inOnePiece(t interface{ Fatal(...any) }, parts [][]byte) []byte {
+// decodeAndEncode decodes an encoded state in one piece, as builds from before parts do, and encodes it again.
+func decodeAndEncode(t interface{ Fatal(...any) }, parts [][]byte) []byte {
 	whole := &wire.MachineSnapshot{}
 	if err := proto.Unmarshal(bytes.Join(parts, nil), whole); err != nil {
 		t.Fatal(err)
@@ -216,9 +216,9 @@
 	return data
 }
 
-// TestCaptureChangesWithLaterCommands encodes captured states only after more commands were applied: what was
-// captured must not have changed.
-func TestCaptureChangesWithLaterCommands(t *testing.T) {
+// TestCaptureIsUnaffectedByLaterCommands guards against a captured state that changes when the machine modifies a message
+// that it shares. It encodes captured states after further commands and compares them with snapshots of that time.
+func TestCaptureIsUnaffectedByLaterCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := New()
 		var encoders []func() ([][]byte, error)
@@ -236,21 +236,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if data := inOnePiece(t, parts); !bytes.Equal(data, wanted[position]) {
-				t.Fatalf("the state captured after command %d has changed", position+1)
+			if data := decodeAndEncode(t, parts); !bytes.Equal(data, wanted[position]) {
+				t.Fatalf("the state captured after command %d changed with later commands", position+1)
 			}
 			restored := New()
 			if err := restored.RestoreParts(parts); err != nil {
 				t.Fatal(err)
 			}
 			if data, err := restored.Snapshot(); err != nil || !bytes.Equal(data, wanted[position]) {
-				t.Fatalf("the state captured after command %d is another one when it is restored (%v)", position+1, err)
+				t.Fatalf("the state captured after command %d differs after a restore (error %v)", position+1, err)
 			}
 		}
 	})
 }
 
-// BenchmarkCapture compares how long a snapshot holds up the commands with how long its encoding takes.
+// BenchmarkCapture measures the time for which capturing a snapshot blocks commands, and the time including its encoding.
 func BenchmarkCapture(b *testing.B) {
 	machine := New()
 	for index := range 200_000 {
--- a/internal/state/memory_test.go
+++ b/internal/state/memory_test.go
@@ -9,8 +9,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// endedJobs fills a machine with ended jobs whose texts take so many megabytes.
-func endedJobs(t *testing.T, machine *Machine, megabytes int) {
+// fillWithEndedJobs adds ended batch jobs to a machine whose texts take the given number of megabytes.
+func fillWithEndedJobs(t *testing.T, machine *Machine, megabytes int) {
 	t.Helper()
 	random, index := rand.New(rand.NewSource(1)), machine.AppliedIndex()
 	apply := func(command *wire.Command) {
@@ -35,12 +35,13 @@
 	}
 }
 
-// TestSnapshotHoldsNoSecondCopyOfEndedJobs: a snapshot of 52 MB found no room on the disk and was held beside the state that it was
-// made of; control nodes with 280 MB ended for lack of memory. What no command changes any more must be encoded once.
+// TestSnapshotHoldsNoSecondCopyOfEndedJobs guards against control nodes that run out of memory. A snapshot of 52 MB that
+// did not fit on the disk stayed in memory beside the state that it was encoded from, and control nodes with 280 MB were
+// killed. Batch jobs that no command changes any more must therefore be encoded only once.
 func TestSnapshotHoldsNoSecondCopyOfEndedJobs(t *testing.T) {
 	const megabytes = 32
 	machine := New()
-	endedJobs(t, machine, megabytes)
+	fillWithEndedJobs(t, machine, megabytes)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	encoded, err := machine.Capture()()
@@ -49,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if taken, most := after.TotalAlloc-before.TotalAlloc, uint64(megabytes<<20/4); taken > most {
-		t.Errorf("a snapshot of %d MB of ended jobs took %d MB of memory", megabytes, taken>>20)
+		t.Errorf("a snapshot of %d MB of ended jobs allocated %d MB, want at most a quarter", megabytes, taken>>20)
 	}
 	runtime.KeepAlive(encoded)
 }
--- a/internal/state/parts.go
+++ b/internal/state/parts.go
@@ -8,11 +8,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// decodeParts decodes a snapshot but for the records of its batch jobs, which it finds in the parts without copying them.
+// decodeParts decodes a snapshot. The records of its batch jobs are returned undecoded and share the memory of the parts.
 func decodeParts(parts [][]byte) (*wire.MachineSnapshot, []batch.Record, error) {
 	var found partsContent
 	for _, part := range parts {
-		if err := found.add(part); err != nil {
+		if err := found.addPart(part); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -27,16 +27,17 @@
 	return snapshot, found.records, nil
 }
 
-// partsContent is what the parts of a snapshot hold.
+// partsContent collects the content of a snapshot's parts.
 type partsContent struct {
-	head     []byte // a wire.MachineSnapshot without its batch jobs
-	jobsHead []byte // a wire.JobSnapshot without its records
+	head     []byte // encoded wire.MachineSnapshot without its batch jobs
+	jobsHead []byte // encoded wire.JobSnapshot without its records
 	records  []batch.Record
 }
 
-// add takes in a part.
-func (c *partsContent) add(part []byte) error {
-	fields, err := split(part)
+// addPart adds the fields of a part. If the part consists of one record of a batch job, it is kept with the record, so
+// that later snapshots can reuse it.
+func (c *partsContent) addPart(part []byte) error {
+	fields, err := splitFields(part)
 	if err != nil {
 		return err
 	}
@@ -57,9 +58,9 @@
 	return nil
 }
 
-// addJobs takes in an encoded wire.JobSnapshot, and tells whether it holds nothing but records.
+// addJobs adds an encoded wire.JobSnapshot and reports whether it contains only records.
 func (c *partsContent) addJobs(jobs []byte) (onlyRecords bool, err error) {
-	fields, err := split(jobs)
+	fields, err := splitFields(jobs)
 	if err != nil {
 		return false, err
 	}
@@ -75,16 +76,16 @@
 	return onlyRecords, nil
 }
 
-// encodedField is a field of an encoded message.
+// encodedField is one field of an encoded message.
 type encodedField struct {
 	number    protowire.Number
 	delimited bool
-	value     []byte // of a length-delimited field
-	encoded   []byte // the whole field
+	value     []byte // content of a length-delimited field
+	encoded   []byte // whole field with its tag
 }
 
-// split returns the fields of an encoded message in their order. They share its memory.
-func split(message []byte) ([]encodedField, error) {
+// splitFields returns the fields of an encoded message in order. They share the message's memory.
+func splitFields(message []byte) ([]encodedField, error) {
 	var fields []encodedField
 	for len(message) > 0 {
 		number, kind, length := protowire.ConsumeField(message)
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -9,15 +9,16 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// SnapshotFormat is the newest version of the snapshot's encoding. A program reads its own format and every older
-// one; it refuses a newer one.
+// SnapshotFormat is the newest version of the snapshot's encoding. A build reads its own format and all older ones, and
+// refuses newer ones.
 const SnapshotFormat uint32 = 2
 
-// baseFormat is the encoding's version while no level is in force. Builds before levels read it, and refuse what is newer: a
-// node that goes back to such a build after a level was agreed stops before it has changed anything.
+// baseFormat is the version of the encoding while no level is in force. Builds from before levels read it and refuse newer
+// versions. A node that is downgraded to such a build after a level came into force therefore stops before it has changed
+// anything.
 const baseFormat uint32 = 1
 
-// format is the version in which the state is encoded.
+// format returns the version of the encoding that the level in force requires.
 func (m *Machine) format() uint32 {
 	if m.level == compat.Base {
 		return baseFormat
@@ -25,7 +26,7 @@
 	return SnapshotFormat
 }
 
-// Snapshot encodes the whole state. Equal states give equal bytes.
+// Snapshot returns the whole state in one encoded message. Equal states give equal bytes.
 func (m *Machine) Snapshot() ([]byte, error) {
 	parts, err := m.Capture()()
 	if err != nil {
@@ -41,12 +42,13 @@
 	return data, trace.Wrap(err, "encoding a snapshot")
 }
 
-// Capture fixes the state as it is now and returns the function that encodes it, which may run beside later
-// commands. Claims, samples and batch jobs, which grow with the traffic, are shared with the state: their messages are
-// replaced and never modified. The rest is small and copied.
+// Capture captures the current state and returns a function that encodes it. The function may run concurrently with later
+// commands. Claims, samples and batch jobs grow with the traffic and are shared with the state, which replaces their
+// messages and never modifies them. The rest is small and is copied.
 //
-// Each part is a wire.MachineSnapshot with some of the state, and their concatenation one with all of it, as builds that know no
-// parts read it. Batch jobs that change no more are parts by themselves, the same in each encoding.
+// Each encoded part is a wire.MachineSnapshot with some of the state. The concatenation of the parts is one with all of
+// it, which builds from before parts can read. Every batch job that no longer changes is a part of its own, which is the
+// same in each encoding.
 func (m *Machine) Capture() (encode func() ([][]byte, error)) {
 	jobs := m.jobs.Capture()
 	snapshot := &wire.MachineSnapshot{
@@ -61,7 +63,7 @@
 		Jobs:         jobs.Head(),
 		Usage:        m.usage.Snapshot(),
 	}
-	snapshot.ProtoReflect().SetUnknown(m.unknown)
+	snapshot.ProtoReflect().SetUnknown(m.unknownFields)
 	claims := m.claims.Capture()
 	return func() ([][]byte, error) {
 		snapshot.Claims = claims.Message()
@@ -74,11 +76,12 @@
 	}
 }
 
-// Restore replaces the state with a snapshot's. Errors: those of RestoreParts.
+// Restore replaces the state with that of a snapshot. It fails as RestoreParts does.
 func (m *Machine) Restore(data []byte) error { return m.RestoreParts([][]byte{data}) }
 
-// RestoreParts replaces the state with a snapshot's, whose parts it may share from now on. Errors: data that is not a snapshot,
-// or of a newer format; the Machine is then unchanged.
+// RestoreParts replaces the state with that of a snapshot. The Machine may retain the parts, so the caller must not modify
+// them. It fails, without changing the Machine, if the data is not a valid snapshot or is of a format or level that this
+// build does not support.
 func (m *Machine) RestoreParts(parts [][]byte) error {
 	snapshot, records, err := decodeParts(parts)
 	if err != nil {
@@ -91,12 +94,12 @@
 		return trace.BadParameter("snapshot has format %d; this program reads up to %d: use a newer program", snapshot.GetFormat(), SnapshotFormat)
 	}
 	if level := compat.Level(snapshot.GetLevel()); !compat.Newest.Includes(level) {
-		return unreadable(level)
+		return levelTooHigh(level)
 	}
 	return trace.Wrap(m.restoreState(snapshot, records))
 }
 
-// restoreState restores copies first, so that an error in a later part leaves the earlier ones alone.
+// restoreState restores copies of all components first, so that an error in one of them leaves the others unchanged.
 func (m *Machine) restoreState(snapshot *wire.MachineSnapshot, records []batch.Record) error {
 	tableCopy, membersCopy, fencesCopy, claimsCopy, ledgerCopy := *m.table, *m.members, *m.fences, *m.claims, *m.ledger
 	releasesCopy, jobsCopy, usageCopy := *m.releases, *m.jobs, *m.usage
@@ -116,7 +119,7 @@
 	}
 	*m.table, *m.members, *m.fences, *m.claims, *m.ledger = tableCopy, membersCopy, fencesCopy, claimsCopy, ledgerCopy
 	*m.releases, *m.jobs, *m.usage = releasesCopy, jobsCopy, usageCopy
-	m.applied, m.unknown = snapshot.GetAppliedIndex(), snapshot.ProtoReflect().GetUnknown()
+	m.applied, m.unknownFields = snapshot.GetAppliedIndex(), snapshot.ProtoReflect().GetUnknown()
 	m.setLevel(compat.Level(snapshot.GetLevel()))
 	return nil
 }
