--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -9,32 +9,33 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Store keeps a finished sample. The first one of a slot's current edition wins; a resend of the same one is
-// accepted again. Errors: malformed command, nothing changed.
+// Store stores a finished sample in its slot. The first sample of the slot's current edition is stored, and a resend of
+// the same sample is accepted again. Store fails, without changing anything, if the command is malformed.
 func (l *Ledger) Store(command *wire.SampleStore) (*wire.SampleResult, error) {
 	sample := command.GetSample()
 	id, err := checkSample(sample)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	known, reason := l.admit(id.Trainer, command.GetFence())
+	t, reason := l.findTrainer(id.Trainer, command.GetFence())
 	if reason != "" {
-		return refused(known, reason), nil
+		return refusedResult(t, reason), nil
 	}
-	held := known.find(id)
+	held := t.findSlot(id)
 	if held == nil || held.delivered {
-		return refused(known, ReasonUnknownSlot), nil
+		return refusedResult(t, ReasonUnknownSlot), nil
 	}
 	if sample.GetEdition() != held.edition && !l.unsafe.IgnoreEditions {
-		return refused(known, ReasonOtherEdition), nil
+		return refusedResult(t, ReasonOtherEdition), nil
 	}
 	if held.sample != nil && !proto.Equal(held.sample, sample) {
-		return refused(known, ReasonAlreadyStored), nil
+		return refusedResult(t, ReasonAlreadyStored), nil
 	}
 	held.sample = sample
-	return &wire.SampleResult{Accepted: true, Cursor: known.sealed}, nil
+	return &wire.SampleResult{Accepted: true, Cursor: t.sealedCursor}, nil
 }
 
+// checkSample validates a sample and returns its parsed id.
 func checkSample(sample *wire.Sample) (SlotID, error) {
 	id, err := ParseSlotID(sample.GetId())
 	if err != nil {
@@ -50,11 +51,15 @@
 	return id, nil
 }
 
-// Seal fixes which samples the trainer gets at a cursor. A batch is of one step, and the batch before must
-// be acknowledged. A resend gets the sealed list, whatever samples it names. A batch is handed over for a
-// fetch only after a Seal under the fetch's number. A lower number than one seen before is refused, because
-// the trainer has abandoned that fetch, and so is the same one by another owner: the call was repeated on its way, and
-// the trainer may have the former owner's reply. A trainer without numbers is not guarded. Errors: malformed command, nothing changed.
+// Seal fixes the samples that the trainer gets at a cursor. All samples of a batch belong to one step, and the previous
+// batch must be acknowledged. A resend gets the sealed list, whatever samples it names.
+//
+// A batch is sent for a fetch only after a Seal with the fetch's number. A number below the newest one is refused,
+// because the trainer has abandoned that fetch. The newest number is refused from a later owner, because the call was
+// duplicated in transit and the trainer may already have the former owner's reply. A trainer that sends no fetch numbers
+// does not have this protection.
+//
+// Seal fails, without changing anything, if the command is malformed.
 func (l *Ledger) Seal(command *wire.BatchSeal) (*wire.SampleResult, error) {
 	if command.GetCursor() == 0 || len(command.GetSampleIds()) == 0 {
 		return nil, trace.BadParameter("a batch has a cursor above 0 and at least one sample")
@@ -63,50 +68,53 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	known, reason := l.admit(command.GetTrainer(), command.GetFence())
+	t, reason := l.findTrainer(command.GetTrainer(), command.GetFence())
 	if reason != "" {
-		return refused(known, reason), nil
+		return refusedResult(t, reason), nil
 	}
-	if command.GetCursor() <= known.acknowledged {
-		return refused(known, ReasonAcknowledged), nil
+	if command.GetCursor() <= t.acknowledgedCursor {
+		return refusedResult(t, ReasonAcknowledged), nil
 	}
-	if command.GetFetch() > 0 && known.abandoned(command.GetFetch(), command.GetFence()) {
-		return refusedFetch(known), nil
+	if command.GetFetch() > 0 && t.isAbandonedFetch(command.GetFetch(), command.GetFence()) {
+		return staleFetchResult(t), nil
 	}
-	if command.GetCursor() == known.sealed && !l.unsafe.SealTwice {
-		known.noteFetch(command.GetFetch(), command.GetFence())
-		return known.accepted(), nil
+	if command.GetCursor() == t.sealedCursor && !l.unsafe.SealTwice {
+		t.recordFetch(command.GetFetch(), command.GetFence())
+		return t.acceptedResult(), nil
 	}
-	if command.GetCursor() != known.acknowledged+1 {
-		return refused(known, ReasonNotNextCursor), nil
+	if command.GetCursor() != t.acknowledgedCursor+1 {
+		return refusedResult(t, ReasonNotNextCursor), nil
 	}
 	for _, id := range slots {
-		held := known.find(id)
+		held := t.findSlot(id)
 		if id.Step != command.GetStep() || held == nil || held.delivered || held.sample == nil {
-			return refused(known, ReasonNotStored), nil
+			return refusedResult(t, ReasonNotStored), nil
 		}
 	}
-	known.sealed, known.sealedStep = command.GetCursor(), command.GetStep()
-	known.sealedIDs = slices.Clone(command.GetSampleIds())
-	known.noteFetch(command.GetFetch(), command.GetFence())
-	return known.accepted(), nil
+	t.sealedCursor, t.sealedStep = command.GetCursor(), command.GetStep()
+	t.sealedIDs = slices.Clone(command.GetSampleIds())
+	t.recordFetch(command.GetFetch(), command.GetFence())
+	return t.acceptedResult(), nil
 }
 
-// abandoned tells whether a batch may have been handed over for a newer fetch, or for this one by another owner.
-func (t *trainer) abandoned(fetch, fence uint64) bool {
+// isAbandonedFetch reports whether the batch may have been sent for a newer fetch, or for this fetch by a former
+// owner.
+func (t *trainer) isAbandonedFetch(fetch, fence uint64) bool {
 	return fetch < t.fetch || fetch == t.fetch && fetch > 0 && fence > t.fetchFence
 }
 
-func (t *trainer) noteFetch(fetch, fence uint64) { t.fetch, t.fetchFence = fetch, fence }
+// recordFetch records the newest fetch and the fencing token of the owner that serves it.
+func (t *trainer) recordFetch(fetch, fence uint64) { t.fetch, t.fetchFence = fetch, fence }
 
-// refusedFetch tells a trainer whose numbers began anew which one to pass.
-func refusedFetch(t *trainer) *wire.SampleResult {
-	result := refused(t, ReasonStaleFetch)
+// staleFetchResult returns a refusal with the newest fetch number, which a trainer whose numbering has restarted must
+// exceed.
+func staleFetchResult(t *trainer) *wire.SampleResult {
+	result := refusedResult(t, ReasonStaleFetch)
 	result.Fetch = t.fetch
 	return result
 }
 
-// parseSlotIDs reads the ids of one trainer's samples, each of which may stand once.
+// parseSlotIDs parses the ids of one trainer's samples, which must be distinct.
 func parseSlotIDs(trainerName string, texts []string) ([]SlotID, error) {
 	if len(texts) > MaximumSlots {
 		return nil, trace.BadParameter("more than %d samples", MaximumSlots)
@@ -130,11 +138,13 @@
 	return ids, nil
 }
 
-// Discard throws samples away that are too old: their slots' editions rise, and they leave a sealed batch,
-// which is no longer sealed once it is empty. A slot whose edition is not the one given, or that holds no
-// sample when no editions are given, is left alone. The tokens are counted if any slot was discarded. The
-// result lists what is left of the sealed batch. A sealed batch is left alone under an older fetch than the
-// newest one it was sealed for: the trainer may have it by now. Errors: malformed command, nothing changed.
+// Discard discards samples that are too old. It increments the editions of their slots and removes the samples from the
+// sealed batch, which is no longer sealed once it is empty. Slots whose edition differs from the given one, or that hold
+// no sample if no editions are given, are unchanged. The discarded tokens are counted if at least one slot was discarded.
+// The result lists the remaining samples of the sealed batch.
+//
+// A discard from the sealed batch is refused for an older fetch than the newest one that the batch was sealed for, because
+// the trainer may already have the batch. Discard fails, without changing anything, if the command is malformed.
 func (l *Ledger) Discard(command *wire.BatchDiscard) (*wire.SampleResult, error) {
 	slots, err := parseSlotIDs(command.GetTrainer(), command.GetSampleIds())
 	if err != nil {
@@ -144,94 +154,95 @@
 	if len(slots) == 0 || (len(editions) > 0 && len(editions) != len(slots)) {
 		return nil, trace.BadParameter("a discard names at least one sample, and an edition for all or none")
 	}
-	known, reason := l.admit(command.GetTrainer(), command.GetFence())
+	t, reason := l.findTrainer(command.GetTrainer(), command.GetFence())
 	if reason != "" {
-		return refused(known, reason), nil
+		return refusedResult(t, reason), nil
 	}
-	if known.sealsAny(command.GetSampleIds()) {
-		if known.abandoned(command.GetFetch(), command.GetFence()) {
-			return refusedFetch(known), nil
+	if t.isAnySealed(command.GetSampleIds()) {
+		if t.isAbandonedFetch(command.GetFetch(), command.GetFence()) {
+			return staleFetchResult(t), nil
 		}
-		known.noteFetch(command.GetFetch(), command.GetFence())
+		t.recordFetch(command.GetFetch(), command.GetFence())
 	}
-	gone := map[string]bool{}
+	discarded := map[string]bool{}
 	for position, id := range slots {
-		held := known.find(id)
-		if held == nil || held.delivered || !meant(held, editions, position) {
+		held := t.findSlot(id)
+		if held == nil || held.delivered || !isDiscardTarget(held, editions, position) {
 			continue
 		}
 		held.edition++
 		held.sample = nil
-		gone[id.String()] = true
+		discarded[id.String()] = true
 	}
-	if len(gone) > 0 {
-		known.discarded += command.GetDiscardedTokens()
-		known.unseal(gone)
+	if len(discarded) > 0 {
+		t.discardedTokens += command.GetDiscardedTokens()
+		t.removeFromSealed(discarded)
 	}
-	return known.accepted(), nil
+	return t.acceptedResult(), nil
 }
 
-// sealsAny reports whether one of the samples is in the sealed batch.
-func (t *trainer) sealsAny(ids []string) bool {
+// isAnySealed reports whether at least one of the samples is in the sealed batch.
+func (t *trainer) isAnySealed(ids []string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool { return slices.Contains(t.sealedIDs, id) })
 }
 
-// meant reports whether a discard means what the slot holds now.
-func meant(held *slot, editions []uint32, position int) bool {
+// isDiscardTarget reports whether a discard applies to the current content of the slot.
+func isDiscardTarget(held *slot, editions []uint32, position int) bool {
 	if len(editions) > 0 {
 		return held.edition == editions[position]
 	}
 	return held.sample != nil
 }
 
-// unseal takes discarded samples out of the sealed batch.
-func (t *trainer) unseal(gone map[string]bool) {
-	t.sealedIDs = slices.DeleteFunc(t.sealedIDs, func(id string) bool { return gone[id] })
+// removeFromSealed removes discarded samples from the sealed batch.
+func (t *trainer) removeFromSealed(discarded map[string]bool) {
+	t.sealedIDs = slices.DeleteFunc(t.sealedIDs, func(id string) bool { return discarded[id] })
 	if len(t.sealedIDs) == 0 {
-		t.sealedIDs, t.sealed, t.sealedStep = nil, t.acknowledged, 0
+		t.sealedIDs, t.sealedCursor, t.sealedStep = nil, t.acknowledgedCursor, 0
 	}
 }
 
-// Acknowledge notes that the trainer has the batch at the cursor: its slots are delivered and their texts
-// freed. A resend changes nothing. Errors: malformed command, nothing changed.
+// Acknowledge records that the trainer has received the batch at the cursor. The batch's slots become delivered and their
+// texts are freed. A resend changes nothing. Acknowledge fails, without changing anything, if the command is malformed.
 func (l *Ledger) Acknowledge(command *wire.BatchAcknowledge) (*wire.SampleResult, error) {
-	if err := checkTrainer(command.GetTrainer()); err != nil {
+	if err := checkTrainerName(command.GetTrainer()); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	known := l.trainers[command.GetTrainer()]
+	t := l.trainers[command.GetTrainer()]
 	switch {
-	case known == nil && command.GetCursor() == 0:
+	case t == nil && command.GetCursor() == 0:
 		return &wire.SampleResult{Accepted: true}, nil
-	case known == nil:
-		return refused(nil, ReasonUnknownTrainer), nil
-	case command.GetCursor() <= known.acknowledged:
-		return known.accepted(), nil
-	case command.GetCursor() != known.sealed:
-		return refused(known, ReasonNotSealed), nil
-	}
-	for _, text := range known.sealedIDs {
-		known.deliver(text)
-	}
-	known.acknowledged = known.sealed
-	known.noteFetch(0, 0)
-	known.sealedIDs, known.sealedStep = nil, 0
-	return known.accepted(), nil
+	case t == nil:
+		return refusedResult(nil, ReasonUnknownTrainer), nil
+	case command.GetCursor() <= t.acknowledgedCursor:
+		return t.acceptedResult(), nil
+	case command.GetCursor() != t.sealedCursor:
+		return refusedResult(t, ReasonNotSealed), nil
+	}
+	for _, text := range t.sealedIDs {
+		t.deliver(text)
+	}
+	t.acknowledgedCursor = t.sealedCursor
+	t.recordFetch(0, 0)
+	t.sealedIDs, t.sealedStep = nil, 0
+	return t.acceptedResult(), nil
 }
 
+// deliver marks a slot as delivered, frees its sample and closes the step after its last slot.
 func (t *trainer) deliver(text string) {
 	id, err := ParseSlotID(text)
 	if err != nil {
 		return // sealed ids were parsed before
 	}
-	held := t.find(id)
+	held := t.findSlot(id)
 	if held == nil || held.delivered {
 		return
 	}
 	held.delivered, held.sample = true, nil
-	t.delivered++
+	t.deliveredSamples++
 	opened := t.steps[id.Step]
-	opened.remaining--
-	if opened.remaining == 0 {
+	opened.undelivered--
+	if opened.undelivered == 0 {
 		t.close(id.Step)
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,11 +1,12 @@
-// Package ledger is the replicated record of rollout samples. A step has one slot for each sample of each
-// prompt; a slot is filled by the first finished sample of its current edition, sealed into a batch, and
-// delivered when the trainer acknowledges that batch. Every slot is delivered exactly once. Discarding a
-// sample that is too old raises its slot's edition, so that what was generated for the old one is refused.
+// Package ledger is the replicated record of rollout samples. A step has one slot for each sample of each prompt. A slot
+// is filled by the first finished sample of its current edition, sealed into a batch, and delivered when the trainer
+// acknowledges that batch. Every slot is delivered exactly once. Discarding a sample that is too old increments its slot's
+// edition, so that samples generated for the old edition are refused.
 //
-// Commands of a coordinator carry its fencing token for the trainer; one below the highest seen is refused.
-// docs/design/samples.md has the whole exchange with trainers. The package is pure. Apply commands
-// in log order from one goroutine.
+// Commands of a coordinator carry its fencing token for the trainer. Commands with a token below the highest one seen are
+// refused. docs/design/samples.md describes the whole protocol with trainers.
+//
+// The package uses no clock, no goroutine and no I/O. Apply commands in log order from one goroutine.
 package ledger
 
 import (
@@ -17,20 +18,20 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Bounds of a ledger. All are counts unless said otherwise.
+// Bounds of a ledger. They are counts unless a unit is given.
 const (
 	MaximumTextBytes   = 128     // of a trainer's name and of a prompt id, in bytes
 	MaximumSampleBytes = 4 << 20 // of a sample's or prompt's text, in bytes
 	MaximumSegments    = 4096    // of one sample
 	MaximumSlots       = 200_000 // of one step
-	MaximumOpenSteps   = 64      // of one trainer, not yet delivered
+	MaximumOpenSteps   = 64      // of one trainer; steps with undelivered slots
 	MaximumTrainers    = 1000
-	// MaximumClosedSteps bounds the delivered steps that are remembered by digest, so that a late resend
-	// of their StepOpen changes nothing. One that is older than all of them is refused.
+	// MaximumClosedSteps bounds the delivered steps of one trainer whose digests are kept, so that a late resend of
+	// their StepOpen changes nothing. A StepOpen of a step that is no longer listed is refused.
 	MaximumClosedSteps = 10_000
 )
 
-// Reasons of refused commands, as in SampleResult.reason.
+// Reasons of refused commands, as stored in SampleResult.reason.
 const (
 	ReasonStaleFence     = "another coordinator has taken over this trainer"
 	ReasonUnknownTrainer = "trainer is unknown"
@@ -47,52 +48,55 @@
 	ReasonTooMany        = "too many open steps or trainers"
 )
 
-// Unsafe switches safety steps off. Only tests set it, to show that the checks find the fault.
+// Unsafe disables safety checks. Only tests set it, to show that they detect the resulting fault.
 type Unsafe struct {
-	SealTwice      bool // a sealed batch may be sealed again with other samples
-	IgnoreFence    bool // commands of deposed coordinators are taken
-	IgnoreEditions bool // a sample of a discarded edition fills its slot
+	SealTwice      bool // seal a sealed batch again with other samples
+	IgnoreFence    bool // accept commands of former coordinators
+	IgnoreEditions bool // store samples of a discarded edition
 }
 
-// Ledger holds the samples of all trainers of one ledger group. The zero value is not ready; use New.
+// Ledger holds the samples of all trainers of one ledger group. The zero value is not usable; use New.
 type Ledger struct {
 	unsafe   Unsafe
 	trainers map[string]*trainer
 }
 
+// trainer holds the steps and the delivery state of one trainer.
 type trainer struct {
-	name         string
-	fence        uint64 // highest token seen
-	acknowledged uint64
-	sealed       uint64 // equal to acknowledged, or one above while a batch is out
-	sealedStep   uint64
-	sealedIDs    []string
-	fetch        uint64 // newest fetch that the sealed batch may have been handed over for; 0 for none
-	fetchFence   uint64 // of the owner that served it
-	delivered    uint64
-	discarded    uint64 // tokens
-	steps        map[uint64]*step
-	closed       []*wire.ClosedStep // oldest first
-	forgotten    uint64             // highest closed step that is no longer listed
-}
-
+	name               string
+	highestFence       uint64 // highest fencing token seen
+	acknowledgedCursor uint64 // cursor of the last acknowledged batch; 0 if none
+	sealedCursor       uint64 // acknowledgedCursor+1 while a batch is sealed, acknowledgedCursor otherwise
+	sealedStep         uint64
+	sealedIDs          []string           // samples of the sealed batch
+	fetch              uint64             // newest fetch that the sealed batch may have been sent for; 0 if none
+	fetchFence         uint64             // fencing token of the owner that served it
+	deliveredSamples   uint64             // count
+	discardedTokens    uint64             // count
+	steps              map[uint64]*step   // open steps by number
+	closedSteps        []*wire.ClosedStep // delivered steps, oldest first
+	highestForgotten   uint64             // highest number of a closed step that is no longer listed
+}
+
+// step is an open step, which has undelivered slots.
 type step struct {
-	open      *wire.StepOpen
-	prompts   map[string]int // position by prompt id
-	slots     []slot         // by prompt, then index
-	remaining int            // slots not yet delivered
+	open        *wire.StepOpen
+	prompts     map[string]int // position by prompt id
+	slots       []slot         // in order of prompt, then index
+	undelivered int            // number of slots that are not delivered
 }
 
+// slot holds one sample of one prompt.
 type slot struct {
-	edition   uint32
+	edition   uint32 // incremented by each discard
 	delivered bool
-	sample    *wire.Sample // of the current edition, until delivered
+	sample    *wire.Sample // of the current edition; nil before it is stored and after it is delivered
 }
 
 // New returns an empty ledger.
 func New() *Ledger { return NewUnsafe(Unsafe{}) }
 
-// NewUnsafe returns an empty ledger with safety steps switched off.
+// NewUnsafe is New with safety checks disabled.
 func NewUnsafe(unsafe Unsafe) *Ledger {
 	return &Ledger{unsafe: unsafe, trainers: map[string]*trainer{}}
 }
@@ -107,27 +111,27 @@
 	return names
 }
 
-// OpenTrainers returns the names of the trainers with a step that is not wholly delivered, sorted.
+// OpenTrainers returns the names of the trainers that have a step with undelivered slots, sorted.
 func (l *Ledger) OpenTrainers() []string {
 	return slices.DeleteFunc(l.Trainers(), func(name string) bool { return len(l.trainers[name].steps) == 0 })
 }
 
-// admit returns the trainer if the fencing token is not stale, else the reason of the refusal. A higher
-// token is remembered whatever becomes of the command.
-func (l *Ledger) admit(name string, fence uint64) (*trainer, string) {
-	known := l.trainers[name]
-	if known == nil {
+// findTrainer returns the trainer if it exists and the fencing token is not stale, and the reason of the refusal otherwise.
+// A higher token is recorded whether or not the command is accepted later.
+func (l *Ledger) findTrainer(name string, fence uint64) (*trainer, string) {
+	t := l.trainers[name]
+	if t == nil {
 		return nil, ReasonUnknownTrainer
 	}
-	if fence < known.fence && !l.unsafe.IgnoreFence {
+	if fence < t.highestFence && !l.unsafe.IgnoreFence {
 		return nil, ReasonStaleFence
 	}
-	known.fence = max(known.fence, fence)
-	return known, ""
+	t.highestFence = max(t.highestFence, fence)
+	return t, ""
 }
 
-// find returns the slot of an id that belongs to the trainer's open steps.
-func (t *trainer) find(id SlotID) *slot {
+// findSlot returns the slot with the id in the trainer's open steps, or nil if there is none.
+func (t *trainer) findSlot(id SlotID) *slot {
 	opened := t.steps[id.Step]
 	if opened == nil || id.Trainer != t.name {
 		return nil
@@ -139,53 +143,54 @@
 	return &opened.slots[position*int(opened.open.GetSamplesPerPrompt())+int(id.Index)]
 }
 
-func (t *trainer) accepted() *wire.SampleResult {
-	result := &wire.SampleResult{Accepted: true, Cursor: t.sealed}
+// acceptedResult returns an acceptance with the cursor and samples of the sealed batch.
+func (t *trainer) acceptedResult() *wire.SampleResult {
+	result := &wire.SampleResult{Accepted: true, Cursor: t.sealedCursor}
 	result.SampleIds = append(result.SampleIds, t.sealedIDs...)
 	return result
 }
 
-// refused returns a refusal with the trainer's cursor, if there is a trainer.
-func refused(t *trainer, reason string) *wire.SampleResult {
+// refusedResult returns a refusal with the cursor of the sealed batch if the trainer exists (t may be nil).
+func refusedResult(t *trainer, reason string) *wire.SampleResult {
 	result := &wire.SampleResult{Reason: reason}
 	if t != nil {
-		result.Cursor = t.sealed
+		result.Cursor = t.sealedCursor
 	}
 	return result
 }
 
-// Open registers a step and, with its first one, the trainer. A resend with equal content changes nothing.
-// Errors: malformed command, nothing changed.
+// Open registers a step, and the trainer with its first step. A resend with equal content changes nothing. Open fails,
+// without changing anything, if the command is malformed.
 func (l *Ledger) Open(command *wire.StepOpen) (*wire.SampleResult, error) {
-	if err := checkOpen(command); err != nil {
+	if err := checkStepOpen(command); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	known := l.trainers[command.GetTrainer()]
-	if known == nil {
+	t := l.trainers[command.GetTrainer()]
+	if t == nil {
 		if len(l.trainers) >= MaximumTrainers {
-			return refused(nil, ReasonTooMany), nil
+			return refusedResult(nil, ReasonTooMany), nil
 		}
-		known = newTrainer(command.GetTrainer())
-		l.trainers[known.name] = known
+		t = newTrainer(command.GetTrainer())
+		l.trainers[t.name] = t
 	}
-	digest := openDigest(command)
-	if opened := known.steps[command.GetStep()]; opened != nil {
-		if openDigest(opened.open) != digest {
-			return refused(known, ReasonOtherStep), nil
+	digest := digestStep(command)
+	if opened := t.steps[command.GetStep()]; opened != nil {
+		if digestStep(opened.open) != digest {
+			return refusedResult(t, ReasonOtherStep), nil
 		}
-		return known.accepted(), nil
+		return t.acceptedResult(), nil
 	}
-	if reason := known.refuseClosed(command.GetStep(), digest); reason != "" {
-		return refused(known, reason), nil
+	if reason := t.closedStepReason(command.GetStep(), digest); reason != "" {
+		return refusedResult(t, reason), nil
 	}
-	if known.isClosed(command.GetStep()) {
-		return known.accepted(), nil
+	if t.isClosed(command.GetStep()) {
+		return t.acceptedResult(), nil
 	}
-	if len(known.steps) >= MaximumOpenSteps {
-		return refused(known, ReasonTooMany), nil
+	if len(t.steps) >= MaximumOpenSteps {
+		return refusedResult(t, ReasonTooMany), nil
 	}
-	known.steps[command.GetStep()] = newStep(command)
-	return known.accepted(), nil
+	t.steps[command.GetStep()] = newStep(command)
+	return t.acceptedResult(), nil
 }
 
 func newTrainer(name string) *trainer {
@@ -197,14 +202,14 @@
 	for position, prompt := range open.GetPrompts() {
 		made.prompts[prompt.GetId()] = position
 	}
-	made.remaining = len(open.GetPrompts()) * int(open.GetSamplesPerPrompt())
-	made.slots = make([]slot, made.remaining)
+	made.undelivered = len(open.GetPrompts()) * int(open.GetSamplesPerPrompt())
+	made.slots = make([]slot, made.undelivered)
 	return made
 }
 
-// refuseClosed returns why a step cannot be opened because of one that was delivered before.
-func (t *trainer) refuseClosed(number, digest uint64) string {
-	for _, closed := range t.closed {
+// closedStepReason returns why a step cannot be opened because its number was delivered before, or an empty string.
+func (t *trainer) closedStepReason(number, digest uint64) string {
+	for _, closed := range t.closedSteps {
 		if closed.GetStep() == number {
 			if closed.GetDigest() != digest {
 				return ReasonOtherStep
@@ -212,14 +217,15 @@
 			return ""
 		}
 	}
-	if number <= t.forgotten && t.forgotten > 0 {
+	if number <= t.highestForgotten && t.highestForgotten > 0 {
 		return ReasonClosedStep
 	}
 	return ""
 }
 
+// isClosed reports whether a step is among the delivered steps that are listed.
 func (t *trainer) isClosed(number uint64) bool {
-	for _, closed := range t.closed {
+	for _, closed := range t.closedSteps {
 		if closed.GetStep() == number {
 			return true
 		}
@@ -227,14 +233,14 @@
 	return false
 }
 
-// close forgets the texts of a step whose slots are all delivered.
+// close replaces a step whose slots are all delivered by its digest, which frees its texts.
 func (t *trainer) close(number uint64) {
-	t.closed = append(t.closed, &wire.ClosedStep{Step: number, Digest: openDigest(t.steps[number].open)})
+	t.closedSteps = append(t.closedSteps, &wire.ClosedStep{Step: number, Digest: digestStep(t.steps[number].open)})
 	delete(t.steps, number)
-	if surplus := len(t.closed) - MaximumClosedSteps; surplus > 0 {
-		for _, closed := range t.closed[:surplus] {
-			t.forgotten = max(t.forgotten, closed.GetStep())
+	if surplus := len(t.closedSteps) - MaximumClosedSteps; surplus > 0 {
+		for _, closed := range t.closedSteps[:surplus] {
+			t.highestForgotten = max(t.highestForgotten, closed.GetStep())
 		}
-		t.closed = append([]*wire.ClosedStep(nil), t.closed[surplus:]...)
+		t.closedSteps = append([]*wire.ClosedStep(nil), t.closedSteps[surplus:]...)
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -30,17 +30,17 @@
 	return &wire.Sample{Id: text, Trainer: id.Trainer, Step: id.Step, PromptId: id.Prompt, Index: id.Index, Edition: edition, Text: content}
 }
 
-// exchange drives one ledger as two coordinators, of which the second took over, and a trainer would, with
-// resends. The model is the trainer: what it has received, by slot.
+// exchange drives one ledger with the commands of coordinators that take over from each other and of a trainer, including
+// resends. The model is the trainer, with the number of samples received by slot.
 type exchange struct {
 	ledger    *Ledger
-	fence     uint64
+	fence     uint64 // token of the current coordinator
 	lastSeal  *wire.BatchSeal
-	held      []string // fetched, not yet acknowledged
-	cursor    uint64   // of held
-	received  map[string]int
-	discarded map[string]uint32
-	stale     int
+	held      []string          // fetched and not acknowledged
+	cursor    uint64            // of held
+	received  map[string]int    // deliveries by slot
+	discarded map[string]uint32 // edition by slot
+	stale     int               // stale commands that were refused
 }
 
 func (e *exchange) step(t *rapid.T) {
@@ -53,7 +53,7 @@
 		edition := e.discarded[id] - min(e.discarded[id], uint32(rapid.IntRange(0, 1).Draw(t, "old edition")))
 		result := e.call(e.ledger.Store(&wire.SampleStore{Sample: sampleOf(id, edition, fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "text"))), Fence: e.fence}))
 		if result.GetAccepted() && edition != e.discarded[id] {
-			t.Fatalf("edition %d of %s was stored, current is %d", edition, id, e.discarded[id])
+			t.Fatalf("edition %d of %s was stored, want it refused because %d is current", edition, id, e.discarded[id])
 		}
 	case 2, 3:
 		e.seal(t, rapid.SliceOfNDistinct(rapid.SampledFrom(ids), 1, 3, rapid.ID).Draw(t, "batch"))
@@ -91,12 +91,12 @@
 	if result.GetAccepted() {
 		e.lastSeal = seal
 		if view.GetSealedCursor() == seal.GetCursor() && fmt.Sprint(view.GetSealedIds()) != fmt.Sprint(result.GetSampleIds()) {
-			t.Fatalf("sealed %v, then %v", view.GetSealedIds(), result.GetSampleIds())
+			t.Fatalf("sealed %v, then got %v for the same cursor, want the same samples", view.GetSealedIds(), result.GetSampleIds())
 		}
 	}
 }
 
-// discard throws one slot away. A batch that the trainer already has is left alone, as a coordinator does.
+// discard discards one slot, unless the trainer has fetched it, as a coordinator does.
 func (e *exchange) discard(t *rapid.T, id string) {
 	for _, held := range e.held {
 		if held == id {
@@ -114,12 +114,12 @@
 	}
 }
 
-// fetchOrAcknowledge is the trainer: it fetches the sealed batch, again and again, or acknowledges it.
+// fetchOrAcknowledge is the trainer's step. It fetches the sealed batch, possibly again, or acknowledges it.
 func (e *exchange) fetchOrAcknowledge(t *rapid.T) {
 	view := e.ledger.View("t", true)
 	if len(e.held) == 0 || rapid.Bool().Draw(t, "fetch again") {
 		if len(e.held) > 0 && fmt.Sprint(e.held) != fmt.Sprint(view.GetSealedIds()) {
-			t.Fatalf("fetched %v, then %v", e.held, view.GetSealedIds())
+			t.Fatalf("fetched %v, then %v for the same cursor, want the same samples", e.held, view.GetSealedIds())
 		}
 		e.held, e.cursor = view.GetSealedIds(), view.GetSealedCursor()
 		return
@@ -135,11 +135,13 @@
 	e.held = nil
 }
 
+// takeOver restores the ledger from its snapshot and replaces the coordinator by one with a higher token. The former
+// coordinator's next command must be refused.
 func (e *exchange) takeOver(t *rapid.T) {
 	before := e.ledger.Snapshot()
 	restored := NewUnsafe(e.ledger.unsafe)
 	if err := restored.Restore(proto.CloneOf(before)); err != nil || !proto.Equal(before, restored.Snapshot()) {
-		t.Fatalf("restored ledger differs: %v", err)
+		t.Fatalf("the snapshot after a restore differs from the original (error %v)", err)
 	}
 	e.ledger = restored
 	e.fence++
@@ -149,12 +151,12 @@
 	e.call(e.ledger.Discard(&wire.BatchDiscard{Trainer: "t", SampleIds: []string{"t/9/x/0"}, Fence: e.fence}))
 	old := e.call(e.ledger.Store(&wire.SampleStore{Sample: sampleOf(stepSlots(1)[0], 0, "old"), Fence: e.fence - 1}))
 	if old.GetReason() != ReasonStaleFence {
-		t.Fatalf("a deposed coordinator was heard: %v", old)
+		t.Fatalf("a former coordinator's command got %v, want a stale fence", old)
 	}
 	e.stale++
 }
 
-// finish hands over everything that is left, so that nothing may be missing either.
+// finish delivers all remaining samples and checks that every slot was delivered exactly once.
 func (e *exchange) finish(t *rapid.T) {
 	e.held = nil
 	for _, number := range []uint64{1, 2} {
@@ -181,11 +183,11 @@
 	}
 	for _, id := range append(stepSlots(1), stepSlots(2)...) {
 		if e.received[id] != 1 {
-			t.Fatalf("%s was delivered %d times", id, e.received[id])
+			t.Fatalf("%s was delivered %d times, want once", id, e.received[id])
 		}
 	}
 	if view := e.ledger.View("t", true); view.GetDeliveredSamples() != 8 || len(view.GetSteps()) != 0 {
-		t.Fatalf("view after all: %v", view)
+		t.Fatalf("got view %v at the end, want 8 delivered samples and no open step", view)
 	}
 }
 
@@ -197,6 +199,7 @@
 	e.finish(t)
 }
 
+// TestEverySlotIsDeliveredOnce guards against samples that are lost or delivered twice after resends, discards and takeovers.
 func TestEverySlotIsDeliveredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runExchange(t, Unsafe{}) })
 }
@@ -216,15 +219,15 @@
 	for _, bad := range []*wire.StepOpen{nil, {Trainer: "a/b", SamplesPerPrompt: 1, Prompts: openStep(1).Prompts}, {Trainer: "t"},
 		{Trainer: "t", SamplesPerPrompt: 1, Prompts: []*wire.Prompt{{Id: "a"}, {Id: "a"}}}} {
 		if _, err := made.Open(bad); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("malformed command %v was accepted", bad)
 		}
 	}
 }
 
-func TestSlotIDsAreRead(t *testing.T) {
+func TestParseSlotID(t *testing.T) {
 	for _, text := range []string{"", "t", "t/1", "t/1/p", "t/x/p/0", "t/1/p/x", "/1/p/0", "t/01/p/0", "t/1//0", "t/1/p/+1"} {
 		if id, err := ParseSlotID(text); err == nil {
-			t.Errorf("%q was read as %+v", text, id)
+			t.Errorf("%q was parsed as %+v, want an error", text, id)
 		}
 	}
 	if id, err := ParseSlotID("t/1/p/q/7"); err != nil || id != (SlotID{Trainer: "t", Step: 1, Prompt: "p/q", Index: 7}) {
--- a/internal/ledger/slot.go
+++ b/internal/ledger/slot.go
@@ -11,13 +11,13 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// SlotID names one sample slot. Its text form, trainer/step/prompt/index, is the sample's id. A trainer's
-// name holds no slash; a prompt id may.
+// SlotID identifies one sample slot. Its text form, trainer/step/prompt/index, is the sample's id. A trainer's name
+// contains no slash, but a prompt id may.
 type SlotID struct {
 	Trainer string
 	Step    uint64
-	Prompt  string
-	Index   uint32
+	Prompt  string // id of the prompt
+	Index   uint32 // of the sample among those of the prompt, from 0
 }
 
 // String returns the text form.
@@ -25,12 +25,12 @@
 	return s.Trainer + "/" + strconv.FormatUint(s.Step, 10) + "/" + s.Prompt + "/" + strconv.FormatUint(uint64(s.Index), 10)
 }
 
-// ParseSlotID reads the text form.
+// ParseSlotID parses the text form. It fails if the text is not the canonical form of an id.
 func ParseSlotID(text string) (SlotID, error) {
-	trainerName, rest, ok := strings.Cut(text, "/")
-	stepText, rest, ok2 := strings.Cut(rest, "/")
+	trainerName, rest, hasTrainer := strings.Cut(text, "/")
+	stepText, rest, hasStep := strings.Cut(rest, "/")
 	last := strings.LastIndexByte(rest, '/')
-	if !ok || !ok2 || last <= 0 || trainerName == "" {
+	if !hasTrainer || !hasStep || last <= 0 || trainerName == "" {
 		return SlotID{}, trace.BadParameter("sample id %q is not trainer/step/prompt/index", text)
 	}
 	number, err := strconv.ParseUint(stepText, 10, 64)
@@ -48,8 +48,9 @@
 	return id, nil
 }
 
-func checkOpen(command *wire.StepOpen) error {
-	if err := checkTrainer(command.GetTrainer()); err != nil {
+// checkStepOpen validates the content of a step.
+func checkStepOpen(command *wire.StepOpen) error {
+	if err := checkTrainerName(command.GetTrainer()); err != nil {
 		return err
 	}
 	slots := uint64(len(command.GetPrompts())) * uint64(command.GetSamplesPerPrompt())
@@ -72,15 +73,16 @@
 	return nil
 }
 
-func checkTrainer(name string) error {
+// checkTrainerName validates a trainer's name, which must not contain the separator of a SlotID's text form.
+func checkTrainerName(name string) error {
 	if name == "" || len(name) > MaximumTextBytes || strings.Contains(name, "/") {
 		return trace.BadParameter("a trainer's name has 1 to %d bytes and no slash", MaximumTextBytes)
 	}
 	return nil
 }
 
-// openDigest identifies a step's content.
-func openDigest(open *wire.StepOpen) uint64 {
+// digestStep returns a digest of a step's content: pool, samples per prompt and prompts.
+func digestStep(open *wire.StepOpen) uint64 {
 	digest := xxhash.New()
 	var buffer [8]byte
 	writeNumber := func(value uint64) {
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -9,40 +9,41 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// View returns what a coordinator needs to go on with a trainer after a takeover; an unknown trainer's view
-// has only its name. Without samples, the stored samples come without their texts.
+// View returns the state that a coordinator needs to continue with a trainer after a takeover. The view of an unknown
+// trainer has only its name. Unless withSamples is set, stored samples are returned without their texts.
 func (l *Ledger) View(name string, withSamples bool) *wire.TrainerView {
 	view := &wire.TrainerView{Trainer: name}
-	known := l.trainers[name]
-	if known == nil {
+	t := l.trainers[name]
+	if t == nil {
 		return view
 	}
-	view.AcknowledgedCursor, view.SealedCursor = known.acknowledged, known.sealed
-	view.SealedIds = append(view.SealedIds, known.sealedIDs...)
-	view.SealedStep = known.sealedStep
-	view.DeliveredSamples, view.DiscardedTokens = known.delivered, known.discarded
-	for _, number := range known.stepNumbers() {
-		view.Steps = append(view.Steps, known.steps[number].view(withSamples))
+	view.AcknowledgedCursor, view.SealedCursor = t.acknowledgedCursor, t.sealedCursor
+	view.SealedIds = append(view.SealedIds, t.sealedIDs...)
+	view.SealedStep = t.sealedStep
+	view.DeliveredSamples, view.DiscardedTokens = t.deliveredSamples, t.discardedTokens
+	for _, number := range t.stepNumbers() {
+		view.Steps = append(view.Steps, t.steps[number].view(withSamples))
 	}
 	return view
 }
 
-// Samples returns a view with the named samples, as far as they are stored, and nothing else.
+// Samples returns a view with only the trainer's name and those of the given samples that are stored.
 func (l *Ledger) Samples(name string, ids []string) *wire.TrainerView {
 	view := &wire.TrainerView{Trainer: name}
-	known := l.trainers[name]
+	t := l.trainers[name]
 	for _, text := range ids {
 		id, err := ParseSlotID(text)
-		if err != nil || known == nil {
+		if err != nil || t == nil {
 			continue
 		}
-		if held := known.find(id); held != nil && held.sample != nil {
+		if held := t.findSlot(id); held != nil && held.sample != nil {
 			view.Samples = append(view.Samples, held.sample)
 		}
 	}
 	return view
 }
 
+// stepNumbers returns the numbers of the open steps, sorted.
 func (t *trainer) stepNumbers() []uint64 {
 	numbers := make([]uint64, 0, len(t.steps))
 	for number := range t.steps {
@@ -64,7 +65,7 @@
 		case held.sample != nil && withSamples:
 			view.Stored = append(view.Stored, held.sample)
 		case held.sample != nil:
-			view.Stored = append(view.Stored, withoutText(held.sample))
+			view.Stored = append(view.Stored, copyWithoutText(held.sample))
 		}
 		if held.edition > 0 {
 			view.Editions = append(view.Editions, &wire.SlotEdition{Id: id, Edition: held.edition})
@@ -73,6 +74,7 @@
 	return view
 }
 
+// slotID returns the id of the slot at a position of s.slots.
 func (s *step) slotID(position int) SlotID {
 	perPrompt := int(s.open.GetSamplesPerPrompt())
 	return SlotID{
@@ -81,14 +83,14 @@
 	}
 }
 
-func withoutText(sample *wire.Sample) *wire.Sample {
+func copyWithoutText(sample *wire.Sample) *wire.Sample {
 	return &wire.Sample{
 		Id: sample.GetId(), Trainer: sample.GetTrainer(), Step: sample.GetStep(), PromptId: sample.GetPromptId(),
 		Index: sample.GetIndex(), Segments: sample.GetSegments(), Score: sample.GetScore(), Edition: sample.GetEdition(),
 	}
 }
 
-// Snapshot returns the whole state. Equal ledgers give equal snapshots. It shares messages with the ledger:
+// Snapshot returns the whole state. Equal ledgers have equal snapshots. The snapshot shares messages with the ledger, so
 // encode it before the next command.
 func (l *Ledger) Snapshot() *wire.LedgerSnapshot {
 	snapshot := &wire.LedgerSnapshot{}
@@ -100,74 +102,74 @@
 
 func (t *trainer) record() *wire.TrainerRecord {
 	record := &wire.TrainerRecord{
-		Name: t.name, Fence: t.fence, AcknowledgedCursor: t.acknowledged, SealedCursor: t.sealed,
-		SealedStep: t.sealedStep, SealedIds: slices.Clone(t.sealedIDs), DeliveredSamples: t.delivered,
-		DiscardedTokens: t.discarded, Closed: t.closed, ForgottenStep: t.forgotten, Fetch: t.fetch,
+		Name: t.name, Fence: t.highestFence, AcknowledgedCursor: t.acknowledgedCursor, SealedCursor: t.sealedCursor,
+		SealedStep: t.sealedStep, SealedIds: slices.Clone(t.sealedIDs), DeliveredSamples: t.deliveredSamples,
+		DiscardedTokens: t.discardedTokens, Closed: t.closedSteps, ForgottenStep: t.highestForgotten, Fetch: t.fetch,
 		FetchFence: t.fetchFence,
 	}
 	for _, number := range t.stepNumbers() {
 		opened := t.steps[number]
-		kept := &wire.StepRecord{Open: opened.open}
+		stepRecord := &wire.StepRecord{Open: opened.open}
 		for position := range opened.slots {
 			held := &opened.slots[position]
-			kept.Slots = append(kept.Slots, &wire.SlotRecord{
+			stepRecord.Slots = append(stepRecord.Slots, &wire.SlotRecord{
 				Edition: held.edition, Delivered: held.delivered, Sample: held.sample,
 			})
 		}
-		record.Steps = append(record.Steps, kept)
+		record.Steps = append(record.Steps, stepRecord)
 	}
 	return record
 }
 
-// Restore replaces the state with a snapshot's. On an error the ledger is unchanged. The ledger keeps the
-// snapshot's messages.
+// Restore replaces the state with that of a snapshot, and retains the snapshot's messages. It fails, without changing the
+// ledger, if a trainer's name or one of its steps is invalid.
 func (l *Ledger) Restore(snapshot *wire.LedgerSnapshot) error {
 	restored := NewUnsafe(l.unsafe)
 	for _, record := range snapshot.GetTrainers() {
-		known, err := restoreTrainer(record)
+		t, err := restoreTrainer(record)
 		if err != nil {
 			return trace.Wrap(err, "trainer %q in a snapshot", record.GetName())
 		}
-		restored.trainers[known.name] = known
+		restored.trainers[t.name] = t
 	}
 	*l = *restored
 	return nil
 }
 
 func restoreTrainer(record *wire.TrainerRecord) (*trainer, error) {
-	if err := checkTrainer(record.GetName()); err != nil {
+	if err := checkTrainerName(record.GetName()); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	known := newTrainer(record.GetName())
-	known.fetch, known.fetchFence = record.GetFetch(), record.GetFetchFence()
-	known.fence, known.acknowledged, known.sealed = record.GetFence(), record.GetAcknowledgedCursor(), record.GetSealedCursor()
-	known.sealedStep, known.sealedIDs = record.GetSealedStep(), record.GetSealedIds()
-	known.delivered, known.discarded = record.GetDeliveredSamples(), record.GetDiscardedTokens()
-	known.closed, known.forgotten = record.GetClosed(), record.GetForgottenStep()
-	for _, kept := range record.GetSteps() {
-		opened, err := restoreStep(known.name, kept)
+	t := newTrainer(record.GetName())
+	t.fetch, t.fetchFence = record.GetFetch(), record.GetFetchFence()
+	t.highestFence, t.acknowledgedCursor, t.sealedCursor = record.GetFence(), record.GetAcknowledgedCursor(), record.GetSealedCursor()
+	t.sealedStep, t.sealedIDs = record.GetSealedStep(), record.GetSealedIds()
+	t.deliveredSamples, t.discardedTokens = record.GetDeliveredSamples(), record.GetDiscardedTokens()
+	t.closedSteps, t.highestForgotten = record.GetClosed(), record.GetForgottenStep()
+	for _, stepRecord := range record.GetSteps() {
+		opened, err := restoreStep(t.name, stepRecord)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		known.steps[opened.open.GetStep()] = opened
+		t.steps[opened.open.GetStep()] = opened
 	}
-	return known, nil
+	return t, nil
 }
 
-func restoreStep(trainerName string, kept *wire.StepRecord) (*step, error) {
-	if err := checkOpen(kept.GetOpen()); err != nil {
+func restoreStep(trainerName string, record *wire.StepRecord) (*step, error) {
+	if err := checkStepOpen(record.GetOpen()); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	opened := newStep(kept.GetOpen())
-	if kept.GetOpen().GetTrainer() != trainerName || len(kept.GetSlots()) != len(opened.slots) {
-		return nil, trace.BadParameter("step %d does not fit its trainer or slots", kept.GetOpen().GetStep())
+	opened := newStep(record.GetOpen())
+	if record.GetOpen().GetTrainer() != trainerName || len(record.GetSlots()) != len(opened.slots) {
+		return nil, trace.BadParameter("step %d does not fit its trainer or slots", record.GetOpen().GetStep())
 	}
-	for position, message := range kept.GetSlots() {
+	for position, message := range record.GetSlots() {
 		opened.slots[position] = slot{
 			edition: message.GetEdition(), delivered: message.GetDelivered(), sample: message.GetSample(),
 		}
 		if message.GetDelivered() {
-			opened.remaining--
+			opened.undelivered--
 		}
 	}
 	return opened, nil
