--- a/internal/configure/configuration.go
+++ b/internal/configure/configuration.go
@@ -1,8 +1,10 @@
-// Package configure brings a site's configuration into the operators' table as one change: a row for each
-// route and pool, the listener's limits, and a document row with the text itself, so that it reads back
-// exactly. Revisions rise; the highest prevails, whoever sends it and in whatever order.
+// Package configure writes a site's configuration to the operators' table as one change. It sets a row for each route,
+// pool and tenant, a row with the listener's limits, and a document row with the configuration's text, so that the text
+// can be read back exactly. Of several configurations, that with the highest revision prevails, whatever their senders
+// and order.
 //
-// Check and Plan are pure. Importer is the runtime over a client of the control nodes.
+// Check, Plan and Supplement have no side effects. Importer applies their results through a client of the control
+// nodes.
 package configure
 
 import (
@@ -19,50 +21,52 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// The rows that a configuration owns; those of pools have the pools' own names.
+// Names and name prefixes of the rows that a configuration owns. A pool's row has the pool's name, see RowName.
 const (
 	DocumentRow  = "document.configuration"
 	ListenerRow  = "listener.gateways"
 	routePrefix  = "route."
 	tenantPrefix = "tenant."
-	namePrefix   = "named."
+	namePrefix   = "named." // of the digest of a name that cannot be a row's name
 )
 
-// Configuration is a site's whole configuration.
+// Configuration is the complete configuration of a site.
 type Configuration struct {
 	Revision uint64 // above 0
-	Text     string // as the operator sent it
+	Text     string // verbatim, as the operator sent it
 	Pools    []Pool
-	Routes   []route.Route // names are unique among routes, and need not be row names
+	Routes   []route.Route // names may repeat, and need not be valid as row names
 	Listener Listener
-	// KeysRequired says that requests need the key of a tenant.
+	// KeysRequired is set if requests need the key of a tenant.
 	KeysRequired bool
 	Tenants      []Tenant
-	// Level is the level in force. Columns that it does not include are neither written nor cleared: older builds don't know them.
+	// Level is the level in force. Columns of higher levels are neither written nor cleared, because older builds do not
+	// know them.
 	Level compat.Level
 }
 
-// Pool is a service of the site.
+// Pool is a pool of back ends that run one service of the site.
 type Pool struct {
 	Name           string
 	Service        table.Service
-	MaxInFlight    uint64 // requests at one back end; 0: not said
-	MaxConnections uint64 // at one back end; 0: not said
-	HealthPath     string // empty: none
-	KVCapacity     uint64 // tokens; 0: unknown
+	MaxInFlight    uint64 // concurrent requests at one back end; 0 for the table's default
+	MaxConnections uint64 // at one back end; 0 for the table's default
+	HealthPath     string // empty if there is no health check
+	KVCapacity     uint64 // tokens; 0 if unknown
 	Models         []string
-	SharedSlots    bool // the gateways divide its slots by demand
+	SharedSlots    bool // the gateways divide its slots among themselves by demand
 }
 
-// Listener is what a client may send; zero fields stand for the table's defaults.
+// Listener holds the limits on what a client may send. Zero fields stand for the table's defaults.
 type Listener struct {
-	MaxHeader     uint64 // bytes
-	MaxBody       uint64 // bytes
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeader     uint64        // bytes
+	MaxBody       uint64        // bytes
+	HeaderTimeout time.Duration // to send a request's head
+	IdleTimeout   time.Duration // between two requests of a connection
 }
 
-// RowName returns a name as the table takes it: itself if it can be a row's name, else one made of its digest.
+// RowName returns the name of the row for a name. It is the name itself if it is valid as a row's name, and a name with
+// its digest otherwise.
 func RowName(name string) string { return rowName("", name) }
 
 func rowName(prefix, name string) string {
@@ -73,7 +77,7 @@
 	return fmt.Sprintf("%s%s%016x", prefix, namePrefix, xxhash.Sum64String(name))
 }
 
-// Check returns why a configuration can't be taken, whatever the table holds; nil if it can.
+// Check returns an error if a configuration is invalid regardless of the content of the table.
 func Check(c *Configuration) error {
 	if c.Revision == 0 || c.Revision > table.MaximumSequence {
 		return trace.BadParameter("revision %d is outside 1 to %d", c.Revision, uint64(table.MaximumSequence))
@@ -85,25 +89,26 @@
 		}
 		known[pool.Name] = true
 	}
-	type place struct{ host, prefix string }
-	taken := make(map[place]string, len(c.Routes))
+	type routeKey struct{ host, prefix string }
+	taken := make(map[routeKey]string, len(c.Routes))
 	for position := range c.Routes {
-		one := &c.Routes[position]
-		if err := checkRoute(one, known); err != nil {
-			return trace.Wrap(err, "route %q", one.Name)
+		r := &c.Routes[position]
+		if err := checkRoute(r, known); err != nil {
+			return trace.Wrap(err, "route %q", r.Name)
 		}
-		at := place{strings.ToLower(one.Host), one.PathPrefix}
-		if other, twice := taken[at]; twice {
-			return trace.BadParameter("routes %q and %q have the same host and path prefix", other, one.Name)
+		key := routeKey{strings.ToLower(r.Host), r.PathPrefix}
+		if other, duplicate := taken[key]; duplicate {
+			return trace.BadParameter("routes %q and %q have the same host and path prefix", other, r.Name)
 		}
-		taken[at] = one.Name
+		taken[key] = r.Name
 	}
 	return checkTenants(c.Tenants)
 }
 
-func checkRoute(one *route.Route, known map[string]bool) error {
+// checkRoute checks one route, given the names of the configuration's pools.
+func checkRoute(r *route.Route, known map[string]bool) error {
 	total := uint64(0)
-	for _, share := range one.Pools {
+	for _, share := range r.Pools {
 		if !known[share.Pool] {
 			return trace.BadParameter("pool %q is not known", share.Pool)
 		}
@@ -112,71 +117,73 @@
 	switch {
 	case total == 0:
 		return trace.BadParameter("the weights sum to 0")
-	case one.Timeout <= 0:
+	case r.Timeout <= 0:
 		return trace.BadParameter("the timeout is 0")
-	case one.Host == "":
+	case r.Host == "":
 		return trace.BadParameter("the host is missing")
-	case !strings.HasPrefix(one.PathPrefix, "/") || !strings.HasSuffix(one.PathPrefix, "/"):
-		return trace.BadParameter("path prefix %q does not start and end with a slash", one.PathPrefix)
+	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
+		return trace.BadParameter("path prefix %q does not start and end with a slash", r.PathPrefix)
 	}
 	return nil
 }
 
-// cells are a row's cells by column; empty text clears a cell.
+// cells holds the values of a row's cells by column. An empty value clears a cell.
 type cells map[string]string
 
-// rows returns every row that the configuration owns, with every column that it sets.
+// rows returns all rows that the configuration owns by name, with the columns that it sets or clears.
 func (c *Configuration) rows() map[string]cells {
 	rows := map[string]cells{
 		DocumentRow: {table.ColumnKind: string(table.Document),
-			table.ColumnRevision: decimal(c.Revision), table.ColumnText: c.Text},
+			table.ColumnRevision: formatNumber(c.Revision), table.ColumnText: c.Text},
 		ListenerRow: {table.ColumnKind: string(table.Listener),
-			table.ColumnMaxHeader: optional(c.Listener.MaxHeader), table.ColumnMaxBody: optional(c.Listener.MaxBody),
-			table.ColumnHeaderTimeout: duration(c.Listener.HeaderTimeout), table.ColumnIdleTimeout: duration(c.Listener.IdleTimeout),
-			table.ColumnKeysRequired: flag(c.KeysRequired)},
+			table.ColumnMaxHeader: formatOptional(c.Listener.MaxHeader), table.ColumnMaxBody: formatOptional(c.Listener.MaxBody),
+			table.ColumnHeaderTimeout: formatDuration(c.Listener.HeaderTimeout), table.ColumnIdleTimeout: formatDuration(c.Listener.IdleTimeout),
+			table.ColumnKeysRequired: formatFlag(c.KeysRequired)},
 	}
 	for position := range c.Pools {
 		pool := &c.Pools[position]
 		row := cells{table.ColumnKind: string(table.Pool),
-			table.ColumnService: string(pool.Service), table.ColumnMaxInFlight: optional(pool.MaxInFlight),
-			table.ColumnMaxConnections: optional(pool.MaxConnections), table.ColumnHealthPath: pool.HealthPath,
-			table.ColumnKVCapacity: optional(pool.KVCapacity), table.ColumnModels: list(pool.Models)}
+			table.ColumnService: string(pool.Service), table.ColumnMaxInFlight: formatOptional(pool.MaxInFlight),
+			table.ColumnMaxConnections: formatOptional(pool.MaxConnections), table.ColumnHealthPath: pool.HealthPath,
+			table.ColumnKVCapacity: formatOptional(pool.KVCapacity), table.ColumnModels: formatNames(pool.Models)}
 		if c.Level.Includes(compat.Shares) {
-			row[table.ColumnSharedSlots] = flag(pool.SharedSlots)
+			row[table.ColumnSharedSlots] = formatFlag(pool.SharedSlots)
 		}
 		rows[RowName(pool.Name)] = row
 	}
 	for position := range c.Routes {
-		one := &c.Routes[position]
-		name := rowName(routePrefix, one.Name)
-		if _, taken := rows[name]; taken || one.Name == "" {
-			name = rowName(routePrefix, strings.ToLower(one.Host)+" "+one.PathPrefix)
+		r := &c.Routes[position]
+		name := rowName(routePrefix, r.Name)
+		if _, taken := rows[name]; taken || r.Name == "" {
+			name = rowName(routePrefix, strings.ToLower(r.Host)+" "+r.PathPrefix)
 		}
-		rows[name] = routeCells(one)
+		rows[name] = routeCells(r)
 	}
 	for position := range c.Tenants {
-		one := &c.Tenants[position]
-		row := one.cells()
+		tenant := &c.Tenants[position]
+		row := tenant.cells()
 		if c.Level.Includes(compat.Shares) {
-			row[table.ColumnRate] = optional(uint64(one.Rate))
+			row[table.ColumnRate] = formatOptional(uint64(tenant.Rate))
 		}
-		rows[rowName(tenantPrefix, one.Name)] = row
+		rows[rowName(tenantPrefix, tenant.Name)] = row
 	}
 	return rows
 }
 
-func routeCells(one *route.Route) cells {
+// routeCells returns the cells of a route's row.
+func routeCells(r *route.Route) cells {
 	return cells{table.ColumnKind: string(table.Route),
-		table.ColumnHost: one.Host, table.ColumnPathPrefix: one.PathPrefix, table.ColumnPools: shares(one.Pools),
-		table.ColumnRouteKind: string(one.Kind), table.ColumnTimeout: duration(one.Timeout),
-		table.ColumnTargetLatency: duration(one.TargetLatency), table.ColumnPriority: decimal(uint64(one.Priority)),
-		table.ColumnMaxAttempts: optional(uint64(one.MaxAttempts)), table.ColumnDeadline: duration(one.Deadline),
-		table.ColumnQueueTTL: duration(one.QueueTTL), table.ColumnSingleVersion: flag(one.SingleVersion),
-		table.ColumnSticky: flag(one.Sticky), table.ColumnResumable: flag(one.Resumable), table.ColumnAnonymous: flag(one.Anonymous)}
+		table.ColumnHost: r.Host, table.ColumnPathPrefix: r.PathPrefix, table.ColumnPools: formatShares(r.Pools),
+		table.ColumnRouteKind: string(r.Kind), table.ColumnTimeout: formatDuration(r.Timeout),
+		table.ColumnTargetLatency: formatDuration(r.TargetLatency), table.ColumnPriority: formatNumber(uint64(r.Priority)),
+		table.ColumnMaxAttempts: formatOptional(uint64(r.MaxAttempts)), table.ColumnDeadline: formatDuration(r.Deadline),
+		table.ColumnQueueTTL: formatDuration(r.QueueTTL), table.ColumnSingleVersion: formatFlag(r.SingleVersion),
+		table.ColumnSticky: formatFlag(r.Sticky), table.ColumnResumable: formatFlag(r.Resumable), table.ColumnAnonymous: formatFlag(r.Anonymous)}
 }
 
-// shares joins the parts of one pool, so that no pool stands twice.
-func shares(parts []route.Share) string {
+// formatShares formats the pools of a route as a cell. It sums the weights of repeated pools, because a pool may be
+// listed only once.
+func formatShares(parts []route.Share) string {
 	weights, order := map[string]uint64{}, []string{}
 	for _, part := range parts {
 		if _, known := weights[part.Pool]; !known {
@@ -186,12 +193,13 @@
 	}
 	texts := make([]string, 0, len(order))
 	for _, pool := range order {
-		texts = append(texts, RowName(pool)+":"+decimal(weights[pool]))
+		texts = append(texts, RowName(pool)+":"+formatNumber(weights[pool]))
 	}
 	return strings.Join(texts, ",")
 }
 
-func list(names []string) string {
+// formatNames formats names as the cell of a list.
+func formatNames(names []string) string {
 	texts := make([]string, 0, len(names))
 	for _, name := range names {
 		texts = append(texts, RowName(name))
@@ -199,22 +207,23 @@
 	return strings.Join(texts, ",")
 }
 
-func decimal(value uint64) string { return strconv.FormatUint(value, 10) }
+func formatNumber(value uint64) string { return strconv.FormatUint(value, 10) }
 
-// optional leaves the default in place of 0.
-func optional(value uint64) string {
+// formatOptional formats a number as a cell; 0 clears the cell, so that the default applies.
+func formatOptional(value uint64) string {
 	if value == 0 {
 		return ""
 	}
-	return decimal(value)
+	return formatNumber(value)
 }
 
-// duration rounds up to whole milliseconds; 0 leaves the default.
-func duration(value time.Duration) string {
-	return optional(uint64((value + time.Millisecond - 1) / time.Millisecond))
+// formatDuration formats a duration as a cell, rounded up to whole milliseconds; 0 clears the cell.
+func formatDuration(value time.Duration) string {
+	return formatOptional(uint64((value + time.Millisecond - 1) / time.Millisecond))
 }
 
-func flag(value bool) string {
+// formatFlag formats a boolean as a cell; false clears the cell, so that the default applies.
+func formatFlag(value bool) string {
 	if value {
 		return "true"
 	}
--- a/internal/configure/configure_test.go
+++ b/internal/configure/configure_test.go
@@ -15,12 +15,12 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// fakeControl is a table without consensus. before runs ahead of each change, as another operator would.
+// fakeControl is a Control with a table and without consensus.
 type fakeControl struct {
 	table   *table.Table
-	before  func()
-	fetched int   // rows that reads returned
-	lost    error // of every change: its fate is not known
+	before  func() // run once before the next change, to simulate another operator
+	fetched int    // number of rows that reads returned
+	lost    error  // if set, the error of every change, whose outcome is then unknown
 }
 
 func (f *fakeControl) Query(_ context.Context, _ uint32, query *wire.Query) (*wire.View, error) {
@@ -64,18 +64,18 @@
 	one, other := routes.Match("h", "/a/x"), routes.Match("h", "/b/")
 	if one == nil || other == nil || len(one.Pools) != 2 || one.Pools[0] != (route.Share{Pool: "a", Weight: 10}) || one.QueueTTL != 40*time.Second ||
 		one.Deadline != 7500*time.Millisecond || !one.Sticky || one.MaxAttempts != 3 || other.Timeout != time.Millisecond || other.Kind != table.Repeatable {
-		t.Fatalf("%+v %+v", one, other)
+		t.Fatalf("routes %+v and %+v differ from the configuration", one, other)
 	}
 	if pool := view.Pool("a"); pool.MaxInFlight != 12 || pool.MaxConnections != 1024 || pool.HealthPath != "/healthz" || len(pool.Models) != 2 {
-		t.Fatalf("%+v", pool)
+		t.Fatalf("pool %+v differs from the configuration", pool)
 	}
 	if view.Pool(RowName("odd name/ü")) == nil || view.Row(ListenerRow).MaxHeader != 16384 {
-		t.Fatal("a pool or the listener is missing")
+		t.Fatal("the pool whose name is not a row name, or the listener's default, is missing")
 	}
 }
 
-func TestWhatIsInvalidChangesNothing(t *testing.T) {
-	for name, spoil := range map[string]func(*Configuration){
+func TestInvalidConfigurationChangesNothing(t *testing.T) {
+	for name, breakConfiguration := range map[string]func(*Configuration){
 		"revision":  func(c *Configuration) { c.Revision = 0 },
 		"pool":      func(c *Configuration) { c.Routes[0].Pools[0].Pool = "unknown" },
 		"no pool":   func(c *Configuration) { c.Routes[0].Pools = nil },
@@ -88,16 +88,17 @@
 	} {
 		control := &fakeControl{table: table.New()}
 		importer := &Importer{Control: control}
-		spoiled := example(1)
-		spoil(spoiled)
-		if err := importer.Put(t.Context(), spoiled); !trace.IsBadParameter(err) || control.table.Version() != 0 {
-			t.Errorf("%s: %v, table version %d", name, err, control.table.Version())
+		broken := example(1)
+		breakConfiguration(broken)
+		if err := importer.Put(t.Context(), broken); !trace.IsBadParameter(err) || control.table.Version() != 0 {
+			t.Errorf("%s: got error %v and table version %d, want BadParameter and 0", name, err, control.table.Version())
 		}
 	}
 }
 
-// TestHighestRevisionPrevails sends revisions in any order, at times with another operator's change in between,
-// which makes the change at hand conflict.
+// TestHighestRevisionPrevails guards against an older configuration that overwrites a newer one. It writes revisions in
+// random order, sometimes with another operator's write between planning and applying a change, which makes the change
+// conflict.
 func TestHighestRevisionPrevails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		control := &fakeControl{table: table.New()}
@@ -110,15 +111,15 @@
 			if err := importer.Put(context.Background(), c); err != nil {
 				t.Fatal(err)
 			}
-			if c.Revision > want.Revision { // a race within Put has ended before it
+			if c.Revision > want.Revision { // a concurrent write within Put has completed before
 				want = c
 			}
 			if revision, text, _ := importer.Get(context.Background()); revision != want.Revision || text != want.Text {
-				t.Fatalf("revision %d with %q, not %d with %q", revision, text, want.Revision, want.Text)
+				t.Fatalf("got revision %d with %q, want %d with %q", revision, text, want.Revision, want.Text)
 			}
 			view, _ := ReadView(context.Background(), control, nil)
 			if len(route.FromView(view)) != len(want.Routes) {
-				t.Fatalf("%d routes, not %d", len(route.FromView(view)), len(want.Routes))
+				t.Fatalf("got %d routes, want %d", len(route.FromView(view)), len(want.Routes))
 			}
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
@@ -130,9 +131,10 @@
 	})
 }
 
-// TestReadsFetchWhatIsNewer: a process that follows the table reads and changes the configuration without fetching the rows
-// that it holds, however many back ends there are; what it sees is what a read of everything shows.
-func TestReadsFetchWhatIsNewer(t *testing.T) {
+// TestReadsFetchOnlyNewerRows guards against reads whose cost grows with the number of back ends. A process that
+// follows the table must read and change the configuration without fetching rows that it has, and see the same as a
+// read of the whole table.
+func TestReadsFetchOnlyNewerRows(t *testing.T) {
 	control := &fakeControl{table: table.New()}
 	other := &Importer{Control: control, Operator: "other"}
 	if err := other.Put(t.Context(), example(1)); err != nil {
@@ -159,32 +161,32 @@
 	control.fetched = 0
 	importer := &Importer{Control: control, Operator: "test", View: func() *table.View { return followed }}
 	if revision, text, err := importer.Get(t.Context()); err != nil || revision != 2 || text != example(2).Text {
-		t.Fatalf("read revision %d, %v", revision, err)
+		t.Fatalf("got revision %d (error %v), want 2 with its text", revision, err)
 	}
 	if err = importer.Put(t.Context(), example(3)); err != nil {
 		t.Fatal(err)
 	}
 	if control.fetched == 0 || control.fetched > 20 {
-		t.Fatalf("a read and a change fetched %d rows", control.fetched)
+		t.Fatalf("a read and a change fetched %d rows, want 1 to 20", control.fetched)
 	}
 	if revision, _, err := other.Get(t.Context()); err != nil || revision != 3 {
-		t.Fatalf("the change left revision %d, %v", revision, err)
+		t.Fatalf("revision %d (error %v) after the change, want 3", revision, err)
 	}
 }
 
-// TestPutWhoseFateIsNotKnownIsNoSuccess: a change that got no answer is not acknowledged, nor called invalid; the same
-// configuration, sent again, is taken.
-func TestPutWhoseFateIsNotKnownIsNoSuccess(t *testing.T) {
+// TestPutWithoutAnswerIsNoSuccess checks that Put returns an error, and not one for an invalid configuration, if the
+// change gets no answer. The same configuration must be accepted when it is sent again.
+func TestPutWithoutAnswerIsNoSuccess(t *testing.T) {
 	control := &fakeControl{table: table.New(), lost: trace.ConnectionProblem(nil, "no answer")}
 	importer := &Importer{Control: control, Operator: "test"}
 	if err := importer.Put(t.Context(), example(3)); err == nil || trace.IsBadParameter(err) {
-		t.Fatalf("a change without an answer ended with %v", err)
+		t.Fatalf("change without an answer: got error %v, want one that is not BadParameter", err)
 	}
 	control.lost = nil
 	if err := importer.Put(t.Context(), example(3)); err != nil {
 		t.Fatal(err)
 	}
 	if revision, _, err := importer.Get(t.Context()); err != nil || revision != 3 {
-		t.Fatalf("revision %d, %v", revision, err)
+		t.Fatalf("got revision %d (error %v), want 3", revision, err)
 	}
 }
--- a/internal/configure/importer.go
+++ b/internal/configure/importer.go
@@ -13,18 +13,18 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Control is what this package needs of a client of the control nodes.
+// Control is the part of a client of the control nodes that this package uses.
 type Control interface {
 	Query(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
 	ChangeTable(ctx context.Context, change *wire.TableChange, wait bool) (*wire.TableResult, uint64, error)
 }
 
-// Importer puts configurations into the table.
+// Importer reads configurations from the table and writes them to it.
 type Importer struct {
 	Control  Control
-	Operator string // named in the table's history
-	// View is the table as this process follows it, which may lag; reads then fetch only what is newer. Nil, or one that
-	// returns nil: reads fetch the whole table.
+	Operator string // recorded in the table's history
+	// View returns the process's own view of the table, which may lag. Reads then fetch only newer rows. If View is nil or
+	// returns nil, reads fetch the whole table.
 	View func() *table.View
 }
 
@@ -36,9 +36,9 @@
 	return ReadView(ctx, i.Control, followed)
 }
 
-// Put makes a configuration the table's unless that holds its revision or a higher one, which is no error.
-// Errors: trace.BadParameter for a configuration that can't be taken, nothing changed; any other error says
-// that its fate is not known, and the same call again settles it.
+// Put writes a configuration to the table. It does nothing if the table already has the same or a higher revision. It
+// returns trace.BadParameter if the configuration is invalid, in which case nothing has changed. After any other error
+// it is not known whether the configuration was written, and the call should be repeated.
 func (i *Importer) Put(ctx context.Context, c *Configuration) error {
 	if err := Check(c); err != nil {
 		return err
@@ -46,12 +46,13 @@
 	return i.change(ctx, c, Plan)
 }
 
-// Supplement adds to the table what it lacks of the very configuration that it holds, see the function Supplement.
+// Supplement adds cells of the table's current configuration that the table lacks, as described at the function
+// Supplement.
 func (i *Importer) Supplement(ctx context.Context, c *Configuration) error {
 	return i.change(ctx, c, Supplement)
 }
 
-// change makes the change that plan finds, which may be none.
+// change applies the change that plan returns, if any. After a conflict it reads the table and plans again.
 func (i *Importer) change(ctx context.Context, c *Configuration, plan func(*table.View, *Configuration) (*wire.TableChange, error)) error {
 	for {
 		view, err := i.read(ctx)
@@ -71,13 +72,13 @@
 		case wire.TableOutcome_TABLE_OUTCOME_ACCEPTED:
 			return nil
 		case wire.TableOutcome_TABLE_OUTCOME_CONFLICT:
-			continue // another change was faster: judge against what it left
+			continue // another change was applied first; plan again on the new table
 		}
-		return trace.BadParameter("%s", reasons(result))
+		return trace.BadParameter("%s", formatRefusals(result))
 	}
 }
 
-// Get returns the newest configuration by a linearizable read; revision 0 if there is none yet.
+// Get returns the current configuration by a linearizable read. The revision is 0 if there is none yet.
 func (i *Importer) Get(ctx context.Context) (revision uint64, text string, err error) {
 	view, err := i.read(ctx)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return revision, text, nil
 }
 
-// ReadView returns the current table by a linearizable read. followed is a view that this process holds already: only
-// what is newer is fetched, which matters where the table lists thousands of back ends; nil fetches everything.
+// ReadView returns the current table by a linearizable read. followed is a view that the process already has, or nil.
+// Only rows newer than followed are fetched, which matters if the table lists thousands of back ends.
 func ReadView(ctx context.Context, control Control, followed *table.View) (*table.View, error) {
 	if followed == nil {
 		followed = table.NewView()
@@ -104,7 +105,8 @@
 	return followed.Apply(answer.GetTable())
 }
 
-func reasons(result *wire.TableResult) string {
+// formatRefusals joins the reasons of a result's refusals.
+func formatRefusals(result *wire.TableResult) string {
 	texts := make([]string, 0, len(result.GetRefusals()))
 	for _, refusal := range result.GetRefusals() {
 		texts = append(texts, refusal.GetRow()+" "+refusal.GetColumn()+": "+refusal.GetReason())
--- a/internal/configure/level_test.go
+++ b/internal/configure/level_test.go
@@ -9,14 +9,15 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// pressed is an example that uses the columns of level compat.Shares.
-func pressed(revision uint64, level compat.Level) *Configuration {
-	made := withTenants(revision, Tenant{Name: "One", Rate: 5}, Tenant{Name: "Two", Rate: 7})
-	made.Pools[0].SharedSlots, made.Level = true, level
-	return made
+// withShares returns an example that uses the columns of level compat.Shares.
+func withShares(revision uint64, level compat.Level) *Configuration {
+	c := withTenants(revision, Tenant{Name: "One", Rate: 5}, Tenant{Name: "Two", Rate: 7})
+	c.Pools[0].SharedSlots, c.Level = true, level
+	return c
 }
 
-func heldRow(t *testing.T, control *fakeControl, name string) *table.Row {
+// readRow returns a row by a read of the whole table, and fails the test if there is none.
+func readRow(t *testing.T, control *fakeControl, name string) *table.Row {
 	t.Helper()
 	view, err := ReadView(t.Context(), control, nil)
 	if err != nil {
@@ -24,22 +25,23 @@
 	}
 	row := view.Row(name)
 	if row == nil {
-		t.Fatal("no row", name)
+		t.Fatal("missing row", name)
 	}
 	return row
 }
 
-// TestColumnsOfALevelWaitForIt: below it they are neither written nor cleared; once it is in force the configuration that the table holds
-// is completed, and what an operator set meanwhile stays.
-func TestColumnsOfALevelWaitForIt(t *testing.T) {
+// TestColumnsAreSupplementedOnceTheirLevelIsInForce guards against changes that older builds refuse. Below their level,
+// columns must be neither written nor cleared. Once the level is in force, Supplement must add the missing cells of the
+// table's configuration, but not change cells that an operator has set since, and not write another configuration.
+func TestColumnsAreSupplementedOnceTheirLevelIsInForce(t *testing.T) {
 	control := &fakeControl{table: table.New()}
 	importer := &Importer{Control: control, Operator: "test"}
-	if err := importer.Put(t.Context(), pressed(1, compat.Base)); err != nil {
+	if err := importer.Put(t.Context(), withShares(1, compat.Base)); err != nil {
 		t.Fatal(err)
 	}
 	for _, cell := range control.table.Update(0).GetRows() {
 		if text := cell.String(); strings.Contains(text, table.ColumnSharedSlots) || strings.Contains(text, table.ColumnRate) {
-			t.Fatal("written below the level:", text)
+			t.Fatal("a column was written below its level:", text)
 		}
 	}
 	set := &wire.TableChange{ChangeId: "set", Operator: "somebody", BaseVersion: control.table.Version(),
@@ -48,25 +50,25 @@
 		t.Fatal(result)
 	}
 	for range 2 {
-		if err := importer.Supplement(t.Context(), pressed(1, compat.Shares)); err != nil {
+		if err := importer.Supplement(t.Context(), withShares(1, compat.Shares)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if control.table.Version() != 3 {
-		t.Errorf("version %d after the second supplement", control.table.Version())
+		t.Errorf("table version %d after the second Supplement, want 3", control.table.Version())
 	}
-	if !heldRow(t, control, "a").SharedSlots || heldRow(t, control, tenantPrefix+"One").Rate != 5 || heldRow(t, control, tenantPrefix+"Two").Rate != 9 {
-		t.Error("not completed, or an operator's cell was altered")
+	if !readRow(t, control, "a").SharedSlots || readRow(t, control, tenantPrefix+"One").Rate != 5 || readRow(t, control, tenantPrefix+"Two").Rate != 9 {
+		t.Error("a cell is missing after Supplement, or an operator's cell was changed")
 	}
-	if err := importer.Supplement(t.Context(), pressed(2, compat.Shares)); err != nil || control.table.Version() != 3 {
-		t.Error("a configuration that the table does not hold was written", err)
+	if err := importer.Supplement(t.Context(), withShares(2, compat.Shares)); err != nil || control.table.Version() != 3 {
+		t.Error("Supplement wrote a configuration that is not the table's, or failed", err)
 	}
 	plain := withTenants(2, Tenant{Name: "One"}, Tenant{Name: "Two"})
 	plain.Level = compat.Shares
 	if err := importer.Put(t.Context(), plain); err != nil {
 		t.Fatal(err)
 	}
-	if heldRow(t, control, "a").SharedSlots || heldRow(t, control, tenantPrefix+"Two").Rate != 0 {
-		t.Error("a later configuration does not take them back")
+	if readRow(t, control, "a").SharedSlots || readRow(t, control, tenantPrefix+"Two").Rate != 0 {
+		t.Error("a later configuration without the settings did not clear their cells")
 	}
 }
--- a/internal/configure/plan.go
+++ b/internal/configure/plan.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Held returns the revision and text of the configuration that a view shows; revision 0 if there is none.
+// Held returns the revision and text of the configuration in a view. The revision is 0 if there is none.
 func Held(view *table.View) (uint64, string) {
 	row := view.Row(DocumentRow)
 	if row == nil || row.Kind != table.Document {
@@ -19,11 +19,11 @@
 	return row.Revision, row.Text
 }
 
-// Plan returns the change that makes the configuration the view's, without id, operator and note; nil when
-// the view has its revision or a higher one. Routes and tenants that it does not name go; pools stay, because registered
-// back ends may still belong to them.
+// Plan returns the change that writes the configuration to the table of the view, without id, operator and note. It
+// returns nil if the view has the same or a higher revision. Routes and tenants that the configuration does not name
+// are removed. Pools are not, because registered back ends may still belong to them.
 func Plan(view *table.View, c *Configuration) (*wire.TableChange, error) {
-	if held, _ := Held(view); held >= c.Revision {
+	if revision, _ := Held(view); revision >= c.Revision {
 		return nil, nil
 	}
 	if err := Check(c); err != nil {
@@ -40,32 +40,33 @@
 	}
 	for _, row := range view.Rows() {
 		_, stays := desired[row.Name]
-		if !stays && ownsRow(row) {
+		if !stays && isOwnedRow(row) {
 			change.RemoveRows = append(change.RemoveRows, row.Name)
 		}
 	}
 	return change, nil
 }
 
-// Supplement returns the change that adds what the view lacks of the very configuration that it holds, without id, operator and note;
-// nil for nothing. It fills in the columns of a level that came into force after the configuration was put, and alters no cell.
+// Supplement returns the change that adds missing cells of the configuration, without id, operator and note. It returns
+// nil if there are none, or if the view does not have exactly this configuration. It sets columns of a level that came
+// into force after the configuration was written, and never changes a cell that is set.
 func Supplement(view *table.View, c *Configuration) (*wire.TableChange, error) {
-	if held, text := Held(view); held != c.Revision || text != c.Text {
+	if revision, text := Held(view); revision != c.Revision || text != c.Text {
 		return nil, nil
 	}
 	change := &wire.TableChange{BaseVersion: view.Version()}
 	desired := c.rows()
 	for _, name := range sortedKeys(desired) {
-		held := view.Row(name)
-		if held == nil {
+		existing := view.Row(name)
+		if existing == nil {
 			continue
 		}
-		planned, err := planRow(held, name, desired[name])
+		planned, err := planRow(existing, name, desired[name])
 		if err != nil {
 			return nil, err
 		}
 		for _, cell := range planned {
-			if _, set := held.Explicit(cell.Column); !set {
+			if _, set := existing.Explicit(cell.Column); !set {
 				change.Cells = append(change.Cells, cell)
 			}
 		}
@@ -76,14 +77,14 @@
 	return change, nil
 }
 
-// ownsRow tells whether a row came with a configuration and goes with it.
-func ownsRow(row *table.Row) bool {
+// isOwnedRow reports whether a row is added by a configuration and removed by a later one that does not name it.
+func isOwnedRow(row *table.Row) bool {
 	return row.Kind == table.Route && strings.HasPrefix(row.Name, routePrefix) ||
 		row.Kind == table.Tenant && strings.HasPrefix(row.Name, tenantPrefix)
 }
 
-// planRow returns the cells of a row that differ from what is held.
-func planRow(held *table.Row, name string, desired cells) ([]*wire.CellChange, error) {
+// planRow returns the desired cells of a row that differ from the row in the table, which is nil if it does not exist.
+func planRow(existing *table.Row, name string, desired cells) ([]*wire.CellChange, error) {
 	var planned []*wire.CellChange
 	for _, columnName := range sortedKeys(desired) {
 		column, known := table.Lookup(columnName)
@@ -99,10 +100,10 @@
 			value = canonical
 		}
 		current := ""
-		if held != nil {
-			current, _ = held.Explicit(columnName)
+		if existing != nil {
+			current, _ = existing.Explicit(columnName)
 		}
-		if value != current || (held == nil && value != "") {
+		if value != current || (existing == nil && value != "") {
 			planned = append(planned, &wire.CellChange{Row: name, Column: columnName, Value: value})
 		}
 	}
--- a/internal/configure/tenant_test.go
+++ b/internal/configure/tenant_test.go
@@ -10,21 +10,22 @@
 	"github.com/tamarindring/tamarindring/internal/tenant"
 )
 
-// withTenants is an example whose callers need keys.
+// withTenants returns an example with tenants and a listener that requires keys.
 func withTenants(revision uint64, tenants ...Tenant) *Configuration {
-	made := example(revision)
-	made.KeysRequired, made.Tenants = true, tenants
-	return made
+	c := example(revision)
+	c.KeysRequired, c.Tenants = true, tenants
+	return c
 }
 
-// TestTenantsComeMoveAndGo with the configurations that name them; the rows hold no key.
-func TestTenantsComeMoveAndGo(t *testing.T) {
+// TestTenantsFollowTheConfiguration checks that tenants are added, get other keys and are removed as successive
+// configurations name them, and that no row contains a key in clear text.
+func TestTenantsFollowTheConfiguration(t *testing.T) {
 	control := &fakeControl{table: table.New()}
 	importer := &Importer{Control: control, Operator: "test"}
 	rank := uint32(0)
 	for number, step := range []struct {
 		tenants []Tenant
-		want    map[string]string // tenant by key; empty: none
+		want    map[string]string // tenant's name by key; empty if the key must be refused
 	}{
 		{[]Tenant{{Name: "One", Keys: []string{"k1", "k2"}, Priority: &rank}, {Name: "two words", Keys: []string{"k3"}}},
 			map[string]string{"k1": "One", "k2": "One", "k3": "two words", "k4": ""}},
@@ -44,21 +45,21 @@
 		for key, want := range step.want {
 			found, refused := index.Authenticate(key, false)
 			if refused != (want == "") || found != nil && found.Name != want {
-				t.Errorf("step %d, key %s: %+v, refused %v", number, key, found, refused)
+				t.Errorf("step %d, key %s: got tenant %+v, refused %v, want the tenant in the configuration", number, key, found, refused)
 			}
 		}
 		if one := index.Named("One"); one != nil && one.Ranked != (number == 0) {
-			t.Errorf("step %d: %+v", number, one)
+			t.Errorf("step %d: got tenant %+v, want a rank of its own in step 0 only", number, one)
 		}
 		for _, row := range view.Rows() {
 			if row.Kind == table.Tenant && strings.Contains(strings.Join(row.KeyDigests, ","), "k1") {
-				t.Errorf("row %s holds a key", row.Name)
+				t.Errorf("row %s contains a key in clear text", row.Name)
 			}
 		}
 	}
 }
 
-func TestTenantsThatCantBeToldApart(t *testing.T) {
+func TestAmbiguousOrInvalidTenantsAreRefused(t *testing.T) {
 	for name, tenants := range map[string][]Tenant{
 		"no name":           {{Keys: []string{"k"}}},
 		"a name twice":      {{Name: "a", Keys: []string{"k"}}, {Name: "a", Keys: []string{"l"}}},
@@ -72,13 +73,13 @@
 		control := &fakeControl{table: table.New()}
 		err := (&Importer{Control: control}).Put(t.Context(), withTenants(1, tenants...))
 		if !trace.IsBadParameter(err) || control.table.Version() != 0 {
-			t.Errorf("%s: %v, table version %d", name, err, control.table.Version())
+			t.Errorf("%s: got error %v and table version %d, want BadParameter and 0", name, err, control.table.Version())
 		}
 		if name == "a shared key" && !(strings.Contains(err.Error(), `"a"`) && strings.Contains(err.Error(), `"b"`)) {
 			t.Errorf("%s: the error does not name both tenants: %v", name, err)
 		}
 		if err != nil && strings.Contains(err.Error(), "kkkk") {
-			t.Errorf("%s: the error holds a key: %v", name, err)
+			t.Errorf("%s: the error contains a key: %v", name, err)
 		}
 	}
 }
