--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -21,17 +21,17 @@
 	if reason != "" {
 		return refusedResult(t, reason), nil
 	}
-	held := t.findSlot(id)
-	if held == nil || held.delivered {
+	slot := t.findSlot(id)
+	if slot == nil || slot.delivered {
 		return refusedResult(t, ReasonUnknownSlot), nil
 	}
-	if sample.GetEdition() != held.edition && !l.unsafe.IgnoreEditions {
+	if sample.GetEdition() != slot.edition && !l.unsafe.IgnoreEditions {
 		return refusedResult(t, ReasonOtherEdition), nil
 	}
-	if held.sample != nil && !proto.Equal(held.sample, sample) {
+	if slot.sample != nil && !proto.Equal(slot.sample, sample) {
 		return refusedResult(t, ReasonAlreadyStored), nil
 	}
-	held.sample = sample
+	slot.sample = sample
 	return &wire.SampleResult{Accepted: true, Cursor: t.sealedCursor}, nil
 }
 
@@ -56,8 +56,8 @@
 //
 // A batch is sent for a fetch only after a Seal with the fetch's number. A number below the newest one is refused,
 // because the trainer has abandoned that fetch. The newest number is refused from a later owner, because the call was
-// duplicated in transit and the trainer may already have the former owner's reply. A trainer that sends no fetch numbers
-// does not have this protection.
+// duplicated in transit and the trainer may already have the former owner's reply. A trainer that sends no fetch
+// numbers does not have this protection.
 //
 // Seal fails, without changing anything, if the command is malformed.
 func (l *Ledger) Seal(command *wire.BatchSeal) (*wire.SampleResult, error) {
@@ -86,8 +86,8 @@
 		return refusedResult(t, ReasonNotNextCursor), nil
 	}
 	for _, id := range slots {
-		held := t.findSlot(id)
-		if id.Step != command.GetStep() || held == nil || held.delivered || held.sample == nil {
+		slot := t.findSlot(id)
+		if id.Step != command.GetStep() || slot == nil || slot.delivered || slot.sample == nil {
 			return refusedResult(t, ReasonNotStored), nil
 		}
 	}
@@ -139,12 +139,13 @@
 }
 
 // Discard discards samples that are too old. It increments the editions of their slots and removes the samples from the
-// sealed batch, which is no longer sealed once it is empty. Slots whose edition differs from the given one, or that hold
-// no sample if no editions are given, are unchanged. The discarded tokens are counted if at least one slot was discarded.
-// The result lists the remaining samples of the sealed batch.
+// sealed batch, which is no longer sealed once it is empty. Slots whose edition differs from the given one, or that
+// hold no sample if no editions are given, are unchanged. The discarded tokens are counted if at least one slot was
+// discarded. The result lists the remaining samples of the sealed batch.
 //
-// A discard from the sealed batch is refused for an older fetch than the newest one that the batch was sealed for, because
-// the trainer may already have the batch. Discard fails, without changing anything, if the command is malformed.
+// A discard from the sealed batch is refused for an older fetch than the newest one that the batch was sealed for,
+// because the trainer may already have the batch. Discard fails, without changing anything, if the command is
+// malformed.
 func (l *Ledger) Discard(command *wire.BatchDiscard) (*wire.SampleResult, error) {
 	slots, err := parseSlotIDs(command.GetTrainer(), command.GetSampleIds())
 	if err != nil {
@@ -166,12 +167,12 @@
 	}
 	discarded := map[string]bool{}
 	for position, id := range slots {
-		held := t.findSlot(id)
-		if held == nil || held.delivered || !isDiscardTarget(held, editions, position) {
+		slot := t.findSlot(id)
+		if slot == nil || slot.delivered || !isDiscardTarget(slot, editions, position) {
 			continue
 		}
-		held.edition++
-		held.sample = nil
+		slot.edition++
+		slot.sample = nil
 		discarded[id.String()] = true
 	}
 	if len(discarded) > 0 {
@@ -187,11 +188,11 @@
 }
 
 // isDiscardTarget reports whether a discard applies to the current content of the slot.
-func isDiscardTarget(held *slot, editions []uint32, position int) bool {
+func isDiscardTarget(slot *slot, editions []uint32, position int) bool {
 	if len(editions) > 0 {
-		return held.edition == editions[position]
+		return slot.edition == editions[position]
 	}
-	return held.sample != nil
+	return slot.sample != nil
 }
 
 // removeFromSealed removes discarded samples from the sealed batch.
@@ -202,8 +203,9 @@
 	}
 }
 
-// Acknowledge records that the trainer has received the batch at the cursor. The batch's slots become delivered and their
-// texts are freed. A resend changes nothing. Acknowledge fails, without changing anything, if the command is malformed.
+// Acknowledge records that the trainer has received the batch at the cursor. The batch's slots become delivered and
+// their texts are freed. A resend changes nothing. Acknowledge fails, without changing anything, if the command is
+// malformed.
 func (l *Ledger) Acknowledge(command *wire.BatchAcknowledge) (*wire.SampleResult, error) {
 	if err := checkTrainerName(command.GetTrainer()); err != nil {
 		return nil, trace.Wrap(err)
@@ -234,11 +236,11 @@
 	if err != nil {
 		return // sealed ids were parsed before
 	}
-	held := t.findSlot(id)
-	if held == nil || held.delivered {
+	slot := t.findSlot(id)
+	if slot == nil || slot.delivered {
 		return
 	}
-	held.delivered, held.sample = true, nil
+	slot.delivered, slot.sample = true, nil
 	t.deliveredSamples++
 	opened := t.steps[id.Step]
 	opened.undelivered--
--- a/internal/ledger/fetch_test.go
+++ b/internal/ledger/fetch_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestNewestFetchMayEmptyItsBatch checks that a newer fetch may discard the samples of a sealed batch. The trainer fetches
-// again because the reply was lost, and the samples have become too old since.
+// TestNewestFetchMayEmptyItsBatch checks that a newer fetch may discard the samples of a sealed batch. The trainer
+// fetches again because the reply was lost, and the samples have become too old since.
 func TestNewestFetchMayEmptyItsBatch(t *testing.T) {
 	const id = "t/1/p/0"
 	ledger := New()
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger is the replicated record of rollout samples. A step has one slot for each sample of each prompt. A slot
-// is filled by the first finished sample of its current edition, sealed into a batch, and delivered when the trainer
-// acknowledges that batch. Every slot is delivered exactly once. Discarding a sample that is too old increments its slot's
-// edition, so that samples generated for the old edition are refused.
+// Package ledger is the replicated record of rollout samples. A step has one slot for each sample of each prompt. A
+// slot is filled by the first finished sample of its current edition, sealed into a batch, and delivered when the
+// trainer acknowledges that batch. Every slot is delivered exactly once. Discarding a sample that is too old increments
+// its slot's edition, so that samples generated for the old edition are refused.
 //
-// Commands of a coordinator carry its fencing token for the trainer. Commands with a token below the highest one seen are
-// refused. docs/design/samples.md describes the whole protocol with trainers.
+// Commands of a coordinator carry its fencing token for the trainer. Commands with a token below the highest one seen
+// are refused. docs/design/samples.md describes the whole protocol with trainers.
 //
 // The package uses no clock, no goroutine and no I/O. Apply commands in log order from one goroutine.
 package ledger
@@ -27,7 +27,7 @@
 	MaximumOpenSteps   = 64      // of one trainer; steps with undelivered slots
 	MaximumTrainers    = 1000
 	// MaximumClosedSteps bounds the delivered steps of one trainer whose digests are kept, so that a late resend of
-	// their StepOpen changes nothing. A StepOpen of a step that is no longer listed is refused.
+	// their StepOpen changes nothing. An unlisted step whose number is not above the highest dropped one is refused.
 	MaximumClosedSteps = 10_000
 )
 
@@ -116,8 +116,8 @@
 	return slices.DeleteFunc(l.Trainers(), func(name string) bool { return len(l.trainers[name].steps) == 0 })
 }
 
-// findTrainer returns the trainer if it exists and the fencing token is not stale, and the reason of the refusal otherwise.
-// A higher token is recorded whether or not the command is accepted later.
+// findTrainer returns the trainer if it exists and the fencing token is not stale, and the reason of the refusal
+// otherwise. A higher token is recorded whether or not the command is accepted later.
 func (l *Ledger) findTrainer(name string, fence uint64) (*trainer, string) {
 	t := l.trainers[name]
 	if t == nil {
@@ -198,13 +198,13 @@
 }
 
 func newStep(open *wire.StepOpen) *step {
-	made := &step{open: open, prompts: make(map[string]int, len(open.GetPrompts()))}
+	s := &step{open: open, prompts: make(map[string]int, len(open.GetPrompts()))}
 	for position, prompt := range open.GetPrompts() {
-		made.prompts[prompt.GetId()] = position
+		s.prompts[prompt.GetId()] = position
 	}
-	made.undelivered = len(open.GetPrompts()) * int(open.GetSamplesPerPrompt())
-	made.slots = make([]slot, made.undelivered)
-	return made
+	s.undelivered = len(open.GetPrompts()) * int(open.GetSamplesPerPrompt())
+	s.slots = make([]slot, s.undelivered)
+	return s
 }
 
 // closedStepReason returns why a step cannot be opened because its number was delivered before, or an empty string.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -30,14 +30,14 @@
 	return &wire.Sample{Id: text, Trainer: id.Trainer, Step: id.Step, PromptId: id.Prompt, Index: id.Index, Edition: edition, Text: content}
 }
 
-// exchange drives one ledger with the commands of coordinators that take over from each other and of a trainer, including
-// resends. The model is the trainer, with the number of samples received by slot.
+// exchange drives one ledger with the commands of coordinators that take over from each other and of a trainer,
+// including resends. The model is the trainer, with the number of samples received by slot.
 type exchange struct {
 	ledger    *Ledger
 	fence     uint64 // token of the current coordinator
 	lastSeal  *wire.BatchSeal
-	held      []string          // fetched and not acknowledged
-	cursor    uint64            // of held
+	fetched   []string          // samples of the batch that the trainer has fetched and not acknowledged
+	cursor    uint64            // of fetched
 	received  map[string]int    // deliveries by slot
 	discarded map[string]uint32 // edition by slot
 	stale     int               // stale commands that were refused
@@ -98,8 +98,8 @@
 
 // discard discards one slot, unless the trainer has fetched it, as a coordinator does.
 func (e *exchange) discard(t *rapid.T, id string) {
-	for _, held := range e.held {
-		if held == id {
+	for _, fetched := range e.fetched {
+		if fetched == id {
 			return
 		}
 	}
@@ -117,22 +117,22 @@
 // fetchOrAcknowledge is the trainer's step. It fetches the sealed batch, possibly again, or acknowledges it.
 func (e *exchange) fetchOrAcknowledge(t *rapid.T) {
 	view := e.ledger.View("t", true)
-	if len(e.held) == 0 || rapid.Bool().Draw(t, "fetch again") {
-		if len(e.held) > 0 && fmt.Sprint(e.held) != fmt.Sprint(view.GetSealedIds()) {
-			t.Fatalf("fetched %v, then %v for the same cursor, want the same samples", e.held, view.GetSealedIds())
+	if len(e.fetched) == 0 || rapid.Bool().Draw(t, "fetch again") {
+		if len(e.fetched) > 0 && fmt.Sprint(e.fetched) != fmt.Sprint(view.GetSealedIds()) {
+			t.Fatalf("fetched %v, then %v for the same cursor, want the same samples", e.fetched, view.GetSealedIds())
 		}
-		e.held, e.cursor = view.GetSealedIds(), view.GetSealedCursor()
+		e.fetched, e.cursor = view.GetSealedIds(), view.GetSealedCursor()
 		return
 	}
 	for range 2 {
 		e.must(t, e.call(e.ledger.Acknowledge(&wire.BatchAcknowledge{Trainer: "t", Cursor: e.cursor})))
 	}
-	for _, id := range e.held {
+	for _, id := range e.fetched {
 		if e.received[id]++; e.received[id] > 1 {
 			t.Fatalf("%s was delivered twice", id)
 		}
 	}
-	e.held = nil
+	e.fetched = nil
 }
 
 // takeOver restores the ledger from its snapshot and replaces the coordinator by one with a higher token. The former
@@ -158,7 +158,7 @@
 
 // finish delivers all remaining samples and checks that every slot was delivered exactly once.
 func (e *exchange) finish(t *rapid.T) {
-	e.held = nil
+	e.fetched = nil
 	for _, number := range []uint64{1, 2} {
 		e.must(t, e.call(e.ledger.Open(openStep(number))))
 		for _, id := range stepSlots(number) {
@@ -172,11 +172,11 @@
 			e.must(t, e.call(e.ledger.Seal(&wire.BatchSeal{Trainer: "t", Cursor: view.GetAcknowledgedCursor() + 1, Step: stored[0].GetStep(),
 				SampleIds: []string{stored[0].GetId()}, Fence: e.fence})))
 		}
-		e.held = nil
+		e.fetched = nil
 		if view = e.ledger.View("t", true); len(view.GetSealedIds()) > 0 {
-			e.held, e.cursor = view.GetSealedIds(), view.GetSealedCursor()
+			e.fetched, e.cursor = view.GetSealedIds(), view.GetSealedCursor()
 			e.ledger.Acknowledge(&wire.BatchAcknowledge{Trainer: "t", Cursor: e.cursor})
-			for _, id := range e.held {
+			for _, id := range e.fetched {
 				e.received[id]++
 			}
 		}
@@ -199,26 +199,27 @@
 	e.finish(t)
 }
 
-// TestEverySlotIsDeliveredOnce guards against samples that are lost or delivered twice after resends, discards and takeovers.
+// TestEverySlotIsDeliveredOnce guards against samples that are lost or delivered twice after resends, discards and
+// takeovers.
 func TestEverySlotIsDeliveredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runExchange(t, Unsafe{}) })
 }
 
 func TestStepOpenIsIdempotent(t *testing.T) {
-	made := New()
+	ledger := New()
 	for range 2 {
-		if result, err := made.Open(openStep(1)); err != nil || !result.GetAccepted() {
+		if result, err := ledger.Open(openStep(1)); err != nil || !result.GetAccepted() {
 			t.Fatal(result, err)
 		}
 	}
 	other := openStep(1)
 	other.Prompts[1].Text = "changed"
-	if result, _ := made.Open(other); result.GetReason() != ReasonOtherStep {
+	if result, _ := ledger.Open(other); result.GetReason() != ReasonOtherStep {
 		t.Fatal(result)
 	}
 	for _, bad := range []*wire.StepOpen{nil, {Trainer: "a/b", SamplesPerPrompt: 1, Prompts: openStep(1).Prompts}, {Trainer: "t"},
 		{Trainer: "t", SamplesPerPrompt: 1, Prompts: []*wire.Prompt{{Id: "a"}, {Id: "a"}}}} {
-		if _, err := made.Open(bad); err == nil {
+		if _, err := ledger.Open(bad); err == nil {
 			t.Errorf("malformed command %v was accepted", bad)
 		}
 	}
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -36,8 +36,8 @@
 		if err != nil || t == nil {
 			continue
 		}
-		if held := t.findSlot(id); held != nil && held.sample != nil {
-			view.Samples = append(view.Samples, held.sample)
+		if slot := t.findSlot(id); slot != nil && slot.sample != nil {
+			view.Samples = append(view.Samples, slot.sample)
 		}
 	}
 	return view
@@ -56,19 +56,19 @@
 func (s *step) view(withSamples bool) *wire.Step {
 	view := &wire.Step{Open: s.open}
 	for position := range s.slots {
-		held := &s.slots[position]
+		slot := &s.slots[position]
 		id := s.slotID(position).String()
 		switch {
-		case held.delivered:
+		case slot.delivered:
 			view.DeliveredIds = append(view.DeliveredIds, id)
 			continue
-		case held.sample != nil && withSamples:
-			view.Stored = append(view.Stored, held.sample)
-		case held.sample != nil:
-			view.Stored = append(view.Stored, copyWithoutText(held.sample))
+		case slot.sample != nil && withSamples:
+			view.Stored = append(view.Stored, slot.sample)
+		case slot.sample != nil:
+			view.Stored = append(view.Stored, copyWithoutText(slot.sample))
 		}
-		if held.edition > 0 {
-			view.Editions = append(view.Editions, &wire.SlotEdition{Id: id, Edition: held.edition})
+		if slot.edition > 0 {
+			view.Editions = append(view.Editions, &wire.SlotEdition{Id: id, Edition: slot.edition})
 		}
 	}
 	return view
@@ -90,8 +90,8 @@
 	}
 }
 
-// Snapshot returns the whole state. Equal ledgers have equal snapshots. The snapshot shares messages with the ledger, so
-// encode it before the next command.
+// Snapshot returns the whole state. Equal ledgers have equal snapshots. The snapshot shares messages with the ledger,
+// so encode it before the next command.
 func (l *Ledger) Snapshot() *wire.LedgerSnapshot {
 	snapshot := &wire.LedgerSnapshot{}
 	for _, name := range l.Trainers() {
@@ -111,9 +111,9 @@
 		opened := t.steps[number]
 		stepRecord := &wire.StepRecord{Open: opened.open}
 		for position := range opened.slots {
-			held := &opened.slots[position]
+			slot := &opened.slots[position]
 			stepRecord.Slots = append(stepRecord.Slots, &wire.SlotRecord{
-				Edition: held.edition, Delivered: held.delivered, Sample: held.sample,
+				Edition: slot.edition, Delivered: slot.delivered, Sample: slot.sample,
 			})
 		}
 		record.Steps = append(record.Steps, stepRecord)
@@ -121,8 +121,8 @@
 	return record
 }
 
-// Restore replaces the state with that of a snapshot, and retains the snapshot's messages. It fails, without changing the
-// ledger, if a trainer's name or one of its steps is invalid.
+// Restore replaces the state with that of a snapshot, and retains the snapshot's messages. It fails, without changing
+// the ledger, if a trainer's name or one of its steps is invalid.
 func (l *Ledger) Restore(snapshot *wire.LedgerSnapshot) error {
 	restored := NewUnsafe(l.unsafe)
 	for _, record := range snapshot.GetTrainers() {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -38,8 +38,8 @@
 }
 
 // TestLogsOfOlderBuildsGiveEqualStates guards against a build whose state diverges from older replicas'. It replays log
-// entries that builds from before levels wrote, and restores those builds' snapshots. Both must give a snapshot equal to
-// the older build's, byte for byte.
+// entries that builds from before levels wrote, and restores those builds' snapshots. Both must give a snapshot equal
+// to the older build's, byte for byte.
 func TestLogsOfOlderBuildsGiveEqualStates(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "golden", "*.gz"))
 	if err != nil || len(paths) == 0 {
--- a/internal/state/level_test.go
+++ b/internal/state/level_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestSnapshotFormatFollowsTheLevel checks that snapshots have the format that builds from before levels read until a level
-// is in force, and a format that they refuse afterwards.
+// TestSnapshotFormatFollowsTheLevel checks that snapshots have the format that builds from before levels read until a
+// level is in force, and a format that they refuse afterwards.
 func TestSnapshotFormatFollowsTheLevel(t *testing.T) {
 	machine := New()
 	for position, want := range []struct {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestUnknownFieldsOfASnapshotArePreserved guards against losing state that another build of the same level wrote. Fields
-// that this build does not know must be part of its own snapshots.
+// TestUnknownFieldsOfASnapshotArePreserved guards against losing state that another build of the same level wrote.
+// Fields that this build does not know must be part of its own snapshots.
 func TestUnknownFieldsOfASnapshotArePreserved(t *testing.T) {
 	data, err := proto.Marshal(&wire.MachineSnapshot{Format: baseFormat, AppliedIndex: 3})
 	if err != nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestHigherLevelIsRejected checks that log entries and snapshots of a level above the newest supported one are rejected,
-// because this build would apply them differently.
+// TestHigherLevelIsRejected checks that log entries and snapshots of a level above the newest supported one are
+// rejected, because this build would apply them differently.
 func TestHigherLevelIsRejected(t *testing.T) {
 	machine := New()
 	if err := machine.Readable(raiseTo(compat.Newest)); err != nil {
--- a/internal/state/linear/claims.go
+++ b/internal/state/linear/claims.go
@@ -21,7 +21,8 @@
 	OrphanClaim // of all keys of Owner; record it for every key of interest
 )
 
-// ClaimInput is one operation on one key. The model has no retention, so record only histories in which nothing expires.
+// ClaimInput is one operation on one key. The model has no retention, so record only histories in which nothing
+// expires.
 type ClaimInput struct {
 	Action  ClaimAction
 	Key     string
@@ -33,8 +34,8 @@
 	Answer  string          // body of the answer; of a finish with outcome DONE
 }
 
-// ClaimOutput is the result of an operation. Lost is set if it was lost. Index is the ledger index of the result. Answer is
-// the stored body if State is DONE and the result included it.
+// ClaimOutput is the result of an operation. Lost is set if it was lost. Index is the ledger index of the result.
+// Answer is the stored body if State is DONE and the result included it.
 type ClaimOutput struct {
 	Lost   bool
 	State  wire.ClaimState
@@ -66,9 +67,9 @@
 	claimUnknown = wire.ClaimState_CLAIM_STATE_UNKNOWN_OUTCOME
 )
 
-// ClaimModel returns the model of claims, partitioned by key. No key is known when the history begins. The model is valid
-// for histories with at most claim.MaximumReleased releases of a key, in which an attempt's ticket is at most the index
-// that its gateway knew when it made the attempt.
+// ClaimModel returns the model of claims, partitioned by key. No key is known when the history begins. The model is
+// valid for histories with at most claim.MaximumReleased releases of a key, in which an attempt's ticket is at most the
+// index that its gateway knew when it made the attempt.
 func ClaimModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: partitionClaims,
@@ -102,8 +103,8 @@
 	return parts
 }
 
-// stepClaim returns the possible states after the operation, or none if its result is wrong. A begin whose result was lost
-// has two if a refusal at an unknown index may have made the attempt stale.
+// stepClaim returns the possible states after the operation, or none if its result is wrong. A begin whose result was
+// lost has two if a refusal at an unknown index may have made the attempt stale.
 func stepClaim(state, input, output any) []any {
 	current, operation, answer := state.(claimState), input.(ClaimInput), output.(ClaimOutput)
 	if operation.Action == BeginClaim && answer.Lost && current.refusedUnknown {
--- a/internal/state/linear/linear_test.go
+++ b/internal/state/linear/linear_test.go
@@ -144,7 +144,7 @@
 	}
 	result := machine.Apply(1, &wire.Command{Kind: &wire.Command_TableChange{TableChange: change}})
 	if result.GetTable().GetVersion() != 1 {
-		t.Fatalf("start: %v", result)
+		t.Fatalf("first change got %v, want table version 1", result)
 	}
 	return machine
 }
--- a/internal/state/linear/table.go
+++ b/internal/state/linear/table.go
@@ -16,8 +16,8 @@
 }
 
 // TableInput is one operation on the table. It is a change if ChangeID is set, and a read of the whole table otherwise.
-// The model covers versions and values only. Record only changes with valid, canonical values of rows that exist from the
-// start and are never removed.
+// The model covers versions and values only. Record only changes with valid, canonical values of rows that exist from
+// the start and are never removed.
 type TableInput struct {
 	ChangeID    string
 	BaseVersion uint64
@@ -89,17 +89,17 @@
 	if answer.Version != s.version {
 		return false
 	}
-	held := 0
+	present := 0
 	for cell, known := range s.cells {
 		if known.value == "" {
 			continue
 		}
-		held++
+		present++
 		if answer.Cells[cell] != known.value {
 			return false
 		}
 	}
-	return held == len(answer.Cells)
+	return present == len(answer.Cells)
 }
 
 // applyChange returns the result of a change whose id is not known yet, and the state after it.
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -1,7 +1,7 @@
-// Package state is the replicated state machine of every consensus group. It composes the table, members, fencing tokens
-// and weight versions of the control group (group 0) with the claims, samples and batch jobs of the ledger groups (1 to
-// N), and with usage, and dispatches each command to its component. Equal sequences of commands give equal states and
-// equal snapshots, byte for byte, on every node.
+// Package state is the replicated state machine of every consensus group. It composes the table, members, fencing
+// tokens and weight versions of the control group (group 0) with the claims, samples and batch jobs of the ledger
+// groups (1 to N), and with usage, and dispatches each command to its component. Equal sequences of commands give equal
+// states and equal snapshots, byte for byte, on every node.
 //
 // The package uses no clock, no goroutine and no I/O. Apply commands in log order; a Machine is not safe for concurrent
 // use.
@@ -26,8 +26,8 @@
 // ControlGroup is the consensus group that holds the table, members, fencing tokens and weight versions.
 const ControlGroup uint32 = 0
 
-// LedgerGroup returns the ledger group, from 1 to ledgerGroups, that holds a claim's key or a trainer's name. The number
-// of groups is fixed for the life of a cluster.
+// LedgerGroup returns the ledger group, from 1 to ledgerGroups, that holds a claim's key or a trainer's name. The
+// number of groups is fixed for the life of a cluster.
 func LedgerGroup(key string, ledgerGroups int) uint32 {
 	if ledgerGroups <= 1 {
 		return 1
@@ -95,9 +95,9 @@
 // Members returns the list of members and its version.
 func (m *Machine) Members() *wire.MembersView { return m.members.View() }
 
-// Apply applies the command at a log index and returns its result, which is never nil. A malformed or unknown command, or
-// a command at an index that was applied before, changes nothing else and gets Result.invalid. The Machine may retain
-// parts of the command, so the caller must not modify it afterwards.
+// Apply applies the command at a log index and returns its result, which is never nil. A malformed or unknown command,
+// or a command at an index that was applied before, changes nothing else and gets Result.invalid. The Machine may
+// retain parts of the command, so the caller must not modify it afterwards.
 func (m *Machine) Apply(index uint64, command *wire.Command) *wire.Result {
 	if index <= m.applied {
 		return invalidResult(trace.BadParameter("index %d was applied before, up to %d", index, m.applied))
@@ -241,8 +241,8 @@
 	return &wire.Result{Kind: &wire.Result_Invalid{Invalid: err.Error()}}
 }
 
-// Query answers from the current state. A caller that needs a linearizable answer must pass a read barrier first. A query
-// of an unknown kind gets an empty View. A StatusView has only the fields that the state machine knows.
+// Query answers from the current state. A caller that needs a linearizable answer must pass a read barrier first. A
+// query of an unknown kind gets an empty View. A StatusView has only the fields that the state machine knows.
 func (m *Machine) Query(query *wire.Query) *wire.View {
 	switch kind := query.GetKind().(type) {
 	case *wire.Query_Table:
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -56,7 +56,7 @@
 	for position, command := range exampleCommands() {
 		result := machine.Apply(uint64(position+1), command)
 		if result.GetInvalid() != "" {
-			t.Fatalf("command %d: %v", position, result)
+			t.Fatalf("command %d got %v, want a valid result", position, result)
 		}
 	}
 	if machine.TableVersion() != 2 {
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestRestoreIsInvisible guards against replicas that diverge after a restore. It applies random commands to two machines,
-// one of which is restored from its own snapshot at random points. Results and snapshots must stay equal.
+// TestRestoreIsInvisible guards against replicas that diverge after a restore. It applies random commands to two
+// machines, one of which is restored from its own snapshot at random points. Results and snapshots must stay equal.
 func TestRestoreIsInvisible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := []*Machine{New(), New()}
@@ -216,8 +216,9 @@
 	return data
 }
 
-// TestCaptureIsUnaffectedByLaterCommands guards against a captured state that changes when the machine modifies a message
-// that it shares. It encodes captured states after further commands and compares them with snapshots of that time.
+// TestCaptureIsUnaffectedByLaterCommands guards against a captured state that changes when the machine modifies a
+// message that it shares. It encodes captured states after further commands and compares them with snapshots of that
+// time.
 func TestCaptureIsUnaffectedByLaterCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := New()
@@ -250,7 +251,8 @@
 	})
 }
 
-// BenchmarkCapture measures the time for which capturing a snapshot blocks commands, and the time including its encoding.
+// BenchmarkCapture measures the time for which capturing a snapshot blocks commands, and the time including its
+// encoding.
 func BenchmarkCapture(b *testing.B) {
 	machine := New()
 	for index := range 200_000 {
--- a/internal/state/memory_test.go
+++ b/internal/state/memory_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestSnapshotHoldsNoSecondCopyOfEndedJobs guards against control nodes that run out of memory. A snapshot of 52 MB that
-// did not fit on the disk stayed in memory beside the state that it was encoded from, and control nodes with 280 MB were
-// killed. Batch jobs that no command changes any more must therefore be encoded only once.
+// TestSnapshotHoldsNoSecondCopyOfEndedJobs guards against control nodes that run out of memory. A snapshot of 52 MB
+// that did not fit on the disk stayed in memory beside the state that it was encoded from, and control nodes with 280
+// MB were killed. Batch jobs that no command changes any more must therefore be encoded only once.
 func TestSnapshotHoldsNoSecondCopyOfEndedJobs(t *testing.T) {
 	const megabytes = 32
 	machine := New()
--- a/internal/state/parts.go
+++ b/internal/state/parts.go
@@ -8,7 +8,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// decodeParts decodes a snapshot. The records of its batch jobs are returned undecoded and share the memory of the parts.
+// decodeParts decodes a snapshot. The records of its batch jobs are returned undecoded and share the memory of the
+// parts.
 func decodeParts(parts [][]byte) (*wire.MachineSnapshot, []batch.Record, error) {
 	var found partsContent
 	for _, part := range parts {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -13,9 +13,9 @@
 // refuses newer ones.
 const SnapshotFormat uint32 = 2
 
-// baseFormat is the version of the encoding while no level is in force. Builds from before levels read it and refuse newer
-// versions. A node that is downgraded to such a build after a level came into force therefore stops before it has changed
-// anything.
+// baseFormat is the version of the encoding while no level is in force. Builds from before levels read it and refuse
+// newer versions. A node that is downgraded to such a build after a level came into force therefore stops before it has
+// changed anything.
 const baseFormat uint32 = 1
 
 // format returns the version of the encoding that the level in force requires.
@@ -42,13 +42,13 @@
 	return data, trace.Wrap(err, "encoding a snapshot")
 }
 
-// Capture captures the current state and returns a function that encodes it. The function may run concurrently with later
-// commands. Claims, samples and batch jobs grow with the traffic and are shared with the state, which replaces their
-// messages and never modifies them. The rest is small and is copied.
+// Capture captures the current state and returns a function that encodes it. The function may run concurrently with
+// later commands. Claims, samples and batch jobs grow with the traffic and are shared with the state, which replaces
+// their messages and never modifies them. The rest is small and is copied.
 //
 // Each encoded part is a wire.MachineSnapshot with some of the state. The concatenation of the parts is one with all of
-// it, which builds from before parts can read. Every batch job that no longer changes is a part of its own, which is the
-// same in each encoding.
+// it, which builds from before parts can read. Every batch job that no longer changes is a part of its own, which is
+// the same in each encoding.
 func (m *Machine) Capture() (encode func() ([][]byte, error)) {
 	jobs := m.jobs.Capture()
 	snapshot := &wire.MachineSnapshot{
@@ -79,9 +79,9 @@
 // Restore replaces the state with that of a snapshot. It fails as RestoreParts does.
 func (m *Machine) Restore(data []byte) error { return m.RestoreParts([][]byte{data}) }
 
-// RestoreParts replaces the state with that of a snapshot. The Machine may retain the parts, so the caller must not modify
-// them. It fails, without changing the Machine, if the data is not a valid snapshot or is of a format or level that this
-// build does not support.
+// RestoreParts replaces the state with that of a snapshot. The Machine may retain the parts, so the caller must not
+// modify them. It fails, without changing the Machine, if the data is not a valid snapshot or is of a format or level
+// that this build does not support.
 func (m *Machine) RestoreParts(parts [][]byte) error {
 	snapshot, records, err := decodeParts(parts)
 	if err != nil {
--- a/internal/table/commit.go
+++ b/internal/table/commit.go
@@ -48,8 +48,8 @@
 	stored.cells[cell.GetColumn()] = storedCell{value: cell.GetValue(), version: t.version, operator: change.GetOperator()}
 }
 
-// moveRemovalToCells drops an earlier removal of a row that exists again. A change based on a version before the removal
-// must still conflict in every column, so the removal is recorded as a cleared cell of each column.
+// moveRemovalToCells drops an earlier removal of a row that exists again. A change based on a version before the
+// removal must still conflict in every column, so the removal is recorded as a cleared cell of each column.
 func (t *Table) moveRemovalToCells(name string) {
 	remaining := t.removed[:0]
 	for _, removal := range t.removed {
@@ -98,8 +98,8 @@
 }
 
 // Update returns the update from fromVersion to the current version. It is a delta if all removals since then are still
-// listed, and the whole table otherwise. If fromVersion is the current version or newer, the update is empty and ends at
-// fromVersion.
+// listed, and the whole table otherwise. If fromVersion is the current version or newer, the update is empty and ends
+// at fromVersion.
 func (t *Table) Update(fromVersion uint64) *wire.TableUpdate {
 	if fromVersion >= t.version && fromVersion > 0 {
 		return &wire.TableUpdate{FromVersion: fromVersion, ToVersion: fromVersion}
@@ -144,8 +144,8 @@
 	return row
 }
 
-// History returns up to limit history entries of a row and column, newest first. An empty row or column matches all, and
-// limit 0 returns all entries that are kept (at most MaximumHistory).
+// History returns up to limit history entries of a row and column, newest first. An empty row or column matches all,
+// and limit 0 returns all entries that are kept (at most MaximumHistory).
 func (t *Table) History(row, column string, limit int) []*wire.HistoryEntry {
 	var found []*wire.HistoryEntry
 	for position := len(t.history) - 1; position >= 0; position-- {
--- a/internal/table/incarnation_test.go
+++ b/internal/table/incarnation_test.go
@@ -16,18 +16,19 @@
 	return cells
 }
 
-// TestViewDistinguishesStarts guards against requests being sent to, or kept at, a former start of a back end. After a back
-// end restarts, Backend must return it under its new instance only, and Ended must be true for the former instance, even if
-// the row is removed. Ended must be false for a later start or a back end that the table does not know.
+// TestViewDistinguishesStarts guards against requests being sent to, or kept at, a former start of a back end. After a
+// back end restarts, Backend must return it under its new instance only, and Ended must be true for the former
+// instance, even if the row is removed. Ended must be false for a later start or a back end that the table does not
+// know.
 func TestViewDistinguishesStarts(t *testing.T) {
-	held := New()
+	table := New()
 	apply := func(cells ...*wire.CellChange) *View {
 		t.Helper()
-		result := held.Apply(&wire.TableChange{ChangeId: t.Name() + string(rune('a'+held.Version())), BaseVersion: held.Version(), Operator: "test", Note: ForceNote, Cells: cells})
+		result := table.Apply(&wire.TableChange{ChangeId: t.Name() + string(rune('a'+table.Version())), BaseVersion: table.Version(), Operator: "test", Note: ForceNote, Cells: cells})
 		if result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 			t.Fatalf("got %v, want the change accepted", result)
 		}
-		view, err := NewView().Apply(held.Update(0))
+		view, err := NewView().Apply(table.Update(0))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/table/incremental_test.go
+++ b/internal/table/incremental_test.go
@@ -18,16 +18,16 @@
 
 // checkWholeTable checks every row of the table as the draft would leave it, after resolving all rows again from their
 // cells.
-func checkWholeTable(made *Table, d *draft, change *wire.TableChange) []*wire.CellRefusal {
+func checkWholeTable(table *Table, d *draft, change *wire.TableChange) []*wire.CellRefusal {
 	own := map[string]map[string]string{}
-	for name := range made.rows {
-		own[name] = made.copyCells(name)
+	for name := range table.rows {
+		own[name] = table.copyCells(name)
 	}
-	before := NewView().withRows(made.version, own)
+	before := NewView().withRows(table.version, own)
 	for name, cells := range d.rows {
 		own[name] = cells
 	}
-	after := NewView().withRows(made.version+1, own)
+	after := NewView().withRows(table.version+1, own)
 	refusals := append(append(checkRows(after.names, after), checkRoutes(after)...), checkTenants(after)...)
 	if len(refusals) == 0 && !isForced(change) {
 		refusals = checkPoolsServed(before.rows, after.rows, d)
@@ -35,35 +35,35 @@
 	return refusals
 }
 
-// TestIncrementalCheckEqualsWholeCheck guards against a check of the changed rows only that misses an invalid table, and
-// against typed rows that go stale when they are shared. It checks random changes both by the changed rows and by the whole
-// table. Refusals must be equal, and so must the typed rows after the change and those resolved from scratch.
+// TestIncrementalCheckEqualsWholeCheck guards against a check of the changed rows only that misses an invalid table,
+// and against typed rows that go stale when they are shared. It checks random changes both by the changed rows and by
+// the whole table. Refusals must be equal, and so must the typed rows after the change and those resolved from scratch.
 func TestIncrementalCheckEqualsWholeCheck(t *testing.T) {
 	var accepted, refused int
 	rapid.Check(t, func(t *rapid.T) {
-		made := New()
+		table := New()
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			next := change(fmt.Sprint(step), made.Version(), rapid.SliceOfN(rapid.SampledFrom(incrementalTexts), 1, 6).Draw(t, "texts")...)
+			next := change(fmt.Sprint(step), table.Version(), rapid.SliceOfN(rapid.SampledFrom(incrementalTexts), 1, 6).Draw(t, "texts")...)
 			if rapid.Bool().Draw(t, "forced") {
 				next.Note = ForceNote
 			}
-			if d, wrong := made.buildDraft(next); len(wrong) == 0 {
-				after := made.current().withRows(made.version+1, d.rows)
-				want, got := checkWholeTable(made, d, next), made.check(d, after, next)
+			if d, wrong := table.buildDraft(next); len(wrong) == 0 {
+				after := table.current().withRows(table.version+1, d.rows)
+				want, got := checkWholeTable(table, d, next), table.check(d, after, next)
 				if fmt.Sprint(got) != fmt.Sprint(want) {
 					t.Fatalf("change %v got refusals %v, want those of the whole table: %v", next, got, want)
 				}
 			}
-			if made.Apply(next).GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
+			if table.Apply(next).GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 				refused++
 				continue
 			}
 			accepted++
-			fresh, err := NewView().Apply(made.Update(0))
+			fresh, err := NewView().Apply(table.Update(0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, want := describe(made.current()), describe(fresh); got != want {
+			if got, want := describe(table.current()), describe(fresh); got != want {
 				t.Fatalf("after the change:\n%s\nfresh:\n%s", got, want)
 			}
 		}
@@ -73,16 +73,16 @@
 	}
 }
 
-// TestUnchangedRowsAreShared checks that a change resolves only the rows that it touches. Readers compare rows by pointer to
-// find those that changed.
+// TestUnchangedRowsAreShared checks that a change resolves only the rows that it touches. Readers compare rows by
+// pointer to find those that changed.
 func TestUnchangedRowsAreShared(t *testing.T) {
-	made := newFleet(t, 40)
-	before, err := NewView().Apply(made.Update(0))
+	table := newFleet(t, 40)
+	before, err := NewView().Apply(table.Update(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.Apply(drainOf(made, 7, 2))
-	after, err := before.Apply(made.Update(before.Version()))
+	table.Apply(drainOf(table, 7, 2))
+	after, err := before.Apply(table.Update(before.Version()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/table/level.go
+++ b/internal/table/level.go
@@ -5,8 +5,8 @@
 // optionalFrom is the level from which every build knows all optional columns.
 const optionalFrom = compat.Shares
 
-// SetLevel brings a level into force. Below a column's level, cells of the column are refused, so that this build decides
-// as the builds from before levels do.
+// SetLevel brings a level into force. Below a column's level, cells of the column are refused, so that this build
+// decides as the builds from before levels do.
 func (t *Table) SetLevel(level compat.Level) { t.level = level }
 
 // levelReason returns why a cell of the column is not accepted at the level in force, or an empty string.
--- a/internal/table/level_test.go
+++ b/internal/table/level_test.go
@@ -12,17 +12,17 @@
 
 // applier applies changes based on the table's current version.
 type applier struct {
-	t    *testing.T
-	held *Table
-	next int
+	t     *testing.T
+	table *Table
+	next  int
 }
 
 func (a *applier) apply(change *wire.TableChange) *wire.TableResult {
 	a.t.Helper()
 	a.next++
-	change.ChangeId, change.BaseVersion, change.Operator = strings.Repeat("c", a.next), a.held.Version(), "test"
+	change.ChangeId, change.BaseVersion, change.Operator = strings.Repeat("c", a.next), a.table.Version(), "test"
 	change.Note = ForceNote
-	return a.held.Apply(change)
+	return a.table.Apply(change)
 }
 
 func (a *applier) mustAccept(change *wire.TableChange) {
@@ -32,11 +32,11 @@
 	}
 }
 
-// TestColumnIsRefusedBelowItsLevel checks that a cell of a column that older builds do not know is refused, with the reason,
-// until the column's level is in force. Accepting it earlier would leave replicas with different tables.
+// TestColumnIsRefusedBelowItsLevel checks that a cell of a column that older builds do not know is refused, with the
+// reason, until the column's level is in force. Accepting it earlier would leave replicas with different tables.
 func TestColumnIsRefusedBelowItsLevel(t *testing.T) {
-	a := &applier{t: t, held: New()}
-	a.held.SetLevel(compat.Base)
+	a := &applier{t: t, table: New()}
+	a.table.SetLevel(compat.Base)
 	change := func() *wire.TableChange {
 		return &wire.TableChange{Cells: cellsOf("p", ColumnKind, "pool", ColumnSharedSlots, "true")}
 	}
@@ -44,13 +44,13 @@
 	if refused.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_INVALID || !strings.Contains(refused.GetRefusals()[0].GetReason(), "needs level 1") {
 		t.Fatal(refused)
 	}
-	a.held.SetLevel(compat.Shares)
+	a.table.SetLevel(compat.Shares)
 	a.mustAccept(change())
 }
 
-// TestRecreatedRowIsReadableByOlderBuilds guards against a row that older builds cannot read. When a removed row is created
-// again, its removal is recorded as cleared cells. Below the level of a column, and for an optional column that no row has,
-// there must be no such cell. A restored table must record the same cells.
+// TestRecreatedRowIsReadableByOlderBuilds guards against a row that older builds cannot read. When a removed row is
+// created again, its removal is recorded as cleared cells. Below the level of a column, and for an optional column that
+// no row has, there must be no such cell. A restored table must record the same cells.
 func TestRecreatedRowIsReadableByOlderBuilds(t *testing.T) {
 	backend := func(start string) *wire.TableChange {
 		cells := []string{ColumnKind, "backend", ColumnPool, "p", ColumnAddress, "127.0.0.1:1"}
@@ -68,8 +68,8 @@
 		{compat.Base, true, map[string]bool{ColumnStart: true, ColumnCrashes: false, ColumnSharedSlots: false, ColumnZone: true}},
 		{compat.Shares, false, map[string]bool{ColumnStart: true, ColumnCrashes: true, ColumnSharedSlots: true, ColumnZone: true}},
 	} {
-		a := &applier{t: t, held: New()}
-		a.held.SetLevel(known.level)
+		a := &applier{t: t, table: New()}
+		a.table.SetLevel(known.level)
 		a.mustAccept(&wire.TableChange{Cells: cellsOf("p", ColumnKind, "pool")})
 		if known.starts {
 			a.mustAccept(&wire.TableChange{Cells: cellsOf("other", ColumnKind, "backend", ColumnPool, "p", ColumnAddress, "127.0.0.1:2", ColumnStart, "7")})
@@ -78,38 +78,39 @@
 		a.mustAccept(&wire.TableChange{RemoveRows: []string{"b"}})
 		restored := New()
 		restored.SetLevel(known.level)
-		if err := restored.Restore(proto.CloneOf(a.held.Snapshot())); err != nil {
+		if err := restored.Restore(proto.CloneOf(a.table.Snapshot())); err != nil {
 			t.Fatal(err)
 		}
 		a.mustAccept(backend(""))
-		twin := &applier{t: t, held: restored, next: a.next - 1}
+		twin := &applier{t: t, table: restored, next: a.next - 1}
 		twin.mustAccept(backend(""))
-		if !proto.Equal(a.held.Snapshot(), restored.Snapshot()) {
+		if !proto.Equal(a.table.Snapshot(), restored.Snapshot()) {
 			t.Errorf("%+v: the snapshot after a restore differs from the original table's", known)
 		}
 		for column, want := range known.columns {
-			if _, remembered := a.held.rows["b"].cells[column]; remembered != want {
+			if _, remembered := a.table.rows["b"].cells[column]; remembered != want {
 				t.Errorf("%+v: removal is recorded in column %s: got %v, want the opposite", known, column, remembered)
 			}
 		}
 	}
 }
 
-// TestUnknownColumnsAndKindsArePreserved guards against losing what a newer build wrote. Cells of unknown columns and rows of
-// unknown kinds must survive a restore, a change of their row and another restore. A view must skip them without an error.
+// TestUnknownColumnsAndKindsArePreserved guards against losing what a newer build wrote. Cells of unknown columns and
+// rows of unknown kinds must survive a restore, a change of their row and another restore. A view must skip them
+// without an error.
 func TestUnknownColumnsAndKindsArePreserved(t *testing.T) {
-	a := &applier{t: t, held: New()}
+	a := &applier{t: t, table: New()}
 	a.mustAccept(&wire.TableChange{Cells: cellsOf("p", ColumnKind, "pool")})
-	snapshot := proto.CloneOf(a.held.Snapshot())
-	made := &wire.TableCell{Column: "made_up", Value: "kept", Version: 1, Operator: "newer"}
-	snapshot.Rows[0].Cells = append(snapshot.Rows[0].Cells, made)
+	snapshot := proto.CloneOf(a.table.Snapshot())
+	unknownCell := &wire.TableCell{Column: "made_up", Value: "kept", Version: 1, Operator: "newer"}
+	snapshot.Rows[0].Cells = append(snapshot.Rows[0].Cells, unknownCell)
 	snapshot.Rows = append(snapshot.Rows, &wire.TableRow{Name: "q", Cells: []*wire.TableCell{{Column: ColumnKind, Value: "invented", Version: 1}}})
-	if err := a.held.Restore(snapshot); err != nil {
+	if err := a.table.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	a.mustAccept(&wire.TableChange{Cells: cellsOf("p", ColumnWeight, "5")})
 	again := New()
-	if err := again.Restore(proto.CloneOf(a.held.Snapshot())); err != nil {
+	if err := again.Restore(proto.CloneOf(a.table.Snapshot())); err != nil {
 		t.Fatal(err)
 	}
 	update := again.Update(0)
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -103,7 +103,8 @@
 	return value, ok
 }
 
-// resolve builds the typed row from its own cells and, for a back end, its pool's cells (nil if the pool does not exist).
+// resolve builds the typed row from its own cells and, for a back end, its pool's cells (nil if the pool does not
+// exist).
 func resolve(name string, own, pool map[string]string) *Row {
 	row := &Row{Name: name, explicit: own}
 	kind := RowKind(own[ColumnKind])
--- a/internal/table/scale_test.go
+++ b/internal/table/scale_test.go
@@ -10,15 +10,15 @@
 // newFleet returns a table with a pool and the rows of so many registered replicas.
 func newFleet(t testing.TB, replicas int) *Table {
 	t.Helper()
-	made := New()
+	table := New()
 	first := &wire.TableChange{ChangeId: "pool", Cells: []*wire.CellChange{{Row: "p", Column: ColumnKind, Value: string(Pool)}}}
 	for number := range replicas {
 		first.Cells = append(first.Cells, registrationOf(number, 1)...)
 	}
-	if result := made.Apply(first); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
+	if result := table.Apply(first); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 		t.Fatal(result)
 	}
-	return made
+	return table
 }
 
 // registrationOf returns the cells that a replica's registration sets.
@@ -34,9 +34,9 @@
 }
 
 // drainOf returns the change that drains one replica.
-func drainOf(made *Table, number, sequence int) *wire.TableChange {
+func drainOf(table *Table, number, sequence int) *wire.TableChange {
 	name := fmt.Sprintf("r%05d", number)
-	return &wire.TableChange{ChangeId: fmt.Sprintf("drain-%d-%d", number, sequence), BaseVersion: made.Version(), Note: ForceNote, Cells: []*wire.CellChange{
+	return &wire.TableChange{ChangeId: fmt.Sprintf("drain-%d-%d", number, sequence), BaseVersion: table.Version(), Note: ForceNote, Cells: []*wire.CellChange{
 		{Row: name, Column: ColumnState, Value: string(Draining)}, {Row: name, Column: ColumnSequence, Value: fmt.Sprint(sequence)}}}
 }
 
@@ -44,9 +44,9 @@
 func BenchmarkChange(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := newFleet(b, replicas)
+			table := newFleet(b, replicas)
 			for number := 0; b.Loop(); number++ {
-				made.Apply(drainOf(made, number%replicas, 2+number/replicas))
+				table.Apply(drainOf(table, number%replicas, 2+number/replicas))
 			}
 		})
 	}
@@ -56,11 +56,11 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := newFleet(b, replicas)
-			before := made.Version()
-			made.Apply(drainOf(made, 1, 2))
+			table := newFleet(b, replicas)
+			before := table.Version()
+			table.Apply(drainOf(table, 1, 2))
 			for b.Loop() {
-				made.Update(before)
+				table.Update(before)
 			}
 		})
 	}
@@ -70,13 +70,13 @@
 func BenchmarkFollow(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := newFleet(b, replicas)
-			view, err := NewView().Apply(made.Update(0))
+			table := newFleet(b, replicas)
+			view, err := NewView().Apply(table.Update(0))
 			if err != nil {
 				b.Fatal(err)
 			}
-			made.Apply(drainOf(made, 1, 2))
-			update := made.Update(view.Version())
+			table.Apply(drainOf(table, 1, 2))
+			update := table.Update(view.Version())
 			for b.Loop() {
 				if _, err := view.Apply(update); err != nil {
 					b.Fatal(err)
@@ -88,9 +88,9 @@
 
 // BenchmarkReadWhole builds a view from the whole table, as a process without a view does.
 func BenchmarkReadWhole(b *testing.B) {
-	made := newFleet(b, 3000)
+	table := newFleet(b, 3000)
 	for b.Loop() {
-		if _, err := NewView().Apply(made.Update(0)); err != nil {
+		if _, err := NewView().Apply(table.Update(0)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -24,9 +24,9 @@
 	return snapshot
 }
 
-// Restore replaces the state with that of a snapshot, except for the level in force, which it leaves as it is. The table
-// retains the snapshot's messages. It fails, without changing the table, if a cell is newer than the snapshot or a kept
-// result has no change id.
+// Restore replaces the state with that of a snapshot, except for the level in force, which it leaves as it is. The
+// table retains the snapshot's messages. It fails, without changing the table, if a cell is newer than the snapshot or
+// a kept result has no change id.
 func (t *Table) Restore(snapshot *wire.TableSnapshot) error {
 	restored := NewUnsafe(t.unsafe)
 	restored.level = t.level
--- a/internal/table/suspect_test.go
+++ b/internal/table/suspect_test.go
@@ -7,23 +7,23 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// TestSuspectsAreNamedByTheirDigests guards against suspects that no request can be matched with. A suspect's name must be
-// the prefix and a digest of 16 lower-case hexadecimal digits, rows of other kinds must not have the prefix, and the view
-// must list suspects as they are added and removed.
+// TestSuspectsAreNamedByTheirDigests guards against suspects that no request can be matched with. A suspect's name must
+// be the prefix and a digest of 16 lower-case hexadecimal digits, rows of other kinds must not have the prefix, and the
+// view must list suspects as they are added and removed.
 func TestSuspectsAreNamedByTheirDigests(t *testing.T) {
-	held := New()
+	table := New()
 	changes := 0
 	apply := func(want bool, change *wire.TableChange) {
 		t.Helper()
 		changes++
-		change.ChangeId, change.BaseVersion, change.Operator = fmt.Sprint(changes), held.Version(), "test"
-		result := held.Apply(change)
+		change.ChangeId, change.BaseVersion, change.Operator = fmt.Sprint(changes), table.Version(), "test"
+		result := table.Apply(change)
 		if accepted := result.GetOutcome() == wire.TableOutcome_TABLE_OUTCOME_ACCEPTED; accepted != want {
 			t.Fatalf("change of %v: got %v, want the opposite outcome", change.GetCells(), result)
 		}
 	}
 	suspects := func() (names []string) {
-		view, err := NewView().Apply(held.Update(0))
+		view, err := NewView().Apply(table.Update(0))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -60,8 +60,8 @@
 	return rows
 }
 
-// Backend returns the back end's row with the given Row.Instance. It returns nil if there is no such back end, or if the
-// row describes another start of it.
+// Backend returns the back end's row with the given Row.Instance. It returns nil if there is no such back end, or if
+// the row describes another start of it.
 func (v *View) Backend(instance string) *Row {
 	named := incarnation.Parse(instance)
 	if row := v.findBackend(named.ID); row != nil && row.Incarnation().Compare(named) == incarnation.Same {
@@ -241,7 +241,8 @@
 	return 1
 }
 
-// KnowsStarts reports whether some row holds the start of its back end. If so, all builds in the cluster know the column.
+// KnowsStarts reports whether some row holds the start of its back end. If so, all builds in the cluster know the
+// column.
 func (v *View) KnowsStarts() bool { return v.started > 0 }
 
 // listSuspects rebuilds the list of suspects, which is short.
