--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,6 +1,6 @@
-// Package auth tells operators, trainers, callers and nodes apart by bearer tokens. A token is a name and a
-// secret of 256 random bits; only the secret's hash is kept, in a file that operators write. The package is
-// pure: files, reloading and listeners are in package credentials.
+// Package auth authenticates operators, trainers, callers and nodes by bearer tokens. A token consists of a name and
+// a secret of 256 random bits. Only the hash of the secret is stored, in a file that operators maintain. The package
+// does no I/O on files or networks: package credentials reads and reloads the file and guards listeners.
 package auth
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/gravitational/trace"
 )
 
-// RefusedCode is the drpc error code of a stream that was refused for its token.
+// RefusedCode is the drpc error code of a stream that was rejected because of its token.
 const RefusedCode = 4010
 
-// Role says what the holder of a token is.
+// Role determines what the holder of a token may do.
 type Role string
 
 // The roles.
@@ -26,37 +26,38 @@
 	Operator Role = "operator" // changes the table and the group of control nodes
 	Trainer  Role = "trainer"  // opens steps and fetches samples under its own name
 	Caller   Role = "caller"   // sends requests to gateways
-	Node     Role = "node"     // a process of ours
+	Node     Role = "node"     // a process of the deployment itself
 )
 
-// Valid tells whether the role is one of the four.
+// Valid reports whether r is one of the four roles.
 func (r Role) Valid() bool { return r == Operator || r == Trainer || r == Caller || r == Node }
 
-// Principal is whose token it was.
+// Principal is the authenticated owner of a token.
 type Principal struct {
 	Name string
 	Role Role
 }
 
-// ErrUnauthenticated means that a token is missing, malformed, unknown, wrong or expired. It does not say
-// which, so that names cannot be probed.
+// ErrUnauthenticated is returned for a token that is missing, malformed, unknown, wrong or expired. It does not say
+// which of these applies, so that names cannot be probed.
 var ErrUnauthenticated = errors.New("a valid token is required: send 'Authorization: Bearer TOKEN'")
 
-// ErrForbidden means that a valid token's role does not permit the request.
+// ErrForbidden is returned for a valid token whose role does not permit the request.
 var ErrForbidden = errors.New("the token's role does not permit this")
 
-// Hash is what is kept of a secret. Secrets are random, so that one round of SHA-256 is enough.
+// Hash is the SHA-256 hash of a secret, the only form in which a secret is stored. One round is enough because
+// secrets are random.
 type Hash [sha256.Size]byte
 
 // credential is one accepted token.
 type credential struct {
 	role    Role
 	hash    Hash
-	expires time.Time // zero: never
+	expires time.Time // zero means never
 }
 
-// Keyring is the accepted tokens. It is immutable. A name may have several, so that a token can be replaced
-// while the old one still works.
+// Keyring is the immutable set of accepted tokens. A name may have several, so that a token can be replaced while the
+// old one still works.
 type Keyring struct {
 	byName map[string][]credential
 }
@@ -70,8 +71,9 @@
 	return count
 }
 
-// none stands in for an unknown name, so that the answer takes as long as for a known one.
-var none = []credential{{}}
+// dummyCredentials are compared with the token if its name is unknown, so that the answer takes as long as for a
+// known name.
+var dummyCredentials = []credential{{}}
 
 // Authenticate returns whose token it is, or ErrUnauthenticated.
 func (k *Keyring) Authenticate(token string, now time.Time) (Principal, error) {
@@ -79,7 +81,7 @@
 	hash := Hash(sha256.Sum256([]byte(secret)))
 	candidates, known := k.byName[name]
 	if !known {
-		candidates = none
+		candidates = dummyCredentials
 	}
 	found := -1
 	for i := range candidates {
@@ -94,7 +96,7 @@
 	return Principal{Name: name, Role: candidates[found].role}, nil
 }
 
-// separator stands between name and secret of a token. Names do not hold it.
+// separator separates the name and the secret of a token. Names cannot contain it.
 const separator = "."
 
 const (
@@ -102,7 +104,8 @@
 	maximumNameBytes = 128
 )
 
-// NewToken makes a token for a name from a source of random bytes, and what is kept of it.
+// NewToken returns a new token for name and the hash of its secret. random must be a cryptographically secure source.
+// Errors: trace.BadParameter for an invalid name, or the error of random.
 func NewToken(random io.Reader, name string) (token string, hash Hash, err error) {
 	if err := checkName(name); err != nil {
 		return "", Hash{}, err
@@ -115,6 +118,7 @@
 	return name + separator + secret, sha256.Sum256([]byte(secret)), nil
 }
 
+// checkName returns an error if name is not a valid token name.
 func checkName(name string) error {
 	if name == "" || len(name) > maximumNameBytes {
 		return trace.BadParameter("a token's name has 1 to %d bytes", maximumNameBytes)
@@ -129,17 +133,17 @@
 }
 
 const (
-	bearer = "bearer "
-	basic  = "basic "
+	bearerScheme = "bearer "
+	basicScheme  = "basic "
 )
 
-// FromHeader returns the token of an Authorization header's value: a bearer token, or the password of the
-// basic form, which browsers ask their users for. It is "" when there is none.
+// FromHeader returns the token in the value of an Authorization header, or "" if there is none. The token is a bearer
+// token or the password of basic authentication, for which browsers prompt their users.
 func FromHeader(value string) string {
-	if token, found := cutScheme(value, bearer); found {
+	if token, found := cutScheme(value, bearerScheme); found {
 		return token
 	}
-	encoded, found := cutScheme(value, basic)
+	encoded, found := cutScheme(value, basicScheme)
 	if !found {
 		return ""
 	}
@@ -151,6 +155,7 @@
 	return password
 }
 
+// cutScheme returns what follows an authentication scheme. The case of the scheme is ignored.
 func cutScheme(value, scheme string) (rest string, found bool) {
 	if len(value) <= len(scheme) || !strings.EqualFold(value[:len(scheme)], scheme) {
 		return "", false
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -18,10 +18,13 @@
 	return token, hash
 }
 
-func entry(name string, role Role, hash Hash, more string) string {
-	return fmt.Sprintf("  - {name: %s, role: %s, hash: %q%s}\n", name, role, hash, more)
+// entry returns a line of a tokens file, with extraFields appended as written.
+func entry(name string, role Role, hash Hash, extraFields string) string {
+	return fmt.Sprintf("  - {name: %s, role: %s, hash: %q%s}\n", name, role, hash, extraFields)
 }
 
+// TestOnlyTheRightTokenIsAccepted guards against accepting a token that is expired, malformed, or of another name or
+// secret.
 func TestOnlyTheRightTokenIsAccepted(t *testing.T) {
 	alice, aliceHash := mustToken(t, "alice")
 	renewed, renewedHash := mustToken(t, "alice")
@@ -35,7 +38,7 @@
 	}
 	before := time.Date(2026, 11, 30, 0, 0, 0, 0, time.UTC)
 	after := before.Add(48 * time.Hour)
-	for name, try := range map[string]struct {
+	for name, test := range map[string]struct {
 		token string
 		now   time.Time
 		want  Principal
@@ -54,16 +57,18 @@
 		"the hash":        {"alice." + aliceHash.String(), after, Principal{}},
 		"longer":          {alice + "x", after, Principal{}},
 	} {
-		got, err := keyring.Authenticate(try.token, try.now)
-		if got != try.want || (err == nil) != (try.want != Principal{}) {
+		got, err := keyring.Authenticate(test.token, test.now)
+		if got != test.want || (err == nil) != (test.want != Principal{}) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
 }
 
+// TestBadTokensFilesAreRefusedWithLineAndRemedy checks that errors name the file, the line and the field, and what to
+// do where that is not obvious.
 func TestBadTokensFilesAreRefusedWithLineAndRemedy(t *testing.T) {
 	_, hash := mustToken(t, "a")
-	for name, try := range map[string]struct{ content, want string }{
+	for name, test := range map[string]struct{ content, want string }{
 		"role":       {"tokens:\n" + entry("a", "king", hash, ""), "tokens.yaml:2: tokens[0].role"},
 		"hash":       {"tokens:\n  - {name: a, role: node, hash: secret}\n", "token create"},
 		"short hash": {"tokens:\n  - {name: a, role: node, hash: \"sha256:00\"}\n", "tokens[0].hash"},
@@ -73,12 +78,14 @@
 		"field":      {"tokens:\n" + entry("a", Node, hash, ", admin: true"), "admin"},
 		"no list":    {"token: x\n", "token"},
 	} {
-		if _, err := Parse("tokens.yaml", []byte(try.content)); err == nil || !strings.Contains(err.Error(), try.want) {
-			t.Errorf("%s: got %v, want %q in it", name, err, try.want)
+		if _, err := Parse("tokens.yaml", []byte(test.content)); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: got %v, want %q in it", name, err, test.want)
 		}
 	}
 }
 
+// TestSecretsAreNotKept guards against tokens with too little randomness, a secret inside its hash, and invalid
+// names.
 func TestSecretsAreNotKept(t *testing.T) {
 	token, hash := mustToken(t, "a")
 	_, secret, _ := strings.Cut(token, separator)
@@ -90,11 +97,12 @@
 	}
 	for _, name := range []string{"", "a.b", "a b", "ä", strings.Repeat("x", 200)} {
 		if _, _, err := NewToken(rand.Reader, name); err == nil {
-			t.Errorf("the name %q was taken", name)
+			t.Errorf("the name %q was accepted", name)
 		}
 	}
 }
 
+// TestHeaderForms checks which Authorization header values yield a token.
 func TestHeaderForms(t *testing.T) {
 	for header, want := range map[string]string{"Bearer a.b": "a.b", "bearer  a.b ": "a.b", "Basic YWxpY2U6YS5i": "a.b", "Basic a.b": "", "Basic YQ==": "", "Bearer": "", "": "", "a.b": ""} {
 		if got := FromHeader(header); got != want {
--- a/internal/auth/file.go
+++ b/internal/auth/file.go
@@ -9,11 +9,12 @@
 	"github.com/tamarindring/tamarindring/internal/strictyaml"
 )
 
-// tokensFile is the form of a file of accepted tokens.
+// tokensFile is the YAML structure of a file of accepted tokens.
 type tokensFile struct {
 	Tokens []tokenEntry `yaml:"tokens"`
 }
 
+// tokenEntry is one accepted token in a tokens file.
 type tokenEntry struct {
 	Name    string `yaml:"name"`
 	Role    Role   `yaml:"role"`
@@ -23,17 +24,18 @@
 
 const hashPrefix = "sha256:"
 
-// String returns the hash as it stands in a tokens file.
+// String returns the hash in the form used in a tokens file.
 func (h Hash) String() string { return hashPrefix + hex.EncodeToString(h[:]) }
 
-// Parse reads a tokens file. Errors name file, line and field.
+// Parse parses the content of a tokens file. file is the name used in errors. Errors: trace.BadParameter with file,
+// line and field.
 func Parse(file string, content []byte) (*Keyring, error) {
-	var read tokensFile
-	if err := strictyaml.Decode(file, content, &read); err != nil {
+	var decoded tokensFile
+	if err := strictyaml.Decode(file, content, &decoded); err != nil {
 		return nil, err
 	}
 	keyring := &Keyring{byName: map[string][]credential{}}
-	for i, entry := range read.Tokens {
+	for i, entry := range decoded.Tokens {
 		parsed, err := parseEntry(&entry)
 		if err != nil {
 			return nil, strictyaml.Locate(file, content, strictyaml.Within("tokens["+strconv.Itoa(i)+"]", err))
@@ -49,6 +51,7 @@
 	return keyring, nil
 }
 
+// parseEntry validates an entry. Errors are strictyaml.FieldErrors with paths relative to the entry.
 func parseEntry(entry *tokenEntry) (credential, error) {
 	if err := checkName(entry.Name); err != nil {
 		return credential{}, strictyaml.Fieldf("name", "%v", err)
--- a/internal/credentials/client.go
+++ b/internal/credentials/client.go
@@ -10,14 +10,16 @@
 	"storj.io/drpc/drpcmetadata"
 )
 
-// Client is what a process shows to others: its token and its certificate. A nil *Client shows nothing.
+// Client holds the token and the certificate with which a process authenticates itself to others. A nil *Client has
+// neither.
 type Client struct {
-	token *watched[string] // nil without a token
-	tls   *TLS             // nil without certificates
+	token *reloader[string] // nil without a token
+	tls   *TLS              // nil without certificates
 }
 
-// NewClient reads a process's own token from a file, unless tokenPath is empty; tls may be nil. It returns
-// nil when there is neither.
+// NewClient returns a client with the token in the file tokenPath, unless that is empty, and with tls, which may be
+// nil. With neither it returns nil. Errors: trace.BadParameter for a file that is unreadable or does not contain
+// exactly one token.
 func NewClient(tokenPath string, tls *TLS, log *logrus.Entry) (*Client, error) {
 	if tokenPath == "" && tls == nil {
 		return nil, nil
@@ -27,15 +29,16 @@
 		return client, nil
 	}
 	var err error
-	client.token, err = newWatched(log, func() (string, error) { return readToken(tokenPath) }, tokenPath)
+	client.token, err = newReloader(log, func() (string, error) { return readToken(tokenPath) }, tokenPath)
 	if err != nil {
 		return nil, err
 	}
 	return client, nil
 }
 
+// readToken returns the only token in a file. Surrounding white space is ignored.
 func readToken(path string) (string, error) {
-	content, err := read(path)
+	content, err := readFile(path)
 	if err != nil {
 		return "", err
 	}
@@ -46,7 +49,7 @@
 	return token, nil
 }
 
-// Context returns ctx with the token, for a drpc stream that is about to be opened.
+// Context returns ctx with the token added, for opening a drpc stream.
 func (c *Client) Context(ctx context.Context) context.Context {
 	if c == nil || c.token == nil {
 		return ctx
@@ -54,7 +57,7 @@
 	return drpcmetadata.Add(ctx, tokenKey, c.token.get())
 }
 
-// Authorization returns the value of the HTTP header, or "" without a token.
+// Authorization returns the value of the HTTP Authorization header, or "" without a token.
 func (c *Client) Authorization() string {
 	if c == nil || c.token == nil {
 		return ""
@@ -62,8 +65,8 @@
 	return "Bearer " + c.token.get()
 }
 
-// Secure wraps a connection that was just opened to another node. Without certificates it is returned as
-// it is; else the handshake happens with the first byte.
+// Secure wraps a newly opened connection to another node in TLS. The handshake happens at the first read or write.
+// Without certificates the connection is returned unchanged.
 func (c *Client) Secure(conn net.Conn) net.Conn {
 	if c == nil || c.tls == nil {
 		return conn
--- a/internal/credentials/credentials_test.go
+++ b/internal/credentials/credentials_test.go
@@ -24,9 +24,10 @@
 	}
 }
 
-// lookAgain makes the next use look at the files.
-func lookAgain[T any](w *watched[T]) { w.checked = time.Time{} }
+// forceCheck makes the next get check the files for changes.
+func forceCheck[T any](r *reloader[T]) { r.lastCheck = time.Time{} }
 
+// entryOf returns a new token and its entry in a tokens file.
 func entryOf(t *testing.T, name string, role auth.Role) (token, entry string) {
 	t.Helper()
 	token, hash, err := auth.NewToken(rand.Reader, name)
@@ -36,6 +37,8 @@
 	return token, fmt.Sprintf("  - {name: %s, role: %s, hash: %q}\n", name, role, hash)
 }
 
+// TestGuardFollowsItsFileAndKeepsTheOldTokensWhenItBreaks guards against replaced tokens that stay valid, and against
+// a broken or deleted tokens file that locks everyone out of a running process.
 func TestGuardFollowsItsFileAndKeepsTheOldTokensWhenItBreaks(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tokens.yaml")
 	first, firstEntry := entryOf(t, "a", auth.Caller)
@@ -55,50 +58,52 @@
 	expect(first, auth.ErrForbidden, auth.Node, auth.Operator)
 	expect(second, auth.ErrUnauthenticated, auth.Caller)
 	writeFile(t, path, "tokens:\n"+secondEntry+"# replaced\n")
-	lookAgain(guard.keyring)
+	forceCheck(guard.keyring)
 	expect(second, nil, auth.Caller)
 	expect(first, auth.ErrUnauthenticated, auth.Caller)
 	writeFile(t, path, "tokens: broken")
-	lookAgain(guard.keyring)
+	forceCheck(guard.keyring)
 	expect(second, nil, auth.Caller)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	lookAgain(guard.keyring)
+	forceCheck(guard.keyring)
 	expect(second, nil, auth.Caller)
 	if _, err := NewGuard(path, logging.Discard()); err == nil || !strings.Contains(err.Error(), path) {
 		t.Fatalf("got %v", err)
 	}
 }
 
+// TestTokenFilesWithMoreThanATokenAreRefused guards against sending the content of a wrong file as a token.
 func TestTokenFilesWithMoreThanATokenAreRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "own.token")
-	for content, right := range map[string]bool{"a.b\n": true, "": false, "a.b\nc.d\n": false, "a b": false} {
+	for content, valid := range map[string]bool{"a.b\n": true, "": false, "a.b\nc.d\n": false, "a b": false} {
 		writeFile(t, path, content)
 		client, err := NewClient(path, nil, logging.Discard())
-		if (err == nil) != right {
+		if (err == nil) != valid {
 			t.Errorf("%q: %v", content, err)
 		}
-		if right && client.Authorization() != "Bearer a.b" {
+		if valid && client.Authorization() != "Bearer a.b" {
 			t.Errorf("%q: %q", content, client.Authorization())
 		}
 	}
 }
 
+// nodeOf returns the TLS of a node with the given IP address and a certificate of a.
 func nodeOf(t *testing.T, a *credentialtest.Authority, address string) *TLS {
 	t.Helper()
 	certificate, key, ca := a.Write(t, t.TempDir(), net.ParseIP(address))
-	made, err := NewTLS(certificate, key, ca, logging.Discard())
+	nodeTLS, err := NewTLS(certificate, key, ca, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return made
+	return nodeTLS
 }
 
-// greeting is long enough for a listener to see at once that it is no handshake.
+// greeting is long enough for a TLS listener to detect at once that it is not a handshake.
 const greeting = "a greeting in the clear"
 
-// greet sends bytes from client to server and back.
+// greet sends greeting from client to server and back, and returns the error of the client.
 func greet(t *testing.T, server, client *TLS) error {
 	t.Helper()
 	bound, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,11 +144,13 @@
 	return nil
 }
 
+// TestOnlyCertificatesOfTheAuthorityConnect guards against connections with a certificate of another authority or
+// another address, and between a secured and an unsecured side.
 func TestOnlyCertificatesOfTheAuthorityConnect(t *testing.T) {
 	ours, others := credentialtest.NewAuthority(t), credentialtest.NewAuthority(t)
-	for name, try := range map[string]struct {
+	for name, test := range map[string]struct {
 		server, client *TLS
-		right          bool
+		accepted       bool
 	}{
 		"ours":              {nodeOf(t, ours, "127.0.0.1"), nodeOf(t, ours, "127.0.0.1"), true},
 		"plain":             {nil, nil, true},
@@ -155,13 +162,15 @@
 		"client's own host": {nodeOf(t, ours, "127.0.0.1"), nodeOf(t, ours, "127.0.0.9"), true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := greet(t, try.server, try.client); (err == nil) != try.right {
+			if err := greet(t, test.server, test.client); (err == nil) != test.accepted {
 				t.Fatalf("got %v", err)
 			}
 		})
 	}
 }
 
+// TestCertificatesAreReloaded guards against a listener that still accepts certificates of a replaced authority, or
+// does not accept those of the new one.
 func TestCertificatesAreReloaded(t *testing.T) {
 	old, next := credentialtest.NewAuthority(t), credentialtest.NewAuthority(t)
 	folder := t.TempDir()
@@ -174,7 +183,7 @@
 		t.Fatal("a foreign certificate was accepted")
 	}
 	next.Write(t, folder, net.ParseIP("127.0.0.1"))
-	lookAgain(server.material)
+	forceCheck(server.material)
 	if err := greet(t, server, nodeOf(t, next, "127.0.0.1")); err != nil {
 		t.Fatal(err)
 	}
@@ -183,6 +192,8 @@
 	}
 }
 
+// TestIncompleteCertificateSettingsAreRefused guards against starting without TLS, or failing later, when certificate
+// files are missing, swapped or unreadable.
 func TestIncompleteCertificateSettingsAreRefused(t *testing.T) {
 	certificate, key, ca := credentialtest.NewAuthority(t).Write(t, t.TempDir(), net.ParseIP("127.0.0.1"))
 	for _, paths := range [][3]string{{certificate, key, ""}, {certificate, "", ca}, {"", key, ca}, {key, certificate, ca},
--- a/internal/credentials/credentialtest/authority.go
+++ b/internal/credentials/credentialtest/authority.go
@@ -1,4 +1,4 @@
-// Package credentialtest makes certificates and tokens files for tests.
+// Package credentialtest creates certificates and tokens files for tests.
 package credentialtest
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/tamarindring/tamarindring/internal/auth"
 )
 
-// Authority issues certificates of nodes.
+// Authority is a certificate authority that issues certificates for nodes.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	serial      int64
 }
 
-// NewAuthority makes an authority with a key of its own.
+// NewAuthority returns an authority with a new key.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{}
@@ -34,7 +34,7 @@
 	return a
 }
 
-// sign issues a certificate; the first one signs itself.
+// sign issues a certificate that is valid for an hour. The first certificate is self-signed.
 func (a *Authority) sign(t testing.TB, template *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -59,7 +59,8 @@
 	return issued, key
 }
 
-// Write issues a node's certificate into a folder and returns the paths of certificate, key and authority.
+// Write issues a certificate for a node with the given IP address, writes it to folder, and returns the paths of the
+// certificate, its key and the certificate authority.
 func (a *Authority) Write(t testing.TB, folder string, address net.IP) (certificate, key, ca string) {
 	t.Helper()
 	issued, secret := a.sign(t, &x509.Certificate{IPAddresses: []net.IP{address},
@@ -78,8 +79,8 @@
 	return encode("node.crt", "CERTIFICATE", issued.Raw), encode("node.key", "EC PRIVATE KEY", raw), encode("ca.crt", "CERTIFICATE", a.certificate.Raw)
 }
 
-// WriteTokens writes a file of accepted tokens with one token of each holder into folder, and returns its
-// path and the tokens by name.
+// WriteTokens writes a tokens file with one token for each holder to folder. It returns the path of the file and the
+// tokens by name.
 func WriteTokens(t testing.TB, folder string, holders map[string]auth.Role) (path string, tokens map[string]string) {
 	t.Helper()
 	tokens = map[string]string{}
@@ -99,7 +100,7 @@
 	return path, tokens
 }
 
-// OneOfEach is a holder of each role, named like it.
+// OneOfEach returns one holder of each role, named after its role.
 func OneOfEach() map[string]auth.Role {
 	holders := map[string]auth.Role{}
 	for _, role := range []auth.Role{auth.Operator, auth.Trainer, auth.Caller, auth.Node} {
--- a/internal/credentials/file.go
+++ b/internal/credentials/file.go
@@ -1,5 +1,5 @@
-// Package credentials keeps the tokens and certificates of a process: it reads them from files, follows
-// changes of the files while the process runs, checks what others send and secures connections.
+// Package credentials loads the tokens and certificates of a process from files and follows changes of the files at
+// run time. It checks the tokens of peers and secures connections with TLS.
 package credentials
 
 import (
@@ -11,82 +11,84 @@
 	"github.com/sirupsen/logrus"
 )
 
-// checkInterval is how often at most a file is looked at for a change.
+// checkInterval is the minimum time between two checks of a file for changes.
 const checkInterval = time.Second
 
-// watched is a value made from files. It follows their changes; while the new content cannot be used, the
-// old value stays in force.
-type watched[T any] struct {
-	paths []string
-	make  func() (T, error)
+// reloader holds a value built from files and rebuilds it when they change. If the new content cannot be used, the
+// old value stays in force. It is safe for concurrent use.
+type reloader[T any] struct {
+	paths []string          // files whose changes are followed
+	make  func() (T, error) // builds the value from the files
 	log   *logrus.Entry
 
-	mutex   sync.Mutex
-	value   T
-	seen    []stamp
-	checked time.Time
+	mutex     sync.Mutex
+	value     T
+	versions  []fileVersion // of the files at paths when the value was last built or a build failed
+	lastCheck time.Time
 }
 
-// stamp tells two versions of a file apart.
-type stamp struct {
+// fileVersion identifies a version of a file by its modification time and size. It is zero for a file that cannot be
+// read.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// newWatched makes the value for the first time.
-func newWatched[T any](log *logrus.Entry, build func() (T, error), paths ...string) (*watched[T], error) {
-	w := &watched[T]{paths: paths, make: build, log: log, checked: time.Now()}
-	w.seen = stamps(paths)
+// newReloader builds the value for the first time. Errors are those of build.
+func newReloader[T any](log *logrus.Entry, build func() (T, error), paths ...string) (*reloader[T], error) {
+	r := &reloader[T]{paths: paths, make: build, log: log, lastCheck: time.Now()}
+	r.versions = statFiles(paths)
 	value, err := build()
 	if err != nil {
 		return nil, err
 	}
-	w.value = value
-	return w, nil
+	r.value = value
+	return r, nil
 }
 
-func stamps(paths []string) []stamp {
-	found := make([]stamp, len(paths))
+// statFiles returns the present versions of the files.
+func statFiles(paths []string) []fileVersion {
+	found := make([]fileVersion, len(paths))
 	for i, path := range paths {
 		if info, err := os.Stat(path); err == nil {
-			found[i] = stamp{modified: info.ModTime(), size: info.Size()}
+			found[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return found
 }
 
-// get returns the value, made anew if a file has changed.
-func (w *watched[T]) get() T {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if now := time.Now(); now.Sub(w.checked) >= checkInterval {
-		w.checked = now
-		w.refresh()
+// get returns the value. It checks the files for changes first if the last check was checkInterval or longer ago.
+func (r *reloader[T]) get() T {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if now := time.Now(); now.Sub(r.lastCheck) >= checkInterval {
+		r.lastCheck = now
+		r.refresh()
 	}
-	return w.value
+	return r.value
 }
 
-// refresh looks at the files now. The caller holds the mutex.
-func (w *watched[T]) refresh() {
-	current := stamps(w.paths)
+// refresh rebuilds the value if a file has changed. The caller holds the mutex.
+func (r *reloader[T]) refresh() {
+	current := statFiles(r.paths)
 	for i := range current {
-		if current[i] == w.seen[i] {
+		if current[i] == r.versions[i] {
 			continue
 		}
-		w.seen = current
-		value, err := w.make()
+		r.versions = current
+		value, err := r.make()
 		if err != nil {
-			w.log.Warnf("changed credentials are not taken over, the old ones stay in force: %s", trace.UserMessage(err))
+			r.log.Warnf("changed credentials cannot be used, the previous ones stay in force: %s", trace.UserMessage(err))
 			return
 		}
-		w.value = value
-		w.log.Infof("took over changed credentials from %s", w.paths[i])
+		r.value = value
+		r.log.Infof("loaded changed credentials from %s", r.paths[i])
 		return
 	}
 }
 
-// read reads a whole file; errors name it.
-func read(path string) ([]byte, error) {
+// readFile returns the content of a file. Errors: trace.BadParameter with the path.
+func readFile(path string) ([]byte, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, trace.BadParameter("%v", err)
--- a/internal/credentials/guard.go
+++ b/internal/credentials/guard.go
@@ -15,17 +15,18 @@
 	"github.com/tamarindring/tamarindring/internal/auth"
 )
 
-// Guard checks tokens at a listener. A nil *Guard lets everybody in.
+// Guard checks the tokens of requests and streams at a listener. A nil *Guard accepts everyone.
 type Guard struct {
-	keyring *watched[*auth.Keyring]
-	log     *logrus.Entry
-	told    atomic.Int64 // when a refusal was logged last, in nanoseconds
+	keyring          *reloader[*auth.Keyring]
+	log              *logrus.Entry
+	lastRejectionLog atomic.Int64 // when a rejection was last logged, in Unix nanoseconds
 }
 
-// NewGuard reads the accepted tokens from a file and follows its changes.
+// NewGuard reads the accepted tokens from a file and follows its changes. Errors: trace.BadParameter for an
+// unreadable or invalid file.
 func NewGuard(path string, log *logrus.Entry) (*Guard, error) {
-	keyring, err := newWatched(log, func() (*auth.Keyring, error) {
-		content, err := read(path)
+	keyring, err := newReloader(log, func() (*auth.Keyring, error) {
+		content, err := readFile(path)
 		if err != nil {
 			return nil, err
 		}
@@ -38,8 +39,8 @@
 	return &Guard{keyring: keyring, log: log}, nil
 }
 
-// Check returns whose token it is if its role is among those permitted. Errors: auth.ErrUnauthenticated,
-// auth.ErrForbidden.
+// Check returns the owner of a token if its role is one of those permitted. Errors: auth.ErrUnauthenticated for an
+// invalid token, auth.ErrForbidden for another role.
 func (g *Guard) Check(token string, permitted ...auth.Role) (auth.Principal, error) {
 	principal, err := g.keyring.get().Authenticate(token, time.Now())
 	if err != nil {
@@ -51,72 +52,76 @@
 	return principal, nil
 }
 
-// tokenKey is the metadata of a drpc stream that carries the token.
+// tokenKey is the drpc metadata key of the token.
 const tokenKey = "authorization"
 
+// principalKey is the context key of the principal that opened a stream.
 type principalKey struct{}
 
-// FromStream returns who opened the stream that ctx belongs to; false when the listener has no guard.
+// FromStream returns the principal that opened the stream with context ctx, or false if the listener has no guard.
 func FromStream(ctx context.Context) (auth.Principal, bool) {
 	principal, ok := ctx.Value(principalKey{}).(auth.Principal)
 	return principal, ok
 }
 
-// Wrap returns a handler of drpc calls that lets in the roles that permitted names for each call. A nil
-// Guard returns the handler as it is.
+// Wrap returns a drpc handler that rejects each call unless its token has one of the roles that permitted returns for
+// the name of the RPC. Rejected calls fail with code auth.RefusedCode. A nil Guard returns handler unchanged.
 func (g *Guard) Wrap(handler drpc.Handler, permitted func(rpc string) []auth.Role) drpc.Handler {
 	if g == nil {
 		return handler
 	}
-	return &guarded{guard: g, handler: handler, permitted: permitted}
+	return &guardedHandler{guard: g, handler: handler, permitted: permitted}
 }
 
-type guarded struct {
+// guardedHandler is a drpc handler behind a guard.
+type guardedHandler struct {
 	guard     *Guard
 	handler   drpc.Handler
 	permitted func(rpc string) []auth.Role
 }
 
 // HandleRPC implements drpc.Handler.
-func (h *guarded) HandleRPC(stream drpc.Stream, rpc string) error {
+func (h *guardedHandler) HandleRPC(stream drpc.Stream, rpc string) error {
 	metadata, _ := drpcmetadata.Get(stream.Context())
 	principal, err := h.guard.Check(metadata[tokenKey], h.permitted(rpc)...)
 	if err != nil {
-		h.guard.tell(rpc, err)
+		h.guard.logRejection(rpc, err)
 		return drpcerr.WithCode(err, auth.RefusedCode)
 	}
-	return h.handler.HandleRPC(&knownStream{Stream: stream, ctx: context.WithValue(stream.Context(), principalKey{}, principal)}, rpc)
+	return h.handler.HandleRPC(&authenticatedStream{Stream: stream, ctx: context.WithValue(stream.Context(), principalKey{}, principal)}, rpc)
 }
 
-// tellInterval is the least time between two log lines about refused streams.
-const tellInterval = 10 * time.Second
+// rejectionLogInterval is the minimum time between two log lines about rejected streams.
+const rejectionLogInterval = 10 * time.Second
 
-// tell logs a refused stream, unless one was logged a moment ago: who is refused tries again and again.
-func (g *Guard) tell(rpc string, reason error) {
-	now, last := time.Now().UnixNano(), g.told.Load()
-	if now-last >= int64(tellInterval) && g.told.CompareAndSwap(last, now) {
-		g.log.Warnf("refused a stream to %s: %v", rpc, reason)
+// logRejection logs a rejected stream, unless another was logged within rejectionLogInterval: a rejected peer retries
+// all the time.
+func (g *Guard) logRejection(rpc string, reason error) {
+	now, last := time.Now().UnixNano(), g.lastRejectionLog.Load()
+	if now-last >= int64(rejectionLogInterval) && g.lastRejectionLog.CompareAndSwap(last, now) {
+		g.log.Warnf("rejected a stream to %s: %v", rpc, reason)
 	}
 }
 
-// knownStream is a stream whose context knows who opened it.
-type knownStream struct {
+// authenticatedStream is a stream whose context contains the principal that opened it.
+type authenticatedStream struct {
 	drpc.Stream
 	ctx context.Context
 }
 
 // Context implements drpc.Stream.
-func (s *knownStream) Context() context.Context { return s.ctx }
+func (s *authenticatedStream) Context() context.Context { return s.ctx }
 
-// RawFlush passes a manual flush on to the stream beneath.
-func (s *knownStream) RawFlush() error {
+// RawFlush flushes the underlying stream, if it supports manual flushes.
+func (s *authenticatedStream) RawFlush() error {
 	if flusher, ok := s.Stream.(interface{ RawFlush() error }); ok {
 		return flusher.RawFlush()
 	}
 	return nil
 }
 
-// WarnIfOpen logs a plain warning when a listener can be reached from other machines without tokens.
+// WarnIfOpen logs a warning if a listener accepts connections from other machines and g is nil, so that no tokens are
+// required. what names the listener.
 func (g *Guard) WarnIfOpen(log *logrus.Entry, what string, address net.Addr) {
 	if tcp, ok := address.(*net.TCPAddr); g == nil && ok && !tcp.IP.IsLoopback() {
 		log.Warnf("%s on %s is open to everybody who can reach it: no tokens are asked for (see docs/operations/keys.md)", what, address)
--- a/internal/credentials/tls.go
+++ b/internal/credentials/tls.go
@@ -9,18 +9,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TLS is a node's certificate and the authority that all nodes' certificates come from. It follows changes
-// of the files; connections that are open keep what they began with.
+// TLS holds the certificate of a node and the certificate authority of all nodes. It follows changes of their files.
+// Open connections keep the certificates that they started with. A nil *TLS leaves listeners unencrypted.
 type TLS struct {
-	material *watched[*material]
+	material *reloader[*material]
 }
 
+// material is the content of the certificate files.
 type material struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// NewTLS reads certificate, key and authority, all PEM. With no path at all it returns nil.
+// NewTLS reads a certificate, its key and the certificate authority from PEM files. If all paths are empty it returns
+// nil. Errors: trace.BadParameter if only some paths are given or a file is invalid.
 func NewTLS(certificatePath, keyPath, authorityPath string, log *logrus.Entry) (*TLS, error) {
 	if certificatePath == "" && keyPath == "" && authorityPath == "" {
 		return nil, nil
@@ -28,13 +30,13 @@
 	if certificatePath == "" || keyPath == "" || authorityPath == "" {
 		return nil, trace.BadParameter("tls-cert, tls-key and tls-ca belong together: give all three or none")
 	}
-	found, err := newWatched(log, func() (*material, error) {
+	loaded, err := newReloader(log, func() (*material, error) {
 		return readMaterial(certificatePath, keyPath, authorityPath)
 	}, certificatePath, keyPath, authorityPath)
 	if err != nil {
 		return nil, err
 	}
-	return &TLS{material: found}, nil
+	return &TLS{material: loaded}, nil
 }
 
 func readMaterial(certificatePath, keyPath, authorityPath string) (*material, error) {
@@ -42,7 +44,7 @@
 	if err != nil {
 		return nil, trace.BadParameter("certificate %s with key %s: %v", certificatePath, keyPath, err)
 	}
-	content, err := read(authorityPath)
+	content, err := readFile(authorityPath)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +55,8 @@
 	return &material{certificate: certificate, authority: authority}, nil
 }
 
-// Listen returns a listener that takes connections of nodes with a certificate of the authority only. A
-// nil *TLS returns the listener as it is.
+// Listen returns a listener that accepts only connections of nodes with a certificate of the authority. A nil *TLS
+// returns listener unchanged.
 func (t *TLS) Listen(listener net.Listener) net.Listener {
 	if t == nil {
 		return listener
@@ -69,8 +71,8 @@
 	})
 }
 
-// client wraps a connection to another node, whose certificate must be of the authority and name the IP
-// number that was dialed.
+// client wraps a connection to another node in TLS. The certificate of that node must be issued by the authority and
+// contain the IP address that was dialed.
 func (t *TLS) client(conn net.Conn) net.Conn {
 	current := t.material.get()
 	name, _, err := net.SplitHostPort(conn.RemoteAddr().String())
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// OwnerName names one start of a process as the owner of claims and the holder of a lease: a restarted
-// process is another owner.
+// OwnerName returns the name under which one incarnation of a process owns claims and holds a lease. A restarted
+// process is a different owner.
 func OwnerName(member *Member) string {
 	return member.GetName() + "#" + strconv.FormatUint(member.GetIncarnation(), 10)
 }
 
-// MemberRoleText is a member's role for people.
+// MemberRoleText returns the name of a role for display.
 func MemberRoleText(role MemberRole) string {
 	switch role {
 	case MemberRole_MEMBER_ROLE_CONTROL:
@@ -24,13 +24,14 @@
 	}
 }
 
-// HoldsLease says whether members of a role are kept alive by the lease that they renew. Others are judged
-// by nobody: control nodes by their groups, and storage members stay as they were registered.
+// HoldsLease reports whether members of a role stay alive by renewing a lease. The liveness of other members is not
+// tracked by the control group: control nodes are watched by their consensus groups, and storage members stay as they
+// were registered.
 func HoldsLease(role MemberRole) bool {
 	return role == MemberRole_MEMBER_ROLE_GATEWAY || role == MemberRole_MEMBER_ROLE_COORDINATOR
 }
 
-// MemberStateText is a member's state for people.
+// MemberStateText returns the name of a state for display.
 func MemberStateText(state MemberState) string {
 	switch state {
 	case MemberState_MEMBER_STATE_ALIVE:
@@ -46,8 +47,8 @@
 	}
 }
 
-// LeaveRequested says whether the members show that the process named owner (see OwnerName) was asked to
-// finish its work and leave.
+// LeaveRequested reports whether, according to members, the process with the given owner name (see OwnerName) was
+// asked to finish its work and leave.
 func LeaveRequested(members *MembersView, owner string) bool {
 	for _, member := range members.GetMembers() {
 		if member.GetState() == MemberState_MEMBER_STATE_LEAVING && OwnerName(member) == owner {
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -9,11 +9,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maximumUnpacked bounds an unpacked table update, in bytes: a table of MaximumRows rows is smaller.
-const maximumUnpacked = 64 << 20
+// maximumUnpackedBytes bounds an unpacked table update. A table of MaximumRows rows is smaller.
+const maximumUnpackedBytes = 64 << 20
 
-// PackUpdate encodes and deflates a table update. A whole table of many replicas shrinks to a small part, and the bytes
-// can be sent to any number of holders.
+// PackUpdate encodes a table update and compresses it with DEFLATE. A whole table of many replicas becomes much
+// smaller, and the result can be sent to any number of receivers.
 func PackUpdate(update *TableUpdate) ([]byte, error) {
 	encoded, err := proto.Marshal(update)
 	if err != nil {
@@ -33,15 +33,16 @@
 	return packed.Bytes(), nil
 }
 
-// UnpackUpdate is the inverse of PackUpdate. Errors: trace.BadParameter for bytes that are not a packed update.
+// UnpackUpdate decodes the output of PackUpdate. Errors: trace.BadParameter if packed is not a packed update or
+// unpacks to more than maximumUnpackedBytes.
 func UnpackUpdate(packed []byte) (*TableUpdate, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
-	encoded, err := io.ReadAll(io.LimitReader(reader, maximumUnpacked+1))
+	encoded, err := io.ReadAll(io.LimitReader(reader, maximumUnpackedBytes+1))
 	if err != nil {
 		return nil, trace.BadParameter("a packed table update can't be inflated: %v", err)
 	}
-	if len(encoded) > maximumUnpacked {
-		return nil, trace.BadParameter("a packed table update is longer than %d bytes", maximumUnpacked)
+	if len(encoded) > maximumUnpackedBytes {
+		return nil, trace.BadParameter("a packed table update is longer than %d bytes", maximumUnpackedBytes)
 	}
 	update := &TableUpdate{}
 	if err = proto.Unmarshal(encoded, update); err != nil {
--- a/internal/wire/pack_test.go
+++ b/internal/wire/pack_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fleetUpdate is a whole table of replicas as registrations make them.
+// fleetUpdate returns the update of a whole table of replicas, with the cells that registrations write.
 func fleetUpdate(replicas int) *TableUpdate {
 	update := &TableUpdate{ToVersion: 7}
 	for number := range replicas {
@@ -22,28 +22,31 @@
 	return update
 }
 
-func TestPackedUpdatesAreWholeAndSmall(t *testing.T) {
+// TestPackedUpdatesAreCompleteAndSmall guards against a lossy encoding, and against packing that saves less than
+// three quarters.
+func TestPackedUpdatesAreCompleteAndSmall(t *testing.T) {
 	update := fleetUpdate(1000)
 	packed, err := PackUpdate(update)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if plain := proto.Size(update); len(packed)*4 > plain {
-		t.Fatalf("%d bytes became %d", plain, len(packed))
+		t.Fatalf("%d bytes were packed into %d, want at most a quarter", plain, len(packed))
 	}
 	unpacked, err := UnpackUpdate(packed)
 	if err != nil || !proto.Equal(unpacked, update) {
-		t.Fatalf("unpacked to something else: %v", err)
+		t.Fatalf("the unpacked update differs from the packed one, or failed to unpack: %v", err)
 	}
 }
 
-func TestSpoiledPackedUpdatesAreRefused(t *testing.T) {
+// TestInvalidPackedUpdatesAreRejected guards against accepting a truncated update or other bytes.
+func TestInvalidPackedUpdatesAreRejected(t *testing.T) {
 	packed, err := PackUpdate(fleetUpdate(100))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoiled := range map[string][]byte{"cut short": packed[:len(packed)/2], "not deflated": []byte("table"), "empty": nil} {
-		if _, err := UnpackUpdate(spoiled); !trace.IsBadParameter(err) {
+	for name, invalid := range map[string][]byte{"cut short": packed[:len(packed)/2], "not deflated": []byte("table"), "empty": nil} {
+		if _, err := UnpackUpdate(invalid); !trace.IsBadParameter(err) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
