--- a/internal/compat/readiness_test.go
+++ b/internal/compat/readiness_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestLevelsRiseOnlyWhenAllHaveSpokenThem: whatever processes come and go, a level is proposed only when every present process
-// speaks it and has done so for the settling time, or nothing is held yet.
+// TestLevelsRiseOnlyWhenAllHaveSpokenThem checks, for processes that come and go at random, that a level is proposed
+// only if every present process has spoken it throughout SettlingTime, or if the group holds no state yet.
 func TestLevelsRiseOnlyWhenAllHaveSpokenThem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var settling Settling
@@ -46,7 +46,8 @@
 	})
 }
 
-// TestLevelRisesOnceItHasSettled: all speak it, and one that speaks none begins the time anew.
+// TestLevelRisesOnceItHasSettled checks that a level rises when all processes have spoken it for SettlingTime, and
+// that a process of a lower level restarts that time.
 func TestLevelRisesOnceItHasSettled(t *testing.T) {
 	newer := []Process{{Name: "a", Speaks: Shares}, {Name: "b", Speaks: Shares}}
 	var settling Settling
@@ -67,12 +68,12 @@
 		}
 	}
 	if _, due := new(Settling).Look(0, Base, newer, true); !due {
-		t.Error("a group that holds nothing waits")
+		t.Error("a group without state does not raise its level at once")
 	}
 	if _, due := new(Settling).Look(0, Base, nil, true); due {
-		t.Error("a level rises that nobody speaks")
+		t.Error("a level is proposed without any process")
 	}
 	if _, lowest := Highest(append(newer, Process{Name: "old"})); lowest.Name != "old" {
-		t.Errorf("%s holds the level back", lowest.Name)
+		t.Errorf("%s is reported as the process with the lowest level, want old", lowest.Name)
 	}
 }
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in settings that were left at their zero value.
+// Package defaults sets default values of configuration fields.
 package defaults
 
-// Set gives *field the value unless it has one other than its type's zero value.
+// Set sets *field to value if it has its type's zero value.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's settings file: one strict YAML mapping whose keys are the long
-// names of the subcommand's flags and whose values are scalars or lists of scalars. Values are checked
-// by the flags they stand for, so that a file and a command line can never disagree about what is valid.
+// Package settings reads the settings file of a process: one strict YAML mapping whose keys are the long names of the
+// subcommand's flags and whose values are scalars or lists of scalars. The flags themselves validate the values, so a
+// file and a command line accept the same values.
 package settings
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/gravitational/trace"
 )
 
-// maxFileBytes bounds a settings file; a larger one is a mistake.
+// maxFileBytes bounds the size of a settings file. A larger file is assumed to be the wrong one.
 const maxFileBytes = 1 << 20
 
-// Field is one key of a settings file.
+// Field is one key of a settings file with its values.
 type Field struct {
 	Key    string
 	Values []string // one for a scalar, any number for a list
 	List   bool
-	Line   int // 1-based, for errors
+	Line   int // line number, from 1, for error messages
 }
 
-// Read parses the file at path. Errors name the file, the line and what to do.
+// Read parses the file at path. Errors: trace.BadParameter with the file, the line and what is expected.
 func Read(path string) ([]Field, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return Parse(path, content)
 }
 
-// Parse reads content; name is used in errors.
+// Parse parses the content of a settings file. name is the file name used in errors. Errors: trace.BadParameter.
 func Parse(name string, content []byte) ([]Field, error) {
 	file, err := parser.ParseBytes(content, 0)
 	if err != nil {
@@ -59,6 +59,7 @@
 	return fields, nil
 }
 
+// parseMapping returns the fields of the top-level mapping and rejects duplicate keys.
 func parseMapping(name string, body ast.Node) ([]Field, error) {
 	var entries []*ast.MappingValueNode
 	switch node := body.(type) {
@@ -78,8 +79,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if earlier, twice := seen[field.Key]; twice {
-			return nil, trace.BadParameter("settings file %s:%d: %s is already set in line %d; remove one", name, field.Line, field.Key, earlier)
+		if firstLine, duplicate := seen[field.Key]; duplicate {
+			return nil, trace.BadParameter("settings file %s:%d: %s is already set in line %d; remove one", name, field.Line, field.Key, firstLine)
 		}
 		seen[field.Key] = field.Line
 		fields = append(fields, field)
@@ -87,6 +88,7 @@
 	return fields, nil
 }
 
+// parseEntry returns one field. Values must be scalars or lists of scalars.
 func parseEntry(name string, entry *ast.MappingValueNode) (Field, error) {
 	field := Field{Key: scalarText(entry.Key), Line: entry.Key.GetToken().Position.Line}
 	if list, ok := entry.Value.(*ast.SequenceNode); ok {
@@ -115,7 +117,7 @@
 	}
 }
 
-// scalarText returns a scalar as written, without quotes.
+// scalarText returns the text of a scalar without quotes.
 func scalarText(node ast.Node) string {
 	switch value := node.(type) {
 	case *ast.StringNode:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// TestParseRefusesWithFileAndLine checks that errors name the file, and the line and key where they are known.
 func TestParseRefusesWithFileAndLine(t *testing.T) {
 	for content, want := range map[string]string{
 		"name: a\nname: b\n":          "a.yaml",
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
-// Package strictyaml decodes YAML files into typed structs and refuses what it does not know: every error
-// names file, line and field.
+// Package strictyaml decodes YAML files into typed structs and rejects unknown and duplicate fields. Every error
+// names the file, and the line and field where they are known.
 package strictyaml
 
 import (
@@ -15,22 +15,22 @@
 	"github.com/gravitational/trace"
 )
 
-// FieldError says what is wrong with the value of one field. Validation functions return it, so that the
-// line can be told.
+// FieldError reports an invalid value of one field. Validation functions return it so that Locate can add the line.
 type FieldError struct {
-	Path   string // such as sources[1].arrival.per_second
+	Path   string // for example sources[1].arrival.per_second
 	Reason string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
-// Fieldf returns a FieldError.
+// Fieldf returns a FieldError with a formatted reason.
 func Fieldf(path, format string, arguments ...any) error {
 	return &FieldError{Path: path, Reason: fmt.Sprintf(format, arguments...)}
 }
 
-// Within puts a path before the path of a FieldError: Within("sources[1]", err).
+// Within prefixes the path of a FieldError with the path of its parent: Within("sources[1]", err). Other errors are
+// returned unchanged.
 func Within(path string, err error) error {
 	var field *FieldError
 	if !errors.As(err, &field) {
@@ -39,7 +39,8 @@
 	return &FieldError{Path: path + "." + field.Path, Reason: field.Reason}
 }
 
-// Decode reads content, named file in errors, into target, a pointer to a struct.
+// Decode decodes content into target, a pointer to a struct. file is the name used in errors. Errors:
+// trace.BadParameter.
 func Decode(file string, content []byte, target any) error {
 	parsed, err := parser.ParseBytes(content, 0)
 	if err != nil {
@@ -59,31 +60,33 @@
 	return nil
 }
 
-// Locate adds file and line to a FieldError about content.
+// Locate adds the file and the line in content to a FieldError, and the file to any other error. The result is a
+// trace.BadParameter.
 func Locate(file string, content []byte, err error) error {
 	var field *FieldError
 	if !errors.As(err, &field) {
 		return trace.BadParameter("%s: %v", file, err)
 	}
-	return trace.BadParameter("%s:%d: %s: %s", file, line(content, field.Path), field.Path, field.Reason)
+	return trace.BadParameter("%s:%d: %s: %s", file, findLine(content, field.Path), field.Path, field.Reason)
 }
 
-// syntaxError turns the library's error into one line.
+// syntaxError converts an error of the YAML library to a single line with file, line and field, as far as they are
+// known.
 func syntaxError(file string, content []byte, err error) error {
 	var positioned yaml.Error
 	if !errors.As(err, &positioned) || positioned.GetToken() == nil {
 		return trace.BadParameter("%s: %v", file, err)
 	}
 	position := positioned.GetToken().Position
-	field := fieldAt(content, position.Line, position.Column)
+	field := findField(content, position.Line, position.Column)
 	if field != "" {
 		field += ": "
 	}
 	return trace.BadParameter("%s:%d: %s%s", file, position.Line, field, positioned.GetMessage())
 }
 
-// fieldAt returns the path of the node that stands at a position; empty when there is none.
-func fieldAt(content []byte, line, column int) string {
+// findField returns the path of the node at a position, or "" if there is none.
+func findField(content []byte, line, column int) string {
 	parsed, err := parser.ParseBytes(content, 0)
 	if err != nil {
 		return ""
@@ -97,6 +100,7 @@
 	return strings.TrimPrefix(strings.TrimPrefix(finder.path, "$"), ".")
 }
 
+// positionFinder is an ast.Visitor that records the path of the node at line and column.
 type positionFinder struct {
 	line, column int
 	path         string
@@ -111,27 +115,28 @@
 	return f
 }
 
-// line finds where a path stands, or its nearest existing parent.
-func line(content []byte, path string) int {
+// findLine returns the line of the node at path, or of its nearest existing parent. It returns 1 if there is none.
+func findLine(content []byte, path string) int {
 	parsed, err := parser.ParseBytes(content, 0)
 	if err != nil {
 		return 1
 	}
 	for path != "" {
-		found, err := yaml.PathString("$." + path)
+		yamlPath, err := yaml.PathString("$." + path)
 		if err != nil {
 			return 1
 		}
-		node, err := found.FilterFile(parsed)
+		node, err := yamlPath.FilterFile(parsed)
 		if err == nil && node != nil && node.GetToken() != nil {
 			return node.GetToken().Position.Line
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 	return 1
 }
 
-func parent(path string) string {
+// parentPath returns path without its last key or index.
+func parentPath(path string) string {
 	cut := strings.LastIndexAny(path, ".[")
 	if cut < 0 {
 		return ""
@@ -141,7 +146,8 @@
 
 var durationType = reflect.TypeOf(time.Duration(0))
 
-// checkDurations finds malformed durations, which the library reports without a position.
+// checkDurations returns a FieldError for the first malformed duration below node. The YAML library reports such
+// errors without a position.
 func checkDurations(node ast.Node, target reflect.Type, path string) error {
 	for target.Kind() == reflect.Pointer {
 		target = target.Elem()
@@ -165,6 +171,7 @@
 	return nil
 }
 
+// checkDuration returns a FieldError if node is not a duration.
 func checkDuration(node ast.Node, path string) error {
 	text := strings.Trim(node.String(), `"' `)
 	if comment := strings.Index(text, " #"); comment >= 0 {
@@ -176,6 +183,7 @@
 	return nil
 }
 
+// checkFields checks the durations in the fields of a struct type.
 func checkFields(node ast.Node, target reflect.Type, path string) error {
 	mapping, ok := node.(ast.MapNode)
 	if !ok {
@@ -189,13 +197,14 @@
 		if !known {
 			continue
 		}
-		if err := checkDurations(iterator.Value(), fieldType, join(path, key)); err != nil {
+		if err := checkDurations(iterator.Value(), fieldType, joinPath(path, key)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// collectFields adds the types of the fields of a struct to types, by YAML key. Inlined structs are included.
 func collectFields(target reflect.Type, types map[string]reflect.Type) {
 	for index := range target.NumField() {
 		field := target.Field(index)
@@ -210,7 +219,8 @@
 	}
 }
 
-func join(path, key string) string {
+// joinPath returns the path of key below path.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -35,6 +35,8 @@
 	}
 }
 
+// TestErrorsNameFileLineAndField breaks one line of a valid file at a time. Errors of the library and those of
+// duration checks must both name the place.
 func TestErrorsNameFileLineAndField(t *testing.T) {
 	cases := []struct{ from, to, line, field string }{
 		{"wait: 1m", "wait: soon", "a.yaml:6", "parts[1].wait"},
