--- a/internal/storage/check.go
+++ b/internal/storage/check.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// GroupReport is one group's part of a Report.
+// GroupReport describes the stored state of one consensus group.
 type GroupReport struct {
 	Group         uint32 `json:"group"`
 	Term          uint64 `json:"term"`
@@ -20,7 +20,7 @@
 	LastIndex     uint64 `json:"last_index"`
 }
 
-// Report is what Check found.
+// Report is the result of Check.
 type Report struct {
 	Folder   string        `json:"folder"`
 	Identity Identity      `json:"identity"`
@@ -28,14 +28,14 @@
 	Groups   []GroupReport `json:"groups"`
 	Peers    []PeerRecord  `json:"peers"`
 	Bytes    int64         `json:"bytes"`
-	Damage   []string      `json:"damage"` // empty: every record was read and is sound
+	Damage   []string      `json:"damage"` // empty if every record was read and is intact
 }
 
-// Sound tells whether no damage was found.
+// Sound reports whether no damage was found.
 func (r *Report) Sound() bool { return len(r.Damage) == 0 }
 
-// Check reads a whole data folder offline and verifies every page, record and checksum. It writes
-// nothing but the lock. An error means that the folder could not be checked at all.
+// Check reads the whole data folder of a stopped node and verifies every page, record and checksum. It writes nothing
+// except the lock file. An error means that the folder could not be checked at all; damage is listed in the report.
 func Check(folder string) (*Report, error) {
 	if _, err := os.Stat(filepath.Join(folder, identityFile)); err != nil {
 		return nil, &FolderError{File: filepath.Join(folder, identityFile), Field: "file", Found: "missing",
@@ -54,66 +54,67 @@
 	path := filepath.Join(folder, dataFile)
 	info, err := os.Stat(path)
 	if err != nil {
-		report.damaged(&DamageError{Record: path, Reason: "it is missing"})
+		report.addDamage(&DamageError{Record: path, Reason: "it is missing"})
 		return report, nil
 	}
 	report.Bytes = info.Size()
-	if err := verify(path); err != nil {
-		report.damaged(err)
+	if err := verifyDataFile(path); err != nil {
+		report.addDamage(err)
 		return report, nil
 	}
-	err = guarded(path, func() error {
+	err = catchPanics(path, func() error {
 		database, err := openReadOnly(path)
 		if err != nil {
 			return err
 		}
 		defer database.Close()
-		return database.View(report.read)
+		return database.View(report.checkDatabase)
 	})
 	if err != nil {
-		report.damaged(err)
+		report.addDamage(err)
 	}
 	return report, nil
 }
 
-func (r *Report) damaged(err error) { r.Damage = append(r.Damage, err.Error()) }
+func (r *Report) addDamage(err error) { r.Damage = append(r.Damage, err.Error()) }
 
-func (r *Report) read(tx *bbolt.Tx) error {
+func (r *Report) checkDatabase(tx *bbolt.Tx) error {
 	for err := range tx.Check() {
-		r.damaged(&DamageError{Record: dataFile, Reason: err.Error()})
+		r.addDamage(&DamageError{Record: dataFile, Reason: err.Error()})
 	}
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
-			r.damaged(&DamageError{Record: dataFile, Reason: "bucket " + string(name) + " is missing"})
+			r.addDamage(&DamageError{Record: dataFile, Reason: "bucket " + string(name) + " is missing"})
 		}
 	}
 	if !r.Sound() {
-		return nil // the records cannot be walked safely
+		return nil // reading the records of a damaged file is not safe
 	}
-	if !r.readMeta(tx) {
+	if !r.checkMeta(tx) {
 		return nil
 	}
 	for _, group := range storedGroups(tx) {
-		r.readGroup(tx, group)
+		r.checkGroup(tx, group)
 	}
 	peers, err := loadPeers(tx)
 	if err != nil {
-		r.damaged(err)
+		r.addDamage(err)
 	}
 	r.Peers = peers
 	return nil
 }
 
-// readMeta tells whether the records have the form that this program reads.
-func (r *Report) readMeta(tx *bbolt.Tx) bool {
+// checkMeta checks the format and folder identity of the data file. It reports whether this program can read the
+// records of that format.
+func (r *Report) checkMeta(tx *bbolt.Tx) bool {
 	meta := tx.Bucket(bucketMeta)
 	format := meta.Get(keyFormat)
 	if len(format) != 4 || binary.BigEndian.Uint32(format) != Format {
-		r.damaged(&DamageError{Record: dataFile, Reason: "its format is not this program's; start the node once to upgrade it"})
+		r.addDamage(&DamageError{Record: dataFile, Reason: "its format is not this program's; start the node once to upgrade it"})
 		return false
 	}
-	if folder := meta.Get(keyFolder); len(folder) != 8 || binary.BigEndian.Uint64(folder) != r.Identity.Folder {
-		r.damaged(&DamageError{Record: dataFile, Reason: "its folder identity is not that of " + identityFile})
+	if folder := meta.Get(keyFolderIdentity); len(folder) != 8 || binary.BigEndian.Uint64(folder) != r.Identity.Folder {
+		r.addDamage(&DamageError{Record: dataFile, Reason: "its folder identity is not that of " + identityFile})
 	}
 	if starts := meta.Get(keyStarts); len(starts) == 8 {
 		r.Starts = binary.BigEndian.Uint64(starts)
@@ -121,10 +122,10 @@
 	return true
 }
 
-func (r *Report) readGroup(tx *bbolt.Tx, group uint32) {
-	restored, err := loadGroup(tx, group, newHeldParts())
+func (r *Report) checkGroup(tx *bbolt.Tx, group uint32) {
+	restored, err := loadGroup(tx, group, newPartCache())
 	if err != nil {
-		r.damaged(err)
+		r.addDamage(err)
 		return
 	}
 	r.Groups = append(r.Groups, GroupReport{
--- a/internal/storage/guard.go
+++ b/internal/storage/guard.go
@@ -9,9 +9,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// guarded runs a read of the data file and turns a panic or a memory fault, which bbolt answers a
-// damaged page with, into an error.
-func guarded(path string, read func() error) (err error) {
+// catchPanics runs a function that reads the data file and returns a panic or memory fault, which a damaged page can
+// cause in bbolt, as a DamageError.
+func catchPanics(path string, read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -21,14 +21,15 @@
 	return read()
 }
 
-// verify reads every page and record of a data file without writing to it. It goes before the open for
-// writing, which rebuilds the free list and would panic in a goroutine of bbolt's on a damaged page: see pageWalk.
-func verify(path string) error {
+// verifyDataFile reads every page and record of a data file without writing to it. It must run before the file is
+// opened for writing, because bbolt then rebuilds its free list in a goroutine of its own, where a damaged page would
+// end the process. See pageChecker.
+func verifyDataFile(path string) error {
 	info, err := os.Stat(path)
 	if err != nil || info.Size() == 0 {
-		return nil // about to be made
+		return nil // the file is created later
 	}
-	return guarded(path, func() error {
+	return catchPanics(path, func() error {
 		database, err := openReadOnly(path)
 		if err != nil {
 			return err
@@ -38,12 +39,12 @@
 			if err := checkPages(path, database, tx); err != nil {
 				return err
 			}
-			return walk(tx)
+			return readAllRecords(tx)
 		})
 	})
 }
 
-// checkPages checks the form of every page in use.
+// checkPages validates the format of every page in use.
 func checkPages(path string, database *bbolt.DB, tx *bbolt.Tx) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -51,8 +52,8 @@
 	}
 	defer file.Close()
 	pageSize := database.Info().PageSize
-	walk := &pageWalk{file: file, pageSize: pageSize, end: uint64(tx.Size()) / uint64(pageSize), seen: map[uint64]bool{}}
-	if err := walk.visit(uint64(tx.Cursor().Bucket().Root()), 0); err != nil {
+	checker := &pageChecker{file: file, pageSize: pageSize, pageCount: uint64(tx.Size()) / uint64(pageSize), visited: map[uint64]bool{}}
+	if err := checker.checkTree(uint64(tx.Cursor().Bucket().Root()), 0); err != nil {
 		return &DamageError{Record: path, Reason: err.Error()}
 	}
 	return nil
@@ -66,8 +67,8 @@
 	return database, nil
 }
 
-// walk touches every page of every bucket.
-func walk(tx *bbolt.Tx) error {
+// readAllRecords reads every page of every bucket and refuses empty keys.
+func readAllRecords(tx *bbolt.Tx) error {
 	return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
 		return bucket.ForEach(func(key, record []byte) error {
 			if len(key) == 0 {
--- a/internal/storage/heldparts.go
+++ b/internal/storage/heldparts.go
@@ -12,53 +12,55 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// heldParts knows the files of each group's durable snapshot and, for as long as the state machine keeps them in memory, the
-// large parts in them. It has a lock of its own: what asks for room must not wait for a write.
-type heldParts struct {
+// partCache holds the list of files of each group's durable snapshot, and weak references to the large parts in them
+// that the state machine still has in memory. It has a lock of its own because a query for free disk space must not wait
+// for a write.
+type partCache struct {
 	mutex sync.Mutex
 	files map[uint32]snapshotFiles
-	parts map[string]heldPart // by the name of their file
+	parts map[string]weakPart // by file name
 }
 
-// heldPart is a part that is in memory only while somebody else keeps it.
-type heldPart struct {
-	first weak.Pointer[byte]
-	size  int
+// weakPart refers to a part of a state without keeping it in memory.
+type weakPart struct {
+	first weak.Pointer[byte] // to the first byte
+	size  int                // bytes
 }
 
-func newHeldPart(part []byte) heldPart { return heldPart{first: weak.Make(&part[0]), size: len(part)} }
+func newWeakPart(part []byte) weakPart { return weakPart{first: weak.Make(&part[0]), size: len(part)} }
 
-// value returns the part; nil if nobody keeps it any more.
-func (p heldPart) value() []byte {
+// value returns the part, or nil if it was garbage-collected.
+func (p weakPart) value() []byte {
 	if first := p.first.Value(); first != nil {
 		return unsafe.Slice(first, p.size)
 	}
 	return nil
 }
 
-func newHeldParts() *heldParts {
-	return &heldParts{files: map[uint32]snapshotFiles{}, parts: map[string]heldPart{}}
+func newPartCache() *partCache {
+	return &partCache{files: map[uint32]snapshotFiles{}, parts: map[string]weakPart{}}
 }
 
-// part returns what a file holds if that is in memory.
-func (h *heldParts) part(file *snapshotFile) []byte {
+// lookup returns the content of a file if it is in memory, otherwise nil.
+func (h *partCache) lookup(file *snapshotFile) []byte {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.parts[file.name].value()
 }
 
-// note remembers a part that was read, if it is a large one.
-func (h *heldParts) note(file *snapshotFile, part []byte) {
-	if len(part) < ownFileBytes {
+// add records a part that was read from a file, if it is large enough to have a file of its own.
+func (h *partCache) add(file *snapshotFile, part []byte) {
+	if len(part) < minOwnFileBytes {
 		return
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.parts[file.name] = newHeldPart(part)
+	h.parts[file.name] = newWeakPart(part)
 }
 
-// fileOf returns the file of the group's snapshot that holds some parts alone; nil if none does.
-func (h *heldParts) fileOf(group uint32, parts raft.Parts) *snapshotFile {
+// findFile returns the file of the group's stored snapshot whose content equals parts, which must be a single part that
+// is still in memory. It returns nil if there is none.
+func (h *partCache) findFile(group uint32, parts raft.Parts) *snapshotFile {
 	if len(parts) != 1 || len(parts[0]) == 0 {
 		return nil
 	}
@@ -76,33 +78,33 @@
 	return nil
 }
 
-// inParts tells whether the group's snapshot is in several files.
-func (h *heldParts) inParts(group uint32) bool {
+// hasSeveralFiles reports whether the group's stored snapshot is in several files.
+func (h *partCache) hasSeveralFiles(group uint32) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return len(h.files[group]) > 1
 }
 
-// sizeOfNew is the size of the parts of a group's snapshot that have no file yet.
-func (h *heldParts) sizeOfNew(group uint32, snapshot raft.Parts) int {
+// unstoredBytes returns the size of those parts of a new snapshot that no file of the group's stored snapshot holds.
+func (h *partCache) unstoredBytes(group uint32, snapshot raft.Parts) int {
 	size := 0
 	for _, part := range snapshot {
-		if h.fileOf(group, raft.Parts{part}) == nil {
+		if h.findFile(group, raft.Parts{part}) == nil {
 			size += len(part)
 		}
 	}
 	return size
 }
 
-// set notes the files that the records name.
-func (h *heldParts) set(files map[uint32]snapshotFiles) {
+// setFiles replaces the lists of files by those that the snapshot records name.
+func (h *partCache) setFiles(files map[uint32]snapshotFiles) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.files = files
 }
 
-// keep notes the files of snapshots that are durable now, and removes those that no record names any more.
-func (h *heldParts) keep(folder string, written *writtenFiles) {
+// commit records the files of snapshots that became durable and removes the files that no record names any more.
+func (h *partCache) commit(folder string, written *snapshotWrite) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for group, files := range written.byGroup {
@@ -113,7 +115,7 @@
 		for _, file := range h.files[group] {
 			if !named[file.name] {
 				delete(h.parts, file.name)
-				_ = os.Remove(filepath.Join(folder, file.name)) // one that stays is removed by the next Open
+				_ = os.Remove(filepath.Join(folder, file.name)) // if this fails, the next Open removes the file
 			}
 		}
 		h.files[group] = files
--- a/internal/storage/identity.go
+++ b/internal/storage/identity.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Format is the newest format of the data folder, the one that this program writes.
+// Format is the newest format of the data folder, which this program writes.
 //
-// Format 1 kept snapshots without a checksum; format 2 has one on every record; format 3 keeps the states of snapshots
-// in files of their own.
+// In format 1 snapshot records had no checksum. In format 2 every record has one. In format 3 the states of snapshots
+// are in files of their own.
 const Format = 3
 
 // Names of the files in a data folder.
@@ -31,17 +31,18 @@
 	fileMode   = 0o640
 )
 
-// Identity binds a data folder to one node of one cluster. A folder that was lost or replaced has
-// another Folder value, by which peers know that the node may have forgotten its votes.
+// Identity binds a data folder to one node of one cluster. A folder that replaces a lost one has another Folder value,
+// by which peers detect that the node may have lost its votes.
 type Identity struct {
 	Format    uint32 `json:"format"`
 	ClusterID string `json:"cluster_id"`
 	NodeID    uint64 `json:"node_id"`
 	NodeName  string `json:"node_name"`
-	Folder    uint64 `json:"folder_identity,string"` // random, drawn when the folder is made
+	Folder    uint64 `json:"folder_identity,string"` // positive random number, generated when the folder is created
 }
 
-// lockFolder takes the folder's lock; the file descriptor holds it until it is closed.
+// lockFolder acquires the folder's lock, which is held until the returned file is closed. It returns a *FolderError if
+// another process holds the lock.
 func lockFolder(folder string) (*os.File, error) {
 	path := filepath.Join(folder, lockFile)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
@@ -56,10 +57,11 @@
 	return file, nil
 }
 
-// ReadIdentity returns whose data folder a folder is, nil if it has no identity yet.
+// ReadIdentity returns the identity of a data folder, or nil if the folder has none yet. It returns a *FolderError for
+// an invalid identity file.
 func ReadIdentity(folder string) (*Identity, error) { return readIdentity(folder) }
 
-// readIdentity returns nil without an error if the folder has no identity yet.
+// readIdentity returns nil without an error if the folder has no identity file yet.
 func readIdentity(folder string) (*Identity, error) {
 	path := filepath.Join(folder, identityFile)
 	content, err := os.ReadFile(path)
@@ -81,8 +83,9 @@
 	return identity, nil
 }
 
-// match checks that the folder belongs to the node and cluster of the options.
-func (i *Identity) match(folder string, options Options) error {
+// checkOptions returns a *FolderError if the folder belongs to another node or cluster than the options name, or has a
+// newer format than this program supports.
+func (i *Identity) checkOptions(folder string, options Options) error {
 	path := filepath.Join(folder, identityFile)
 	if i.Format > Format {
 		return &FolderError{File: path, Field: "format", Found: strconv.Itoa(int(i.Format)),
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// writeIdentity replaces the identity file so that after a crash either the old or the new one stands.
+// writeIdentity replaces the identity file atomically: after a crash the folder has either the old or the new one.
 func writeIdentity(folder string, identity Identity) error {
 	content, err := json.MarshalIndent(identity, "", "  ")
 	if err != nil {
@@ -134,7 +137,7 @@
 	return trace.ConvertSystemError(err)
 }
 
-// syncFolder makes renames and new files in the folder durable.
+// syncFolder makes the creation and renaming of files in the folder durable.
 func syncFolder(folder string) error {
 	file, err := os.Open(folder)
 	if err != nil {
@@ -144,7 +147,7 @@
 	return trace.ConvertSystemError(file.Sync())
 }
 
-// randomIdentity draws a positive random number.
+// randomIdentity returns a positive random number.
 func randomIdentity() (uint64, error) {
 	var buffer [8]byte
 	for {
--- a/internal/storage/layout.go
+++ b/internal/storage/layout.go
@@ -5,9 +5,10 @@
 	"fmt"
 )
 
-// The buckets of the data file. Keys of one group stand together, so that one commit touches few pages.
+// The buckets of the data file. Keys begin with the group, so that the keys of one group are adjacent and a commit
+// touches few pages.
 var (
-	bucketMeta       = []byte("meta")        // keyFormat, keyFolder, keyStarts
+	bucketMeta       = []byte("meta")        // keyFormat, keyFolderIdentity, keyStarts
 	bucketEntries    = []byte("entries")     // group, index -> entry
 	bucketHardStates = []byte("hard_states") // group -> hard state
 	bucketSnapshots  = []byte("snapshots")   // group -> newest snapshot
@@ -18,9 +19,9 @@
 
 // Keys of bucketMeta.
 var (
-	keyFormat = []byte("format")
-	keyFolder = []byte("folder_identity")
-	keyStarts = []byte("starts")
+	keyFormat         = []byte("format")
+	keyFolderIdentity = []byte("folder_identity")
+	keyStarts         = []byte("starts")
 )
 
 const (
@@ -42,10 +43,10 @@
 
 func nodeKey(node uint64) []byte { return binary.BigEndian.AppendUint64(nil, node) }
 
-func hardStateName(group uint32) string { return fmt.Sprintf("group %d hard state", group) }
+func hardStateRecordName(group uint32) string { return fmt.Sprintf("group %d hard state", group) }
 
-func snapshotName(group uint32) string { return fmt.Sprintf("group %d snapshot", group) }
+func snapshotRecordName(group uint32) string { return fmt.Sprintf("group %d snapshot", group) }
 
-func entryName(group uint32, index uint64) string {
+func entryRecordName(group uint32, index uint64) string {
 	return fmt.Sprintf("group %d entry %d", group, index)
 }
--- a/internal/storage/load.go
+++ b/internal/storage/load.go
@@ -9,8 +9,8 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// Load returns what a group has on disk; the zero value if it has nothing. A damaged record is an
-// error: guessing round it could bring back a vote or an entry that never was.
+// Load returns the stored state of a group, or the zero value if nothing is stored. It returns a *DamageError for a
+// damaged record: skipping it could lead to a vote or an entry that never existed.
 func (s *Store) Load(group uint32) (raft.Restored, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -18,17 +18,18 @@
 		return raft.Restored{}, ErrClosed
 	}
 	var restored raft.Restored
-	err := guarded(dataFile, func() error {
+	err := catchPanics(dataFile, func() error {
 		return s.database.View(func(tx *bbolt.Tx) error {
 			var err error
-			restored, err = loadGroup(tx, group, s.held)
+			restored, err = loadGroup(tx, group, s.parts)
 			return err
 		})
 	})
 	return restored, err
 }
 
-// LoadSnapshot returns a group's snapshot; the zero value if it has none.
+// LoadSnapshot returns the stored snapshot of a group, or the zero value if none is stored. It returns a *DamageError
+// for a damaged record or snapshot file.
 func (s *Store) LoadSnapshot(group uint32) (raft.Snapshot, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -36,47 +37,47 @@
 		return raft.Snapshot{}, ErrClosed
 	}
 	var snapshot raft.Snapshot
-	err := guarded(dataFile, func() error {
+	err := catchPanics(dataFile, func() error {
 		return s.database.View(func(tx *bbolt.Tx) error {
 			var err error
-			snapshot, err = loadSnapshot(tx, group, s.held)
+			snapshot, err = loadSnapshot(tx, group, s.parts)
 			return err
 		})
 	})
 	return snapshot, err
 }
 
-// loadSnapshot returns a group's snapshot. Large parts stay known: the state shares them, and a node that lags is sent them
-// without another copy.
-func loadSnapshot(tx *bbolt.Tx, group uint32, held *heldParts) (raft.Snapshot, error) {
+// loadSnapshot returns a group's snapshot. Large parts are added to the cache: the state machine shares their memory,
+// and they are sent to a lagging node without another copy.
+func loadSnapshot(tx *bbolt.Tx, group uint32, cache *partCache) (raft.Snapshot, error) {
 	key := groupKey(group)
 	record := tx.Bucket(bucketSnapshots).Get(key)
 	if record == nil {
 		return raft.Snapshot{}, nil
 	}
-	payload, err := unseal(snapshotName(group), key, record)
+	payload, err := decodeRecord(snapshotRecordName(group), key, record)
 	if err != nil {
 		return raft.Snapshot{}, err
 	}
-	stored, err := decodeSnapshot(snapshotName(group), payload)
+	stored, err := decodeSnapshot(snapshotRecordName(group), payload)
 	if err != nil {
 		return raft.Snapshot{}, err
 	}
 	snapshot := stored.Snapshot
 	for _, file := range stored.files {
-		part := held.part(file)
+		part := cache.lookup(file)
 		if part == nil {
-			if part, err = file.read(filepath.Dir(tx.DB().Path()), snapshotName(group)); err != nil {
+			if part, err = file.read(filepath.Dir(tx.DB().Path()), snapshotRecordName(group)); err != nil {
 				return raft.Snapshot{}, err
 			}
 		}
-		held.note(file, part)
+		cache.add(file, part)
 		snapshot.Data = append(snapshot.Data, part)
 	}
 	return snapshot, nil
 }
 
-// Groups lists the groups that have a hard state or a snapshot on disk.
+// Groups returns the groups that have a stored hard state or snapshot.
 func (s *Store) Groups() ([]uint32, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,7 +92,7 @@
 	return groups, err
 }
 
-// storedGroups merges the sorted keys of the buckets that have one key per group.
+// storedGroups returns the groups that have a key in one of the buckets with one key per group.
 func storedGroups(tx *bbolt.Tx) []uint32 {
 	var groups []uint32
 	seen := func(group uint32) bool {
@@ -113,20 +114,20 @@
 	return groups
 }
 
-func loadGroup(tx *bbolt.Tx, group uint32, held *heldParts) (raft.Restored, error) {
+func loadGroup(tx *bbolt.Tx, group uint32, cache *partCache) (raft.Restored, error) {
 	var restored raft.Restored
 	key := groupKey(group)
 	if record := tx.Bucket(bucketHardStates).Get(key); record != nil {
-		payload, err := unseal(hardStateName(group), key, record)
+		payload, err := decodeRecord(hardStateRecordName(group), key, record)
 		if err != nil {
 			return raft.Restored{}, err
 		}
-		if restored.HardState, err = decodeHardState(hardStateName(group), payload); err != nil {
+		if restored.HardState, err = decodeHardState(hardStateRecordName(group), payload); err != nil {
 			return raft.Restored{}, err
 		}
 	}
 	var err error
-	if restored.Snapshot, err = loadSnapshot(tx, group, held); err != nil {
+	if restored.Snapshot, err = loadSnapshot(tx, group, cache); err != nil {
 		return raft.Restored{}, err
 	}
 	restored.Entries, err = loadEntries(tx, group, restored.Snapshot.Index)
@@ -135,19 +136,20 @@
 	}
 	last := restored.Snapshot.Index + uint64(len(restored.Entries))
 	if restored.HardState.Commit > last {
-		return raft.Restored{}, &DamageError{Record: hardStateName(group),
+		return raft.Restored{}, &DamageError{Record: hardStateRecordName(group),
 			Reason: fmt.Sprintf("commit index %d is behind the last entry %d", restored.HardState.Commit, last)}
 	}
 	return restored, nil
 }
 
-// loadEntries returns the contiguous entries after the snapshot's index.
+// loadEntries returns a group's entries after the snapshot's index. It returns a *DamageError if one is missing between
+// them.
 func loadEntries(tx *bbolt.Tx, group uint32, snapshotIndex uint64) ([]raft.Entry, error) {
 	var entries []raft.Entry
 	want := snapshotIndex + 1
 	cursor := tx.Bucket(bucketEntries).Cursor()
 	for key, record := cursor.Seek(entryKey(group, want)); key != nil && groupOf(key) == group; key, record = cursor.Next() {
-		name := entryName(group, want)
+		name := entryRecordName(group, want)
 		if len(key) != entryKeyBytes || indexOf(key) != want {
 			return nil, &DamageError{Record: name, Reason: "it is missing"}
 		}
--- a/internal/storage/pages.go
+++ b/internal/storage/pages.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// The form of bbolt's pages. A page begins with its ID, flags, number of elements and number of further pages
-// that belong to it; the elements follow, each with the place of its key relative to itself.
+// The format of bbolt's pages. A page begins with a header: its ID, flags, number of elements and number of overflow
+// pages. The element headers follow, each with the offset of its key relative to the element header itself.
 const (
 	pageHeaderBytes   = 16
 	elementBytes      = 16
@@ -18,56 +18,56 @@
 	leafPage      = 0x02
 	bucketElement = 0x01
 
-	maximumDepth = 64 // of a tree; far more than any file can need
+	maxTreeDepth = 64 // far more than the trees of any file need
 )
 
-// pageWalk checks the form of every page that can be reached, reading the file rather than the memory that bbolt
-// maps. bbolt rebuilds its free list at open in a goroutine of its own, where a page of a wrong form would end the
-// process: whatever it follows or compares there is checked here first.
-type pageWalk struct {
-	file     io.ReaderAt
-	pageSize int
-	end      uint64 // number of pages in use
-	seen     map[uint64]bool
+// pageChecker validates the format of every reachable page. It reads the file instead of the memory that bbolt maps.
+// When bbolt opens a file for writing, it rebuilds its free list in a goroutine of its own, where a malformed page would
+// end the process. pageChecker validates everything that bbolt follows or compares there.
+type pageChecker struct {
+	file      io.ReaderAt
+	pageSize  int
+	pageCount uint64 // number of pages in use
+	visited   map[uint64]bool
 }
 
 type page struct {
 	id      uint64
 	flags   uint16
 	count   int
-	content []byte // with the header
+	content []byte // the header, the elements and the overflow pages
 }
 
-// visit checks the tree under a page. Errors say what is wrong with which page.
-func (w *pageWalk) visit(id uint64, depth int) error {
-	if depth > maximumDepth {
-		return fmt.Errorf("page %d is deeper than %d levels", id, maximumDepth)
+// checkTree validates the tree whose root is the page with this ID. The error names the malformed page.
+func (w *pageChecker) checkTree(id uint64, depth int) error {
+	if depth > maxTreeDepth {
+		return fmt.Errorf("page %d is deeper than %d levels", id, maxTreeDepth)
 	}
-	found, err := w.read(id)
+	found, err := w.readPage(id)
 	if err != nil {
 		return err
 	}
 	return w.checkElements(found, depth)
 }
 
-// read returns a page with those that belong to it, and notes that they are reached.
-func (w *pageWalk) read(id uint64) (*page, error) {
+// readPage returns a page with its overflow pages and marks them as visited.
+func (w *pageChecker) readPage(id uint64) (*page, error) {
 	header := make([]byte, pageHeaderBytes)
-	if id >= w.end {
-		return nil, fmt.Errorf("page %d is past the last page %d", id, w.end-1)
+	if id >= w.pageCount {
+		return nil, fmt.Errorf("page %d is past the last page %d", id, w.pageCount-1)
 	}
 	if _, err := w.file.ReadAt(header, int64(id)*int64(w.pageSize)); err != nil {
 		return nil, fmt.Errorf("page %d: %w", id, err)
 	}
 	further := uint64(binary.LittleEndian.Uint32(header[12:]))
-	if stored := binary.LittleEndian.Uint64(header); stored != id || further >= w.end-id {
-		return nil, fmt.Errorf("page %d calls itself page %d with %d more of %d", id, stored, further, w.end)
+	if stored := binary.LittleEndian.Uint64(header); stored != id || further >= w.pageCount-id {
+		return nil, fmt.Errorf("page %d calls itself page %d with %d more of %d", id, stored, further, w.pageCount)
 	}
 	for reached := id; reached <= id+further; reached++ {
-		if w.seen[reached] {
+		if w.visited[reached] {
 			return nil, fmt.Errorf("page %d is reached twice", reached)
 		}
-		w.seen[reached] = true
+		w.visited[reached] = true
 	}
 	content := make([]byte, (int(further)+1)*w.pageSize)
 	if _, err := w.file.ReadAt(content, int64(id)*int64(w.pageSize)); err != nil {
@@ -81,7 +81,7 @@
 		count: int(binary.LittleEndian.Uint16(content[10:])), content: content}
 }
 
-func (w *pageWalk) checkElements(p *page, depth int) error {
+func (w *pageChecker) checkElements(p *page, depth int) error {
 	if p.flags != branchPage && p.flags != leafPage || p.flags == branchPage && p.count == 0 {
 		return fmt.Errorf("page %d has flags %#x and %d elements", p.id, p.flags, p.count)
 	}
@@ -95,14 +95,14 @@
 			return fmt.Errorf("page %d: key %d is not above the one before", p.id, position)
 		}
 		previous = key
-		if err := w.follow(p, position, value, depth); err != nil {
+		if err := w.checkChild(p, position, value, depth); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// element returns an element's key and, on a leaf, its value.
+// element returns the key of an element and, on a leaf page, its value.
 func (p *page) element(position int) (key, value []byte, err error) {
 	start := pageHeaderBytes + position*elementBytes
 	outside := fmt.Errorf("page %d: element %d lies outside of the page", p.id, position)
@@ -123,11 +123,12 @@
 	return p.content[keyStart:valueStart], p.content[valueStart:end], nil
 }
 
-// follow checks what an element leads to: a page, a bucket's tree, or a bucket that stands in the value itself.
-func (w *pageWalk) follow(p *page, position int, value []byte, depth int) error {
+// checkChild validates what an element refers to: a child page, the tree of a bucket, or a bucket that is stored inline
+// in the value.
+func (w *pageChecker) checkChild(p *page, position int, value []byte, depth int) error {
 	fields := p.content[pageHeaderBytes+position*elementBytes:]
 	if p.flags == branchPage {
-		return w.visit(binary.LittleEndian.Uint64(fields[8:]), depth+1)
+		return w.checkTree(binary.LittleEndian.Uint64(fields[8:]), depth+1)
 	}
 	flags := binary.LittleEndian.Uint32(fields)
 	if flags == 0 {
@@ -137,7 +138,7 @@
 		return fmt.Errorf("page %d: element %d has flags %#x and %d bytes", p.id, position, flags, len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return w.visit(root, depth+1)
+		return w.checkTree(root, depth+1)
 	}
 	inline := value[bucketHeaderBytes:]
 	if len(inline) < pageHeaderBytes {
--- a/internal/storage/peers.go
+++ b/internal/storage/peers.go
@@ -8,22 +8,23 @@
 	"go.etcd.io/bbolt"
 )
 
-// PeerRecord is what this node durably knows of another one.
+// PeerRecord is the durable record that this node has of a peer.
 type PeerRecord struct {
 	NodeID  uint64 `json:"node_id"`
-	Address string `json:"address"` // IP:port it listens on
-	// Folder is the random identity of its data folder; another one under the same node ID has lost
-	// its disk and is refused.
+	Address string `json:"address"` // IP:port on which the peer listens
+	// Folder is the random identity of the peer's data folder. A node with the same node ID and another folder identity
+	// has lost its disk and is refused.
 	Folder uint64 `json:"folder_identity,string"`
-	// Starts is the highest number of starts it has shown, and StartNonce the random number it drew at
-	// that start: a lower number, or the same with another nonce, is an older copy of its folder.
+	// Starts is the highest number of starts that the peer has reported, and StartNonce the random number that it
+	// generated at that start. A lower number of starts, or the same number with another nonce, means that the peer runs
+	// on an older copy of its folder.
 	Starts     uint64 `json:"starts"`
 	StartNonce uint64 `json:"start_nonce,string"`
-	// KnowsThisFolder is set once the peer has shown that it durably knows this node's folder.
+	// KnowsThisFolder is set once the peer has confirmed that it has durably recorded the identity of this node's folder.
 	KnowsThisFolder bool `json:"knows_this_folder"`
 }
 
-// PutPeer durably remembers a peer in place of what was known of it.
+// PutPeer durably replaces the record of a peer. Its errors are those of Store.Write.
 func (s *Store) PutPeer(record PeerRecord) error {
 	payload, err := json.Marshal(record)
 	if err != nil {
@@ -31,11 +32,11 @@
 	}
 	return s.update(func(tx *bbolt.Tx) error {
 		key := nodeKey(record.NodeID)
-		return tx.Bucket(bucketPeers).Put(key, seal(key, payload))
+		return tx.Bucket(bucketPeers).Put(key, encodeRecord(key, payload))
 	})
 }
 
-// Peers returns all remembered peers in the order of their node IDs.
+// Peers returns the records of all peers in the order of their node IDs. It returns a *DamageError for a damaged record.
 func (s *Store) Peers() ([]PeerRecord, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,7 +57,7 @@
 	cursor := tx.Bucket(bucketPeers).Cursor()
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
 		name := fmt.Sprintf("peer %x", key)
-		payload, err := unseal(name, key, record)
+		payload, err := decodeRecord(name, key, record)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -13,16 +13,17 @@
 
 const checksumBytes = 8
 
-// seal prepends the checksum of key and payload, so that a record under a wrong key is found too.
-func seal(key, payload []byte) []byte {
+// encodeRecord prepends a checksum to the payload. The checksum covers the key too, so that a record stored under a
+// wrong key is detected.
+func encodeRecord(key, payload []byte) []byte {
 	record := make([]byte, checksumBytes, checksumBytes+len(payload))
 	record = append(record, payload...)
 	binary.BigEndian.PutUint64(record, checksum(key, payload))
 	return record
 }
 
-// unseal returns the payload of a record, which is valid as long as record is.
-func unseal(name string, key, record []byte) ([]byte, error) {
+// decodeRecord verifies a record's checksum and returns its payload, which is a part of record's memory.
+func decodeRecord(name string, key, record []byte) ([]byte, error) {
 	if len(record) < checksumBytes {
 		return nil, &DamageError{Record: name, Reason: fmt.Sprintf("%d bytes are too few", len(record))}
 	}
@@ -40,7 +41,7 @@
 	return digest.Sum64()
 }
 
-const entryHeaderBytes = 12
+const entryHeaderBytes = 12 // 8 bytes of term and 4 of kind
 
 func encodeEntry(key []byte, entry raft.Entry) []byte {
 	record := make([]byte, checksumBytes+entryHeaderBytes, checksumBytes+entryHeaderBytes+len(entry.Data))
@@ -52,7 +53,7 @@
 }
 
 func decodeEntry(name string, key, record []byte) (raft.Entry, error) {
-	payload, err := unseal(name, key, record)
+	payload, err := decodeRecord(name, key, record)
 	if err != nil {
 		return raft.Entry{}, err
 	}
@@ -70,7 +71,7 @@
 	return entry, nil
 }
 
-const hardStateBytes = 24
+const hardStateBytes = 24 // term, vote and commit index
 
 func encodeHardState(state raft.HardState) []byte {
 	payload := make([]byte, hardStateBytes)
@@ -91,14 +92,14 @@
 	}, nil
 }
 
-// storedSnapshot is a snapshot as its record has it, with the files that hold its state.
+// storedSnapshot is a decoded snapshot record: the snapshot without its state, and the files that hold the state.
 type storedSnapshot struct {
 	raft.Snapshot
 	files snapshotFiles
 }
 
-// encodeSnapshot returns the sealed record of a snapshot whose state is in files. One file is named as builds name it that know
-// no parts.
+// encodeSnapshot returns the record, with its checksum, of a snapshot whose state is in files. A single file is
+// referred to in the format that older builds, which do not support states in parts, write and read.
 func encodeSnapshot(key []byte, snapshot *raft.Snapshot, files snapshotFiles) ([]byte, error) {
 	message := &wire.RaftSnapshot{
 		Index: snapshot.Index,
@@ -113,7 +114,7 @@
 	case 1:
 		message.Data = files[0].encode()
 	default:
-		message.Data = (&snapshotFile{name: inParts}).encode()
+		message.Data = (&snapshotFile{name: multiFileReference}).encode()
 		for _, file := range files {
 			message.Files = append(message.Files, &wire.SnapshotFile{Name: file.name, Size: file.size, Checksum: file.checksum})
 		}
@@ -135,8 +136,8 @@
 	return message, nil
 }
 
-// snapshotOf is a record's snapshot without its state.
-func snapshotOf(message *wire.RaftSnapshot) raft.Snapshot {
+// snapshotMetadata returns the snapshot of a record without its state.
+func snapshotMetadata(message *wire.RaftSnapshot) raft.Snapshot {
 	return raft.Snapshot{
 		Index: message.Index,
 		Term:  message.Term,
@@ -152,7 +153,7 @@
 	if err != nil {
 		return storedSnapshot{}, err
 	}
-	snapshot := storedSnapshot{Snapshot: snapshotOf(message)}
+	snapshot := storedSnapshot{Snapshot: snapshotMetadata(message)}
 	for _, named := range message.Files {
 		file := &snapshotFile{name: named.Name, size: named.Size, checksum: named.Checksum}
 		if err := file.check(name); err != nil {
--- a/internal/storage/room.go
+++ b/internal/storage/room.go
@@ -1,19 +1,24 @@
 package storage
 
-// Room is what a disk has room for. The order is from most to least.
+// Room classifies the free space of a disk by the work that it allows. The values are ordered from most to least space.
 type Room uint8
 
-// The amounts of room.
+// The values of Room.
 const (
-	RoomForAll      Room = iota // more than the headroom is free
-	RoomForReserved             // less; reserved groups go on, and what other groups have begun ends
-	RoomForVotes                // less than half the headroom; no commands, but votes, leaders' first entries and new voters
+	// RoomForAll means that at least the headroom is free.
+	RoomForAll Room = iota
+	// RoomForReserved means that less than the headroom is free. Reserved groups accept commands; in other groups only
+	// work that has begun is finished.
+	RoomForReserved
+	// RoomForVotes means that less than half of the headroom is free. No commands are accepted; votes, the first entries
+	// of leaders and new voters are still written.
+	RoomForVotes
 )
 
-// lastRoomShare is the part of the headroom that is kept for votes.
-const lastRoomShare = 2
+// voteReserveDivisor determines the free space that is reserved for votes: the headroom divided by it.
+const voteReserveDivisor = 2
 
-// String returns the amount as log lines show it.
+// String returns the name of the value for log lines.
 func (r Room) String() string {
 	switch r {
 	case RoomForAll:
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -17,55 +17,57 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// The state of a snapshot is in files of its own beside the data file. In the data file it would be copied into a
-// record and again into the transaction's pages, each as large as the state, and would leave the file that large.
+// The state of a snapshot is stored in files beside the data file. In the data file it would be copied into a record and
+// again into the pages of the transaction, each copy as large as the state, and the data file would keep that size.
 //
-// Large parts of a state have a file each. A part that the snapshot before had as well keeps its file, so that a snapshot
-// writes, and needs room for, what has changed.
+// Each large part of a state has a file of its own. A part that is unchanged since the previous snapshot keeps its file,
+// so that a snapshot writes, and needs free space for, only what has changed.
 //
-// Order of durable steps: the state's new files and their names are synced, then the transaction that names them commits, then
-// the files that it no longer names are removed. A file that no record names is left over from a write that did not commit, or
-// from a removal that a loss of power undid; Open removes it.
+// The durable steps have this order: the new files and their directory entries are synced, then the transaction that
+// refers to them commits, then the files that no record refers to any more are removed. An unreferenced file is left by
+// a write that did not commit, or by a removal that was lost in a power failure. Open removes such files.
 
-// snapshotPrefix begins the names of these files.
+// snapshotPrefix is the prefix of the names of snapshot files.
 const snapshotPrefix = "snapshot-"
 
-// ownFileBytes is the size from which a part has a file of its own. Smaller neighbours share one, which is written anew each
-// time: a file costs a sync.
-const ownFileBytes = 256 << 10
+// minOwnFileBytes is the size from which a part has a file of its own. Each file costs a sync, so adjacent smaller parts
+// share a file, which every snapshot writes anew.
+const minOwnFileBytes = 256 << 10
 
-// snapshotFile is how a snapshot's record names a file with a part of its state.
+// snapshotFile is the reference in a snapshot's record to a file that holds one or more parts of its state.
 type snapshotFile struct {
 	name     string
 	size     uint64 // bytes
 	checksum uint64 // xxhash of the content
 }
 
-// Before states were in parts, a record's data was a reference to the only file: size, checksum and name.
+// The data field of a record refers to the only file of a state by size, checksum and name. Builds that do not support
+// states in parts know only this reference.
 const (
-	snapshotFileHeader = 16 // bytes of size and checksum
-	// inParts is the name in the reference of a state in parts. Builds that know no parts find it damaged and stop.
-	inParts = "in-parts"
+	referenceHeaderBytes = 16 // size and checksum
+	// multiFileReference is the file name in the data field of a state in several files. Builds that do not support
+	// states in parts report the record as damaged and stop.
+	multiFileReference = "in-parts"
 )
 
 // encode returns the reference to the only file of a state.
 func (f *snapshotFile) encode() []byte {
-	reference := make([]byte, snapshotFileHeader, snapshotFileHeader+len(f.name))
+	reference := make([]byte, referenceHeaderBytes, referenceHeaderBytes+len(f.name))
 	binary.BigEndian.PutUint64(reference, f.size)
 	binary.BigEndian.PutUint64(reference[8:], f.checksum)
 	return append(reference, f.name...)
 }
 
 func decodeSnapshotFile(record string, reference []byte) (*snapshotFile, error) {
-	if len(reference) <= snapshotFileHeader {
+	if len(reference) <= referenceHeaderBytes {
 		return nil, &DamageError{Record: record, Reason: "it names no file"}
 	}
-	file := &snapshotFile{name: string(reference[snapshotFileHeader:]), size: binary.BigEndian.Uint64(reference),
+	file := &snapshotFile{name: string(reference[referenceHeaderBytes:]), size: binary.BigEndian.Uint64(reference),
 		checksum: binary.BigEndian.Uint64(reference[8:])}
 	return file, file.check(record)
 }
 
-// check refuses a name that is none of these files'.
+// check returns a *DamageError if the name is not that of a snapshot file in the data folder.
 func (f *snapshotFile) check(record string) error {
 	if filepath.Base(f.name) != f.name || !strings.HasPrefix(f.name, snapshotPrefix) {
 		return &DamageError{Record: record, Reason: fmt.Sprintf("it names the file %q", f.name)}
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// read returns what the file holds.
+// read returns the content of the file, or a *DamageError if its size or checksum is wrong.
 func (f *snapshotFile) read(folder, record string) ([]byte, error) {
 	state, err := os.ReadFile(filepath.Join(folder, f.name))
 	switch {
@@ -85,7 +87,7 @@
 	return state, nil
 }
 
-// writeSnapshotFile writes a part of a state to a new file and syncs it; the caller syncs the folder.
+// writeSnapshotFile writes parts of a state to a new file and syncs it. The caller must sync the folder.
 func writeSnapshotFile(folder string, group uint32, index uint64, parts raft.Parts) (*snapshotFile, error) {
 	file, err := os.CreateTemp(folder, fmt.Sprintf("%s%d-%d-*", snapshotPrefix, group, index))
 	if err != nil {
@@ -106,64 +108,65 @@
 	return &snapshotFile{name: filepath.Base(file.Name()), size: uint64(parts.Size()), checksum: digest.Sum64()}, nil
 }
 
-// snapshotFiles are the files of one snapshot, in the order of its parts.
+// snapshotFiles lists the files of one snapshot in the order of its parts.
 type snapshotFiles []*snapshotFile
 
-// writtenFiles are the files of one write's snapshots.
-type writtenFiles struct {
-	byGroup map[uint32]snapshotFiles
-	made    snapshotFiles       // by this write
-	parts   map[string]heldPart // large parts by the name of their file
+// snapshotWrite holds the snapshot files of one write.
+type snapshotWrite struct {
+	byGroup map[uint32]snapshotFiles // all files of each group's new snapshot, including files that it keeps
+	created snapshotFiles            // files that this write created
+	parts   map[string]weakPart      // large parts by file name
 }
 
-// writeSnapshotFiles writes the states of a batch's snapshots. After an error nothing of it is left.
-func (s *Store) writeSnapshotFiles(batch []GroupWrite) (*writtenFiles, error) {
-	files := &writtenFiles{byGroup: map[uint32]snapshotFiles{}, parts: map[string]heldPart{}}
+// writeSnapshotFiles writes the states of the snapshots in a batch. On an error it removes the files that it created.
+func (s *Store) writeSnapshotFiles(batch []GroupWrite) (*snapshotWrite, error) {
+	files := &snapshotWrite{byGroup: map[uint32]snapshotFiles{}, parts: map[string]weakPart{}}
 	for i := range batch {
-		if batch[i].newest() == nil {
+		if batch[i].newestSnapshot() == nil {
 			continue
 		}
-		if err := s.writeState(&batch[i], files); err != nil {
-			files.made.remove(s.options.Folder)
+		if err := s.writeStateFiles(&batch[i], files); err != nil {
+			files.created.remove(s.options.Folder)
 			return nil, err
 		}
 	}
-	if len(files.made) == 0 {
+	if len(files.created) == 0 {
 		return files, nil
 	}
 	if err := syncFolder(s.options.Folder); err != nil {
-		files.made.remove(s.options.Folder)
+		files.created.remove(s.options.Folder)
 		return nil, err
 	}
 	return files, nil
 }
 
-// writeState writes the files of one group's new snapshot, but for those that it has in common with the one before. An empty
-// state needs no file.
-func (s *Store) writeState(write *GroupWrite, files *writtenFiles) error {
-	snapshot := write.newest()
+// writeStateFiles writes the files of one group's new snapshot, except those that it shares with the stored snapshot. An
+// empty state needs no file.
+func (s *Store) writeStateFiles(write *GroupWrite, files *snapshotWrite) error {
+	snapshot := write.newestSnapshot()
 	files.byGroup[write.Group] = nil
-	inParts := write.InParts || s.held.inParts(write.Group)
-	for _, parts := range arrange(snapshot.Data, inParts) {
-		file := s.held.fileOf(write.Group, parts)
+	inParts := write.InParts || s.parts.hasSeveralFiles(write.Group)
+	for _, parts := range assignPartsToFiles(snapshot.Data, inParts) {
+		file := s.parts.findFile(write.Group, parts)
 		if file == nil {
-			made, err := writeSnapshotFile(s.options.Folder, write.Group, snapshot.Index, parts)
+			created, err := writeSnapshotFile(s.options.Folder, write.Group, snapshot.Index, parts)
 			if err != nil {
 				return err
 			}
-			s.fileBytes.Add(made.size)
-			file, files.made = made, append(files.made, made)
+			s.fileBytes.Add(created.size)
+			file, files.created = created, append(files.created, created)
 		}
 		files.byGroup[write.Group] = append(files.byGroup[write.Group], file)
-		if len(parts) == 1 && len(parts[0]) >= ownFileBytes {
-			files.parts[file.name] = newHeldPart(parts[0])
+		if len(parts) == 1 && len(parts[0]) >= minOwnFileBytes {
+			files.parts[file.name] = newWeakPart(parts[0])
 		}
 	}
 	return nil
 }
 
-// arrange returns which parts of a state have a file in common: all of them where builds read it that know no parts.
-func arrange(state raft.Parts, inParts bool) []raft.Parts {
+// assignPartsToFiles returns the parts of a state grouped by the file that holds them. Unless inParts is set, all parts
+// go into one file, which builds that do not support states in parts can read.
+func assignPartsToFiles(state raft.Parts, inParts bool) []raft.Parts {
 	if len(state) == 0 {
 		return nil
 	}
@@ -173,7 +176,7 @@
 	var arranged []raft.Parts
 	var small raft.Parts
 	for _, part := range state {
-		if len(part) < ownFileBytes {
+		if len(part) < minOwnFileBytes {
 			small = append(small, part)
 			continue
 		}
@@ -188,28 +191,28 @@
 	return arranged
 }
 
-// newest is the snapshot that the group has after the write; nil if the write has none.
-func (w *GroupWrite) newest() *raft.Snapshot {
+// newestSnapshot returns the snapshot that the group has after the write, or nil if the write contains none.
+func (w *GroupWrite) newestSnapshot() *raft.Snapshot {
 	if w.Compaction != nil {
 		return w.Compaction
 	}
 	return w.Snapshot
 }
 
-// remove removes the files, which no record names. One that stays is removed by the next Open.
+// remove removes the files, which no record may refer to. If a removal fails, the next Open removes the file.
 func (f snapshotFiles) remove(folder string) {
 	for _, file := range f {
 		_ = os.Remove(filepath.Join(folder, file.name))
 	}
 }
 
-// snapshotFilesOf returns the files that the records name, by group.
-func snapshotFilesOf(tx *bbolt.Tx) (map[uint32]snapshotFiles, error) {
+// loadSnapshotFiles returns, by group, the files that the snapshot records refer to.
+func loadSnapshotFiles(tx *bbolt.Tx) (map[uint32]snapshotFiles, error) {
 	files := map[uint32]snapshotFiles{}
 	cursor := tx.Bucket(bucketSnapshots).Cursor()
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
-		name := snapshotName(groupOf(key))
-		payload, err := unseal(name, key, record)
+		name := snapshotRecordName(groupOf(key))
+		payload, err := decodeRecord(name, key, record)
 		if err != nil {
 			return nil, err
 		}
@@ -222,17 +225,17 @@
 	return files, nil
 }
 
-// removeStraySnapshots removes the files that no record names, if all records can be read.
-func (s *Store) removeStraySnapshots() error {
+// removeUnreferencedSnapshots removes the snapshot files that no record refers to, provided that all records are intact.
+func (s *Store) removeUnreferencedSnapshots() error {
 	var named map[uint32]snapshotFiles
 	err := s.database.View(func(tx *bbolt.Tx) (err error) {
-		named, err = snapshotFilesOf(tx)
+		named, err = loadSnapshotFiles(tx)
 		return err
 	})
 	if err != nil {
-		return nil // a damaged record is told when its group is loaded; until then its files are wanted
+		return nil // Load reports the damaged record of a group; its files must not be removed
 	}
-	s.held.set(named)
+	s.parts.setFiles(named)
 	known := map[string]bool{}
 	for _, files := range named {
 		for _, file := range files {
@@ -253,14 +256,15 @@
 	return nil
 }
 
-// moveSnapshots puts the states that format 2 held in their records into files.
-func (s *Store) moveSnapshots(tx *bbolt.Tx) error {
+// moveSnapshotsToFiles upgrades format 2, which stored the states of snapshots in their records, by writing the states
+// to files.
+func (s *Store) moveSnapshotsToFiles(tx *bbolt.Tx) error {
 	bucket := tx.Bucket(bucketSnapshots)
 	cursor := bucket.Cursor()
 	moved := map[uint32]*raft.Snapshot{}
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
-		name := snapshotName(groupOf(key))
-		payload, err := unseal(name, key, record)
+		name := snapshotRecordName(groupOf(key))
+		payload, err := decodeRecord(name, key, record)
 		if err != nil {
 			return err
 		}
@@ -268,7 +272,7 @@
 		if err != nil {
 			return err
 		}
-		snapshot := snapshotOf(message)
+		snapshot := snapshotMetadata(message)
 		if len(message.Data) > 0 {
 			snapshot.Data = raft.Parts{message.Data}
 		}
@@ -290,5 +294,5 @@
 	return trace.ConvertSystemError(syncFolder(s.options.Folder))
 }
 
-// noSpace tells whether a file could not be written because the disk is full.
-func noSpace(err error) bool { return errors.Is(err, unix.ENOSPC) }
+// isNoSpace reports whether a file could not be written because the disk is full.
+func isNoSpace(err error) bool { return errors.Is(err, unix.ENOSPC) }
--- a/internal/storage/snapshotfile_test.go
+++ b/internal/storage/snapshotfile_test.go
@@ -16,8 +16,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// snapshotsIn lists the files with snapshots' states.
-func snapshotsIn(t *testing.T, folder string) []string {
+// listSnapshotFiles returns the names of the snapshot files in the folder.
+func listSnapshotFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -32,11 +32,13 @@
 	return names
 }
 
+// compaction returns the write of a snapshot of group 3 with a state of one part.
 func compaction(index uint64, state string) GroupWrite {
 	return GroupWrite{Group: 3, Compaction: &raft.Snapshot{Index: index, Term: 1, Data: raft.Parts{[]byte(state)},
 		Configuration: raft.Configuration{Voters: []uint64{1, 2}}}}
 }
 
+// wantState fails the test unless both ways to load the snapshot of group 3 return this index and state.
 func wantState(t *testing.T, store *Store, index uint64, state string) {
 	t.Helper()
 	for _, load := range []func() (raft.Snapshot, error){
@@ -45,12 +47,13 @@
 	} {
 		snapshot, err := load()
 		if err != nil || snapshot.Index != index || string(snapshot.Data.Join()) != state || len(snapshot.Configuration.Voters) != 2 {
-			t.Fatalf("snapshot %+v, %v; want %d with %q", snapshot, err, index, state)
+			t.Fatalf("got snapshot %+v, error %v; want index %d with state %q", snapshot, err, index, state)
 		}
 	}
 }
 
-// TestOnlyTheNewestSnapshotIsKept replaces snapshots and leaves a file behind as a loss of power would.
+// TestOnlyTheNewestSnapshotIsKept checks that the files of replaced snapshots are removed, and that Open removes an
+// unreferenced file, which a power failure can leave.
 func TestOnlyTheNewestSnapshotIsKept(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -58,8 +61,8 @@
 	mustWrite(t, store, compaction(5, "five"), GroupWrite{Group: 4, Snapshot: &raft.Snapshot{Index: 2, Term: 1, Data: raft.Parts{[]byte("other")}}})
 	mustWrite(t, store, compaction(9, "nine"))
 	wantState(t, store, 9, "nine")
-	if names := snapshotsIn(t, options.Folder); len(names) != 2 {
-		t.Fatalf("files %v", names)
+	if names := listSnapshotFiles(t, options.Folder); len(names) != 2 {
+		t.Fatalf("got files %v, want 2", names)
 	}
 	received := compaction(15, "both")
 	received.Snapshot = &raft.Snapshot{Index: 12, Term: 1, Data: raft.Parts{[]byte("received")}}
@@ -71,12 +74,12 @@
 	}
 	store = mustOpen(t, options)
 	wantState(t, store, 15, "both")
-	if names := snapshotsIn(t, options.Folder); len(names) != 2 {
-		t.Fatalf("files after the start %v", names)
+	if names := listSnapshotFiles(t, options.Folder); len(names) != 2 {
+		t.Fatalf("got files %v after the restart, want 2", names)
 	}
 }
 
-// TestDamagedSnapshotFileIsFound garbles, cuts and removes the file.
+// TestDamagedSnapshotFileIsFound checks that Load and Check detect a snapshot file that is garbled, truncated or missing.
 func TestDamagedSnapshotFileIsFound(t *testing.T) {
 	for name, damage := range map[string]func(path string) error{
 		"garbled": func(path string) error { return os.WriteFile(path, []byte("fivf"), fileMode) },
@@ -87,23 +90,24 @@
 			options := testOptions(t.TempDir())
 			store := mustOpen(t, options)
 			mustWrite(t, store, compaction(5, "five"))
-			if err := damage(filepath.Join(options.Folder, snapshotsIn(t, options.Folder)[0])); err != nil {
+			if err := damage(filepath.Join(options.Folder, listSnapshotFiles(t, options.Folder)[0])); err != nil {
 				t.Fatal(err)
 			}
 			var damaged *DamageError
 			if _, err := store.Load(3); !errors.As(err, &damaged) {
-				t.Fatalf("loaded: %v", err)
+				t.Fatalf("Load returned error %v, want a DamageError", err)
 			}
 			store.Close()
 			report, err := Check(options.Folder)
 			if err != nil || report.Sound() {
-				t.Fatalf("the check finds nothing: %+v, %v", report, err)
+				t.Fatalf("Check found no damage: %+v, %v", report, err)
 			}
 		})
 	}
 }
 
-// TestFullDiskKeepsTheOldSnapshot fails the transaction after the file was written, for lack of space.
+// TestFullDiskKeepsTheOldSnapshot checks that the old snapshot stays, and the new file is removed, when the disk is full
+// at the transaction that follows the writing of the file.
 func TestFullDiskKeepsTheOldSnapshot(t *testing.T) {
 	options := testOptions(t.TempDir())
 	full := false
@@ -120,22 +124,23 @@
 		t.Fatal(err)
 	}
 	wantState(t, store, 5, "five")
-	if names := snapshotsIn(t, options.Folder); len(names) != 1 {
-		t.Fatalf("files %v", names)
+	if names := listSnapshotFiles(t, options.Folder); len(names) != 1 {
+		t.Fatalf("got files %v, want 1", names)
 	}
 	full = false
 	mustWrite(t, store, compaction(9, "nine"))
 	wantState(t, store, 9, "nine")
 }
 
-// inlineSnapshot is a record of formats 1 and 2, which holds the state itself.
+// inlineSnapshot returns a snapshot record of format 2, which contains the state itself. Without its checksum it is a
+// record of format 1.
 func inlineSnapshot(key []byte, snapshot *raft.Snapshot) ([]byte, error) {
 	payload, err := proto.Marshal(&wire.RaftSnapshot{Index: snapshot.Index, Term: snapshot.Term, Data: snapshot.Data.Join(),
 		Configuration: &wire.RaftConfiguration{Voters: snapshot.Configuration.Voters, Learners: snapshot.Configuration.Learners}})
-	return seal(key, payload), err
+	return encodeRecord(key, payload), err
 }
 
-// TestUpgradeFromFormat2 opens a folder whose record holds the state itself.
+// TestUpgradeFromFormat2 checks that Open moves the states of snapshots from their records into files.
 func TestUpgradeFromFormat2(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -162,7 +167,7 @@
 	}
 	store = mustOpen(t, options)
 	wantState(t, store, 5, "inline")
-	if store.Identity().Format != Format || len(snapshotsIn(t, options.Folder)) != 1 {
-		t.Fatalf("format %d, files %v", store.Identity().Format, snapshotsIn(t, options.Folder))
+	if store.Identity().Format != Format || len(listSnapshotFiles(t, options.Folder)) != 1 {
+		t.Fatalf("got format %d and files %v, want the newest format and 1 file", store.Identity().Format, listSnapshotFiles(t, options.Folder))
 	}
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -18,56 +18,58 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// Options says which folder to open and whose it must be.
+// Options configures Open: which folder to open and which node it must belong to.
 type Options struct {
-	// Folder is the data folder; it is made if it does not exist. Required.
+	// Folder is the path of the data folder, which is created if it does not exist. Required.
 	Folder string
-	// ClusterID, NodeID and NodeName are written into a new folder and must match an old one. Required.
+	// ClusterID, NodeID and NodeName are written into a new folder and must match those of an existing one. Required.
 	ClusterID string
 	NodeID    uint64
 	NodeName  string
-	// HeadroomBytes is the free space below which HasHeadroom is false, so that the node refuses new
-	// work while it can still write its votes. Default 256 MiB.
+	// HeadroomBytes is the free disk space below which Room returns less than RoomForAll, so that the node refuses
+	// new work while it can still write its votes. Default 256 MiB.
 	HeadroomBytes uint64
 	// Hooks inject faults in tests. Optional.
 	Hooks Hooks
 }
 
-// Hooks inject faults in tests; nil fields inject none.
+// Hooks inject faults in tests. A nil field injects none.
 type Hooks struct {
-	// BeforeCommit runs inside a write, before anything of it reaches the disk.
+	// BeforeCommit is called inside a write, before any of it reaches the data file. Its error fails the write.
 	BeforeCommit func() error
-	// Sync runs after the write's sync; an error stands for a failed one.
+	// Sync is called after the sync of a write. Its error is handled like a failed sync.
 	Sync func() error
-	// FreeBytes replaces the measured free space of the folder.
+	// FreeBytes replaces the measured free space of the folder's disk.
 	FreeBytes func() (uint64, error)
 }
 
 const (
 	defaultHeadroomBytes = 256 << 20
 	openTimeout          = time.Second
-	initialMapBytes      = 64 << 20 // fewer remaps while the file grows
-	growBytes            = 1 << 20  // by which the file grows; bbolt's own 16 MiB are an eighth of a small disk
-	entryFillPercent     = 0.95     // entries are appended in order
+	initialMapBytes      = 64 << 20 // avoids remapping the file while it is small
+	fileGrowthBytes      = 1 << 20  // by which the file grows; bbolt's own 16 MiB are an eighth of a small disk
+	entryFillPercent     = 0.95     // of a page; entries are appended in order, so pages need little space for inserts
 )
 
-// Store is an open data folder. Its methods may be called from any goroutine; writes are serialized.
+// Store is an open data folder. Its methods are safe for concurrent use; writes are serialized.
 type Store struct {
 	options   Options
 	identity  Identity
 	starts    uint64
 	lock      *os.File
 	database  *bbolt.DB
-	commits   atomic.Uint64 // writes that became durable
-	fileBytes atomic.Uint64 // written to snapshots' files
-	held      *heldParts
+	commits   atomic.Uint64 // durable transactions since the folder was opened
+	fileBytes atomic.Uint64 // bytes written to snapshot files since the folder was opened
+	parts     *partCache
 
-	mutex    sync.Mutex
-	poisoned error
+	mutex    sync.Mutex // guards poisoned and closed, and serializes reads and writes
+	poisoned error      // the first failure whose effect on the disk is unknown
 	closed   bool
 }
 
-// Open locks the folder, checks whose it is, upgrades an older format and counts the start.
+// Open locks the folder, creates it if necessary, checks that it belongs to the node of the options, upgrades an older
+// format and increments the number of starts. It returns a *FolderError for a folder of another node or cluster and a
+// *DamageError for a damaged data file.
 func Open(options Options) (*Store, error) {
 	if options.Folder == "" || options.ClusterID == "" || options.NodeID == raft.None || options.NodeName == "" {
 		return nil, trace.BadParameter("storage: folder, cluster ID, node ID and node name are required")
@@ -82,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	store := &Store{options: options, lock: lock, held: newHeldParts()}
+	store := &Store{options: options, lock: lock, parts: newPartCache()}
 	if err := store.open(); err != nil {
 		store.Close()
 		return nil, err
@@ -98,7 +100,7 @@
 	if identity == nil {
 		return s.create()
 	}
-	if err := identity.match(s.options.Folder, s.options); err != nil {
+	if err := identity.checkOptions(s.options.Folder, s.options); err != nil {
 		return err
 	}
 	path := filepath.Join(s.options.Folder, dataFile)
@@ -107,29 +109,30 @@
 			Remedy: "replace the node as a learner under a new node ID"}
 	}
 	s.identity = *identity
-	if err := verify(path); err != nil {
+	if err := verifyDataFile(path); err != nil {
 		return err
 	}
 	if err := s.openDatabase(path); err != nil {
 		return err
 	}
-	if err := s.matchDatabase(path); err != nil {
+	if err := s.checkDatabaseIdentity(path); err != nil {
 		return err
 	}
 	if err := s.upgrade(); err != nil {
 		return err
 	}
-	if err := s.removeStraySnapshots(); err != nil {
+	if err := s.removeUnreferencedSnapshots(); err != nil {
 		return err
 	}
 	return s.countStart()
 }
 
-// create makes the data file first and the identity last: a folder without identity is a new one.
+// create initializes a new folder. It writes the identity file last, because a folder without an identity file counts
+// as new: a crash before that repeats the creation.
 func (s *Store) create() error {
 	path := filepath.Join(s.options.Folder, dataFile)
 	if info, err := os.Stat(path); err == nil && info.Size() > 0 {
-		if err := guarded(path, func() error { return s.refuseStrayData(path) }); err != nil {
+		if err := catchPanics(path, func() error { return s.checkNoConsensusState(path) }); err != nil {
 			return err
 		}
 	}
@@ -152,7 +155,7 @@
 		if err := meta.Put(keyFormat, binary.BigEndian.AppendUint32(nil, Format)); err != nil {
 			return err
 		}
-		return meta.Put(keyFolder, binary.BigEndian.AppendUint64(nil, folder))
+		return meta.Put(keyFolderIdentity, binary.BigEndian.AppendUint64(nil, folder))
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -163,9 +166,9 @@
 	return writeIdentity(s.options.Folder, s.identity)
 }
 
-// refuseStrayData allows a data file without identity only if it holds no consensus state: a crash
-// during create leaves such a file, a lost identity file does not.
-func (s *Store) refuseStrayData(path string) error {
+// checkNoConsensusState refuses a data file without an identity file if it holds consensus state. A crash during create
+// leaves a data file without consensus state. A data file with consensus state has lost its identity file.
+func (s *Store) checkNoConsensusState(path string) error {
 	database, err := openReadOnly(path)
 	if err != nil {
 		return err
@@ -195,14 +198,14 @@
 func (s *Store) openDatabase(path string) error {
 	database, err := bbolt.Open(path, fileMode, &bbolt.Options{
 		Timeout:         openTimeout,
-		NoFreelistSync:  true, // rebuilt at open; saves a write per commit
+		NoFreelistSync:  true, // saves a write per commit; the free list is rebuilt when the file is opened
 		FreelistType:    bbolt.FreelistMapType,
 		InitialMmapSize: initialMapBytes,
 	})
 	if err != nil {
 		return openError(path, err)
 	}
-	database.AllocSize = growBytes
+	database.AllocSize = fileGrowthBytes
 	s.database = database
 	return nil
 }
@@ -215,8 +218,8 @@
 	return &DamageError{Record: path, Reason: err.Error()}
 }
 
-// matchDatabase checks that data file and identity file belong together.
-func (s *Store) matchDatabase(path string) error {
+// checkDatabaseIdentity checks that the data file has a supported format and the folder identity of the identity file.
+func (s *Store) checkDatabaseIdentity(path string) error {
 	return s.database.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta == nil {
@@ -230,7 +233,7 @@
 			return &FolderError{File: path, Field: "format", Found: strconv.Itoa(int(found)),
 				Wanted: "at most " + strconv.Itoa(Format), Remedy: "run a newer program"}
 		}
-		folder := meta.Get(keyFolder)
+		folder := meta.Get(keyFolderIdentity)
 		if len(folder) != 8 || binary.BigEndian.Uint64(folder) != s.identity.Folder {
 			return &FolderError{File: path, Field: "folder_identity", Found: "another than in " + identityFile,
 				Wanted: strconv.FormatUint(s.identity.Folder, 10), Remedy: "put back the data file that belongs to the folder"}
@@ -239,7 +242,8 @@
 	})
 }
 
-// countStart durably raises the number of starts, by which peers notice an older copy of the folder.
+// countStart durably increments the number of starts, by which peers detect that the node runs on an older copy of its
+// folder.
 func (s *Store) countStart() error {
 	err := s.database.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -252,40 +256,41 @@
 	return trace.Wrap(err)
 }
 
-// Identity returns what the folder's identity file says.
+// Identity returns the content of the folder's identity file.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Starts returns how often the folder was opened, this time included.
+// Starts returns how many times the folder was opened, including this time.
 func (s *Store) Starts() uint64 { return s.starts }
 
-// Room tells how much of the disk is free, beside the headroom. If the free space cannot be measured, it is taken for
-// sufficient: the write itself will tell.
+// Room returns which work the free space of the disk allows. If the free space cannot be measured, it is assumed to be
+// sufficient: a write to a full disk returns ErrNoSpace.
 func (s *Store) Room() Room {
-	free, err := s.free()
+	free, err := s.measureFreeBytes()
 	switch {
 	case err != nil || free >= s.options.HeadroomBytes:
 		return RoomForAll
-	case free >= s.options.HeadroomBytes/lastRoomShare:
+	case free >= s.options.HeadroomBytes/voteReserveDivisor:
 		return RoomForReserved
 	}
 	return RoomForVotes
 }
 
-// HasRoomFor tells whether a group's snapshot fits, beside the one that it has, and leaves what votes need.
+// HasRoomFor reports whether the disk can hold a new snapshot of a group beside the present one and still has the free
+// space that is reserved for votes.
 func (s *Store) HasRoomFor(group uint32, snapshot raft.Parts) bool {
-	free, err := s.free()
-	return err != nil || free >= uint64(s.SizeOfNew(group, snapshot))+s.options.HeadroomBytes/lastRoomShare
+	free, err := s.measureFreeBytes()
+	return err != nil || free >= uint64(s.SizeOfNew(group, snapshot))+s.options.HeadroomBytes/voteReserveDivisor
 }
 
-// SizeOfNew is the size of those parts of a group's snapshot that are in no file of the one before.
+// SizeOfNew returns the size in bytes of those parts of a group's snapshot that no file of its stored snapshot holds.
 func (s *Store) SizeOfNew(group uint32, snapshot raft.Parts) int {
-	return s.held.sizeOfNew(group, snapshot)
+	return s.parts.unstoredBytes(group, snapshot)
 }
 
-// FreeBytes is the free space of the folder's disk.
-func (s *Store) FreeBytes() (uint64, error) { return s.free() }
+// FreeBytes returns the free space of the folder's disk in bytes.
+func (s *Store) FreeBytes() (uint64, error) { return s.measureFreeBytes() }
 
-func (s *Store) free() (uint64, error) {
+func (s *Store) measureFreeBytes() (uint64, error) {
 	if measure := s.options.Hooks.FreeBytes; measure != nil {
 		return measure()
 	}
@@ -300,7 +305,7 @@
 	return status.Bavail * uint64(status.Bsize), nil
 }
 
-// Close releases the folder. A write in progress finishes first.
+// Close closes the data file and releases the folder's lock, after a write in progress. Further calls return nil.
 func (s *Store) Close() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -318,8 +323,8 @@
 	return trace.Wrap(err)
 }
 
-// WrittenBytes returns how many bytes of pages and snapshots the store has written since it was opened, one meta page for
-// each write included. What the file system and the disk add is not in it.
+// WrittenBytes returns how many bytes of pages and snapshot files the store has written since it was opened, including
+// one meta page per write. What the file system and the disk write in addition is not counted.
 func (s *Store) WrittenBytes() uint64 {
 	pages := s.database.Stats().TxStats
 	return s.fileBytes.Load() + uint64(pages.GetPageAlloc()) + s.commits.Load()*uint64(s.database.Info().PageSize)
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -52,6 +52,8 @@
 	return restored
 }
 
+// TestWriteSurvivesReopen checks that entries, hard states, snapshots and the number of starts are loaded after a
+// restart as they were written.
 func TestWriteSurvivesReopen(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -64,21 +66,21 @@
 	store = mustOpen(t, options)
 	zero := mustLoad(t, store, 0)
 	if len(zero.Entries) != 4 || zero.Entries[3].Term != 2 || zero.HardState.Vote != 2 {
-		t.Fatalf("group 0 came back as %+v", zero)
+		t.Fatalf("group 0 was loaded as %+v", zero)
 	}
 	seven := mustLoad(t, store, 7)
 	if seven.Snapshot.Index != 9 || string(seven.Snapshot.Data.Join()) != "state" || len(seven.Snapshot.Configuration.Learners) != 1 {
-		t.Fatalf("group 7 came back as %+v", seven)
+		t.Fatalf("group 7 was loaded as %+v", seven)
 	}
 	if store.Starts() != 2 {
 		t.Fatalf("starts %d, want 2", store.Starts())
 	}
 	if groups, err := store.Groups(); err != nil || len(groups) != 2 {
-		t.Fatalf("groups %v, error %v", groups, err)
+		t.Fatalf("got groups %v, error %v; want 2 groups", groups, err)
 	}
 }
 
-// TestLogAgainstModel drives appends, overwrites, compactions and reopenings against a plain slice.
+// TestLogAgainstModel compares the stored log with a slice after random appends, overwrites, compactions and restarts.
 func TestLogAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "model")
@@ -87,7 +89,7 @@
 		}
 		store := mustOpen(t, testOptions(folder))
 		defer func() { store.Close() }()
-		var model []raft.Entry // entries after base
+		var model []raft.Entry // expected entries, which follow index base
 		var base, term uint64
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 2).Draw(rt, "step") {
@@ -122,10 +124,11 @@
 	})
 }
 
-func TestFolderOfAnotherIsRefusedUntouched(t *testing.T) {
+// TestFolderOfOtherNodeIsRefused checks that the data folder of another cluster or node is refused and not written to.
+func TestFolderOfOtherNodeIsRefused(t *testing.T) {
 	options := testOptions(t.TempDir())
 	mustOpen(t, options).Close()
-	before := snapshotFolder(t, options.Folder)
+	before := readFolder(t, options.Folder)
 	tests := map[string]func(*Options){
 		"cluster_id": func(o *Options) { o.ClusterID = "c2" },
 		"node_id":    func(o *Options) { o.NodeID = 2 },
@@ -137,15 +140,16 @@
 		_, err := Open(changed)
 		var refusal *FolderError
 		if !errors.As(err, &refusal) || refusal.Field != field {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("want a FolderError for field %s, got error %v", field, err)
 		}
 	}
-	if after := snapshotFolder(t, options.Folder); after != before {
+	if after := readFolder(t, options.Folder); after != before {
 		t.Error("a refused folder was written to")
 	}
 }
 
-func snapshotFolder(t *testing.T, folder string) string {
+// readFolder returns the contents of the identity file and the data file.
+func readFolder(t *testing.T, folder string) string {
 	t.Helper()
 	var all string
 	for _, name := range []string{identityFile, dataFile} {
@@ -158,6 +162,7 @@
 	return all
 }
 
+// TestNewerFormatIsRefused checks that a folder that was written by a newer program is refused.
 func TestNewerFormatIsRefused(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -169,23 +174,26 @@
 	}
 	var refusal *FolderError
 	if _, err := Open(options); !errors.As(err, &refusal) || refusal.Field != "format" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want a FolderError for field format", err)
 	}
 }
 
+// TestLockIsHeld checks that neither Open nor Check accepts a folder that is in use.
 func TestLockIsHeld(t *testing.T) {
 	options := testOptions(t.TempDir())
 	mustOpen(t, options)
 	var refusal *FolderError
 	if _, err := Open(options); !errors.As(err, &refusal) || refusal.Field != "lock" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Open returned error %v, want a FolderError for field lock", err)
 	}
 	if _, err := Check(options.Folder); !errors.As(err, &refusal) || refusal.Field != "lock" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Check returned error %v, want a FolderError for field lock", err)
 	}
 }
 
-func TestLostFilesAreRefused(t *testing.T) {
+// TestFolderWithoutFileIsRefused checks that a folder with consensus state is refused if its identity file or data file
+// is missing, instead of being treated as a new folder.
+func TestFolderWithoutFileIsRefused(t *testing.T) {
 	for _, name := range []string{identityFile, dataFile} {
 		options := testOptions(t.TempDir())
 		store := mustOpen(t, options)
@@ -196,11 +204,13 @@
 		}
 		var refusal *FolderError
 		if _, err := Open(options); !errors.As(err, &refusal) {
-			t.Errorf("without %s: got %v", name, err)
+			t.Errorf("without %s: got error %v, want a FolderError", name, err)
 		}
 	}
 }
 
+// TestDamagedRecordsAreFound checks that Check and Load detect records with a flipped bit, truncated records, and
+// intact records that are stored under another key.
 func TestDamagedRecordsAreFound(t *testing.T) {
 	key := map[string][]byte{
 		string(bucketEntries): entryKey(0, 2), string(bucketHardStates): groupKey(0), string(bucketSnapshots): groupKey(0),
@@ -216,18 +226,20 @@
 			store.Close()
 			report, err := Check(options.Folder)
 			if err != nil || report.Sound() {
-				t.Errorf("%s %s: the check found nothing, error %v", damage, bucket, err)
+				t.Errorf("%s %s: Check found no damage, error %v", damage, bucket, err)
 			}
 			store = mustOpen(t, options)
 			var found *DamageError
 			if _, err := store.Load(0); !errors.As(err, &found) {
-				t.Errorf("%s %s: load gave %v", damage, bucket, err)
+				t.Errorf("%s %s: Load returned error %v, want a DamageError", damage, bucket, err)
 			}
 			store.Close()
 		}
 	}
 }
 
+// damageRecord damages the record under a key: "flip" changes a bit, "cut" removes the last byte, and "swap" replaces it
+// by the record of another key.
 func damageRecord(t *testing.T, store *Store, name, key []byte, damage string) {
 	t.Helper()
 	err := store.database.Update(func(tx *bbolt.Tx) error {
@@ -238,7 +250,7 @@
 			record[len(record)-1] ^= 1
 		case "cut":
 			record = record[:len(record)-1]
-		case "swap": // a sound record of another key
+		case "swap": // an intact record of another key
 			for other, found := bucket.Cursor().First(); other != nil; {
 				record = append([]byte(nil), found...)
 				break
@@ -255,6 +267,7 @@
 	}
 }
 
+// TestMissingEntryIsFound checks that Load detects a gap in the log.
 func TestMissingEntryIsFound(t *testing.T) {
 	store := mustOpen(t, testOptions(t.TempDir()))
 	mustWrite(t, store, GroupWrite{Group: 0, Entries: entriesFrom(1, 5, 1)})
@@ -264,11 +277,12 @@
 	}
 	var found *DamageError
 	if _, err := store.Load(0); !errors.As(err, &found) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want a DamageError", err)
 	}
 }
 
-// TestGarbledFilesNeverPanic overwrites random stretches of the data file, and cuts it.
+// TestGarbledFilesNeverPanic checks that Check, Open and Load do not panic on a data file that is truncated or has a
+// random range overwritten.
 func TestGarbledFilesNeverPanic(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -304,6 +318,7 @@
 	})
 }
 
+// TestFailedSyncPoisons checks that all writes fail after a failed sync, also when a sync would succeed again.
 func TestFailedSyncPoisons(t *testing.T) {
 	options := testOptions(t.TempDir())
 	failing := false
@@ -317,18 +332,20 @@
 	mustWrite(t, store, GroupWrite{Group: 0, Entries: entriesFrom(1, 1, 1)})
 	failing = true
 	if err := store.Write([]GroupWrite{{Group: 0, Entries: entriesFrom(2, 1, 1)}}); !errors.Is(err, unix.EIO) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want EIO", err)
 	}
 	failing = false
 	if err := store.Write([]GroupWrite{{Group: 0, Entries: entriesFrom(2, 1, 1)}}); !errors.Is(err, ErrPoisoned) {
-		t.Fatalf("a poisoned store answered %v", err)
+		t.Fatalf("a poisoned store returned error %v, want ErrPoisoned", err)
 	}
 	if err := store.PutPeer(PeerRecord{NodeID: 2}); !errors.Is(err, ErrPoisoned) {
-		t.Fatalf("a poisoned store answered %v", err)
+		t.Fatalf("a poisoned store returned error %v, want ErrPoisoned", err)
 	}
 }
 
-func TestFullDiskKeepsWhatIsThere(t *testing.T) {
+// TestFullDiskKeepsOldState checks that a write to a full disk leaves the old state intact and can be retried, and how
+// the free space is classified.
+func TestFullDiskKeepsOldState(t *testing.T) {
 	options := testOptions(t.TempDir())
 	full := false
 	options.Hooks.BeforeCommit = func() error {
@@ -343,7 +360,7 @@
 	mustWrite(t, store, GroupWrite{Group: 0, Entries: entriesFrom(1, 2, 1)})
 	full, free = true, 1<<20
 	if err := store.Write([]GroupWrite{{Group: 0, Entries: entriesFrom(2, 3, 2)}}); !errors.Is(err, ErrNoSpace) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want ErrNoSpace", err)
 	}
 	for _, want := range []struct {
 		free uint64
@@ -351,22 +368,24 @@
 	}{{defaultHeadroomBytes, RoomForAll}, {defaultHeadroomBytes - 1, RoomForReserved}, {defaultHeadroomBytes / 2, RoomForReserved},
 		{defaultHeadroomBytes/2 - 1, RoomForVotes}, {1 << 20, RoomForVotes}} {
 		if free = want.free; store.Room() != want.room {
-			t.Fatalf("%d bytes are room for %v, want %v", free, store.Room(), want.room)
+			t.Fatalf("%d free bytes are classified as %v, want %v", free, store.Room(), want.room)
 		}
 	}
 	if free = defaultHeadroomBytes/2 + 100; !store.HasRoomFor(0, raft.Parts{make([]byte, 100)}) || store.HasRoomFor(0, raft.Parts{make([]byte, 100), {1}}) {
-		t.Fatal("100 bytes more than half the headroom are room for 100 bytes")
+		t.Fatal("with 100 bytes more than half the headroom free, a snapshot of 100 bytes must fit and one of 101 must not")
 	}
 	if found := mustLoad(t, store, 0); len(found.Entries) != 2 || found.Entries[1].Term != 1 {
-		t.Fatalf("found %+v", found.Entries)
+		t.Fatalf("got entries %+v, want the 2 old ones of term 1", found.Entries)
 	}
 	full = false
 	mustWrite(t, store, GroupWrite{Group: 0, Entries: entriesFrom(2, 3, 2)})
 	if found := mustLoad(t, store, 0); len(found.Entries) != 4 {
-		t.Fatalf("found %+v", found.Entries)
+		t.Fatalf("got entries %+v, want 4", found.Entries)
 	}
 }
 
+// TestUpgradeFromFormat1 checks that Open upgrades a folder of format 1, also when a crash interrupted an earlier
+// upgrade after the identity file was written.
 func TestUpgradeFromFormat1(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -386,7 +405,7 @@
 	}
 	identity := store.Identity()
 	store.Close()
-	for _, identityFormat := range []uint32{1, 2} { // 2: a crash came between the two files
+	for _, identityFormat := range []uint32{1, 2} { // 2: a crash after the identity file was written
 		identity.Format = identityFormat
 		if err := writeIdentity(options.Folder, identity); err != nil {
 			t.Fatal(err)
@@ -394,7 +413,7 @@
 		store = mustOpen(t, options)
 		found := mustLoad(t, store, 4)
 		if found.Snapshot.Index != want.Index || string(found.Snapshot.Data.Join()) != string(want.Data.Join()) {
-			t.Fatalf("upgraded snapshot is %+v", found.Snapshot)
+			t.Fatalf("the upgraded snapshot is %+v, want the one that was stored in format 1", found.Snapshot)
 		}
 		store.Close()
 		if report, err := Check(options.Folder); err != nil || !report.Sound() {
@@ -403,7 +422,8 @@
 	}
 }
 
-func TestPeersAreRemembered(t *testing.T) {
+// TestPeersAreStored checks that the record of a peer is loaded after a restart as it was written.
+func TestPeersAreStored(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
 	want := PeerRecord{NodeID: 2, Address: "127.0.0.1:1", Folder: 1 << 63, Starts: 4, StartNonce: 1<<64 - 1}
@@ -413,6 +433,6 @@
 	store.Close()
 	peers, err := mustOpen(t, options).Peers()
 	if err != nil || len(peers) != 1 || peers[0] != want {
-		t.Fatalf("got %+v, %v", peers, err)
+		t.Fatalf("got %+v, error %v; want the record that was stored", peers, err)
 	}
 }
--- a/internal/storage/torn_test.go
+++ b/internal/storage/torn_test.go
@@ -14,12 +14,12 @@
 
 const (
 	tornPageBytes = 4096
-	metaPages     = 2 // the first pages of a bbolt file; one of them makes a commit count
+	metaPageCount = 2 // the first pages of a bbolt file; a commit takes effect when one of them is written
 )
 
-// TestTornLastWriteKeepsWhatWasAcknowledged loses power at many points within the last write: any part of its
-// pages may have reached the disk, and at most a part of the page that makes them count. What was
-// acknowledged before must be there, and nothing of the write or all of it.
+// TestTornLastWriteKeepsWhatWasAcknowledged simulates power failures during the last write: any of its data pages, and at
+// most a part of its meta page, have reached the disk. All writes that were acknowledged before must be found, and
+// either all or nothing of the last one.
 func TestTornLastWriteKeepsWhatWasAcknowledged(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -34,45 +34,45 @@
 	random := rand.New(rand.NewSource(9))
 	oldStates := 0
 	for range 20 {
-		torn := tear(random, before, after)
+		torn := simulateTornWrite(random, before, after)
 		folder := t.TempDir()
 		writeFile(t, filepath.Join(folder, identityFile), identity)
 		writeFile(t, filepath.Join(folder, dataFile), torn)
 		again := testOptions(folder)
 		reopened, err := Open(again)
 		if err != nil {
-			t.Fatalf("a torn write made the folder unreadable: %v", err)
+			t.Fatalf("the folder can't be opened after a torn write: %v", err)
 		}
 		found := mustLoad(t, reopened, 0)
 		switch found.HardState {
 		case raft.HardState{Term: 1, Vote: 3, Commit: 9}:
 			oldStates++
 			if len(found.Entries) != 40 || found.Entries[39].Term != 1 {
-				t.Fatalf("the old state has %d entries", len(found.Entries))
+				t.Fatalf("the old state has %d entries, want 40 of term 1", len(found.Entries))
 			}
 		case raft.HardState{Term: 2, Vote: 1, Commit: 20}:
 			if len(found.Entries) != 89 || found.Entries[29].Term != 2 {
-				t.Fatalf("the new state has %d entries", len(found.Entries))
+				t.Fatalf("the new state has %d entries, want 89 with term 2 from the 30th on", len(found.Entries))
 			}
 		default:
-			t.Fatalf("found %+v", found.HardState)
+			t.Fatalf("got hard state %+v, want the old or the new one", found.HardState)
 		}
 		if err := reopened.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if oldStates == 0 {
-		t.Fatal("no write was torn")
+		t.Fatal("no simulated power failure left the old state")
 	}
 }
 
-// tear returns the file as of a loss of power: some of the changed pages are new, and of the page that makes
-// the write count, which is written last, a beginning.
-func tear(random *rand.Rand, before, after []byte) []byte {
+// simulateTornWrite returns the content of the file after a power failure during a write. Either some of the data pages
+// have their new content, or all of them have it and the meta page, which is written last, is partly written.
+func simulateTornWrite(random *rand.Rand, before, after []byte) []byte {
 	torn := append([]byte(nil), before...)
 	torn = append(torn, make([]byte, max(0, len(after)-len(before)))...)
 	whole := random.Intn(2) == 0
-	for page := metaPages; (page+1)*tornPageBytes <= len(after); page++ {
+	for page := metaPageCount; (page+1)*tornPageBytes <= len(after); page++ {
 		if whole || random.Intn(2) == 0 {
 			copy(torn[page*tornPageBytes:], after[page*tornPageBytes:(page+1)*tornPageBytes])
 		}
@@ -80,7 +80,7 @@
 	if !whole {
 		return torn
 	}
-	for page := range metaPages {
+	for page := range metaPageCount {
 		from, to := page*tornPageBytes, (page+1)*tornPageBytes
 		if !bytes.Equal(before[from:to], after[from:to]) {
 			copy(torn[from:], after[from:from+random.Intn(tornPageBytes/32)])
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestWrongKeyPositionIsRefused moves the first key of one page after the other out of the file: bbolt would
-// follow it in a goroutine of its own and end the process.
+// TestWrongKeyPositionIsRefused checks that Open refuses a data file in which the offset of a page's first key points
+// outside of the file. bbolt would follow the offset in a goroutine of its own and end the process.
 func TestWrongKeyPositionIsRefused(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -118,10 +118,10 @@
 	}
 	sound := readFile(t, options.Folder)
 	refused := 0
-	for id := metaPages; (id+1)*tornPageBytes <= len(sound); id++ {
+	for id := metaPageCount; (id+1)*tornPageBytes <= len(sound); id++ {
 		content := sound[id*tornPageBytes : (id+1)*tornPageBytes]
 		found := parsePage(uint64(id), content)
-		position := 4 // of a leaf's key, relative to its element
+		position := 4 // of the key offset in the element header of a leaf page
 		if found.flags == branchPage {
 			position = 0
 		}
@@ -138,13 +138,13 @@
 			refused++
 		case err != nil:
 			t.Fatalf("page %d: %v", id, err)
-		default: // a page that is not in use
+		default: // the damaged page is not in use
 			if err := reopened.Close(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	if refused < 3 {
-		t.Fatalf("%d damaged pages were refused", refused)
+		t.Fatalf("%d damaged pages were refused, want at least 3", refused)
 	}
 }
--- a/internal/storage/upgrade.go
+++ b/internal/storage/upgrade.go
@@ -7,15 +7,16 @@
 	"go.etcd.io/bbolt"
 )
 
-// migrations[n] turns format n into n+1 within one transaction. Files that it makes are synced before.
+// migrations[n] upgrades format n to n+1. All migrations run in one transaction; files that they create are synced
+// before it commits.
 var migrations = map[uint32]func(*Store, *bbolt.Tx) error{
-	1: func(_ *Store, tx *bbolt.Tx) error { return sealSnapshots(tx) },
-	2: (*Store).moveSnapshots,
+	1: func(_ *Store, tx *bbolt.Tx) error { return addSnapshotChecksums(tx) },
+	2: (*Store).moveSnapshotsToFiles,
 }
 
-// upgrade brings an older folder to the newest format. The identity file is raised first, so that an
-// older program refuses the folder from then on; the data file carries its own format and is raised in
-// the same transaction as its content, so a crash between the two is made good at the next start.
+// upgrade converts a folder of an older format to the newest one. The format in the identity file is set first, so that
+// older programs refuse the folder from then on. The data file has a format field of its own, which is set in the same
+// transaction as the content is converted. After a crash between the two steps the next start completes the upgrade.
 func (s *Store) upgrade() error {
 	if s.identity.Format < Format {
 		s.identity.Format = Format
@@ -38,20 +39,20 @@
 	}))
 }
 
-// sealSnapshots adds the checksums that format 1 did not have on snapshots.
-func sealSnapshots(tx *bbolt.Tx) error {
+// addSnapshotChecksums upgrades format 1, whose snapshot records had no checksums.
+func addSnapshotChecksums(tx *bbolt.Tx) error {
 	bucket := tx.Bucket(bucketSnapshots)
 	type keyed struct{ key, payload []byte }
 	var plain []keyed
 	cursor := bucket.Cursor()
 	for key, payload := cursor.First(); key != nil; key, payload = cursor.Next() {
-		if _, err := decodeSnapshotMessage(snapshotName(groupOf(key)), payload); err != nil {
+		if _, err := decodeSnapshotMessage(snapshotRecordName(groupOf(key)), payload); err != nil {
 			return err
 		}
 		plain = append(plain, keyed{key: append([]byte(nil), key...), payload: append([]byte(nil), payload...)})
 	}
 	for _, snapshot := range plain {
-		if err := bucket.Put(snapshot.key, seal(snapshot.key, snapshot.payload)); err != nil {
+		if err := bucket.Put(snapshot.key, encodeRecord(snapshot.key, snapshot.payload)); err != nil {
 			return err
 		}
 	}
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -11,36 +11,37 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// GroupWrite is one group's part of a write. The parts are applied in the order of the fields.
+// GroupWrite is one group's part of a write. The fields are applied in their order.
 type GroupWrite struct {
 	Group uint32
-	// Snapshot came from the leader: it replaces the group's log and snapshot. Nil: none.
+	// Snapshot was received from the leader and replaces the group's log and snapshot. Nil if there is none.
 	Snapshot *raft.Snapshot
-	// Entries are appended; whatever stands at or after the first index is dropped.
+	// Entries are appended to the log; stored entries at or after the first index are deleted.
 	Entries []raft.Entry
-	// HardState replaces the stored one unless it is nil.
+	// HardState replaces the stored hard state unless it is nil.
 	HardState *raft.HardState
-	// Compaction is the node's own snapshot; the entries up to its index are dropped. Nil: none.
+	// Compaction is a snapshot that the node made itself; log entries up to its index are deleted. Nil if there is none.
 	Compaction *raft.Snapshot
-	// InParts: all builds that may read the folder know states in parts. Without it a state is written as one file.
+	// InParts is set if all builds that may read the folder support states in several files. If it is not set, a state
+	// is written as one file.
 	InParts bool
 }
 
-// trimPerWrite bounds how many compacted entries one write deletes, so that a compaction does not delay
-// the writes behind it; the rest goes with the next compaction.
-const trimPerWrite = 20_000
+// maxCompactedPerWrite bounds how many compacted entries one write deletes, so that a compaction does not delay
+// the writes behind it. The next compaction deletes the rest.
+const maxCompactedPerWrite = 20_000
 
-// Write makes the work of all groups durable in one synced transaction: all of it or nothing. After an
-// error other than ErrNoSpace every later write returns ErrPoisoned.
+// Write makes the writes of all groups durable in one synced transaction: all of them or none. It returns ErrNoSpace
+// if the disk is full. After any other failed write or sync every later write returns ErrPoisoned.
 func (s *Store) Write(batch []GroupWrite) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.usable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	files, err := s.writeSnapshotFiles(batch)
 	if err != nil {
-		return s.failed(err, noSpace(err))
+		return s.recordFailure(err, isNoSpace(err))
 	}
 	err = s.commit(func(tx *bbolt.Tx) error {
 		for i := range batch {
@@ -52,15 +53,15 @@
 	})
 	switch {
 	case err == nil:
-		s.held.keep(s.options.Folder, files)
+		s.parts.commit(s.options.Folder, files)
 	case errors.Is(err, ErrNoSpace):
-		files.made.remove(s.options.Folder) // after any other error they may be named by the transaction
+		files.created.remove(s.options.Folder) // after any other error the transaction may have become durable and refer to them
 	}
 	return err
 }
 
-// usable tells whether writes are taken. The caller holds the mutex.
-func (s *Store) usable() error {
+// checkWritable returns ErrClosed or ErrPoisoned if the store accepts no writes. The caller holds the mutex.
+func (s *Store) checkWritable() error {
 	if s.closed {
 		return ErrClosed
 	}
@@ -70,8 +71,9 @@
 	return nil
 }
 
-// failed judges a write that failed: full tells that the disk had no room and the old state stands.
-func (s *Store) failed(err error, full bool) error {
+// recordFailure returns the error of a failed write. It poisons the store unless full is set, which means that the disk
+// was full and the old state is intact. The caller holds the mutex.
+func (s *Store) recordFailure(err error, full bool) error {
 	if full {
 		return ErrNoSpace
 	}
@@ -79,11 +81,11 @@
 	return trace.Wrap(err, "storage: write failed")
 }
 
-// update runs one synced transaction and judges its failure.
+// update runs one synced transaction. A failure other than a full disk poisons the store.
 func (s *Store) update(change func(*bbolt.Tx) error) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.usable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	return s.commit(change)
@@ -106,20 +108,20 @@
 		s.commits.Add(1)
 		return nil
 	}
-	return s.failed(err, fullBeforeCommit(err))
+	return s.recordFailure(err, isFullBeforeCommit(err))
 }
 
-// fullBeforeCommit recognises a disk that had no room for the data pages. They are written before the
-// meta page that makes them count, so the old state stands. A sync that fails for lack of space has no
-// path in its error and is not one of these.
-func fullBeforeCommit(err error) bool {
+// isFullBeforeCommit reports whether the disk was full when the data pages were written. They are written before the
+// meta page that makes them valid, so the old state is intact. A sync that fails for lack of space does not count,
+// and is told apart because its error is no fs.PathError of a write.
+func isFullBeforeCommit(err error) bool {
 	var pathError *fs.PathError
 	return errors.Is(err, unix.ENOSPC) && errors.As(err, &pathError) && pathError.Op == "write"
 }
 
 func writeGroup(tx *bbolt.Tx, write *GroupWrite, files snapshotFiles) error {
 	if write.Snapshot != nil {
-		if err := dropEntriesFrom(tx, write.Group, 0); err != nil {
+		if err := deleteEntriesFrom(tx, write.Group, 0); err != nil {
 			return err
 		}
 		if err := putSnapshot(tx, write.Group, write.Snapshot, files); err != nil {
@@ -140,15 +142,15 @@
 	if err := putSnapshot(tx, write.Group, write.Compaction, files); err != nil {
 		return err
 	}
-	return trimEntries(tx, write.Group, write.Compaction.Index)
+	return deleteCompactedEntries(tx, write.Group, write.Compaction.Index)
 }
 
 func putHardState(tx *bbolt.Tx, group uint32, state raft.HardState) error {
 	key := groupKey(group)
-	return tx.Bucket(bucketHardStates).Put(key, seal(key, encodeHardState(state)))
+	return tx.Bucket(bucketHardStates).Put(key, encodeRecord(key, encodeHardState(state)))
 }
 
-// putSnapshot writes the record of a snapshot whose state is in files; none for an empty state.
+// putSnapshot writes the record of a snapshot whose state is in files. An empty state has no files.
 func putSnapshot(tx *bbolt.Tx, group uint32, snapshot *raft.Snapshot, files snapshotFiles) error {
 	key := groupKey(group)
 	record, err := encodeSnapshot(key, snapshot, files)
@@ -162,7 +164,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := dropEntriesFrom(tx, group, entries[0].Index); err != nil {
+	if err := deleteEntriesFrom(tx, group, entries[0].Index); err != nil {
 		return err
 	}
 	bucket := tx.Bucket(bucketEntries)
@@ -176,32 +178,32 @@
 	return nil
 }
 
-// dropEntriesFrom deletes a group's entries at or after index.
-func dropEntriesFrom(tx *bbolt.Tx, group uint32, index uint64) error {
+// deleteEntriesFrom deletes a group's entries at or after index.
+func deleteEntriesFrom(tx *bbolt.Tx, group uint32, index uint64) error {
 	bucket := tx.Bucket(bucketEntries)
 	cursor := bucket.Cursor()
-	var doomed [][]byte
+	var keys [][]byte
 	for key, _ := cursor.Seek(entryKey(group, index)); key != nil && groupOf(key) == group; key, _ = cursor.Next() {
-		doomed = append(doomed, key)
+		keys = append(keys, key)
 	}
-	return deleteAll(bucket, doomed)
+	return deleteAll(bucket, keys)
 }
 
-// trimEntries deletes a group's entries up to and including index, a bounded number of them.
-func trimEntries(tx *bbolt.Tx, group uint32, index uint64) error {
+// deleteCompactedEntries deletes a group's entries up to and including index, at most maxCompactedPerWrite of them.
+func deleteCompactedEntries(tx *bbolt.Tx, group uint32, index uint64) error {
 	bucket := tx.Bucket(bucketEntries)
 	cursor := bucket.Cursor()
-	var doomed [][]byte
+	var keys [][]byte
 	for key, _ := cursor.Seek(entryKey(group, 0)); key != nil && groupOf(key) == group && indexOf(key) <= index; key, _ = cursor.Next() {
-		doomed = append(doomed, key)
-		if len(doomed) == trimPerWrite {
+		keys = append(keys, key)
+		if len(keys) == maxCompactedPerWrite {
 			break
 		}
 	}
-	return deleteAll(bucket, doomed)
+	return deleteAll(bucket, keys)
 }
 
-// deleteAll deletes keys that were collected first: deleting under a moving cursor skips keys.
+// deleteAll deletes keys that the caller collected with a cursor. Deleting while the cursor moves would skip keys.
 func deleteAll(bucket *bbolt.Bucket, keys [][]byte) error {
 	for _, key := range keys {
 		if err := bucket.Delete(append([]byte(nil), key...)); err != nil {
