--- a/internal/backup/backup.go
+++ b/internal/backup/backup.go
@@ -1,8 +1,8 @@
-// Package backup keeps the state of a cluster's groups in one checksummed file and founds a new cluster's first
-// data folder from it.
+// Package backup writes the state of a cluster's groups to one checksummed file, and creates from it the data folder of
+// the first node of a new cluster.
 //
-// The file is a wire.Backup followed by the xxhash64 of its bytes, big endian. A restored cluster knows nothing
-// that was committed after the backup: see docs/operations/backup.md before restoring one.
+// The file is an encoded wire.Backup followed by the xxhash64 of its bytes, big endian. A restored cluster lacks
+// everything that was committed after the backup: see docs/operations/backup.md before restoring one.
 package backup
 
 import (
@@ -26,10 +26,11 @@
 const (
 	checksumBytes = 8
 	fileMode      = 0o640
-	restoredTerm  = 1 // of the restored state; the new cluster's first election begins above it
+	restoredTerm  = 1 // term of the restored state; the first election of the new cluster has a higher term
 )
 
-// Write puts a backup into a new file, synced. An existing file is never replaced.
+// Write writes a backup to a new file and syncs it. It returns an error if the file exists already. It sets the backup's
+// format.
 func Write(path string, backup *wire.Backup) error {
 	backup.Format = Format
 	content, err := proto.Marshal(backup)
@@ -48,7 +49,7 @@
 	return trace.NewAggregate(err, file.Close(), syncFolder(filepath.Dir(path)))
 }
 
-// syncFolder makes a new file in the folder durable.
+// syncFolder makes the creation of a file in the folder durable.
 func syncFolder(folder string) error {
 	file, err := os.Open(folder)
 	if err != nil {
@@ -57,8 +58,8 @@
 	return trace.NewAggregate(file.Sync(), file.Close())
 }
 
-// Read returns the backup in a file. It is refused unless whole, sound, and of groups whose state this program
-// can read.
+// Read returns the backup in a file. It returns an error if the checksum is wrong, the format is another one, a group is
+// missing, or this program can't read the state of a group.
 func Read(path string) (*wire.Backup, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return backup, nil
 }
 
-// Restore founds the data folder of a new cluster's first node, its only voter. The folder must not exist or be
-// empty.
+// Restore creates the data folder of the first node of a new cluster, which is its only voter. The folder must be empty
+// or not exist, and the cluster ID of the options must not be that of the backup, whose nodes may still run.
 func Restore(backup *wire.Backup, options storage.Options) error {
 	if entries, err := os.ReadDir(options.Folder); err == nil && len(entries) > 0 {
 		return trace.AlreadyExists("%s is not empty; restore into a new folder", options.Folder)
--- a/internal/backup/fuzz_test.go
+++ b/internal/backup/fuzz_test.go
@@ -14,7 +14,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// FuzzRead takes any bytes as a backup, with a fitting checksum: it is refused, or restored into a sound folder.
+// FuzzRead reads arbitrary bytes with a matching checksum as a backup. The backup must be refused, or be restored into a
+// data folder without damage.
 func FuzzRead(f *testing.F) {
 	empty, err := state.New().Snapshot()
 	if err != nil {
@@ -48,18 +49,18 @@
 		}
 		report, err := storage.Check(folder)
 		if err != nil || !report.Sound() {
-			t.Fatalf("the restored folder is not sound: %+v, %v", report, err)
+			t.Fatalf("the restored folder is damaged: %+v, %v", report, err)
 		}
 	})
 }
 
-// TestEmptyBackupIsRefused: restored, it would found an empty cluster.
+// TestEmptyBackupIsRefused checks that a backup without groups is refused. Restoring it would create an empty cluster.
 func TestEmptyBackupIsRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "backup")
 	if err := Write(path, &wire.Backup{ClusterId: "old"}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(path); err == nil {
-		t.Fatal("a backup without a group was taken")
+		t.Fatal("a backup without a group was accepted")
 	}
 }
--- a/internal/durable/cycle.go
+++ b/internal/durable/cycle.go
@@ -1,6 +1,6 @@
-// Package durable keeps the order in which a raft node's work becomes durable: what is handed out is written before its
-// messages leave, one write at a time for each group, and no older snapshot is written over a newer one. It is pure; the
-// host of consensus and the simulator drive the same code.
+// Package durable enforces the order in which the output of a raft node becomes durable. Each Ready of the node is
+// written before its messages are sent, each group has at most one write in progress, and a snapshot is never replaced by
+// an older one. The package does no input or output; package consensus and the simulator run the same code.
 package durable
 
 import (
@@ -8,57 +8,57 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// Cycle is one group's work between raft and the disk. It isn't safe for concurrent use.
+// Cycle tracks the output of one group's raft node from Ready to the completed write. It isn't safe for concurrent use.
 type Cycle struct {
 	group uint32
 	node  *raft.Node
 
-	ready      *raft.Ready    // taken and not yet durable
-	writing    *raft.Ready    // the same while the writer has it
-	queued     bool           // waits for the next write
-	hardState  raft.HardState // newest one handed out
-	stateDirty bool           // hardState is newer than the stored one
-	compaction *raft.Snapshot // waits to be written
-	compacting uint64         // index of the one that the writer has; 0: none
+	held            *raft.Ready    // passed to Hold and not finished
+	writing         *raft.Ready    // the held Ready while its write is in progress
+	queued          bool           // the group waits for the next write
+	hardState       raft.HardState // of the last Ready, or as loaded at the start
+	hardStateDirty  bool           // hardState is in no write yet
+	pendingSnapshot *raft.Snapshot // passed to Compact and in no write yet
+	writingIndex    uint64         // index of the snapshot of Compact whose write is in progress; 0: none
 }
 
-// New returns the cycle of a node whose stored state is known.
+// New returns the cycle of a group's node, given the hard state that is stored for it.
 func New(group uint32, node *raft.Node, stored raft.HardState) *Cycle {
 	return &Cycle{group: group, node: node, hardState: stored}
 }
 
-// Take returns raft's next work, if there is any and the last is done.
+// Take returns the node's next Ready. It returns nil if there is none, or if the one passed to Hold is not finished.
 func (c *Cycle) Take() *raft.Ready {
-	if c.ready != nil || !c.node.HasReady() {
+	if c.held != nil || !c.node.HasReady() {
 		return nil
 	}
 	ready := c.node.Ready()
 	if ready.HardState != c.hardState {
-		c.hardState, c.stateDirty = ready.HardState, true
+		c.hardState, c.hardStateDirty = ready.HardState, true
 	}
 	return &ready
 }
 
-// Urgent returns the work that waits for no write, also while other work is held. What raft's Durable says of that one must
-// be applied before.
+// Urgent returns the output that may be sent without waiting for a write, also while a Ready is held. The entries that
+// Durable returns for the held Ready must be applied before.
 func (c *Cycle) Urgent() raft.Urgent { return c.node.Urgent() }
 
-// Hold keeps work that must be durable before its messages leave. No other is taken until Finish.
-func (c *Cycle) Hold(ready *raft.Ready) { c.ready = ready }
+// Hold records a Ready that must be durable before its messages are sent. Take returns no other until Finish.
+func (c *Cycle) Hold(ready *raft.Ready) { c.held = ready }
 
-// Compact has a snapshot of this node's own written with the next write.
-func (c *Cycle) Compact(snapshot *raft.Snapshot) { c.compaction = snapshot }
+// Compact adds a snapshot that this node made itself to the next write.
+func (c *Cycle) Compact(snapshot *raft.Snapshot) { c.pendingSnapshot = snapshot }
 
-// Compacts tells whether a snapshot of this node's own waits to be written.
-func (c *Cycle) Compacts() bool { return c.compaction != nil }
+// Compacts reports whether a snapshot passed to Compact waits to be written.
+func (c *Cycle) Compacts() bool { return c.pendingSnapshot != nil }
 
-// Idle tells whether neither work nor a snapshot waits to be durable.
-func (c *Cycle) Idle() bool { return c.ready == nil && c.compaction == nil }
+// Idle reports whether neither a held Ready nor a snapshot passed to Compact waits to be written.
+func (c *Cycle) Idle() bool { return c.held == nil && c.pendingSnapshot == nil }
 
-// Blank tells whether nothing was ever handed out or stored.
+// Blank reports whether the hard state is empty: nothing was stored and no Ready has set it yet.
 func (c *Cycle) Blank() bool { return c.hardState == raft.HardState{} }
 
-// Queue marks the group as waiting for the next write; false if it was already.
+// Queue marks the group as waiting for the next write. It returns false if the group was marked already.
 func (c *Cycle) Queue() bool {
 	if c.queued {
 		return false
@@ -67,37 +67,38 @@
 	return true
 }
 
-// Write returns what has to be made durable for the group now.
+// Write returns the write that makes the group's pending output durable, and marks it as in progress until Written.
 func (c *Cycle) Write() storage.GroupWrite {
 	write := storage.GroupWrite{Group: c.group}
-	if c.ready != nil {
-		write.Snapshot, write.Entries = c.ready.Snapshot, c.ready.Entries
-		if write.Snapshot != nil && c.compaction != nil && c.compaction.Index < write.Snapshot.Index {
-			c.compaction = nil // it would be written over the newer one
+	if c.held != nil {
+		write.Snapshot, write.Entries = c.held.Snapshot, c.held.Entries
+		if write.Snapshot != nil && c.pendingSnapshot != nil && c.pendingSnapshot.Index < write.Snapshot.Index {
+			c.pendingSnapshot = nil // it would replace the newer one
 		}
 	}
-	write.Compaction = c.compaction
-	if c.stateDirty {
+	write.Compaction = c.pendingSnapshot
+	if c.hardStateDirty {
 		state := c.hardState
 		write.HardState = &state
 	}
-	if c.compaction != nil {
-		c.compacting = c.compaction.Index
+	if c.pendingSnapshot != nil {
+		c.writingIndex = c.pendingSnapshot.Index
 	}
-	c.writing, c.queued, c.stateDirty, c.compaction = c.ready, false, false, nil
+	c.writing, c.queued, c.hardStateDirty, c.pendingSnapshot = c.held, false, false, nil
 	return write
 }
 
-// Written is called once Write's result is durable. It returns the work whose messages may leave now, nil if there was only
-// a snapshot, and the index of the snapshot that was stored, 0 if none was: raft need not hold that one's state.
+// Written must be called once the result of Write is durable. It returns the Ready whose messages may be sent now, nil if
+// only a snapshot was written, and the index of the snapshot of Compact that was stored, 0 if there was none. Raft need
+// not keep the state of that snapshot in memory.
 func (c *Cycle) Written() (ready *raft.Ready, compacted uint64) {
-	ready, compacted = c.writing, c.compacting
-	c.writing, c.compacting = nil, 0
+	ready, compacted = c.writing, c.writingIndex
+	c.writing, c.writingIndex = nil, 0
 	return ready, compacted
 }
 
-// Finish lets raft go on after the work that was taken last has been sent and applied.
+// Finish advances raft after the messages of the Ready have been sent and its entries applied.
 func (c *Cycle) Finish(ready *raft.Ready) {
-	c.ready = nil
+	c.held = nil
 	c.node.Advance(*ready)
 }
--- a/internal/durable/cycle_test.go
+++ b/internal/durable/cycle_test.go
@@ -9,29 +9,30 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// TestOlderCompactionIsNotWrittenOverReceivedSnapshot: of a snapshot that came from the leader and an older one of this
-// node's own only the first is written, and nothing is released as stored for the other.
+// TestOlderCompactionIsNotWrittenOverReceivedSnapshot checks that a snapshot which this node made is not written over a
+// newer one from the leader, and that it is not reported as stored.
 func TestOlderCompactionIsNotWrittenOverReceivedSnapshot(t *testing.T) {
 	cycle := New(3, nil, raft.HardState{})
 	cycle.Hold(&raft.Ready{Snapshot: &raft.Snapshot{Index: 9}})
 	cycle.Compact(&raft.Snapshot{Index: 5})
 	write := cycle.Write()
 	if write.Group != 3 || write.Compaction != nil || write.Snapshot.Index != 9 {
-		t.Fatalf("%+v", write)
+		t.Fatalf("got write %+v, want only the received snapshot of index 9", write)
 	}
 	if ready, compacted := cycle.Written(); ready == nil || compacted != 0 {
-		t.Fatalf("ready %v, compacted at %d", ready, compacted)
+		t.Fatalf("got Ready %v and compacted index %d, want a Ready and index 0", ready, compacted)
 	}
 	cycle.Compact(&raft.Snapshot{Index: 12})
 	if write = cycle.Write(); write.Compaction == nil || write.Compaction.Index != 12 {
-		t.Fatalf("a newer snapshot is not written: %+v", write)
+		t.Fatalf("got write %+v, want the newer snapshot of index 12", write)
 	}
 	if _, compacted := cycle.Written(); compacted != 12 {
-		t.Fatalf("compacted at %d", compacted)
+		t.Fatalf("got compacted index %d, want 12", compacted)
 	}
 }
 
-// TestDurableEntriesPrecedeTheNewOnes: what is applied before the sync is what was written before, in order.
+// TestDurableEntriesPrecedeTheNewOnes checks that Durable returns exactly those committed entries, in order, that precede
+// the entries that are not written yet. Only these may be applied before the sync.
 func TestDurableEntriesPrecedeTheNewOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ready := &raft.Ready{}
@@ -45,17 +46,18 @@
 		durable := ready.Durable()
 		for i, entry := range durable {
 			if entry.Index != ready.Committed[i].Index || len(ready.Entries) > 0 && entry.Index >= ready.Entries[0].Index {
-				t.Fatalf("entry %d of %v with new ones from %v", i, ready.Committed, ready.Entries)
+				t.Fatalf("entry %d of the committed entries %v must not be in Durable, or has another place there; unwritten entries: %v", i, ready.Committed, ready.Entries)
 			}
 		}
 		if left := ready.Committed[len(durable):]; len(left) > 0 && (len(ready.Entries) == 0 || left[0].Index < ready.Entries[0].Index) {
-			t.Fatalf("entry %d is durable and left out", left[0].Index)
+			t.Fatalf("the durable entry %d is missing in Durable", left[0].Index)
 		}
 	})
 }
 
-// TestOneWorkAtATime: while work waits for its sync no other is taken, and the hard state is written once.
-func TestOneWorkAtATime(t *testing.T) {
+// TestOneReadyAtATime checks that no Ready is taken while another waits for its write, and that an unchanged hard state
+// is not written again.
+func TestOneReadyAtATime(t *testing.T) {
 	node, err := raft.New(raft.Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 1, Random: rand.New(rand.NewSource(1))},
 		raft.Restored{Snapshot: raft.Snapshot{Configuration: raft.Configuration{Voters: []uint64{1}}}})
 	if err != nil {
@@ -63,31 +65,31 @@
 	}
 	cycle := New(1, node, raft.HardState{})
 	if !cycle.Blank() {
-		t.Fatal("a node that stored nothing is not blank")
+		t.Fatal("Blank is false for a node that stored nothing")
 	}
 	for range 40 {
 		node.Tick()
 	}
 	ready := cycle.Take()
 	if ready == nil || !ready.MustSync {
-		t.Fatalf("%+v", ready)
+		t.Fatalf("got Ready %+v, want one that must be synced", ready)
 	}
 	cycle.Hold(ready)
 	if cycle.Take() != nil || cycle.Idle() || cycle.Blank() {
-		t.Fatal("other work is taken before the first is durable")
+		t.Fatal("a second Ready was taken before the first was durable, or the cycle reports that it is idle or blank")
 	}
 	if !cycle.Queue() || cycle.Queue() {
-		t.Fatal("a group waits for one write")
+		t.Fatal("Queue must return true the first time and false the second time")
 	}
 	if write := cycle.Write(); write.HardState == nil || *write.HardState != ready.HardState {
-		t.Fatalf("%+v", write)
+		t.Fatalf("got write %+v, want the hard state of the Ready", write)
 	}
 	written, _ := cycle.Written()
 	if written != ready {
-		t.Fatal("the work that was written is another one")
+		t.Fatal("Written returned another Ready than the one that was written")
 	}
 	cycle.Finish(written)
 	if write := cycle.Write(); write.HardState != nil {
-		t.Fatal("the hard state is written again")
+		t.Fatal("an unchanged hard state is written again")
 	}
 }
--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -1,4 +1,5 @@
-// Package memlimit fits the Go runtime's garbage collection to the memory that a process may use.
+// Package memlimit sets the Go runtime's garbage collector according to the memory limit of the process, and reports the
+// memory that the process uses.
 package memlimit
 
 import (
@@ -7,46 +8,47 @@
 )
 
 const (
-	// heapShare is the part of the limit, in per cent, that the Go runtime stays below as long as it can by
-	// collecting more often. The rest is left to what it does not count: mapped files and the system's buffers. A
-	// lower share would have a full process collect without end.
-	heapShare = 60
-	// collectPercent is the heap growth, in per cent, after which it is collected where memory is limited. Go's
-	// own 100 doubles what is held; collecting more often costs processor time.
-	collectPercent = 25
+	// heapPercent is the soft limit of the Go runtime's memory as a percentage of the memory limit. The runtime collects
+	// more often to stay below it. The rest is left for memory that the runtime does not count: mapped files and the
+	// system's buffers. With a lower percentage a process whose heap is full would collect all the time.
+	heapPercent = 60
+	// gcPercent is the GC percentage of a process with a memory limit: the heap growth since the last collection, in per
+	// cent, that starts the next one. Go's default of 100 lets the heap grow to twice the live data. A lower value costs
+	// processor time.
+	gcPercent = 25
 )
 
-// The variables by which an operator sets the Go runtime; what they say prevails.
+// The environment variables by which an operator configures the Go runtime. They take precedence over this package.
 const (
-	variableLimit   = "GOMEMLIMIT"
-	variablePercent = "GOGC"
+	envMemoryLimit = "GOMEMLIMIT"
+	envGCPercent   = "GOGC"
 )
 
-// Settings are those of the Go runtime's collector.
+// Settings configures the Go runtime's garbage collector. A zero field leaves the runtime's setting unchanged.
 type Settings struct {
-	HeapBytes      int64 // soft limit of all memory that the runtime manages; 0: as the runtime has it
-	CollectPercent int   // 0: as the runtime has it
+	HeapBytes      int64 // soft limit of all memory that the runtime manages
+	CollectPercent int   // GC percentage, see debug.SetGCPercent
 }
 
-// For returns the settings of a process that may use so many bytes; none if that is not known, and none in place
-// of a variable that lookup finds.
-func For(limitBytes int64, lookup func(string) (string, bool)) Settings {
+// SettingsFor returns the settings of a process with a memory limit in bytes. It returns no settings if the limit is not
+// known (0 or less), and leaves out a setting whose environment variable lookup finds.
+func SettingsFor(limitBytes int64, lookup func(string) (string, bool)) Settings {
 	var settings Settings
 	if limitBytes <= 0 {
 		return settings
 	}
-	if _, set := lookup(variableLimit); !set {
-		settings.HeapBytes = limitBytes / 100 * heapShare
+	if _, set := lookup(envMemoryLimit); !set {
+		settings.HeapBytes = limitBytes / 100 * heapPercent
 	}
-	if _, set := lookup(variablePercent); !set {
-		settings.CollectPercent = collectPercent
+	if _, set := lookup(envGCPercent); !set {
+		settings.CollectPercent = gcPercent
 	}
 	return settings
 }
 
-// Apply sets the runtime for a process that may use so many bytes and returns what it set.
+// Apply configures the runtime for a memory limit in bytes, 0 if it is not known, and returns the settings that it made.
 func Apply(limitBytes int64) Settings {
-	settings := For(limitBytes, os.LookupEnv)
+	settings := SettingsFor(limitBytes, os.LookupEnv)
 	if settings.HeapBytes > 0 {
 		debug.SetMemoryLimit(settings.HeapBytes)
 	}
--- a/internal/memlimit/memlimit_test.go
+++ b/internal/memlimit/memlimit_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestSettingsOfALimit checks that a memory limit determines both settings, except those whose environment variable an
+// operator has set.
 func TestSettingsOfALimit(t *testing.T) {
 	set := func(names ...string) func(string) (string, bool) {
 		return func(name string) (string, bool) {
@@ -19,12 +21,12 @@
 		want  Settings
 	}{
 		"no limit known":      {0, nil, Settings{}},
-		"a small machine":     {200, nil, Settings{HeapBytes: 2 * heapShare, CollectPercent: collectPercent}},
+		"a small machine":     {200, nil, Settings{HeapBytes: 2 * heapPercent, CollectPercent: gcPercent}},
 		"an operator's own":   {200, []string{"GOGC", "GOMEMLIMIT"}, Settings{}},
-		"only the growth set": {200, []string{"GOGC"}, Settings{HeapBytes: 2 * heapShare}},
+		"only the growth set": {200, []string{"GOGC"}, Settings{HeapBytes: 2 * heapPercent}},
 	} {
-		if got := For(want.limit, set(want.set...)); got != want.want {
-			t.Errorf("%s: %+v", name, got)
+		if got := SettingsFor(want.limit, set(want.set...)); got != want.want {
+			t.Errorf("%s: got other settings than expected: %+v", name, got)
 		}
 	}
 }
--- a/internal/memlimit/report.go
+++ b/internal/memlimit/report.go
@@ -15,7 +15,7 @@
 	"github.com/tamarindring/tamarindring/internal/pause"
 )
 
-// reportInterval is how often a process tells of its memory.
+// reportInterval is the interval of the log lines on memory.
 const reportInterval = 5 * time.Second
 
 // Names of the Go runtime's metrics.
@@ -26,7 +26,7 @@
 	metricCollects = "/gc/cycles/total:gc-cycles"
 )
 
-// Report logs what the process holds every few seconds, until ctx ends.
+// Report logs the memory use of the process every reportInterval until ctx is done. limitBytes is its memory limit.
 func Report(ctx context.Context, log *logrus.Entry, limitBytes int64) {
 	pause.Every(ctx, reportInterval, func(context.Context) { logging.Emit(log, read(limitBytes)) })
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// ResidentBytes is the process's memory in the machine; 0 where the system does not tell.
+// ResidentBytes returns the resident memory of the process in bytes, or 0 if the system does not provide it.
 func ResidentBytes() uint64 {
 	content, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/memlimit/report_test.go
+++ b/internal/memlimit/report_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// TestReportTellsTheMemory reads what this process holds; the system of the tests tells of resident memory.
-func TestReportTellsTheMemory(t *testing.T) {
+// TestReportContainsMemory checks the fields of a report on the test's own process. It needs a system that provides the
+// resident memory.
+func TestReportContainsMemory(t *testing.T) {
 	if ResidentBytes() == 0 {
 		t.Error("the process has no resident memory")
 	}
 	event := read(280 << 20)
 	if event.HeapMB <= 0 || event.RuntimeMB < event.HeapMB || event.ResidentMB <= 0 || event.LimitMB != 280 {
-		t.Errorf("%+v", event)
+		t.Errorf("got report %+v, want positive sizes, a runtime size of at least the heap's, and a limit of 280 MB", event)
 	}
 }
--- a/internal/storage/heldparts.go
+++ b/internal/storage/heldparts.go
@@ -42,32 +42,32 @@
 }
 
 // lookup returns the content of a file if it is in memory, otherwise nil.
-func (h *partCache) lookup(file *snapshotFile) []byte {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.parts[file.name].value()
+func (c *partCache) lookup(file *snapshotFile) []byte {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.parts[file.name].value()
 }
 
 // add records a part that was read from a file, if it is large enough to have a file of its own.
-func (h *partCache) add(file *snapshotFile, part []byte) {
+func (c *partCache) add(file *snapshotFile, part []byte) {
 	if len(part) < minOwnFileBytes {
 		return
 	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.parts[file.name] = newWeakPart(part)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.parts[file.name] = newWeakPart(part)
 }
 
 // findFile returns the file of the group's stored snapshot whose content equals parts, which must be a single part that
 // is still in memory. It returns nil if there is none.
-func (h *partCache) findFile(group uint32, parts raft.Parts) *snapshotFile {
+func (c *partCache) findFile(group uint32, parts raft.Parts) *snapshotFile {
 	if len(parts) != 1 || len(parts[0]) == 0 {
 		return nil
 	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for _, file := range h.files[group] {
-		known := h.parts[file.name]
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, file := range c.files[group] {
+		known := c.parts[file.name]
 		if known.size != len(parts[0]) {
 			continue
 		}
@@ -79,17 +79,17 @@
 }
 
 // hasSeveralFiles reports whether the group's stored snapshot is in several files.
-func (h *partCache) hasSeveralFiles(group uint32) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return len(h.files[group]) > 1
+func (c *partCache) hasSeveralFiles(group uint32) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return len(c.files[group]) > 1
 }
 
 // unstoredBytes returns the size of those parts of a new snapshot that no file of the group's stored snapshot holds.
-func (h *partCache) unstoredBytes(group uint32, snapshot raft.Parts) int {
+func (c *partCache) unstoredBytes(group uint32, snapshot raft.Parts) int {
 	size := 0
 	for _, part := range snapshot {
-		if h.findFile(group, raft.Parts{part}) == nil {
+		if c.findFile(group, raft.Parts{part}) == nil {
 			size += len(part)
 		}
 	}
@@ -97,28 +97,28 @@
 }
 
 // setFiles replaces the lists of files by those that the snapshot records name.
-func (h *partCache) setFiles(files map[uint32]snapshotFiles) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.files = files
+func (c *partCache) setFiles(files map[uint32]snapshotFiles) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.files = files
 }
 
 // commit records the files of snapshots that became durable and removes the files that no record names any more.
-func (h *partCache) commit(folder string, written *snapshotWrite) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+func (c *partCache) commit(folder string, written *snapshotWrite) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for group, files := range written.byGroup {
 		named := map[string]bool{}
 		for _, file := range files {
 			named[file.name] = true
 		}
-		for _, file := range h.files[group] {
+		for _, file := range c.files[group] {
 			if !named[file.name] {
-				delete(h.parts, file.name)
+				delete(c.parts, file.name)
 				_ = os.Remove(filepath.Join(folder, file.name)) // if this fails, the next Open removes the file
 			}
 		}
-		h.files[group] = files
+		c.files[group] = files
 	}
-	maps.Copy(h.parts, written.parts)
+	maps.Copy(c.parts, written.parts)
 }
