--- a/internal/replica/client.go
+++ b/internal/replica/client.go
@@ -26,26 +26,26 @@
 	DefaultMaxHeadBytes   = 64 << 10
 )
 
-// Options of a Client. Zero fields take the defaults.
+// Options configures a Client. Zero fields take the defaults.
 type Options struct {
 	Names Names
-	// MaxConnections bounds the connections to one replica where the call names no bound of its own.
+	// MaxConnections bounds the connections to one replica for calls that set no bound.
 	MaxConnections int
 	DialTimeout    time.Duration
-	// IdleTimeout is how long a connection is kept for a replica that announces no Keep-Alive time.
+	// IdleTimeout is how long an idle connection is kept open to a replica that announces no Keep-Alive time.
 	IdleTimeout time.Duration
-	// PeerTimeout ends a connection whose peer acknowledges nothing for so long.
+	// PeerTimeout is the time without an acknowledgement of sent bytes after which a connection is closed.
 	PeerTimeout  time.Duration
-	MaxHeadBytes int
-	// Dial opens a connection; nil: TCP.
+	MaxHeadBytes int // bound of the head of an answer
+	// Dial opens a connection. Nil selects TCP.
 	Dial Dial
-	// Now is the clock; nil: time.Now.
+	// Now is the clock. Nil selects time.Now.
 	Now func() time.Time
-	// Log is told of load reports that can't be read, seldom; nil: nobody is.
+	// Log receives a limited number of warnings about load reports that can't be read. May be nil.
 	Log *logrus.Entry
 }
 
-// The errors of an outcome.
+// Errors in Outcome.Err.
 var (
 	ErrForeignAnswer = errors.New("replica: the answer belongs to another request")
 	ErrConnections   = errors.New("replica: all connections to the replica are in use")
@@ -53,15 +53,15 @@
 	ErrHeadTooLarge  = errors.New("replica: the head of the answer is too large")
 )
 
-// Client calls replicas over pooled HTTP/1.1 connections, one request at a time on each. It is safe for
+// Client calls replicas over persistent HTTP/1.1 connections with one request at a time on each. It is safe for
 // concurrent use.
 type Client struct {
-	options Options
-	mu      sync.Mutex
-	peers   map[Target]*peer // guarded by mu
-	closed  bool             // guarded by mu
+	options  Options
+	mu       sync.Mutex
+	replicas map[Target]*replicaConnections // guarded by mu
+	closed   bool                           // guarded by mu
 
-	unreadable unreadableReports
+	unreadable unreadableReportLog
 }
 
 // NewClient returns a client without connections.
@@ -80,7 +80,7 @@
 	if options.Dial == nil {
 		options.Dial = tcpDialer(options.DialTimeout, options.PeerTimeout)
 	}
-	return &Client{options: options, peers: make(map[Target]*peer)}
+	return &Client{options: options, replicas: make(map[Target]*replicaConnections)}
 }
 
 func setDefault[T int | time.Duration](field *T, value T) {
@@ -116,24 +116,24 @@
 	return outcome
 }
 
-// exchange sends the call and reads its answer; it reports whether the connection may carry another.
+// exchange sends a call and reads its answer. The second result reports whether the connection may be reused.
 func (c *Client) exchange(conn *connection, call *Call, sink Sink) (Outcome, bool) {
-	sent := conn.send(c.requestHead(call), call.Body, call.Taken)
+	sent := conn.send(c.buildRequestHead(call), call.Body, call.Taken)
 	response, err := c.readHead(conn, call)
-	conn.answered(sent)
+	conn.markAnswered(sent)
 	if err != nil {
-		if failure := sent.failure(); failure != nil {
+		if failure := sent.writeError(); failure != nil {
 			err = failure
 		}
-		if sent.neverLeft() {
+		if sent.headUnsent() {
 			return Outcome{Verdict: verdict.DidNotRun, Refused: RefusedUnreachable, Err: err}, false
 		}
 		return Outcome{Verdict: verdict.MayHaveRun, Err: err}, false
 	}
 	outcome := Outcome{Status: response.StatusCode, Verdict: verdict.Ran, Answered: c.options.Now()}
-	outcome.Load = c.load(call, response)
+	outcome.Load = c.readLoadReport(call, response)
 	var ended bool
-	if refusal := c.refusal(response); refusal != RefusedNone {
+	if refusal := c.readRefusal(response); refusal != RefusedNone {
 		outcome.Verdict, outcome.Refused, outcome.Err = verdict.DidNotRun, refusal, ErrRefused
 		ended = discard(response.Body)
 	} else {
@@ -141,18 +141,18 @@
 		outcome.Whole = outcome.Err == nil
 		ended = outcome.Whole
 	}
-	conn.keep(response.Header, c.options.IdleTimeout)
-	return outcome, ended && !response.Close && sent.finished() && conn.reader.Buffered() == 0
+	conn.setIdleTimeout(response.Header, c.options.IdleTimeout)
+	return outcome, ended && !response.Close && sent.isFinished() && conn.reader.Buffered() == 0
 }
 
-// readHead reads the head of the answer to call, passing over interim answers.
+// readHead reads the head of the answer to a call and skips interim answers (status 1xx).
 func (c *Client) readHead(conn *connection, call *Call) (*http.Response, error) {
 	request := &http.Request{Method: call.Method}
 	for {
-		conn.limit.N = int64(c.options.MaxHeadBytes)
+		conn.limitedReader.N = int64(c.options.MaxHeadBytes)
 		response, err := http.ReadResponse(conn.reader, request)
 		if err != nil {
-			if conn.limit.N <= 0 {
+			if conn.limitedReader.N <= 0 {
 				return nil, ErrHeadTooLarge
 			}
 			return nil, err
@@ -160,31 +160,31 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		conn.limit.N = unlimited
-		if c.foreign(conn, call, response) {
+		conn.limitedReader.N = unlimited
+		if c.isForeignAnswer(conn, call, response) {
 			return nil, ErrForeignAnswer
 		}
-		conn.used = true
+		conn.hasAnswered = true
 		return response, nil
 	}
 }
 
-// foreign reports whether an answer is not the one to call: a surplus answer that came late, in its place.
-// An answer without an echo is believed only where no other request was on the connection before.
-func (c *Client) foreign(conn *connection, call *Call, response *http.Response) bool {
+// isForeignAnswer reports whether an answer belongs to another request: a surplus answer to an earlier request that came
+// late. An answer that does not echo the attempt ID is accepted only as the first one on its connection.
+func (c *Client) isForeignAnswer(conn *connection, call *Call, response *http.Response) bool {
 	name := c.options.Names.AttemptID
 	if name == "" || call.AttemptID == "" {
 		return false
 	}
 	echoed := response.Header.Get(name)
 	if echoed == "" {
-		return conn.used
+		return conn.hasAnswered
 	}
 	return echoed != call.AttemptID
 }
 
-// refusal is the replica's statement that the request did not run.
-func (c *Client) refusal(response *http.Response) Refusal {
+// readRefusal returns the reason for which the replica did not run the request, or RefusedNone.
+func (c *Client) readRefusal(response *http.Response) Refusal {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return RefusedWrongTarget
 	}
@@ -194,16 +194,17 @@
 	return RefusedNone
 }
 
-func (c *Client) field(response *http.Response, name string) string {
+// headerValue returns the value of a header field, which is empty if the site has no name for the field.
+func (c *Client) headerValue(response *http.Response, name string) string {
 	if name == "" {
 		return ""
 	}
 	return response.Header.Get(name)
 }
 
-// deliver passes an answer to the sink as it comes; nil when all of it was passed.
+// deliver passes the answer to the sink as it arrives. It returns nil if the whole answer was passed.
 func (c *Client) deliver(response *http.Response, load *loadreport.Report, sink Sink) error {
-	head := c.head(response)
+	head := c.buildHead(response)
 	head.Load = load
 	if err := sink.Head(head); err != nil {
 		return err
@@ -226,23 +227,23 @@
 	}
 }
 
-func (c *Client) head(response *http.Response) Head {
+func (c *Client) buildHead(response *http.Response) Head {
 	head := Head{Status: response.StatusCode, Length: response.ContentLength}
 	for name, values := range response.Header {
 		for _, value := range values {
 			head.Header = append(head.Header, Header{Name: name, Value: value})
 		}
 	}
-	head.Versions, _ = strconv.ParseUint(c.field(response, c.options.Names.Versions), 10, 64)
+	head.Versions, _ = strconv.ParseUint(c.headerValue(response, c.options.Names.Versions), 10, 64)
 	kind, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
 	head.Stream = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 	return head
 }
 
-// maxDiscardBytes of a refusal's body are read for the sake of its connection.
+// maxDiscardBytes bounds how much of a refusal's body is read so that the connection can be reused.
 const maxDiscardBytes = 4 << 10
 
-// discard reads a refusal's body; false when it is too long or broke off.
+// discard reads the body of a refusal. It returns false if the body is too long or broke off.
 func discard(body io.Reader) bool {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscardBytes+1))
 	return err == nil && n <= maxDiscardBytes
--- a/internal/replica/client_test.go
+++ b/internal/replica/client_test.go
@@ -13,9 +13,11 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
+// TestCallArrivesAsItWasMade checks that the replica receives the fields of a call under the site's names, and none of
+// the fields that the client reserves, and that the answer and its load report are delivered.
 func TestCallArrivesAsItWasMade(t *testing.T) {
-	s := newStandin(t, func(conn net.Conn, request *http.Request, body string, _ int) bool {
-		write(conn, answerTo(request, "Load: 3, 1,8\r\nVersions: 7\r\nContent-Length: 5\r\n\r\nhello"))
+	s := newStandinReplica(t, func(conn net.Conn, request *http.Request, body string, _ int) bool {
+		write(conn, answerWith(request, "Load: 3, 1,8\r\nVersions: 7\r\nContent-Length: 5\r\n\r\nhello"))
 		return true
 	})
 	call := s.call("one")
@@ -23,31 +25,32 @@
 	call.Deadline, call.Urgency, call.ExpectedVersion, call.ResumeAfter = 1500*time.Millisecond, 0, 7, 9
 	outcome, sink := do(newTestClient(t, Options{}), call)
 	if !outcome.Whole || outcome.Verdict != verdict.Ran || outcome.Status != 200 || sink.body.String() != "hello" || sink.head.Versions != 7 {
-		t.Fatalf("%+v %+v", outcome, sink.head)
+		t.Fatalf("got outcome %+v and head %+v, want the whole answer", outcome, sink.head)
 	}
 	if *outcome.Load != (loadreport.Report{Running: 3, Waiting: 1, Slots: 8}) {
-		t.Errorf("load %+v", outcome.Load)
+		t.Errorf("got load %+v, want 3 running, 1 waiting and 8 slots", outcome.Load)
 	}
 	got := s.requests[0]
 	want := map[string]string{"X-Kept": "yes", "Attempt": "one", "Left-Ms": "1500", "Urgency": "0", "Expected": "7",
 		"Last-Event-Id": "9", "Target": "i-1", "Content-Length": "12"}
 	for name, value := range want {
 		if values := got.Header.Values(name); len(values) != 1 || values[0] != value {
-			t.Errorf("%s: %q", name, values)
+			t.Errorf("field %s has the values %q, want the one value of the call", name, values)
 		}
 	}
 	if got.RequestURI != "/a%2Fb?c=d" || got.Host != "shop.example" || len(got.TransferEncoding) != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("got request %+v, want the call's path, query and host without a transfer encoding", got)
 	}
 }
 
+// TestConnectionsAreKept checks that a connection is reused until the replica closes it.
 func TestConnectionsAreKept(t *testing.T) {
-	s := newStandin(t, func(conn net.Conn, request *http.Request, body string, serial int) bool {
+	s := newStandinReplica(t, func(conn net.Conn, request *http.Request, body string, serial int) bool {
 		if serial == 1 {
-			write(conn, answerTo(request, "Connection: close\r\nContent-Length: 0\r\n\r\n"))
+			write(conn, answerWith(request, "Connection: close\r\nContent-Length: 0\r\n\r\n"))
 			return false
 		}
-		write(conn, answerTo(request, "Transfer-Encoding: chunked\r\nKeep-Alive: timeout=60\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
+		write(conn, answerWith(request, "Transfer-Encoding: chunked\r\nKeep-Alive: timeout=60\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 		return true
 	})
 	client := newTestClient(t, Options{})
@@ -57,13 +60,15 @@
 		}
 	}
 	if got := s.connections(); got != 2 {
-		t.Errorf("%d connections, want one that is kept until the replica closes it, and a second", got)
+		t.Errorf("%d connections were opened, want 2: one until the replica closes it, and another one", got)
 	}
 }
 
+// TestIdleConnectionsEndBeforeTheReplicasTime checks that an idle connection is no longer reused, and is closed by
+// CloseIdle, before the Keep-Alive time of the replica is over.
 func TestIdleConnectionsEndBeforeTheReplicasTime(t *testing.T) {
-	s := newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
-		write(conn, answerTo(request, "Keep-Alive: timeout=2, max=9\r\nContent-Length: 0\r\n\r\n"))
+	s := newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+		write(conn, answerWith(request, "Keep-Alive: timeout=2, max=9\r\nContent-Length: 0\r\n\r\n"))
 		return true
 	})
 	now := time.Unix(0, 0)
@@ -75,20 +80,21 @@
 			t.Fatal(outcome)
 		}
 		if want := []int{1, 1, 2}[step]; s.connections() != want {
-			t.Errorf("after %v of rest %d connections were opened, want %d", rest, s.connections(), want)
+			t.Errorf("after %v of idle time %d connections were opened, want %d", rest, s.connections(), want)
 		}
 	}
 	now = now.Add(1500 * time.Millisecond)
 	client.CloseIdle()
 	if open := client.Load(target); open != 0 {
-		t.Errorf("%d connections are open", open)
+		t.Errorf("%d connections are open, want 0", open)
 	}
 }
 
-// TestAnswersThatAreNotWhole: what a faulty replica sends, and what may be said of the request.
+// TestAnswersThatAreNotWhole checks the outcome and the delivered part of answers that are missing, malformed, foreign or
+// incomplete.
 func TestAnswersThatAreNotWhole(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer  string // with the echo of the attempt after the status line
+		answer  string // ATTEMPT stands for the field that echoes the attempt ID
 		reset   bool
 		verdict verdict.Verdict
 		status  int
@@ -105,66 +111,69 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			proceed := make(chan struct{})
-			s := newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+			s := newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
 				write(conn, strings.Replace(test.answer, "ATTEMPT", "Attempt: "+request.Header.Get("Attempt"), 1))
 				if test.reset {
 					<-proceed
-					resetConn(conn)
+					resetOnClose(conn)
 				}
 				return false
 			})
-			sink := &collected{onBody: func(string) {
+			sink := &recordingSink{onBody: func(string) {
 				if test.reset {
 					close(proceed)
 				}
 			}}
 			outcome := newTestClient(t, Options{}).Do(context.Background(), s.call("one"), sink)
 			if outcome.Whole || outcome.Err == nil || outcome.Verdict != test.verdict || outcome.Status != test.status || outcome.Refused != RefusedNone {
-				t.Errorf("%+v", outcome)
+				t.Errorf("got outcome %+v, want an error, verdict and status of the test case", outcome)
 			}
 			if got := sink.body.String(); !test.reset && got != test.body {
-				t.Errorf("body %q", got)
+				t.Errorf("got body %q, want the one of the test case", got)
 			}
 		})
 	}
 }
 
+// TestAnswerWithoutLengthEndsWithItsConnection checks that an answer without a length is whole when the replica closes the
+// connection, and that an interim answer is skipped.
 func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
-	s := newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
-		write(conn, "HTTP/1.1 100 Continue\r\n\r\n"+answerTo(request, "\r\nall of it"))
+	s := newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+		write(conn, "HTTP/1.1 100 Continue\r\n\r\n"+answerWith(request, "\r\nall of it"))
 		return false
 	})
 	outcome, sink := do(newTestClient(t, Options{}), s.call("one"))
 	if !outcome.Whole || sink.body.String() != "all of it" || sink.head.Length != -1 || sink.heads != 1 {
-		t.Fatalf("%+v %+v", outcome, sink.head)
+		t.Fatalf("got outcome %+v and head %+v, want the whole answer", outcome, sink.head)
 	}
 }
 
-// TestSurplusAnswers: bytes after a whole answer belong to no request, whenever they come.
+// TestSurplusAnswers checks that bytes after a whole answer, whenever they arrive, are not delivered as the answer to a
+// later request, and that their connection is not reused.
 func TestSurplusAnswers(t *testing.T) {
 	surplus := "HTTP/1.1 200 OK\r\nAttempt: old\r\nContent-Length: 3\r\n\r\nbad"
 	sendLate := make(chan struct{})
 	for name, answer := range map[string]func(conn net.Conn, request *http.Request, _ string, serial int) bool{
 		"at once": func(conn net.Conn, request *http.Request, _ string, _ int) bool {
-			write(conn, answerTo(request, "Content-Length: 2\r\n\r\nok")+surplus)
+			write(conn, answerWith(request, "Content-Length: 2\r\n\r\nok")+surplus)
 			return true
 		},
 		"in the place of the next": func(conn net.Conn, request *http.Request, _ string, serial int) bool {
 			if serial == 1 {
 				write(conn, surplus)
 			}
-			write(conn, answerTo(request, "Content-Length: 2\r\n\r\nok"))
+			write(conn, answerWith(request, "Content-Length: 2\r\n\r\nok"))
 			return true
 		},
 		"without an echo": func(conn net.Conn, request *http.Request, _ string, serial int) bool {
 			if serial == 1 {
 				write(conn, strings.Replace(surplus, "Attempt: old\r\n", "", 1))
 			}
-			write(conn, answerTo(request, "Content-Length: 2\r\n\r\nok"))
+			write(conn, answerWith(request, "Content-Length: 2\r\n\r\nok"))
 			return true
 		},
 		"while idle": func(conn net.Conn, request *http.Request, _ string, serial int) bool {
-			write(conn, answerTo(request, "Content-Length: 2\r\n\r\nok"))
+			write(conn, answerWith(request, "Content-Length: 2\r\n\r\nok"))
 			if serial == 0 {
 				go func() { <-sendLate; write(conn, surplus); sendLate <- struct{}{} }()
 			}
@@ -172,7 +181,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, client := newStandin(t, answer), newTestClient(t, Options{IdleTimeout: time.Hour})
+			s, client := newStandinReplica(t, answer), newTestClient(t, Options{IdleTimeout: time.Hour})
 			if outcome, _ := do(client, s.call("one")); !outcome.Whole {
 				t.Fatal(outcome)
 			}
@@ -183,11 +192,11 @@
 			}
 			second, sink := do(client, s.call("two"))
 			if strings.Contains(sink.body.String(), "bad") || sink.head.Status == 0 && second.Verdict != verdict.MayHaveRun {
-				t.Fatalf("%+v %q", second, sink.body.String())
+				t.Fatalf("got outcome %+v and body %q, want the answer to this request or none", second, sink.body.String())
 			}
 			third, sink := do(client, s.call("three"))
 			if !third.Whole || sink.body.String() != "ok" {
-				t.Errorf("%+v: the connection was not given up", third)
+				t.Errorf("got outcome %+v, want a whole answer on a new connection", third)
 			}
 		})
 	}
@@ -197,15 +206,17 @@
 func waitForSurplus(client *Client, target Target) {
 	for {
 		client.mu.Lock()
-		heard := !quiet(client.peers[target].idle[0].Conn)
+		surplus := !isReusable(client.replicas[target].idle[0].Conn)
 		client.mu.Unlock()
-		if heard {
+		if surplus {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// TestRefusals checks that an answer which means that the request did not run is reported as a refusal, is not passed to
+// the sink and leaves the connection reusable, and that a plain status 503 does not count as a refusal.
 func TestRefusals(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer  string
@@ -215,7 +226,7 @@
 		"other target": {"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", RefusedWrongTarget},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+			s := newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
 				write(conn, strings.Replace(test.answer, "\r\n", "\r\nAttempt: "+request.Header.Get("Attempt")+"\r\n", 1))
 				return true
 			})
@@ -223,46 +234,48 @@
 			for range 2 {
 				outcome, sink := do(client, s.call("one"))
 				if outcome.Verdict != verdict.DidNotRun || outcome.Refused != test.refused || outcome.Whole || sink.heads != 0 {
-					t.Fatalf("%+v", outcome)
+					t.Fatalf("got outcome %+v, want a refusal of the test case's kind", outcome)
 				}
 			}
 			if s.connections() != 1 {
-				t.Errorf("a refusal costs its connection")
+				t.Errorf("the connection of a refusal was not reused")
 			}
 		})
 	}
-	plain := newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
-		write(conn, strings.Replace(answerTo(request, "Content-Length: 0\r\n\r\n"), "200 OK", "503 Failed", 1))
+	plain := newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+		write(conn, strings.Replace(answerWith(request, "Content-Length: 0\r\n\r\n"), "200 OK", "503 Failed", 1))
 		return true
 	})
 	if outcome, sink := do(newTestClient(t, Options{}), plain.call("one")); outcome.Verdict != verdict.Ran || sink.head.Status != 503 {
-		t.Errorf("a 503 without the mark says nothing about the run: %+v", outcome)
+		t.Errorf("got outcome %+v for a status 503 that is not marked as not executed, want Ran", outcome)
 	}
 }
 
+// TestCallsThatNeverLeave checks that a call which Admit refuses, or whose replica is not reachable, is not sent and is
+// reported as not run.
 func TestCallsThatNeverLeave(t *testing.T) {
-	s := newStandin(t, func(net.Conn, *http.Request, string, int) bool { t.Error("it was sent"); return false })
+	s := newStandinReplica(t, func(net.Conn, *http.Request, string, int) bool { t.Error("the request was sent"); return false })
 	reason := errors.New("no longer")
 	call := s.call("one")
 	call.Admit = func() error { return reason }
 	if outcome, _ := do(newTestClient(t, Options{}), call); outcome.Verdict != verdict.DidNotRun || !errors.Is(outcome.Err, reason) {
-		t.Errorf("%+v", outcome)
+		t.Errorf("got outcome %+v, want DidNotRun with Admit's error", outcome)
 	}
 	_ = s.listener.Close()
 	if outcome, _ := do(newTestClient(t, Options{}), s.call("two")); outcome.Verdict != verdict.DidNotRun || outcome.Refused != RefusedUnreachable {
-		t.Errorf("%+v", outcome)
+		t.Errorf("got outcome %+v, want DidNotRun and RefusedUnreachable", outcome)
 	}
 }
 
-// TestPiecesCancelAndBound: pieces arrive as they come; the end of the context closes the connection; a replica
-// gets no more connections than allowed.
+// TestPiecesCancelAndBound checks that the pieces of an answer are delivered as they arrive, that the connection is closed
+// when the context is done, and that MaxConnections bounds the connections to a replica.
 func TestPiecesCancelAndBound(t *testing.T) {
 	gone, next := make(chan struct{}), make(chan struct{})
-	s := newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
-		write(conn, answerTo(request, "Content-Type: text/event-stream; charset=utf-8\r\n\r\nfirst"))
+	s := newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+		write(conn, answerWith(request, "Content-Type: text/event-stream; charset=utf-8\r\n\r\nfirst"))
 		<-next
 		write(conn, "second")
-		_, _ = conn.Read(make([]byte, 1)) // until the client closes
+		_, _ = conn.Read(make([]byte, 1)) // returns when the client closes the connection
 		close(gone)
 		return false
 	})
@@ -270,11 +283,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	call := s.call("one")
 	call.MaxConnections = 1
-	sink := &collected{onBody: func(chunk string) {
+	sink := &recordingSink{onBody: func(chunk string) {
 		switch chunk {
 		case "first":
 			if outcome, _ := do(client, call); outcome.Verdict != verdict.DidNotRun || outcome.Refused != RefusedFull {
-				t.Errorf("a second connection: %+v", outcome)
+				t.Errorf("got outcome %+v for a second connection, want RefusedFull", outcome)
 			}
 			close(next)
 		case "second":
@@ -283,13 +296,13 @@
 	}}
 	outcome := client.Do(ctx, call, sink)
 	if !sink.head.Stream || outcome.Whole || !errors.Is(outcome.Err, context.Canceled) || outcome.Verdict != verdict.Ran {
-		t.Errorf("%+v %+v", outcome, sink.head)
+		t.Errorf("got outcome %+v and head %+v, want a stream that was cancelled after it ran", outcome, sink.head)
 	}
 	<-gone
 }
 
-// TestEarlyAnswerToLongBody: an answer that came before the body was read ends the connection, so that no later
-// request is taken for the rest of the body.
+// TestEarlyAnswerToLongBody checks that a connection is closed after an answer that came before the replica had read the
+// body. On a reused connection the replica would take the next request for the rest of the body.
 func TestEarlyAnswerToLongBody(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -308,15 +321,15 @@
 		Path: "/", Body: make([]byte, 64<<20), Urgency: -1, ResumeAfter: -1}
 	outcome, _ := do(client, call)
 	if !outcome.Whole || client.Load(call.Target) != 0 {
-		t.Errorf("%+v, %d connections kept", outcome, client.Load(call.Target))
+		t.Errorf("got outcome %+v and %d open connections, want a whole answer and none", outcome, client.Load(call.Target))
 	}
 }
 
-// TestConnectionsBelongToOneStart: a replica starts again under its id at its address. The connections of the former start
-// carry nothing to the new one, and calls name the id alone, which is all that a replica knows of itself.
+// TestConnectionsBelongToOneStart checks that connections to a replica are not reused after it was restarted under the
+// same ID and address, and that calls name the replica by its ID alone, because a replica does not know its start time.
 func TestConnectionsBelongToOneStart(t *testing.T) {
-	s := newStandin(t, func(conn net.Conn, request *http.Request, body string, _ int) bool {
-		write(conn, answerTo(request, "Keep-Alive: timeout=60\r\nContent-Length: 0\r\n\r\n"))
+	s := newStandinReplica(t, func(conn net.Conn, request *http.Request, body string, _ int) bool {
+		write(conn, answerWith(request, "Keep-Alive: timeout=60\r\nContent-Length: 0\r\n\r\n"))
 		return true
 	})
 	client := newTestClient(t, Options{})
@@ -324,13 +337,13 @@
 		call := s.call(instance)
 		call.Instance = instance
 		if outcome, _ := do(client, call); !outcome.Whole {
-			t.Fatalf("%+v", outcome)
+			t.Fatalf("got outcome %+v, want a whole answer", outcome)
 		}
 		if target := s.requests[number].Header.Get("Target"); target != "i-1" {
-			t.Errorf("the replica was called %q", target)
+			t.Errorf("got target %q, want the ID without the start time", target)
 		}
 	}
 	if got := s.connections(); got != 2 {
-		t.Errorf("%d connections, want one for each start", got)
+		t.Errorf("%d connections were opened, want one for each start", got)
 	}
 }
--- a/internal/replica/connection.go
+++ b/internal/replica/connection.go
@@ -19,52 +19,53 @@
 // connection is one connection to a replica.
 type connection struct {
 	net.Conn
-	reader    *bufio.Reader
-	limit     *io.LimitedReader // under reader
-	peer      *peer
-	used      bool      // an answer was read on it
-	idleLimit time.Time // at which it is no longer reused
-	closeOnce sync.Once
-	idleFor   time.Duration
+	reader        *bufio.Reader
+	limitedReader *io.LimitedReader // source of reader; bounds the head of an answer
+	connections   *replicaConnections
+	hasAnswered   bool      // an answer was read on this connection
+	reuseUntil    time.Time // end of the time in which an idle connection may be reused
+	closeOnce     sync.Once
+	idleTimeout   time.Duration
 	// peerTimeout is Options.PeerTimeout.
 	peerTimeout time.Duration
 }
 
-// abort closes the connection, which ends what is read and written on it.
+// abort closes the connection, which ends pending reads and writes.
 func (c *connection) abort() { c.closeOnce.Do(func() { _ = c.Conn.Close() }) }
 
-// keepAliveShare is the part of an announced Keep-Alive time after which a connection is no longer used, so
-// that a request does not cross the replica's close on the way.
+// keepAliveShare is the fraction of an announced Keep-Alive time for which an idle connection is reused. The rest avoids
+// that the replica closes the connection while a request is on its way.
 const keepAliveShare = 0.7
 
-// keep notes how long the connection may rest after an answer with these fields.
-func (c *connection) keep(header http.Header, without time.Duration) {
-	c.idleFor = without
+// setIdleTimeout sets how long the connection may be idle after an answer with this header. Without a Keep-Alive time in
+// the header it is defaultTimeout.
+func (c *connection) setIdleTimeout(header http.Header, defaultTimeout time.Duration) {
+	c.idleTimeout = defaultTimeout
 	for _, field := range header.Values("Keep-Alive") {
 		for part := range strings.SplitSeq(field, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 			seconds, err := strconv.ParseFloat(value, 64)
 			if strings.EqualFold(name, "timeout") && err == nil && seconds >= 0 {
-				c.idleFor = time.Duration(seconds * keepAliveShare * float64(time.Second))
+				c.idleTimeout = time.Duration(seconds * keepAliveShare * float64(time.Second))
 			}
 		}
 	}
 }
 
-// peer is the connections to one replica.
-type peer struct {
+// replicaConnections holds the connections to one replica.
+type replicaConnections struct {
 	target Target
-	open   int           // connections, in use and idle, and those being opened
-	idle   []*connection // the last one is the one used last
+	open   int           // number of connections in use, idle or being opened
+	idle   []*connection // in the order of their last use
 }
 
-// acquire returns a connection to the call's replica, or why there is none.
+// acquire returns a connection to the call's replica, or the reason why there is none.
 func (c *Client) acquire(ctx context.Context, call *Call) (*connection, Refusal, error) {
 	limit := call.MaxConnections
 	if limit <= 0 {
 		limit = c.options.MaxConnections
 	}
-	peer, conn, err := c.reserve(call.Target, limit)
+	connections, conn, err := c.reserve(call.Target, limit)
 	if err != nil {
 		return nil, RefusedFull, err
 	}
@@ -73,31 +74,32 @@
 	}
 	raw, err := c.options.Dial(ctx, call.Address)
 	if err != nil {
-		c.forget(peer)
+		c.countClosed(connections)
 		return nil, RefusedUnreachable, err
 	}
 	limited := &io.LimitedReader{R: raw, N: unlimited}
-	return &connection{Conn: raw, limit: limited, reader: bufio.NewReaderSize(limited, 4<<10), peer: peer,
-		idleFor: c.options.IdleTimeout, peerTimeout: c.options.PeerTimeout}, RefusedNone, nil
+	return &connection{Conn: raw, limitedReader: limited, reader: bufio.NewReaderSize(limited, 4<<10), connections: connections,
+		idleTimeout: c.options.IdleTimeout, peerTimeout: c.options.PeerTimeout}, RefusedNone, nil
 }
 
-// reserve takes an idle connection or the right to open one.
-func (c *Client) reserve(target Target, limit int) (*peer, *connection, error) {
+// reserve returns an idle connection, or counts a connection that the caller must open. It returns ErrConnections if the
+// limit is reached.
+func (c *Client) reserve(target Target, limit int) (*replicaConnections, *connection, error) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil, nil, net.ErrClosed
 	}
-	p := c.peers[target]
+	p := c.replicas[target]
 	if p == nil {
-		p = &peer{target: target}
-		c.peers[target] = p
+		p = &replicaConnections{target: target}
+		c.replicas[target] = p
 	}
 	for len(p.idle) > 0 {
 		conn := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Before(conn.idleLimit) && quiet(conn.Conn) {
+		if now.Before(conn.reuseUntil) && isReusable(conn.Conn) {
 			return p, conn, nil
 		}
 		p.open--
@@ -110,41 +112,42 @@
 	return p, nil, nil
 }
 
-// release gives a connection back, or closes it.
+// release keeps a reusable connection as idle and closes any other.
 func (c *Client) release(conn *connection, reusable bool) {
 	now := c.options.Now()
 	c.mu.Lock()
-	if reusable && conn.idleFor > 0 && !c.closed {
-		conn.idleLimit = now.Add(conn.idleFor)
-		conn.peer.idle = append(conn.peer.idle, conn)
+	if reusable && conn.idleTimeout > 0 && !c.closed {
+		conn.reuseUntil = now.Add(conn.idleTimeout)
+		conn.connections.idle = append(conn.connections.idle, conn)
 		c.mu.Unlock()
 		return
 	}
 	c.mu.Unlock()
 	conn.abort()
-	c.forget(conn.peer)
+	c.countClosed(conn.connections)
 }
 
-func (c *Client) forget(p *peer) {
+// countClosed counts a connection that was closed, or that could not be opened.
+func (c *Client) countClosed(p *replicaConnections) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.open--
-	if p.open == 0 && c.peers[p.target] == p {
-		delete(c.peers, p.target)
+	if p.open == 0 && c.replicas[p.target] == p {
+		delete(c.replicas, p.target)
 	}
 }
 
-// CloseIdle closes the connections that have rested too long. A runtime calls it from time to time; a
-// connection is never reused past its time, called or not.
+// CloseIdle closes the connections whose idle time is over. It should be called periodically; without it they are not
+// reused either, but stay open.
 func (c *Client) CloseIdle() { c.closeIdle(c.options.Now()) }
 
 func (c *Client) closeIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for target, p := range c.peers {
+	for target, p := range c.replicas {
 		kept := p.idle[:0]
 		for _, conn := range p.idle {
-			if now.Before(conn.idleLimit) && !c.closed {
+			if now.Before(conn.reuseUntil) && !c.closed {
 				kept = append(kept, conn)
 				continue
 			}
@@ -154,12 +157,12 @@
 		clear(p.idle[len(kept):])
 		p.idle = kept
 		if p.open == 0 {
-			delete(c.peers, target)
+			delete(c.replicas, target)
 		}
 	}
 }
 
-// Close closes the idle connections and refuses further calls; calls under way end by themselves.
+// Close closes the idle connections and makes further calls fail. Calls in progress are not interrupted.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -167,17 +170,17 @@
 	c.CloseIdle()
 }
 
-// Load is how many connections are open to a replica, idle ones among them.
+// Load returns how many connections to a replica are open or being opened, including idle ones.
 func (c *Client) Load(target Target) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.peers[target]; p != nil {
+	if p := c.replicas[target]; p != nil {
 		return p.open
 	}
 	return 0
 }
 
-// tcpDialer opens TCP connections that notice a silent peer.
+// tcpDialer returns a function that opens TCP connections which fail when the peer acknowledges nothing for peerTimeout.
 func tcpDialer(timeout, peerTimeout time.Duration) func(context.Context, string) (net.Conn, error) {
 	const probes = 3
 	dialer := &net.Dialer{Timeout: timeout, KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/replica/names.go
+++ b/internal/replica/names.go
@@ -2,30 +2,31 @@
 
 import "strings"
 
-// Names are the header names of a site's dialect. An empty name is neither sent nor read.
+// Names holds the names of the header fields that differ from site to site. A field with an empty name is neither sent
+// nor read.
 type Names struct {
-	AttemptID       string // identity of the attempt, sent and echoed
-	Deadline        string // milliseconds that remain
+	AttemptID       string // ID of the attempt, which the replica echoes
+	Deadline        string // remaining time in milliseconds
 	Target          string // instance that the call is for
 	Urgency         string // 0 (most urgent) to 9
 	ExpectedVersion string // weight version without which the call is refused
-	Versions        string // weight version that an answer starts under
-	NotExecuted     string // marks an answer as "did not run"
+	Versions        string // weight version at the start of an answer
+	NotExecuted     string // marks an answer as a refusal: the request did not run
 	Load            string // the replica's load report, see package loadreport
-	Tenant          string // name of the tenant that the request is from
+	Tenant          string // name of the tenant whose request it is
 }
 
-// lastEventID is the field of server-sent events with which a stream is resumed.
+// lastEventID is the header field with which a client resumes a stream of server-sent events.
 const lastEventID = "Last-Event-Id"
 
-// connectionFields belong to one connection or are computed here; they are never copied from a call.
+// connectionFields are the fields that belong to one connection or that this package computes. They are never copied from
+// a call.
 var connectionFields = [...]string{
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// Reserved reports whether the client writes the field itself or leaves it out, so that a call's own field of
-// that name is not sent.
+// Reserved reports whether the client sets or omits the header field itself. A field of this name in a call is not sent.
 func (n *Names) Reserved(name string) bool {
 	for _, field := range connectionFields {
 		if strings.EqualFold(field, name) {
--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -9,12 +9,14 @@
 	"time"
 )
 
-// probeTime bounds the question whether a replica still listens. A refusal comes within one round trip; a machine without power says
-// nothing, and whoever waits for the answer is a request that could be sent elsewhere meanwhile.
-const probeTime = 100 * time.Millisecond
+// probeTimeout bounds the attempt to connect to a replica in Examine. A refused connection is reported within one round
+// trip. A machine without power does not respond, and the request that waits for the result could be sent elsewhere
+// meanwhile.
+const probeTimeout = 100 * time.Millisecond
 
-// brokeOff tells whether a call ended with its connection, and not by what came on it.
-func brokeOff(err error) bool {
+// isConnectionError reports whether a call ended because its connection failed or was closed, not because of the content
+// of the answer.
+func isConnectionError(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network)
 }
@@ -22,19 +24,19 @@
 // Dial opens a connection to an IP:port.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Examine tells what became of a replica whose connection ended with a cause: it asks whether anything listens at the address. Replicas
-// that lose an answer or reset a connection live on; without the question they can't be told from those that crashed, which look alike
-// on the connection.
+// Examine determines the state of a replica after one of its connections ended with the error cause, by opening another
+// connection to its address. Replicas that lose an answer or reset a connection continue to run. On the broken connection
+// they can't be distinguished from replicas that crashed.
 func Examine(ctx context.Context, dial Dial, address string, cause error) Peer {
-	if !brokeOff(cause) {
+	if !isConnectionError(cause) {
 		return PeerUnknown
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	conn, err := dial(ctx, address)
 	switch {
 	case err == nil:
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close()
 		return PeerListening
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return PeerGone
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -8,10 +8,11 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestCrashIsToldFromALostAnswer: on the connection both are an early end. Only a replica that crashed listens no more.
-func TestCrashIsToldFromALostAnswer(t *testing.T) {
+// TestCrashIsDistinguishedFromLostAnswer checks that the outcome reports whether a replica whose connection ended early
+// has crashed. On the connection a crash and a lost answer look alike; a crashed replica no longer listens.
+func TestCrashIsDistinguishedFromLostAnswer(t *testing.T) {
 	for name, test := range map[string]struct {
-		begun   string // what is sent of the answer
+		begun   string // part of the answer that is sent
 		crashes bool
 		want    Peer
 	}{
@@ -21,8 +22,8 @@
 		"foreign answer":          {begun: "Attempt: other\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s *standin
-			s = newStandin(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
+			var s *standinReplica
+			s = newStandinReplica(t, func(conn net.Conn, request *http.Request, _ string, _ int) bool {
 				if test.crashes {
 					_ = s.listener.Close()
 				}
@@ -31,13 +32,13 @@
 					write(conn, "HTTP/1.1 200 OK\r\n"+test.begun)
 					return true
 				case test.begun != "":
-					write(conn, answerTo(request, test.begun))
+					write(conn, answerWith(request, test.begun))
 				}
 				return false
 			})
 			outcome, _ := do(newTestClient(t, Options{}), s.call("one"))
 			if outcome.Peer != test.want || outcome.Whole || outcome.Verdict == verdict.DidNotRun {
-				t.Errorf("%+v, want the replica %q", outcome, test.want)
+				t.Errorf("got outcome %+v, want peer %q", outcome, test.want)
 			}
 		})
 	}
--- a/internal/replica/quiet_linux.go
+++ b/internal/replica/quiet_linux.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read: no close and no surplus bytes.
-func quiet(conn net.Conn) bool {
+// isReusable reports whether an idle connection was not closed by the peer and has no surplus bytes to read.
+func isReusable(conn net.Conn) bool {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -28,8 +28,8 @@
 	return err == nil && silent
 }
 
-// outgoingOf asks the system; a connection that has ended has nothing to send.
-func outgoingOf(conn *net.TCPConn) (found outgoing) {
+// readSendState returns the system's send state of a connection. A connection that has ended has nothing to send.
+func readSendState(conn *net.TCPConn) (found sendState) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return found
@@ -39,13 +39,14 @@
 		if err != nil {
 			return
 		}
-		found = outgoing{acknowledged: info.Bytes_acked, pending: info.Unacked > 0 || info.Notsent_bytes > 0, underWay: info.Unacked > 0,
+		found = sendState{acknowledged: info.Bytes_acked, pending: info.Unacked > 0 || info.Notsent_bytes > 0, inFlight: info.Unacked > 0,
 			silence: time.Duration(info.Last_ack_recv) * time.Millisecond}
 	})
 	return found
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged; 0: as long as the system has it.
+// setUserTimeout bounds how long sent bytes may stay unacknowledged before the system closes the connection. 0 selects
+// the system's default.
 func setUserTimeout(conn *net.TCPConn, timeout time.Duration) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/replica/quiet_other.go
+++ b/internal/replica/quiet_other.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-func quiet(net.Conn) bool { return true }
+func isReusable(net.Conn) bool { return true }
 
 func setUserTimeout(*net.TCPConn, time.Duration) {}
 
-// outgoingOf can't be told here: nothing is pending.
-func outgoingOf(*net.TCPConn) outgoing { return outgoing{} }
+// readSendState reports that nothing is pending, because the send state is not available on this system.
+func readSendState(*net.TCPConn) sendState { return sendState{} }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica is one call to a registered replica of a pool, whatever dialect its site speaks: what is
-// sent, what comes back piece by piece, and whether the request may have run. The names of a site's headers
-// are data (Names); packages that route, retry or schedule see none of them.
+// Package replica calls one registered replica of a pool over HTTP/1.1: it sends a request, passes on the answer piece by
+// piece, and determines whether the request may have run. The header names, which differ from site to site, are
+// configuration (Names); packages that route, retry or schedule do not depend on them.
 package replica
 
 import (
@@ -11,13 +11,14 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// Target is the replica that a call is for. A replica that is not Instance refuses the call as not run.
+// Target identifies the replica that a call is for. Another replica at the same address refuses the call without
+// running it.
 type Target struct {
-	Instance string // unique for every start of a replica: the text form of its incarnation
+	Instance string // text form of the replica's incarnation, which is unique for every start of a replica
 	Address  string // IP:port
 }
 
-// Header is one header field as it is sent or was received.
+// Header is one header field of a request or an answer.
 type Header struct {
 	Name  string
 	Value string
@@ -26,96 +27,101 @@
 // Call is one request to one replica.
 type Call struct {
 	Target
-	AttemptID string   // identity of the caller's attempt, echoed by the replica
+	AttemptID string   // ID of the caller's attempt, which the replica echoes
 	Method    string   // such as POST
-	Path      string   // with its query, unaltered
-	Host      string   // the caller's Host
+	Path      string   // with the query, as the caller sent it
+	Host      string   // Host field of the caller's request; empty: Address is sent
 	Header    []Header // end-to-end fields, without those that this package sets itself
 	Body      []byte
-	Tenant    string        // that the request is from; empty: none is named
-	Deadline  time.Duration // time that remains; 0: none is sent
-	// Urgency is 0 (most urgent) to 9; negative: none is sent.
+	Tenant    string        // tenant whose request it is; empty: no tenant is sent
+	Deadline  time.Duration // remaining time; 0: no deadline is sent
+	// Urgency is 0 (most urgent) to 9. If it is negative, none is sent.
 	Urgency int
-	// ResumeAfter is the id of the last event that is already held; negative: the stream is new.
+	// ResumeAfter is the ID of the last event that the caller has already received, after which the replica resumes a
+	// stream. It is negative for a new stream.
 	ResumeAfter int64
-	// ExpectedVersion makes a replica with other weights refuse the call as not run; 0: any will do.
+	// ExpectedVersion is the weight version without which the replica refuses the call. 0 allows any version.
 	ExpectedVersion uint64
-	// MaxConnections bounds this process's connections to the replica; 0: the client's own bound.
+	// MaxConnections bounds this process's connections to the replica. 0 selects Options.MaxConnections.
 	MaxConnections int
-	// Admit is asked directly before the first byte is sent; its error ends the call as not run. nil: no
-	// condition. A connection that came up meanwhile is kept for another call.
+	// Admit is called directly before the first byte is sent. Its error ends the call as not run; a connection that was
+	// opened for the call is kept for another one. Nil admits every call.
 	Admit func() error
-	// Taken is told once when the replica's machine has acknowledged all of a long request, where the system tells; nil: nobody is.
+	// Taken is called once for a long request, when the replica's machine has acknowledged all of its bytes or its answer
+	// has begun. Where acknowledgements can't be determined it is called when all bytes were handed to the system. Nil if
+	// the caller does not need it.
 	Taken func()
 }
 
-// Head is the beginning of an answer.
+// Head is the status and header of an answer.
 type Head struct {
 	Status   int
 	Header   []Header
-	Length   int64  // bytes of the body; -1: not known beforehand
-	Versions uint64 // weight version that the answer starts under; 0: not named
+	Length   int64  // bytes of the body; -1 if it is not known beforehand
+	Versions uint64 // weight version at the start of the answer; 0 if the replica does not send it
 	Stream   bool   // the body is a series of events (text/event-stream)
-	// Load is what the replica says of itself as the answer begins, long before Outcome tells it of a stream; nil: nothing.
+	// Load is the replica's load report at the start of the answer, or nil if there is none that can be read. For a
+	// stream it is available here long before the Outcome.
 	Load *loadreport.Report
 }
 
-// Sink takes an answer as it comes. An error from it ends the call and closes its connection. Refusals as
-// not run never reach the sink.
+// Sink receives an answer piece by piece. An error from it ends the call and closes its connection. An answer that means
+// that the request did not run is not passed to the sink.
 type Sink interface {
-	// Head is called once, before any Body.
+	// Head is called once, before any call of Body.
 	Head(head Head) error
-	// Body takes the next bytes, which are valid during the call only.
+	// Body receives the next bytes of the body, which are valid during the call only.
 	Body(chunk []byte) error
 }
 
-// Outcome is how a call ended.
+// Outcome is the result of a call.
 type Outcome struct {
-	// Verdict is DidNotRun only when the replica said so or the request never left whole.
+	// Verdict is DidNotRun only if the replica said so or if not even the head of the request was sent whole.
 	Verdict verdict.Verdict
-	// Status is the replica's; 0 when no answer came.
+	// Status is the HTTP status of the answer, or 0 if there was none.
 	Status int
-	// Whole is true when the complete answer was passed to the sink.
+	// Whole is set if the complete answer was passed to the sink.
 	Whole bool
-	// Refused says why a call did not run; RefusedNone otherwise.
+	// Refused is the reason why the call did not run. It is RefusedNone if the call may have run, or if Admit refused it.
 	Refused Refusal
-	// Load is what the replica said of itself with its answer or refusal; nil if it said nothing that can be read.
+	// Load is the load report in the answer or refusal, or nil if there is none that can be read.
 	Load *loadreport.Report
-	// Answered is when the head of the answer was read, by the client's clock, which is how old Load is; zero without an answer.
+	// Answered is the time of the client's clock at which the head of the answer, and with it Load, was read. It is zero
+	// without an answer.
 	Answered time.Time
-	// Peer is what became of the replica whose connection broke off while the call may have run.
+	// Peer is the state of the replica after its connection broke off while the call may have run.
 	Peer Peer
-	Err  error // nil when Whole
+	Err  error // nil if Whole is set
 }
 
-// Peer is what is known of a replica after one of its connections broke off.
+// Peer is the state of a replica after one of its connections broke off, as far as it is known.
 type Peer uint8
 
-// What is known of a replica.
+// The states of a replica after a connection broke off.
 const (
-	PeerUnknown   Peer = iota // nobody asked, or it stayed silent
-	PeerListening             // it takes connections: the answer was lost, and the replica was not
-	PeerGone                  // nothing listens at its address any more: it crashed, or was ended
+	PeerUnknown   Peer = iota // the replica was not examined, or did not respond
+	PeerListening             // the replica accepts connections: only the answer was lost
+	PeerGone                  // nothing listens at the replica's address any more: it crashed or was stopped
 )
 
-// String names it in logs; empty for PeerUnknown.
+// String returns the name of the state for logs, which is empty for PeerUnknown.
 func (p Peer) String() string {
 	return [...]string{PeerUnknown: "", PeerListening: "listening", PeerGone: "gone"}[p]
 }
 
-// Refusal is a replica's reason not to run a call.
+// Refusal is the reason why a call did not run.
 type Refusal uint8
 
-// The refusals.
+// The reasons why a call did not run.
 const (
 	RefusedNone        Refusal = iota
-	RefusedFull                // no slot and no place in its queue, or leaving, or busy with an order
-	RefusedWrongTarget         // another replica has the address, or other weights than expected
-	RefusedUnreachable         // no connection came up
+	RefusedFull                // no free slot, queue place or connection, or the replica leaves or executes an order
+	RefusedWrongTarget         // another replica has the address, or the replica has other weights than expected
+	RefusedUnreachable         // no connection could be opened, or it failed before the head of the request was sent
 )
 
-// Caller sends calls to replicas; *Client is the usual one. Do returns once the call has ended and its
-// sink will not be called again. When ctx ends the connection is closed, on which the replica gives up.
+// Caller sends calls to replicas; *Client is the usual implementation. Do returns when the call has ended and the sink
+// will not be called again. When ctx is done, the connection is closed, upon which the replica cancels the request.
 type Caller interface {
 	Do(ctx context.Context, call *Call, sink Sink) Outcome
 }
--- a/internal/replica/report.go
+++ b/internal/replica/report.go
@@ -10,9 +10,9 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// load reads the replica's report on itself; nil if it made none that can be read.
-func (c *Client) load(call *Call, response *http.Response) *loadreport.Report {
-	text := c.field(response, c.options.Names.Load)
+// readLoadReport returns the load report in an answer, or nil if there is none that can be read.
+func (c *Client) readLoadReport(call *Call, response *http.Response) *loadreport.Report {
+	text := c.headerValue(response, c.options.Names.Load)
 	if text == "" {
 		return nil
 	}
@@ -20,38 +20,39 @@
 	if err == nil {
 		return &report
 	}
-	if told, more := c.unreadable.note(c.options.Now()); told {
-		logging.Emit(c.options.Log, &events.LoadReportUnreadable{Replica: call.Instance, Text: shortened(text), More: more})
+	if due, more := c.unreadable.count(c.options.Now()); due {
+		logging.Emit(c.options.Log, &events.LoadReportUnreadable{Replica: call.Instance, Text: truncateReport(text), More: more})
 	}
 	return nil
 }
 
 const (
-	// unreadableInterval is the shortest time between two lines on reports that can't be read: a replica that writes them does so with
-	// each answer, and one line tells an operator as much as a thousand.
+	// unreadableInterval is the minimum time between two log lines on load reports that can't be read. A replica that
+	// sends such reports sends one with each answer, and one log line is enough for an operator.
 	unreadableInterval = time.Minute
-	// shownReportBytes is how much of such a report is shown.
+	// shownReportBytes bounds how much of such a report is logged.
 	shownReportBytes = 64
 )
 
-func shortened(text string) string { return text[:min(len(text), shownReportBytes)] }
+func truncateReport(text string) string { return text[:min(len(text), shownReportBytes)] }
 
-// unreadableReports bounds the lines on reports that can't be read.
-type unreadableReports struct {
-	mu    sync.Mutex
-	told  time.Time // guarded by mu
-	since int       // guarded by mu
+// unreadableReportLog limits the rate of the log lines on load reports that can't be read.
+type unreadableReportLog struct {
+	mu         sync.Mutex
+	lastLogged time.Time // guarded by mu
+	suppressed int       // guarded by mu
 }
 
-// note counts a report; it tells whether it is worth a line, and how many there were since the last one.
-func (u *unreadableReports) note(now time.Time) (told bool, more int) {
+// count counts a report that can't be read. It reports whether a log line is due and, if so, how many reports were not
+// logged since the previous line.
+func (u *unreadableReportLog) count(now time.Time) (told bool, more int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.told.IsZero() && now.Sub(u.told) < unreadableInterval {
-		u.since++
+	if !u.lastLogged.IsZero() && now.Sub(u.lastLogged) < unreadableInterval {
+		u.suppressed++
 		return false, 0
 	}
-	more = u.since
-	u.told, u.since = now, 0
+	more = u.suppressed
+	u.lastLogged, u.suppressed = now, 0
 	return true, more
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -9,8 +9,8 @@
 	"github.com/tamarindring/tamarindring/internal/incarnation"
 )
 
-// requestHead is the head of a call as it is sent, up to the empty line.
-func (c *Client) requestHead(call *Call) []byte {
+// buildRequestHead returns the head of a request, up to and including the empty line.
+func (c *Client) buildRequestHead(call *Call) []byte {
 	names := &c.options.Names
 	head := make([]byte, 0, 1024)
 	head = append(head, call.Method...)
@@ -49,7 +49,7 @@
 	return append(head, "\r\n"...)
 }
 
-// appendField adds one field; one without name or value is left out.
+// appendField appends one header field. A field without a name is left out, as is one without a value, except Host.
 func appendField(head []byte, name, value string) []byte {
 	if name == "" || (value == "" && name != "Host") {
 		return head
@@ -60,75 +60,76 @@
 	return append(head, "\r\n"...)
 }
 
-// inlineBytes is the size up to which a request is written before its answer is read; the buffers of a fresh
-// or idle connection take so much at once.
-const inlineBytes = 8 << 10
+// maxInlineBytes is the largest request that is written before its answer is read. The system's send buffer of a new or
+// idle connection accepts that much without waiting for the replica.
+const maxInlineBytes = 8 << 10
 
-// sending is the state of one request on its way out.
-type sending struct {
-	headBytes int64
-	total     int64
-	written   atomic.Int64
-	done      atomic.Bool
-	err       atomic.Pointer[error]
-	answered  chan struct{} // closed once the answer has begun; nil for a short request
-	ended     chan struct{} // closed once nothing is written any more; nil for a short request
+// upload tracks the sending of one request.
+type upload struct {
+	headBytes  int64
+	total      int64 // bytes of head and body
+	written    atomic.Int64
+	done       atomic.Bool           // all bytes were written
+	err        atomic.Pointer[error] // of the failed write
+	answered   chan struct{}         // closed once the answer has begun, or none will come; nil for a short request
+	writerDone chan struct{}         // closed once the writing goroutine has ended; nil for a short request
 }
 
-// send writes a request. A long one is written beside the reading of its answer, which may come before a
-// replica has read all of it; taken is told once the replica's machine has all of it, nil: nobody is.
-func (c *connection) send(head, body []byte, taken func()) *sending {
-	state := &sending{headBytes: int64(len(head)), total: int64(len(head) + len(body))}
-	if state.total <= inlineBytes {
+// send writes a request. A long request is written by a goroutine of its own while its answer is read, because a replica
+// may answer before it has read all of the request. The goroutine calls taken, if it is not nil: see Call.Taken.
+func (c *connection) send(head, body []byte, taken func()) *upload {
+	state := &upload{headBytes: int64(len(head)), total: int64(len(head) + len(body))}
+	if state.total <= maxInlineBytes {
 		c.write(state, append(head, body...))
 		return state
 	}
-	state.answered, state.ended = make(chan struct{}), make(chan struct{})
-	c.tolerateSlowReading(true)
+	state.answered, state.writerDone = make(chan struct{}), make(chan struct{})
+	c.setSlowReadingTolerated(true)
 	go c.writeLong(state, head, body, taken)
 	return state
 }
 
-// answered notes that the answer to what was sent has begun, or that none comes.
-func (c *connection) answered(state *sending) {
+// markAnswered records that the answer to the request has begun, or that none will come.
+func (c *connection) markAnswered(state *upload) {
 	if state.answered != nil {
 		close(state.answered)
 	}
 }
 
-func (c *connection) write(state *sending, data []byte) {
+func (c *connection) write(state *upload, data []byte) {
 	n, err := c.Write(data)
-	c.wrote(state, n, err)
+	c.recordWrite(state, n, err)
 }
 
-// wrote notes what was written.
-func (c *connection) wrote(state *sending, bytes int, err error) {
+// recordWrite records the result of one write.
+func (c *connection) recordWrite(state *upload, bytes int, err error) {
 	if state.written.Add(int64(bytes)) == state.total {
 		state.done.Store(true)
 	}
 	if err != nil {
 		state.err.Store(&err)
-		// The answer, if there is one, may be on its way; a replica that is gone ends the reading itself.
+		// The answer, if there is one, may already be on its way. If the replica is gone, the read fails by itself.
 		_ = c.SetReadDeadline(time.Now().Add(failedWriteWait))
 	}
 }
 
-// failedWriteWait bounds the wait for an answer to a request that could not be written whole.
+// failedWriteWait bounds the wait for an answer to a request of which not all bytes could be written.
 const failedWriteWait = 200 * time.Millisecond
 
-// finished tells whether all was written. What wrote it has let go of the connection then, which may carry another request.
-func (s *sending) finished() bool {
+// isFinished reports whether all bytes of the request were written. In that case it waits until the writing goroutine no
+// longer uses the connection, so that it may carry another request.
+func (s *upload) isFinished() bool {
 	if !s.done.Load() {
 		return false
 	}
-	if s.ended != nil {
-		<-s.ended // soon: the answer has begun
+	if s.writerDone != nil {
+		<-s.writerDone // the goroutine ends soon, because the answer has begun
 	}
 	return true
 }
 
-// isAnswered tells whether the answer to a long request has begun.
-func (s *sending) isAnswered() bool {
+// isAnswered reports whether the answer to a long request has begun, or none will come.
+func (s *upload) isAnswered() bool {
 	select {
 	case <-s.answered:
 		return true
@@ -137,10 +138,12 @@
 	}
 }
 
-// neverLeft reports whether not even the head was handed to the network, so that no replica can have begun.
-func (s *sending) neverLeft() bool { return s.err.Load() != nil && s.written.Load() < s.headBytes }
+// headUnsent reports whether the write failed before the whole head was handed to the system, so that no replica can
+// have begun to run the request.
+func (s *upload) headUnsent() bool { return s.err.Load() != nil && s.written.Load() < s.headBytes }
 
-func (s *sending) failure() error {
+// writeError returns the error of the failed write, or nil.
+func (s *upload) writeError() error {
 	if err := s.err.Load(); err != nil {
 		return *err
 	}
--- a/internal/replica/slow.go
+++ b/internal/replica/slow.go
@@ -9,70 +9,73 @@
 	"github.com/tamarindring/tamarindring/internal/progress"
 )
 
-// Why a long request was given up while it was sent.
+// Errors that end a long request while it is sent.
 var (
-	// ErrStalled ends a request whose replica reads no more of it.
+	// ErrStalled ends a request that the replica does not read on.
 	ErrStalled = errors.New("replica: the replica stopped reading the request")
-	// ErrSilent ends a request whose replica's machine acknowledges nothing.
+	// ErrSilent ends a request of which the replica's machine acknowledges nothing.
 	ErrSilent = errors.New("replica: the replica's machine is silent")
 )
 
 const (
-	// leastRead is what a replica must take of a long request in stallLimit. Replicas stop for some seconds and go on; one that
-	// stays still for longer is worse for the request than another one.
-	leastRead  = 1 << 10
-	stallLimit = 10 * time.Second
-	// writeTick is how often the progress of a long request is looked at, and firstTick how soon after its last byte was handed to the
-	// system where the next large request may wait for it: most is under way then for some milliseconds only.
-	writeTick = 250 * time.Millisecond
-	firstTick = 4 * time.Millisecond
+	// minProgressBytes is how much of a long request a replica must read within stallTimeout. Replicas pause for some
+	// seconds and continue. After a longer pause the request is better sent to another replica.
+	minProgressBytes = 1 << 10
+	stallTimeout     = 10 * time.Second
+	// progressInterval is the interval at which the progress of a long request is checked. After the last byte was handed
+	// to the system, the first check follows after firstCheckInterval if the next large request may wait for it, because
+	// most requests are then acknowledged within a few milliseconds.
+	progressInterval   = 250 * time.Millisecond
+	firstCheckInterval = 4 * time.Millisecond
 )
 
-// outgoing is what the system tells of the bytes that it has still to bring to a peer.
-type outgoing struct {
-	acknowledged uint64
+// sendState is the system's state of the bytes that were written to a connection.
+type sendState struct {
+	acknowledged uint64        // bytes that the peer acknowledged since the connection was opened
 	pending      bool          // some bytes are not acknowledged
-	underWay     bool          // some of these were sent: the peer had room for them
+	inFlight     bool          // some of the unacknowledged bytes were sent, so the peer had buffer space for them
 	silence      time.Duration // since the last acknowledgement
 }
 
-// longWrite is a long request on its way to a replica that may take its time to read it. The system's own bound counts a peer
-// without room as silent, although it answers; while it is off, longWrite tells the two apart.
+// longWrite writes a long request to a replica that may read it slowly. The system's user timeout also closes connections
+// to a peer that acknowledges but has no buffer space. It is therefore switched off during the write, and longWrite
+// distinguishes a peer without buffer space from a silent one.
 type longWrite struct {
-	conn  *connection
-	tcp   *net.TCPConn // nil: the system tells nothing
-	state *sending
-	began time.Time
-	meter progress.Meter
-	acked uint64
+	conn         *connection
+	tcp          *net.TCPConn // nil if the system provides no send state
+	state        *upload
+	began        time.Time
+	meter        progress.Meter
+	acknowledged uint64
 }
 
-// writeLong writes a request and sees it through until the replica has taken it or answered.
-func (c *connection) writeLong(state *sending, head, body []byte, taken func()) {
-	defer close(state.ended)
-	defer c.tolerateSlowReading(false)
-	write := &longWrite{conn: c, state: state, began: time.Now(), meter: progress.NewMeter(leastRead, 0)}
+// writeLong writes a long request and checks its progress until the replica's machine has acknowledged all of it or the
+// answer has begun.
+func (c *connection) writeLong(state *upload, head, body []byte, taken func()) {
+	defer close(state.writerDone)
+	defer c.setSlowReadingTolerated(false)
+	write := &longWrite{conn: c, state: state, began: time.Now(), meter: progress.NewMeter(minProgressBytes, 0)}
 	write.tcp, _ = c.Conn.(*net.TCPConn)
 	if !write.write(head) || !write.write(body) {
 		return
 	}
 	_ = c.SetWriteDeadline(time.Time{})
-	if write.watch(taken != nil) && taken != nil {
+	if write.awaitAcknowledged(taken != nil) && taken != nil {
 		taken()
 	}
 }
 
-// write hands data to the system; false when it failed.
+// write hands data to the system. It returns false if the write failed or the request was given up.
 func (w *longWrite) write(data []byte) bool {
 	for len(data) > 0 {
-		_ = w.conn.SetWriteDeadline(time.Now().Add(writeTick))
+		_ = w.conn.SetWriteDeadline(time.Now().Add(progressInterval))
 		n, err := w.conn.Write(data)
 		data = data[n:]
 		late := errors.Is(err, os.ErrDeadlineExceeded)
 		if late {
 			err = nil
 		}
-		if w.conn.wrote(w.state, n, err); err != nil {
+		if w.conn.recordWrite(w.state, n, err); err != nil {
 			return false
 		}
 		w.meter.Moved(time.Since(w.began), int64(n))
@@ -83,14 +86,14 @@
 	return true
 }
 
-// watch follows what the system has still to send until the replica's machine has it, or the answer has begun; false when neither
-// comes. soon: somebody waits to learn of it.
-func (w *longWrite) watch(soon bool) bool {
-	tick := writeTick
-	if soon {
-		tick = firstTick
+// awaitAcknowledged waits until the replica's machine has acknowledged all bytes or the answer has begun. It returns false
+// if the request was given up before. prompt is set if the next large request may wait for the result.
+func (w *longWrite) awaitAcknowledged(prompt bool) bool {
+	tick := progressInterval
+	if prompt {
+		tick = firstCheckInterval
 	}
-	for ; w.tcp != nil && !w.state.isAnswered() && outgoingOf(w.tcp).pending; tick = min(2*tick, writeTick) {
+	for ; w.tcp != nil && !w.state.isAnswered() && readSendState(w.tcp).pending; tick = min(2*tick, progressInterval) {
 		if !w.checkProgress() {
 			return false
 		}
@@ -102,20 +105,20 @@
 	return true
 }
 
-// checkProgress reports whether the replica still takes the request. If not, it ends the connection: a late answer is of no use. A replica that
-// answers need not read the rest.
+// checkProgress reports whether the replica still makes progress in reading the request. If not, it closes the
+// connection, because a late answer is of no use. A replica that has begun its answer need not read the rest.
 func (w *longWrite) checkProgress() bool {
 	now := time.Since(w.began)
 	var cause error
 	if w.tcp != nil {
-		told := outgoingOf(w.tcp)
-		w.meter.Moved(now, int64(told.acknowledged-w.acked))
-		w.acked = told.acknowledged
-		if told.underWay && told.silence >= w.conn.peerTimeout {
+		tcpState := readSendState(w.tcp)
+		w.meter.Moved(now, int64(tcpState.acknowledged-w.acknowledged))
+		w.acknowledged = tcpState.acknowledged
+		if tcpState.inFlight && tcpState.silence >= w.conn.peerTimeout {
 			cause = ErrSilent
 		}
 	}
-	if w.meter.Still(now) >= stallLimit && !w.state.isAnswered() {
+	if w.meter.Still(now) >= stallTimeout && !w.state.isAnswered() {
 		cause = ErrStalled
 	}
 	if cause == nil {
@@ -126,11 +129,12 @@
 	return false
 }
 
-// tolerateSlowReading switches the system's bound on silent peers off for a long request, and on again.
-func (c *connection) tolerateSlowReading(bear bool) {
+// setSlowReadingTolerated switches off the system's bound on unacknowledged bytes for the time of a long request, or
+// restores it.
+func (c *connection) setSlowReadingTolerated(tolerated bool) {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		timeout := c.peerTimeout
-		if bear {
+		if tolerated {
 			timeout = 0
 		}
 		setUserTimeout(tcp, timeout)
--- a/internal/replica/slow_test.go
+++ b/internal/replica/slow_test.go
@@ -12,9 +12,9 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// stalling is a call with a body of so many bytes to a replica that reads a little of it, nothing for a while, and then the rest,
-// which it answers.
-func stalling(t *testing.T, bytes int, pause time.Duration) *Call {
+// callWithPause returns a call with a body of this size to a replica that reads 1 KiB of the body, pauses, reads the rest
+// and answers.
+func callWithPause(t *testing.T, bytes int, pause time.Duration) *Call {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 			if err != nil {
 				return
 			}
-			go pauseInBody(conn, pause)
+			go serveWithPause(conn, pause)
 		}
 	}()
 	return &Call{Target: Target{Instance: "i-1", Address: listener.Addr().String()}, AttemptID: "a", Method: "POST", Path: "/", Host: "h",
 		Body: make([]byte, bytes), Urgency: -1, ResumeAfter: -1}
 }
 
-func pauseInBody(conn net.Conn, pause time.Duration) {
+func serveWithPause(conn net.Conn, pause time.Duration) {
 	defer conn.Close()
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -42,34 +42,37 @@
 	_, _ = io.CopyN(io.Discard, request.Body, 1<<10)
 	time.Sleep(pause)
 	if _, err := io.Copy(io.Discard, request.Body); err == nil {
-		write(conn, answerTo(request, "Content-Length: 4\r\n\r\ngood"))
+		write(conn, answerWith(request, "Content-Length: 4\r\n\r\ngood"))
 	}
 }
 
-// TestReplicaThatPausesInABody is not taken for one that is gone, whether the rest of the body waits here or in the system's buffers.
+// TestReplicaThatPausesInABody checks that a request is not given up when the replica pauses while it reads the body,
+// whether the rest of the body waits in this process or in the system's buffers.
 func TestReplicaThatPausesInABody(t *testing.T) {
 	for _, bytes := range []int{300 << 10, 4 << 20} {
 		client := newTestClient(t, Options{PeerTimeout: time.Second})
-		outcome, sink := do(client, stalling(t, bytes, 3*time.Second))
+		outcome, sink := do(client, callWithPause(t, bytes, 3*time.Second))
 		if !outcome.Whole || outcome.Verdict != verdict.Ran || sink.body.String() != "good" {
-			t.Errorf("%d bytes: %+v", bytes, outcome)
+			t.Errorf("body of %d bytes: got outcome %+v, want the whole answer", bytes, outcome)
 		}
 	}
 }
 
-// TestReplicaThatStopsInABody: the request is given up before its own time is over, and may have run.
+// TestReplicaThatStopsInABody checks that a request is given up when the replica stops reading the body, and counts as
+// one that may have run.
 func TestReplicaThatStopsInABody(t *testing.T) {
 	if testing.Short() {
 		t.Skip("waits for the limit")
 	}
 	client := newTestClient(t, Options{PeerTimeout: time.Second})
-	outcome, _ := do(client, stalling(t, 4<<20, time.Minute))
+	outcome, _ := do(client, callWithPause(t, 4<<20, time.Minute))
 	if outcome.Whole || outcome.Verdict != verdict.MayHaveRun || !errors.Is(outcome.Err, ErrStalled) {
-		t.Errorf("%+v", outcome)
+		t.Errorf("got outcome %+v, want ErrStalled and MayHaveRun", outcome)
 	}
 }
 
-// TestLongRequestIsTakenBeforeItIsAnswered: whoever waits to send the next one learns when the replica has all of it.
+// TestLongRequestIsTakenBeforeItIsAnswered checks that Taken is called when the replica has the whole request, so that the
+// next large request need not wait for the answer.
 func TestLongRequestIsTakenBeforeItIsAnswered(t *testing.T) {
 	const work = 2 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,16 +92,16 @@
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		time.Sleep(work)
-		write(conn, answerTo(request, "Content-Length: 4\r\n\r\ngood"))
+		write(conn, answerWith(request, "Content-Length: 4\r\n\r\ngood"))
 	}()
 	began := time.Now()
 	taken := make(chan time.Duration, 2)
 	call := &Call{Target: Target{Instance: "i-1", Address: listener.Addr().String()}, AttemptID: "a", Method: "POST", Path: "/", Host: "h",
 		Body: make([]byte, 4<<20), Urgency: -1, ResumeAfter: -1, Taken: func() { taken <- time.Since(began) }}
 	if outcome, _ := do(newTestClient(t, Options{}), call); !outcome.Whole {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("got outcome %+v, want the whole answer", outcome)
 	}
 	if len(taken) != 1 || <-taken >= work {
-		t.Error("it is not told once, and before the answer")
+		t.Error("Taken was not called exactly once before the answer")
 	}
 }
--- a/internal/replica/standin_test.go
+++ b/internal/replica/standin_test.go
@@ -14,21 +14,23 @@
 var testNames = Names{AttemptID: "Attempt", Deadline: "Left-Ms", Target: "Target", Urgency: "Urgency",
 	ExpectedVersion: "Expected", Versions: "Versions", NotExecuted: "Not-Run", Load: "Load"}
 
-// standin is a replica that answers each request on a connection as its script says.
-type standin struct {
+// standinReplica is a replica whose answers a test determines.
+type standinReplica struct {
 	listener net.Listener
+	// answer answers one request; serial counts the requests on its connection from 0. The connection is closed if it
+	// returns false.
 	answer   func(conn net.Conn, request *http.Request, body string, serial int) (more bool)
 	mu       sync.Mutex
 	conns    int             // guarded by mu
 	requests []*http.Request // guarded by mu
 }
 
-func newStandin(t *testing.T, answer func(conn net.Conn, request *http.Request, body string, serial int) bool) *standin {
+func newStandinReplica(t *testing.T, answer func(conn net.Conn, request *http.Request, body string, serial int) bool) *standinReplica {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standin{listener: listener, answer: answer}
+	s := &standinReplica{listener: listener, answer: answer}
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		for {
@@ -46,7 +48,7 @@
 	return s
 }
 
-func (s *standin) serve(conn net.Conn) {
+func (s *standinReplica) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for serial := 0; ; serial++ {
@@ -67,28 +69,30 @@
 	}
 }
 
-func (s *standin) connections() int {
+// connections returns the number of connections that were opened to the replica.
+func (s *standinReplica) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
 }
 
-func (s *standin) call(id string) *Call {
+// call returns a call to the replica with this attempt ID.
+func (s *standinReplica) call(id string) *Call {
 	return &Call{Target: Target{Instance: "i-1", Address: s.listener.Addr().String()}, AttemptID: id, Method: "POST",
 		Path: "/a%2Fb?c=d", Host: "shop.example", Body: []byte("question " + id), Urgency: -1, ResumeAfter: -1}
 }
 
-// collected is a Sink that keeps what it gets.
-type collected struct {
+// recordingSink is a Sink that records the answer.
+type recordingSink struct {
 	head   Head
 	heads  int
 	body   strings.Builder
 	onBody func(chunk string)
 }
 
-func (c *collected) Head(head Head) error { c.head, c.heads = head, c.heads+1; return nil }
+func (c *recordingSink) Head(head Head) error { c.head, c.heads = head, c.heads+1; return nil }
 
-func (c *collected) Body(chunk []byte) error {
+func (c *recordingSink) Body(chunk []byte) error {
 	c.body.Write(chunk)
 	if c.onBody != nil {
 		c.onBody(string(chunk))
@@ -103,16 +107,17 @@
 	return client
 }
 
-func do(client *Client, call *Call) (Outcome, *collected) {
-	sink := &collected{}
+func do(client *Client, call *Call) (Outcome, *recordingSink) {
+	sink := &recordingSink{}
 	return client.Do(context.Background(), call, sink), sink
 }
 
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-func answerTo(request *http.Request, rest string) string {
+// answerWith returns an answer that echoes the attempt ID, with the given rest of head and body.
+func answerWith(request *http.Request, rest string) string {
 	return "HTTP/1.1 200 OK\r\nAttempt: " + request.Header.Get("Attempt") + "\r\n" + rest
 }
 
-// resetConn makes the connection end with a reset.
-func resetConn(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
+// resetOnClose makes closing the connection send a reset.
+func resetOnClose(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
