--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,7 +1,7 @@
-// Package eventstream reads server-sent events (text/event-stream) as they arrive in pieces.
+// Package eventstream parses server-sent events (text/event-stream) that arrive in pieces.
 //
-// The package is pure. Beside the standard fields it knows one of a site's own: the field that names a
-// version from the event on that carries it.
+// The package does no input or output. Beside the standard fields data and id it supports one field that is specific to a
+// site and carries a version, which applies from the event that contains it.
 package eventstream
 
 import (
@@ -10,44 +10,44 @@
 	"strconv"
 )
 
-// MaximumEventBytes bounds one event.
+// MaximumEventBytes bounds the data of one event and its unfinished line.
 const MaximumEventBytes = 1 << 20
 
-// The errors of a stream that is not what it should be.
+// Errors of an invalid stream.
 var (
 	ErrTooLarge  = errors.New("eventstream: an event is too large")
-	ErrMalformed = errors.New("eventstream: a number can't be read")
+	ErrMalformed = errors.New("eventstream: a number can't be read") // an id or a version
 )
 
-// NoID is the ID of an event without one.
+// NoID is the ID of an event that has no id field.
 const NoID = int64(-1)
 
-// Event is one event that ended with its empty line.
+// Event is one complete event.
 type Event struct {
-	ID      int64  // NoID if it has none
-	Version uint64 // 0 if it names none
+	ID      int64  // NoID if the event has none
+	Version uint64 // 0 if the event has none
 	Data    []byte // data lines joined by line feeds; valid during the call only
 }
 
-// Parser splits a stream into events. The zero value works without a version field.
+// Parser splits a stream into events. The zero value is ready for use, without a version field.
 type Parser struct {
-	// VersionField is the name, in lower case, of the field that carries a version; may be empty.
+	// VersionField is the name, in lower case, of the field that carries a version. It may be empty.
 	VersionField string
 
-	line    []byte // of the unfinished line
-	data    []byte
-	id      int64
-	version uint64
-	fields  int // lines of the unfinished event
-	noData  bool
+	line        []byte // unfinished line
+	data        []byte
+	id          int64
+	version     uint64
+	lineCount   int  // number of lines of the unfinished event, without comments
+	dataMissing bool // the unfinished event has no data line
 }
 
-// Pending reports whether the stream has ended in the middle of an event.
-func (p *Parser) Pending() bool { return p.fields > 0 || len(p.line) > 0 }
+// Pending reports whether the bytes so far end within an event.
+func (p *Parser) Pending() bool { return p.lineCount > 0 || len(p.line) > 0 }
 
-// Feed takes the next bytes and calls take for every event that they end. It stops at the first error, which
-// is take's or one of this package; the parser is of no use afterwards.
-func (p *Parser) Feed(chunk []byte, take func(Event) error) error {
+// Feed parses the next bytes of the stream and calls handle for every event that they complete. It stops at the first
+// error, which is ErrTooLarge, ErrMalformed or an error of handle. The parser must not be used after an error.
+func (p *Parser) Feed(chunk []byte, handle func(Event) error) error {
 	for len(chunk) > 0 {
 		end := bytes.IndexByte(chunk, '\n')
 		if end < 0 {
@@ -60,7 +60,7 @@
 			line = p.line
 		}
 		chunk = chunk[end+1:]
-		if err := p.takeLine(bytes.TrimSuffix(line, []byte("\r")), take); err != nil {
+		if err := p.parseLine(bytes.TrimSuffix(line, []byte("\r")), handle); err != nil {
 			return err
 		}
 		p.line = p.line[:0]
@@ -78,25 +78,25 @@
 	return nil
 }
 
-func (p *Parser) takeLine(line []byte, take func(Event) error) error {
+func (p *Parser) parseLine(line []byte, handle func(Event) error) error {
 	if len(line) == 0 {
-		return p.dispatch(take)
+		return p.dispatch(handle)
 	}
 	if line[0] == ':' {
 		return nil // a comment
 	}
-	if p.fields == 0 {
-		p.id, p.version, p.data, p.noData = NoID, 0, p.data[:0], true
+	if p.lineCount == 0 {
+		p.id, p.version, p.data, p.dataMissing = NoID, 0, p.data[:0], true
 	}
-	p.fields++
+	p.lineCount++
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch {
 	case string(name) == "data":
-		if !p.noData {
+		if !p.dataMissing {
 			p.data = append(p.data, '\n')
 		}
-		p.data, p.noData = append(p.data, value...), false
+		p.data, p.dataMissing = append(p.data, value...), false
 	case string(name) == "id":
 		id, err := strconv.ParseInt(string(value), 10, 64)
 		if err != nil || id < 0 {
@@ -113,14 +113,14 @@
 	return nil
 }
 
-// dispatch ends an event; lines without data and id are none.
-func (p *Parser) dispatch(take func(Event) error) error {
-	if p.fields == 0 {
+// dispatch completes an event and passes it to handle. Lines without data, id and version form no event.
+func (p *Parser) dispatch(handle func(Event) error) error {
+	if p.lineCount == 0 {
 		return nil
 	}
-	p.fields = 0
-	if p.noData && p.id == NoID && p.version == 0 {
+	p.lineCount = 0
+	if p.dataMissing && p.id == NoID && p.version == 0 {
 		return nil
 	}
-	return take(Event{ID: p.id, Version: p.version, Data: p.data})
+	return handle(Event{ID: p.id, Version: p.version, Data: p.data})
 }
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -22,6 +22,7 @@
 	return got
 }
 
+// TestEventsAreAlikeHoweverTheyAreCut checks that the same events are parsed wherever the stream is split into pieces.
 func TestEventsAreAlikeHoweverTheyAreCut(t *testing.T) {
 	want := fmt.Sprint([]string{`0 7 "a"`, `1 0 "b\nc"`, `2 0 ""`})
 	for first := range len(example) {
@@ -29,17 +30,18 @@
 			parser := &Parser{VersionField: "x-version"}
 			got := collect(t, parser, example[:first], example[first:second], example[second:])
 			if fmt.Sprint(got) != want || !parser.Pending() {
-				t.Fatalf("cut at %d and %d: %v, pending %v", first, second, got, parser.Pending())
+				t.Fatalf("split at %d and %d: got events %v, pending %v; want the 3 complete events and a pending one", first, second, got, parser.Pending())
 			}
 		}
 	}
 }
 
+// TestMalformedStreamsEnd checks that an invalid number and an event that is too large end the stream with an error.
 func TestMalformedStreamsEnd(t *testing.T) {
 	take := func(Event) error { return nil }
 	for _, text := range []string{"id: x\n", "id: -4\n", "x-version: v\n"} {
 		if err := (&Parser{VersionField: "x-version"}).Feed([]byte(text), take); !errors.Is(err, ErrMalformed) {
-			t.Fatalf("%q: %v", text, err)
+			t.Fatalf("stream %q: got error %v, want ErrMalformed", text, err)
 		}
 	}
 	parser := &Parser{}
@@ -53,10 +55,11 @@
 		t.Fatal(err)
 	}
 	if collect(t, &Parser{}, "data: a\n\n")[0] != `-1 0 "a"` {
-		t.Fatal("an event without an id has one")
+		t.Fatal("an event without an id was parsed with other fields than NoID, no version and its data")
 	}
 }
 
+// FuzzParser checks that no input causes a panic.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte(example))
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -1,6 +1,7 @@
-// Package requestbody reads the bodies of callers' requests. It answers many large bodies at once, for which room is reserved before
-// their first byte is read, and callers that send slowly, which are bound to a least rate. A body that waits for room is not read:
-// its caller's connection fills, and the caller stops sending.
+// Package requestbody reads the bodies of callers' requests within a byte budget. To limit the memory of many large bodies
+// at the same time, it reserves bytes of the budget before it reads the first byte of a body. While a body waits for the
+// budget it is not read, so that the buffers of the connection fill and the caller stops sending. A body that arrives more
+// slowly than a minimum rate ends with ErrTooSlow.
 package requestbody
 
 import (
@@ -13,39 +14,44 @@
 	"github.com/tamarindring/tamarindring/internal/bytebudget"
 )
 
-// ErrTooSlow ends a body of which too little came in a window.
+// ErrTooSlow is returned for a body of which too few bytes arrived within a window.
 var ErrTooSlow = errors.New("requestbody: the body does not come")
 
 const (
-	// DefaultWindow is the time in which the next leastBytes of a body, or its rest, must come.
+	// DefaultWindow is the time within which the next minBytesPerWindow of a body, or its rest, must arrive.
 	DefaultWindow = 30 * time.Second
-	// leastBytes in a window let a caller on a poor link send the largest body, and end one that sends a byte now and then.
-	leastBytes = 64 << 10
-	// RoomWait is how long a body waits for room. A caller that is told soon goes to another gateway; large bodies pass in less.
+	// minBytesPerWindow per window is slow enough for a caller on a poor link to send the largest body, and fast enough to
+	// disconnect a caller that sends a byte now and then.
+	minBytesPerWindow = 64 << 10
+	// RoomWait is how long a body waits for free space in the budget. Large bodies are read in less time, and a
+	// caller that is rejected soon can send its request to another gateway.
 	RoomWait = 250 * time.Millisecond
-	// firstBytes is the room for a body of unknown length, which is doubled when it is full.
-	firstBytes = 4 << 10
+	// initialBytes is the initial capacity for a body of unknown length. It is doubled each time it is full.
+	initialBytes = 4 << 10
 )
 
-// Deadline sets when reading from a caller fails with os.ErrDeadlineExceeded; the zero time: never.
+// Deadline sets the time at which reading from the caller fails with os.ErrDeadlineExceeded. The zero time removes the
+// deadline.
 type Deadline func(at time.Time) error
 
-// Reader reads the bodies of a process.
+// Reader reads the request bodies of a process.
 type Reader struct {
 	Budget *bytebudget.Budget
-	Window time.Duration // 0: DefaultWindow
+	Window time.Duration // 0 selects DefaultWindow
 }
 
-// Body is a body that was read whole, or as far as it came.
+// Body is a request body, of which Bytes holds all, or after an error the bytes that arrived before.
 type Body struct {
 	Bytes    []byte
 	budget   *bytebudget.Budget
 	class    bytebudget.Class
-	reserved int64
+	reserved int64 // bytes reserved in the budget
 }
 
-// Read reads a body of a length; negative: it is not known. Whatever the error, the caller releases what Read returns. The errors are
-// bytebudget.ErrFull when there is no room, ErrTooSlow, and others when the body broke off.
+// Read reads a body of the given length in bytes, which is negative if it is not known. The caller must release the
+// returned body even after an error. The error is bytebudget.ErrFull if the budget has no free space for RoomWait,
+// ErrTooSlow if too few bytes arrived within a window, io.ErrUnexpectedEOF if the body is shorter than its length, or that
+// of source.
 func (r *Reader) Read(ctx context.Context, source io.Reader, length int64, deadline Deadline) (*Body, error) {
 	body := &Body{budget: r.Budget}
 	if length == 0 {
@@ -66,13 +72,13 @@
 	return body, deadline(time.Time{})
 }
 
-// readKnown reads a body of a known length, with room for all of it from the beginning.
+// readKnown reads a body of a known length. All of it is reserved in the budget at the beginning.
 func (r *Reader) readKnown(ctx context.Context, body *Body, source io.Reader, length int64, deadline Deadline) error {
 	if err := body.grow(ctx, length); err != nil {
 		return err
 	}
 	for int64(len(body.Bytes)) < length {
-		if err := r.step(body, source, deadline); err == io.EOF {
+		if err := r.readWindow(body, source, deadline); err == io.EOF {
 			return io.ErrUnexpectedEOF
 		} else if err != nil {
 			return err
@@ -81,15 +87,15 @@
 	return nil
 }
 
-// readAll reads a body of unknown length into room that grows with it.
+// readAll reads a body of unknown length. The reservation in the budget grows with the body.
 func (r *Reader) readAll(ctx context.Context, body *Body, source io.Reader, deadline Deadline) error {
 	for {
 		if len(body.Bytes) == cap(body.Bytes) {
-			if err := body.grow(ctx, max(firstBytes, 2*int64(cap(body.Bytes)))); err != nil {
+			if err := body.grow(ctx, max(initialBytes, 2*int64(cap(body.Bytes)))); err != nil {
 				return err
 			}
 		}
-		if err := r.step(body, source, deadline); err == io.EOF {
+		if err := r.readWindow(body, source, deadline); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
@@ -97,8 +103,8 @@
 	}
 }
 
-// step reads the next leastBytes in one window, or what there is room for.
-func (r *Reader) step(body *Body, source io.Reader, deadline Deadline) error {
+// readWindow reads the next minBytesPerWindow, or less if the capacity is reached, within one window.
+func (r *Reader) readWindow(body *Body, source io.Reader, deadline Deadline) error {
 	window := r.Window
 	if window <= 0 {
 		window = DefaultWindow
@@ -106,13 +112,13 @@
 	if err := deadline(time.Now().Add(window)); err != nil {
 		return err
 	}
-	until := min(len(body.Bytes)+leastBytes, cap(body.Bytes))
+	until := min(len(body.Bytes)+minBytesPerWindow, cap(body.Bytes))
 	for len(body.Bytes) < until {
 		n, err := source.Read(body.Bytes[len(body.Bytes):until])
 		body.Bytes = body.Bytes[:len(body.Bytes)+n]
 		if err != nil {
 			if err == io.EOF && n > 0 && len(body.Bytes) == cap(body.Bytes) {
-				return nil // the body's end came with its last bytes
+				return nil // source returned io.EOF together with the last bytes
 			}
 			return err
 		}
@@ -120,26 +126,26 @@
 	return nil
 }
 
-// grow makes room for so many bytes in all, and keeps those that were read.
-func (b *Body) grow(ctx context.Context, room int64) error {
-	class := bytebudget.BodyClass(room)
-	b.giveBack() // before: a body must not wait for its own room
-	if err := b.budget.Acquire(ctx, class, room, RoomWait); err != nil {
+// grow reserves this many bytes for the whole body and copies the bytes that were read into a larger buffer.
+func (b *Body) grow(ctx context.Context, capacity int64) error {
+	class := bytebudget.BodyClass(capacity)
+	b.releaseBudget() // first, so that the body does not wait for its own reservation
+	if err := b.budget.Acquire(ctx, class, capacity, RoomWait); err != nil {
 		return err
 	}
-	larger := make([]byte, len(b.Bytes), room)
+	larger := make([]byte, len(b.Bytes), capacity)
 	copy(larger, b.Bytes)
-	b.Bytes, b.class, b.reserved = larger, class, room
+	b.Bytes, b.class, b.reserved = larger, class, capacity
 	return nil
 }
 
-// Release gives the body's room back. Its bytes must not be used any more.
+// Release releases the body's reservation in the budget. Its bytes must not be used afterwards.
 func (b *Body) Release() {
-	b.giveBack()
+	b.releaseBudget()
 	b.Bytes = nil
 }
 
-func (b *Body) giveBack() {
+func (b *Body) releaseBudget() {
 	if b.reserved > 0 {
 		b.budget.Release(b.class, b.reserved)
 		b.reserved = 0
--- a/internal/sendbuffer/metrics.go
+++ b/internal/sendbuffer/metrics.go
@@ -8,12 +8,12 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// causes name why connections are cut off.
-var causes = map[string]error{"still": ErrStill, "blocked": ErrBlocked, "shed": ErrShed}
+// causeNames holds the names of the causes in logs and metrics.
+var causeNames = map[string]error{"still": ErrStill, "blocked": ErrBlocked, "shed": ErrShed}
 
-// CauseName is the name of a Cut's cause in logs and metrics.
+// CauseName returns the name of a Cut's cause in logs and metrics, or an empty string for any other error.
 func CauseName(cause error) string {
-	for name, one := range causes {
+	for name, one := range causeNames {
 		if errors.Is(cause, one) {
 			return name
 		}
@@ -21,16 +21,16 @@
 	return ""
 }
 
-// counts are the metrics of a set.
-type counts struct {
+// setMetrics holds the metrics of a set.
+type setMetrics struct {
 	metrics.Set
 	cuts *prometheus.CounterVec
 }
 
-func newCounts(set *Set) *counts {
+func newSetMetrics(set *Set) *setMetrics {
 	part := metrics.Part("callers")
-	c := &counts{cuts: part.Counter("cut_total", "Connections cut off because their callers did not read, by cause.", "cause")}
-	for name := range causes {
+	c := &setMetrics{cuts: part.Counter("cut_total", "Connections cut off because their callers did not read, by cause.", "cause")}
+	for name := range causeNames {
 		c.cuts.WithLabelValues(name)
 	}
 	slow := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metrics.Namespace, Subsystem: "callers", Name: "slow",
@@ -41,7 +41,7 @@
 	return c
 }
 
-func (c *counts) cut(cause error) { c.cuts.WithLabelValues(CauseName(cause)).Inc() }
+func (c *setMetrics) countCut(cause error) { c.cuts.WithLabelValues(CauseName(cause)).Inc() }
 
 // Collector returns the set's metrics.
 func (s *Set) Collector() prometheus.Collector { return s.counts }
--- a/internal/sendbuffer/sendbuffer.go
+++ b/internal/sendbuffer/sendbuffer.go
@@ -1,9 +1,11 @@
-// Package sendbuffer lets the writers of connections go on while their peers read slowly. It answers callers that read an answer
-// slower than its replica sends it: without a buffer each of them holds a slot of a replica for as long as it reads.
+// Package sendbuffer buffers the writes of connections whose peers read slowly, so that the writers need not wait. It is
+// used for callers that read an answer more slowly than its replica sends it. Without a buffer each of them would occupy
+// a slot of a replica for as long as it reads.
 //
-// What the system takes at once is written at once, and nothing else happens. What it does not take is buffered, within the process's
-// budget of bytes, and sent by a goroutine of the connection; where there is no room, the writer waits. A peer that reads nothing
-// for long is cut off, sooner when a writer waits for it, and the one that has read nothing for the longest when room is short.
+// Bytes that the system accepts immediately are written directly. The rest is buffered, within the process's byte budget,
+// and sent by a goroutine of the connection. If the budget has no free space, the writer waits. A peer that reads nothing
+// for StillTimeout, or for BlockedTimeout while a writer waits, is cut off. If the budget is exhausted, the peer that has
+// read nothing for the longest time is cut off.
 package sendbuffer
 
 import (
@@ -20,80 +22,80 @@
 )
 
 const (
-	// LeastBytes is the progress that a peer must make in a window.
-	LeastBytes = 1 << 10
-	// StillLimit is how long a peer may make less progress while only the buffer waits for it. Peers tell of what they read in
-	// steps of a segment, up to 64 KB, so that one who reads 1 KB a second seems still for up to a minute.
-	StillLimit = 70 * time.Second
-	// BlockedLimit is how long while a writer waits as well, which holds a replica's slot. It is shorter than what replicas bear
-	// with, so that they need not break off the answer.
-	BlockedLimit = 5 * time.Second
-	// ShedAfter is how long a peer may make less progress when another connection finds no room.
-	ShedAfter = time.Second
-	// shareOfLimit is the part of the budget, as a divisor, that one connection may fill.
-	shareOfLimit = 8
-	// tick is how often the progress of a slow peer is looked at.
-	tick = 250 * time.Millisecond
+	// MinProgressBytes is how much a peer must read within each of the timeouts.
+	MinProgressBytes = 1 << 10
+	// StillTimeout is the timeout while no writer waits. Peers acknowledge what they read in steps of a segment, up to
+	// 64 KB, so that a peer that reads 1 KB per second shows no progress for up to a minute.
+	StillTimeout = 70 * time.Second
+	// BlockedTimeout is the timeout while a writer waits, which occupies a replica's slot. It is shorter than the time
+	// for which replicas wait themselves, so that they need not break off the answer.
+	BlockedTimeout = 5 * time.Second
+	// ShedTimeout is the timeout when the budget has no free space for another connection.
+	ShedTimeout = time.Second
+	// maxShareDivisor determines how much of the budget one connection may use: the limit divided by it.
+	maxShareDivisor = 8
+	// progressInterval is the interval at which the progress of a slow peer is checked.
+	progressInterval = 250 * time.Millisecond
 )
 
-// Why a connection was cut off.
+// Causes for which a connection is cut off.
 var (
 	ErrStill   = errors.New("sendbuffer: the peer does not read")
 	ErrBlocked = errors.New("sendbuffer: the peer does not read, and an answer waits for it")
 	ErrShed    = errors.New("sendbuffer: the peer has not read for the longest time while room was short")
 )
 
-// Cut is the end of a connection whose peer did not read.
+// Cut describes a connection that was cut off because its peer did not read.
 type Cut struct {
 	Remote  net.Addr
-	Request string // whose answer is first among what was not sent
-	Unsent  int64  // bytes in the buffer
-	Still   time.Duration
-	Cause   error
+	Request string        // request of the first answer in the buffer
+	Unsent  int64         // bytes in the buffer
+	Still   time.Duration // time without sufficient progress
+	Cause   error         // ErrStill, ErrBlocked or ErrShed
 }
 
-// Config of a Set. Nothing but Budget is required.
+// Config configures a Set. Only Budget is required.
 type Config struct {
 	Budget *bytebudget.Budget
-	OnCut  func(Cut) // nil: nobody is told
+	OnCut  func(Cut) // called for each connection that is cut off; may be nil
 }
 
-// Set is the connections of a process that share a budget. It is safe for concurrent use.
+// Set is the set of a process's connections that share a budget. It is safe for concurrent use.
 type Set struct {
-	config  Config
-	most    int64 // bytes in the buffer of one connection
-	start   time.Time
-	counts  *counts
-	blocked atomic.Int64 // writers that wait
+	config           Config
+	maxPerConnection int64 // bytes of the budget that the buffer of one connection may use
+	start            time.Time
+	counts           *setMetrics
+	blocked          atomic.Int64 // number of writers that wait
 
 	mu   sync.Mutex
-	slow map[*Conn]struct{} // that have something in their buffers; guarded by mu
+	slow map[*Conn]struct{} // connections with unsent bytes; guarded by mu
 }
 
 // NewSet returns a set without connections.
 func NewSet(config Config) *Set {
-	set := &Set{config: config, most: config.Budget.Limit() / shareOfLimit, start: time.Now(), slow: map[*Conn]struct{}{}}
-	set.counts = newCounts(set)
+	set := &Set{config: config, maxPerConnection: config.Budget.Limit() / maxShareDivisor, start: time.Now(), slow: map[*Conn]struct{}{}}
+	set.counts = newSetMetrics(set)
 	return set
 }
 
-// Slow is how many connections have something in their buffers.
+// Slow returns the number of connections with unsent bytes.
 func (s *Set) Slow() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.slow)
 }
 
-// waitPause is the pause between two looks at whether everything is sent.
-const waitPause = 10 * time.Millisecond
+// pollInterval is the interval at which Wait checks whether everything is sent.
+const pollInterval = 10 * time.Millisecond
 
-// Wait waits until nothing is buffered any more, or ctx ends.
+// Wait waits until no connection has unsent bytes. It returns the error of ctx if that is done before.
 func (s *Set) Wait(ctx context.Context) error {
 	for s.Slow() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
@@ -113,7 +115,8 @@
 	delete(s.slow, conn)
 }
 
-// reserve reserves room, for which the connection whose peer has been still for the longest may have to go.
+// reserve reserves bytes of the budget. If the budget is exhausted, it sheds a connection and tries once more. It returns
+// false if there is not enough free space.
 func (s *Set) reserve(bytes int64) bool {
 	if s.config.Budget.Reserve(bytebudget.Stream, bytes) {
 		return true
@@ -121,31 +124,33 @@
 	return s.shed() && s.config.Budget.Reserve(bytebudget.Stream, bytes)
 }
 
-// shed cuts off the connection whose peer has been still for the longest; false when none has been for long enough.
+// shed cuts off the connection whose peer has made no progress for the longest time. It returns false if none has been
+// without progress for ShedTimeout.
 func (s *Set) shed() bool {
 	now := s.now()
 	var worst *Conn
-	longest := ShedAfter
-	for _, conn := range s.waitedFor() {
-		if still := conn.still(now); still >= longest {
+	longest := ShedTimeout
+	for _, conn := range s.slowConnections() {
+		if still := conn.stillFor(now); still >= longest {
 			worst, longest = conn, still
 		}
 	}
-	return worst != nil && worst.cut(ErrShed)
+	return worst != nil && worst.cutOff(ErrShed)
 }
 
-// Relieve cuts off all connections whose peers have been still for BlockedLimit: others found no room.
+// Relieve cuts off all connections whose peers have made no progress for BlockedTimeout. It is called when something else
+// finds no free space in the budget.
 func (s *Set) Relieve() {
 	now := s.now()
-	for _, conn := range s.waitedFor() {
-		if conn.still(now) >= BlockedLimit {
-			conn.cut(ErrShed)
+	for _, conn := range s.slowConnections() {
+		if conn.stillFor(now) >= BlockedTimeout {
+			conn.cutOff(ErrShed)
 		}
 	}
 }
 
-// waitedFor returns the connections that have something in their buffers.
-func (s *Set) waitedFor() []*Conn {
+// slowConnections returns the connections with unsent bytes.
+func (s *Set) slowConnections() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.slow))
--- a/internal/sendbuffer/sendbuffer_test.go
+++ b/internal/sendbuffer/sendbuffer_test.go
@@ -14,12 +14,13 @@
 	"github.com/tamarindring/tamarindring/internal/bytebudget"
 )
 
-const testLimit = 800 << 10 // of the budget; streams may fill 320 KB, one connection 100 KB
+const testLimit = 800 << 10 // limit of the budget; streams may use 320 KB of it, one connection 100 KB
 
-// peer is the other end of a connection: the system takes window bytes, which the peer reads when the test says so.
+// peer simulates the system's side of a connection and the other end: the system accepts window bytes that the peer has
+// not read, and the peer reads when the test calls read.
 type peer struct {
 	net.Conn
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	window   int
 	unread   int
 	got      bytes.Buffer
@@ -81,7 +82,7 @@
 	return written, err
 }
 
-// read reads up to so many bytes.
+// read lets the peer read up to this many bytes.
 func (p *peer) read(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +126,7 @@
 func (f *fixture) isEmpty(t *testing.T) {
 	t.Helper()
 	if held := f.budget.Held(bytebudget.Stream); held != 0 || f.Slow() != 0 || f.blocked.Load() != 0 {
-		t.Errorf("%d bytes of %d connections are held, %d blocked", held, f.Slow(), f.blocked.Load())
+		t.Errorf("%d bytes are reserved, %d connections slow, %d writers blocked; want none", held, f.Slow(), f.blocked.Load())
 	}
 }
 
@@ -137,14 +138,15 @@
 	return data
 }
 
-// TestWritersDoNotWait: an answer with room is taken at once and read later, whole and in order; a fast peer's is not buffered.
+// TestWritersDoNotWait checks that writes that fit into the buffer return immediately and arrive complete and in order,
+// also after Close, and that nothing is buffered while the peer reads fast enough.
 func TestWritersDoNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 		reader, conn := f.connect(10 << 10)
 		want := sample(90 << 10)
 		if n, err := conn.Write(want[:10<<10]); n != 10<<10 || err != nil || f.Slow() != 0 {
-			t.Errorf("%d, %v, %d slow", n, err, f.Slow())
+			t.Errorf("wrote %d bytes, error %v, %d slow connections; want 10 KB and none", n, err, f.Slow())
 		}
 		began := time.Now()
 		for at := 10 << 10; at < len(want); at += 1 << 10 {
@@ -153,44 +155,44 @@
 			}
 		}
 		if time.Since(began) != 0 || f.Slow() != 1 {
-			t.Errorf("written after %s, %d slow", time.Since(began), f.Slow())
+			t.Errorf("written after %s, %d slow connections; want 0s and 1", time.Since(began), f.Slow())
 		}
 		if err := conn.Close(); err != nil || reader.isClosed() {
-			t.Errorf("%v, closed before all is sent: %v", err, reader.isClosed())
+			t.Errorf("error %v, closed before everything was sent: %v", err, reader.isClosed())
 		}
 		for range 90 {
 			reader.read(1 << 10)
 			time.Sleep(time.Second)
 		}
 		if !bytes.Equal(reader.all(), want) || !reader.isClosed() || len(f.cuts()) != 0 {
-			t.Errorf("%d bytes came, closed %v, %d cuts", len(reader.all()), reader.isClosed(), len(f.cuts()))
+			t.Errorf("%d bytes arrived, closed %v, %d cuts; want all bytes, a closed connection and no cut", len(reader.all()), reader.isClosed(), len(f.cuts()))
 		}
 		f.isEmpty(t)
 	})
 }
 
-// TestWritersWaitAsLongAsTheyMay: a peer that has read nothing for a while, for which nobody waited, is not cut off by the next writer's
-// first moment.
+// TestWritersWaitAsLongAsTheyMay checks that BlockedTimeout starts when a writer begins to wait. A peer that read nothing
+// for longer while no writer waited must not be cut off as soon as one does.
 func TestWritersWaitAsLongAsTheyMay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 		reader, conn := f.connect(0)
 		for conn.fill(1 << 10) {
 		}
-		conn.queue.append(sample(1 << 10)) // where the last piece has room
-		time.Sleep(BlockedLimit + time.Second)
+		conn.queue.append(sample(1 << 10)) // fills the free capacity of the last piece, if there is any
+		time.Sleep(BlockedTimeout + time.Second)
 		began := time.Now()
-		if _, err := conn.Write(sample(1 << 10)); !errors.Is(err, ErrBlocked) || time.Since(began) < BlockedLimit {
-			t.Errorf("%v after %s", err, time.Since(began))
+		if _, err := conn.Write(sample(1 << 10)); !errors.Is(err, ErrBlocked) || time.Since(began) < BlockedTimeout {
+			t.Errorf("got error %v after %s, want ErrBlocked after BlockedTimeout", err, time.Since(began))
 		}
 		_ = reader.Close()
 	})
 }
 
-// fill writes where that needs no wait.
+// fill writes this many bytes if that does not have to wait, and reports whether it did.
 func (c *Conn) fill(bytes int) bool {
 	c.mu.Lock()
-	room := c.queue.reserved+roomFor(bytes) <= c.set.most
+	room := c.queue.reserved+pieceCapacity(bytes) <= c.set.maxPerConnection
 	c.mu.Unlock()
 	if room {
 		_, _ = c.Write(sample(bytes))
@@ -198,7 +200,8 @@
 	return room
 }
 
-// TestWritersWaitWithoutRoom: beyond what one connection may have buffered its writer waits until the peer reads, and all arrives.
+// TestWritersWaitWithoutRoom checks that a writer waits for the peer when its connection has used its share of the budget,
+// and that everything arrives.
 func TestWritersWaitWithoutRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
@@ -212,8 +215,8 @@
 			written = true
 		}()
 		time.Sleep(time.Second)
-		if held := f.budget.Held(bytebudget.Stream); written || held > testLimit/shareOfLimit || f.blocked.Load() != 1 {
-			t.Errorf("written %v, %d held, %d blocked", written, held, f.blocked.Load())
+		if held := f.budget.Held(bytebudget.Stream); written || held > testLimit/maxShareDivisor || f.blocked.Load() != 1 {
+			t.Errorf("written %v, %d bytes reserved, %d writers blocked; want a blocked writer within its share", written, held, f.blocked.Load())
 		}
 		for range 600 {
 			reader.read(1 << 10)
@@ -221,19 +224,20 @@
 		}
 		synctest.Wait()
 		if !written || !bytes.Equal(reader.all(), want) {
-			t.Errorf("written %v, %d bytes came", written, len(reader.all()))
+			t.Errorf("written %v, %d bytes arrived, want all", written, len(reader.all()))
 		}
 		f.isEmpty(t)
 	})
 }
 
-// TestPeersThatDoNotRead are cut off, those for which a writer waits after a short time; one that reads a byte now and then as well.
+// TestPeersThatDoNotRead checks that peers which read next to nothing are cut off after StillTimeout, or after
+// BlockedTimeout if a writer waits, also if they read a byte now and then.
 func TestPeersThatDoNotRead(t *testing.T) {
 	for name, test := range map[string]struct {
 		bytes int
 		cause error
 		after time.Duration
-	}{"buffered": {50 << 10, ErrStill, StillLimit}, "blocked": {200 << 10, ErrBlocked, BlockedLimit}} {
+	}{"buffered": {50 << 10, ErrStill, StillTimeout}, "blocked": {200 << 10, ErrBlocked, BlockedTimeout}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture()
@@ -243,17 +247,17 @@
 				go func() { _, _ = conn.Write(sample(test.bytes)) }()
 				for range test.after/time.Second + 1 {
 					if time.Since(began) < test.after && len(f.cuts()) != 0 {
-						t.Fatalf("cut too early: %+v", f.cuts())
+						t.Fatalf("cut off before the timeout: %+v", f.cuts())
 					}
 					reader.read(1)
 					time.Sleep(time.Second)
 				}
 				synctest.Wait()
 				if len(f.cuts()) != 1 || !errors.Is(f.cuts()[0].Cause, test.cause) || f.cuts()[0].Request != "r-1" || !reader.isClosed() {
-					t.Errorf("%+v, closed %v", f.cuts(), reader.isClosed())
+					t.Errorf("got cuts %+v, closed %v; want one cut with the cause of the test case", f.cuts(), reader.isClosed())
 				}
 				if _, err := conn.Write([]byte("x")); !errors.Is(err, test.cause) {
-					t.Errorf("written after the cut: %v", err)
+					t.Errorf("a write after the cut returned error %v, want the cause of the cut", err)
 				}
 				f.isEmpty(t)
 			})
@@ -261,8 +265,9 @@
 	}
 }
 
-// TestTheLongestStillIsShed: when room is short, the peer that has read nothing for the longest goes, and those that read stay.
-func TestTheLongestStillIsShed(t *testing.T) {
+// TestLongestStillPeerIsShed checks that only the peer which has read nothing for the longest time is cut off when the
+// budget is exhausted, and that peers which read stay connected.
+func TestLongestStillPeerIsShed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 		dead, deadConn := f.connect(0)
@@ -283,31 +288,31 @@
 			for _, reader := range steady {
 				reader.read(1 << 10)
 			}
-			time.Sleep(ShedAfter / 2)
+			time.Sleep(ShedTimeout / 2)
 		}
 		if len(f.cuts()) != 0 {
-			t.Fatalf("cut while there is room: %+v", f.cuts())
+			t.Fatalf("cut off while the budget has free space: %+v", f.cuts())
 		}
 		fill(2)
 		for range 300 {
 			for _, reader := range steady {
 				reader.read(1 << 10)
 			}
-			time.Sleep(ShedAfter / 2)
+			time.Sleep(ShedTimeout / 2)
 		}
 		if len(f.cuts()) != 1 || !errors.Is(f.cuts()[0].Cause, ErrShed) || !dead.isClosed() {
-			t.Errorf("%+v", f.cuts())
+			t.Errorf("got cuts %+v, want only the peer that does not read, with ErrShed", f.cuts())
 		}
 		for _, reader := range steady {
 			if !bytes.Equal(reader.all(), sample(64<<10)) {
-				t.Errorf("%d bytes came", len(reader.all()))
+				t.Errorf("%d bytes arrived, want all", len(reader.all()))
 			}
 		}
 		f.isEmpty(t)
 	})
 }
 
-// TestRelieve cuts off those that have been still for long, and no others.
+// TestRelieve checks that Relieve cuts off the peers that have read nothing for BlockedTimeout, and no others.
 func TestRelieve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
@@ -320,12 +325,12 @@
 		}
 		for range 20 {
 			live.read(1 << 10)
-			time.Sleep(BlockedLimit / 20)
+			time.Sleep(BlockedTimeout / 20)
 		}
 		f.Relieve()
 		synctest.Wait()
 		if !dead.isClosed() || live.isClosed() {
-			t.Errorf("closed: %v, %v", dead.isClosed(), live.isClosed())
+			t.Errorf("closed: still peer %v, reading peer %v; want only the still one", dead.isClosed(), live.isClosed())
 		}
 		live.read(1 << 20)
 		time.Sleep(time.Second)
@@ -334,6 +339,7 @@
 	})
 }
 
+// BenchmarkWrite compares writes to a plain TCP connection with writes through the buffer.
 func BenchmarkWrite(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sendbuffer/sockets_test.go
+++ b/internal/sendbuffer/sockets_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// overSockets returns a peer and the connection to it, with little room in the system.
-func (f *fixture) overSockets(t *testing.T, listener net.Listener) (net.Conn, *Conn) {
+// connectOverSockets returns a TCP peer and the wrapped connection to it, with small buffers in the system.
+func (f *fixture) connectOverSockets(t *testing.T, listener net.Listener) (net.Conn, *Conn) {
 	t.Helper()
 	reader, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -25,7 +25,8 @@
 	return reader, f.Wrap(raw)
 }
 
-// TestNothingIsReadAfterClose: a request that came while the buffer is sent would be run and never answered.
+// TestNothingIsReadAfterClose checks that reads fail after Close while the buffer is still being sent. A request that was
+// read then would run without being answered.
 func TestNothingIsReadAfterClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,14 +34,14 @@
 	}
 	defer listener.Close()
 	f := newFixture()
-	caller, conn := f.overSockets(t, listener)
+	caller, conn := f.connectOverSockets(t, listener)
 	defer caller.Close()
 	unsent := func() int64 {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.queue.bytes()
+		return conn.queue.unsentBytes()
 	}
-	for unsent() < 64<<10 { // more than the system finds room for later
+	for unsent() < 64<<10 { // more than the system accepts later
 		if _, err = conn.Write(sample(8 << 10)); err != nil {
 			t.Fatal(err)
 		}
@@ -57,17 +58,18 @@
 		t.Fatal(err)
 	}
 	if err = <-read; err == nil {
-		t.Error("a read that waited goes on after Close")
+		t.Error("a pending read returned no error after Close")
 	}
 	if n, err := conn.Read(make([]byte, 10)); err == nil {
-		t.Errorf("%d bytes are read after Close", n)
+		t.Errorf("%d bytes were read after Close, want an error", n)
 	}
 	if unsent() == 0 {
-		t.Error("all was sent: nothing was read while the buffer was")
+		t.Error("the buffer was empty before the reads, so the test checked nothing")
 	}
 }
 
-// TestOverSockets sends through the system's sockets, to a peer that stops reading and goes on, and one that goes away.
+// TestOverSockets checks over TCP that everything arrives at a slow peer, and that a connection fails and its buffer is
+// freed when the peer closes.
 func TestOverSockets(t *testing.T) {
 	f := newFixture()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,9 +77,9 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	reader, conn := f.overSockets(t, listener)
+	reader, conn := f.connectOverSockets(t, listener)
 	want := sample(150 << 10)
-	go func(conn *Conn) { // the other connection takes the variable's place below
+	go func(conn *Conn) { // a parameter, because the variable is assigned another connection below
 		for at := 0; at < len(want); at += 10 << 10 {
 			if _, err := conn.Write(want[at : at+10<<10]); err != nil {
 				t.Error(err)
@@ -87,9 +89,9 @@
 	}(conn)
 	var got bytes.Buffer
 	if _, err := got.ReadFrom(reader); err != nil || !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("%d bytes came, %v", got.Len(), err)
+		t.Errorf("%d bytes arrived, error %v; want all", got.Len(), err)
 	}
-	reader, conn = f.overSockets(t, listener)
+	reader, conn = f.connectOverSockets(t, listener)
 	for f.Slow() == 0 {
 		if _, err := conn.Write(want[:10<<10]); err != nil {
 			t.Fatal(err)
@@ -100,12 +102,13 @@
 		t.Error(err)
 	}
 	if _, err := conn.Write(want); err == nil {
-		t.Error("written to a peer that is gone")
+		t.Error("a write to a peer that has closed returned no error")
 	}
 	f.isEmpty(t)
 }
 
-// TestCutsAreVisible: a peer that is cut off sees a reset, whatever it has read, and no end that looks whole.
+// TestCutsAreVisible checks that a peer that is cut off gets a reset, so that it does not take the bytes that it has read
+// for a complete answer.
 func TestCutsAreVisible(t *testing.T) {
 	f := newFixture()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,11 +131,11 @@
 			t.Fatal(err)
 		}
 	}
-	if !conn.cut(ErrShed) {
-		t.Fatal("not cut")
+	if !conn.cutOff(ErrShed) {
+		t.Fatal("the connection was not cut off")
 	}
 	if _, err := io.Copy(io.Discard, reader); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the peer sees %v", err)
+		t.Errorf("the peer got error %v, want a connection reset", err)
 	}
 	if err := f.Wait(t.Context()); err != nil {
 		t.Error(err)
--- a/internal/sendbuffer/transport.go
+++ b/internal/sendbuffer/transport.go
@@ -6,8 +6,9 @@
 	"syscall"
 )
 
-// transportOf returns the connection with TryWrite. One that can't tell what the system has room for takes nothing at once.
-func transportOf(conn net.Conn) transport {
+// wrapTransport adds TryWrite to a connection. For a connection that gives no access to its file descriptor, TryWrite
+// accepts nothing.
+func wrapTransport(conn net.Conn) transport {
 	if made, ok := conn.(transport); ok {
 		return made
 	}
@@ -16,32 +17,34 @@
 			return newSocket(conn, raw)
 		}
 	}
-	return opaque{conn}
+	return plainConn{conn}
 }
 
-type opaque struct{ net.Conn }
+// plainConn is a connection without access to its file descriptor.
+type plainConn struct{ net.Conn }
 
 // TryWrite implements transport.
-func (opaque) TryWrite([]byte) (int, error) { return 0, nil }
+func (plainConn) TryWrite([]byte) (int, error) { return 0, nil }
 
-// socket is a connection of the system. One writer at a time calls TryWrite.
+// socket is a connection with a file descriptor. TryWrite is not safe for concurrent use.
 type socket struct {
 	net.Conn
-	raw  syscall.RawConn
-	try  func(descriptor uintptr) bool // kept, so that a write allocates nothing
-	data []byte
-	n    int
-	err  error
+	raw       syscall.RawConn
+	writeFunc func(descriptor uintptr) bool // writeOnce, stored so that a write does not allocate
+	data      []byte
+	n         int
+	err       error
 }
 
 func newSocket(conn net.Conn, raw syscall.RawConn) *socket {
 	made := &socket{Conn: conn, raw: raw}
-	made.try = made.write
+	made.writeFunc = made.writeOnce
 	return made
 }
 
-// reset ends the connection so that its peer can't take what it has read for the whole, and the system drops what is unread.
-func reset(conn net.Conn) {
+// resetConnection closes the connection with a reset, so that the peer can't take an incomplete answer for a complete one
+// and the system discards unsent bytes.
+func resetConnection(conn net.Conn) {
 	if made, ok := conn.(*socket); ok {
 		if tcp, ok := made.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -50,8 +53,8 @@
 	_ = conn.Close()
 }
 
-// write hands the data to the system once.
-func (s *socket) write(descriptor uintptr) bool {
+// writeOnce makes one write call with the data, which is repeated only if a signal interrupts it.
+func (s *socket) writeOnce(descriptor uintptr) bool {
 	for {
 		s.n, s.err = syscall.Write(int(descriptor), s.data)
 		if !errors.Is(s.err, syscall.EINTR) {
@@ -63,7 +66,7 @@
 // TryWrite implements transport.
 func (s *socket) TryWrite(data []byte) (int, error) {
 	s.data, s.n, s.err = data, 0, nil
-	err := s.raw.Write(s.try)
+	err := s.raw.Write(s.writeFunc)
 	s.data = nil
 	switch {
 	case err != nil:
