--- a/internal/sendbuffer/queue.go
+++ b/internal/sendbuffer/queue.go
@@ -15,9 +15,9 @@
 // piece holds consecutive bytes of an answer and free capacity for more.
 type piece struct {
 	data     []byte
-	sent     int
+	sent     int // number of bytes of data that are sent
 	capacity int64
-	request  string
+	request  string // request whose answer data is part of
 }
 
 // append adds data to the last piece. It returns false if there is no piece with sufficient free capacity.
--- a/internal/storage/check.go
+++ b/internal/storage/check.go
@@ -78,6 +78,7 @@
 
 func (r *Report) addDamage(err error) { r.Damage = append(r.Damage, err.Error()) }
 
+// checkDatabase verifies the structure and all records of the data file, and adds what it finds to the report.
 func (r *Report) checkDatabase(tx *bbolt.Tx) error {
 	for err := range tx.Check() {
 		r.addDamage(&DamageError{Record: dataFile, Reason: err.Error()})
--- a/internal/storage/identity.go
+++ b/internal/storage/identity.go
@@ -122,6 +122,7 @@
 	return syncFolder(folder)
 }
 
+// writeSynced writes a file and syncs it.
 func writeSynced(path string, content []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
--- a/internal/storage/pages.go
+++ b/internal/storage/pages.go
@@ -39,38 +39,38 @@
 }
 
 // checkTree validates the tree whose root is the page with this ID. The error names the malformed page.
-func (w *pageChecker) checkTree(id uint64, depth int) error {
+func (c *pageChecker) checkTree(id uint64, depth int) error {
 	if depth > maxTreeDepth {
 		return fmt.Errorf("page %d is deeper than %d levels", id, maxTreeDepth)
 	}
-	found, err := w.readPage(id)
+	found, err := c.readPage(id)
 	if err != nil {
 		return err
 	}
-	return w.checkElements(found, depth)
+	return c.checkElements(found, depth)
 }
 
 // readPage returns a page with its overflow pages and marks them as visited.
-func (w *pageChecker) readPage(id uint64) (*page, error) {
+func (c *pageChecker) readPage(id uint64) (*page, error) {
 	header := make([]byte, pageHeaderBytes)
-	if id >= w.pageCount {
-		return nil, fmt.Errorf("page %d is past the last page %d", id, w.pageCount-1)
+	if id >= c.pageCount {
+		return nil, fmt.Errorf("page %d is past the last page %d", id, c.pageCount-1)
 	}
-	if _, err := w.file.ReadAt(header, int64(id)*int64(w.pageSize)); err != nil {
+	if _, err := c.file.ReadAt(header, int64(id)*int64(c.pageSize)); err != nil {
 		return nil, fmt.Errorf("page %d: %w", id, err)
 	}
-	further := uint64(binary.LittleEndian.Uint32(header[12:]))
-	if stored := binary.LittleEndian.Uint64(header); stored != id || further >= w.pageCount-id {
-		return nil, fmt.Errorf("page %d calls itself page %d with %d more of %d", id, stored, further, w.pageCount)
+	overflow := uint64(binary.LittleEndian.Uint32(header[12:]))
+	if stored := binary.LittleEndian.Uint64(header); stored != id || overflow >= c.pageCount-id {
+		return nil, fmt.Errorf("page %d calls itself page %d with %d more of %d", id, stored, overflow, c.pageCount)
 	}
-	for reached := id; reached <= id+further; reached++ {
-		if w.visited[reached] {
+	for reached := id; reached <= id+overflow; reached++ {
+		if c.visited[reached] {
 			return nil, fmt.Errorf("page %d is reached twice", reached)
 		}
-		w.visited[reached] = true
+		c.visited[reached] = true
 	}
-	content := make([]byte, (int(further)+1)*w.pageSize)
-	if _, err := w.file.ReadAt(content, int64(id)*int64(w.pageSize)); err != nil {
+	content := make([]byte, (int(overflow)+1)*c.pageSize)
+	if _, err := c.file.ReadAt(content, int64(id)*int64(c.pageSize)); err != nil {
 		return nil, fmt.Errorf("page %d: %w", id, err)
 	}
 	return parsePage(id, content), nil
@@ -81,7 +81,8 @@
 		count: int(binary.LittleEndian.Uint16(content[10:])), content: content}
 }
 
-func (w *pageChecker) checkElements(p *page, depth int) error {
+// checkElements validates the elements of a page, the order of their keys and everything that they refer to.
+func (c *pageChecker) checkElements(p *page, depth int) error {
 	if p.flags != branchPage && p.flags != leafPage || p.flags == branchPage && p.count == 0 {
 		return fmt.Errorf("page %d has flags %#x and %d elements", p.id, p.flags, p.count)
 	}
@@ -95,7 +96,7 @@
 			return fmt.Errorf("page %d: key %d is not above the one before", p.id, position)
 		}
 		previous = key
-		if err := w.checkChild(p, position, value, depth); err != nil {
+		if err := c.checkChild(p, position, value, depth); err != nil {
 			return err
 		}
 	}
@@ -125,10 +126,10 @@
 
 // checkChild validates what an element refers to: a child page, the tree of a bucket, or a bucket that is stored inline
 // in the value.
-func (w *pageChecker) checkChild(p *page, position int, value []byte, depth int) error {
+func (c *pageChecker) checkChild(p *page, position int, value []byte, depth int) error {
 	fields := p.content[pageHeaderBytes+position*elementBytes:]
 	if p.flags == branchPage {
-		return w.checkTree(binary.LittleEndian.Uint64(fields[8:]), depth+1)
+		return c.checkTree(binary.LittleEndian.Uint64(fields[8:]), depth+1)
 	}
 	flags := binary.LittleEndian.Uint32(fields)
 	if flags == 0 {
@@ -138,7 +139,7 @@
 		return fmt.Errorf("page %d: element %d has flags %#x and %d bytes", p.id, position, flags, len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return w.checkTree(root, depth+1)
+		return c.checkTree(root, depth+1)
 	}
 	inline := value[bucketHeaderBytes:]
 	if len(inline) < pageHeaderBytes {
@@ -148,5 +149,5 @@
 	if held.flags != leafPage {
 		return fmt.Errorf("page %d: the bucket in element %d has flags %#x", p.id, position, held.flags)
 	}
-	return w.checkElements(held, depth+1)
+	return c.checkElements(held, depth+1)
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -210,6 +210,8 @@
 	return nil
 }
 
+// openError converts an error of bbolt.Open: a timeout means that another process has the file open, and any other error
+// that the file is damaged.
 func openError(path string, err error) error {
 	if errors.Is(err, berrors.ErrTimeout) {
 		return &FolderError{File: path, Field: "lock", Found: "held by another process", Wanted: "free",
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -112,13 +112,14 @@
 }
 
 // isFullBeforeCommit reports whether the disk was full when the data pages were written. They are written before the
-// meta page that makes them valid, so the old state is intact. A sync that fails for lack of space does not count,
-// and is told apart because its error is no fs.PathError of a write.
+// meta page that makes them valid, so the old state is intact. It returns false for a sync that fails for lack of space:
+// the error of a sync is not a fs.PathError.
 func isFullBeforeCommit(err error) bool {
 	var pathError *fs.PathError
 	return errors.Is(err, unix.ENOSPC) && errors.As(err, &pathError) && pathError.Op == "write"
 }
 
+// writeGroup applies the fields of a group's write in their order. files are the files of its new snapshot.
 func writeGroup(tx *bbolt.Tx, write *GroupWrite, files snapshotFiles) error {
 	if write.Snapshot != nil {
 		if err := deleteEntriesFrom(tx, write.Group, 0); err != nil {
@@ -160,6 +161,7 @@
 	return tx.Bucket(bucketSnapshots).Put(key, record)
 }
 
+// putEntries appends entries and deletes stored ones at or after the first index.
 func putEntries(tx *bbolt.Tx, group uint32, entries []raft.Entry) error {
 	if len(entries) == 0 {
 		return nil
