--- a/internal/cli/bench_gateway.go
+++ b/internal/cli/bench_gateway.go
@@ -7,7 +7,7 @@
 	"github.com/tamarindring/tamarindring/internal/bench/gatewaybench"
 )
 
-// benchGatewayCommand measures the gateway's hop.
+// benchGatewayCommand measures the latency and the cost that the gateway adds.
 type benchGatewayCommand struct {
 	Folder       string        `long:"folder" description:"Folder on the disk to measure (default: the system's folder for temporary files)"`
 	Duration     time.Duration `long:"duration" default:"2s" description:"Time of each measurement"`
--- a/internal/cli/bench_processes.go
+++ b/internal/cli/bench_processes.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindring/tamarindring/internal/bench/processbench"
 )
 
-// benchProcessesCommand measures running processes.
+// benchProcessesCommand measures the cost of running processes.
 type benchProcessesCommand struct {
 	Duration  time.Duration `long:"duration" default:"20s" description:"How long to watch"`
 	Arguments struct {
@@ -17,7 +17,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Run watches the processes and prints what each cost, as JSON.
+// Run observes the processes and prints the cost of each as JSON.
 func (c *benchProcessesCommand) Run(environment Environment, _ []string) error {
 	costs, err := processbench.Measure(environment.Context, c.Arguments.PIDs, c.Duration)
 	if err != nil {
--- a/internal/cli/benchcontrol.go
+++ b/internal/cli/benchcontrol.go
@@ -22,7 +22,7 @@
 	ControlNodes     int           `long:"control-nodes" default:"3" description:"Voters of the control group"`
 }
 
-// sizes are the measured numbers of nodes: 20, 85, 170 and 340 for the default.
+// sizes returns the numbers of nodes to measure: 20, 85, 170 and 340 by default.
 func (c *benchControlCommand) sizes() []int {
 	return []int{max(c.Nodes/17, 1), max(c.Nodes/4, 1), max(c.Nodes/2, 1), max(c.Nodes, 1)}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: one file per subcommand, listed in commands.go.
+// Package cli implements the command line. Related subcommands share a file; commands.go lists all of them.
 package cli
 
 import (
@@ -17,25 +17,26 @@
 const (
 	ExitOK        = 0
 	ExitFailure   = 1 // the command ran and failed
-	ExitUsage     = 2 // unknown flags, bad values, bad settings: nothing was done
-	ExitRefused   = 3 // the cluster refused the change (conflict or invalid)
-	ExitUnknown   = 4 // the outcome is unknown: the change may or may not have been made
-	ExitInvariant = 5 // fleet: an invariant was violated, or one examined nothing
+	ExitUsage     = 2 // unknown flags, invalid values or invalid settings: nothing was done
+	ExitRefused   = 3 // the cluster refused the change, as a conflict or as invalid
+	ExitUnknown   = 4 // the outcome is unknown: the change may have been made
+	ExitInvariant = 5 // fleet only: an invariant was violated, or one was never examined
 )
 
-// Environment is what a subcommand may use besides its own flags.
+// Environment holds the context and the output streams of a subcommand.
 type Environment struct {
 	Context context.Context // ends on the first SIGINT or SIGTERM
 	Stdout  io.Writer
 	Stderr  io.Writer
 }
 
-// command is one subcommand: its flags are the implementing struct's fields.
+// command is a subcommand. The exported fields of the implementing struct are its flags.
 type command interface {
 	Run(environment Environment, arguments []string) error
 }
 
-// commandEntry registers one subcommand. Parent is empty for a top-level one.
+// commandEntry describes a subcommand for registration. The parent of a top-level command is empty, and a command
+// that only groups others has no constructor.
 type commandEntry struct {
 	parent      string
 	name        string
@@ -44,7 +45,7 @@
 	constructor func() command
 }
 
-// ExitError ends the program with a code; its message is printed as one line.
+// ExitError makes the program exit with a code after printing the message as one line.
 type ExitError struct {
 	Code    int
 	Message string
@@ -53,7 +54,7 @@
 // Error implements error.
 func (e *ExitError) Error() string { return e.Message }
 
-// adapter lets a command run under go-flags, which knows Execute only.
+// adapter implements the interface that go-flags calls, Execute, by a command's Run.
 type adapter struct {
 	command
 	environment *Environment
@@ -62,15 +63,15 @@
 // Execute implements flags.Commander.
 func (a *adapter) Execute(arguments []string) error { return a.Run(*a.environment, arguments) }
 
-// globalOptions are the flags before a subcommand.
+// globalOptions are the flags that come before a subcommand.
 type globalOptions struct {
 	Version bool `long:"version" description:"Print the version and build data"`
 }
 
-// versionFlag alone stands for the subcommand version.
+// versionFlag, given alone, is the same as the subcommand version.
 const versionFlag = "--version"
 
-// Main runs the program and returns its exit code.
+// Main runs the program and returns its exit code. It adds the fields of a settings file to the arguments first.
 func Main(arguments []string, stdout, stderr io.Writer) int {
 	if len(arguments) == 1 && arguments[0] == versionFlag {
 		arguments = []string{"version"}
@@ -89,7 +90,7 @@
 		fmt.Fprintf(stderr, "tamarindring: %v\n", err)
 		return ExitFailure
 	}
-	arguments, err := withSettings(parser, arguments)
+	arguments, err := mergeSettings(parser, arguments)
 	if err != nil {
 		fmt.Fprintf(stderr, "tamarindring: %v\n", err)
 		return ExitUsage
@@ -98,13 +99,15 @@
 	return exitCode(err, stdout, stderr)
 }
 
-// writeCompletions answers the shell, which asks by the environment variable GO_FLAGS_COMPLETION.
+// writeCompletions prints completions for the shell, which requests them with the environment variable
+// GO_FLAGS_COMPLETION.
 func writeCompletions(out io.Writer, items []flags.Completion) {
 	for _, item := range items {
 		fmt.Fprintln(out, item.Item)
 	}
 }
 
+// addCommands registers all subcommands.
 func addCommands(parser *flags.Parser, environment *Environment) error {
 	parents := map[string]*flags.Command{"": parser.Command}
 	for _, entry := range commandEntries() {
@@ -127,7 +130,7 @@
 	return nil
 }
 
-// addCommand registers one command; the flags are scanned from the command itself, not the adapter.
+// addCommand registers one subcommand. go-flags scans the command itself for flags, because the adapter has no flags.
 func addCommand(parent *flags.Command, entry commandEntry, data any) (*flags.Command, error) {
 	long := entry.long
 	if long == "" {
@@ -150,6 +153,7 @@
 	return added, nil
 }
 
+// exitCode prints an error, if any, and returns the exit code for it.
 func exitCode(err error, stdout, stderr io.Writer) int {
 	if err == nil {
 		return ExitOK
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
+// An unknown flag must give ExitUsage and an error that names the flag.
 func TestUnknownFlagIsAUsageError(t *testing.T) {
 	var stdout, stderr bytes.Buffer
 	if code := Main([]string{"version", "--no-such-flag"}, &stdout, &stderr); code != ExitUsage {
 		t.Fatalf("exit code %d, want %d", code, ExitUsage)
 	}
 	if !strings.Contains(stderr.String(), "no-such-flag") {
-		t.Fatalf("the error does not name the flag: %q", stderr.String())
+		t.Fatalf("got error %q, want one that names the flag", stderr.String())
 	}
 }
 
@@ -22,10 +23,11 @@
 		t.Fatalf("exit code %d: %s", code, stderr.String())
 	}
 	if !strings.HasPrefix(stdout.String(), "tamarindring ") {
-		t.Fatalf("unexpected output %q", stdout.String())
+		t.Fatalf("got output %q, want the program's name and version", stdout.String())
 	}
 }
 
+// The flag --version alone must print what the subcommand version prints.
 func TestVersionFlagDiffersFromTheCommand(t *testing.T) {
 	var command, flag, stderr bytes.Buffer
 	if code := Main([]string{"version"}, &command, &stderr); code != ExitOK {
@@ -36,6 +38,7 @@
 	}
 }
 
+// Shell completion must find subcommands, their children and flags.
 func TestCompletionMissesACommandOrFlag(t *testing.T) {
 	t.Setenv("GO_FLAGS_COMPLETION", "1")
 	for arguments, want := range map[string]string{"ta": "table", "table hi": "history", "gateway --na": "--name"} {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -11,13 +11,15 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// newInertParser builds a parser of all subcommands whose handler runs nothing, to look at settings.
+// newInertParser returns a parser of all subcommands that runs none of them. It is used to inspect and check
+// settings.
 func newInertParser() (*flags.Parser, error) {
 	parser := flags.NewNamedParser("tamarindring", flags.HelpFlag|flags.PassDoubleDash)
 	parser.CommandHandler = func(flags.Commander, []string) error { return nil }
 	return parser, addCommands(parser, &Environment{Stdout: io.Discard, Stderr: io.Discard})
 }
 
+// configCheckCommand checks a settings file.
 type configCheckCommand struct {
 	Positional struct {
 		Role string `positional-arg-name:"ROLE" description:"Subcommand the file is for, such as gateway"`
@@ -25,7 +27,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Run checks a settings file as the role's process would, without starting anything.
+// Run checks a settings file like a process of the role would, without starting anything.
 func (c *configCheckCommand) Run(environment Environment, _ []string) error {
 	parser, err := newInertParser()
 	if err != nil {
@@ -35,7 +37,7 @@
 	if command, _ := findCommand(parser, arguments); command == nil {
 		return &ExitError{Code: ExitUsage, Message: fmt.Sprintf("no subcommand %q", c.Positional.Role)}
 	}
-	merged, err := withSettings(parser, arguments)
+	merged, err := mergeSettings(parser, arguments)
 	if err == nil {
 		_, err = parser.ParseArgs(merged)
 	}
@@ -46,13 +48,14 @@
 	return trace.Wrap(err)
 }
 
+// configPrintCommand prints the settings of a role.
 type configPrintCommand struct {
 	Positional struct {
 		Role string `positional-arg-name:"ROLE" description:"Subcommand to print the settings of"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Run prints a role's settings with their defaults and comments, as a file to start from.
+// Run prints a role's settings with their defaults and descriptions, as a file to start from.
 func (c *configPrintCommand) Run(environment Environment, _ []string) error {
 	parser, err := newInertParser()
 	if err != nil {
@@ -64,13 +67,13 @@
 	}
 	for _, option := range settingOptions(command) {
 		fmt.Fprintf(environment.Stdout, "# %s\n", option.Description)
-		fmt.Fprintf(environment.Stdout, "%s\n", settingLine(option))
+		fmt.Fprintf(environment.Stdout, "%s\n", formatSetting(option))
 	}
 	return nil
 }
 
-// settingLine is an option as a line of YAML; one without a default is commented out.
-func settingLine(option *flags.Option) string {
+// formatSetting returns an option as a line of YAML. An option without a default is commented out.
+func formatSetting(option *flags.Option) string {
 	value := strings.Join(option.Default, ", ")
 	if value == "" {
 		if _, boolean := option.Value().(bool); boolean {
@@ -81,7 +84,7 @@
 	return option.LongName + ": " + value
 }
 
-// settingOptions lists a subcommand's options that a settings file may name.
+// settingOptions returns the options of a subcommand that a settings file may set.
 func settingOptions(command *flags.Command) []*flags.Option {
 	var options []*flags.Option
 	for _, option := range commandOptions(command) {
@@ -92,6 +95,7 @@
 	return options
 }
 
+// configReferenceCommand prints the reference page of all settings.
 type configReferenceCommand struct{}
 
 // Run prints the reference page of all settings, docs/operations/settings.md.
@@ -99,9 +103,10 @@
 	return writeReference(environment.Stdout)
 }
 
-// referenceRoles are the subcommands whose settings the reference page lists: the long-running ones.
+// referenceRoles are the subcommands on the reference page: the long-running ones.
 var referenceRoles = []string{"control", "gateway", "coordinator"}
 
+// writeReference writes the reference page of all settings in Markdown.
 func writeReference(output io.Writer) error {
 	parser, err := newInertParser()
 	if err != nil {
@@ -123,14 +128,14 @@
 		}
 		fmt.Fprintf(output, "\n## %s\n\n| setting | type | default | meaning |\n|---|---|---|---|\n", role)
 		for _, option := range settingOptions(command) {
-			fmt.Fprintf(output, "| `%s` | %s | %s | %s |\n", option.LongName, typeText(option), defaultText(option), option.Description)
+			fmt.Fprintf(output, "| `%s` | %s | %s | %s |\n", option.LongName, describeType(option), describeDefault(option), option.Description)
 		}
 	}
 	return nil
 }
 
-// typeText names what an option's values are.
-func typeText(option *flags.Option) string {
+// describeType returns the type of an option's values in words.
+func describeType(option *flags.Option) string {
 	value := reflect.TypeOf(option.Value())
 	switch kind := value.Kind(); {
 	case value == reflect.TypeFor[time.Duration]():
@@ -148,7 +153,8 @@
 	}
 }
 
-func defaultText(option *flags.Option) string {
+// describeDefault returns an option's default in Markdown.
+func describeDefault(option *flags.Option) string {
 	if len(option.Default) > 0 {
 		return "`" + strings.Join(option.Default, ", ") + "`"
 	}
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -17,7 +17,7 @@
 	"github.com/tamarindring/tamarindring/internal/page"
 )
 
-// controlCommand runs a control node.
+// controlCommand runs a control node until SIGTERM, then drains it.
 type controlCommand struct {
 	Name         string        `long:"name" required:"true" description:"Unique name of this node"`
 	ID           uint64        `long:"id" required:"true" description:"Identity of this node in every group, above 0; never used again after its disk was lost"`
@@ -39,7 +39,7 @@
 	serverOptions
 }
 
-// Run serves until the first SIGINT or SIGTERM, then hands leaderships over and stops.
+// Run serves until the first SIGINT or SIGTERM, then transfers its leaderships to other nodes and stops.
 func (c *controlCommand) Run(environment Environment, _ []string) error {
 	peers, err := parsePeers(c.Peers)
 	if err != nil {
@@ -54,11 +54,11 @@
 
 func (c *controlCommand) serve(environment Environment, peers []control.Peer, process *processLog) error {
 	log := process.Entry
-	opened, err := c.roleCredentials(log)
+	authentication, err := c.openRoleCredentials(log)
 	if err != nil {
 		return err
 	}
-	admin, err := c.adminOptions.open("control", c.Name, opened, log)
+	admin, err := c.adminOptions.open("control", c.Name, authentication, log)
 	if err != nil {
 		return err
 	}
@@ -67,16 +67,16 @@
 		Name: c.Name, NodeID: c.ID, ClusterID: c.Cluster, Listen: c.Listen, Peers: peers, Join: c.Join,
 		Zone: c.Zone, Region: c.Region, DataFolder: c.Data, LedgerGroups: c.LedgerGroups,
 		LeaseDuration: c.Lease, Tick: c.Tick, Log: log,
-		Guard: opened.guard, Credentials: opened.client, TLS: opened.tls,
+		Guard: authentication.guard, Credentials: authentication.client, TLS: authentication.tls,
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := showAdmin(admin, server); err != nil {
+	if err := setAdminProcess(admin, server); err != nil {
 		return trace.NewAggregate(err, server.Close())
 	}
-	opened.warnIfOpen(log, "the control listener", server.Address())
-	closePage, err := c.openPage(server.Address(), peers, opened, log)
+	authentication.warnIfOpen(log, "the control listener", server.Address())
+	closePage, err := c.openPage(server.Address(), peers, authentication, log)
 	if err != nil {
 		return trace.NewAggregate(err, server.Close())
 	}
@@ -95,9 +95,9 @@
 	return trace.NewAggregate(drainError, <-finished)
 }
 
-// openPage serves the operators' page, if one is wanted, by way of this node and its peers. It returns what
-// ends it.
-func (c *controlCommand) openPage(own string, peers []control.Peer, opened roleCredentials, log *logrus.Entry) (func(), error) {
+// openPage serves the operators' page, if it is configured, with a client of this node and its peers. It returns a
+// function that closes the page and its client.
+func (c *controlCommand) openPage(own string, peers []control.Peer, authentication roleCredentials, log *logrus.Entry) (func(), error) {
 	if c.PageListen == "" {
 		return func() {}, nil
 	}
@@ -107,23 +107,23 @@
 			addresses = append(addresses, peer.Address)
 		}
 	}
-	shown, err := credentials.NewClient(c.PageToken, opened.tls, log)
+	pageCredentials, err := credentials.NewClient(c.PageToken, authentication.tls, log)
 	if err != nil {
 		return nil, &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
-	client, err := controlclient.New(controlclient.Config{Addresses: addresses, LedgerGroups: c.LedgerGroups, Credentials: shown, Log: log})
+	client, err := controlclient.New(controlclient.Config{Addresses: addresses, LedgerGroups: c.LedgerGroups, Credentials: pageCredentials, Log: log})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	served, err := page.Open(page.Config{Listen: c.PageListen, Control: client, Guard: opened.guard, Log: log})
+	operatorPage, err := page.Open(page.Config{Listen: c.PageListen, Control: client, Guard: authentication.guard, Log: log})
 	if err != nil {
 		return nil, trace.NewAggregate(&ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}, client.Close())
 	}
-	log.Infof("operators' page on http://%s/", served.Address())
-	return func() { _, _ = served.Close(), client.Close() }, nil
+	log.Infof("operators' page on http://%s/", operatorPage.Address())
+	return func() { _, _ = operatorPage.Close(), client.Close() }, nil
 }
 
-// parsePeers reads ID=NAME@IP:PORT, several to a text if separated by commas.
+// parsePeers parses peers of the form ID=NAME@IP:PORT. A text may hold several, separated by commas.
 func parsePeers(texts []string) ([]control.Peer, error) {
 	var peers []control.Peer
 	for _, text := range splitList(texts) {
--- a/internal/cli/controlaccess.go
+++ b/internal/cli/controlaccess.go
@@ -13,48 +13,49 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// controlAccess holds the flags of every command that speaks to the control nodes.
+// controlAccess holds the flags of every command that connects to the control nodes.
 type controlAccess struct {
 	Control []string      `long:"control" required:"true" value-name:"IP:PORT" env:"TAMARINDRING_CONTROL" env-delim:"," description:"Control nodes; comma list or repeated"`
 	Timeout time.Duration `long:"timeout" default:"30s" description:"Longest time to wait for an answer"`
 	clientOptions
 }
 
-// connect returns a client of the control nodes; it does not speak to them yet.
-func (a *controlAccess) connect() (*controlclient.Client, error) {
-	shown, _, err := a.shown(logging.Discard())
+// newClient returns a client of the control nodes; it does not connect yet.
+func (a *controlAccess) newClient() (*controlclient.Client, error) {
+	clientCredentials, _, err := a.openClientCredentials(logging.Discard())
 	if err != nil {
 		return nil, err
 	}
-	client, err := controlclient.New(controlclient.Config{Addresses: splitList(a.Control), Credentials: shown})
+	client, err := controlclient.New(controlclient.Config{Addresses: splitList(a.Control), Credentials: clientCredentials})
 	if err != nil {
 		return nil, &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
 	return client, nil
 }
 
-// use calls work with a client of the control nodes and a context that ends after the timeout.
-func (a *controlAccess) use(environment Environment, work func(context.Context, *controlclient.Client) error) error {
-	client, err := a.connect()
+// withClient calls work with a client of the control nodes and a context that ends after the timeout. It converts the
+// error with toExitError.
+func (a *controlAccess) withClient(environment Environment, work func(context.Context, *controlclient.Client) error) error {
+	client, err := a.newClient()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(environment.Context, a.Timeout)
 	defer cancel()
-	return exitErrorOf(work(ctx, client))
+	return toExitError(work(ctx, client))
 }
 
-// exitErrorOf gives an error its exit code: bad input, unknown outcome, or plain failure.
-func exitErrorOf(err error) error {
+// toExitError gives an error its exit code, by its kind: invalid input, unknown outcome or other failure.
+func toExitError(err error) error {
 	var known *ExitError
-	var carrier *verdict.Error
+	var verdictError *verdict.Error
 	switch {
 	case err == nil || errors.As(err, &known):
 		return err
-	case errors.As(err, &carrier) && carrier.Verdict == verdict.MayHaveRun:
+	case errors.As(err, &verdictError) && verdictError.Verdict == verdict.MayHaveRun:
 		return &ExitError{Code: ExitUnknown, Message: err.Error()}
-	case errors.As(err, &carrier):
+	case errors.As(err, &verdictError):
 		return &ExitError{Code: ExitFailure, Message: err.Error()}
 	case trace.IsBadParameter(err):
 		return &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
--- a/internal/cli/coordinator.go
+++ b/internal/cli/coordinator.go
@@ -25,7 +25,7 @@
 	memberOptions
 }
 
-// rolloutPolicies are the policies by the names that the setting takes.
+// rolloutPolicies are the rollout policies by their names in the settings.
 var rolloutPolicies = map[string]rollout.Policy{
 	"paced": rollout.Paced{}, "asynchronous": rollout.Asynchronous{}, "synchronous": rollout.Synchronous{},
 }
@@ -35,8 +35,8 @@
 	return c.run(environment, arguments, memberRole{role: "coordinator", name: c.Name, drainTime: c.DrainTime, open: c.openServer})
 }
 
-func (c *coordinatorCommand) openServer(ctx context.Context, opened roleCredentials, log *logrus.Entry) (memberServer, error) {
+func (c *coordinatorCommand) openServer(ctx context.Context, authentication roleCredentials, log *logrus.Entry) (memberServer, error) {
 	return coordinator.Open(ctx, coordinator.Config{Name: c.Name, Listen: c.Listen, Zone: c.Zone, Region: c.Region,
-		Control: c.client(opened, log), Scorer: c.Scorer, WeightStore: c.WeightStore, Policy: rolloutPolicies[c.Policy],
-		MaxBodyBytes: c.MaxBody, DrainPatience: c.DrainPatience, Guard: opened.guard, Credentials: opened.client, Log: log})
+		Control: c.clientConfig(authentication, log), Scorer: c.Scorer, WeightStore: c.WeightStore, Policy: rolloutPolicies[c.Policy],
+		MaxBodyBytes: c.MaxBody, DrainPatience: c.DrainPatience, Guard: authentication.guard, Credentials: authentication.client, Log: log})
 }
--- a/internal/cli/credentials.go
+++ b/internal/cli/credentials.go
@@ -10,21 +10,21 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// tokenOption is the flag of a process's own token.
+// tokenOption is the flag for the process's own token.
 type tokenOption struct {
 	Token string `long:"token" value-name:"FILE" env:"TAMARINDRING_TOKEN" description:"File with this process's own token; none if empty"`
 }
 
-// authorization returns the header value for HTTP calls, or "" without a token.
+// authorization returns the value of the Authorization header for HTTP calls, empty without a token.
 func (o tokenOption) authorization() (string, error) {
-	shown, err := credentials.NewClient(o.Token, nil, logging.Discard())
+	client, err := credentials.NewClient(o.Token, nil, logging.Discard())
 	if err != nil {
 		return "", &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
-	return shown.Authorization(), nil
+	return client.Authorization(), nil
 }
 
-// clientOptions are the flags by which a process shows who it is.
+// clientOptions are the flags for the credentials that a process presents to others.
 type clientOptions struct {
 	tokenOption
 	TLSCert string `long:"tls-cert" value-name:"FILE" env:"TAMARINDRING_TLS_CERT" description:"This process's certificate towards the control nodes, PEM; plain TCP if empty"`
@@ -32,51 +32,53 @@
 	TLSCA   string `long:"tls-ca" value-name:"FILE" env:"TAMARINDRING_TLS_CA" description:"Authority of all certificates, PEM"`
 }
 
-// shown returns what the flags ask to show, or nil, and the certificates alone.
-func (o clientOptions) shown(log *logrus.Entry) (*credentials.Client, *credentials.TLS, error) {
-	secure, err := credentials.NewTLS(o.TLSCert, o.TLSKey, o.TLSCA, log)
+// openClientCredentials returns the credentials that the process presents, and its certificates alone. Either is nil
+// if not configured.
+func (o clientOptions) openClientCredentials(log *logrus.Entry) (*credentials.Client, *credentials.TLS, error) {
+	certificates, err := credentials.NewTLS(o.TLSCert, o.TLSKey, o.TLSCA, log)
 	if err != nil {
 		return nil, nil, &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
-	shown, err := credentials.NewClient(o.Token, secure, log)
+	client, err := credentials.NewClient(o.Token, certificates, log)
 	if err != nil {
 		return nil, nil, &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
-	return shown, secure, nil
+	return client, certificates, nil
 }
 
-// serverOptions are the flags of a role that also checks others' tokens.
+// serverOptions are the flags of a role that also checks the tokens of others.
 type serverOptions struct {
 	clientOptions
 	Tokens string `long:"tokens" value-name:"FILE" description:"File of the tokens that are accepted, by hash; everybody is let in if empty"`
 }
 
-// roleCredentials are what a role proves itself and checks others with; the fields are nil for what is not configured.
+// roleCredentials holds the credentials of a role and its check of others' tokens. Fields are nil if not configured.
 type roleCredentials struct {
 	guard  *credentials.Guard
 	client *credentials.Client
 	tls    *credentials.TLS
 }
 
-func (o serverOptions) roleCredentials(log *logrus.Entry) (roleCredentials, error) {
-	client, secure, err := o.shown(log)
+// openRoleCredentials reads the files that the flags name.
+func (o serverOptions) openRoleCredentials(log *logrus.Entry) (roleCredentials, error) {
+	client, certificates, err := o.openClientCredentials(log)
 	if err != nil {
 		return roleCredentials{}, err
 	}
-	opened := roleCredentials{client: client, tls: secure}
+	authentication := roleCredentials{client: client, tls: certificates}
 	if o.Tokens == "" {
-		return opened, nil
+		return authentication, nil
 	}
-	opened.guard, err = credentials.NewGuard(o.Tokens, log)
+	authentication.guard, err = credentials.NewGuard(o.Tokens, log)
 	if err != nil {
 		return roleCredentials{}, &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
-	return opened, nil
+	return authentication, nil
 }
 
-// warnIfOpen logs a warning when a listener that others can reach asks for no tokens.
-func (d roleCredentials) warnIfOpen(log *logrus.Entry, what, address string) {
+// warnIfOpen logs a warning if a listener can be reached from other machines and no tokens are required.
+func (r roleCredentials) warnIfOpen(log *logrus.Entry, what, address string) {
 	if bound, err := net.ResolveTCPAddr("tcp", address); err == nil {
-		d.guard.WarnIfOpen(log, what, bound)
+		r.guard.WarnIfOpen(log, what, bound)
 	}
 }
--- a/internal/cli/data.go
+++ b/internal/cli/data.go
@@ -13,7 +13,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Run verifies a data folder offline, prints what it holds as JSON and fails on damage.
+// Run verifies the data folder of a stopped node, prints its contents as JSON and fails if parts are damaged.
 func (c *dataCheckCommand) Run(environment Environment, _ []string) error {
 	report, err := storage.Check(c.Positional.Folder)
 	if err != nil {
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -11,6 +11,7 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
+// The check must pass a sound data folder, and fail for a folder with damaged bytes and for an empty one.
 func TestDataCheck(t *testing.T) {
 	folder := t.TempDir()
 	store, err := storage.Open(storage.Options{Folder: folder, ClusterID: "c", NodeID: 1, NodeName: "n"})
@@ -24,10 +25,10 @@
 	store.Close()
 	var stdout, stderr bytes.Buffer
 	if code := Main([]string{"data", "check", folder}, &stdout, &stderr); code != ExitOK {
-		t.Fatalf("a sound folder gave exit code %d: %s", code, stderr.String())
+		t.Fatalf("sound folder: got exit code %d: %s", code, stderr.String())
 	}
 	if !strings.Contains(stdout.String(), `"last_index": 1`) {
-		t.Fatalf("the report does not show the group: %s", stdout.String())
+		t.Fatalf("got report %s, want the group's last index 1", stdout.String())
 	}
 	path := filepath.Join(folder, "data.db")
 	content, err := os.ReadFile(path)
@@ -39,12 +40,12 @@
 	}
 	stderr.Reset()
 	if code := Main([]string{"data", "check", folder}, &stdout, &stderr); code != ExitFailure {
-		t.Fatalf("a damaged folder gave exit code %d", code)
+		t.Fatalf("damaged folder: got exit code %d, want a failure", code)
 	}
 	if !strings.Contains(stderr.String(), "damaged") {
-		t.Fatalf("the error does not say so: %q", stderr.String())
+		t.Fatalf("got error %q, want one that reports damage", stderr.String())
 	}
 	if code := Main([]string{"data", "check", t.TempDir()}, &stdout, &stderr); code != ExitFailure {
-		t.Fatalf("an empty folder gave exit code %d", code)
+		t.Fatalf("empty folder: got exit code %d, want a failure", code)
 	}
 }
--- a/internal/cli/databackup.go
+++ b/internal/cli/databackup.go
@@ -19,16 +19,16 @@
 
 // Run copies the state of every group from running control nodes into a file.
 func (c *dataBackupCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
-		copied, err := client.Backup(ctx)
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
+		clusterBackup, err := client.Backup(ctx)
 		if err != nil {
 			return err
 		}
-		copied.AtUnixMillis = time.Now().UnixMilli()
-		if err := backup.Write(c.Positional.File, copied); err != nil {
+		clusterBackup.AtUnixMillis = time.Now().UnixMilli()
+		if err := backup.Write(c.Positional.File, clusterBackup); err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(environment.Stdout, "%d groups of cluster %s are in %s\n", len(copied.Groups), copied.ClusterId, c.Positional.File)
+		_, err = fmt.Fprintf(environment.Stdout, "%d groups of cluster %s are in %s\n", len(clusterBackup.Groups), clusterBackup.ClusterId, c.Positional.File)
 		return err
 	})
 }
@@ -43,17 +43,17 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Run founds the first data folder of a new cluster from a backup.
+// Run creates the first data folder of a new cluster from a backup.
 func (c *dataRestoreCommand) Run(environment Environment, _ []string) error {
-	copied, err := backup.Read(c.Positional.File)
+	clusterBackup, err := backup.Read(c.Positional.File)
 	if err != nil {
 		return err
 	}
 	options := storage.Options{Folder: c.Positional.Folder, ClusterID: c.ClusterID, NodeID: c.NodeID, NodeName: c.Name}
-	if err := backup.Restore(copied, options); err != nil {
+	if err := backup.Restore(clusterBackup, options); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(environment.Stdout, "%s holds %d groups as of %s; start it with ledger-groups %d and its own address as the only peer\n",
-		c.Positional.Folder, len(copied.Groups), time.UnixMilli(copied.AtUnixMillis).UTC().Format(time.RFC3339), len(copied.Groups)-1)
+		c.Positional.Folder, len(clusterBackup.Groups), time.UnixMilli(clusterBackup.AtUnixMillis).UTC().Format(time.RFC3339), len(clusterBackup.Groups)-1)
 	return err
 }
--- a/internal/cli/docs_proof_test.go
+++ b/internal/cli/docs_proof_test.go
@@ -14,18 +14,19 @@
 	definedTest = regexp.MustCompile(`(?m)^func (Test[A-Za-z0-9_]+)\(`)
 )
 
-// TestPagesNameTestsThatDoNotExist holds the pages' claims of proof against the tests in the tree.
+// TestPagesNameTestsThatDoNotExist: each test that a page names as proof must exist in the tree, so that a page does
+// not go on claiming what no test checks.
 func TestPagesNameTestsThatDoNotExist(t *testing.T) {
 	defined := map[string]bool{}
 	for _, folder := range []string{"..", "../../platform"} {
-		eachFile(t, folder, "_test.go", func(_ string, content string) {
+		forEachFile(t, folder, "_test.go", func(_ string, content string) {
 			for _, match := range definedTest.FindAllStringSubmatch(content, -1) {
 				defined[match[1]] = true
 			}
 		})
 	}
 	named := 0
-	eachFile(t, docsFolder, ".md", func(path, content string) {
+	forEachFile(t, docsFolder, ".md", func(path, content string) {
 		for _, match := range namedTest.FindAllStringSubmatch(content, -1) {
 			named++
 			if !defined[match[1]] {
@@ -34,12 +35,12 @@
 		}
 	})
 	if named < 20 || len(defined) < 100 {
-		t.Fatalf("only %d names in the pages and %d tests were found", named, len(defined))
+		t.Fatalf("found %d names in the pages and %d tests, want at least 20 and 100", named, len(defined))
 	}
 }
 
-// eachFile reads every file below a folder whose name ends as given.
-func eachFile(t *testing.T, folder, ending string, read func(path, content string)) {
+// forEachFile calls read with every file in a folder and its subfolders whose name has the given ending.
+func forEachFile(t *testing.T, folder, ending string, read func(path, content string)) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ending) {
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -17,6 +17,7 @@
 
 const docsFolder = "../../docs"
 
+// The settings page must equal the output of `config reference`.
 func TestSettingsPageDiffersFromTheCode(t *testing.T) {
 	var want bytes.Buffer
 	if err := writeReference(&want); err != nil {
@@ -31,8 +32,8 @@
 	}
 }
 
-// schemaLines are the columns of the table as docs/operations/table.md lists them.
-func schemaLines() string {
+// formatSchema returns the lines of the table's columns as docs/operations/table.md must list them.
+func formatSchema() string {
 	var lines strings.Builder
 	for _, column := range table.Schema() {
 		var rows []string
@@ -45,12 +46,12 @@
 		} else if column.Inherited {
 			inherited = ", inherited"
 		}
-		fmt.Fprintf(&lines, "| `%s` | %s%s | %s | %s | %s |\n", column.Name, strings.Join(rows, ", "), inherited, rangeText(column), orNone(column.Default), column.Help)
+		fmt.Fprintf(&lines, "| `%s` | %s%s | %s | %s | %s |\n", column.Name, strings.Join(rows, ", "), inherited, formatRange(column), orNone(column.Default), column.Help)
 	}
 	return lines.String()
 }
 
-func rangeText(column table.Column) string {
+func formatRange(column table.Column) string {
 	switch {
 	case column.Type == table.Choice:
 		return strings.Join(column.Choices, ", ")
@@ -68,12 +69,13 @@
 	return "`" + text + "`"
 }
 
+// The table page must list all columns of the schema with their present limits, defaults and help.
 func TestTablePageDiffersFromTheSchema(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(docsFolder, "operations", "table.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := schemaLines(); !strings.Contains(string(page), "|---|---|---|---|---|\n"+want+"\n") {
+	if want := formatSchema(); !strings.Contains(string(page), "|---|---|---|---|---|\n"+want+"\n") {
 		t.Fatalf("docs/operations/table.md does not list the columns as the schema has them, which is:\n%s", want)
 	}
 }
@@ -85,8 +87,8 @@
 	minimumCalls = 20
 )
 
-// codeOf returns the code of a page: fenced lines and inline spans.
-func codeOf(page string) []string {
+// extractCode returns the code on a page: the lines of fenced blocks and the inline spans.
+func extractCode(page string) []string {
 	var code []string
 	fenced := false
 	for line := range strings.SplitSeq(page, "\n") {
@@ -104,7 +106,7 @@
 	return code
 }
 
-// checkCall says what is wrong with a call of the program as a page shows it.
+// checkCall returns an error if a page's call of the program names a subcommand or flag that does not exist.
 func checkCall(parser *flags.Parser, words, rest string) error {
 	command, depth := findCommand(parser, strings.Fields(words))
 	if command == nil {
@@ -124,6 +126,8 @@
 	return nil
 }
 
+// Calls of the program in pages and systemd units must name existing subcommands and flags. The test fails if it
+// finds fewer than minimumCalls, because then it checks nothing.
 func TestPagesNameCommandsThatDoNotExist(t *testing.T) {
 	parser, err := newInertParser()
 	if err != nil {
@@ -152,7 +156,7 @@
 		}
 		lines := strings.Split(string(content), "\n")
 		if filepath.Ext(page) == ".md" {
-			lines = codeOf(string(content))
+			lines = extractCode(string(content))
 		}
 		for _, code := range lines {
 			for _, match := range programCall.FindAllStringSubmatch(code, -1) {
@@ -164,6 +168,6 @@
 		}
 	}
 	if examined < minimumCalls {
-		t.Fatalf("only %d calls of the program were found in %d pages", examined, len(pages))
+		t.Fatalf("found %d calls of the program in %d pages, want more", examined, len(pages))
 	}
 }
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -18,12 +18,13 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Run sets the state of a row of that name to draining, or else asks the member of that name to leave.
+// Run sets the state of the row with that name to draining. If there is no such row, it asks the member with that
+// name to leave.
 func (c *drainCommand) Run(environment Environment, _ []string) error {
 	name := c.Arguments.Name
 	var row bool
 	var member *wire.Member
-	err := c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	err := c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		sheet, err := operator.ReadSheet(ctx, client)
 		if err != nil {
 			return err
@@ -43,7 +44,7 @@
 	if err != nil || !row {
 		return err
 	}
-	return c.change(environment, "drain\x00"+name, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+	return c.submitChange(environment, "drain\x00"+name, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
 		return operator.PlanSet(sheet, name, table.ColumnState, string(table.Draining))
 	})
 }
--- a/internal/cli/examples_test.go
+++ b/internal/cli/examples_test.go
@@ -14,12 +14,12 @@
 
 const examplesFolder = "../../examples"
 
-// numbered is the number that tells the processes of one role apart in file names.
-var numbered = regexp.MustCompile(`-\d+$`)
+// processNumber matches the number in a file name that tells apart the processes of one role.
+var processNumber = regexp.MustCompile(`-\d+$`)
 
-// exampleRole is the subcommand that an example file is for.
+// exampleRole returns the subcommand that an example file configures.
 func exampleRole(path string) string {
-	role := numbered.ReplaceAllString(filepath.Base(path[:len(path)-len(filepath.Ext(path))]), "")
+	role := processNumber.ReplaceAllString(filepath.Base(path[:len(path)-len(filepath.Ext(path))]), "")
 	switch role {
 	case "control", "gateway", "coordinator":
 		return role
@@ -28,6 +28,7 @@
 	}
 }
 
+// exampleFiles returns the example files that match a pattern, and fails the test if there are fewer than least.
 func exampleFiles(t *testing.T, pattern string, least int) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(examplesFolder, "*", pattern))
@@ -37,6 +38,7 @@
 	return paths
 }
 
+// `config check` must accept every example settings file.
 func TestExampleSettingsAreRefused(t *testing.T) {
 	for _, path := range exampleFiles(t, "*.yaml", 20) {
 		var stdout, stderr bytes.Buffer
@@ -46,6 +48,7 @@
 	}
 }
 
+// Every example table must be accepted as a change of an empty table.
 func TestExampleTablesAreRefused(t *testing.T) {
 	for _, path := range exampleFiles(t, "*.csv", 4) {
 		content, err := os.ReadFile(path)
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -16,7 +16,7 @@
 	Parallel int    `long:"parallel" default:"4" description:"Runs side by side"`
 }
 
-// Run runs every policy with every seed, shows the progress, writes the report and prints its tables.
+// Run runs every policy with every seed, prints the progress, writes the report and prints its tables.
 func (c *experimentCommand) Run(environment Environment, _ []string) error {
 	scenario, err := experiment.Load(c.Scenario)
 	if err != nil {
@@ -39,8 +39,8 @@
 		return err
 	}
 	fmt.Fprint(environment.Stdout, report.Markdown())
-	for _, one := range report.Policies {
-		fmt.Fprintf(environment.Stderr, "%s: %.0f times real time\n", one.Policy, one.Speed)
+	for _, policy := range report.Policies {
+		fmt.Fprintf(environment.Stderr, "%s: %.0f times real time\n", policy.Policy, policy.Speed)
 	}
 	return nil
 }
--- a/internal/cli/experiment_test.go
+++ b/internal/cli/experiment_test.go
@@ -23,21 +23,23 @@
 	return code, output.String(), errors.String()
 }
 
+// The command must print the report and write report.json.
 func TestExperimentWritesAndPrintsTheReport(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "out")
 	code, stdout, stderr := runExperiment(t, experimentScenario, out)
 	if code != ExitOK || !strings.Contains(stdout, "| paced |") {
-		t.Fatalf("code %d\n%s\n%s", code, stdout, stderr)
+		t.Fatalf("got exit code %d with output\n%s\n%s", code, stdout, stderr)
 	}
 	if _, err := os.Stat(filepath.Join(out, "report.json")); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// An invalid scenario must give ExitUsage and an error with the file, line and field.
 func TestExperimentRefusesABadScenarioWithFileLineAndField(t *testing.T) {
 	bad := strings.Replace(experimentScenario, "train_time: 3s", "train_time: -3s", 1)
 	code, _, stderr := runExperiment(t, bad, t.TempDir())
 	if code != ExitUsage || !strings.Contains(stderr, "s.yaml:7: trainers[0].train_time") {
-		t.Fatalf("code %d: %s", code, stderr)
+		t.Fatalf("got exit code %d, error %q", code, stderr)
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,12 +12,13 @@
 	"github.com/tamarindring/tamarindring/internal/explain"
 )
 
-// explainCommand tells the story of one id.
+// explainCommand prints the events that concern one request, batch job or item.
 type explainCommand struct {
 	Items int `long:"items" default:"10" description:"Most items of a batch job that are listed"`
 }
 
-// Run reads the logs named by arguments[1:], or standard input, and prints the story of arguments[0].
+// Run reads the logs named by arguments[1:], or standard input, and prints the events that concern the id in
+// arguments[0].
 func (c *explainCommand) Run(environment Environment, arguments []string) error {
 	if len(arguments) == 0 {
 		return &ExitError{Code: ExitUsage, Message: "explain: want ID FILE..., an id and the logs of the processes; without files standard input is read"}
@@ -53,10 +54,10 @@
 	return nil
 }
 
-// eventsCommand prints the page of the events.
+// eventsCommand prints the reference page of the events in logs.
 type eventsCommand struct{}
 
-// Run prints the page.
+// Run prints the page in Markdown.
 func (*eventsCommand) Run(environment Environment, _ []string) error {
 	_, err := io.WriteString(environment.Stdout, events.Markdown())
 	return trace.Wrap(err)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// fleetCommand runs a whole deployment on loopback and checks it.
+// fleetCommand runs a whole deployment on loopback and checks its invariants.
 type fleetCommand struct {
 	Deployment    string        `long:"deployment" default:"vltava" description:"vltava or dalanet"`
 	Duration      time.Duration `long:"duration" default:"20s" description:"How long callers call; at least 10s"`
@@ -24,7 +24,7 @@
 	LogLevel      string        `long:"log-level" default:"error" description:"Lowest level of the parts' own messages: debug, info, warning or error"`
 }
 
-// Run starts the fleet, shows its progress, prints a summary and writes the report.
+// Run starts the fleet, prints its progress and a summary, and writes the report.
 func (c *fleetCommand) Run(environment Environment, arguments []string) error {
 	if len(arguments) > 0 {
 		return &ExitError{Code: ExitUsage, Message: fmt.Sprintf("fleet takes no arguments, got %q", arguments[0])}
@@ -59,10 +59,11 @@
 	if err != nil {
 		return err
 	}
-	return c.conclude(environment, report)
+	return c.printReport(environment, report)
 }
 
-func (c *fleetCommand) conclude(environment Environment, report *fleet.Report) error {
+// printReport prints and writes the report. It fails with ExitInvariant if an invariant was violated or never examined.
+func (c *fleetCommand) printReport(environment Environment, report *fleet.Report) error {
 	report.Print(environment.Stdout)
 	if err := report.Write(c.Report); err != nil {
 		return err
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// TestABadFleetFlagStartsSomething gives impossible values: one line that names the flag's value, exit code 2,
-// nothing written.
+// TestABadFleetFlagStartsSomething: an impossible value must give ExitUsage and one line that names it, before
+// anything is started or written.
 func TestABadFleetFlagStartsSomething(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "out")
-	for _, known := range []struct{ arguments, names string }{
+	for _, test := range []struct{ arguments, names string }{
 		{"--deployment prague", "prague"},
 		{"--duration 1s", "1s"},
 		{"--live-rate -1", "rates"},
@@ -21,15 +21,15 @@
 		{"--fault", "fault"},
 	} {
 		var stdout, stderr bytes.Buffer
-		arguments := append([]string{"fleet", "--report", folder}, strings.Fields(known.arguments)...)
+		arguments := append([]string{"fleet", "--report", folder}, strings.Fields(test.arguments)...)
 		if code := Main(arguments, &stdout, &stderr); code != ExitUsage {
-			t.Errorf("%s: exit code %d", known.arguments, code)
+			t.Errorf("%s: got exit code %d, want a usage error", test.arguments, code)
 		}
-		if text := strings.TrimSpace(stderr.String()); !strings.Contains(text, known.names) || strings.Contains(text, "\n") {
-			t.Errorf("%s: %q is not one line that names it", known.arguments, text)
+		if text := strings.TrimSpace(stderr.String()); !strings.Contains(text, test.names) || strings.Contains(text, "\n") {
+			t.Errorf("%s: got error %q, want one line that names the value", test.arguments, text)
 		}
 		if _, err := os.Stat(folder); err == nil {
-			t.Fatalf("%s: %s was made", known.arguments, folder)
+			t.Fatalf("%s: folder %s was created", test.arguments, folder)
 		}
 	}
 }
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -27,8 +27,8 @@
 	return c.run(environment, arguments, memberRole{role: "gateway", name: c.Name, drainTime: c.DrainTime, open: c.openServer})
 }
 
-func (c *gatewayCommand) openServer(ctx context.Context, opened roleCredentials, log *logrus.Entry) (memberServer, error) {
+func (c *gatewayCommand) openServer(ctx context.Context, authentication roleCredentials, log *logrus.Entry) (memberServer, error) {
 	return gateway.Open(ctx, gateway.Config{Name: c.Name, Listen: c.Listen, Zone: c.Zone, Region: c.Region,
 		MaxBodyBytes: c.MaxBody, MaxConnections: c.Connections, MaxConnectionsPerAddress: c.PerAddress,
-		Guard: opened.guard, Log: log}, c.client(opened, log))
+		Guard: authentication.guard, Log: log}, c.clientConfig(authentication, log))
 }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -13,6 +13,7 @@
 	"github.com/tamarindring/tamarindring/internal/workload/caller"
 )
 
+// loadProgressInterval is the time between two lines of progress.
 const loadProgressInterval = 2 * time.Second
 
 // loadCommand drives gateways with a workload.
@@ -29,8 +30,8 @@
 	RetryRefused bool `long:"retry-refused" description:"Also repeat repeatable calls that were refused and told when to come back"`
 }
 
-// Run starts calls until the duration is over or the first SIGINT or SIGTERM, waits for the answers and
-// writes the report. It fails if an answer was wrong or none came.
+// Run starts calls until the duration is over or the first SIGINT or SIGTERM, waits for the answers and writes the
+// report. It fails if an answer was wrong or no call was answered.
 func (c *loadCommand) Run(environment Environment, _ []string) error {
 	load, err := workload.Load(c.Workload)
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	made, err := caller.New(caller.Config{
+	loadCaller, err := caller.New(caller.Config{
 		Authorization: authorization,
 		Gateways:      func() []string { return addresses }, Workload: load, Seed: c.Seed, Run: c.RunName, MaxInFlight: c.MaxInFlight,
 		MaxAttempts: c.MaxAttempts, RetryRefused: c.RetryRefused, Log: logging.Part(logger, "load"),
@@ -62,18 +63,18 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := c.drive(environment, made); err != nil {
+	if err := c.runCaller(environment, loadCaller); err != nil {
 		return err
 	}
-	return c.report(environment, made)
+	return c.report(environment, loadCaller)
 }
 
-// drive runs the caller and shows its progress.
-func (c *loadCommand) drive(environment Environment, made *caller.Caller) error {
+// runCaller runs the caller and prints its progress.
+func (c *loadCommand) runCaller(environment Environment, loadCaller *caller.Caller) error {
 	ctx, cancel := context.WithTimeout(environment.Context, c.Duration)
 	defer cancel()
 	finished := make(chan error, 1)
-	go func() { finished <- made.Run(ctx) }()
+	go func() { finished <- loadCaller.Run(ctx) }()
 	ticker := time.NewTicker(loadProgressInterval)
 	defer ticker.Stop()
 	for {
@@ -81,15 +82,16 @@
 		case err := <-finished:
 			return trace.Wrap(err)
 		case <-ticker.C:
-			total := made.Stats().Total
+			total := loadCaller.Stats().Total
 			fmt.Fprintf(environment.Stdout, "%d requests, %d answered, %d refused, %d lost, %d wrong, p99 %.1f ms\n",
 				total.Requests, total.Answered, total.Refused, total.Lost, total.Wrong, total.Latency.P99)
 		}
 	}
 }
 
-func (c *loadCommand) report(environment Environment, made *caller.Caller) error {
-	report := caller.NewReport(made.Stats())
+// report prints and writes the report.
+func (c *loadCommand) report(environment Environment, loadCaller *caller.Caller) error {
+	report := caller.NewReport(loadCaller.Stats())
 	report.Print(environment.Stdout)
 	if err := report.Write(c.Out); err != nil {
 		return err
--- a/internal/cli/load_test.go
+++ b/internal/cli/load_test.go
@@ -25,6 +25,8 @@
 	return path
 }
 
+// Correct answers must give ExitOK and a report that counts them. An engine that duplicates chunks must be detected
+// as a failure.
 func TestLoadChecksAnswersAndWritesTheReport(t *testing.T) {
 	server, err := engine.New(engine.Config{
 		Name: "e", Listen: "127.0.0.1:0", InitialVersion: "v1", InitialVersionNumber: 1, TimeScale: 100, Log: logging.Discard(),
@@ -48,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if report.Live.Requests == 0 || report.Live.ByVerdict["ran"] != report.Live.Requests || report.Invariants[0].Examined == 0 {
-		t.Errorf("report %+v", report)
+		t.Errorf("got report %+v, want requests that all ran and an examined invariant", report)
 	}
 	server.SetFaults(engine.Faults{DuplicateProbability: 1})
 	if code := Main(arguments, &stdout, &stderr); code != ExitFailure {
@@ -56,6 +58,8 @@
 	}
 }
 
+// An invalid workload must give ExitUsage and an error with the file, line and field, before the output folder is
+// created.
 func TestLoadRefusesBadInput(t *testing.T) {
 	cases := []struct{ content, want string }{
 		{strings.Replace(loadWorkload, "per_second", "per_sekond", 1), "w.yaml:4: sources[0].arrival.per_sekond"},
@@ -69,7 +73,7 @@
 			t.Errorf("exit code %d, %q, want %q", code, stderr.String(), test.want)
 		}
 		if _, err := os.Stat(out); !os.IsNotExist(err) {
-			t.Error("the folder was made in spite of the refusal")
+			t.Error("the output folder was created, want none after a refusal")
 		}
 	}
 }
--- a/internal/cli/main_test.go
+++ b/internal/cli/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain makes this test binary stand for the programs that the documentation's pages call.
+// TestMain makes this test binary act as the programs that the pages of the documentation call.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"tamarindring": func() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) },
@@ -19,7 +19,8 @@
 	})
 }
 
-// curl does what the pages use of the program of that name, which a machine may lack: -s, -H and -d.
+// curl implements the options of curl that the pages use (-s, -H and -d), because a machine may lack the program. It
+// returns curl's exit codes.
 func curl(arguments []string) int {
 	method, body, address := http.MethodGet, "", ""
 	header := http.Header{}
--- a/internal/cli/member.go
+++ b/internal/cli/member.go
@@ -8,7 +8,7 @@
 	"github.com/tamarindring/tamarindring/internal/operator"
 )
 
-// memberAddCommand makes a joined control node a voter.
+// memberAddCommand makes a control node that was started with --join a voter.
 type memberAddCommand struct {
 	controlAccess
 	Arguments struct {
@@ -18,7 +18,7 @@
 
 // Run adds the node to every group, as a learner first.
 func (c *memberAddCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		if err := operator.AddNode(ctx, client, c.Arguments.ID); err != nil {
 			return err
 		}
@@ -27,7 +27,7 @@
 	})
 }
 
-// memberRemoveCommand takes a control node out.
+// memberRemoveCommand removes a control node from the cluster.
 type memberRemoveCommand struct {
 	controlAccess
 	Arguments struct {
@@ -37,7 +37,7 @@
 
 // Run removes the node from every group.
 func (c *memberRemoveCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		if err := operator.RemoveNode(ctx, client, c.Arguments.ID); err != nil {
 			return err
 		}
@@ -46,7 +46,7 @@
 	})
 }
 
-// memberReplaceCommand puts a joined control node in another's place.
+// memberReplaceCommand replaces a control node by one that was started with --join.
 type memberReplaceCommand struct {
 	controlAccess
 	Arguments struct {
@@ -57,7 +57,7 @@
 
 // Run adds the new node to every group, then removes the old one.
 func (c *memberReplaceCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		if c.Arguments.Old == c.Arguments.New {
 			return &ExitError{Code: ExitUsage, Message: "a node can't replace itself: a lost disk needs a new id"}
 		}
--- a/internal/cli/metrics_page_test.go
+++ b/internal/cli/metrics_page_test.go
@@ -69,10 +69,10 @@
 	return server
 }
 
-// processMetrics are the project's metrics of every process, which package metrics makes itself.
+// processMetrics are the metrics that package metrics itself exports for every process.
 var processMetrics = []string{"tamarindring_build_info", "tamarindring_ready"}
 
-// exportedMetrics returns the names that the roles describe.
+// exportedMetrics returns the names of all metrics that the roles describe.
 func exportedMetrics(t *testing.T) map[string]bool {
 	t.Helper()
 	control := startControlServer(t)
@@ -81,7 +81,7 @@
 		names[name] = true
 	}
 	for _, process := range []metrics.Process{control, startGateway(t, control.Address()), startCoordinator(t, control.Address())} {
-		for name := range described(process.Collector()) {
+		for name := range describedMetrics(process.Collector()) {
 			names[name] = true
 		}
 	}
@@ -111,15 +111,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	driving, err := executor.New(executor.Config{Caller: replica.NewClient(replica.Options{}), Admit: func(*wire.RunStart) bool { return false }})
+	itemExecutor, err := executor.New(executor.Config{Caller: replica.NewClient(replica.Options{}), Admit: func(*wire.RunStart) bool { return false }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	budget := bytebudget.New(bytebudget.LimitFor(0))
 	callers := sendbuffer.NewSet(sendbuffer.Config{Budget: budget})
 	for _, collector := range []prometheus.Collector{budget, callers.Collector(), guard.Collector(), forwarder.Process().Collector(), runner.Collector(), driver.Collector(), reporter.Collector(),
-		replicas.Collector(), driving.Collector()} {
-		for name := range described(collector) {
+		replicas.Collector(), itemExecutor.Collector()} {
+		for name := range describedMetrics(collector) {
 			names[name] = true
 		}
 	}
@@ -144,7 +144,8 @@
 
 var descName = regexp.MustCompile(`fqName: "([a-z_]+)"`)
 
-func described(collector prometheus.Collector) map[string]bool {
+// describedMetrics returns the names of the metrics that a collector describes.
+func describedMetrics(collector prometheus.Collector) map[string]bool {
 	descs := make(chan *prometheus.Desc)
 	go func() {
 		defer close(descs)
@@ -168,7 +169,7 @@
 
 var metricName = regexp.MustCompile(`tamarindring_[a-z_]+`)
 
-// alertRules is the form of a Prometheus rule file, as far as ours uses it.
+// alertRules has the fields of a Prometheus rule file that ours uses.
 type alertRules struct {
 	Groups []struct {
 		Name  string `yaml:"name"`
@@ -187,6 +188,7 @@
 	} `yaml:"groups"`
 }
 
+// Every alert must have all fields and use only metrics that a process exports. Otherwise it would never fire.
 func TestAlertNamesAMetricThatNoProcessExports(t *testing.T) {
 	exported := exportedMetrics(t)
 	var rules alertRules
@@ -197,12 +199,12 @@
 	for _, group := range rules.Groups {
 		for _, rule := range group.Rules {
 			if seen[rule.Alert] || rule.For == "" || rule.Labels.Severity == "" || rule.Annotations.Summary == "" || rule.Annotations.Description == "" {
-				t.Errorf("alert %q is given twice or lacks a field", rule.Alert)
+				t.Errorf("alert %q is defined twice or lacks a field", rule.Alert)
 			}
 			seen[rule.Alert] = true
 			names := metricName.FindAllString(rule.Expr, -1)
 			if len(names) == 0 {
-				t.Errorf("alert %s looks at no metric", rule.Alert)
+				t.Errorf("alert %s uses no metric of this project", rule.Alert)
 			}
 			for _, name := range names {
 				if !exported[name] && !exported[strings.TrimSuffix(name, "_bucket")] {
@@ -216,6 +218,7 @@
 	}
 }
 
+// The metrics page must list exactly the exported metrics.
 func TestMetricsPageDiffersFromTheCode(t *testing.T) {
 	exported := exportedMetrics(t)
 	onPage := map[string]bool{}
@@ -224,12 +227,12 @@
 	}
 	for name := range exported {
 		if !onPage[name] {
-			t.Errorf("metrics.md does not tell of %s", name)
+			t.Errorf("metrics.md does not list %s", name)
 		}
 	}
 	for name := range onPage {
 		if !exported[name] {
-			t.Errorf("metrics.md tells of %s, which no process exports", name)
+			t.Errorf("metrics.md lists %s, which no process exports", name)
 		}
 	}
 }
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -14,7 +14,8 @@
 	"github.com/tamarindring/tamarindring/platform"
 )
 
-// platformRole runs one role of the users' platform from the platform's settings file.
+// platformRole holds the flags of the roles that run on the users' platform; all other settings come from the
+// platform's settings file.
 type platformRole struct {
 	logOptions
 	adminOptions
@@ -51,22 +52,22 @@
 		return &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
 	current := settings.Current()
-	collector := memlimit.Apply(current.Limits.MemoryBytes())
+	memoryLimits := memlimit.Apply(current.Limits.MemoryBytes())
 	log, err := r.logOptions.open(environment, role, current.Node, events.ProcessStarted{Zone: current.Zone, MemoryMB: current.Limits.MemoryMB})
 	if err != nil {
 		return err
 	}
-	log.Debugf("the heap stays below %d MB, collected at %d%% growth", collector.HeapBytes>>20, collector.CollectPercent)
+	log.Debugf("the heap stays below %d MB, collected at %d%% growth", memoryLimits.HeapBytes>>20, memoryLimits.CollectPercent)
 	settings.Follow(environment.Context, log.Entry)
 	go memlimit.Report(environment.Context, log.Entry, current.Limits.MemoryBytes())
 	admin := r.openMetrics(role, current.Node, log.Entry)
 	defer closeAdmin(admin)
-	show := func(process metrics.Process) error { return showAdmin(admin, process) }
+	show := func(process metrics.Process) error { return setAdminProcess(admin, process) }
 	return log.end(serve(environment.Context, current, show, log.Entry))
 }
 
-// openMetrics opens the operators' listener. On the platform another process may have its port: then this one goes
-// without metrics, since callers matter more.
+// openMetrics opens the admin listener. Another process on the platform may use its port. Then this process runs
+// without metrics, because serving callers matters more.
 func (r *platformRole) openMetrics(role, node string, log *logrus.Entry) *metrics.Admin {
 	admin, err := r.adminOptions.open(role, node, roleCredentials{}, log)
 	if err != nil {
--- a/internal/cli/processlog.go
+++ b/internal/cli/processlog.go
@@ -18,20 +18,20 @@
 	LogFormat string `long:"log-format" default:"json" description:"Log format on standard output: json, one object per line, or text"`
 }
 
-// processLog is the log of one process from its first line to its last.
+// processLog is the log of one process, from the event of its start to that of its end.
 type processLog struct {
 	*logrus.Entry
 	role    string
 	sink    *logging.Sink
 	started time.Time
-	// stopWatch ends the wait for the signal to stop.
+	// stopWatch cancels the event that is logged when a signal asks the process to stop.
 	stopWatch func() bool
 }
 
-// stoppedBySignal is why a process stops after SIGINT or SIGTERM.
+// stoppedBySignal is the reason in the event of a process that stops after SIGINT or SIGTERM.
 const stoppedBySignal = "signal"
 
-// open begins the log of a process; started says what else is known of its start.
+// open begins the log of a process with the given event, to which it adds the role and the version.
 func (o logOptions) open(environment Environment, role, node string, started events.ProcessStarted) (*processLog, error) {
 	sink := logging.NewSink(environment.Stdout)
 	logger, err := logging.New(logging.Config{Level: o.LogLevel, Format: o.LogFormat, Node: node, Output: sink})
@@ -48,12 +48,12 @@
 	return log, nil
 }
 
-// serving tells where the process serves.
+// serving logs the address that the process serves on.
 func (l *processLog) serving(address string) {
 	logging.Emit(l.Entry, &events.ProcessServing{Role: l.role, Address: address})
 }
 
-// end writes the last line, with the error that the process ends with, and returns that error.
+// end logs the last event with the error that the process ends with, and returns that error.
 func (l *processLog) end(err error) error {
 	l.stopWatch()
 	logging.Emit(l.Entry, &events.ProcessStopped{Role: l.role, Cause: events.ErrorText(err), RanMs: events.Millis(time.Since(l.started))})
--- a/internal/cli/race_test.go
+++ b/internal/cli/race_test.go
@@ -15,35 +15,36 @@
 	"github.com/tamarindring/tamarindring/internal/control"
 )
 
-// loss is what becomes of an operator's first sending of a change.
-type loss string
+// lossKind tells what is lost of an operator's first sending of a change.
+type lossKind string
 
 const (
-	lossNone    loss = "nothing"
-	lossRequest loss = "request" // the change never arrives
-	lossAnswer  loss = "answer"  // the change arrives, its answer doesn't
+	lossNone    lossKind = "nothing"
+	lossRequest lossKind = "request" // the change never arrives
+	lossAnswer  lossKind = "answer"  // the change arrives, but its answer is lost
 )
 
-// lossyProxy stands between one operator and a control node. It holds the first change, known by marker,
-// until the other operator's has been sent too, and then loses what it is told to lose; after a loss it
-// answers nothing any more.
+// lossyProxy forwards one operator's connections to a control node. It holds the first change, which it recognizes by
+// the marker, until the other operator's change has been sent too. Then it loses the change or its answer as
+// configured. After a loss it forwards nothing any more.
 type lossyProxy struct {
-	listener net.Listener
-	target   string
-	marker   []byte
-	loss     loss
-	meet     func() // returns once both changes have been sent
-	dead     atomic.Bool
-	answers  atomic.Bool // answers are swallowed
+	listener    net.Listener
+	target      string
+	marker      []byte
+	loss        lossKind
+	awaitBoth   func() // returns when both changes have been sent
+	closed      atomic.Bool
+	dropAnswers atomic.Bool // answers are dropped
 }
 
-func startLossyProxy(t *testing.T, target, marker string, lost loss, meet func()) *lossyProxy {
+// startLossyProxy runs a proxy until the test ends.
+func startLossyProxy(t *testing.T, target, marker string, lost lossKind, awaitBoth func()) *lossyProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	proxy := &lossyProxy{listener: listener, target: target, marker: []byte(marker), loss: lost, meet: meet}
+	proxy := &lossyProxy{listener: listener, target: target, marker: []byte(marker), loss: lost, awaitBoth: awaitBoth}
 	var routines sync.WaitGroup
 	routines.Go(func() {
 		for {
@@ -51,7 +52,7 @@
 			if err != nil {
 				return
 			}
-			routines.Go(func() { proxy.pass(client) })
+			routines.Go(func() { proxy.forward(client) })
 		}
 	})
 	t.Cleanup(func() {
@@ -61,9 +62,9 @@
 	return proxy
 }
 
-func (p *lossyProxy) pass(client net.Conn) {
+func (p *lossyProxy) forward(client net.Conn) {
 	defer client.Close()
-	if p.dead.Load() {
+	if p.closed.Load() {
 		return
 	}
 	server, err := net.Dial("tcp", p.target)
@@ -75,28 +76,28 @@
 	go func() {
 		defer close(finished)
 		defer client.Close()
-		p.passAnswers(client, server)
+		p.forwardAnswers(client, server)
 	}()
-	p.passRequests(client, server)
+	p.forwardRequests(client, server)
 	_ = server.Close()
 	<-finished
 }
 
-func (p *lossyProxy) passRequests(client io.Reader, server io.Writer) {
+func (p *lossyProxy) forwardRequests(client io.Reader, server io.Writer) {
 	buffer := make([]byte, 64<<10)
 	for {
 		size, err := client.Read(buffer)
-		if err != nil || p.dead.Load() {
+		if err != nil || p.closed.Load() {
 			return
 		}
 		if bytes.Contains(buffer[:size], p.marker) {
-			p.meet()
+			p.awaitBoth()
 			switch p.loss {
 			case lossRequest:
-				p.dead.Store(true)
+				p.closed.Store(true)
 				return
 			case lossAnswer:
-				p.answers.Store(true)
+				p.dropAnswers.Store(true)
 			}
 		}
 		if _, err := server.Write(buffer[:size]); err != nil {
@@ -105,12 +106,12 @@
 	}
 }
 
-func (p *lossyProxy) passAnswers(client io.Writer, server io.Reader) {
+func (p *lossyProxy) forwardAnswers(client io.Writer, server io.Reader) {
 	buffer := make([]byte, 64<<10)
 	for {
 		size, err := server.Read(buffer)
-		if p.answers.Load() {
-			p.dead.Store(true)
+		if p.dropAnswers.Load() {
+			p.closed.Store(true)
 			return
 		}
 		if err != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// steadyTick is long enough that a busy machine does not make the nodes change their leader.
+// steadyTick is long enough that the nodes of a busy machine do not elect another leader during the test.
 const steadyTick = 100 * time.Millisecond
 
 // startCluster runs three control nodes and returns their addresses.
@@ -158,15 +159,15 @@
 	return addresses
 }
 
-// racer is one of two operators who set the same cell.
+// racer is one of two operators who set the same cell at the same time.
 type racer struct {
 	name   string
 	value  string
-	loss   loss
+	loss   lossKind
 	folder string
 }
 
-// run sets the cell by way of the control node at address.
+// run sets the cell through the control node at address. It returns the exit code and all output.
 func (r *racer) run(address, row, timeout string) (int, string) {
 	var stdout, stderr bytes.Buffer
 	code := Main([]string{"table", "set", row, "weight", r.value, "--operator", r.name, "--note", r.note(row),
@@ -176,12 +177,13 @@
 
 func (r *racer) note(row string) string { return "race of " + r.name + " over " + row }
 
-// race lets both send to the leader against one table version, loses what they are to lose, lets those who
-// were told nothing send again by way of another node, and returns who was told what.
-func race(t *testing.T, leader, other, row string, racers []*racer) (codes []int, told []string) {
+// race lets both operators send to the leader against the same table version and loses what they are configured to
+// lose. An operator whose request or answer was lost repeats the command through another node. The results are the
+// last exit code and output of each operator.
+func race(t *testing.T, leader, other, row string, racers []*racer) (codes []int, outputs []string) {
 	var sent sync.WaitGroup
 	sent.Add(len(racers))
-	codes, told = make([]int, len(racers)), make([]string, len(racers))
+	codes, outputs = make([]int, len(racers)), make([]string, len(racers))
 	var running sync.WaitGroup
 	for index, operator := range racers {
 		once := sync.OnceFunc(sent.Done)
@@ -191,8 +193,8 @@
 			if operator.loss != lossNone {
 				timeout = "1s"
 			}
-			codes[index], told[index] = operator.run(proxy.listener.Addr().String(), row, timeout)
-			once() // it may have given up before it sent anything; the other is not kept waiting for it
+			codes[index], outputs[index] = operator.run(proxy.listener.Addr().String(), row, timeout)
+			once() // the operator may have given up before sending; the other must not wait for it
 		})
 	}
 	running.Wait()
@@ -201,18 +203,19 @@
 			continue
 		}
 		if codes[index] != ExitUnknown {
-			t.Errorf("%s lost the %s and was told %d: %s", operator.name, operator.loss, codes[index], told[index])
+			t.Errorf("%s lost the %s: got exit code %d, want an unknown outcome: %s", operator.name, operator.loss, codes[index], outputs[index])
 		}
-		codes[index], told[index] = operator.run(other, row, "20s")
+		codes[index], outputs[index] = operator.run(other, row, "20s")
 	}
-	return codes, told
+	return codes, outputs
 }
 
-// TestRacingOperatorsAreToldWrongly lets two operators set one cell under one version, with every pair of
-// losses: exactly one change is made, and each is told what became of the own one.
+// TestRacingOperatorsAreToldWrongly lets two operators set one cell against the same version, with every pair of
+// losses. Exactly one change may be made. The winner must learn that its change was accepted, and the other one must
+// learn of the conflict.
 func TestRacingOperatorsAreToldWrongly(t *testing.T) {
 	addresses := leaderFirst(t, startCluster(t))
-	losses := []loss{lossNone, lossRequest, lossAnswer}
+	losses := []lossKind{lossNone, lossRequest, lossAnswer}
 	for _, first := range losses {
 		for _, second := range losses {
 			t.Run(fmt.Sprintf("%s and %s lost", first, second), func(t *testing.T) {
@@ -223,34 +226,36 @@
 					{name: "ann", value: "11", loss: first, folder: t.TempDir()},
 					{name: "ben", value: "22", loss: second, folder: t.TempDir()},
 				}
-				codes, told := race(t, addresses[0], addresses[1], row, racers)
-				checkRace(t, addresses[0], row, racers, codes, told)
+				codes, outputs := race(t, addresses[0], addresses[1], row, racers)
+				checkRace(t, addresses[0], row, racers, codes, outputs)
 			})
 		}
 	}
 }
 
-func checkRace(t *testing.T, address, row string, racers []*racer, codes []int, told []string) {
+// checkRace fails the test unless one operator's change was accepted and the other's was refused with the winner's
+// value and name.
+func checkRace(t *testing.T, address, row string, racers []*racer, codes []int, outputs []string) {
 	t.Helper()
 	winner := 0
 	if codes[1] == ExitOK {
 		winner = 1
 	}
 	loser := 1 - winner
-	if codes[winner] != ExitOK || !strings.Contains(told[winner], "accepted version") {
-		t.Fatalf("nobody won: %d %s\n%d %s", codes[0], told[0], codes[1], told[1])
+	if codes[winner] != ExitOK || !strings.Contains(outputs[winner], "accepted version") {
+		t.Fatalf("no change was accepted, want one: exit code %d, %s\nexit code %d, %s", codes[0], outputs[0], codes[1], outputs[1])
 	}
 	conflict := fmt.Sprintf("now %s, set by %s", racers[winner].value, racers[winner].name)
-	if codes[loser] != ExitRefused || !strings.Contains(told[loser], conflict) {
-		t.Errorf("the loser was not told %q: %d %s", conflict, codes[loser], told[loser])
+	if codes[loser] != ExitRefused || !strings.Contains(outputs[loser], conflict) {
+		t.Errorf("want a refusal with %q for the other operator, got exit code %d, %s", conflict, codes[loser], outputs[loser])
 	}
 	history := mustRun(t, address, "table", "history", "--row", row, "--column", "weight", "--format", "json")
-	if made := strings.Count(history, `"column"`); made != 1 || !strings.Contains(history, `"`+racers[winner].value+`"`) {
-		t.Errorf("%d changes were made, want one to %s: %s", made, racers[winner].value, history)
+	if changes := strings.Count(history, `"column"`); changes != 1 || !strings.Contains(history, `"`+racers[winner].value+`"`) {
+		t.Errorf("got %d changes in the history, want one to %s: %s", changes, racers[winner].value, history)
 	}
 }
 
-// mustRun runs a command that must end well and returns what it prints.
+// mustRun runs a command that must succeed and returns its output.
 func mustRun(t *testing.T, address string, arguments ...string) string {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -264,11 +269,11 @@
 	return stdout.String()
 }
 
-// leaderFirst puts the leader of the control group first: a client that speaks to another node is sent on
-// to the leader and would go around a proxy.
+// leaderFirst moves the leader of the control group to the front. A client that connects to another node is
+// redirected to the leader and would bypass a proxy.
 func leaderFirst(t *testing.T, addresses []string) []string {
 	t.Helper()
-	mustRun(t, strings.Join(addresses, ","), "table", "show") // waits for a leader
+	mustRun(t, strings.Join(addresses, ","), "table", "show") // waits until there is a leader
 	printed := mustRun(t, strings.Join(addresses, ","), "status")
 	for index, address := range addresses {
 		for line := range strings.SplitSeq(printed, "\n") {
--- a/internal/cli/role.go
+++ b/internal/cli/role.go
@@ -24,22 +24,22 @@
 	serverOptions
 }
 
-// memberRole is what differs between the roles.
+// memberRole holds the properties that differ between these roles.
 type memberRole struct {
 	role      string
 	name      string
 	drainTime time.Duration
-	// open starts the server; it is given the time that a start may take.
-	open func(ctx context.Context, opened roleCredentials, log *logrus.Entry) (memberServer, error)
+	// open starts the server. Its context ends after the time that a start may take.
+	open func(ctx context.Context, authentication roleCredentials, log *logrus.Entry) (memberServer, error)
 }
 
-// client is the configuration of the role's client of the control group.
-func (o memberOptions) client(opened roleCredentials, log *logrus.Entry) controlclient.Config {
+// clientConfig returns the configuration of the role's client of the control group.
+func (o memberOptions) clientConfig(authentication roleCredentials, log *logrus.Entry) controlclient.Config {
 	return controlclient.Config{Addresses: strings.Split(o.Control, ","), LedgerGroups: o.LedgerGroups,
-		Credentials: opened.client, Log: log}
+		Credentials: authentication.client, Log: log}
 }
 
-// run starts the role, serves until the environment's context ends, then drains.
+// run starts the role, serves until the environment's context ends or the server has to stop, then drains.
 func (o memberOptions) run(environment Environment, arguments []string, role memberRole) error {
 	if len(arguments) > 0 {
 		return &ExitError{Code: ExitUsage, Message: fmt.Sprintf("%s takes no arguments, got %q", role.role, arguments[0])}
@@ -53,31 +53,32 @@
 
 func (o memberOptions) serve(environment Environment, role memberRole, process *processLog) error {
 	log := process.Entry
-	opened, err := o.roleCredentials(log)
+	authentication, err := o.openRoleCredentials(log)
 	if err != nil {
 		return err
 	}
-	admin, err := o.adminOptions.open(role.role, role.name, opened, log)
+	admin, err := o.adminOptions.open(role.role, role.name, authentication, log)
 	if err != nil {
 		return err
 	}
 	defer closeAdmin(admin)
-	server, err := o.start(environment.Context, opened, log, role)
+	server, err := o.start(environment.Context, authentication, log, role)
 	if err != nil {
 		return err
 	}
-	if err := showAdmin(admin, server); err != nil {
+	if err := setAdminProcess(admin, server); err != nil {
 		return trace.NewAggregate(err, server.Close())
 	}
-	opened.warnIfOpen(log, "the listener", server.Address())
+	authentication.warnIfOpen(log, "the listener", server.Address())
 	process.serving(server.Address())
-	return serveMember(environment.Context, server, role.drainTime, &lostWatch{limit: o.LostTime}, log)
+	return serveMember(environment.Context, server, role.drainTime, &leaseLossMonitor{limit: o.LostTime}, log)
 }
 
-func (o memberOptions) start(ctx context.Context, opened roleCredentials, log *logrus.Entry, role memberRole) (memberServer, error) {
+// start opens the server within the start time.
+func (o memberOptions) start(ctx context.Context, authentication roleCredentials, log *logrus.Entry, role memberRole) (memberServer, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.StartTime)
 	defer cancel()
-	server, err := role.open(ctx, opened, log)
+	server, err := role.open(ctx, authentication, log)
 	if trace.IsBadParameter(err) {
 		return nil, &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -10,34 +10,35 @@
 	"github.com/tamarindring/tamarindring/internal/metrics"
 )
 
-// leavePoll is how often a process looks whether an operator has asked it to leave.
-const leavePoll = 200 * time.Millisecond
+// leavePollInterval is how often a process checks whether an operator has asked it to leave, and whether it holds a
+// lease.
+const leavePollInterval = 200 * time.Millisecond
 
-// memberServer is what gateways and coordinators have in common.
+// memberServer is the common interface of gateways and coordinators.
 type memberServer interface {
 	metrics.Process
-	// Address is the bound IP:port.
+	// Address returns the bound IP:port.
 	Address() string
 	Run(context.Context) error
 	Drain(context.Context) error
 	Close() error
-	// LeaveRequested says whether an operator has asked this process to finish its work and leave.
+	// LeaveRequested reports whether an operator has asked this process to finish its work and leave.
 	LeaveRequested() bool
 }
 
-// serveMember runs a server until it fails, ctx ends or an operator asks it to leave; then it drains it for
-// at most drainTime.
-func serveMember(ctx context.Context, server memberServer, drainTime time.Duration, lost *lostWatch, log *logrus.Entry) error {
-	lasting := context.WithoutCancel(ctx)
+// serveMember runs a server until it fails, ctx ends, an operator asks it to leave, or it has been without a lease
+// for too long. Then it drains the server for at most drainTime.
+func serveMember(ctx context.Context, server memberServer, drainTime time.Duration, monitor *leaseLossMonitor, log *logrus.Entry) error {
+	uncancelled := context.WithoutCancel(ctx)
 	served := make(chan error, 1)
-	go func() { served <- server.Run(lasting) }()
-	if err, ended := waitForStop(ctx, server, served, lost, log); ended {
+	go func() { served <- server.Run(uncancelled) }()
+	if err, ended := waitForStop(ctx, server, served, monitor, log); ended {
 		return err
 	}
-	if lost.isOver() {
-		return endLost(lasting, server, drainTime, lost.limit)
+	if monitor.isExpired() {
+		return drainAfterLoss(uncancelled, server, drainTime, monitor.limit)
 	}
-	drainContext, cancel := context.WithTimeout(lasting, drainTime)
+	drainContext, cancel := context.WithTimeout(uncancelled, drainTime)
 	defer cancel()
 	if err := server.Drain(drainContext); err != nil {
 		_ = server.Close()
@@ -46,9 +47,10 @@
 	return <-served
 }
 
-// waitForStop returns when the server should drain, or with its error when it has ended by itself.
-func waitForStop(ctx context.Context, server memberServer, served <-chan error, lost *lostWatch, log *logrus.Entry) (err error, ended bool) {
-	ticker := time.NewTicker(leavePoll)
+// waitForStop returns when the server should be drained, or with the server's error and ended set when it has stopped
+// by itself.
+func waitForStop(ctx context.Context, server memberServer, served <-chan error, monitor *leaseLossMonitor, log *logrus.Entry) (err error, ended bool) {
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -61,42 +63,44 @@
 				log.Info("an operator asked this process to leave")
 				return nil, false
 			}
-			if lost.look(time.Now(), server.Ready(ctx) == nil) {
+			if monitor.update(time.Now(), server.Ready(ctx) == nil) {
 				return nil, false
 			}
 		}
 	}
 }
 
-// lostWatch notices that a process is without a lease for too long. One that was cut off while every control node that it
-// knows was replaced finds the others by its settings only.
-type lostWatch struct {
-	limit time.Duration // 0: never
-	since time.Time     // zero while the process is ready
-	over  bool
+// leaseLossMonitor detects that a process has been without a lease for too long. If every control node that a process
+// knows is replaced while it is cut off, it can find the new ones only in its settings, which are read at the start.
+// So it has to be restarted.
+type leaseLossMonitor struct {
+	limit     time.Duration // 0: no limit
+	lostSince time.Time     // zero while the process is ready
+	expired   bool
 }
 
-// look takes the state of the moment, and tells whether the limit is passed.
-func (w *lostWatch) look(now time.Time, ready bool) bool {
+// update records whether the process is ready now. It reports whether the limit has been reached.
+func (m *leaseLossMonitor) update(now time.Time, ready bool) bool {
 	switch {
-	case ready || w.limit == 0:
-		w.since = time.Time{}
-	case w.since.IsZero():
-		w.since = now
+	case ready || m.limit == 0:
+		m.lostSince = time.Time{}
+	case m.lostSince.IsZero():
+		m.lostSince = now
 	default:
-		w.over = now.Sub(w.since) >= w.limit
+		m.expired = now.Sub(m.lostSince) >= m.limit
 	}
-	return w.over
+	return m.expired
 }
 
-func (w *lostWatch) isOver() bool { return w.over }
+func (m *leaseLossMonitor) isExpired() bool { return m.expired }
 
-// lostDrainTime bounds the drain of a process that has no control node to say farewell to.
-const lostDrainTime = 30 * time.Second
+// maxLostDrainTime bounds the drain of a process that has lost its lease. It can't announce its leaving to any
+// control node, so only the requests in flight have to be finished.
+const maxLostDrainTime = 30 * time.Second
 
-// endLost finishes what is in flight and fails.
-func endLost(ctx context.Context, server memberServer, drainTime, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, min(drainTime, lostDrainTime))
+// drainAfterLoss finishes the requests in flight and returns an error, so that the process's supervisor restarts it.
+func drainAfterLoss(ctx context.Context, server memberServer, drainTime, limit time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, min(drainTime, maxLostDrainTime))
 	defer cancel()
 	if err := server.Drain(ctx); err != nil {
 		_ = server.Close()
--- a/internal/cli/serve_test.go
+++ b/internal/cli/serve_test.go
@@ -11,50 +11,54 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// strandedServer holds no lease and serves until it is drained.
-type strandedServer struct{ drained chan struct{} }
+// leaselessServer never holds a lease and serves until it is drained.
+type leaselessServer struct{ drained chan struct{} }
 
-func (s *strandedServer) Ready(context.Context) error {
+func (s *leaselessServer) Ready(context.Context) error {
 	return trace.ConnectionProblem(nil, "no lease")
 }
-func (s *strandedServer) Collector() prometheus.Collector { return prometheus.NewRegistry() }
-func (s *strandedServer) Address() string                 { return "" }
-func (s *strandedServer) LeaveRequested() bool            { return false }
-func (s *strandedServer) Close() error                    { return nil }
-func (s *strandedServer) Run(context.Context) error       { <-s.drained; return nil }
-func (s *strandedServer) Drain(context.Context) error     { close(s.drained); return nil }
+func (s *leaselessServer) Collector() prometheus.Collector { return prometheus.NewRegistry() }
+func (s *leaselessServer) Address() string                 { return "" }
+func (s *leaselessServer) LeaveRequested() bool            { return false }
+func (s *leaselessServer) Close() error                    { return nil }
+func (s *leaselessServer) Run(context.Context) error       { <-s.drained; return nil }
+func (s *leaselessServer) Drain(context.Context) error     { close(s.drained); return nil }
 
-// TestProcessWithoutControlNodesServesForEver: whoever knows only control nodes that are gone has to start again.
+// TestProcessWithoutControlNodesServesForEver: a process that has been without a lease for the limit must drain and
+// end with an error. Otherwise a process that knows only control nodes that are gone would run forever without ever
+// finding the present ones.
 func TestProcessWithoutControlNodesServesForEver(t *testing.T) {
-	server := &strandedServer{drained: make(chan struct{})}
-	err := serveMember(context.Background(), server, time.Minute, &lostWatch{limit: time.Millisecond}, logging.Discard())
+	server := &leaselessServer{drained: make(chan struct{})}
+	err := serveMember(context.Background(), server, time.Minute, &leaseLossMonitor{limit: time.Millisecond}, logging.Discard())
 	if !trace.IsConnectionProblem(err) {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("got error %v, want a connection problem", err)
 	}
 	select {
 	case <-server.drained:
 	default:
-		t.Error("it was not drained")
+		t.Error("the server was not drained")
 	}
 }
 
+// Only a loss of the lease that lasts as long as the limit may end the process: a recovery in between starts the time
+// anew, and limit 0 never ends it.
 func TestShortLossEndsTheProcess(t *testing.T) {
 	at := time.Unix(0, 0)
-	for _, one := range []struct {
-		limit time.Duration
-		ready []bool // by second
-		over  bool
+	for _, test := range []struct {
+		limit   time.Duration
+		ready   []bool // one entry per second
+		expired bool
 	}{
 		{3 * time.Second, []bool{true, false, false, false, true, false, false, false}, false},
 		{3 * time.Second, []bool{true, false, false, false, false}, true},
 		{0, []bool{false, false, false, false, false}, false},
 	} {
-		watch := &lostWatch{limit: one.limit}
-		for second, ready := range one.ready {
-			watch.look(at.Add(time.Duration(second)*time.Second), ready)
+		monitor := &leaseLossMonitor{limit: test.limit}
+		for second, ready := range test.ready {
+			monitor.update(at.Add(time.Duration(second)*time.Second), ready)
 		}
-		if watch.isOver() != one.over {
-			t.Errorf("%+v: over is %v", one, watch.isOver())
+		if monitor.isExpired() != test.expired {
+			t.Errorf("%+v: got expired %v", test, monitor.isExpired())
 		}
 	}
 }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -10,18 +10,19 @@
 	"github.com/tamarindring/tamarindring/internal/settings"
 )
 
-// settingsFlag names the flag that every subcommand has besides its own.
+// settingsFlag is the name of the flag for a settings file, which every subcommand has.
 const settingsFlag = "settings"
 
-// settingsOption is the shared group of options.
+// settingsOption is the group of options that every subcommand has besides its own.
 type settingsOption struct {
 	Settings string `long:"settings" value-name:"FILE" description:"Strict YAML file whose keys are the long names of this subcommand's flags; flags given on the command line win"`
 }
 
-// withSettings puts the settings file's fields, if one is named, before the arguments as flags. A field
-// that is also given as a flag is left to the flag.
-func withSettings(parser *flags.Parser, arguments []string) ([]string, error) {
-	path := flagValue(arguments, settingsFlag)
+// mergeSettings inserts the fields of the settings file, if one is named, as flags between the subcommand and its
+// arguments. A field that is also given as a flag is left out, so that the flag wins. The error is trace.BadParameter
+// for an unknown or invalid field, and names the line.
+func mergeSettings(parser *flags.Parser, arguments []string) ([]string, error) {
+	path := findFlagValue(arguments, settingsFlag)
 	if path == "" {
 		return arguments, nil
 	}
@@ -37,12 +38,12 @@
 	for _, field := range fields {
 		option := findOption(command, field.Key)
 		if option == nil || field.Key == settingsFlag {
-			return nil, trace.BadParameter("settings file %s:%d: unknown setting %q; %s", path, field.Line, field.Key, suggestion(command, field.Key))
+			return nil, trace.BadParameter("settings file %s:%d: unknown setting %q; %s", path, field.Line, field.Key, suggestSetting(command, field.Key))
 		}
-		if flagGiven(arguments, field.Key) {
+		if isFlagGiven(arguments, field.Key) {
 			continue
 		}
-		texts, err := flagTexts(option, field)
+		texts, err := flagArguments(option, field)
 		if err != nil {
 			return nil, trace.BadParameter("settings file %s:%d: %v", path, field.Line, err)
 		}
@@ -51,14 +52,14 @@
 	return append(merged, arguments[depth:]...), nil
 }
 
-// flagTexts returns the arguments that set an option to a field's values. A boolean flag takes no value
-// on the command line; a list is for options that may be repeated.
-func flagTexts(option *flags.Option, field settings.Field) ([]string, error) {
+// flagArguments returns the arguments that set an option to a field's values. A boolean flag takes no value on the
+// command line. Only options that may be repeated accept a list.
+func flagArguments(option *flags.Option, field settings.Field) ([]string, error) {
 	if field.List && reflect.TypeOf(option.Value()).Kind() != reflect.Slice {
 		return nil, trace.BadParameter("%s takes one value, not a list", field.Key)
 	}
 	if _, boolean := option.Value().(bool); boolean {
-		return booleanTexts(field)
+		return booleanArguments(field)
 	}
 	var texts []string
 	for _, value := range field.Values {
@@ -67,7 +68,7 @@
 	return texts, nil
 }
 
-func booleanTexts(field settings.Field) ([]string, error) {
+func booleanArguments(field settings.Field) ([]string, error) {
 	switch field.Values[0] {
 	case "true":
 		return []string{"--" + field.Key}, nil
@@ -78,7 +79,8 @@
 	}
 }
 
-// findCommand returns the subcommand that the arguments name and how many arguments name it.
+// findCommand returns the subcommand that the arguments start with, and how many arguments name it. The command is
+// nil if there is none.
 func findCommand(parser *flags.Parser, arguments []string) (*flags.Command, int) {
 	command, depth := parser.Command, 0
 	for depth < len(arguments) {
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// commandOptions lists the options of a subcommand in the order of their definition.
+// commandOptions returns the options of a subcommand in the order of their definition.
 func commandOptions(command *flags.Command) []*flags.Option {
 	var options []*flags.Option
 	for _, group := range command.Groups() {
@@ -112,7 +114,8 @@
 	return options
 }
 
-func flagGiven(arguments []string, name string) bool {
+// isFlagGiven reports whether the arguments before "--" contain a flag.
+func isFlagGiven(arguments []string, name string) bool {
 	for _, argument := range arguments {
 		if argument == "--" {
 			return false
@@ -124,7 +127,8 @@
 	return false
 }
 
-func flagValue(arguments []string, name string) string {
+// findFlagValue returns a flag's value in the arguments before "--", or an empty text.
+func findFlagValue(arguments []string, name string) string {
 	for index, argument := range arguments {
 		if argument == "--" {
 			return ""
@@ -139,8 +143,8 @@
 	return ""
 }
 
-// suggestion names the nearest setting, or all of them.
-func suggestion(command *flags.Command, key string) string {
+// suggestSetting returns a hint with the setting of the most similar name, or with all settings if none is similar.
+func suggestSetting(command *flags.Command, key string) string {
 	best, bestDistance := "", len(key)/2+1
 	var names []string
 	for _, option := range commandOptions(command) {
@@ -158,7 +162,7 @@
 	return "known settings are " + strings.Join(names, ", ")
 }
 
-// editDistance is the Levenshtein distance.
+// editDistance returns the Levenshtein distance of two texts in bytes.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for column := range row {
--- a/internal/cli/settings_test.go
+++ b/internal/cli/settings_test.go
@@ -11,6 +11,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
+// sampleCommand has a flag of each kind that settings treat differently.
 type sampleCommand struct {
 	Name    string   `long:"name" required:"true"`
 	Control []string `long:"control"`
@@ -20,6 +21,7 @@
 
 func (*sampleCommand) Run(Environment, []string) error { return nil }
 
+// parseSample parses a settings file and arguments for a sampleCommand.
 func parseSample(t *testing.T, content string, arguments ...string) (*sampleCommand, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.yaml")
@@ -32,7 +34,7 @@
 	if _, err := addCommand(parser.Command, entry, &adapter{command: sample, environment: &Environment{}}); err != nil {
 		t.Fatal(err)
 	}
-	merged, err := withSettings(parser, append([]string{"sample", "--settings", path}, arguments...))
+	merged, err := mergeSettings(parser, append([]string{"sample", "--settings", path}, arguments...))
 	if err != nil {
 		return nil, err
 	}
@@ -40,6 +42,7 @@
 	return sample, err
 }
 
+// A flag on the command line must replace the value, or the whole list, of the settings file.
 func TestFlagsWinOverTheSettingsFile(t *testing.T) {
 	got, err := parseSample(t, "name: file\ncontrol: [a, b]\nlimit: 9\nslow: true\n", "--name", "flag", "--control=c")
 	if err != nil {
@@ -51,6 +54,7 @@
 	}
 }
 
+// An unknown setting must give an error with its line and the similar setting.
 func TestAnUnknownSettingNamesLineAndRemedy(t *testing.T) {
 	_, err := parseSample(t, "name: a\nlimt: 9\n")
 	if err == nil || !strings.Contains(err.Error(), ":2: unknown setting \"limt\"; did you mean limit?") {
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -19,8 +19,8 @@
 	Tail     int    `long:"trace-lines" default:"60" description:"Lines of the trace to print for the first violation"`
 }
 
-// Run runs the seeds, prints what they have shown, and fails on a violation or on an invariant that
-// examined nothing.
+// Run runs the seeds of the scenarios and prints the results. It fails if an invariant was violated or never
+// examined.
 func (c *simulateFaultsCommand) Run(environment Environment, _ []string) error {
 	scenarios := sim.Scenarios()
 	switch c.Scenario {
@@ -45,7 +45,7 @@
 	}
 	failed := 0
 	for i := range scenarios {
-		if !c.batch(environment, &scenarios[i]) {
+		if !c.runScenario(environment, &scenarios[i]) {
 			failed++
 		}
 	}
@@ -55,8 +55,9 @@
 	return environment.Context.Err()
 }
 
-// batch runs one scenario's seeds and reports whether they passed.
-func (c *simulateFaultsCommand) batch(environment Environment, scenario *sim.Scenario) bool {
+// runScenario runs one scenario with all seeds and reports whether it passed. After a violation it prints the end of
+// the first violating seed's trace.
+func (c *simulateFaultsCommand) runScenario(environment Environment, scenario *sim.Scenario) bool {
 	report := sim.RunBatch(environment.Context, sim.Options{Scenario: scenario, Seeds: c.Seeds, SeedBase: c.SeedBase, Parallel: c.Parallel})
 	report.Print(environment.Stdout)
 	if len(report.Violations) > 0 {
@@ -70,6 +71,7 @@
 	return report.Passed()
 }
 
+// replay runs one seed and prints its whole trace.
 func (c *simulateFaultsCommand) replay(out io.Writer, scenario *sim.Scenario) error {
 	result := sim.Run(scenario, *c.Replay, sim.NoMutation, true)
 	if _, err := io.WriteString(out, result.Trace); err != nil {
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -19,7 +19,7 @@
 	"github.com/tamarindring/tamarindring/internal/standin/weightstore"
 )
 
-// standinOptions are the flags that every stand-in has.
+// standinOptions are the flags of all stand-ins that serve HTTP.
 type standinOptions struct {
 	Listen       string        `long:"listen" default:"127.0.0.1:0" value-name:"IP:PORT" description:"Address to serve on; port 0 takes a free one and logs it"`
 	Seed         uint64        `long:"seed" default:"1" description:"Seed of injected faults and drawn times"`
@@ -36,7 +36,7 @@
 	return logging.Part(logger, part), nil
 }
 
-// standinServer is what the stand-ins that serve HTTP have in common.
+// standinServer is the common interface of the stand-ins that serve HTTP.
 type standinServer interface {
 	Address() string
 	Run(context.Context) error
@@ -208,8 +208,8 @@
 	tokenOption
 }
 
-// Run trains until SIGINT, SIGTERM or the last step, prints the trainer's account as JSON and fails if a
-// promise was broken.
+// Run trains until SIGINT, SIGTERM or the last step. Then it prints the trainer's counters as JSON, and fails if the
+// trainer has seen a guarantee violated.
 func (c *standinTrainerCommand) Run(environment Environment, _ []string) error {
 	logger, err := logging.New(logging.Config{Level: c.LogLevel, Format: c.LogFormat, Output: environment.Stderr})
 	if err != nil {
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	made, err := trainer.New(trainer.Config{
+	simulatedTrainer, err := trainer.New(trainer.Config{
 		Authorization: authorization,
 		Name:          c.Name, Coordinators: splitList(c.Coordinators), Pool: c.Pool, PromptsPerStep: c.PromptsPerStep,
 		SamplesPerPrompt: c.SamplesPerPrompt, MaxTokens: c.MaxTokens, TrainTime: c.TrainTime, StepsAhead: c.StepsAhead,
@@ -229,8 +229,8 @@
 	if err != nil {
 		return &ExitError{Code: ExitUsage, Message: trace.UserMessage(err)}
 	}
-	runError := made.Run(environment.Context)
-	stats := made.Stats()
+	runError := simulatedTrainer.Run(environment.Context)
+	stats := simulatedTrainer.Stats()
 	encoder := json.NewEncoder(environment.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(stats); err != nil {
@@ -242,7 +242,7 @@
 	return runError
 }
 
-// loadEngineParameters reads a YAML file of an engine's parameters.
+// loadEngineParameters reads the engine emulator's parameters from a YAML file.
 func loadEngineParameters(path string) (engine.Parameters, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -13,9 +13,10 @@
 	Format string `long:"format" default:"table" choice:"table" choice:"json" description:"table for reading, json for programs"`
 }
 
-// Run asks every known control node, back end and coordinator; unreachable ones are shown as such.
+// Run queries every known control node, back end and coordinator, and prints which ones can't be reached. It fails if
+// no leader of the control group was reached.
 func (c *statusCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		status := operator.ReadStatus(ctx, client)
 		if status.MembersError == "" {
 			fleet, err := operator.ReadFleet(ctx, client)
--- a/internal/cli/suspect_test.go
+++ b/internal/cli/suspect_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestSuspectsAtTheCommandLine: operators see what rests and why, have a request rest and free it again.
+// TestSuspectsAtTheCommandLine: an operator can list condemned requests, condemn a request by its digest and release
+// it. Invalid and unknown digests are refused.
 func TestSuspectsAtTheCommandLine(t *testing.T) {
 	t.Setenv("TAMARINDRING_CONTROL", startControl(t))
 	t.Setenv("TAMARINDRING_OPERATOR", "ann")
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -23,7 +23,7 @@
 
 // Run prints the table as it is now.
 func (c *tableShowCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		sheet, err := operator.ReadSheet(ctx, client)
 		if err != nil {
 			return err
@@ -32,7 +32,7 @@
 	})
 }
 
-// changeFlags are those of every command that changes the table.
+// changeFlags are the flags of every command that changes the table.
 type changeFlags struct {
 	controlAccess
 	Operator    string `long:"operator" env:"TAMARINDRING_OPERATOR" description:"Who makes the change; default: the user's login name"`
@@ -42,12 +42,14 @@
 	StateFolder string `long:"state-folder" value-name:"FOLDER" description:"Where changes are kept until their answer is known"`
 }
 
-// planner makes the plan of a change against the current sheet.
-type planner func(context.Context, *controlclient.Client, *operator.Sheet) (*operator.Plan, error)
+// planFunc plans a change against the current sheet.
+type planFunc func(context.Context, *controlclient.Client, *operator.Sheet) (*operator.Plan, error)
 
-// change settles an earlier sending of the same request, or plans and submits a new change.
-func (c *changeFlags) change(environment Environment, request string, plan planner) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+// submitChange resends the pending change of the same request, if there is one. Otherwise it plans, prints and
+// submits a new change. request identifies what the operator asked for; together with the operator and the note it is
+// the key of the pending change.
+func (c *changeFlags) submitChange(environment Environment, request string, plan planFunc) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		author, err := c.author()
 		if err != nil {
 			return err
@@ -60,7 +62,7 @@
 		if !c.DryRun {
 			outcome, err := submitter.ResendPending(ctx, request, c.Wait)
 			if err != nil || outcome != nil {
-				return c.report(ctx, environment, client, outcome, err)
+				return c.reportOutcome(ctx, environment, client, outcome, err)
 			}
 		}
 		sheet, err := operator.ReadSheet(ctx, client)
@@ -71,14 +73,15 @@
 		if err != nil {
 			return err
 		}
-		if err := c.showPlan(environment, planned); err != nil || c.DryRun || planned.Empty() {
+		if err := c.printPlan(environment, planned); err != nil || c.DryRun || planned.Empty() {
 			return err
 		}
 		outcome, err := submitter.Submit(ctx, request, planned, author, c.Wait)
-		return c.report(ctx, environment, client, outcome, err)
+		return c.reportOutcome(ctx, environment, client, outcome, err)
 	})
 }
 
+// author returns the operator named by the flag, or else the user's login name.
 func (c *changeFlags) author() (operator.Author, error) {
 	author := operator.Author{Operator: c.Operator, Note: c.Note}
 	if author.Operator != "" {
@@ -107,7 +110,8 @@
 	return &operator.Submitter{Control: client, Pending: pending}, nil
 }
 
-func (c *changeFlags) showPlan(environment Environment, plan *operator.Plan) error {
+// printPlan prints the edits of a plan, or that there are none.
+func (c *changeFlags) printPlan(environment Environment, plan *operator.Plan) error {
 	if plan.Empty() {
 		_, err := fmt.Fprintln(environment.Stdout, "nothing to change")
 		return err
@@ -115,8 +119,9 @@
 	return plan.Write(environment.Stdout)
 }
 
-// report prints what came of a change; a refused one ends with ExitRefused.
-func (c *changeFlags) report(ctx context.Context, environment Environment, client *controlclient.Client, outcome *operator.Outcome, err error) error {
+// reportOutcome prints the outcome of a change and returns the error for its exit code. A refused change gives
+// ExitRefused. If there is no outcome, err is returned unchanged.
+func (c *changeFlags) reportOutcome(ctx context.Context, environment Environment, client *controlclient.Client, outcome *operator.Outcome, err error) error {
 	if outcome == nil {
 		return err
 	}
@@ -132,7 +137,7 @@
 	return err
 }
 
-// reportLate lists the processes that may still act on an older version.
+// reportLate prints the processes that may still act on an older version of the table.
 func (c *changeFlags) reportLate(ctx context.Context, environment Environment, client *controlclient.Client, outcome *operator.Outcome) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateTimeout)
 	defer cancel()
@@ -144,7 +149,7 @@
 	return &ExitError{Code: ExitFailure, Message: "the change is accepted and not yet known to be in force everywhere"}
 }
 
-// lateTimeout bounds the question who is late.
+// lateTimeout bounds the query for late processes. The command's own timeout has usually passed by then.
 const lateTimeout = 2 * time.Second
 
 // tableSetCommand sets one cell.
@@ -161,12 +166,12 @@
 func (c *tableSetCommand) Run(environment Environment, _ []string) error {
 	arguments := c.Arguments
 	request := fmt.Sprintf("set\x00%s\x00%s\x00%s", arguments.Row, arguments.Column, arguments.Value)
-	return c.change(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+	return c.submitChange(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
 		return operator.PlanSet(sheet, arguments.Row, arguments.Column, arguments.Value)
 	})
 }
 
-// tableApplyCommand applies a whole sheet.
+// tableApplyCommand applies an edited sheet.
 type tableApplyCommand struct {
 	changeFlags
 	RemoveMissing bool `long:"remove-missing" description:"Remove the rows that the file does not list"`
@@ -175,7 +180,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Run changes the cells in which the file differs from the table, as one change.
+// Run sets the cells in which the file differs from the table, as one change.
 func (c *tableApplyCommand) Run(environment Environment, _ []string) error {
 	content, err := os.ReadFile(c.Arguments.File)
 	if err != nil {
@@ -186,7 +191,7 @@
 		return &ExitError{Code: ExitUsage, Message: fmt.Sprintf("%s: %s", c.Arguments.File, trace.UserMessage(err))}
 	}
 	request := fmt.Sprintf("apply\x00%t\x00%s", c.RemoveMissing, content)
-	return c.change(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+	return c.submitChange(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
 		return operator.PlanFile(sheet, file, c.RemoveMissing), nil
 	})
 }
@@ -200,16 +205,16 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Run prints what applying the file would change.
+// Run prints what applying the file would change. It is a dry run of the command apply.
 func (c *tableDiffCommand) Run(environment Environment, _ []string) error {
 	apply := tableApplyCommand{RemoveMissing: c.RemoveMissing, Arguments: c.Arguments}
 	apply.controlAccess, apply.DryRun = c.controlAccess, true
-	apply.StateFolder = os.TempDir() // unused in a dry run
+	apply.StateFolder = os.TempDir() // a dry run keeps no state
 	apply.Operator = "diff"
 	return apply.Run(environment, nil)
 }
 
-// tableRevertCommand undoes one accepted version.
+// tableRevertCommand undoes one accepted version of the table.
 type tableRevertCommand struct {
 	changeFlags
 	Arguments struct {
@@ -217,10 +222,10 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Run gives every cell that the version set its former value, as a new change.
+// Run restores the former value of every cell that the version set, as a new change.
 func (c *tableRevertCommand) Run(environment Environment, _ []string) error {
 	version := c.Arguments.Version
-	return c.change(environment, fmt.Sprintf("revert\x00%d", version),
+	return c.submitChange(environment, fmt.Sprintf("revert\x00%d", version),
 		func(ctx context.Context, client *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
 			history, err := operator.ReadHistory(ctx, client, operator.HistoryFilter{})
 			if err != nil {
@@ -230,7 +235,7 @@
 		})
 }
 
-// tableHistoryCommand prints who changed what.
+// tableHistoryCommand prints the history of the table.
 type tableHistoryCommand struct {
 	controlAccess
 	Row    string `long:"row" description:"Only this row"`
@@ -241,7 +246,7 @@
 
 // Run prints the history, newest first.
 func (c *tableHistoryCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		filter := operator.HistoryFilter{Row: c.Row, Column: c.Column, Limit: c.Limit}
 		history, err := operator.ReadHistory(ctx, client, filter)
 		if err != nil {
@@ -251,7 +256,7 @@
 	})
 }
 
-// tableWatchCommand follows the table.
+// tableWatchCommand prints changes of the table as they are made.
 type tableWatchCommand struct {
 	controlAccess
 	Interval time.Duration `long:"interval" default:"500ms" description:"How often to ask"`
@@ -259,10 +264,10 @@
 
 // Run prints each change as it is made, until interrupted.
 func (c *tableWatchCommand) Run(environment Environment, _ []string) error {
-	client, err := c.connect()
+	client, err := c.newClient()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	return exitErrorOf(operator.Watch(environment.Context, client, environment.Stdout, c.Interval, c.Timeout))
+	return toExitError(operator.Watch(environment.Context, client, environment.Stdout, c.Interval, c.Timeout))
 }
--- a/internal/cli/table_test.go
+++ b/internal/cli/table_test.go
@@ -18,6 +18,7 @@
 	return startControlServer(t).Address()
 }
 
+// startControlServer runs a cluster of one control node.
 func startControlServer(t *testing.T) *control.Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +46,9 @@
 	return server
 }
 
-func TestOperatorsDay(t *testing.T) {
+// Changes of the table, drain, status and changes of members, each with its exit code and a part of its output.
+// Invalid values and the removal of the only voter must be refused.
+func TestTableDrainAndMemberCommands(t *testing.T) {
 	address := startControl(t)
 	folder := t.TempDir()
 	t.Setenv("TAMARINDRING_CONTROL", address)
--- a/internal/cli/tenant.go
+++ b/internal/cli/tenant.go
@@ -13,9 +13,9 @@
 	controlAccess
 }
 
-// Run lists the tenants with the beginnings of their keys' digests.
+// Run prints the tenants with the first digits of their keys' digests.
 func (c *tenantListCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		sheet, err := operator.ReadSheet(ctx, client)
 		if err != nil {
 			return err
@@ -24,16 +24,16 @@
 	})
 }
 
-// tenantName is the argument of commands that concern one tenant.
+// tenantName is the argument of the commands on one tenant.
 type tenantName struct {
 	Arguments struct {
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"true" required:"true"`
 }
 
-// withKey plans a change with a new key and prints the key before it is sent: should the answer be lost, the same command
-// settles that very change.
-func withKey(environment Environment, dryRun bool, plan func(key string) (*operator.Plan, error)) (*operator.Plan, error) {
+// planWithNewKey plans a change with a new key. The key is printed before the change is sent: if the answer is lost,
+// running the same command again resends that change, which holds the printed key's digest.
+func planWithNewKey(environment Environment, dryRun bool, plan func(key string) (*operator.Plan, error)) (*operator.Plan, error) {
 	key := operator.NewKey()
 	planned, err := plan(key)
 	if err == nil && !dryRun {
@@ -42,7 +42,7 @@
 	return planned, err
 }
 
-// tenantAddCommand makes a tenant with one key.
+// tenantAddCommand creates a tenant with one key.
 type tenantAddCommand struct {
 	changeFlags
 	Priority string `long:"priority" value-name:"RANK" description:"Rank of its requests, 0 to 255, before that of their routes"`
@@ -52,30 +52,30 @@
 // Run adds the tenant and prints its key.
 func (c *tenantAddCommand) Run(environment Environment, _ []string) error {
 	request := fmt.Sprintf("tenant add\x00%s\x00%s", c.Arguments.Name, c.Priority)
-	return c.change(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
-		return withKey(environment, c.DryRun, func(key string) (*operator.Plan, error) {
+	return c.submitChange(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+		return planWithNewKey(environment, c.DryRun, func(key string) (*operator.Plan, error) {
 			return operator.PlanTenantAdd(sheet, c.Arguments.Name, key, c.Priority)
 		})
 	})
 }
 
-// tenantRotateCommand gives a tenant a further key.
+// tenantRotateCommand adds a key to a tenant. The present keys stay valid.
 type tenantRotateCommand struct {
 	changeFlags
 	tenantName
 }
 
-// Run adds the key beside the old ones and prints it.
+// Run adds a key to the present ones and prints it.
 func (c *tenantRotateCommand) Run(environment Environment, _ []string) error {
 	request := "tenant rotate\x00" + c.Arguments.Name
-	return c.change(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
-		return withKey(environment, c.DryRun, func(key string) (*operator.Plan, error) {
+	return c.submitChange(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+		return planWithNewKey(environment, c.DryRun, func(key string) (*operator.Plan, error) {
 			return operator.PlanTenantRotate(sheet, c.Arguments.Name, key)
 		})
 	})
 }
 
-// tenantRevokeCommand takes keys of a tenant away.
+// tenantRevokeCommand revokes keys of a tenant.
 type tenantRevokeCommand struct {
 	changeFlags
 	Digest string `long:"digest" value-name:"PREFIX" description:"Beginning of the digest of the one key that is taken away"`
@@ -83,13 +83,13 @@
 	tenantName
 }
 
-// Run takes one key away, or all.
+// Run revokes one key or all keys.
 func (c *tenantRevokeCommand) Run(environment Environment, _ []string) error {
 	if c.All == (c.Digest != "") {
 		return &ExitError{Code: ExitUsage, Message: "name the key with --digest, or --all"}
 	}
 	request := fmt.Sprintf("tenant revoke\x00%s\x00%s\x00%t", c.Arguments.Name, c.Digest, c.All)
-	return c.change(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+	return c.submitChange(environment, request, func(_ context.Context, _ *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
 		return operator.PlanTenantRevoke(sheet, c.Arguments.Name, c.Digest)
 	})
 }
@@ -104,14 +104,14 @@
 	tenantName
 }
 
-// Run changes what is named and leaves the rest.
+// Run sets the limits that are given and leaves the others.
 func (c *tenantSetCommand) Run(environment Environment, _ []string) error {
 	limits := operator.TenantLimits{Weight: c.Weight, Rate: c.Rate, Burst: c.Burst, Concurrency: c.Concurrency}
 	if limits == (operator.TenantLimits{}) {
 		return &ExitError{Code: ExitUsage, Message: "name at least one of --weight, --rate, --burst and --concurrency"}
 	}
 	request := fmt.Sprintf("tenant set\x00%s\x00%+v", c.Arguments.Name, limits)
-	return c.change(environment, request, func(ctx context.Context, client *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
+	return c.submitChange(environment, request, func(ctx context.Context, client *controlclient.Client, sheet *operator.Sheet) (*operator.Plan, error) {
 		level, err := operator.ReadLevel(ctx, client)
 		if err != nil {
 			return nil, err
--- a/internal/cli/tenant_test.go
+++ b/internal/cli/tenant_test.go
@@ -9,12 +9,13 @@
 	"github.com/tamarindring/tamarindring/internal/tenant"
 )
 
-// TestTenantsAtTheCommandLine: a key is shown once, and only its digest is kept and listed.
+// TestTenantsAtTheCommandLine: a key is printed only by the command that creates it, and only its digest is stored
+// and listed. A dry run must print no key, because it is stored nowhere.
 func TestTenantsAtTheCommandLine(t *testing.T) {
 	t.Setenv("TAMARINDRING_CONTROL", startControl(t))
 	t.Setenv("TAMARINDRING_OPERATOR", "ann")
 	t.Setenv("XDG_STATE_HOME", t.TempDir())
-	shown := regexp.MustCompile(`key \(shown this once\): (\S+)`)
+	printedKey := regexp.MustCompile(`key \(shown this once\): (\S+)`)
 	var keys []string
 	run := func(arguments string, code int, output string) {
 		t.Helper()
@@ -24,19 +25,19 @@
 		if got != code || !strings.Contains(printed, output) {
 			t.Fatalf("%s: exit code %d, want %d, and %q in:\n%s", arguments, got, code, output, printed)
 		}
-		if found := shown.FindStringSubmatch(printed); found != nil {
+		if found := printedKey.FindStringSubmatch(printed); found != nil {
 			keys = append(keys, found[1])
 		}
 		for _, key := range keys {
 			if !strings.HasPrefix(arguments, "tenant add") && !strings.HasPrefix(arguments, "tenant rotate") && strings.Contains(printed, key) {
-				t.Errorf("%s shows a key", arguments)
+				t.Errorf("%s prints a key, want digests only", arguments)
 			}
 		}
 	}
 	digest := func(number int) string { return tenant.Digest(keys[number])[:12] }
 	run("tenant add --dry-run shop", ExitOK, "tenant.shop tenant_name: (not set) -> shop")
 	if len(keys) != 0 {
-		t.Error("a dry run shows a key that is not kept")
+		t.Error("a dry run prints a key that is stored nowhere")
 	}
 	run("tenant add --priority 2 shop", ExitOK, "accepted version 1")
 	run("tenant add shop", ExitUsage, "there is a tenant \"shop\" already")
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -10,17 +10,18 @@
 	"github.com/tamarindring/tamarindring/internal/auth"
 )
 
-// tokenFileMode lets the owner alone read a token.
+// tokenFileMode allows only the owner to read a token.
 const tokenFileMode = 0o600
 
-// tokenCreateCommand makes a token.
+// tokenCreateCommand creates a token.
 type tokenCreateCommand struct {
 	Name string `long:"name" required:"true" description:"Whose token it is; a trainer's is the trainer's name. Letters, digits, - and _"`
 	Role string `long:"role" required:"true" choice:"operator" choice:"trainer" choice:"caller" choice:"node" description:"What the holder may do"`
 	Out  string `long:"out" required:"true" value-name:"FILE" description:"New file for the token; it is kept nowhere else"`
 }
 
-// Run writes the token to its file and prints the entry for the file of accepted tokens.
+// Run writes the token to its file and prints its entry for the file of accepted tokens, which holds only the token's
+// hash.
 func (c *tokenCreateCommand) Run(environment Environment, _ []string) error {
 	token, hash, err := auth.NewToken(rand.Reader, c.Name)
 	if err != nil {
--- a/internal/cli/token_test.go
+++ b/internal/cli/token_test.go
@@ -11,6 +11,8 @@
 	"github.com/tamarindring/tamarindring/internal/auth"
 )
 
+// A new token must be accepted by the printed entry, which must not contain the secret. Its file must be readable by
+// the owner only and never be overwritten.
 func TestCreatedTokenIsAcceptedByItsEntry(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "alice.token")
 	arguments := []string{"token", "create", "--name", "alice", "--role", "operator", "--out", path}
@@ -24,20 +26,20 @@
 	}
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != tokenFileMode {
-		t.Fatalf("%v %v", info.Mode(), err)
+		t.Fatalf("token file: got mode %v, error %v; want it readable by the owner only", info.Mode(), err)
 	}
 	token := strings.TrimSpace(string(content))
 	if strings.Contains(stdout.String(), strings.TrimPrefix(token, "alice.")) {
-		t.Fatal("the secret is in the entry")
+		t.Fatal("the printed entry contains the secret")
 	}
 	keyring, err := auth.Parse("tokens.yaml", []byte("tokens:\n"+stdout.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if principal, err := keyring.Authenticate(token, time.Now()); err != nil || principal != (auth.Principal{Name: "alice", Role: auth.Operator}) {
-		t.Fatalf("%+v %v", principal, err)
+		t.Fatalf("got principal %+v, error %v; want the operator alice", principal, err)
 	}
 	if code := Main(arguments, &stdout, &stderr); code != ExitUsage {
-		t.Fatalf("an existing token file was written over: exit code %d", code)
+		t.Fatalf("existing token file: got exit code %d, want a usage error", code)
 	}
 }
--- a/internal/cli/trainers_test.go
+++ b/internal/cli/trainers_test.go
@@ -34,7 +34,8 @@
 	})
 }
 
-// TestStatusTellsATrainersIdleTimeAndStaleness compares what the command prints with the trainer's own account.
+// TestStatusTellsATrainersIdleTimeAndStaleness: the samples, idle time and staleness that status prints must agree
+// with the trainer's own counters, although some replies to it are lost.
 func TestStatusTellsATrainersIdleTimeAndStaleness(t *testing.T) {
 	address := startControl(t)
 	t.Setenv("XDG_STATE_HOME", t.TempDir())
@@ -56,27 +57,27 @@
 	}
 	mustRun(t, address, "table", "apply", sheet)
 	access := controlclient.Config{Addresses: []string{address}}
-	front, err := gateway.Open(ctx, gateway.Config{Name: "gateway-1", Listen: "127.0.0.1:0"}, access)
+	gatewayServer, err := gateway.Open(ctx, gateway.Config{Name: "gateway-1", Listen: "127.0.0.1:0"}, access)
 	if err != nil {
 		t.Fatal(err)
 	}
-	runServer(t, front)
-	owner, err := coordinator.Open(ctx, coordinator.Config{Name: "coordinator-1", Listen: "127.0.0.1:0", Control: access, Log: logging.Discard()})
+	runServer(t, gatewayServer)
+	coordinatorServer, err := coordinator.Open(ctx, coordinator.Config{Name: "coordinator-1", Listen: "127.0.0.1:0", Control: access, Log: logging.Discard()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	runServer(t, owner)
+	runServer(t, coordinatorServer)
 	if printed := mustRun(t, address, "status"); strings.Contains(printed, "staleness") {
 		t.Errorf("status shows trainers before there is one:\n%s", printed)
 	}
-	config := trainer.Config{Name: "wording", Coordinators: []string{owner.Address()}, Pool: "copy", PromptsPerStep: 4, SamplesPerPrompt: 2,
+	config := trainer.Config{Name: "wording", Coordinators: []string{coordinatorServer.Address()}, Pool: "copy", PromptsPerStep: 4, SamplesPerPrompt: 2,
 		MaxTokens: 30, MaxSteps: 3, StepsAhead: 1, TrainTime: 20 * time.Millisecond, FetchWait: 200 * time.Millisecond,
 		LoseReplyProbability: 0.3, Seed: 1, Log: logging.Discard()}
-	made, err := trainer.New(config)
+	simulatedTrainer, err := trainer.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := made.Run(ctx); err != nil {
+	if err := simulatedTrainer.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
 	var status operator.Status
@@ -86,16 +87,16 @@
 	if status.Fleet == nil || len(status.Fleet.Trainers) != 1 {
 		t.Fatalf("fleet %+v, want one trainer", status.Fleet)
 	}
-	told, own := status.Fleet.Trainers[0], made.Stats()
-	if told.Trainer != "wording" || told.Coordinator != "coordinator-1" || told.Samples != uint64(own.Samples) || own.Samples != 24 ||
-		told.StalenessMean != own.StalenessMean || told.StalenessMax != uint64(own.StalenessMax) || told.StalenessP99 != uint64(own.StalenessP99) {
-		t.Errorf("status says %+v, the trainer %+v", told, own)
+	reported, own := status.Fleet.Trainers[0], simulatedTrainer.Stats()
+	if reported.Trainer != "wording" || reported.Coordinator != "coordinator-1" || reported.Samples != uint64(own.Samples) || own.Samples != 24 ||
+		reported.StalenessMean != own.StalenessMean || reported.StalenessMax != uint64(own.StalenessMax) || reported.StalenessP99 != uint64(own.StalenessP99) {
+		t.Errorf("got status %+v, want the trainer's own counters %+v", reported, own)
 	}
-	if told.WaitedSeconds <= 0 || told.WaitedSeconds > told.ObservedSeconds || told.Waiting {
-		t.Errorf("waited: %+v", told)
+	if reported.WaitedSeconds <= 0 || reported.WaitedSeconds > reported.ObservedSeconds || reported.Waiting {
+		t.Errorf("got %+v, want some waiting within the observed time and no open fetch", reported)
 	}
 	printed := mustRun(t, address, "status")
 	if !strings.Contains(printed, "trainer  coordinator    idle") || !strings.Contains(printed, "wording  coordinator-1") {
-		t.Errorf("status prints\n%s", printed)
+		t.Errorf("the output of status lacks the trainer:\n%s", printed)
 	}
 }
--- a/internal/cli/upgrade.go
+++ b/internal/cli/upgrade.go
@@ -11,9 +11,9 @@
 // upgradeCheckCommand tells whether the next process may be replaced by one of another build.
 type upgradeCheckCommand struct{ controlAccess }
 
-// Run prints what has to come first, if anything, and which level is in force.
+// Run prints the compatibility level in force and the faults to mend first. It fails if there are any.
 func (c *upgradeCheckCommand) Run(environment Environment, _ []string) error {
-	return c.use(environment, func(ctx context.Context, client *controlclient.Client) error {
+	return c.withClient(environment, func(ctx context.Context, client *controlclient.Client) error {
 		check := operator.CheckUpgrade(operator.ReadStatus(ctx, client))
 		verdict := "safe: the next process may be replaced"
 		if len(check.Reasons) > 0 {
--- a/internal/cli/walkthrough_test.go
+++ b/internal/cli/walkthrough_test.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// consoleFence opens a block of a page whose commands and outputs are tested.
+	// consoleFence begins a block of a page whose commands are run and whose outputs are compared.
 	consoleFence = "```console"
 	fence        = "```"
 	prompt       = "$ "
-	// settleTime bounds how long a read-only command is repeated until its output is the page's.
-	settleTime  = 20 * time.Second
-	settlePause = 50 * time.Millisecond
+	// settleTime bounds how long a read-only command is repeated until its output matches the page's.
+	settleTime     = 20 * time.Second
+	settleInterval = 50 * time.Millisecond
 )
 
-// pageStep is one command of a page and the output that the page shows below it.
+// pageStep is one command of a page and the output that the page shows for it.
 type pageStep struct {
 	command string
 	output  string
 }
 
-// readSteps returns the commands of a page's console blocks in order.
+// readSteps returns the commands of a page's console blocks in order. A command may be continued after a backslash.
 func readSteps(page string) []pageStep {
 	var steps []pageStep
 	inside := false
@@ -58,14 +58,14 @@
 	jobName           = regexp.MustCompile(`%\?(\S+)`)
 )
 
-// scriptOf turns a page's steps into a testscript. Processes that the page starts with "2> NAME.log &"
-// run in the background; one that the page kills with -9 must fail, all others must end well.
-func scriptOf(steps []pageStep) string {
+// buildScript returns a testscript for the steps of a page. Processes that the page starts with "2> NAME.log &" run
+// in the background. Those that the page kills with -9 must fail; all others must succeed.
+func buildScript(steps []pageStep) string {
 	var script, files strings.Builder
 	var killed []string
 	for _, step := range steps {
 		if strings.HasPrefix(step.command, "kill -9 ") {
-			killed = append(killed, jobs(step.command)...)
+			killed = append(killed, jobNames(step.command)...)
 		}
 	}
 	for index, step := range steps {
@@ -73,15 +73,15 @@
 		words := strings.Fields(step.command)
 		switch {
 		case started != nil:
-			name := job(started[2])
+			name := testscriptName(started[2])
 			if slices.Contains(killed, name) {
 				script.WriteString("! ")
 			}
 			fmt.Fprintf(&script, "exec %s &%s&\n", started[1], name)
 		case words[0] == "wait":
-			fmt.Fprintf(&script, "wait %s\n", strings.Join(jobs(step.command), "\nwait "))
+			fmt.Fprintf(&script, "wait %s\n", strings.Join(jobNames(step.command), "\nwait "))
 		case words[0] == "kill":
-			script.WriteString(killScript(step.command))
+			script.WriteString(buildKillScript(step.command))
 		case words[0] == "export":
 			fmt.Fprintf(&script, "env %s\n", strings.TrimPrefix(step.command, "export "))
 		default:
@@ -92,40 +92,44 @@
 	return script.String() + files.String()
 }
 
-func killScript(command string) string {
+// buildKillScript returns the lines that signal the named processes and wait for them to end.
+func buildKillScript(command string) string {
 	signal := "INT"
 	if strings.HasPrefix(command, "kill -9 ") {
 		signal = "KILL"
 	}
 	var script strings.Builder
-	for _, name := range jobs(command) {
+	for _, name := range jobNames(command) {
 		fmt.Fprintf(&script, "kill -%s %s\n", signal, name)
 	}
-	for _, name := range jobs(command) {
+	for _, name := range jobNames(command) {
 		fmt.Fprintf(&script, "wait %s\n", name)
 	}
 	return script.String()
 }
 
-func jobs(command string) []string {
+// jobNames returns the background processes that a command names.
+func jobNames(command string) []string {
 	var names []string
 	for _, match := range jobName.FindAllStringSubmatch(command, -1) {
-		names = append(names, job(match[1]))
+		names = append(names, testscriptName(match[1]))
 	}
 	return names
 }
 
-// job is a background process's name as testscript allows it.
-func job(name string) string { return strings.ReplaceAll(strings.TrimSuffix(name, ".yaml"), "-", "") }
+// testscriptName returns a background process's name in the form that testscript allows.
+func testscriptName(name string) string {
+	return strings.ReplaceAll(strings.TrimSuffix(name, ".yaml"), "-", "")
+}
 
-// shows runs a command and compares its output with the page's. Commands that only read are repeated
-// until it is the same: processes take a moment to find each other.
-func shows(script *testscript.TestScript, _ bool, arguments []string) {
+// compareOutput implements the script command "shows": it runs a command and compares its output with the page's. A
+// read-only command is repeated until the output matches, because processes take a moment to connect to each other.
+func compareOutput(script *testscript.TestScript, _ bool, arguments []string) {
 	want, command := outputPattern(script.ReadFile(arguments[0])), arguments[1:]
 	repeat := command[0] == "curl" || slices.Contains(command, "status") || slices.Contains(command, "upgrade")
-	for until := time.Now().Add(settleTime); ; time.Sleep(settlePause) {
+	for until := time.Now().Add(settleTime); ; time.Sleep(settleInterval) {
 		err := script.Exec(command[0], command[1:]...)
-		got := collapse(script.ReadFile("stdout") + script.ReadFile("stderr"))
+		got := collapseSpaces(script.ReadFile("stdout") + script.ReadFile("stderr"))
 		if want.MatchString(got) {
 			return
 		}
@@ -137,8 +141,8 @@
 
 var spaces = regexp.MustCompile(`[ ]+`)
 
-// collapse makes runs of spaces one, because a column is as wide as its widest text.
-func collapse(text string) string {
+// collapseSpaces replaces runs of spaces by one, because the width of a column depends on its longest text.
+func collapseSpaces(text string) string {
 	var lines []string
 	for line := range strings.SplitSeq(strings.TrimSpace(text), "\n") {
 		lines = append(lines, strings.TrimSpace(spaces.ReplaceAllString(line, " ")))
@@ -146,11 +150,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// outputPattern is a page's output, in which "..." stands for any text within a line and a line of its
-// own for any lines.
+// outputPattern returns the pattern of a page's output. "..." matches any text within a line; a line that consists of
+// it matches any lines.
 func outputPattern(output string) *regexp.Regexp {
 	var lines []string
-	for line := range strings.SplitSeq(collapse(output), "\n") {
+	for line := range strings.SplitSeq(collapseSpaces(output), "\n") {
 		if line == "..." {
 			lines = append(lines, `(?s:.*)`)
 		} else {
@@ -162,17 +166,18 @@
 
 var exampleAddress = regexp.MustCompile(`127\.0\.0\.1:17\d{3}\b`)
 
-// Ports below those that systems give to outgoing connections, which would take a free one away again.
+// Ports below the range that systems use for outgoing connections. A port in that range could be taken between the check
+// that it is free and its use.
 const (
 	firstPort = 20000
 	lastPort  = 31999
 )
 
-// freeAddresses gives each example address of the texts a free port instead.
+// freeAddresses returns a function that replaces each example address in the texts by one with a free port.
 func freeAddresses(t *testing.T, texts ...string) func(string) string {
 	t.Helper()
 	free := make(map[string]string)
-	port := firstPort + rand.IntN(lastPort-firstPort) // other tests of this kind may run beside this one
+	port := firstPort + rand.IntN(lastPort-firstPort) // other tests that search for free ports may run at the same time
 	for _, text := range texts {
 		for _, address := range exampleAddress.FindAllString(text, -1) {
 			for free[address] == "" {
@@ -192,7 +197,7 @@
 	}
 }
 
-// readExamples returns the example files of a deployment by name.
+// readExamples returns the example files of a deployment by file name.
 func readExamples(t *testing.T, deployment string) map[string]string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(examplesFolder, deployment, "*"))
@@ -210,7 +215,8 @@
 	return contents
 }
 
-// runPage runs the console blocks of a page against real processes, started with a deployment's examples.
+// runPage runs the console blocks of a page with real processes, which are started with a deployment's example
+// settings.
 func runPage(t *testing.T, page, deployment string) {
 	content, err := os.ReadFile(filepath.Join(docsFolder, "operations", page))
 	if err != nil {
@@ -227,12 +233,12 @@
 		t.Fatalf("%s has no console blocks", page)
 	}
 	path := filepath.Join(t.TempDir(), strings.TrimSuffix(page, ".md")+".txt")
-	if err := os.WriteFile(path, []byte(scriptOf(steps)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(buildScript(steps)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	testscript.Run(t, testscript.Params{
 		Files: []string{path},
-		Cmds:  map[string]func(*testscript.TestScript, bool, []string){"shows": shows},
+		Cmds:  map[string]func(*testscript.TestScript, bool, []string){"shows": compareOutput},
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("XDG_STATE_HOME", filepath.Join(env.WorkDir, "state"))
 			folder := filepath.Join(env.WorkDir, "examples", deployment)
@@ -249,6 +255,7 @@
 	})
 }
 
+// The commands on the page must work and print what the page shows.
 func TestGettingStartedPageDiffersFromTheProgram(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a dozen processes")
@@ -256,6 +263,7 @@
 	runPage(t, "getting-started.md", "vltava")
 }
 
+// The upgrade on the page must work and print what the page shows.
 func TestUpgradesPageDiffersFromTheProgram(t *testing.T) {
 	if testing.Short() {
 		t.Skip("restarts every process of a deployment")
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -67,7 +67,8 @@
 	LastWaveMillis  int64  `json:"last_wave_millis"` // time that the last weight version took to reach all replicas
 }
 
-// TrainerStatus is what the coordinator that owns a trainer has measured since that trainer's first fetch from it.
+// TrainerStatus holds the measurements that the coordinator which owns a trainer has made since that trainer's first
+// fetch from it.
 type TrainerStatus struct {
 	Trainer         string  `json:"trainer"`
 	Coordinator     string  `json:"coordinator"`
@@ -156,7 +157,6 @@
 func newReportFetcher() *reportFetcher {
 	// Each server gets one request, so keeping connections alive is of no use, nor is a client with background
 	// goroutines.
-	// One question to each server: a kept connection, or a client that keeps house in the background, has no use.
 	transport := &http.Transport{DisableKeepAlives: true}
 	return &reportFetcher{client: &http.Client{Transport: transport, Timeout: reportTimeout}, slots: make(chan struct{}, maxParallelRequests)}
 }
@@ -233,8 +233,8 @@
 // addReplica counts a replica under the weight version that it reports.
 func (p *PoolStatus) addReplica(report *loadReport) {
 	for position := range p.Versions {
-		if known := &p.Versions[position]; known.Version == report.WeightVersion && known.Number == report.VersionNumber {
-			known.Replicas++
+		if count := &p.Versions[position]; count.Version == report.WeightVersion && count.Number == report.VersionNumber {
+			count.Replicas++
 			return
 		}
 	}
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -83,9 +83,9 @@
 // back ends.
 func TestOnlyCoordinatorsSeeTheToken(t *testing.T) {
 	const authorization = "Bearer operator"
-	shown := make(chan string, 2)
+	received := make(chan string, 2)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		shown <- request.URL.Path + " " + request.Header.Get("Authorization")
+		received <- request.URL.Path + " " + request.Header.Get("Authorization")
 		fmt.Fprint(writer, "{}")
 	}))
 	t.Cleanup(server.Close)
@@ -94,7 +94,7 @@
 		sheetRow("copy", "kind", "pool"), sheetRow("e0", "kind", "backend", "pool", "copy", "address", address)}})
 	members := []*wire.Member{{Name: "c0", Role: wire.MemberRole_MEMBER_ROLE_COORDINATOR, Address: address}}
 	readFleet(sheet, members, authorization)
-	got := map[string]bool{<-shown: true, <-shown: true}
+	got := map[string]bool{<-received: true, <-received: true}
 	if !got[statsPath+" "+authorization] || !got[loadPath+" "] {
 		t.Errorf("got paths with authorizations %v, want the operator's at the coordinator's path and none at the back end's", got)
 	}
--- a/internal/operator/suspects.go
+++ b/internal/operator/suspects.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, known := sheet.Row(name); !known {
+	if _, suspected := sheet.Row(name); !suspected {
 		return nil, trace.BadParameter("no request with the digest %q is suspected", digest)
 	}
 	return &Plan{Base: sheet.Version, RemoveRows: []string{name}}, nil
