--- a/internal/cli/walkthrough_test.go
+++ b/internal/cli/walkthrough_test.go
@@ -73,7 +73,7 @@
 		words := strings.Fields(step.command)
 		switch {
 		case started != nil:
-			name := testscriptName(started[2])
+			name := jobID(started[2])
 			if slices.Contains(killed, name) {
 				script.WriteString("! ")
 			}
@@ -112,15 +112,13 @@
 func jobNames(command string) []string {
 	var names []string
 	for _, match := range jobName.FindAllStringSubmatch(command, -1) {
-		names = append(names, testscriptName(match[1]))
+		names = append(names, jobID(match[1]))
 	}
 	return names
 }
 
-// testscriptName returns a background process's name in the form that testscript allows.
-func testscriptName(name string) string {
-	return strings.ReplaceAll(strings.TrimSuffix(name, ".yaml"), "-", "")
-}
+// jobID returns a background process's name in the form that testscript allows.
+func jobID(name string) string { return strings.ReplaceAll(strings.TrimSuffix(name, ".yaml"), "-", "") }
 
 // compareOutput implements the script command "shows": it runs a command and compares its output with the page's. A
 // read-only command is repeated until the output matches, because processes take a moment to connect to each other.
