--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -7,35 +7,35 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// invocation is one request as a back end receives it.
+// invocation is a request as a back end receives it.
 type invocation struct {
 	call      *call
-	requestID string        // the gateway's name of this send
-	arrival   string        // the gateway's name of the caller's request
+	requestID string        // assigned by the gateway to this send
+	attempt   string        // attempt name that the gateway assigned to the caller's request
 	arrivedAt time.Duration // when the caller's request reached the gateway
 	gateway   string
 }
 
-// backendAnswer is what a back end says.
+// backendAnswer is a back end's answer to a request.
 type backendAnswer struct {
 	requestID string
-	refused   bool // certainly did not run
-	leaving   bool // refused because it leaves
+	refused   bool // the request certainly did not run
+	leaving   bool // refused because the back end is leaving
 	answer    *wire.Answer
 }
 
-// backend is an application replica; it keeps the truth of what ran.
+// backend is an application replica. It reports every execution to the ground truth.
 type backend struct {
 	*process
-	fleet       *fleet
-	connections []*upstream
-	leaving     bool
-	leftAt      time.Duration // when it began to leave
+	fleet        *fleet
+	connections  []*upstream
+	leaving      bool
+	leavingSince time.Duration // when it was last told to leave
 }
 
 func (f *fleet) newBackend(number int, zone string) *backend {
 	b := &backend{process: f.world.newProcess(fmt.Sprintf("replica-%d", number), zone), fleet: f}
-	b.died = func() {
+	b.onDeath = func() {
 		lost := b.connections
 		b.connections = nil
 		for _, up := range lost {
@@ -48,22 +48,22 @@
 }
 
 const (
-	fastestService = 2 * time.Millisecond
-	slowestService = 150 * time.Millisecond
-	refusalPart    = 0.03
-	cutPart        = 0.02
+	minServiceTime             = 2 * time.Millisecond
+	maxServiceTime             = 150 * time.Millisecond
+	refusalProbability         = 0.03
+	connectionBreakProbability = 0.02
 )
 
-// invoke runs a request, or refuses it before it ran.
+// invoke runs a request, or refuses it before it runs.
 func (b *backend) invoke(request invocation, up *upstream) {
-	if b.leaving || b.world.chance(refusalPart) {
+	if b.leaving || b.world.randomBool(refusalProbability) {
 		b.answer(up, backendAnswer{requestID: request.requestID, refused: true, leaving: b.leaving})
 		return
 	}
-	b.world.truth.executed(b, &request)
-	service := b.world.between(fastestService, slowestService)
-	if !b.fleet.gentle && b.world.chance(cutPart) {
-		b.after(service, up.reset) // it ran and the connection breaks before the answer
+	b.world.truth.recordExecution(b, &request)
+	service := b.world.randomDuration(minServiceTime, maxServiceTime)
+	if !b.fleet.plannedOnly && b.world.randomBool(connectionBreakProbability) {
+		b.after(service, up.reset) // the request ran, and the connection breaks before the answer
 		return
 	}
 	b.after(service, func() {
@@ -72,15 +72,16 @@
 	})
 }
 
-// leave is the platform's order to go: no new work from here on. It is back as another run after a while.
-func (b *backend) leave() bool {
+// startLeaving tells the replica to leave, as the platform does. From here on it takes no new work. After a while it
+// dies, and the supervisor starts it again as a new run.
+func (b *backend) startLeaving() bool {
 	if !b.up || b.leaving {
 		return false
 	}
-	b.leaving, b.leftAt = true, b.world.now
+	b.leaving, b.leavingSince = true, b.world.now
 	b.tracef("leaves")
 	epoch := b.epoch
-	b.world.after(b.world.between(leaveShortest, leaveLongest), func() {
+	b.world.after(b.world.randomDuration(minLeaveTime, maxLeaveTime), func() {
 		if b.epoch == epoch {
 			b.die()
 		}
@@ -89,11 +90,11 @@
 }
 
 const (
-	leaveShortest = 6 * time.Second
-	leaveLongest  = 15 * time.Second
+	minLeaveTime = 6 * time.Second
+	maxLeaveTime = 15 * time.Second
 )
 
-// launch starts the replica.
+// launch starts the replica unless it is up.
 func (b *backend) launch() {
 	if !b.up {
 		b.start()
@@ -102,42 +103,42 @@
 }
 
 func (b *backend) answer(up *upstream, answer backendAnswer) {
-	b.world.network.reply(b.process, up.owner, func() { up.receive(answer) })
+	b.world.network.reply(b.process, up.gatewayRun, func() { up.receive(answer) })
 }
 
 // upstream is a gateway's connection to a back end.
 type upstream struct {
-	gateway *gateway
-	owner   run // of the gateway
-	backend *backend
-	epoch   uint64 // of the back end
-	user    *exchange
-	closed  bool
+	gateway      *gateway
+	gatewayRun   run // run of the gateway that opened it
+	backend      *backend
+	backendEpoch uint64 // run of the back end that accepted it
+	user         *exchange
+	closed       bool
 }
 
-// receive hands an answer to whoever uses the connection.
+// receive passes an answer to the exchange that uses the connection.
 func (u *upstream) receive(answer backendAnswer) {
 	if u.closed || u.user == nil {
 		return
 	}
-	u.user.receive(u, answer)
+	u.user.receiveAnswer(u, answer)
 }
 
-// reset breaks the connection; the gateway hears of it unless it is cut off.
+// reset breaks the connection; the gateway learns of it unless it is cut off.
 func (u *upstream) reset() {
 	if u.closed {
 		return
 	}
-	u.gateway.world.network.reply(u.backend.process, u.owner, func() {
+	u.gateway.world.network.reply(u.backend.process, u.gatewayRun, func() {
 		if u.closed {
 			return
 		}
 		u.closed = true
 		if u.user != nil {
-			u.user.broken(u)
+			u.user.handleConnectionBreak(u)
 		}
 	})
 }
 
-// close ends the connection at the gateway.
+// close closes the connection at the gateway.
 func (u *upstream) close() { u.closed, u.user = true, nil }
--- a/internal/sim/batch.go
+++ b/internal/sim/batch.go
@@ -11,41 +11,41 @@
 	"github.com/tamarindring/tamarindring/internal/invariant"
 )
 
-// Options say which seeds a batch runs.
+// Options configure a batch of runs.
 type Options struct {
 	Scenario *Scenario
-	Seeds    int
-	SeedBase int64
-	Parallel int // seeds at a time
+	Seeds    int   // number of seeds to run
+	SeedBase int64 // first seed
+	Parallel int   // number of seeds that run at the same time, at least 1
 	Mutation Mutation
 	// StopAtViolation ends the batch at the first violation.
 	StopAtViolation bool
 }
 
-// Report is what a batch of seeds has shown.
+// Report summarizes the runs of a batch of seeds.
 type Report struct {
 	Scenario   string
-	Seeds      int
-	Wall       time.Duration
-	Virtual    time.Duration
+	Seeds      int           // number of seeds that were run
+	Wall       time.Duration // elapsed real time
+	Virtual    time.Duration // simulated time, summed over the seeds
 	Faults     faultCounts
 	Counts     []invariant.Result
-	Completed  uint64
-	Refused    uint64
-	Unknown    uint64
-	Changes    uint64
-	Samples    uint64
-	Violations []Violation // by seed
+	Completed  uint64      // answers that reached a caller with the result of its call
+	Refused    uint64      // answers that said "did not run"
+	Unknown    uint64      // answers that said "may have run"
+	Changes    uint64      // accepted table changes
+	Samples    uint64      // samples that trainers received
+	Violations []Violation // in order of seed
 }
 
-// Violation is a seed with what it violated.
+// Violation is a seed and the first invariant violation of its run.
 type Violation struct {
 	Seed    int64
 	Problem string
 }
 
-// RunBatch runs seeds in parallel. The report depends on the options only, except for Wall and, when ctx
-// ends early or StopAtViolation is set, for which seeds it covers.
+// RunBatch runs seeds in parallel. The report depends only on the options, except for Wall and for the set of seeds
+// that it covers when ctx ends early or StopAtViolation is set.
 func RunBatch(ctx context.Context, options Options) *Report {
 	began := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
@@ -98,7 +98,7 @@
 	}
 }
 
-// merge adds another report's counts.
+// merge adds another report's seeds, violations, faults and invariant counts.
 func (r *Report) merge(other *Report) {
 	r.Seeds += other.Seeds
 	r.Violations = append(r.Violations, other.Violations...)
@@ -120,7 +120,7 @@
 	}
 }
 
-// Unexamined lists the invariants that examined nothing.
+// Unexamined returns the invariants that examined no event.
 func (r *Report) Unexamined() []invariant.Name {
 	var names []invariant.Name
 	for _, count := range r.Counts {
@@ -131,10 +131,10 @@
 	return names
 }
 
-// Passed reports whether nothing was violated and every invariant examined something.
+// Passed reports whether no invariant was violated and every invariant examined some event.
 func (r *Report) Passed() bool { return len(r.Violations) == 0 && len(r.Unexamined()) == 0 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "scenario %s: %d seeds, %.0f s of virtual time in %.1f s, %.2f seeds/s\n",
 		r.Scenario, r.Seeds, r.Virtual.Seconds(), r.Wall.Seconds(), float64(r.Seeds)/r.Wall.Seconds())
--- a/internal/sim/caller.go
+++ b/internal/sim/caller.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// call is one thing that a caller wants done.
+// call is one request of a caller, which may be sent several times.
 type call struct {
 	id         string
 	key        string // idempotency key; empty for none
@@ -18,7 +18,7 @@
 	begun      time.Duration
 }
 
-// name tells calls apart in the truth: the key, if there is one.
+// name identifies the call in the ground truth: the key, or the id for a call without a key.
 func (c *call) name() string {
 	if c.key != "" {
 		return c.key
@@ -26,26 +26,26 @@
 	return c.id
 }
 
-// answer is what a back end has to say about the call.
+// answer returns the correct answer of a back end to the call.
 func (c *call) answer() string { return "done " + c.id + " " + c.body }
 
 const (
-	callMean       = 250 * time.Millisecond // between the calls of one caller
-	callTimeout    = 4 * time.Second
-	callGrace      = 300 * time.Millisecond // a caller waits so much longer than the gateway has
-	maxAttempts    = 4
-	laterRetry     = 40 * time.Second // keys are asked for again within this time
-	hedgePart      = 0.08
-	laterPart      = 0.1
-	repeatablePart = 0.15
-	keylessPart    = 0.15
+	meanCallInterval      = 250 * time.Millisecond // between the calls of one caller
+	callTimeout           = 4 * time.Second
+	callGracePeriod       = 300 * time.Millisecond // how much longer a caller waits than the gateway's timeout
+	maxAttempts           = 4
+	maxLateRepeatDelay    = 40 * time.Second // late repeats of a key are sent within this time
+	hedgeProbability      = 0.08
+	lateRepeatProbability = 0.1
+	repeatableProbability = 0.15
+	keylessProbability    = 0.15
 )
 
-// caller sends calls, and sends the same key again through other gateways when an answer is lost.
+// caller sends calls. When an answer is lost it sends the same key again through another gateway.
 type caller struct {
 	*process
-	fleet *fleet
-	next  int
+	fleet    *fleet
+	lastCall int
 }
 
 func (f *fleet) newCaller(number int, zone string) *caller {
@@ -60,8 +60,8 @@
 }
 
 func (c *caller) scheduleCall() {
-	c.after(c.world.exponential(callMean), func() {
-		if c.world.now < c.fleet.loadEnds {
+	c.after(c.world.exponentialDuration(meanCallInterval), func() {
+		if c.world.now < c.fleet.loadEnd {
 			c.begin(c.newCall())
 			c.scheduleCall()
 		}
@@ -69,69 +69,69 @@
 }
 
 func (c *caller) newCall() *call {
-	c.next++
-	made := &call{id: fmt.Sprintf("%s/%d", c.name, c.next), body: fmt.Sprintf("body-%d", c.world.random.Intn(1000)), begun: c.world.now}
+	c.lastCall++
+	made := &call{id: fmt.Sprintf("%s/%d", c.name, c.lastCall), body: fmt.Sprintf("body-%d", c.world.random.Intn(1000)), begun: c.world.now}
 	switch draw := c.world.random.Float64(); {
-	case draw < repeatablePart:
+	case draw < repeatableProbability:
 		made.repeatable = true
-	case draw < repeatablePart+keylessPart:
+	case draw < repeatableProbability+keylessProbability:
 	default:
 		made.key = "push/" + made.id
 	}
 	return made
 }
 
-// begin sends a call for the first time, perhaps through two gateways at once.
+// begin sends a call for the first time. By chance it is also hedged through a second gateway or repeated much later.
 func (c *caller) begin(made *call) {
 	c.attempt(made, 1)
 	if made.key == "" {
 		return
 	}
-	if !c.fleet.gentle && c.world.chance(hedgePart) {
-		c.after(c.world.between(0, 30*time.Millisecond), func() { c.attempt(made, maxAttempts) })
+	if !c.fleet.plannedOnly && c.world.randomBool(hedgeProbability) {
+		c.after(c.world.randomDuration(0, 30*time.Millisecond), func() { c.attempt(made, maxAttempts) })
 	}
-	if c.world.chance(laterPart) {
-		c.after(c.world.between(time.Second, laterRetry), func() { c.attempt(made, maxAttempts) })
+	if c.world.randomBool(lateRepeatProbability) {
+		c.after(c.world.randomDuration(time.Second, maxLateRepeatDelay), func() { c.attempt(made, maxAttempts) })
 	}
 }
 
-// attempt sends a call to some gateway and acts on the answer.
+// attempt sends a call to a random gateway and acts on the answer.
 func (c *caller) attempt(made *call, number int) {
 	g := c.fleet.gateways[c.world.random.Intn(len(c.fleet.gateways))]
 	network := c.world.network
-	over := false
-	if !g.listening() && !network.isCut(c.process, g.process) {
-		c.after(refusedDial, func() { c.again(made, number, true) })
+	finished := false
+	if !g.isListening() && !network.isCut(c.process, g.process) {
+		c.after(refusedDialDelay, func() { c.retry(made, number, true) })
 		return
 	}
-	c.after(callTimeout+callGrace, func() {
-		if !over {
-			over = true
-			c.again(made, number, false)
+	c.after(callTimeout+callGracePeriod, func() {
+		if !finished {
+			finished = true
+			c.retry(made, number, false)
 		}
 	})
-	asking := c.thisRun()
-	network.once(c.process, g.process, func() {
+	asking := c.currentRun()
+	network.sendOnce(c.process, g.process, func() {
 		g.serve(made, callTimeout, func(outcome dispatch.Outcome) {
 			network.reply(g.process, asking, func() {
-				if !over {
-					over = true
-					c.answered(made, number, &outcome)
+				if !finished {
+					finished = true
+					c.handleAnswer(made, number, &outcome)
 				}
 			})
 		})
 	})
 }
 
-// again repeats a call whose answer is missing, if its kind permits that.
-func (c *caller) again(made *call, number int, unsent bool) {
+// retry sends a call without an answer again if that is safe. unsent tells that the call certainly did not run.
+func (c *caller) retry(made *call, number int, unsent bool) {
 	if number >= maxAttempts || made.key == "" && !made.repeatable && !unsent {
 		return
 	}
-	c.after(c.world.between(time.Millisecond, 200*time.Millisecond), func() { c.attempt(made, number+1) })
+	c.after(c.world.randomDuration(time.Millisecond, 200*time.Millisecond), func() { c.attempt(made, number+1) })
 }
 
-func (c *caller) answered(made *call, number int, outcome *dispatch.Outcome) {
+func (c *caller) handleAnswer(made *call, number int, outcome *dispatch.Outcome) {
 	switch outcome.Verdict {
 	case verdict.Ran:
 		if outcome.Answer != nil {
@@ -141,13 +141,13 @@
 		}
 	case verdict.DidNotRun:
 		c.world.truth.refused++
-		if c.world.chance(0.5) {
-			c.again(made, number, true)
+		if c.world.randomBool(0.5) {
+			c.retry(made, number, true)
 		}
 	default:
 		c.world.truth.unknown++
 		if made.key != "" {
-			c.again(made, number, false)
+			c.retry(made, number, false)
 		}
 	}
 }
--- a/internal/sim/client.go
+++ b/internal/sim/client.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	attemptTimeout = time.Second // controlclient.DefaultAttemptTimeout
-	replyGrace     = 100 * time.Millisecond
-	minimumBackoff = 5 * time.Millisecond
-	maximumBackoff = 250 * time.Millisecond
-	refusedDial    = time.Millisecond
+	attemptTimeout   = time.Second // controlclient.DefaultAttemptTimeout
+	replyGracePeriod = 100 * time.Millisecond
+	minimumBackoff   = 5 * time.Millisecond
+	maximumBackoff   = 250 * time.Millisecond
+	refusedDialDelay = time.Millisecond
 )
 
-// client is how a process of the fleet speaks to the control nodes, as controlclient.Client does. It lasts
-// for one run of the process.
+// client sends requests of a process to the control nodes, like controlclient.Client. It lasts for one run of the
+// process.
 type client struct {
 	*process
 	fleet     *fleet
 	addresses []string
-	rotation  int
-	leaders   map[uint32]string
-	tickets   map[uint32]uint64
+	rotation  int               // index into addresses of the node to ask while no leader is known
+	leaders   map[uint32]string // last known leader, by group
+	tickets   map[uint32]uint64 // newest known log index, by group; the ticket of new claims
 }
 
 func (f *fleet) newClient(p *process) *client {
 	c := &client{process: p, fleet: f, leaders: map[uint32]string{}, tickets: map[uint32]uint64{}}
 	for _, h := range f.hosts {
 		if !h.replaced {
-			c.addresses = append(c.addresses, h.name) // the settings of the moment
+			c.addresses = append(c.addresses, h.name) // as in the current settings
 		}
 	}
 	c.rotation = f.world.random.Intn(len(c.addresses))
@@ -41,16 +41,16 @@
 	c.tickets[group] = max(c.tickets[group], index)
 }
 
-func (c *client) pick(group uint32) *host {
+func (c *client) selectNode(group uint32) *host {
 	if leader := c.leaders[group]; leader != "" {
-		if h := c.fleet.hostNamed(leader); h != nil {
+		if h := c.fleet.hostByName(leader); h != nil {
 			return h
 		}
 	}
-	return c.fleet.hostNamed(c.addresses[c.rotation%len(c.addresses)])
+	return c.fleet.hostByName(c.addresses[c.rotation%len(c.addresses)])
 }
 
-func (c *client) rotate(from string) {
+func (c *client) rotateFrom(from string) {
 	if c.addresses[c.rotation%len(c.addresses)] == from {
 		c.rotation++
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// learnNodes takes over the control nodes of the moment, as a grant names them.
+// learnNodes adopts the current control nodes, as a grant names them.
 func (c *client) learnNodes(addresses []string) {
 	if len(addresses) == 0 || slices.Equal(addresses, c.addresses) {
 		return
@@ -77,27 +77,27 @@
 	}
 }
 
-// operation is one request that is repeated until it is answered or its time is over.
+// operation is a request that is retried until it is answered or times out.
 type operation struct {
 	client   *client
 	request  *wire.ExecuteRequest
-	until    time.Duration // of the client's clock
+	deadline time.Duration // on the client's clock
 	failures int
 	attempt  int
-	over     bool
-	done     func(*wire.ExecuteReply) // nil when it was given up
+	finished bool
+	done     func(*wire.ExecuteReply) // gets nil when the operation timed out
 }
 
-// execute repeats attempts until one is answered or limit is over; done gets nil then.
+// execute retries a request until it is answered; done gets nil if that does not happen within limit.
 func (c *client) execute(request *wire.ExecuteRequest, limit time.Duration, done func(*wire.ExecuteReply)) {
-	o := &operation{client: c, request: request, until: c.clock() + limit, done: done}
+	o := &operation{client: c, request: request, deadline: c.clock() + limit, done: done}
 	c.after(limit, func() { o.finish(nil) })
 	o.try()
 }
 
 func (o *operation) finish(reply *wire.ExecuteReply) {
-	if !o.over {
-		o.over = true
+	if !o.finished {
+		o.finished = true
 		o.done(reply)
 	}
 }
@@ -105,46 +105,46 @@
 // try makes one attempt at one control node.
 func (o *operation) try() {
 	c := o.client
-	if o.over {
+	if o.finished {
 		return
 	}
-	node := c.pick(o.request.Group)
+	node := c.selectNode(o.request.Group)
 	o.attempt++
 	attempt := o.attempt
-	duration := min(attemptTimeout, o.until-c.clock())
+	duration := min(attemptTimeout, o.deadline-c.clock())
 	failed := func() {
 		if attempt == o.attempt {
 			c.forgetLeader(o.request.Group, node.name)
-			c.rotate(node.name)
-			o.again()
+			c.rotateFrom(node.name)
+			o.retry()
 		}
 	}
 	if !node.up && !c.world.network.isCut(c.process, node.process) {
-		c.after(refusedDial, failed)
+		c.after(refusedDialDelay, failed)
 		return
 	}
-	c.after(duration+replyGrace, failed)
-	asking := c.thisRun()
-	c.world.network.once(c.process, node.process, func() {
+	c.after(duration+replyGracePeriod, failed)
+	asking := c.currentRun()
+	c.world.network.sendOnce(c.process, node.process, func() {
 		node.control.execute(o.request, duration, func(reply *wire.ExecuteReply) {
 			c.world.network.reply(node.process, asking, func() {
 				if attempt == o.attempt {
-					o.judge(node, reply)
+					o.handleReply(node, reply)
 				}
 			})
 		})
 	})
 }
 
-// again makes the next attempt after a pause.
-func (o *operation) again() {
+// retry makes the next attempt after a backoff.
+func (o *operation) retry() {
 	o.attempt++
 	pause := min(minimumBackoff<<min(o.failures, 10), maximumBackoff)
 	o.failures++
-	o.client.after(o.client.world.between(pause/2, pause), o.try)
+	o.client.after(o.client.world.randomDuration(pause/2, pause), o.try)
 }
 
-func (o *operation) judge(node *host, reply *wire.ExecuteReply) {
+func (o *operation) handleReply(node *host, reply *wire.ExecuteReply) {
 	c, group := o.client, o.request.Group
 	switch reply.Status {
 	case wire.ExecuteStatus_EXECUTE_STATUS_OK:
@@ -157,8 +157,8 @@
 			c.setLeader(group, reply.LeaderAddress)
 		} else {
 			c.forgetLeader(group, node.name)
-			c.rotate(node.name)
+			c.rotateFrom(node.name)
 		}
 	}
-	o.again()
+	o.retry()
 }
--- a/internal/sim/control.go
+++ b/internal/sim/control.go
@@ -12,101 +12,101 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// leaseSettings are control.New's for the default lease.
+// leaseSettings returns the settings that control.New uses for the default lease.
 func leaseSettings() lease.Settings {
 	return lease.Settings{Lease: lease.DefaultLease, RenewInterval: lease.DefaultLease / 6}.WithDefaults()
 }
 
-// renewal is one request for a lease.
+// renewal is a request to renew a lease.
 type renewal struct {
 	session *serverSession
 	request *wire.SessionRequest
 }
 
-// inForceWaiter is an accepted change whose reply waits until it is in force.
+// inForceWaiter holds the reply to an accepted change until the change is in force or the wait times out.
 type inForceWaiter struct {
-	version uint64
-	until   time.Duration
-	done    func(inForce uint64)
+	version  uint64
+	deadline time.Duration
+	done     func(inForce uint64)
 }
 
-// control is the server of one control node; it follows package control: renewals are judged in rounds,
-// each behind a read barrier of the control group.
+// control is the server of one control node. It follows package control: lease renewals are answered in rounds, each
+// after a read barrier of the control group.
 type control struct {
-	host     *host
-	settings lease.Settings
-	term     uint64 // in which leases are granted here
-	granter  *lease.Granter
-	current  uint64 // table version applied here
-	renewals []renewal
-	granting bool
-	waiters  []inForceWaiter
-	sessions []*serverSession
-	ticks    int
+	host           *host
+	settings       lease.Settings
+	grantingTerm   uint64 // term in which this node grants leases
+	granter        *lease.Granter
+	tableVersion   uint64 // table version applied on this node
+	renewals       []renewal
+	roundRunning   bool // a grant round waits for its read barrier
+	inForceWaiters []inForceWaiter
+	sessions       []*serverSession
+	ticks          int
 }
 
 func newControl(h *host) *control {
-	return &control{host: h, settings: leaseSettings(), current: h.groups[state.ControlGroup].machine.TableVersion()}
+	return &control{host: h, settings: leaseSettings(), tableVersion: h.groups[state.ControlGroup].machine.TableVersion()}
 }
 
 func (c *control) controlGroup() *group { return c.host.groups[state.ControlGroup] }
 
-func (c *control) leaderChanged() {
+func (c *control) onLeaderChange() {
 	if c.controlGroup().leadership.leading {
 		if len(c.renewals) == 0 {
 			c.confirm(func(uint64, bool) {})
 		}
 		return
 	}
-	c.term, c.granter = 0, nil
+	c.grantingTerm, c.granter = 0, nil
 }
 
-// tableChanged takes over the table as applied here and pushes it to the holders.
-func (c *control) tableChanged() {
+// adoptTableVersion adopts the table version applied on this node and pushes it to the holders.
+func (c *control) adoptTableVersion() {
 	version := c.controlGroup().machine.TableVersion()
-	if version <= c.current {
+	if version <= c.tableVersion {
 		return
 	}
-	c.current = version
+	c.tableVersion = version
 	if c.granter != nil {
 		c.granter.Committed(c.host.clock(), version)
 	}
 	for _, open := range c.sessions {
 		open.push()
 	}
-	c.serveWaiters()
+	c.answerInForceWaiters()
 }
 
 func (c *control) renew(waiting renewal) {
 	c.renewals = append(c.renewals, waiting)
-	if !c.granting {
+	if !c.roundRunning {
 		c.grantRound()
 	}
 }
 
-// grantRound confirms the leadership after the arrival of the renewals, then judges them.
+// grantRound confirms the leadership after the renewals have arrived and then answers them.
 func (c *control) grantRound() {
 	batch := c.renewals
 	c.renewals = nil
 	if len(batch) == 0 {
 		return
 	}
-	c.granting = true
+	c.roundRunning = true
 	c.confirm(func(term uint64, confirmed bool) {
-		c.granting = false
+		c.roundRunning = false
 		for _, waiting := range batch {
 			if confirmed {
-				c.judge(term, waiting)
+				c.answerRenewal(term, waiting)
 			} else {
 				waiting.session.redirect(c.otherLeader(state.ControlGroup))
 			}
 		}
-		c.serveWaiters()
+		c.answerInForceWaiters()
 		c.host.after(0, c.grantRound)
 	})
 }
 
-// confirm runs a read round and tells the term that it confirmed.
+// confirm runs a read barrier and passes on the term in which the leadership was confirmed.
 func (c *control) confirm(done func(term uint64, confirmed bool)) {
 	before := c.controlGroup().leadership
 	if !before.leading {
@@ -127,74 +127,74 @@
 			answer(0, false)
 			return
 		}
-		c.lead(after.term)
+		c.startGranting(after.term)
 		answer(after.term, true)
 	})
 }
 
-// lead starts granting in a term, with nothing known of earlier leaders' leases.
-func (c *control) lead(term uint64) {
-	if c.granter != nil && c.term == term {
+// startGranting starts granting leases in a term. Nothing is known about the leases of earlier leaders.
+func (c *control) startGranting(term uint64) {
+	if c.granter != nil && c.grantingTerm == term {
 		return
 	}
-	c.tableChanged()
-	c.term = term
-	c.granter = lease.NewGranterUnsafe(c.host.clock(), c.settings, c.current, c.host.world.mutation.leaseUnsafe())
-	c.host.tracef("grants leases in term %d at table version %d", term, c.current)
+	c.adoptTableVersion()
+	c.grantingTerm = term
+	c.granter = lease.NewGranterUnsafe(c.host.clock(), c.settings, c.tableVersion, c.host.world.mutation.leaseUnsafe())
+	c.host.tracef("grants leases in term %d at table version %d", term, c.tableVersion)
 }
 
-func (c *control) judge(term uint64, waiting renewal) {
+func (c *control) answerRenewal(term uint64, waiting renewal) {
 	holder, request := waiting.session.holder, waiting.request
 	granted := false
-	if c.granter != nil && c.term == term && request.ActedVersion <= c.current {
+	if c.granter != nil && c.grantingTerm == term && request.ActedVersion <= c.tableVersion {
 		granted = c.granter.Renew(holder, c.host.clock(), request.ActedVersion)
 	}
 	waiting.session.answer(request.Sequence, granted)
 }
 
-// inForce is the version below which no process acts; 0 while that is not known.
-func (c *control) inForce() uint64 {
+// inForceVersion returns the version below which no process acts, or 0 while that is unknown.
+func (c *control) inForceVersion() uint64 {
 	if c.granter == nil {
 		return 0
 	}
 	version := c.granter.InForce(c.host.clock())
-	if c.host.world.mutated(InForceWithoutWaiting) {
-		version = c.current
+	if c.host.world.hasMutation(InForceWithoutWaiting) {
+		version = c.tableVersion
 	}
-	c.host.world.truth.calledInForce(c.host, version)
+	c.host.world.truth.recordInForce(c.host, version)
 	return version
 }
 
 func (c *control) waitInForce(version uint64, limit time.Duration, done func(uint64)) {
-	c.waiters = append(c.waiters, inForceWaiter{version: version, until: c.host.clock() + limit, done: done})
-	c.serveWaiters()
+	c.inForceWaiters = append(c.inForceWaiters, inForceWaiter{version: version, deadline: c.host.clock() + limit, done: done})
+	c.answerInForceWaiters()
 }
 
-func (c *control) serveWaiters() {
-	if len(c.waiters) == 0 {
+func (c *control) answerInForceWaiters() {
+	if len(c.inForceWaiters) == 0 {
 		return
 	}
-	inForce := c.inForce()
-	waiting := c.waiters
-	c.waiters = nil
+	inForce := c.inForceVersion()
+	waiting := c.inForceWaiters
+	c.inForceWaiters = nil
 	for _, waiter := range waiting {
-		if inForce >= waiter.version || c.host.clock() >= waiter.until {
+		if inForce >= waiter.version || c.host.clock() >= waiter.deadline {
 			waiter.done(inForce)
 			continue
 		}
-		c.waiters = append(c.waiters, waiter)
+		c.inForceWaiters = append(c.inForceWaiters, waiter)
 	}
 }
 
 func (c *control) tick() {
-	c.serveWaiters()
+	c.answerInForceWaiters()
 	c.ticks++
 	if c.ticks%expireTicks == 0 {
 		c.expireClaims()
 	}
 }
 
-// otherLeader names the node that leads a group, if it is another one and known.
+// otherLeader returns the name of the node that leads a group, or "" if that is this node or unknown.
 func (c *control) otherLeader(groupID uint32) string {
 	known := c.host.groups[groupID].leadership
 	if known.leading || known.leader == raft.None {
@@ -203,22 +203,22 @@
 	return "control-" + strconv.FormatUint(known.leader, 10)
 }
 
-// execute works on one request, which may wait for limit.
+// execute handles one request. A table change may wait up to limit to be in force.
 func (c *control) execute(request *wire.ExecuteRequest, limit time.Duration, answer func(*wire.ExecuteReply)) {
 	switch {
 	case request.Query != nil:
-		c.query(request, answer)
+		c.executeQuery(request, answer)
 	case request.Change != nil:
 		c.changeGroup(request, answer)
 	default:
-		c.command(request, limit, answer)
+		c.executeCommand(request, limit, answer)
 	}
 }
 
-func (c *control) command(request *wire.ExecuteRequest, limit time.Duration, answer func(*wire.ExecuteReply)) {
+func (c *control) executeCommand(request *wire.ExecuteRequest, limit time.Duration, answer func(*wire.ExecuteReply)) {
 	c.host.propose(request.Group, request.Command, func(result *wire.Result, index uint64, err error) {
 		if err != nil {
-			answer(c.failure(request.Group, err))
+			answer(c.failureReply(request.Group, err))
 			return
 		}
 		reply := &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK, Result: result, AppliedIndex: index}
@@ -234,10 +234,10 @@
 	})
 }
 
-func (c *control) query(request *wire.ExecuteRequest, answer func(*wire.ExecuteReply)) {
+func (c *control) executeQuery(request *wire.ExecuteRequest, answer func(*wire.ExecuteReply)) {
 	c.host.read(request.Group, func(err error) {
 		if err != nil {
-			answer(c.failure(request.Group, err))
+			answer(c.failureReply(request.Group, err))
 			return
 		}
 		view := c.host.groups[request.Group].machine.Query(request.Query)
@@ -258,27 +258,27 @@
 	default:
 		err := g.node.TransferLeadership(request.Change.Node)
 		c.host.advance()
-		answer(c.changed(request.Group, err))
+		answer(c.changeReply(request.Group, err))
 		return
 	}
-	g.change(change, func(err error) { answer(c.changed(request.Group, err)) })
+	g.proposeChange(change, func(err error) { answer(c.changeReply(request.Group, err)) })
 	c.host.advance()
 }
 
-func (c *control) changed(groupID uint32, err error) *wire.ExecuteReply {
+func (c *control) changeReply(groupID uint32, err error) *wire.ExecuteReply {
 	switch {
 	case err == nil, errors.Is(err, raft.ErrAlreadyMember), errors.Is(err, raft.ErrNotMember):
 		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OK}
 	case errors.Is(err, raft.ErrChangePending), errors.Is(err, raft.ErrNotCaughtUp), errors.Is(err, raft.ErrQuorumAtRisk):
 		return &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_OVERLOADED, Error: err.Error()}
 	case errors.Is(err, raft.ErrNotLeader):
-		return c.failure(groupID, errNotLeader)
+		return c.failureReply(groupID, errNotLeader)
 	default:
-		return c.failure(groupID, err)
+		return c.failureReply(groupID, err)
 	}
 }
 
-func (c *control) failure(groupID uint32, err error) *wire.ExecuteReply {
+func (c *control) failureReply(groupID uint32, err error) *wire.ExecuteReply {
 	reply := &wire.ExecuteReply{Status: wire.ExecuteStatus_EXECUTE_STATUS_UNKNOWN, Error: err.Error()}
 	switch {
 	case errors.Is(err, errNotLeader):
@@ -289,8 +289,8 @@
 	return reply
 }
 
-// nodes names the control group's nodes for a grant.
-func (c *control) nodes() []string {
+// nodeNames returns the names of the control group's nodes, for a grant.
+func (c *control) nodeNames() []string {
 	configuration := c.controlGroup().node.Status().Configuration
 	var names []string
 	for _, id := range slices.Concat(configuration.Voters, configuration.Learners) {
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -9,35 +9,35 @@
 	"github.com/tamarindring/tamarindring/internal/storage"
 )
 
-// errSync is a sync that failed: nobody knows what reached the disk.
+// errSync is the error of a failed sync, after which it is unknown what reached the disk.
 var errSync = errors.New("sim: the sync failed")
 
 const (
-	syncTime     = 400 * time.Microsecond
-	noSpaceRetry = 500 * time.Millisecond // consensus.noSpaceRetry
+	syncTime             = 400 * time.Microsecond
+	noSpaceRetryInterval = 500 * time.Millisecond // equal to consensus.noSpaceRetryInterval
 )
 
-// disk is a machine's storage. A write counts once it is synced; one that was under way when the machine
-// lost power may have reached the disk as a whole or not at all, as a transaction of the store does.
+// disk is a machine's storage. A write is durable once it is synced. A write that was in progress when the machine
+// lost power may have reached the disk as a whole or not at all, like a transaction of the store.
 type disk struct {
-	world    *world
-	folder   uint64 // identity of the data folder
-	starts   uint64
-	peers    map[uint64]peerRecord
-	groups   map[uint32]raft.Restored
-	unsynced [][]storage.GroupWrite
-	full     bool
-	failNext bool
-	tearNext bool          // the machine loses power in the middle of the next write
-	torn     bool          // it has
-	slow     time.Duration // longest extra time of a sync
+	world         *world
+	folder        uint64 // identity of the data folder
+	startCount    uint64
+	peers         map[uint64]peerRecord
+	groups        map[uint32]raft.Restored
+	unsynced      [][]storage.GroupWrite
+	full          bool          // writes wait until there is free space
+	failNext      bool          // the next sync fails
+	tearNext      bool          // the machine loses power during the next write
+	torn          bool          // the machine lost power during a write
+	extraSyncTime time.Duration // longest extra time of a sync; 0 for none
 }
 
-// peerRecord is what a node durably knows of another one's folder.
+// peerRecord is what a node has stored durably about another node's data folder.
 type peerRecord struct {
-	folder    uint64
-	starts    uint64
-	knowsThis bool
+	folder         uint64
+	startCount     uint64
+	knowsOwnFolder bool // the other node knows the data folder of this node
 }
 
 func (w *world) newDisk(groups int, configuration raft.Configuration) *disk {
@@ -48,25 +48,26 @@
 	return d
 }
 
-// load returns what a group has on the disk.
+// load returns the stored state of a group.
 func (d *disk) load(group uint32) raft.Restored {
 	restored := d.groups[group]
 	restored.Entries = slices.Clone(restored.Entries)
 	return restored
 }
 
-// write makes a batch durable, then tells so, unless the process died meanwhile.
+// write makes a batch durable and then calls done, unless the process has died meanwhile. While the disk is full it
+// retries.
 func (d *disk) write(p *process, batch []storage.GroupWrite, done func(error)) {
 	if d.full {
-		p.after(noSpaceRetry, func() { d.write(p, batch, done) })
+		p.after(noSpaceRetryInterval, func() { d.write(p, batch, done) })
 		return
 	}
 	d.unsynced = append(d.unsynced, batch)
-	delay := syncTime + d.world.exponential(syncTime/4)
-	if d.slow > 0 {
-		delay += d.world.between(0, d.slow)
+	delay := syncTime + d.world.exponentialDuration(syncTime/4)
+	if d.extraSyncTime > 0 {
+		delay += d.world.randomDuration(0, d.extraSyncTime)
 	}
-	early := d.world.mutated(AnswerBeforeSync)
+	early := d.world.hasMutation(AnswerBeforeSync)
 	if early {
 		delay += earlySyncLag
 		p.after(0, func() { done(nil) })
@@ -81,13 +82,13 @@
 			}
 		})
 	}
-	d.world.after(delay, func() { d.synced(p, epoch, done, early) })
+	d.world.after(delay, func() { d.finishSync(p, epoch, done, early) })
 }
 
-// earlySyncLag is how far the disk is behind when a host does not wait for it.
+// earlySyncLag is how far the disk lags behind when a host does not wait for it.
 const earlySyncLag = 50 * time.Millisecond
 
-func (d *disk) synced(p *process, epoch uint64, done func(error), told bool) {
+func (d *disk) finishSync(p *process, epoch uint64, done func(error), acknowledged bool) {
 	if p.epoch != epoch || !p.up || len(d.unsynced) == 0 {
 		return
 	}
@@ -95,23 +96,23 @@
 	d.unsynced = d.unsynced[1:]
 	if d.failNext {
 		d.failNext = false
-		if d.world.chance(0.5) {
+		if d.world.randomBool(0.5) {
 			d.store(batch)
 		}
-		p.enter(epoch, func() { done(errSync) })
+		p.runInEpoch(epoch, func() { done(errSync) })
 		return
 	}
 	d.store(batch)
-	if !told {
-		p.enter(epoch, func() { done(nil) })
+	if !acknowledged {
+		p.runInEpoch(epoch, func() { done(nil) })
 	}
 }
 
-// crash ends the machine's run: writes that were not synced may be lost, from some point on.
+// crash applies a loss of power: of the unsynced writes, a random suffix is lost.
 func (d *disk) crash() {
 	for _, batch := range d.unsynced {
-		if d.torn || d.world.chance(0.5) {
-			d.lose(batch)
+		if d.torn || d.world.randomBool(0.5) {
+			d.loseWrite(batch)
 			break
 		}
 		d.store(batch)
@@ -119,16 +120,16 @@
 	d.unsynced, d.failNext, d.torn = nil, false, false
 }
 
-// lose drops the first write that did not reach the disk as a whole. The store finds a torn one when it opens the
-// folder, and goes on from the write before.
-func (d *disk) lose(batch []storage.GroupWrite) {
+// loseWrite drops the first write that did not reach the disk as a whole. The store detects a torn write when it
+// opens the folder, and continues from the write before it.
+func (d *disk) loseWrite(batch []storage.GroupWrite) {
 	if !d.torn {
 		d.world.faults[UnsyncedLost]++
 		return
 	}
 	d.torn = false
 	d.world.faults[TornRecord]++
-	if !d.world.mutated(AcceptTornRecord) {
+	if !d.world.hasMutation(AcceptTornRecord) {
 		return
 	}
 	for i := range batch {
--- a/internal/sim/engine.go
+++ b/internal/sim/engine.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	modelPool      = "model"
-	chunkTokens    = 8
-	chunkTime      = 60 * time.Millisecond
-	shortestSample = 20
-	longestSample  = 160
-	fastestSwap    = 100 * time.Millisecond
-	slowestSwap    = 2 * time.Second
+	modelPool       = "model"
+	chunkTokens     = 8
+	chunkInterval   = 60 * time.Millisecond
+	minSampleTokens = 20
+	maxSampleTokens = 160
+	minSwapTime     = 100 * time.Millisecond
+	maxSwapTime     = 2 * time.Second
 )
 
-// chunk is a part of a sample's tokens with the version that the engine states for it.
+// chunk is a range of a sample's tokens with the weight version that the engine states for it.
 type chunk struct {
 	offset, count int
 	version       uint64
@@ -23,100 +23,102 @@
 	last          bool
 }
 
-// generation is one run of a sample at an engine.
+// generation is one request to an engine to generate the rest of a sample.
 type generation struct {
-	sample  string // id
+	sample  string // sample id
 	edition uint32
 	offset  int
-	out     *stream
-	take    func(chunk)
+	chunks  *stream
+	receive func(chunk)
 	stopped bool
 }
 
-// modelEngine generates samples in chunks, each by the version that it serves then, and keeps the truth.
+// modelEngine generates samples in chunks, each with the weight version that it serves at that time, and reports the
+// tokens to the ground truth.
 type modelEngine struct {
 	*process
-	fleet    *fleet
-	version  uint64 // that really generates
-	fence    uint64 // highest token obeyed
-	failNext bool   // the next swap fails partway
-	lateSwap bool   // the next swap says that it is done and is not
+	fleet            *fleet
+	version          uint64 // version that generation really uses
+	fence            uint64 // highest fencing token of an executed order
+	failNext         bool   // the next swap fails partway
+	falseSuccessNext bool   // the next swap reports success without taking effect
 }
 
 func (f *fleet) newEngine(number int, zone string) *modelEngine {
 	e := &modelEngine{process: f.world.newProcess(fmt.Sprintf("engine-%d", number), zone), fleet: f, version: 1}
-	e.died = func() { f.restartLater(e.process) }
+	e.onDeath = func() { f.restartLater(e.process) }
 	f.engines = append(f.engines, e)
 	return e
 }
 
-// launch starts the engine with the newest version in the weight store's cache or, by chance, an old one.
+// launch starts the engine. By chance it comes up with the version before the one that it served, as from an outdated
+// weight cache.
 func (e *modelEngine) launch() {
 	if e.up {
 		return
 	}
 	e.start()
 	e.fence = 0
-	if e.version > 1 && e.world.chance(0.3) {
+	if e.version > 1 && e.world.randomBool(0.3) {
 		e.version--
 	}
-	e.reportLoad()
+	e.reportVersion()
 }
 
-// sampleLength is the whole length of a sample in tokens: a function of its id, as its text is.
+// sampleLength returns the full length of a sample in tokens, which is a function of the sample's id.
 func sampleLength(id string) int {
-	return shortestSample + int(hash([]byte(id))%(longestSample-shortestSample))
+	return minSampleTokens + int(hash([]byte(id))%(maxSampleTokens-minSampleTokens))
 }
 
-// generate produces a sample's tokens from an offset on.
+// generate streams a sample's tokens from the generation's offset on.
 func (e *modelEngine) generate(g *generation) {
-	e.after(chunkTime+e.world.exponential(chunkTime/2), func() {
+	e.after(chunkInterval+e.world.exponentialDuration(chunkInterval/2), func() {
 		if g.stopped {
 			return
 		}
 		length := sampleLength(g.sample)
 		count := min(chunkTokens, length-g.offset)
 		made := chunk{offset: g.offset, count: count, version: e.version, replica: e.name, last: g.offset+count == length}
-		e.world.truth.generated(g, &made)
+		e.world.truth.recordTokens(g, &made)
 		g.offset += count
-		g.out.send(func() { g.take(made) })
+		g.chunks.send(func() { g.receive(made) })
 		if !made.last {
 			e.generate(g)
 		}
 	})
 }
 
-// swapAnswer says how an order to load weights ended.
+// swapAnswer is the result of an order to load weights.
 type swapAnswer struct {
-	stale   bool // the order's token is too low
-	ok      bool
-	serving uint64
+	stale   bool   // the order's fencing token is superseded
+	ok      bool   // the engine reports success
+	serving uint64 // version that the engine reports to serve
 }
 
-// swap loads a version by order of the pool's owner.
+// swap loads a weight version by order of the pool's owner, whose fencing token is fence.
 func (e *modelEngine) swap(version, fence uint64, answer func(swapAnswer)) {
-	if fence < e.fence && !e.world.mutated(SkipFenceCheck) {
+	if fence < e.fence && !e.world.hasMutation(SkipFenceCheck) {
 		answer(swapAnswer{stale: true})
 		return
 	}
-	e.world.truth.obeyed(e, fence)
+	e.world.truth.checkFence(e, fence)
 	e.tracef("swaps from version %d to %d by order of token %d", e.version, version, fence)
 	e.fence = max(e.fence, fence)
-	e.after(e.world.between(fastestSwap, slowestSwap), func() {
-		if fence < e.fence && !e.world.mutated(SkipFenceCheck) {
-			answer(swapAnswer{stale: true}) // another owner's order came meanwhile
+	e.after(e.world.randomDuration(minSwapTime, maxSwapTime), func() {
+		if fence < e.fence && !e.world.hasMutation(SkipFenceCheck) {
+			answer(swapAnswer{stale: true}) // another owner's order arrived meanwhile
 			return
 		}
 		switch {
 		case e.failNext:
 			e.failNext = false
-			if e.world.chance(0.5) {
-				e.version = version // it serves the new one and still says that it failed
+			if e.world.randomBool(0.5) {
+				e.version = version // the engine serves the new version and still reports failure
 			}
 			answer(swapAnswer{})
-		case e.lateSwap:
-			e.lateSwap = false
-			answer(swapAnswer{ok: true, serving: version}) // it says so and serves the old one
+		case e.falseSuccessNext:
+			e.falseSuccessNext = false
+			answer(swapAnswer{ok: true, serving: version}) // the engine reports success and serves the old version
 		default:
 			e.version = version
 			answer(swapAnswer{ok: true, serving: version})
--- a/internal/sim/expire.go
+++ b/internal/sim/expire.go
@@ -7,10 +7,11 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// expireTicks is how often a group's leader advances the retention of claims.
+// expireTicks is the number of ticks between the commands by which a group's leader expires claims.
 const expireTicks = 60
 
-// retention is so short that claims expire within a run; callers repeat keys for less than its Keys.
+// retention returns the retention of claims. It is short enough that claims expire within a run; callers repeat keys
+// for less time than its Keys.
 func retention() claim.Retention {
 	return claim.Retention{Answers: 8 * time.Second, Keys: 75 * time.Second, Attempts: 30 * time.Second}
 }
--- a/internal/sim/fault.go
+++ b/internal/sim/fault.go
@@ -4,43 +4,43 @@
 	"time"
 )
 
-// FaultKind names a fault that is injected.
+// FaultKind is a kind of fault that a run can inject.
 type FaultKind int
 
 // The faults, in the order of shared/PROMISES.md.
 const (
-	KillBackend     FaultKind = iota // a replica dies, perhaps after it ran and before it answered
-	KillEngine                       // a model engine dies in the middle of its streams
-	KillCoordinator                  // a coordinator dies; another takes its trainers over
-	KillTrainer                      // a trainer restarts from what it had received
+	KillBackend     FaultKind = iota // an application replica dies, perhaps after it ran a request and before it answered
+	KillEngine                       // a model engine dies while it streams samples
+	KillCoordinator                  // a coordinator dies and another one takes over its trainers
+	KillTrainer                      // a trainer dies and restarts from the batches that it had received
 	SwapFails                        // a weight swap fails partway
-	SwapLies                         // a weight swap says that it is done and serves the old version
+	SwapLies                         // a weight swap reports success while the engine still serves the old version
 	KillGateway                      // a gateway dies and starts again
 	KillControl                      // a control machine dies and starts again
-	DieAtStep                        // a process dies a few events later, before or after that event
+	DieAtStep                        // a process dies within its next 30 events, before or after the last of them
 	PowerLoss                        // all control machines die at once
-	CutOneWay                        // two processes: one does not hear the other
-	CutBothWays                      // a process hears nobody and nobody hears it, for some seconds
-	LongCut                          // the same for a minute or more
-	Pause                            // a process stops for less than a lease
-	LongPause                        // a process stops for longer than any lease, then goes on
-	DiskFull                         // a disk takes no writes for a while
-	SyncFails                        // a sync fails; what reached the disk is unknown
-	SlowDisk                         // syncs take long
-	UnsyncedLost                     // writes vanish that were not synced when the machine died
-	TornRecord                       // power is lost in the middle of a write: a part of it reached the disk
+	CutOneWay                        // messages from one process to another are dropped
+	CutBothWays                      // a process is cut off from all others for some seconds
+	LongCut                          // a process is cut off from all others for one to two minutes
+	Pause                            // a process is paused for less than a lease
+	LongPause                        // a process is paused for longer than any lease and then resumes
+	DiskFull                         // a disk has no free space for a while
+	SyncFails                        // a sync fails, and whether its writes reached the disk is unknown
+	SlowDisk                         // syncs are slow for a while
+	UnsyncedLost                     // unsynced writes are lost when the machine dies
+	TornRecord                       // power is lost during a write, and only part of it reaches the disk
 	EmptyDisk                        // a machine comes back with an empty disk under its old identity
 	ReplaceMachine                   // a machine is lost for good and replaced by a new one
 	SecondLoss                       // a second machine is lost while the first is being replaced
 	MessageLoss                      // messages are lost
-	Reordering                       // messages are late and overtake each other
-	Duplication                      // messages come twice
-	ZoneLoss                         // all processes of a zone are cut off
-	RegionsApart                     // two regions lose each other
-	BackendLeaves                    // the platform takes a replica away
-	PlannedStop                      // a gateway, coordinator or control node stops by plan
-	LeaderMoves                      // the control group's leadership is handed over
-	SlowRestart                      // all control machines die at once, and all disks are slow while they start again
+	Reordering                       // messages are delayed and overtake each other
+	Duplication                      // messages are delivered twice
+	ZoneLoss                         // all processes of a zone are cut off from the others
+	RegionsApart                     // the two regions cannot reach each other
+	BackendLeaves                    // the platform removes an application replica after telling it to leave
+	PlannedStop                      // a gateway, coordinator or control node is drained and stopped
+	LeaderMoves                      // the control group's leadership is transferred
+	SlowRestart                      // all control machines die at once and restart on slow disks
 	faultKinds
 )
 
@@ -51,33 +51,34 @@
 	"zone-loss", "regions-apart", "backend-leaves", "planned-stop", "leader-moves",
 	"slow-restart"}
 
-// String returns the fault's name.
+// String returns the name under which the fault is reported.
 func (k FaultKind) String() string { return faultNames[k] }
 
 // faultCounts counts injected faults by kind.
 type faultCounts [faultKinds]uint64
 
 func (f *fleet) inject(kind FaultKind) {
-	if f.apply(kind) {
+	if f.tryInject(kind) {
 		f.world.faults[kind]++
 	}
 }
 
-// apply injects a fault; it is false when the fleet has no place for it now.
-func (f *fleet) apply(kind FaultKind) bool {
+// tryInject injects a fault. It returns false when the fleet's present state does not allow it, or when the fault is
+// counted later, as it takes effect.
+func (f *fleet) tryInject(kind FaultKind) bool {
 	w := f.world
 	w.tracef("FAULT", "%s", kind)
 	switch kind {
 	case KillBackend:
-		return f.kill(f.anyBackend().process)
+		return f.kill(f.randomBackend().process)
 	case KillEngine:
-		return f.kill(f.anyEngine().process)
+		return f.kill(f.randomEngine().process)
 	case KillCoordinator:
-		return f.kill(f.anyCoordinator().process)
+		return f.kill(f.randomCoordinator().process)
 	case KillTrainer:
-		return f.kill(f.anyTrainer().process)
+		return f.kill(f.randomTrainer().process)
 	case BackendLeaves:
-		return f.anyBackend().leave()
+		return f.randomBackend().startLeaving()
 	case PlannedStop:
 		return f.plannedStop()
 	case LeaderMoves:
@@ -85,61 +86,61 @@
 	case SlowRestart:
 		return f.slowRestart()
 	case SwapFails:
-		f.anyEngine().failNext = true
+		f.randomEngine().failNext = true
 	case SwapLies:
-		f.anyEngine().lateSwap = true
+		f.randomEngine().falseSuccessNext = true
 	case KillGateway:
-		return f.kill(f.anyGateway().process)
+		return f.kill(f.randomGateway().process)
 	case KillControl:
-		return f.kill(f.anyHost().process)
+		return f.kill(f.randomHost().process)
 	case DieAtStep:
-		return f.dieAtStep()
+		return f.scheduleDeath()
 	case PowerLoss:
 		for _, h := range f.hosts {
 			f.kill(h.process)
 		}
 	case CutOneWay:
-		from, to := f.anyProcess(), f.anyProcess()
-		w.network.cut(from, to, w.between(time.Second, 10*time.Second))
+		from, to := f.randomProcess(), f.randomProcess()
+		w.network.cut(from, to, w.randomDuration(time.Second, 10*time.Second))
 	case CutBothWays:
-		f.isolate([]*process{f.anyProcess()}, w.between(time.Second, 10*time.Second))
+		f.isolate([]*process{f.randomProcess()}, w.randomDuration(time.Second, 10*time.Second))
 	case LongCut:
-		f.isolate([]*process{f.anyProcess()}, w.between(time.Minute, 2*time.Minute))
+		f.isolate([]*process{f.randomProcess()}, w.randomDuration(time.Minute, 2*time.Minute))
 	case Pause:
-		f.anyProcess().pause(w.between(20*time.Millisecond, time.Second))
+		f.randomProcess().pause(w.randomDuration(20*time.Millisecond, time.Second))
 	case LongPause:
-		f.anyProcess().pause(w.between(1300*time.Millisecond, 20*time.Second))
+		f.randomProcess().pause(w.randomDuration(1300*time.Millisecond, 20*time.Second))
 	case ZoneLoss:
-		f.isolate(f.inZone(f.zones[w.random.Intn(len(f.zones))]), w.between(2*time.Second, 20*time.Second))
+		f.isolate(f.processesIn(f.zones[w.random.Intn(len(f.zones))]), w.randomDuration(2*time.Second, 20*time.Second))
 	case RegionsApart:
-		f.isolate(f.inZone(f.zones[len(f.zones)-1]), w.between(time.Minute, 2*time.Minute))
+		f.isolate(f.processesIn(f.zones[len(f.zones)-1]), w.randomDuration(time.Minute, 2*time.Minute))
 	case MessageLoss, Reordering, Duplication:
-		f.disturbNetwork(kind)
+		f.injectNetworkFault(kind)
 	default:
-		return f.disturbDisk(kind)
+		return f.injectDiskFault(kind)
 	}
 	return true
 }
 
-func (f *fleet) disturbNetwork(kind FaultKind) {
-	n, length := f.world.network, f.world.between(2*time.Second, 15*time.Second)
-	part := 0.3 * f.world.random.Float64()
+func (f *fleet) injectNetworkFault(kind FaultKind) {
+	n, length := f.world.network, f.world.randomDuration(2*time.Second, 15*time.Second)
+	fraction := 0.3 * f.world.random.Float64()
 	switch kind {
 	case MessageLoss:
-		n.loss = part
-		f.world.after(length, func() { n.loss = 0 })
+		n.lossRate = fraction
+		f.world.after(length, func() { n.lossRate = 0 })
 	case Reordering:
-		n.slow = part
-		f.world.after(length, func() { n.slow = 0 })
+		n.lateRate = fraction
+		f.world.after(length, func() { n.lateRate = 0 })
 	default:
-		n.duplicate = part
-		f.world.after(length, func() { n.duplicate = 0 })
+		n.duplicateRate = fraction
+		f.world.after(length, func() { n.duplicateRate = 0 })
 	}
 }
 
-func (f *fleet) disturbDisk(kind FaultKind) bool {
-	h := f.anyHost()
-	length := f.world.between(time.Second, 10*time.Second)
+func (f *fleet) injectDiskFault(kind FaultKind) bool {
+	h := f.randomHost()
+	length := f.world.randomDuration(time.Second, 10*time.Second)
 	switch kind {
 	case DiskFull:
 		h.disk.full = true
@@ -148,23 +149,24 @@
 		h.disk.failNext = true
 	case TornRecord:
 		h.disk.tearNext = true
-		return false // counted when it happens
+		return false // counted when the write is torn
 	case SlowDisk:
-		h.disk.slow = f.world.between(10*time.Millisecond, 700*time.Millisecond)
-		f.world.after(length, func() { h.disk.slow = 0 })
+		h.disk.extraSyncTime = f.world.randomDuration(10*time.Millisecond, 700*time.Millisecond)
+		f.world.after(length, func() { h.disk.extraSyncTime = 0 })
 	case EmptyDisk:
-		return f.emptyDisk(h)
+		return f.loseDisk(h)
 	case ReplaceMachine:
-		return f.replace(h, false)
+		return f.replaceMachine(h, false)
 	case SecondLoss:
-		return f.replace(h, true)
+		return f.replaceMachine(h, true)
 	default:
 		return false
 	}
 	return true
 }
 
-// kill ends a process abruptly; it starts again later.
+// kill ends a process abruptly; the supervisor restarts it later. It returns false if the process is
+// down.
 func (f *fleet) kill(p *process) bool {
 	if !p.up {
 		return false
@@ -173,21 +175,21 @@
 	return true
 }
 
-// restartLater is the supervisor: whatever ended a process, it starts again after a while.
+// restartLater acts as the supervisor, which restarts a process after a while whatever ended it.
 func (f *fleet) restartLater(p *process) {
-	f.world.after(f.world.between(50*time.Millisecond, 6*time.Second), func() { f.launch(p) })
+	f.world.after(f.world.randomDuration(50*time.Millisecond, 6*time.Second), func() { f.launch(p) })
 }
 
-func (f *fleet) dieAtStep() bool {
-	p := f.anyProcess()
-	if !p.up || p.dieIn > 0 {
+func (f *fleet) scheduleDeath() bool {
+	p := f.randomProcess()
+	if !p.up || p.eventsUntilDeath > 0 {
 		return false
 	}
-	p.dieIn = 1 + f.world.random.Intn(30)
+	p.eventsUntilDeath = 1 + f.world.random.Intn(30)
 	return true
 }
 
-// isolate cuts the given processes off from all others, both ways.
+// isolate cuts the given processes off from all others in both directions.
 func (f *fleet) isolate(inside []*process, length time.Duration) {
 	within := map[*process]bool{}
 	for _, p := range inside {
@@ -204,19 +206,19 @@
 	}
 }
 
-// emptyDisk lets a machine lose its disk and start under its old identity. The others refuse it; after a
-// while it is replaced.
-func (f *fleet) emptyDisk(h *host) bool {
+// loseDisk makes a machine lose its disk and restart with an empty one under its old identity. The other nodes reject
+// it, and after a while it is replaced.
+func (f *fleet) loseDisk(h *host) bool {
 	if f.repairing || h.replaced || !h.up {
 		return false
 	}
 	f.repairing = true
 	h.die()
 	h.disk = f.world.newDisk(groupCount, f.founders)
-	f.world.after(f.world.between(10*time.Millisecond, time.Second), func() { h.launch() })
-	f.world.after(f.world.between(3*time.Second, 20*time.Second), func() {
+	f.world.after(f.world.randomDuration(10*time.Millisecond, time.Second), func() { h.launch() })
+	f.world.after(f.world.randomDuration(3*time.Second, 20*time.Second), func() {
 		f.repairing = false
-		f.replace(h, false)
+		f.replaceMachine(h, false)
 	})
 	return true
 }
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -24,34 +24,34 @@
 	trainerCount     = 1
 )
 
-// fleet is all processes of a run.
+// fleet holds all processes of a run.
 type fleet struct {
-	world        *world
-	zones        []string
-	hosts        []*host
-	gateways     []*gateway
-	backends     []*backend
-	callers      []*caller
-	coordinators []*coordinator
-	engines      []*modelEngine
-	trainers     []*trainer
-	operators    []*operator
-	repairer     *process
-	founders     raft.Configuration
-	nextHost     uint64
-	noExpiry     bool
-	gentle       bool // planned stops only: nothing may fail
-	repairing    bool
-	slowUntil    time.Duration // end of the last slow restart
-	slowSync     time.Duration // longest extra time of a sync in it
-	slowLed      bool          // the control group had a leader in it
-	loadEnds     time.Duration
-	stepsThen    []uint64 // the trainers' steps when the fleet has to work again
-	recovered    []bool   // the table, then each gateway
+	world           *world
+	zones           []string
+	hosts           []*host
+	gateways        []*gateway
+	backends        []*backend
+	callers         []*caller
+	coordinators    []*coordinator
+	engines         []*modelEngine
+	trainers        []*trainer
+	operators       []*operator
+	repairProcess   *process
+	founders        raft.Configuration
+	lastHostID      uint64
+	noExpiry        bool
+	plannedOnly     bool // only planned stops are injected and no call may end as "may have run"
+	repairing       bool
+	slowRestartEnd  time.Duration // when the last slow restart ends
+	slowSyncTime    time.Duration // longest extra time of a sync during it
+	slowLeaderSeen  bool          // whether the control group had a leader during it
+	loadEnd         time.Duration
+	stepsAtRecovery []uint64 // the trainers' steps at the start of the recovery check
+	recovered       []bool   // whether the table change was in force, then whether the call through each gateway ran
 }
 
 func newFleet(w *world, scenario *Scenario) *fleet {
-	f := &fleet{world: w, zones: []string{"east-a", "east-b", "west-a"}, nextHost: hostCount, loadEnds: scenario.Length, gentle: scenario.gentle, noExpiry: scenario.noExpiry}
+	f := &fleet{world: w, zones: []string{"east-a", "east-b", "west-a"}, lastHostID: hostCount, loadEnd: scenario.Length, plannedOnly: scenario.plannedOnly, noExpiry: scenario.noExpiry}
 	for id := uint64(1); id <= hostCount; id++ {
 		f.founders.Voters = append(f.founders.Voters, id)
 	}
@@ -68,7 +68,7 @@
 		f.newCaller(i+1, f.zones[i%len(f.zones)])
 	}
 	for i := range operatorCount {
-		f.newOperator(i+1, f.zones[i%len(f.zones)], scenario.changeMean())
+		f.newOperator(i+1, f.zones[i%len(f.zones)], scenario.meanChangeInterval())
 	}
 	for i := range coordinatorCount {
 		f.newCoordinator(i+1, f.zones[i%len(f.zones)])
@@ -79,12 +79,12 @@
 	for i := range trainerCount {
 		f.newTrainer(i+1, f.zones[i%len(f.zones)])
 	}
-	f.repairer = w.newProcess("repairer", f.zones[0])
-	f.repairer.start()
+	f.repairProcess = w.newProcess("repairer", f.zones[0])
+	f.repairProcess.start()
 	return f
 }
 
-// launchAll starts everything; the first operator fills the table, then the load begins.
+// launchAll starts all processes. The first operator writes the initial table, then the load begins.
 func (f *fleet) launchAll() {
 	for _, h := range f.hosts {
 		h.launch()
@@ -103,7 +103,7 @@
 	}
 	f.operators[0].start()
 	f.operators[0].client = f.newClient(f.operators[0].process)
-	f.world.after(setupTime/2, func() { f.operators[0].change(f.firstTable(), changeResends) })
+	f.world.after(setupTime/2, func() { f.operators[0].sendChange(f.firstTable(), changeAttempts) })
 	f.world.after(setupTime, func() {
 		for _, o := range f.operators {
 			o.launch()
@@ -117,7 +117,7 @@
 	})
 }
 
-// setupTime is how long a fleet has before load and faults begin.
+// setupTime is the time between the start of a fleet and the start of load and faults.
 const setupTime = 4 * time.Second
 
 const setupChange = "setup"
@@ -140,11 +140,11 @@
 	}
 	set(modelPool, table.ColumnKind, string(table.Pool))
 	set(modelPool, table.ColumnService, string(table.Engine))
-	set(modelPool, table.ColumnStalenessBound, strconv.Itoa(modelBound))
+	set(modelPool, table.ColumnStalenessBound, strconv.Itoa(initialStalenessBound))
 	return change
 }
 
-func (f *fleet) host(id uint64) *host {
+func (f *fleet) hostByID(id uint64) *host {
 	for _, h := range f.hosts {
 		if h.id == id {
 			return h
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func (f *fleet) hostNamed(name string) *host {
+func (f *fleet) hostByName(name string) *host {
 	for _, h := range f.hosts {
 		if h.name == name {
 			return h
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func (f *fleet) backend(name string) *backend {
+func (f *fleet) backendByName(name string) *backend {
 	for _, b := range f.backends {
 		if b.name == name {
 			return b
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (f *fleet) engine(name string) *modelEngine {
+func (f *fleet) engineByName(name string) *modelEngine {
 	for _, e := range f.engines {
 		if e.name == name {
 			return e
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// processes are all processes that faults hit.
+// processes returns all processes that faults can hit.
 func (f *fleet) processes() []*process {
 	var all []*process
 	for _, h := range f.hosts {
@@ -206,7 +206,7 @@
 	return all
 }
 
-func (f *fleet) inZone(zone string) []*process {
+func (f *fleet) processesIn(zone string) []*process {
 	var inside []*process
 	for _, p := range f.processes() {
 		if p.zone == zone {
@@ -216,12 +216,12 @@
 	return inside
 }
 
-func (f *fleet) anyProcess() *process {
+func (f *fleet) randomProcess() *process {
 	all := f.processes()
 	return all[f.world.random.Intn(len(all))]
 }
 
-func (f *fleet) anyHost() *host {
+func (f *fleet) randomHost() *host {
 	var present []*host
 	for _, h := range f.hosts {
 		if !h.replaced {
@@ -231,22 +231,22 @@
 	return present[f.world.random.Intn(len(present))]
 }
 
-func (f *fleet) anyGateway() *gateway { return f.gateways[f.world.random.Intn(len(f.gateways))] }
+func (f *fleet) randomGateway() *gateway { return f.gateways[f.world.random.Intn(len(f.gateways))] }
 
-func (f *fleet) anyEngine() *modelEngine { return f.engines[f.world.random.Intn(len(f.engines))] }
+func (f *fleet) randomEngine() *modelEngine { return f.engines[f.world.random.Intn(len(f.engines))] }
 
-func (f *fleet) anyCoordinator() *coordinator {
+func (f *fleet) randomCoordinator() *coordinator {
 	return f.coordinators[f.world.random.Intn(len(f.coordinators))]
 }
 
-func (f *fleet) anyTrainer() *trainer { return f.trainers[f.world.random.Intn(len(f.trainers))] }
+func (f *fleet) randomTrainer() *trainer { return f.trainers[f.world.random.Intn(len(f.trainers))] }
 
-func (f *fleet) anyBackend() *backend { return f.backends[f.world.random.Intn(len(f.backends))] }
+func (f *fleet) randomBackend() *backend { return f.backends[f.world.random.Intn(len(f.backends))] }
 
-// launch starts a process of any kind unless it runs.
+// launch starts a process of any kind unless it is up.
 func (f *fleet) launch(p *process) {
 	for _, h := range f.hosts {
-		if h.process == p && !h.refused {
+		if h.process == p && !h.identityRejected {
 			h.launch()
 		}
 	}
@@ -281,15 +281,15 @@
 	}
 }
 
-// heal ends all faults and starts what is down.
+// heal ends all faults and starts the processes that are down.
 func (f *fleet) heal() {
 	f.world.tracef("fleet", "all faults end")
 	f.world.network.heal()
 	for _, h := range f.hosts {
-		h.disk.full, h.disk.failNext, h.disk.tearNext, h.disk.slow = false, false, false, 0
+		h.disk.full, h.disk.failNext, h.disk.tearNext, h.disk.extraSyncTime = false, false, false, 0
 	}
 	for _, p := range f.processes() {
-		p.dieIn = 0
+		p.eventsUntilDeath = 0
 		p.resume(p.epoch)
 		f.launch(p)
 	}
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	claimTimeout = 2 * time.Second
-	connectLimit = 300 * time.Millisecond
-	// settlingLimit is low, so that runs reach it.
-	settlingLimit = 4
+	claimTimeout   = 2 * time.Second
+	connectTimeout = 300 * time.Millisecond
+	// settlementLimit is low so that runs reach it.
+	settlementLimit = 4
 )
 
-// gateway takes callers' requests and drives one dispatch.Machine for each under its session's lease.
+// gateway serves callers' requests and drives one dispatch.Machine for each, under the lease of its session.
 type gateway struct {
 	*process
-	fleet      *fleet
-	rank       int
-	client     *client
-	session    *holderSession
-	pool       *pool
-	settings   dispatch.Settings
-	exchanges  map[uint64]*exchange
-	settling   map[uint32]*dispatch.Settlements // by ledger group
-	idle       map[string][]*upstream
-	nextID     uint64
-	draining   bool
-	knowsSince time.Duration // that it has had a table
+	fleet       *fleet
+	rank        int
+	client      *client
+	session     *holderSession
+	pool        *pool
+	settings    dispatch.Settings
+	exchanges   map[uint64]*exchange
+	settlements map[uint32]*dispatch.Settlements // by ledger group
+	idle        map[string][]*upstream           // idle connections, by back end
+	nextID      uint64
+	draining    bool
+	tableSince  time.Duration // since when it has had a table
 }
 
 func (f *fleet) newGateway(number int, zone string) *gateway {
 	g := &gateway{process: f.world.newProcess(fmt.Sprintf("gateway-%d", number), zone), fleet: f, rank: number - 1}
-	g.died = func() { f.restartLater(g.process) }
+	g.onDeath = func() { f.restartLater(g.process) }
 	f.gateways = append(f.gateways, g)
 	return g
 }
 
-// launch starts the gateway with nothing remembered.
+// launch starts the gateway without any state of earlier runs, unless it is up.
 func (g *gateway) launch() {
 	if g.up {
 		return
@@ -52,28 +52,27 @@
 	g.start()
 	g.client = g.fleet.newClient(g.process)
 	g.exchanges, g.idle = map[uint64]*exchange{}, map[string][]*upstream{}
-	g.settling = map[uint32]*dispatch.Settlements{}
+	g.settlements = map[uint32]*dispatch.Settlements{}
 	for group := uint32(1); group <= ledgerGroups; group++ {
-		g.settling[group] = dispatch.NewSettlements(settlingLimit)
+		g.settlements[group] = dispatch.NewSettlements(settlementLimit)
 	}
 	g.pool = g.newPool(applicationPool)
 	g.settings = dispatch.Settings{Random: g.world.random.Float64, Budget: dispatch.NewRetryBudget(50, 50),
 		Unsafe: g.world.mutation.dispatchUnsafe()}.WithDefaults()
 	g.draining = false
-	g.knowsSince = g.world.now
-	g.poll()
+	g.tableSince = g.world.now
+	g.pollLoads()
 	g.session = g.client.openSession(func(view *table.View) { g.pool.update(view) })
 }
 
-// listening tells whether callers can connect: a gateway binds its listener once it holds a lease and a table.
-func (g *gateway) listening() bool { return g.up && g.session.everHeld && g.pool.row != nil }
+// isListening reports whether callers can connect. A gateway binds its listener once it holds a lease and a table.
+func (g *gateway) isListening() bool { return g.up && g.session.everLeased && g.pool.tableRow != nil }
 
 func (g *gateway) owner() string {
 	return wire.OwnerName(&wire.Member{Name: g.name, Incarnation: g.epoch})
 }
 
-// exchange is one request at a gateway; it does what gateway.exchange does, with events in place of
-// blocking calls.
+// exchange is one request at a gateway. It follows gateway.exchange, with events in place of blocking calls.
 type exchange struct {
 	gateway   *gateway
 	call      *call
@@ -84,19 +83,19 @@
 	deadline  time.Duration
 	answer    func(outcome dispatch.Outcome)
 
-	events  []dispatch.Event
-	busy    bool
-	routed  routing.Request
-	chosen  *backend
-	version uint64 // table version of the choice
-	counted bool
-	sends   int
-	settles dispatch.ClaimAction // waits for its turn
-	up      *upstream
-	early   bool // the lease was valid at the choice
+	events           []dispatch.Event
+	handlingEvents   bool
+	routing          routing.Request
+	chosen           *backend
+	chosenVersion    uint64 // table version under which the back end was chosen
+	countedAtBackend bool   // the pool counts the request at the chosen back end
+	sendCount        int
+	deferredClaim    dispatch.ClaimAction // waits for its turn in settlements
+	connection       *upstream
+	leasedAtChoice   bool // the lease was valid when the back end was chosen
 }
 
-// serve takes a caller's request.
+// serve handles a caller's request, which must be answered within timeout.
 func (g *gateway) serve(c *call, timeout time.Duration, answer func(dispatch.Outcome)) {
 	if g.draining {
 		answer(dispatch.Outcome{Status: 503, Verdict: verdict.DidNotRun, Code: "draining"})
@@ -104,7 +103,7 @@
 	}
 	g.nextID++
 	x := &exchange{gateway: g, call: c, id: g.nextID, arrivedAt: g.world.now, deadline: g.clock() + timeout, answer: answer,
-		routed: routing.Request{Work: 1, Urgent: true}}
+		routing: routing.Request{Work: 1, Urgent: true}}
 	g.exchanges[x.id] = x
 	request := dispatch.Request{Attempt: fmt.Sprintf("%s/%d", g.owner(), x.id), Owner: g.owner(), Repeatable: c.repeatable,
 		Replayable: true, Deadline: x.deadline}
@@ -114,17 +113,17 @@
 		request.Ticket = g.client.tickets[x.group]
 	}
 	x.machine = dispatch.New(request, &g.settings)
-	g.after(timeout, func() { x.feed(dispatch.Event{Kind: dispatch.DeadlinePassed}) })
-	x.feed(dispatch.Event{Kind: dispatch.Arrived})
+	g.after(timeout, func() { x.handleEvent(dispatch.Event{Kind: dispatch.DeadlinePassed}) })
+	x.handleEvent(dispatch.Event{Kind: dispatch.Arrived})
 }
 
-// feed gives an event to the machine and does what it asks for.
-func (x *exchange) feed(event dispatch.Event) {
+// handleEvent passes an event to the dispatch machine and performs the actions that it returns.
+func (x *exchange) handleEvent(event dispatch.Event) {
 	x.events = append(x.events, event)
-	if x.busy {
+	if x.handlingEvents {
 		return
 	}
-	x.busy = true
+	x.handlingEvents = true
 	for len(x.events) > 0 {
 		next := x.events[0]
 		x.events = x.events[1:]
@@ -133,7 +132,7 @@
 			x.perform(&actions[i])
 		}
 	}
-	x.busy = false
+	x.handlingEvents = false
 }
 
 func (x *exchange) perform(action *dispatch.Action) {
@@ -142,7 +141,7 @@
 	case dispatch.Admit:
 		x.admit()
 	case dispatch.FreeSlot:
-		g.pool.apply(g.pool.queue.Done(g.clock(), x.id))
+		g.pool.applyEffects(g.pool.queue.Done(g.clock(), x.id))
 	case dispatch.Claim:
 		x.claim(action.Claim)
 	case dispatch.Choose:
@@ -150,14 +149,14 @@
 	case dispatch.Send, dispatch.Resume, dispatch.Replay:
 		x.send(action)
 	case dispatch.Cancel:
-		x.drop()
-		x.leaveBackend(false)
+		x.closeConnection()
+		x.releaseBackend(false)
 	case dispatch.Reply:
 		x.reply(action.Outcome)
 	case dispatch.Wait:
-		g.after(action.Pause, func() { x.feed(dispatch.Event{Kind: dispatch.TimerFired}) })
+		g.after(action.Pause, func() { x.handleEvent(dispatch.Event{Kind: dispatch.TimerFired}) })
 	case dispatch.Finish:
-		x.drop()
+		x.closeConnection()
 		delete(g.exchanges, x.id)
 	}
 }
@@ -165,44 +164,45 @@
 func (x *exchange) admit() {
 	g := x.gateway
 	effects, until := g.pool.queue.Arrive(g.clock(), admission.Request{ID: x.id, Class: "live", Deadline: x.deadline})
-	g.pool.apply(effects)
+	g.pool.applyEffects(effects)
 	if wait := until - g.clock(); wait > 0 {
-		g.after(wait, func() { g.pool.apply(g.pool.queue.Expire(g.clock(), x.id)) })
+		g.after(wait, func() { g.pool.applyEffects(g.pool.queue.Expire(g.clock(), x.id)) })
 	}
 }
 
-func (x *exchange) granted() { x.feed(dispatch.Event{Kind: dispatch.Admitted}) }
+func (x *exchange) onAdmitted() { x.handleEvent(dispatch.Event{Kind: dispatch.Admitted}) }
 
-func (x *exchange) refused(refusal admission.Refusal) {
-	x.feed(dispatch.Event{Kind: dispatch.Refused, Status: 503, Code: "overloaded", Reason: refusal.Reason.String(),
+func (x *exchange) onRejected(refusal admission.Refusal) {
+	x.handleEvent(dispatch.Event{Kind: dispatch.Refused, Status: 503, Code: "overloaded", Reason: refusal.Reason.String(),
 		RetryAfter: refusal.RetryAfter})
 }
 
-// claim executes a ledger command. One behind the caller's back waits for its turn.
+// claim executes a ledger command. A command after the caller was answered waits for its turn in settlements.
 func (x *exchange) claim(action dispatch.ClaimAction) {
-	settling := x.gateway.settling[x.group]
+	settlements := x.gateway.settlements[x.group]
 	if !x.machine.Replied() {
 		x.executeClaim(action, func(bool) {})
 		return
 	}
-	x.settles = action
-	if settling.Ask(x.id, action.Kind) {
+	x.deferredClaim = action
+	if settlements.Ask(x.id, action.Kind) {
 		x.settle()
 	}
 }
 
-// settle executes a ledger command whose turn has come.
+// settle executes a deferred ledger command whose turn has come.
 func (x *exchange) settle() {
 	g := x.gateway
-	x.executeClaim(x.settles, func(answered bool) {
-		for _, id := range g.settling[x.group].Done(answered) {
+	x.executeClaim(x.deferredClaim, func(answered bool) {
+		for _, id := range g.settlements[x.group].Done(answered) {
 			g.exchanges[id].settle()
 		}
 	})
 }
 
-// executeClaim executes a ledger command; over is told first whether it was answered.
-func (x *exchange) executeClaim(action dispatch.ClaimAction, over func(answered bool)) {
+// executeClaim executes a ledger command. done is called with whether the ledger answered, before the
+// dispatch machine gets the event.
+func (x *exchange) executeClaim(action dispatch.ClaimAction, done func(answered bool)) {
 	g := x.gateway
 	request := &wire.ExecuteRequest{Group: x.group}
 	if action.Kind == dispatch.ClaimQuery {
@@ -214,52 +214,52 @@
 	if left := x.deadline - g.clock(); left > 0 && !x.machine.Replied() {
 		limit = min(limit, left)
 	}
-	answered := g.world.history.claiming(x.machine.Request(), &action)
+	recordResult := g.world.history.recordClaim(x.machine.Request(), &action)
 	g.client.execute(request, limit, func(reply *wire.ExecuteReply) {
-		over(reply != nil)
+		done(reply != nil)
 		if reply == nil {
-			g.tracef("hears nothing from the ledger on call %s", x.call.id)
-			x.feed(dispatch.Event{Kind: dispatch.ClaimUnknown})
+			g.tracef("got no answer from the ledger for call %s", x.call.id)
+			x.handleEvent(dispatch.Event{Kind: dispatch.ClaimUnknown})
 			return
 		}
 		result := reply.GetResult().GetClaim()
 		if action.Kind == dispatch.ClaimQuery {
 			result = reply.GetView().GetClaim()
 		}
-		answered(result)
-		g.tracef("hears from the ledger on call %s: %v", x.call.id, result.GetState())
-		x.feed(dispatch.Event{Kind: dispatch.ClaimAnswered, Claim: result})
+		recordResult(result)
+		g.tracef("got the ledger's answer for call %s: %v", x.call.id, result.GetState())
+		x.handleEvent(dispatch.Event{Kind: dispatch.ClaimAnswered, Claim: result})
 	})
 }
 
 func (x *exchange) choose(excluded []string) {
-	x.leaveBackend(false)
-	_, x.early = x.gateway.session.admit()
-	chosen, ok := x.gateway.pool.choose(&x.routed, excluded)
-	x.version = x.gateway.pool.version
+	x.releaseBackend(false)
+	_, x.leasedAtChoice = x.gateway.session.admit()
+	chosen, ok := x.gateway.pool.choose(&x.routing, excluded)
+	x.chosenVersion = x.gateway.pool.version
 	if !ok {
-		x.feed(dispatch.Event{Kind: dispatch.BackendNone})
+		x.handleEvent(dispatch.Event{Kind: dispatch.BackendNone})
 		return
 	}
-	x.chosen, x.counted = chosen, true
-	x.feed(dispatch.Event{Kind: dispatch.BackendChosen, Backend: chosen.name})
+	x.chosen, x.countedAtBackend = chosen, true
+	x.handleEvent(dispatch.Event{Kind: dispatch.BackendChosen, Backend: chosen.name})
 }
 
-// leaveBackend takes the request off the chosen back end, once.
-func (x *exchange) leaveBackend(failed bool) {
-	if !x.counted {
+// releaseBackend stops counting the request at the chosen back end, if it is still counted.
+func (x *exchange) releaseBackend(failed bool) {
+	if !x.countedAtBackend {
 		return
 	}
-	x.counted = false
+	x.countedAtBackend = false
 	g := x.gateway
-	g.pool.replicas.Ended(x.chosen.name, &x.routed, g.clock())
+	g.pool.replicas.Ended(x.chosen.name, &x.routing, g.clock())
 	if failed {
 		g.pool.replicas.Failed(x.chosen.name, g.clock())
 	}
 }
 
 func (x *exchange) reply(outcome dispatch.Outcome) {
-	x.leaveBackend(false)
-	x.gateway.world.truth.answered(x, &outcome)
+	x.releaseBackend(false)
+	x.gateway.world.truth.recordAnswer(x, &outcome)
 	x.answer(outcome)
 }
--- a/internal/sim/generating.go
+++ b/internal/sim/generating.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	streamSilence = 1500 * time.Millisecond
-	storeRetry    = 200 * time.Millisecond
+	streamSilenceLimit = 1500 * time.Millisecond
+	storeRetryInterval = 200 * time.Millisecond
 )
 
-// sampleRun is one attempt at a sample.
+// sampleRun is one attempt at generating a sample.
 type sampleRun struct {
-	coordinator *coordinator
-	owned       *ownedTrainer
-	id          rollout.SampleID
-	edition     uint32
-	tokens      int
-	segments    []*wire.Segment
-	generation  *generation
-	heard       time.Duration
-	whole       bool
-	asked       uint64 // the engine's version when the run began
+	coordinator    *coordinator
+	owned          *ownedTrainer
+	id             rollout.SampleID
+	edition        uint32
+	tokens         int
+	segments       []*wire.Segment
+	generation     *generation
+	lastChunkAt    time.Duration
+	complete       bool
+	versionAtStart uint64 // the engine's weight version when the run began; only used by the mutation VersionAskedBefore
 }
 
-// schedule starts samples and drives the wave, again and again.
+// schedule starts samples and drives the weight wave at regular intervals.
 func (c *coordinator) schedule() {
-	if bound, leased := c.bound(); leased && !c.draining {
+	if bound, leased := c.currentBound(); leased && !c.draining {
 		for _, t := range c.fleet.trainers {
-			if c.owned[t.name] != nil {
-				c.scheduler.Released(c.clock(), t.name, c.available())
+			if c.ownedTrainers[t.name] != nil {
+				c.scheduler.Released(c.clock(), t.name, c.availableVersion())
 			}
 		}
 		for _, start := range c.scheduler.Next(c.clock(), rollout.Room{Slots: rolloutSlots, StalenessBound: bound}) {
 			c.startSample(start)
 		}
-		c.expire(bound)
+		c.dropExpired(bound)
 		c.driveWave()
 	}
-	c.after(scheduleEvery, c.schedule)
+	c.after(scheduleInterval, c.schedule)
 }
 
-// expire drops the tokens of unfinished samples that will be too old when they are used.
-func (c *coordinator) expire(bound uint64) {
+// dropExpired drops the tokens of unfinished samples that would be too old when they are used.
+func (c *coordinator) dropExpired(bound uint64) {
 	for _, id := range c.scheduler.Expired(bound) {
-		run, kept := c.running[id], c.partials[id.String()]
+		run, partial := c.runs[id], c.partialRuns[id.String()]
 		switch {
-		case run != nil && run.whole:
-			continue // the ledger may have it: the next fetch discards it
+		case run != nil && run.complete:
+			continue // the ledger may already have the sample, and the next fetch discards it
 		case run != nil:
 			c.dropRun(run)
 			c.scheduler.Discarded(c.clock(), id, run.edition)
-		case kept != nil:
-			delete(c.partials, id.String())
-			c.scheduler.Discarded(c.clock(), id, kept.edition)
+		case partial != nil:
+			delete(c.partialRuns, id.String())
+			c.scheduler.Discarded(c.clock(), id, partial.edition)
 		}
 	}
 }
 
 func (c *coordinator) startSample(start rollout.Start) {
-	t := c.owned[start.ID.Trainer]
+	t := c.ownedTrainers[start.ID.Trainer]
 	if t == nil {
 		c.scheduler.Forget(start.ID.Trainer)
 		return
 	}
 	run := &sampleRun{coordinator: c, owned: t, id: start.ID, edition: start.Edition}
 	run.edition = max(start.Edition, editionOf(t.view, start.ID.String()))
-	if kept := c.partials[start.ID.String()]; kept != nil && start.PrefixTokens > 0 && kept.edition == run.edition {
-		run.tokens, run.segments = kept.tokens, kept.segments
+	if partial := c.partialRuns[start.ID.String()]; partial != nil && start.PrefixTokens > 0 && partial.edition == run.edition {
+		run.tokens, run.segments = partial.tokens, partial.segments
 	}
-	delete(c.partials, start.ID.String())
-	c.running[start.ID] = run
+	delete(c.partialRuns, start.ID.String())
+	c.runs[start.ID] = run
 	c.tracef("starts sample %s, edition %d, at token %d", start.ID, run.edition, run.tokens)
 	run.generate()
 }
 
-// editionOf is a slot's edition as the ledger last told.
+// editionOf returns a slot's edition in the last view of the ledger.
 func editionOf(view *wire.TrainerView, id string) uint32 {
 	for _, step := range view.GetSteps() {
 		for _, edition := range step.GetEditions() {
@@ -91,20 +91,20 @@
 	return 0
 }
 
-// generate asks an engine for the rest of the sample.
+// generate asks a random engine for the rest of the sample.
 func (r *sampleRun) generate() {
 	c := r.coordinator
 	e := c.fleet.engines[c.world.random.Intn(len(c.fleet.engines))]
 	epoch := e.epoch
-	g := &generation{sample: r.id.String(), edition: r.edition, offset: r.tokens, out: c.world.network.open(e.process, c.thisRun()), take: r.take}
-	if c.world.mutated(ContinueFromWrongOffset) && r.tokens > 0 {
+	g := &generation{sample: r.id.String(), edition: r.edition, offset: r.tokens, chunks: c.world.network.openStream(e.process, c.currentRun()), receive: r.receiveChunk}
+	if c.world.hasMutation(ContinueFromWrongOffset) && r.tokens > 0 {
 		g.offset = max(0, r.tokens-1)
 	}
-	if c.world.mutated(VersionAskedBefore) {
-		r.asked = e.version
+	if c.world.hasMutation(VersionAskedBefore) {
+		r.versionAtStart = e.version
 	}
-	r.generation, r.heard = g, c.clock()
-	c.world.network.once(c.process, e.process, func() {
+	r.generation, r.lastChunkAt = g, c.clock()
+	c.world.network.sendOnce(c.process, e.process, func() {
 		if e.epoch == epoch {
 			e.generate(g)
 		}
@@ -112,44 +112,44 @@
 	r.watch(g)
 }
 
-// watch interrupts a run whose engine is silent.
+// watch interrupts a run whose engine has been silent for longer than streamSilenceLimit.
 func (r *sampleRun) watch(g *generation) {
 	c := r.coordinator
-	c.after(streamSilence/2, func() {
-		if r.generation != g || r.whole || !r.current() {
+	c.after(streamSilenceLimit/2, func() {
+		if r.generation != g || r.complete || !r.isCurrent() {
 			return
 		}
-		if c.clock()-r.heard > streamSilence {
-			r.interrupted()
+		if c.clock()-r.lastChunkAt > streamSilenceLimit {
+			r.interrupt()
 			return
 		}
 		r.watch(g)
 	})
 }
 
-func (r *sampleRun) current() bool { return r.coordinator.running[r.id] == r }
+func (r *sampleRun) isCurrent() bool { return r.coordinator.runs[r.id] == r }
 
-// interrupted ends the attempt; the sample goes on from its tokens at another engine.
-func (r *sampleRun) interrupted() {
+// interrupt ends the attempt. The sample resumes from its tokens at another engine.
+func (r *sampleRun) interrupt() {
 	c := r.coordinator
 	c.tracef("sample %s stops at token %d", r.id, r.tokens)
 	r.generation.stopped = true
-	delete(c.running, r.id)
+	delete(c.runs, r.id)
 	if c.scheduler.Interrupted(c.clock(), r.id) == r.tokens {
-		c.partials[r.id.String()] = r
+		c.partialRuns[r.id.String()] = r
 	}
 }
 
-// dropRun stops an attempt that no longer counts.
+// dropRun stops an attempt that is no longer needed.
 func (c *coordinator) dropRun(r *sampleRun) {
 	r.generation.stopped = true
-	delete(c.running, r.id)
+	delete(c.runs, r.id)
 }
 
-// runsOf lists the attempts for a trainer, in the order of their ids.
+// runsOf returns the attempts for a trainer, in the order of their sample ids.
 func (c *coordinator) runsOf(t *ownedTrainer) []*sampleRun {
 	var runs []*sampleRun
-	for _, run := range c.running {
+	for _, run := range c.runs {
 		if run.owned == t {
 			runs = append(runs, run)
 		}
@@ -158,30 +158,30 @@
 	return runs
 }
 
-// take adds a chunk with the version that the engine states for it.
-func (r *sampleRun) take(made chunk) {
+// receiveChunk appends a chunk with the weight version that the engine states for it.
+func (r *sampleRun) receiveChunk(made chunk) {
 	c := r.coordinator
-	if !r.current() || r.whole || r.generation.stopped {
+	if !r.isCurrent() || r.complete || r.generation.stopped {
 		return
 	}
-	r.heard = c.clock()
-	if made.offset != r.tokens && !c.world.mutated(ContinueFromWrongOffset) {
-		r.interrupted()
+	r.lastChunkAt = c.clock()
+	if made.offset != r.tokens && !c.world.hasMutation(ContinueFromWrongOffset) {
+		r.interrupt()
 		return
 	}
 	version := made.version
-	if c.world.mutated(VersionAskedBefore) {
-		version = r.asked
+	if c.world.hasMutation(VersionAskedBefore) {
+		version = r.versionAtStart
 	}
-	r.add(made.replica, version, made.count)
+	r.appendTokens(made.replica, version, made.count)
 	c.scheduler.Progress(c.clock(), r.id, r.tokens, version)
 	if made.last {
-		r.whole = true
+		r.complete = true
 		r.store()
 	}
 }
 
-func (r *sampleRun) add(replica string, version uint64, count int) {
+func (r *sampleRun) appendTokens(replica string, version uint64, count int) {
 	if last := len(r.segments) - 1; last >= 0 && r.segments[last].VersionNumber == version && r.segments[last].Replica == replica {
 		grown := &wire.Segment{VersionNumber: version, Replica: replica, FirstToken: r.segments[last].FirstToken,
 			TokenCount: r.segments[last].TokenCount + uint32(count)}
@@ -192,7 +192,7 @@
 	r.tokens += count
 }
 
-// store keeps the sample in the ledger; it counts as finished only then.
+// store writes the sample to the ledger. The sample counts as finished only after that.
 func (r *sampleRun) store() {
 	c := r.coordinator
 	sample := &wire.Sample{Id: r.id.String(), Trainer: r.id.Trainer, Step: r.id.Step, PromptId: r.id.Prompt, Index: r.id.Index,
@@ -200,19 +200,19 @@
 	command := &wire.Command{Kind: &wire.Command_SampleStore{SampleStore: &wire.SampleStore{Sample: sample, Owner: c.owner(), Fence: r.owned.fence}}}
 	c.execute(r.owned, command, func(result *wire.SampleResult) {
 		switch {
-		case !r.current():
+		case !r.isCurrent():
 		case result == nil:
-			c.after(storeRetry, func() {
-				if r.current() {
+			c.after(storeRetryInterval, func() {
+				if r.isCurrent() {
 					r.store()
 				}
 			})
 		case !result.GetAccepted():
-			c.depose(r.owned, result.GetReason())
+			c.releaseTrainer(r.owned, result.GetReason())
 		default:
-			tokens, oldest := sampleTokens(sample)
-			r.owned.known[sample.Id] = sample.Edition
-			delete(c.running, r.id)
+			tokens, oldest := summarizeSegments(sample)
+			r.owned.ledgerEditions[sample.Id] = sample.Edition
+			delete(c.runs, r.id)
 			c.scheduler.Finished(c.clock(), r.id, tokens, oldest)
 		}
 	})
--- a/internal/sim/group.go
+++ b/internal/sim/group.go
@@ -14,20 +14,20 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Errors of requests to a host, as consensus has them.
+// Errors of requests to a host, matching those of package consensus.
 var (
 	errNotLeader      = errors.New("sim: not the leader")
 	errOverloaded     = errors.New("sim: overloaded")
 	errUnknownOutcome = errors.New("sim: the outcome is unknown")
 )
 
-// proposal waits for its entry to be applied.
+// proposal is a proposed entry that has not been applied yet.
 type proposal struct {
 	term uint64
 	done func(result *wire.Result, index uint64, err error)
 }
 
-// readRound is one linearizable barrier of a group.
+// readRound is one linearizable read barrier of a group.
 type readRound struct {
 	context   uint64
 	confirmed bool
@@ -35,14 +35,14 @@
 	done      []func(error)
 }
 
-// leadership is what a node knows of a group's leader.
+// leadership is a node's view of a group's leader.
 type leadership struct {
 	term    uint64
 	leader  uint64
 	leading bool
 }
 
-// group is one raft node with its state machine; it follows consensus.hostedGroup step by step.
+// group is one raft node with its state machine. It follows consensus.hostedGroup step by step.
 type group struct {
 	host    *host
 	id      uint32
@@ -55,15 +55,15 @@
 
 	snapshotIndex uint64
 
-	pending     map[uint64]*proposal
-	lastContext uint64
-	reads       []readRound
+	proposals       map[uint64]*proposal
+	lastReadContext uint64
+	pendingReads    []readRound
 }
 
 func (h *host) loadGroup(id uint32) (*group, error) {
 	restored := h.disk.load(id)
 	g := &group{host: h, id: id, machine: state.NewUnsafe(h.world.mutation.stateUnsafe()),
-		applied: restored.Snapshot.Index, snapshotIndex: restored.Snapshot.Index, pending: map[uint64]*proposal{}}
+		applied: restored.Snapshot.Index, snapshotIndex: restored.Snapshot.Index, proposals: map[uint64]*proposal{}}
 	if len(restored.Snapshot.Data) > 0 {
 		if err := g.machine.RestoreParts(restored.Snapshot.Data); err != nil {
 			return nil, err
@@ -83,7 +83,7 @@
 	index, term, err := g.node.Propose(data)
 	switch {
 	case err == nil:
-		g.pending[index] = &proposal{term: term, done: done}
+		g.proposals[index] = &proposal{term: term, done: done}
 	case errors.Is(err, raft.ErrNotLeader):
 		done(nil, 0, errNotLeader)
 	default:
@@ -91,27 +91,27 @@
 	}
 }
 
-// change proposes a configuration change.
-func (g *group) change(change raft.ConfigurationChange, done func(error)) {
+// proposeChange proposes a configuration change.
+func (g *group) proposeChange(change raft.ConfigurationChange, done func(error)) {
 	index, term, err := g.node.ProposeChange(change)
 	if err != nil {
 		done(err)
 		return
 	}
-	g.pending[index] = &proposal{term: term, done: func(_ *wire.Result, _ uint64, err error) { done(err) }}
+	g.proposals[index] = &proposal{term: term, done: func(_ *wire.Result, _ uint64, err error) { done(err) }}
 }
 
-// read calls done once the state holds all that was committed before the call.
+// read calls done once the state includes everything that was committed before the call.
 func (g *group) read(done func(error)) {
-	if g.host.world.mutated(ReadWithoutBarrier) && g.node.Status().Role == raft.Leader {
+	if g.host.world.hasMutation(ReadWithoutBarrier) && g.node.Status().Role == raft.Leader {
 		done(nil)
 		return
 	}
-	g.lastContext++
-	err := g.node.ReadIndex(g.lastContext)
+	g.lastReadContext++
+	err := g.node.ReadIndex(g.lastReadContext)
 	switch {
 	case err == nil:
-		g.reads = append(g.reads, readRound{context: g.lastContext, done: []func(error){done}})
+		g.pendingReads = append(g.pendingReads, readRound{context: g.lastReadContext, done: []func(error){done}})
 	case errors.Is(err, raft.ErrOverloaded):
 		done(errOverloaded)
 	default:
@@ -128,12 +128,12 @@
 	g.confirmReads(ready.ReadStates)
 }
 
-// confirmReads notes which reads are confirmed and answers those whose index is applied.
+// confirmReads marks reads as confirmed and answers those whose index has been applied.
 func (g *group) confirmReads(states []raft.ReadState) {
 	for _, confirmed := range states {
-		for i := range g.reads {
-			if g.reads[i].context == confirmed.Context {
-				g.reads[i].confirmed, g.reads[i].index = true, confirmed.Index
+		for i := range g.pendingReads {
+			if g.pendingReads[i].context == confirmed.Context {
+				g.pendingReads[i].confirmed, g.pendingReads[i].index = true, confirmed.Index
 			}
 		}
 	}
@@ -142,15 +142,15 @@
 
 func (g *group) serveReads() {
 	var served []func(error)
-	rest := g.reads[:0]
-	for _, round := range g.reads {
+	rest := g.pendingReads[:0]
+	for _, round := range g.pendingReads {
 		if round.confirmed && round.index <= g.applied {
 			served = append(served, round.done...)
 			continue
 		}
 		rest = append(rest, round)
 	}
-	g.reads = rest
+	g.pendingReads = rest
 	for _, done := range served {
 		done(nil)
 	}
@@ -158,15 +158,15 @@
 
 func (g *group) restore(snapshot *raft.Snapshot) {
 	if err := g.machine.RestoreParts(snapshot.Data); err != nil {
-		g.host.world.truth.broken("node %d cannot restore a snapshot: %v", g.host.id, err)
+		g.host.world.truth.reportFailure("node %d cannot restore a snapshot: %v", g.host.id, err)
 		return
 	}
 	g.applied, g.snapshotIndex = snapshot.Index, snapshot.Index
-	g.host.restored(g)
-	for _, index := range slices.Sorted(maps.Keys(g.pending)) {
+	g.host.onSnapshotRestored(g)
+	for _, index := range slices.Sorted(maps.Keys(g.proposals)) {
 		if index <= snapshot.Index {
-			waiting := g.pending[index]
-			delete(g.pending, index)
+			waiting := g.proposals[index]
+			delete(g.proposals, index)
 			waiting.done(nil, 0, errUnknownOutcome)
 		}
 	}
@@ -182,13 +182,13 @@
 }
 
 func (g *group) applyEntry(entry *raft.Entry) {
-	waiting := g.pending[entry.Index]
-	delete(g.pending, entry.Index)
+	waiting := g.proposals[entry.Index]
+	delete(g.proposals, entry.Index)
 	if waiting != nil && waiting.term != entry.Term {
 		waiting.done(nil, 0, errNotLeader)
 		waiting = nil
 	}
-	g.host.world.truth.entryApplied(g, entry)
+	g.host.world.truth.recordEntry(g, entry)
 	if entry.Kind != raft.EntryCommand || len(entry.Data) == 0 {
 		g.applied = entry.Index
 		if waiting != nil {
@@ -202,13 +202,14 @@
 		result = g.machine.Apply(entry.Index, command)
 	}
 	g.applied = entry.Index
-	g.host.applied(g, entry.Index, command, result)
+	g.host.onCommandApplied(g, entry.Index, command, result)
 	if waiting != nil {
 		waiting.done(result, entry.Index, nil)
 	}
 }
 
-// observeLeadership reports whether the leader, the term or this node's role changed.
+// observeLeadership reports whether the leader, the term or this node's role has changed. On a loss of leadership it
+// fails the pending proposals and reads.
 func (g *group) observeLeadership() bool {
 	status := g.node.Status()
 	now := leadership{term: status.Term, leader: status.Leader, leading: status.Role == raft.Leader}
@@ -218,15 +219,15 @@
 	lost := g.leadership.leading && (!now.leading || now.term != g.leadership.term)
 	g.leadership = now
 	if lost {
-		for _, index := range slices.Sorted(maps.Keys(g.pending)) {
-			waiting := g.pending[index]
-			delete(g.pending, index)
+		for _, index := range slices.Sorted(maps.Keys(g.proposals)) {
+			waiting := g.proposals[index]
+			delete(g.proposals, index)
 			waiting.done(nil, 0, errUnknownOutcome)
 		}
 	}
 	if !now.leading {
-		waiting := g.reads
-		g.reads = nil
+		waiting := g.pendingReads
+		g.pendingReads = nil
 		for _, round := range waiting {
 			for _, done := range round.done {
 				done(errNotLeader)
@@ -242,15 +243,15 @@
 	}
 	data, err := g.machine.Snapshot()
 	if err != nil {
-		g.host.world.truth.broken("node %d cannot take a snapshot: %v", g.host.id, err)
+		g.host.world.truth.reportFailure("node %d cannot take a snapshot: %v", g.host.id, err)
 		return
 	}
-	if g.host.world.mutated(SnapshotForgetsChangeIDs) && g.id == state.ControlGroup {
+	if g.host.world.hasMutation(SnapshotForgetsChangeIDs) && g.id == state.ControlGroup {
 		data = withoutChangeIDs(data)
 	}
 	snapshot, err := g.node.Compact(g.applied, raft.Parts{data})
 	if err != nil {
-		g.host.world.truth.broken("node %d cannot compact: %v", g.host.id, err)
+		g.host.world.truth.reportFailure("node %d cannot compact: %v", g.host.id, err)
 		return
 	}
 	g.cycle.Compact(&snapshot)
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -10,29 +10,30 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// checkHistories runs one seed and checks what its clients saw against the sequential models.
+// checkHistories runs one seed and checks the histories of its clients against the sequential models.
 func checkHistories(t *testing.T, name string, seed int64) (tableHolds, claimsHold bool) {
 	t.Helper()
-	found := scenario(t, name)
+	found := findScenario(t, name)
 	found.Length, found.noExpiry = 40*time.Second, true
 	w, _ := runWorld(found, seed, NoMutation, true)
 	if len(w.history.table) < 10 || len(w.history.claims) < 100 {
-		t.Fatalf("%s, seed %d: histories of %d and %d operations", name, seed, len(w.history.table), len(w.history.claims))
+		t.Fatalf("%s, seed %d: histories have %d table and %d claim operations, expected at least 10 and 100", name, seed, len(w.history.table), len(w.history.claims))
 	}
 	start := map[linear.Cell]string{}
 	for _, cell := range w.fleet.firstTable().Cells {
 		start[linear.Cell{Row: cell.Row, Column: cell.Column}] = cell.Value
 	}
-	tableHolds = porcupine.CheckOperations(linear.TableModel(1, start), settledTable(w.history.table))
+	tableHolds = porcupine.CheckOperations(linear.TableModel(1, start), boundLostResends(w.history.table))
 	claimsHold = porcupine.CheckOperations(linear.ClaimModel(), w.history.claims)
 	return tableHolds, claimsHold
 }
 
-// settledTable bounds the lost resends of answered changes, which make the search exponential. Whichever resend takes
-// effect first fixes the answer of all, so a lost one has the answer of the others too. Once one was answered another
-// changes nothing: one that was called before takes effect by then or may as well, a later one is left out. Every
-// order that is allowed before is allowed after, and the other way round.
-func settledTable(operations []porcupine.Operation) []porcupine.Operation {
+// boundLostResends bounds the lost resends of answered changes, which make the search exponential. Whichever resend
+// takes effect first determines the answer of all, so a lost one has the answer of the others too. Once one was
+// answered, another one has no effect. A lost resend that was called before that answer takes effect by then, or may
+// as well; one that was called later is left out. The orders that the models allow are the same with and without this
+// reduction.
+func boundLostResends(operations []porcupine.Operation) []porcupine.Operation {
 	answered := map[string]porcupine.Operation{}
 	for _, operation := range operations {
 		id := operation.Input.(linear.TableInput).ChangeID
@@ -55,6 +56,8 @@
 	return settled
 }
 
+// TestHistoriesAreNotLinearizable guards against table and claim answers under faults that no sequential execution of
+// the operations explains.
 func TestHistoriesAreNotLinearizable(t *testing.T) {
 	names := []string{"mixed", "operators-race", "leader-moves", "disk"}
 	if testing.Short() {
@@ -63,15 +66,16 @@
 	for _, name := range names {
 		for seed := range int64(2) {
 			if tableHolds, claimsHold := checkHistories(t, name, 500+seed); !tableHolds || !claimsHold {
-				t.Errorf("%s, seed %d: table linearizable %v, claims %v", name, 500+seed, tableHolds, claimsHold)
+				t.Errorf("%s, seed %d: table linearizable %v, claims linearizable %v, expected both", name, 500+seed, tableHolds, claimsHold)
 			}
 		}
 	}
 }
 
-// TestModelsMissAWrongAnswer changes one answer of a history that holds.
+// TestModelsMissAWrongAnswer guards against models that accept any history: it falsifies one answer of a linearizable
+// history, and the check must then fail.
 func TestModelsMissAWrongAnswer(t *testing.T) {
-	found := scenario(t, "pause-beyond-lease")
+	found := findScenario(t, "pause-beyond-lease")
 	found.Length, found.noExpiry = 20*time.Second, true
 	w, _ := runWorld(found, 500, NoMutation, true)
 	for i, operation := range w.history.claims {
@@ -83,6 +87,6 @@
 		}
 	}
 	if porcupine.CheckOperations(linear.ClaimModel(), w.history.claims) {
-		t.Error("a claim that was answered before it ran looks linearizable")
+		t.Error("a history with a falsified claim answer was accepted, expected it not to be linearizable")
 	}
 }
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -12,41 +12,41 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Times and sizes of the hosts: those of consensus.Config, but with snapshots so often that every run has
-// some.
+// Times and sizes of the hosts. They are those of consensus.Config, except that snapshots are so frequent that every
+// run takes some.
 const (
-	tickTime        = 50 * time.Millisecond
-	heartbeatTicks  = 2
-	greetingTicks   = 10
-	snapshotEntries = 150
-	retainedEntries = 20
-	ledgerGroups    = 2
-	groupCount      = ledgerGroups + 1
+	tickTime              = 50 * time.Millisecond
+	heartbeatTicks        = 2
+	greetingIntervalTicks = 10
+	snapshotEntries       = 150
+	retainedEntries       = 20
+	ledgerGroups          = 2
+	groupCount            = ledgerGroups + 1
 )
 
-// host is one control machine's replicas of all groups; it follows the order of consensus.Host's loop:
-// early messages, sync, the other messages, apply, advance.
+// host runs one control machine's replicas of all groups. It follows the order of consensus.Host's loop: early
+// messages, sync, the other messages, apply, advance.
 type host struct {
 	*process
-	fleet     *fleet
-	id        uint64
-	disk      *disk
-	groups    []*group
-	nextWrite []*group
-	inWrite   []*group
-	busy      bool
-	refused   bool // peers know another folder of this node
-	admitted  bool
-	required  []uint64 // voters that have to know this folder first
-	stopping  bool
-	replaced  bool // taken out of service for good
-	control   *control
+	fleet            *fleet
+	id               uint64
+	disk             *disk
+	groups           []*group
+	queuedGroups     []*group // groups with state to write
+	writingGroups    []*group // groups in the write in progress
+	writing          bool
+	identityRejected bool     // a peer knows this node with another data folder, so it must not run again
+	confirmed        bool     // all required voters know this node's data folder
+	requiredVoters   []uint64 // voters that must know this node's data folder before it participates
+	stopping         bool
+	replaced         bool // removed for good
+	control          *control
 }
 
 func (f *fleet) newHost(id uint64, zone string, configuration raft.Configuration) *host {
 	h := &host{process: f.world.newProcess(fmt.Sprintf("control-%d", id), zone), fleet: f, id: id}
 	h.disk = f.world.newDisk(groupCount, configuration)
-	h.died = func() {
+	h.onDeath = func() {
 		h.disk.crash()
 		h.groups, h.control = nil, nil
 		f.restartLater(h.process)
@@ -55,30 +55,30 @@
 	return h
 }
 
-// launch starts the process on what its disk holds.
+// launch starts the process from the state on its disk, unless it is up or was replaced.
 func (h *host) launch() {
 	if h.up || h.replaced {
 		return
 	}
 	h.start()
 	h.stopping = false
-	h.disk.starts++
-	h.busy, h.nextWrite, h.inWrite, h.required, h.admitted = false, nil, nil, nil, false
+	h.disk.startCount++
+	h.writing, h.queuedGroups, h.writingGroups, h.requiredVoters, h.confirmed = false, nil, nil, nil, false
 	for id := range uint32(groupCount) {
 		g, err := h.loadGroup(id)
 		if err != nil {
-			h.world.truth.broken("node %d does not start: %v", h.id, err)
+			h.world.truth.reportFailure("node %d does not start: %v", h.id, err)
 			return
 		}
 		h.groups = append(h.groups, g)
 	}
-	h.requireKnown()
+	h.requireVoterConfirmation()
 	h.control = newControl(h)
 	h.tick(0)
 }
 
-// requireKnown makes a node that is new to all groups wait until every voter knows its folder.
-func (h *host) requireKnown() {
+// requireVoterConfirmation makes a node without any stored state wait until every voter knows its data folder.
+func (h *host) requireVoterConfirmation() {
 	for _, g := range h.groups {
 		if !g.cycle.Blank() || g.applied > 0 {
 			return
@@ -86,29 +86,30 @@
 	}
 	for _, voter := range h.groups[0].node.Status().Configuration.Voters {
 		if voter != h.id {
-			h.required = append(h.required, voter)
+			h.requiredVoters = append(h.requiredVoters, voter)
 		}
 	}
 }
 
-func (h *host) takesPart() bool {
-	if h.admitted || h.world.mutated(VoteUnderOldIdentity) {
+// canParticipate reports whether every required voter knows this node's data folder.
+func (h *host) canParticipate() bool {
+	if h.confirmed || h.world.hasMutation(VoteUnderOldIdentity) {
 		return true
 	}
-	for _, voter := range h.required {
-		if !h.disk.peers[voter].knowsThis {
+	for _, voter := range h.requiredVoters {
+		if !h.disk.peers[voter].knowsOwnFolder {
 			return false
 		}
 	}
-	h.admitted = true
+	h.confirmed = true
 	return true
 }
 
 func (h *host) tick(count int) {
-	if count%greetingTicks == 0 {
-		h.greetAll()
+	if count%greetingIntervalTicks == 0 {
+		h.sendGreetings()
 	}
-	if h.takesPart() {
+	if h.canParticipate() {
 		for _, g := range h.groups {
 			g.node.Tick()
 		}
@@ -118,39 +119,41 @@
 	h.after(tickTime, func() { h.tick(count + 1) })
 }
 
-// greetAll tells the other nodes which folder this is.
-func (h *host) greetAll() {
+// sendGreetings tells the other nodes which data folder this node has.
+func (h *host) sendGreetings() {
 	for _, other := range h.fleet.hosts {
 		if other == h || !other.up {
 			continue
 		}
-		folder, starts, knows := h.disk.folder, h.disk.starts, h.disk.peers[other.id].folder
-		h.world.network.once(h.process, other.process, func() { other.greeted(h.id, folder, starts, knows) })
+		folder, starts, knows := h.disk.folder, h.disk.startCount, h.disk.peers[other.id].folder
+		h.world.network.sendOnce(h.process, other.process, func() { other.receiveGreeting(h.id, folder, starts, knows) })
 	}
 }
 
-// greeted is consensus's addressBook.greet: a folder that is not the known one is refused.
-func (h *host) greeted(from, folder, starts, knows uint64) {
-	trusting := h.world.mutated(VoteUnderOldIdentity)
-	if knows != 0 && knows != h.disk.folder && !trusting {
-		h.refused = true
-		h.tracef("is known to node %d with another folder, stops", from)
+// receiveGreeting follows consensus's addressBook.greet: a node whose data folder differs from the known one is
+// rejected. knows is the folder under which the sender knows this node, 0 for none.
+func (h *host) receiveGreeting(from, folder, starts, knows uint64) {
+	skipCheck := h.world.hasMutation(VoteUnderOldIdentity)
+	if knows != 0 && knows != h.disk.folder && !skipCheck {
+		h.identityRejected = true
+		h.tracef("stops: node %d knows it with another data folder", from)
 		h.die()
 		return
 	}
 	known, ok := h.disk.peers[from]
-	if ok && (known.folder != folder || starts < known.starts) && !trusting {
+	if ok && (known.folder != folder || starts < known.startCount) && !skipCheck {
 		return
 	}
-	h.disk.peers[from] = peerRecord{folder: folder, starts: starts, knowsThis: known.knowsThis || knows == h.disk.folder}
+	h.disk.peers[from] = peerRecord{folder: folder, startCount: starts, knowsOwnFolder: known.knowsOwnFolder || knows == h.disk.folder}
 }
 
-// step takes in a raft message.
+// step handles a raft message. It drops messages from a data folder that is not the known one of the sender, and
+// messages with entries while the disk is full.
 func (h *host) step(groupID uint32, folder uint64, message raft.Message) {
-	if known, ok := h.disk.peers[message.From]; (!ok || known.folder != folder) && !h.world.mutated(VoteUnderOldIdentity) {
+	if known, ok := h.disk.peers[message.From]; (!ok || known.folder != folder) && !h.world.hasMutation(VoteUnderOldIdentity) {
 		return
 	}
-	if !h.takesPart() || h.disk.full && len(message.Entries) > 0 {
+	if !h.canParticipate() || h.disk.full && len(message.Entries) > 0 {
 		return
 	}
 	if err := h.groups[groupID].node.Step(message); err != nil {
@@ -161,7 +164,7 @@
 
 func (h *host) send(g *group, messages []raft.Message) {
 	for _, message := range messages {
-		to := h.fleet.host(message.To)
+		to := h.fleet.hostByID(message.To)
 		if to == nil {
 			continue
 		}
@@ -170,7 +173,7 @@
 	}
 }
 
-// propose sends a command through a group's log.
+// propose proposes a command in a group. done gets its result and log index once it is applied, or an error.
 func (h *host) propose(groupID uint32, command *wire.Command, done func(*wire.Result, uint64, error)) {
 	if h.disk.full {
 		done(nil, 0, errOverloaded)
@@ -190,7 +193,7 @@
 	h.advance()
 }
 
-// advance takes every group's Ready until none has more to do without a sync, then starts the next write.
+// advance processes every group's Ready until none can do more without a sync, and then starts the next write.
 func (h *host) advance() {
 	if !h.up {
 		return
@@ -224,7 +227,7 @@
 	if g.observeLeadership() {
 		h.tracef("group %d: leader %d, term %d", g.id, g.leadership.leader, g.leadership.term)
 		if g.id == state.ControlGroup {
-			h.control.leaderChanged()
+			h.control.onLeaderChange()
 		}
 	}
 	g.compactIfDue()
@@ -235,33 +238,33 @@
 
 func (h *host) queueWrite(g *group) {
 	if g.cycle.Queue() {
-		h.nextWrite = append(h.nextWrite, g)
+		h.queuedGroups = append(h.queuedGroups, g)
 	}
 }
 
 func (h *host) startWrite() {
-	if h.busy || len(h.nextWrite) == 0 {
+	if h.writing || len(h.queuedGroups) == 0 {
 		return
 	}
-	batch := make([]storage.GroupWrite, 0, len(h.nextWrite))
-	for _, g := range h.nextWrite {
+	batch := make([]storage.GroupWrite, 0, len(h.queuedGroups))
+	for _, g := range h.queuedGroups {
 		batch = append(batch, g.cycle.Write())
 	}
-	h.inWrite, h.nextWrite = h.nextWrite, nil
-	h.busy = true
+	h.writingGroups, h.queuedGroups = h.queuedGroups, nil
+	h.writing = true
 	h.disk.write(h.process, batch, h.finishWrite)
 }
 
 // finishWrite sends and applies what had to wait for the sync. A failed write ends the process.
 func (h *host) finishWrite(err error) {
-	h.busy = false
+	h.writing = false
 	if err != nil {
 		h.tracef("stops: %v", err)
 		h.die()
 		return
 	}
-	written := h.inWrite
-	h.inWrite = nil
+	written := h.writingGroups
+	h.writingGroups = nil
 	for _, g := range written {
 		if ready, _ := g.cycle.Written(); ready != nil {
 			h.send(g, ready.Messages)
@@ -271,15 +274,15 @@
 	h.advance()
 }
 
-func (h *host) applied(g *group, index uint64, command *wire.Command, result *wire.Result) {
-	h.world.truth.commandApplied(g, index, command, result)
+func (h *host) onCommandApplied(g *group, index uint64, command *wire.Command, result *wire.Result) {
+	h.world.truth.recordResult(g, index, command, result)
 	if g.id == state.ControlGroup && command.GetTableChange() != nil && h.control != nil {
-		h.control.tableChanged()
+		h.control.adoptTableVersion()
 	}
 }
 
-func (h *host) restored(g *group) {
+func (h *host) onSnapshotRestored(g *group) {
 	if g.id == state.ControlGroup && h.control != nil {
-		h.control.tableChanged()
+		h.control.adoptTableVersion()
 	}
 }
--- a/internal/sim/mutation.go
+++ b/internal/sim/mutation.go
@@ -13,51 +13,86 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Mutation names one safety step that a run leaves out, to show that the invariants find it. The switches
-// are in the simulated hosts and in the Unsafe settings of the pure packages, which no command offers.
+// Mutation names one safety step that a run omits, to show that the invariants detect its absence. The steps are
+// switched off in the simulated hosts and through the Unsafe settings of the pure packages, which no command exposes.
 type Mutation string
 
-// The mutations. The empty one leaves everything on.
+// The mutations. NoMutation keeps every safety step.
 const (
-	NoMutation               Mutation = ""
-	AnswerBeforeSync         Mutation = "answer-before-sync"          // a host does not wait for its disk
-	AcceptTornRecord         Mutation = "accept-torn-record"          // what reached the disk of a torn write counts
-	SkipLeaseCheck           Mutation = "skip-lease-check"            // a gateway dispatches without a lease
-	LeaseCheckedEarly        Mutation = "lease-checked-early"         // the lease is checked at the choice, not at the dispatch
-	LeaseFromReply           Mutation = "lease-from-reply"            // a lease counts from the reply, not from the renewal
-	GrantAnyVersion          Mutation = "grant-any-version"           // holders of old tables keep their leases
-	InForceWithoutWaiting    Mutation = "in-force-without-waiting"    // "in force" without asking for leases
-	SkipNewLeaderWait        Mutation = "skip-new-leader-wait"        // a new leader does not wait out old leases
-	ReadWithoutBarrier       Mutation = "read-without-barrier"        // a leader answers reads without asking a quorum
-	VoteUnderOldIdentity     Mutation = "vote-under-old-identity"     // a node that lost its disk votes as before
-	IgnorePersistedVote      Mutation = "ignore-persisted-vote"       // a restarted node forgets its vote
-	SnapshotForgetsChangeIDs Mutation = "snapshot-forgets-change-ids" // a snapshot drops the answers to changes
-	ForgetChangeIDs          Mutation = "forget-change-ids"           // a resent change is judged anew
-	IgnoreConflicts          Mutation = "ignore-conflicts"            // the last writer of a cell wins
-	ReuseExpiredClaims       Mutation = "reuse-expired-claims"        // a key runs again once its answer is dropped
-	GrantTwice               Mutation = "grant-twice"                 // a running key is granted again
-	IgnoreTickets            Mutation = "ignore-tickets"              // a refusal does not stop earlier attempts
-	ForgetReleases           Mutation = "forget-releases"             // a released attempt is granted later
-	DispatchBeforeClaim      Mutation = "dispatch-before-claim"       // a request is sent before its claim is granted
-	TrustLostBegin           Mutation = "trust-lost-begin"            // a lost answer to a claim counts as granted
-	RetryAfterFirstByte      Mutation = "retry-after-first-byte"      // a request of unknown fate is sent again
-	RefuseWithoutLedger      Mutation = "refuse-without-ledger"       // "did not run" without a recorded refusal
-	ReuseBusyConnection      Mutation = "reuse-busy-connection"       // a connection is reused though an answer is due
-	StopWithoutDrain         Mutation = "stop-without-drain"          // a planned stop does not wait for what is in flight
-	IgnoreLeaving            Mutation = "ignore-leaving"              // a gateway sends to back ends that leave
-	SkipFenceCheck           Mutation = "skip-fence-check"            // an engine obeys any owner
-	TakeOverWithoutFence     Mutation = "take-over-without-fence"     // the ledger is read before it knows the new owner
-	HandOverStale            Mutation = "hand-over-stale"             // samples are handed over without a look at their age
-	HandOverUnsealed         Mutation = "hand-over-unsealed"          // a batch is handed over before it is sealed
-	BoundFromSeal            Mutation = "bound-from-seal"             // the bound at the sealing counts, not the one in force
-	ContinueFromWrongOffset  Mutation = "continue-from-wrong-offset"  // a cut sample goes on at another token
-	VersionAskedBefore       Mutation = "version-asked-before"        // the version at the start counts for the whole sample
-	SealTwice                Mutation = "seal-twice"                  // a cursor is used for another batch
-	IgnoreFence              Mutation = "ignore-fence"                // the ledger takes commands of deposed owners
-	IgnoreEditions           Mutation = "ignore-editions"             // a discarded sample fills its slot again
+	NoMutation Mutation = ""
+	// AnswerBeforeSync means that a host answers before its disk has synced.
+	AnswerBeforeSync Mutation = "answer-before-sync"
+	// AcceptTornRecord means that the part of a torn write that reached the disk is accepted.
+	AcceptTornRecord Mutation = "accept-torn-record"
+	// SkipLeaseCheck means that a gateway dispatches without a lease.
+	SkipLeaseCheck Mutation = "skip-lease-check"
+	// LeaseCheckedEarly means that the lease is checked when the back end is chosen, not when the request is sent.
+	LeaseCheckedEarly Mutation = "lease-checked-early"
+	// LeaseFromReply means that a lease starts at the reply, not when its renewal was sent.
+	LeaseFromReply Mutation = "lease-from-reply"
+	// GrantAnyVersion means that holders that act on an old table version keep their leases.
+	GrantAnyVersion Mutation = "grant-any-version"
+	// InForceWithoutWaiting means that a version is reported in force while older leases are valid.
+	InForceWithoutWaiting Mutation = "in-force-without-waiting"
+	// SkipNewLeaderWait means that a new leader does not wait until leases of earlier leaders expire.
+	SkipNewLeaderWait Mutation = "skip-new-leader-wait"
+	// ReadWithoutBarrier means that a leader answers reads without confirming its leadership with a quorum.
+	ReadWithoutBarrier Mutation = "read-without-barrier"
+	// VoteUnderOldIdentity means that a node that lost its disk votes under its old identity.
+	VoteUnderOldIdentity Mutation = "vote-under-old-identity"
+	// IgnorePersistedVote means that a restarted node forgets its vote.
+	IgnorePersistedVote Mutation = "ignore-persisted-vote"
+	// SnapshotForgetsChangeIDs means that a snapshot drops the recorded results of table changes.
+	SnapshotForgetsChangeIDs Mutation = "snapshot-forgets-change-ids"
+	// ForgetChangeIDs means that a resent change is evaluated again.
+	ForgetChangeIDs Mutation = "forget-change-ids"
+	// IgnoreConflicts means that the last writer of a cell wins, whatever version it read.
+	IgnoreConflicts Mutation = "ignore-conflicts"
+	// ReuseExpiredClaims means that a key may run again once its answer has been dropped.
+	ReuseExpiredClaims Mutation = "reuse-expired-claims"
+	// GrantTwice means that a running key is granted again.
+	GrantTwice Mutation = "grant-twice"
+	// IgnoreTickets means that a refusal does not prevent earlier attempts from running.
+	IgnoreTickets Mutation = "ignore-tickets"
+	// ForgetReleases means that a claim is granted to an attempt that was already released.
+	ForgetReleases Mutation = "forget-releases"
+	// DispatchBeforeClaim means that a request is sent before its claim is granted.
+	DispatchBeforeClaim Mutation = "dispatch-before-claim"
+	// TrustLostBegin means that a claim whose answer was lost is treated as granted.
+	TrustLostBegin Mutation = "trust-lost-begin"
+	// RetryAfterFirstByte means that a request whose outcome is unknown is sent again.
+	RetryAfterFirstByte Mutation = "retry-after-first-byte"
+	// RefuseWithoutLedger means that "did not run" without a recorded refusal.
+	RefuseWithoutLedger Mutation = "refuse-without-ledger"
+	// ReuseBusyConnection means that a connection is reused while an answer is outstanding on it.
+	ReuseBusyConnection Mutation = "reuse-busy-connection"
+	// StopWithoutDrain means that a planned stop does not wait for requests in flight.
+	StopWithoutDrain Mutation = "stop-without-drain"
+	// IgnoreLeaving means that a gateway sends to back ends that are leaving.
+	IgnoreLeaving Mutation = "ignore-leaving"
+	// SkipFenceCheck means that an engine executes orders with any fencing token.
+	SkipFenceCheck Mutation = "skip-fence-check"
+	// TakeOverWithoutFence means that a trainer's ledger is read before it has seen the new owner's fencing token.
+	TakeOverWithoutFence Mutation = "take-over-without-fence"
+	// HandOverStale means that samples are handed over without checking their staleness.
+	HandOverStale Mutation = "hand-over-stale"
+	// HandOverUnsealed means that a batch is handed over before it is sealed.
+	HandOverUnsealed Mutation = "hand-over-unsealed"
+	// BoundFromSeal means that the staleness bound at sealing time is used, not the one in force.
+	BoundFromSeal Mutation = "bound-from-seal"
+	// ContinueFromWrongOffset means that an interrupted sample resumes at the wrong token.
+	ContinueFromWrongOffset Mutation = "continue-from-wrong-offset"
+	// VersionAskedBefore means that the engine's version at the start is recorded for the whole sample.
+	VersionAskedBefore Mutation = "version-asked-before"
+	// SealTwice means that a cursor is sealed again with another batch.
+	SealTwice Mutation = "seal-twice"
+	// IgnoreFence means that the ledger accepts commands with superseded fencing tokens.
+	IgnoreFence Mutation = "ignore-fence"
+	// IgnoreEditions means that a discarded sample is accepted into its slot again.
+	IgnoreEditions Mutation = "ignore-editions"
 )
 
-// Mutations lists all mutations.
+// Mutations returns all mutations except NoMutation.
 func Mutations() []Mutation {
 	return []Mutation{AnswerBeforeSync, AcceptTornRecord, SkipLeaseCheck, LeaseCheckedEarly, LeaseFromReply, GrantAnyVersion,
 		InForceWithoutWaiting, SkipNewLeaderWait, ReadWithoutBarrier, VoteUnderOldIdentity, IgnorePersistedVote,
@@ -90,7 +125,7 @@
 		RetryAfterFirstByte: m == RetryAfterFirstByte, RefuseWithoutLedger: m == RefuseWithoutLedger}
 }
 
-// withoutChangeIDs drops the answers to changes from a snapshot.
+// withoutChangeIDs removes the recorded results of table changes from a snapshot.
 func withoutChangeIDs(data []byte) []byte {
 	snapshot := &wire.MachineSnapshot{}
 	if err := proto.Unmarshal(data, snapshot); err != nil || snapshot.Table == nil {
--- a/internal/sim/mutation_test.go
+++ b/internal/sim/mutation_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestMutationStaysHidden leaves out one safety step at a time: some invariant must be violated within the
-// stated number of seeds, while the same seeds pass with every step on.
-func TestMutationStaysHidden(t *testing.T) {
+// TestMutationIsNotDetected guards against invariants that do not detect a missing safety step. With one step
+// omitted, some invariant must be violated within the stated number of seeds, while the seed that shows it passes
+// with every step on.
+func TestMutationIsNotDetected(t *testing.T) {
 	cases := []struct {
 		mutation Mutation
 		scenario string
@@ -47,16 +48,16 @@
 		cases = cases[:4]
 	}
 	for _, one := range cases {
-		report := RunBatch(context.Background(), Options{Scenario: quick(t, one.scenario), Seeds: one.seeds,
+		report := RunBatch(context.Background(), Options{Scenario: shortScenario(t, one.scenario), Seeds: one.seeds,
 			Parallel: runtime.GOMAXPROCS(0), Mutation: one.mutation, StopAtViolation: true})
 		if len(report.Violations) == 0 {
-			t.Errorf("%s was not found in %d seeds of %s", one.mutation, one.seeds, one.scenario)
+			t.Errorf("%s violated no invariant in %d seeds of %s, expected a violation", one.mutation, one.seeds, one.scenario)
 			continue
 		}
 		first := report.Violations[0]
 		t.Logf("%-28s %-16s seed %2d: %s", one.mutation, one.scenario, first.Seed, first.Problem)
-		if plain := Run(quick(t, one.scenario), first.Seed, NoMutation, false); plain.Violation != "" {
-			t.Errorf("seed %d of %s fails without a mutation too: %s", first.Seed, one.scenario, plain.Violation)
+		if plain := Run(shortScenario(t, one.scenario), first.Seed, NoMutation, false); plain.Violation != "" {
+			t.Errorf("seed %d of %s violates an invariant without a mutation too, expected none: %s", first.Seed, one.scenario, plain.Violation)
 		}
 	}
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// network delays, loses, repeats and reorders what processes send, and has cuts in one direction.
+// network delays, loses, duplicates and reorders messages between processes, and can cut each direction separately.
 type network struct {
-	world     *world
-	cuts      map[link]int           // number of cuts that hold
-	cutUntil  map[link]time.Duration // end of the last cut
-	loss      float64
-	duplicate float64
-	slow      float64 // part of the messages that are late
-	slowLimit time.Duration
+	world         *world
+	activeCuts    map[link]int           // number of active cuts, by link
+	lastCutEnd    map[link]time.Duration // when the last cut ends, by link
+	lossRate      float64
+	duplicateRate float64
+	lateRate      float64 // fraction of messages with extra delay
+	maxExtraDelay time.Duration
 }
 
-// link is one direction between two processes, by name.
+// link is one direction between two processes, identified by their names.
 type link struct{ from, to string }
 
 const (
@@ -22,86 +22,87 @@
 )
 
 func newNetwork(w *world) *network {
-	return &network{world: w, cuts: map[link]int{}, cutUntil: map[link]time.Duration{}, slowLimit: time.Second}
+	return &network{world: w, activeCuts: map[link]int{}, lastCutEnd: map[link]time.Duration{}, maxExtraDelay: time.Second}
 }
 
-func (n *network) isCut(from, to *process) bool { return n.cuts[link{from.name, to.name}] > 0 }
+func (n *network) isCut(from, to *process) bool { return n.activeCuts[link{from.name, to.name}] > 0 }
 
-// cut holds back everything from one process to another for a while.
+// cut drops everything from one process to another for a while.
 func (n *network) cut(from, to *process, length time.Duration) {
 	key := link{from.name, to.name}
-	n.cuts[key]++
-	n.cutUntil[key] = max(n.cutUntil[key], n.world.now+length)
+	n.activeCuts[key]++
+	n.lastCutEnd[key] = max(n.lastCutEnd[key], n.world.now+length)
 	n.world.after(length, func() {
-		if n.cuts[key] > 0 {
-			n.cuts[key]--
+		if n.activeCuts[key] > 0 {
+			n.activeCuts[key]--
 		}
 	})
 }
 
-// lastCut is when two processes last could not hear each other.
-func (n *network) lastCut(a, b *process) time.Duration {
-	return min(max(n.cutUntil[link{a.name, b.name}], n.cutUntil[link{b.name, a.name}]), n.world.now)
+// lastCutTime returns when two processes last could not reach each other, at most now.
+func (n *network) lastCutTime(a, b *process) time.Duration {
+	return min(max(n.lastCutEnd[link{a.name, b.name}], n.lastCutEnd[link{b.name, a.name}]), n.world.now)
 }
 
-// heal ends all faults of the network.
+// heal ends all network faults.
 func (n *network) heal() {
-	clear(n.cuts)
-	n.loss, n.duplicate, n.slow = 0, 0, 0
+	clear(n.activeCuts)
+	n.lossRate, n.duplicateRate, n.lateRate = 0, 0, 0
 }
 
-func (n *network) delay(from, to *process) time.Duration {
+func (n *network) drawDelay(from, to *process) time.Duration {
 	base := zoneDelay
 	if from.zone != to.zone {
 		base = regionDelay
 	}
-	delay := base + n.world.exponential(base/4)
-	if n.slow > 0 && n.world.chance(n.slow) {
-		delay += n.world.between(0, n.slowLimit)
+	delay := base + n.world.exponentialDuration(base/4)
+	if n.lateRate > 0 && n.world.randomBool(n.lateRate) {
+		delay += n.world.randomDuration(0, n.maxExtraDelay)
 	}
 	return delay
 }
 
-// send brings a message to the present run of a process, if it gets through. Messages may overtake.
+// send delivers a message to the present run of a process unless it is lost. It may arrive twice, and messages may
+// overtake each other.
 func (n *network) send(from, to *process, receive func()) {
-	if n.lost(from, to) {
+	if n.drawLoss(from, to) {
 		return
 	}
-	n.arrive(from, to, receive)
-	if n.duplicate > 0 && n.world.chance(n.duplicate) {
-		n.arrive(from, to, receive)
+	n.deliver(from, to, receive)
+	if n.duplicateRate > 0 && n.world.randomBool(n.duplicateRate) {
+		n.deliver(from, to, receive)
 	}
 }
 
-// once is send without repetition: a message on a connection.
-func (n *network) once(from, to *process, receive func()) {
-	if !n.lost(from, to) {
-		n.arrive(from, to, receive)
+// sendOnce is send without duplication, for a message on a connection.
+func (n *network) sendOnce(from, to *process, receive func()) {
+	if !n.drawLoss(from, to) {
+		n.deliver(from, to, receive)
 	}
 }
 
-// reply is once to the very run of a process that asked.
+// reply is sendOnce to the run of the process that asked.
 func (n *network) reply(from *process, to run, receive func()) {
-	if to.alive() {
-		n.once(from, to.process, receive)
+	if to.isAlive() {
+		n.sendOnce(from, to.process, receive)
 	}
 }
 
-func (n *network) lost(from, to *process) bool {
-	return n.isCut(from, to) || n.loss > 0 && n.world.chance(n.loss)
+func (n *network) drawLoss(from, to *process) bool {
+	return n.isCut(from, to) || n.lossRate > 0 && n.world.randomBool(n.lossRate)
 }
 
-func (n *network) arrive(from, to *process, receive func()) {
+func (n *network) deliver(from, to *process, receive func()) {
 	epoch := to.epoch
-	n.world.after(n.delay(from, to), func() {
+	n.world.after(n.drawDelay(from, to), func() {
 		if !n.isCut(from, to) {
-			to.enter(epoch, receive)
+			to.runInEpoch(epoch, receive)
 		}
 	})
 }
 
-// stream is one direction of a connection: in order, and silent for good once a message was lost, as a
-// half-open connection is.
+// stream is one direction of a connection. It delivers in order. Once a message was lost it delivers nothing more, as
+// a half-open connection does.
 type stream struct {
 	from, to *process
 	epoch    uint64
@@ -109,24 +110,24 @@
 	lastAt   time.Duration
 }
 
-func (n *network) open(from *process, to run) *stream {
+func (n *network) openStream(from *process, to run) *stream {
 	return &stream{from: from, to: to.process, epoch: to.epoch}
 }
 
 func (s *stream) send(receive func()) {
 	n := s.from.world.network
-	if s.broken || n.lost(s.from, s.to) {
+	if s.broken || n.drawLoss(s.from, s.to) {
 		s.broken = true
 		return
 	}
-	at := max(n.world.now+n.delay(s.from, s.to), s.lastAt)
+	at := max(n.world.now+n.drawDelay(s.from, s.to), s.lastAt)
 	s.lastAt = at
 	n.world.after(at-n.world.now, func() {
 		if n.isCut(s.from, s.to) {
 			s.broken = true
 		}
 		if !s.broken {
-			s.to.enter(s.epoch, receive)
+			s.to.runInEpoch(s.epoch, receive)
 		}
 	})
 }
--- a/internal/sim/planned.go
+++ b/internal/sim/planned.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	loadInterval  = 250 * time.Millisecond
-	drainPoll     = 50 * time.Millisecond
-	drainLimit    = 10 * time.Second
-	leavingBound  = 3 * time.Second // P7's target
-	transferLimit = 5 * time.Second
+	loadPollInterval        = 250 * time.Millisecond
+	drainPollInterval       = 50 * time.Millisecond
+	drainLimit              = 10 * time.Second
+	leavingBound            = 3 * time.Second // target of promise P7
+	leadershipTransferLimit = 5 * time.Second
 )
 
-// poll asks every back end for its load, again and again.
-func (g *gateway) poll() {
-	g.ask()
-	g.after(loadInterval, g.poll)
+// pollLoads asks every back end for its load at regular intervals.
+func (g *gateway) pollLoads() {
+	g.requestLoads()
+	g.after(loadPollInterval, g.pollLoads)
 }
 
-func (g *gateway) ask() {
-	asking := g.thisRun()
+func (g *gateway) requestLoads() {
+	asking := g.currentRun()
 	for _, b := range g.fleet.backends {
-		g.world.network.once(g.process, b.process, func() {
-			leaving, running := b.leaving && !b.world.mutated(IgnoreLeaving), len(b.connections)
+		g.world.network.sendOnce(g.process, b.process, func() {
+			leaving, running := b.leaving && !b.world.hasMutation(IgnoreLeaving), len(b.connections)
 			g.world.network.reply(b.process, asking, func() {
 				g.pool.replicas.Report(b.name, routing.LoadReport{Requests: float64(running), Leaving: leaving}, g.clock())
 			})
@@ -35,9 +35,10 @@
 	}
 }
 
-// dispatchedToLeaving: no gateway that could hear of it sends to a back end that has been leaving for a while.
-// Every dispatch made while some back end leaves is examined.
-func (t *truth) dispatchedToLeaving(g *gateway, b *backend) {
+// checkLeavingBackend checks that a gateway does not send to a back end that has been leaving for longer than
+// leavingBound, provided that the gateway could have learned of it. Every dispatch made while some back end is
+// leaving is examined.
+func (t *truth) checkLeavingBackend(g *gateway, b *backend) {
 	if !b.leaving {
 		if slices.ContainsFunc(g.fleet.backends, func(other *backend) bool { return other.leaving }) {
 			t.examine(invariant.LeavingBackend, true, "")
@@ -45,17 +46,18 @@
 		return
 	}
 	if b.paused {
-		return // it cannot say that it leaves, and runs nothing
+		return // a paused back end cannot report that it is leaving, and runs nothing
 	}
-	since := max(b.leftAt, b.resumedAt, g.knowsSince, g.resumedAt, t.world.network.lastCut(g.process, b.process))
+	since := max(b.leavingSince, b.resumedAt, g.tableSince, g.resumedAt, t.world.network.lastCutTime(g.process, b.process))
 	until := t.world.now
 	if !b.up {
-		until = b.diedAt // who did not know by then cannot learn it
+		until = b.diedAt // a gateway that did not know by then cannot learn it from a dead back end
 	}
-	t.examine(invariant.LeavingBackend, until-since <= leavingBound, "%s sends to %s, which has been leaving for %v", g.name, b.name, t.world.now-b.leftAt)
+	t.examine(invariant.LeavingBackend, until-since <= leavingBound, "%s sends to %s, which has been leaving for %v", g.name, b.name, t.world.now-b.leavingSince)
 }
 
-// stop is the planned stop of a gateway: nothing new, what is in flight is finished, then it ends.
+// stop begins the planned stop of a gateway: it rejects new requests, finishes those in flight and then exits. It
+// returns false if the gateway is down or already draining.
 func (g *gateway) stop() bool {
 	if !g.up || g.draining {
 		return false
@@ -66,47 +68,49 @@
 	return true
 }
 
-func (g *gateway) drain(until time.Duration) {
-	if len(g.exchanges) > 0 && g.clock() < until && !g.world.mutated(StopWithoutDrain) {
-		g.after(drainPoll, func() { g.drain(until) })
+func (g *gateway) drain(deadline time.Duration) {
+	if len(g.exchanges) > 0 && g.clock() < deadline && !g.world.hasMutation(StopWithoutDrain) {
+		g.after(drainPollInterval, func() { g.drain(deadline) })
 		return
 	}
-	if g.fleet.gentle {
+	if g.fleet.plannedOnly {
 		g.world.truth.examine(invariant.PlannedStop, len(g.exchanges) == 0, "%s stops with %d requests in flight", g.name, len(g.exchanges))
 	}
-	g.holderDropped()
+	g.dropLease()
 	g.die()
 }
 
-// holderDropped ends the lease, as a session that leaves does.
-func (g *gateway) holderDropped() { g.session.holder.Drop() }
+// dropLease gives up the lease, as a session does when its process leaves.
+func (g *gateway) dropLease() { g.session.holder.Drop() }
 
-// stop is the planned stop of a control node: its leaderships first.
+// stop begins the planned stop of a control node: it transfers its leaderships first and then exits. It returns false
+// if the node is down or already stopping.
 func (h *host) stop() bool {
 	if !h.up || h.stopping {
 		return false
 	}
-	h.tracef("hands its groups over")
+	h.tracef("transfers its group leaderships")
 	h.stopping = true
-	h.handOver(h.clock() + transferLimit)
+	h.handOverLeaderships(h.clock() + leadershipTransferLimit)
 	return true
 }
 
-func (h *host) handOver(until time.Duration) {
-	led := 0
+func (h *host) handOverLeaderships(deadline time.Duration) {
+	leaderships := 0
 	for _, g := range h.groups {
-		led += h.transferAway(g)
+		leaderships += h.transferLeadership(g)
 	}
 	h.advance()
-	if led > 0 && h.clock() < until {
-		h.after(tickTime, func() { h.handOver(until) })
+	if leaderships > 0 && h.clock() < deadline {
+		h.after(tickTime, func() { h.handOverLeaderships(deadline) })
 		return
 	}
 	h.die()
 }
 
-// transferAway asks the most advanced other voter to lead a group; it returns 1 if this node leads it.
-func (h *host) transferAway(g *group) int {
+// transferLeadership asks the most advanced other voter that is active to lead a group. It returns 1 if this node
+// leads the group and 0 otherwise.
+func (h *host) transferLeadership(g *group) int {
 	status := g.node.Status()
 	if status.Leader != status.ID || len(status.Configuration.Voters) < 2 {
 		return 0
@@ -119,16 +123,16 @@
 		}
 	}
 	if best.Node != raft.None {
-		_ = g.node.TransferLeadership(best.Node) // tried again until the limit
+		_ = g.node.TransferLeadership(best.Node) // on failure, the next handOverLeaderships retries it until the limit
 	}
 	return 1
 }
 
-// moveLeader hands the control group to another node without a stop.
+// moveLeader transfers the control group's leadership to another node, without stopping any.
 func (f *fleet) moveLeader() bool {
 	for _, h := range f.hosts {
 		if h.up && !h.paused && h.groups[0].node.Status().Role == raft.Leader {
-			h.transferAway(h.groups[0])
+			h.transferLeadership(h.groups[0])
 			h.advance()
 			return true
 		}
@@ -136,58 +140,59 @@
 	return false
 }
 
-// drainPatience is how long a coordinator waits for its running samples.
-const drainPatience = 500 * time.Millisecond
+// sampleDrainLimit is how long a draining coordinator waits for its running samples.
+const sampleDrainLimit = 500 * time.Millisecond
 
-// stop is the planned stop of a coordinator: no new sample, then its trainers are given up and their fetches answered.
+// stop begins the planned stop of a coordinator: it starts no more samples, then releases its trainers, answers their
+// fetches and exits. It returns false if the coordinator is down or already draining.
 func (c *coordinator) stop() bool {
 	if !c.up || c.draining {
 		return false
 	}
 	c.tracef("drains")
 	c.draining = true
-	c.finishRunning(c.clock() + drainPatience)
+	c.waitForSamples(c.clock() + sampleDrainLimit)
 	return true
 }
 
-func (c *coordinator) finishRunning(until time.Duration) {
-	if len(c.running) > 0 && c.clock() < until {
-		c.after(drainPoll, func() { c.finishRunning(until) })
+func (c *coordinator) waitForSamples(deadline time.Duration) {
+	if len(c.runs) > 0 && c.clock() < deadline {
+		c.after(drainPollInterval, func() { c.waitForSamples(deadline) })
 		return
 	}
 	c.leaving = true
 	for _, t := range c.fleet.trainers {
-		if owned := c.owned[t.name]; owned != nil {
-			c.depose(owned, "draining")
+		if owned := c.ownedTrainers[t.name]; owned != nil {
+			c.releaseTrainer(owned, "draining")
 		}
 	}
-	c.finishFetches(c.clock() + drainLimit)
+	c.waitForFetches(c.clock() + drainLimit)
 }
 
-func (c *coordinator) finishFetches(until time.Duration) {
-	if c.fetches > 0 && c.clock() < until && !c.world.mutated(StopWithoutDrain) {
-		c.after(drainPoll, func() { c.finishFetches(until) })
+func (c *coordinator) waitForFetches(deadline time.Duration) {
+	if c.activeFetches > 0 && c.clock() < deadline && !c.world.hasMutation(StopWithoutDrain) {
+		c.after(drainPollInterval, func() { c.waitForFetches(deadline) })
 		return
 	}
-	if c.fleet.gentle {
-		c.world.truth.examine(invariant.PlannedStop, c.fetches == 0, "%s stops with %d fetches in flight", c.name, c.fetches)
+	if c.fleet.plannedOnly {
+		c.world.truth.examine(invariant.PlannedStop, c.activeFetches == 0, "%s stops with %d fetches in flight", c.name, c.activeFetches)
 	}
 	c.session.holder.Drop()
 	c.die()
 }
 
-// plannedStop stops some process by plan.
+// plannedStop begins the planned stop of a random process. It returns false if none can be stopped now.
 func (f *fleet) plannedStop() bool {
 	switch draw := f.world.random.Intn(5); {
 	case draw < 2:
-		return f.anyGateway().stop()
+		return f.randomGateway().stop()
 	case draw == 2:
-		return f.anyCoordinator().stop()
+		return f.randomCoordinator().stop()
 	}
 	for _, h := range f.hosts {
 		if h.stopping && !h.replaced || !h.up && !h.replaced {
 			return false // one control node at a time
 		}
 	}
-	return f.anyHost().stop()
+	return f.randomHost().stop()
 }
--- a/internal/sim/pool.go
+++ b/internal/sim/pool.go
@@ -8,11 +8,11 @@
 	"github.com/tamarindring/tamarindring/internal/table"
 )
 
-// pool is one pool of back ends at a gateway, as gateway.pool.
+// pool is a pool of back ends at a gateway, like gateway.pool.
 type pool struct {
 	gateway  *gateway
 	name     string
-	row      *table.Row
+	tableRow *table.Row
 	version  uint64
 	replicas *routing.Pool
 	queue    *admission.Queue
@@ -25,7 +25,7 @@
 		queue: admission.New(admission.Limits{}), random: rand.NewPCG(seed, seed)}
 }
 
-// update takes over the table's rows of the pool.
+// update adopts the table's rows of the pool.
 func (p *pool) update(view *table.View) {
 	row := view.Pool(p.name)
 	if row == nil {
@@ -47,32 +47,32 @@
 			limits.Slots += slots
 		}
 	}
-	if p.row == nil {
-		p.gateway.knowsSince = p.gateway.world.now
-		p.gateway.ask()
+	if p.tableRow == nil {
+		p.gateway.tableSince = p.gateway.world.now
+		p.gateway.requestLoads()
 	}
-	p.row, p.version = row, view.Version()
+	p.tableRow, p.version = row, view.Version()
 	p.replicas.SetReplicas(configs)
-	p.apply(p.queue.SetLimits(p.gateway.clock(), limits))
+	p.applyEffects(p.queue.SetLimits(p.gateway.clock(), limits))
 }
 
-// apply passes the queue's decisions on.
-func (p *pool) apply(effects *admission.Effects) {
+// applyEffects passes the admission queue's decisions to the exchanges.
+func (p *pool) applyEffects(effects *admission.Effects) {
 	granted := append([]uint64(nil), effects.Granted...)
 	refused := append([]admission.Refusal(nil), effects.Refused...)
 	for _, id := range granted {
 		if x := p.gateway.exchanges[id]; x != nil {
-			x.granted()
+			x.onAdmitted()
 		}
 	}
 	for _, refusal := range refused {
 		if x := p.gateway.exchanges[refusal.ID]; x != nil {
-			x.refused(refusal)
+			x.onRejected(refusal)
 		}
 	}
 }
 
-// choose picks a back end and counts the request there.
+// choose selects a back end and counts the request there; false when none is available.
 func (p *pool) choose(request *routing.Request, excluded []string) (*backend, bool) {
 	request.Excluded = request.Excluded[:0]
 	for _, name := range excluded {
@@ -84,5 +84,5 @@
 		return nil, false
 	}
 	p.replicas.Sent(i, request, now)
-	return p.gateway.fleet.backend(p.replicas.Name(i)), true
+	return p.gateway.fleet.backendByName(p.replicas.Name(i)), true
 }
--- a/internal/sim/repair.go
+++ b/internal/sim/repair.go
@@ -8,76 +8,77 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-const repairPause = 200 * time.Millisecond
+const repairInterval = 200 * time.Millisecond
 
-// repair puts a new machine in the place of a lost one, group by group, as `member replace` does: add a
-// learner, promote it, remove the old node.
+// repair replaces a lost machine by a new one, group by group, in the order of `member replace`: add a learner,
+// promote it, remove the old node.
 type repair struct {
-	fleet  *fleet
-	old    *host
-	fresh  *host
-	client *client
-	second bool // another machine is lost meanwhile
+	fleet       *fleet
+	old         *host
+	replacement *host
+	client      *client
+	loseAnother bool // another machine is killed during the repair
 }
 
-// replace loses a machine for good and begins to replace it.
-func (f *fleet) replace(h *host, second bool) bool {
+// replaceMachine removes a machine for good and begins to replace it. It returns false if another repair is in
+// progress or the machine has already been replaced.
+func (f *fleet) replaceMachine(h *host, loseAnother bool) bool {
 	if f.repairing || h.replaced {
 		return false
 	}
 	f.repairing = true
 	h.die()
 	h.replaced = true
-	f.nextHost++
-	fresh := f.newHost(f.nextHost, h.zone, raft.Configuration{})
-	fresh.launch()
-	r := &repair{fleet: f, old: h, fresh: fresh, client: f.newClient(f.repairer), second: second}
-	f.world.after(repairPause, func() { r.step(0) })
+	f.lastHostID++
+	replacement := f.newHost(f.lastHostID, h.zone, raft.Configuration{})
+	replacement.launch()
+	r := &repair{fleet: f, old: h, replacement: replacement, client: f.newClient(f.repairProcess), loseAnother: loseAnother}
+	f.world.after(repairInterval, func() { r.step(0) })
 	return true
 }
 
-// step makes the next change that some group needs, until none does.
+// step makes the next membership change that a group needs, and goes on to the next group when it needs none.
 func (r *repair) step(groupID uint32) {
 	if groupID == groupCount {
 		r.fleet.repairing = false
-		r.fleet.world.tracef("repair", "node %d has taken node %d's place", r.fresh.id, r.old.id)
+		r.fleet.world.tracef("repair", "node %d has taken node %d's place", r.replacement.id, r.old.id)
 		return
 	}
-	again := func() { r.client.after(repairPause, func() { r.step(groupID) }) }
+	continueLater := func() { r.client.after(repairInterval, func() { r.step(groupID) }) }
 	configuration, ok := r.fleet.leaderConfiguration(groupID)
 	if !ok {
-		again()
+		continueLater()
 		return
 	}
-	if !r.fresh.up {
-		r.fresh.launch()
+	if !r.replacement.up {
+		r.replacement.launch()
 	}
 	kind, node := wire.GroupChangeKind_GROUP_CHANGE_KIND_REMOVE, r.old.id
 	switch {
-	case !configuration.IsLearner(r.fresh.id) && !configuration.IsVoter(r.fresh.id):
-		kind, node = wire.GroupChangeKind_GROUP_CHANGE_KIND_ADD_LEARNER, r.fresh.id
-	case configuration.IsLearner(r.fresh.id):
-		kind, node = wire.GroupChangeKind_GROUP_CHANGE_KIND_PROMOTE, r.fresh.id
-		r.loseSecond()
+	case !configuration.IsLearner(r.replacement.id) && !configuration.IsVoter(r.replacement.id):
+		kind, node = wire.GroupChangeKind_GROUP_CHANGE_KIND_ADD_LEARNER, r.replacement.id
+	case configuration.IsLearner(r.replacement.id):
+		kind, node = wire.GroupChangeKind_GROUP_CHANGE_KIND_PROMOTE, r.replacement.id
+		r.killAnother()
 	case !slices.Contains(configuration.Voters, r.old.id):
 		r.step(groupID + 1)
 		return
 	}
 	r.fleet.world.tracef("repair", "group %d: %v of node %d", groupID, kind, node)
 	request := &wire.ExecuteRequest{Group: groupID, Change: &wire.GroupChange{Kind: kind, Node: node}}
-	r.client.execute(request, time.Second, func(*wire.ExecuteReply) { again() })
+	r.client.execute(request, time.Second, func(*wire.ExecuteReply) { continueLater() })
 }
 
-// loseSecond kills another machine, once, while the new one catches up or right after.
-func (r *repair) loseSecond() {
-	if !r.second {
+// killAnother kills another machine, once, while the new one is catching up or right after.
+func (r *repair) killAnother() {
+	if !r.loseAnother {
 		return
 	}
-	r.second = false
+	r.loseAnother = false
 	f := r.fleet
-	f.world.after(f.world.between(0, time.Second), func() {
+	f.world.after(f.world.randomDuration(0, time.Second), func() {
 		for _, h := range f.hosts {
-			if h != r.fresh && !h.replaced && h.up {
+			if h != r.replacement && !h.replaced && h.up {
 				f.kill(h.process)
 				return
 			}
@@ -85,7 +86,7 @@
 	})
 }
 
-// leaderConfiguration is a group's membership as its leader has it.
+// leaderConfiguration returns a group's membership as its leader has it; false when no running node leads the group.
 func (f *fleet) leaderConfiguration(groupID uint32) (raft.Configuration, bool) {
 	var best raft.Status
 	for _, h := range f.hosts {
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -12,28 +12,29 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Result is what one seed has shown.
+// Result is the outcome of a run of one seed.
 type Result struct {
 	Seed      int64
-	Violation string // empty when every invariant held
-	Trace     string // when asked for
+	Violation string // the first violation; empty when every invariant held
+	Trace     string // only of traced runs
 	Counts    []invariant.Result
 	Faults    faultCounts
-	Virtual   time.Duration
-	Completed uint64 // calls that were answered
-	Refused   uint64 // "did not run"
-	Unknown   uint64 // "may have run"
-	Changes   uint64 // accepted
-	Samples   uint64 // that trainers received
+	Virtual   time.Duration // simulated time
+	Completed uint64        // answers that reached a caller with the result of its call
+	Refused   uint64        // answers that said "did not run"
+	Unknown   uint64        // answers that said "may have run"
+	Changes   uint64        // accepted table changes
+	Samples   uint64        // samples that trainers received
 }
 
-// Times after the faults have ended.
+// Time to settle after the faults have ended, and then to serve the recovery requests.
 const (
-	healTime    = 25 * time.Second
-	recoverTime = 25 * time.Second
+	healTime     = 25 * time.Second
+	recoveryTime = 25 * time.Second
 )
 
-// Run runs one seed of a scenario. The same arguments give the same result.
+// Run runs one seed of a scenario. The same arguments give the same result. A trace is recorded only if tracing is
+// set.
 func Run(scenario *Scenario, seed int64, mutation Mutation, tracing bool) Result {
 	_, result := runWorld(scenario, seed, mutation, tracing)
 	return result
@@ -43,7 +44,7 @@
 	w = newWorld(scenario, seed, mutation, tracing)
 	defer func() {
 		if failure := recover(); failure != nil {
-			w.truth.broken("the code panicked: %v\n%s", failure, debug.Stack())
+			w.truth.reportFailure("the code panicked: %v\n%s", failure, debug.Stack())
 			result = w.result(seed)
 		}
 	}()
@@ -59,9 +60,9 @@
 	f.heal()
 	w.runUntil(w.now + healTime)
 	f.checkRecovery()
-	w.runUntil(w.now + recoverTime)
-	if !w.truth.stopped() {
-		f.checkEnd()
+	w.runUntil(w.now + recoveryTime)
+	if !w.truth.isStopped() {
+		f.checkEndState()
 	}
 	return w, w.result(seed)
 }
@@ -75,14 +76,15 @@
 	return result
 }
 
-// checkRecovery asks the healed fleet for a change and for a call through each gateway.
+// checkRecovery asks the healed fleet for a table change and for one call through each gateway. checkEndState
+// examines the results.
 func (f *fleet) checkRecovery() {
-	if f.world.truth.stopped() {
+	if f.world.truth.isStopped() {
 		return
 	}
-	f.world.tracef("fleet", "has to work again")
+	f.world.tracef("fleet", "recovery check begins")
 	for _, t := range f.trainers {
-		f.stepsThen = append(f.stepsThen, t.step)
+		f.stepsAtRecovery = append(f.stepsAtRecovery, t.step)
 	}
 	f.recovered = make([]bool, len(f.gateways)+1)
 	o := f.operators[0]
@@ -94,7 +96,7 @@
 		cell := &wire.CellChange{Row: f.backends[0].name, Column: "weight", Value: "77"}
 		change := &wire.TableChange{ChangeId: "recovery", BaseVersion: view.Version(), Cells: []*wire.CellChange{cell}, Operator: o.name}
 		request := &wire.ExecuteRequest{WaitInForce: true, Command: &wire.Command{Kind: &wire.Command_TableChange{TableChange: change}}}
-		o.client.execute(request, recoverTime, func(reply *wire.ExecuteReply) {
+		o.client.execute(request, recoveryTime, func(reply *wire.ExecuteReply) {
 			f.recovered[0] = reply != nil && reply.InForceVersion >= reply.GetResult().GetTable().GetVersion()
 		})
 	})
@@ -104,7 +106,7 @@
 	}
 }
 
-// tryCall sends a call a few times: a back end may refuse it by chance.
+// tryCall sends a call up to maxAttempts times, because a back end may refuse it at random.
 func (f *fleet) tryCall(g *gateway, made *call, done func(), attempt int) {
 	g.serve(made, callTimeout, func(outcome dispatch.Outcome) {
 		switch {
@@ -119,20 +121,20 @@
 	})
 }
 
-func (f *fleet) checkEnd() {
+func (f *fleet) checkEndState() {
 	t := f.world.truth
-	for i, worked := range f.recovered {
-		what := "a change of the table is not in force"
+	for i, recoveredPart := range f.recovered {
+		failure := "a change of the table is not in force"
 		if i > 0 {
-			what = "a call through " + f.gateways[i-1].name + " did not run"
+			failure = "a call through " + f.gateways[i-1].name + " did not run"
 		}
-		t.examine(recovers, worked, "%v after all faults ended %s", healTime+recoverTime, what)
+		t.examine(recovers, recoveredPart, "%v after all faults ended %s", healTime+recoveryTime, failure)
 	}
 	for i, trainer := range f.trainers {
-		t.examine(recovers, trainer.step > f.stepsThen[i], "%s is still at step %d", trainer.name, trainer.step)
+		t.examine(recovers, trainer.step > f.stepsAtRecovery[i], "%s is still at step %d", trainer.name, trainer.step)
 	}
 	for _, h := range f.hosts {
-		if h.replaced || h.refused || !h.up || f.repairing {
+		if h.replaced || h.identityRejected || !h.up || f.repairing {
 			continue
 		}
 		version := h.groups[0].machine.TableVersion()
--- a/internal/sim/send.go
+++ b/internal/sim/send.go
@@ -7,23 +7,23 @@
 	"github.com/tamarindring/tamarindring/internal/dispatch"
 )
 
-// send makes one dispatch: a connection first, then the lease and the table version at the last moment
-// before the first byte.
+// send sends the request once. It takes a connection first, and checks the lease and the table version at the last
+// moment before the first byte.
 func (x *exchange) send(action *dispatch.Action) {
 	g := x.gateway
-	x.drop()
-	x.sends++
-	send, target, unchecked := x.sends, x.chosen, action.Unchecked
+	x.closeConnection()
+	x.sendCount++
+	send, target, unchecked := x.sendCount, x.chosen, action.Unchecked
 	x.connect(target, func(up *upstream) {
-		if send != x.sends || x.machine.Replied() {
+		if send != x.sendCount || x.machine.Replied() {
 			if up != nil {
 				g.release(up)
 			}
 			return
 		}
 		if up == nil {
-			x.leaveBackend(true)
-			x.feed(dispatch.Event{Kind: dispatch.SendFailed})
+			x.releaseBackend(true)
+			x.handleEvent(dispatch.Event{Kind: dispatch.SendFailed})
 			return
 		}
 		x.dispatch(up, unchecked)
@@ -31,11 +31,11 @@
 }
 
 const (
-	slowConnectPart = 0.02
-	slowestConnect  = 3 * time.Second
+	slowConnectProbability = 0.02
+	maxRetransmitDelay     = 3 * time.Second
 )
 
-// connect takes an idle connection or opens one; it gives nil when the back end cannot be reached.
+// connect takes an idle connection or opens one; done gets nil when the back end cannot be reached.
 func (x *exchange) connect(target *backend, done func(*upstream)) {
 	g := x.gateway
 	idle := g.idle[target.name]
@@ -51,22 +51,22 @@
 	network := g.world.network
 	reachable := target.up && !network.isCut(g.process, target.process) && !network.isCut(target.process, g.process)
 	if !reachable {
-		g.after(g.world.between(refusedDial, connectLimit), func() { done(nil) })
+		g.after(g.world.randomDuration(refusedDialDelay, connectTimeout), func() { done(nil) })
 		return
 	}
 	epoch := target.epoch
-	delay := 2 * network.delay(g.process, target.process)
-	if !g.fleet.gentle && g.world.chance(slowConnectPart) {
-		delay += g.world.between(time.Second, slowestConnect) // the first packet was lost and is sent again
+	delay := 2 * network.drawDelay(g.process, target.process)
+	if !g.fleet.plannedOnly && g.world.randomBool(slowConnectProbability) {
+		delay += g.world.randomDuration(time.Second, maxRetransmitDelay) // the first packet was lost and is retransmitted
 	}
 	g.after(delay, func() {
-		up := &upstream{gateway: g, owner: g.thisRun(), backend: target, epoch: epoch}
+		up := &upstream{gateway: g, gatewayRun: g.currentRun(), backend: target, backendEpoch: epoch}
 		target.connections = append(target.connections, up)
 		done(up)
 	})
 }
 
-// release keeps a connection without a pending answer for the next request.
+// release returns a connection without an outstanding answer to the idle ones.
 func (g *gateway) release(up *upstream) {
 	up.user = nil
 	if !up.closed {
@@ -77,28 +77,28 @@
 func (x *exchange) dispatch(up *upstream, unchecked bool) {
 	g := x.gateway
 	version, leased := g.session.admit()
-	if g.world.mutated(LeaseCheckedEarly) {
-		leased, version = x.early, x.version
+	if g.world.hasMutation(LeaseCheckedEarly) {
+		leased, version = x.leasedAtChoice, x.chosenVersion
 	}
 	if !leased && !unchecked {
 		g.release(up)
-		x.feed(dispatch.Event{Kind: dispatch.LeaseLapsed})
+		x.handleEvent(dispatch.Event{Kind: dispatch.LeaseLapsed})
 		return
 	}
-	if version != x.version {
+	if version != x.chosenVersion {
 		g.release(up)
-		x.feed(dispatch.Event{Kind: dispatch.TableMoved})
+		x.handleEvent(dispatch.Event{Kind: dispatch.TableMoved})
 		return
 	}
-	up.user, x.up = x, up
-	request := invocation{call: x.call, requestID: x.requestID(), arrival: x.machine.Request().Attempt, arrivedAt: x.arrivedAt, gateway: g.name}
-	g.world.truth.dispatchedToLeaving(g, up.backend)
-	g.world.truth.dispatched(g.process, "sends to "+x.chosen.name, version)
+	up.user, x.connection = x, up
+	request := invocation{call: x.call, requestID: x.requestID(), attempt: x.machine.Request().Attempt, arrivedAt: x.arrivedAt, gateway: g.name}
+	g.world.truth.checkLeavingBackend(g, up.backend)
+	g.world.truth.checkDispatch(g.process, "sends to "+x.chosen.name, version)
 	g.tracef("sends %s of call %s to %s under table version %d", request.requestID, x.call.id, x.chosen.name, version)
-	backend, epoch := up.backend, up.epoch
-	g.world.network.once(g.process, backend.process, func() {
+	backend, epoch := up.backend, up.backendEpoch
+	g.world.network.sendOnce(g.process, backend.process, func() {
 		if backend.epoch != epoch {
-			up.reset() // the connection is of an earlier run
+			up.reset() // the connection belongs to an earlier run of the back end
 			return
 		}
 		backend.invoke(request, up)
@@ -106,51 +106,52 @@
 }
 
 func (x *exchange) requestID() string {
-	return fmt.Sprintf("%s/%d.%d", x.gateway.name, x.id, x.sends)
+	return fmt.Sprintf("%s/%d.%d", x.gateway.name, x.id, x.sendCount)
 }
 
-// receive takes a back end's answer from the connection in use.
-func (x *exchange) receive(up *upstream, answer backendAnswer) {
-	if x.up != up {
+// receiveAnswer handles a back end's answer on the connection in use.
+func (x *exchange) receiveAnswer(up *upstream, answer backendAnswer) {
+	if x.connection != up {
 		return
 	}
 	foreign := answer.requestID != x.requestID()
-	if foreign && !x.gateway.world.mutated(ReuseBusyConnection) {
-		x.broken(up)
+	if foreign && !x.gateway.world.hasMutation(ReuseBusyConnection) {
+		x.handleConnectionBreak(up)
 		return
 	}
-	x.up = nil
+	x.connection = nil
 	x.gateway.release(up)
-	x.leaveBackend(false)
-	if answer.leaving && !x.gateway.world.mutated(IgnoreLeaving) {
+	x.releaseBackend(false)
+	if answer.leaving && !x.gateway.world.hasMutation(IgnoreLeaving) {
 		x.gateway.pool.replicas.RefusedLeaving(x.chosen.name, x.gateway.clock())
 	}
 	if answer.refused {
-		x.feed(dispatch.Event{Kind: dispatch.RefusedByBackend, Status: 503})
+		x.handleEvent(dispatch.Event{Kind: dispatch.RefusedByBackend, Status: 503})
 		return
 	}
 	x.gateway.pool.replicas.Succeeded(x.chosen.name, x.gateway.clock())
-	x.feed(dispatch.Event{Kind: dispatch.Completed, Answer: answer.answer})
+	x.handleEvent(dispatch.Event{Kind: dispatch.Completed, Answer: answer.answer})
 }
 
-// broken ends a send whose connection broke after the request was written.
-func (x *exchange) broken(up *upstream) {
-	if x.up != up {
+// handleConnectionBreak ends a send whose connection broke after the request was written, so that its outcome is
+// unknown.
+func (x *exchange) handleConnectionBreak(up *upstream) {
+	if x.connection != up {
 		return
 	}
-	x.drop()
-	x.leaveBackend(true)
-	x.feed(dispatch.Event{Kind: dispatch.SendUnknown})
+	x.closeConnection()
+	x.releaseBackend(true)
+	x.handleEvent(dispatch.Event{Kind: dispatch.SendUnknown})
 }
 
-// drop closes the connection of a send that is over.
-func (x *exchange) drop() {
-	up := x.up
+// closeConnection closes the connection in use, if any.
+func (x *exchange) closeConnection() {
+	up := x.connection
 	if up == nil {
 		return
 	}
-	x.up = nil
-	if x.gateway.world.mutated(ReuseBusyConnection) {
+	x.connection = nil
+	if x.gateway.world.hasMutation(ReuseBusyConnection) {
 		x.gateway.release(up)
 		return
 	}
--- a/internal/sim/session.go
+++ b/internal/sim/session.go
@@ -9,40 +9,40 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// serverSession is a control node's end of one holder's stream, as control.session is.
+// serverSession is a control node's end of one lease holder's stream, like control.session.
 type serverSession struct {
-	control *control
-	holder  lease.HolderID
-	replies *stream
-	client  *attachment
-	sent    uint64 // table version that the holder has or was sent
+	control     *control
+	holder      lease.HolderID
+	replies     *stream
+	attachment  *attachment
+	sentVersion uint64 // newest table version that the holder has or was sent
 }
 
 func (s *serverSession) reply(reply *wire.SessionReply) {
-	s.replies.send(func() { s.client.handle(reply) })
+	s.replies.send(func() { s.attachment.handleReply(reply) })
 }
 
-// push sends the holder what it lacks of the table.
+// push sends the holder the table changes that it lacks.
 func (s *serverSession) push() {
-	if update := s.due(); update != nil {
+	if update := s.takeUpdate(); update != nil {
 		s.reply(&wire.SessionReply{Update: update})
 	}
 }
 
-func (s *serverSession) due() *wire.TableUpdate {
-	if s.sent >= s.control.current {
+func (s *serverSession) takeUpdate() *wire.TableUpdate {
+	if s.sentVersion >= s.control.tableVersion {
 		return nil
 	}
-	update := s.control.controlGroup().machine.TableUpdate(s.sent)
-	s.sent = update.ToVersion
+	update := s.control.controlGroup().machine.TableUpdate(s.sentVersion)
+	s.sentVersion = update.ToVersion
 	return update
 }
 
 func (s *serverSession) answer(sequence uint64, granted bool) {
-	reply := &wire.SessionReply{Sequence: sequence, Granted: granted, Update: s.due()}
+	reply := &wire.SessionReply{Sequence: sequence, Granted: granted, Update: s.takeUpdate()}
 	if granted {
 		reply.LeaseMillis = uint32(s.control.settings.Lease.Milliseconds())
-		reply.ControlAddresses = s.control.nodes()
+		reply.ControlAddresses = s.control.nodeNames()
 		for _, g := range s.control.host.groups[1:] {
 			reply.LedgerIndexes = append(reply.LedgerIndexes, &wire.LedgerIndex{Group: g.id, Index: g.applied})
 		}
@@ -56,22 +56,22 @@
 	}
 }
 
-// holderSession keeps a process's lease and view, as controlclient.Session does.
+// holderSession maintains a process's lease and table view, like controlclient.Session.
 type holderSession struct {
-	client     *client
-	view       *table.View
-	holder     *lease.Holder
-	attachment *attachment
-	onUpdate   func(*table.View)
-	everHeld   bool
-	heardAt    time.Duration // the last grant
+	client      *client
+	view        *table.View
+	holder      *lease.Holder
+	attachment  *attachment
+	onUpdate    func(*table.View)
+	everLeased  bool          // a lease was granted at least once
+	lastGrantAt time.Duration // when the last grant arrived
 }
 
 const (
-	firstRenewal     = 200 * time.Millisecond
-	renewalsPerLease = 6
-	silenceFraction  = 3
-	reattachPause    = 20 * time.Millisecond
+	firstRenewalInterval = 200 * time.Millisecond // renewal interval before the duration of the lease is known
+	renewalsPerLease     = 6
+	silenceFraction      = 3 // a stream is closed after lease/silenceFraction without a reply
+	maxReattachDelay     = 20 * time.Millisecond
 )
 
 func (c *client) openSession(onUpdate func(*table.View)) *holderSession {
@@ -82,29 +82,30 @@
 	return s
 }
 
-// startTime is how long a role waits for its first lease before it exits (the flag start-time). Its supervisor starts
-// it again with the settings of the moment: those that it had may name control nodes that are replaced by now.
-const startTime = 30 * time.Second
+// firstLeaseTimeout is how long a process waits for its first lease before it exits (the flag start-time). Its
+// supervisor restarts it with current settings, because the control nodes named in the old settings may have been
+// replaced.
+const firstLeaseTimeout = 30 * time.Second
 
-// exitWithoutLease ends a process that found no control node.
+// exitWithoutLease ends a process that has not obtained a first lease in time, and starts the check for a lost lease.
 func (s *holderSession) exitWithoutLease() {
-	s.client.after(startTime, func() {
-		if !s.everHeld {
-			s.client.tracef("has found no control leader, exits")
+	s.client.after(firstLeaseTimeout, func() {
+		if !s.everLeased {
+			s.client.tracef("exits: no lease within the start-time limit")
 			s.client.die()
 		}
 	})
 	s.exitWhenLost()
 }
 
-// lostTime is how long a role goes on without a lease (the flag lost-time); shorter than its default, so that runs
-// reach it.
-const lostTime = time.Minute
+// leaseLossTimeout is how long a process goes on without a lease before it exits (the flag lost-time). It is shorter
+// than the flag's default so that runs reach it.
+const leaseLossTimeout = time.Minute
 
 func (s *holderSession) exitWhenLost() {
-	s.client.after(lostTime/12, func() {
-		if s.everHeld && s.client.clock()-s.heardAt > lostTime {
-			s.client.tracef("is lost, exits")
+	s.client.after(leaseLossTimeout/12, func() {
+		if s.everLeased && s.client.clock()-s.lastGrantAt > leaseLossTimeout {
+			s.client.tracef("exits: no lease within the lost-time limit")
 			s.client.die()
 			return
 		}
@@ -112,32 +113,33 @@
 	})
 }
 
-// admit is the check at the point of dispatch.
+// admit checks the lease at the point of dispatch. It returns the table version to act on and whether the lease is
+// valid.
 func (s *holderSession) admit() (uint64, bool) { return s.holder.Admit(s.client.clock()) }
 
-// attachment is one stream to one control node.
+// attachment is a holder's stream to one control node.
 type attachment struct {
-	session  *holderSession
-	node     *host
-	requests *stream
-	server   *serverSession
-	sequence uint64
-	sentAt   map[uint64]time.Duration
-	heard    time.Duration
-	closed   bool
+	session     *holderSession
+	node        *host
+	requests    *stream
+	server      *serverSession
+	sequence    uint64
+	sentAt      map[uint64]time.Duration
+	lastReplyAt time.Duration
+	closed      bool
 }
 
 func (s *holderSession) attach() {
-	node := s.client.pick(state.ControlGroup)
+	node := s.client.selectNode(state.ControlGroup)
 	network := s.client.world.network
-	a := &attachment{session: s, node: node, requests: network.open(s.client.process, node.thisRun()),
-		sentAt: map[uint64]time.Duration{}, heard: s.client.clock()}
+	a := &attachment{session: s, node: node, requests: network.openStream(s.client.process, node.currentRun()),
+		sentAt: map[uint64]time.Duration{}, lastReplyAt: s.client.clock()}
 	s.attachment = a
 	holder := lease.HolderID{Name: s.client.name, Incarnation: s.client.epoch}
-	version, asking := s.view.Version(), s.client.thisRun()
+	version, asking := s.view.Version(), s.client.currentRun()
 	a.requests.send(func() {
-		a.server = &serverSession{control: node.control, holder: holder, client: a, sent: version,
-			replies: network.open(node.process, asking)}
+		a.server = &serverSession{control: node.control, holder: holder, attachment: a, sentVersion: version,
+			replies: network.openStream(node.process, asking)}
 		node.control.sessions = append(node.control.sessions, a.server)
 	})
 	a.renew()
@@ -148,7 +150,7 @@
 	c := a.session.client
 	a.sequence++
 	a.sentAt[a.sequence] = c.clock()
-	delete(a.sentAt, a.sequence-sentMemory)
+	delete(a.sentAt, a.sequence-maxTrackedRenewals)
 	request := &wire.SessionRequest{Sequence: a.sequence, ActedVersion: a.session.view.Version()}
 	a.requests.send(func() {
 		if a.server != nil && a.server.control == a.node.control {
@@ -157,16 +159,16 @@
 	})
 }
 
-const sentMemory = 64
+const maxTrackedRenewals = 64
 
 func (a *attachment) schedule() {
 	interval := lease.DefaultLease / renewalsPerLease
-	interval -= a.session.client.world.between(0, interval/10)
+	interval -= a.session.client.world.randomDuration(0, interval/10)
 	a.session.client.after(interval, func() {
 		if a.closed {
 			return
 		}
-		if a.session.client.clock()-a.heard > max(lease.DefaultLease/silenceFraction, 2*firstRenewal) {
+		if a.session.client.clock()-a.lastReplyAt > max(lease.DefaultLease/silenceFraction, 2*firstRenewalInterval) {
 			a.close("")
 			return
 		}
@@ -175,26 +177,26 @@
 	})
 }
 
-// close gives the stream up and opens another one.
+// close abandons the stream and opens another one, at the node named by redirect if it is not empty.
 func (a *attachment) close(redirect string) {
 	if a.closed {
 		return
 	}
 	a.closed = true
 	if a.server != nil && a.server.control == a.node.control {
-		a.server.control.forget(a.server)
+		a.server.control.removeSession(a.server)
 	}
 	c := a.session.client
 	c.forgetLeader(state.ControlGroup, a.node.name)
 	if redirect != "" && redirect != a.node.name {
 		c.leaders[state.ControlGroup] = redirect
 	} else {
-		c.rotate(a.node.name)
+		c.rotateFrom(a.node.name)
 	}
-	c.after(c.world.between(reattachPause/2, reattachPause), a.session.attach)
+	c.after(c.world.randomDuration(maxReattachDelay/2, maxReattachDelay), a.session.attach)
 }
 
-func (c *control) forget(gone *serverSession) {
+func (c *control) removeSession(gone *serverSession) {
 	for i, open := range c.sessions {
 		if open == gone {
 			c.sessions = append(c.sessions[:i:i], c.sessions[i+1:]...)
@@ -203,13 +205,13 @@
 	}
 }
 
-func (a *attachment) handle(reply *wire.SessionReply) {
+func (a *attachment) handleReply(reply *wire.SessionReply) {
 	s := a.session
 	if a.closed {
 		return
 	}
 	if reply.Granted || reply.Update != nil {
-		a.heard = s.client.clock()
+		a.lastReplyAt = s.client.clock()
 	}
 	for _, known := range reply.LedgerIndexes {
 		s.client.learnTicket(known.Group, known.Index)
@@ -220,18 +222,18 @@
 		return
 	}
 	if sentAt, known := a.sentAt[reply.Sequence]; reply.Granted && known {
-		if s.client.world.mutated(LeaseFromReply) {
+		if s.client.world.hasMutation(LeaseFromReply) {
 			sentAt = s.client.clock()
 		}
-		s.everHeld, s.heardAt = true, s.client.clock()
+		s.everLeased, s.lastGrantAt = true, s.client.clock()
 		s.holder.Renewed(sentAt, time.Duration(reply.LeaseMillis)*time.Millisecond)
 	}
 	if reply.Update != nil {
-		a.update(reply.Update)
+		a.applyUpdate(reply.Update)
 	}
 }
 
-func (a *attachment) update(update *wire.TableUpdate) {
+func (a *attachment) applyUpdate(update *wire.TableUpdate) {
 	s := a.session
 	if update.ToVersion <= s.view.Version() && update.FromVersion != 0 {
 		return
@@ -244,7 +246,7 @@
 	}
 	s.view = next
 	s.holder.ActOn(next.Version())
-	s.client.world.truth.viewMoved(s.client.process, next)
+	s.client.world.truth.checkView(s.client.process, next)
 	s.onUpdate(next)
 	a.renew()
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func scenario(t *testing.T, name string) *Scenario {
+func findScenario(t *testing.T, name string) *Scenario {
 	t.Helper()
 	found, err := FindScenario(name)
 	if err != nil {
@@ -17,13 +17,15 @@
 	return found
 }
 
-// quick is a scenario cut to a length that a test can afford.
-func quick(t *testing.T, name string) *Scenario {
-	found := scenario(t, name)
+// shortScenario returns a scenario cut to a length that a test can afford.
+func shortScenario(t *testing.T, name string) *Scenario {
+	found := findScenario(t, name)
 	found.Length = min(found.Length, time.Minute)
 	return found
 }
 
+// TestSameSeedGivesAnotherTrace guards against nondeterminism: two runs of a seed must give the same trace, and runs of
+// two seeds different ones.
 func TestSameSeedGivesAnotherTrace(t *testing.T) {
 	names := []string{"mixed", "disk", "weights-swap", "rolling-stop"}
 	if testing.Short() {
@@ -31,19 +33,20 @@
 	}
 	for _, name := range names {
 		for seed := range int64(1) {
-			first := Run(quick(t, name), seed, NoMutation, true)
-			second := Run(quick(t, name), seed, NoMutation, true)
+			first := Run(shortScenario(t, name), seed, NoMutation, true)
+			second := Run(shortScenario(t, name), seed, NoMutation, true)
 			if len(first.Trace) < 1000 || first.Trace != second.Trace {
-				t.Fatalf("%s: seed %d gave traces of %d and %d bytes that differ", name, seed, len(first.Trace), len(second.Trace))
+				t.Fatalf("%s: seed %d gave traces of %d and %d bytes, expected identical ones of at least 1000 bytes", name, seed, len(first.Trace), len(second.Trace))
 			}
-			if third := Run(quick(t, name), seed+100, NoMutation, true); third.Trace == first.Trace {
-				t.Fatalf("%s: two seeds gave the same trace", name)
+			if third := Run(shortScenario(t, name), seed+100, NoMutation, true); third.Trace == first.Trace {
+				t.Fatalf("%s: two seeds gave the same trace, expected different ones", name)
 			}
 		}
 	}
 }
 
-// TestFaultsViolateAPromise runs fixed seeds of every scenario.
+// TestFaultsViolateAPromise guards against faults that break an invariant. It runs fixed seeds of every scenario, and
+// also checks that every invariant was examined and every kind of fault injected.
 func TestFaultsViolateAPromise(t *testing.T) {
 	seeds := 4
 	if testing.Short() {
@@ -55,7 +58,7 @@
 		if testing.Short() && !slices.Contains(short, found.Name) {
 			continue
 		}
-		report := RunBatch(context.Background(), Options{Scenario: quick(t, found.Name), Seeds: seeds, SeedBase: 1000,
+		report := RunBatch(context.Background(), Options{Scenario: shortScenario(t, found.Name), Seeds: seeds, SeedBase: 1000,
 			Parallel: runtime.GOMAXPROCS(0)})
 		for _, violation := range report.Violations {
 			t.Errorf("%s: seed %d: %s", found.Name, violation.Seed, violation.Problem)
@@ -63,7 +66,7 @@
 		total.merge(report)
 	}
 	for _, name := range total.Unexamined() {
-		t.Errorf("%s was never examined", name)
+		t.Errorf("invariant %s was never examined", name)
 	}
 	for kind, count := range total.Faults {
 		if count == 0 && !testing.Short() {
--- a/internal/sim/trainer.go
+++ b/internal/sim/trainer.go
@@ -8,49 +8,49 @@
 )
 
 const (
-	trainTime        = 2 * time.Second
-	fetchTimeout     = 3 * time.Second
-	fetchWait        = 1500 * time.Millisecond
-	fetchRetry       = 100 * time.Millisecond
-	promptsPerStep   = 4
-	samplesPerPrompt = 2
-	batchSamples     = 3
-	stepsAhead       = 2
+	trainTime          = 2 * time.Second
+	fetchTimeout       = 3 * time.Second
+	fetchWaitLimit     = 1500 * time.Millisecond
+	fetchRetryInterval = 100 * time.Millisecond
+	promptsPerStep     = 4
+	samplesPerPrompt   = 2
+	batchSamples       = 3
+	stepsAhead         = 2
 )
 
-// fetchRequest asks for the batch at a cursor, one above what was acknowledged.
+// fetchRequest asks for the batch at a cursor, which is one above the last batch received.
 type fetchRequest struct {
 	cursor  uint64
-	version uint64 // that the trainer has
-	fetch   uint64 // number of the call
+	version uint64 // the trainer's weight version
+	number  uint64 // number of this call to a coordinator
 }
 
-// fetchReply hands a batch over; one without samples says to ask again.
+// fetchReply carries a batch; one that is ok but without samples tells the trainer to ask again.
 type fetchReply struct {
-	ok       bool // false: ask another coordinator
+	ok       bool // false tells the trainer to ask another coordinator
 	cursor   uint64
 	step     uint64
-	complete bool
-	bound    uint64
+	complete bool   // the step is complete with this batch
+	bound    uint64 // staleness bound under which the batch is handed over
 	samples  []*wire.Sample
 }
 
-// trainer takes the samples of one step after another and makes a new weight version from each. What it has
-// received and at which cursor survives its restarts, as a trainer's checkpoint does.
+// trainer consumes the samples of one step after another and makes a new weight version from each step. The batches
+// received and their cursor survive its restarts, as in a trainer's checkpoint.
 type trainer struct {
 	*process
 	fleet       *fleet
-	coordinator int    // asked at present
-	attempt     uint64 // only an answer to the newest call counts
+	coordinator int    // index of the coordinator that it asks
+	attempt     uint64 // only the answer to the newest call is accepted
 	version     uint64
 	step        uint64
-	opened      uint64
-	cursor      uint64 // received
+	openedStep  uint64
+	cursor      uint64 // cursor of the last batch received
 }
 
 func (f *fleet) newTrainer(number int, zone string) *trainer {
 	t := &trainer{process: f.world.newProcess(fmt.Sprintf("trainer-%d", number), zone), fleet: f, version: 1, step: 1}
-	t.died = func() { f.restartLater(t.process) }
+	t.onDeath = func() { f.restartLater(t.process) }
 	f.trainers = append(f.trainers, t)
 	return t
 }
@@ -64,21 +64,22 @@
 	t.openSteps()
 }
 
-// call sends something to the coordinator of the moment and to the next one when no answer comes.
-func (t *trainer) call(what string, send func(c *coordinator, answer func(func())), again func()) {
+// callCoordinator sends a request to the current coordinator. When no answer arrives it switches to the next
+// coordinator and calls retry.
+func (t *trainer) callCoordinator(action string, send func(c *coordinator, answer func(func())), retry func()) {
 	t.attempt++
 	attempt := t.attempt
 	c := t.fleet.coordinators[t.coordinator%len(t.fleet.coordinators)]
-	t.tracef("%s at %s, cursor %d", what, c.name, t.cursor+1)
+	t.tracef("%s at %s, cursor %d", action, c.name, t.cursor+1)
 	network := t.world.network
 	t.after(fetchTimeout, func() {
 		if t.attempt == attempt {
 			t.coordinator++
-			again()
+			retry()
 		}
 	})
-	asking := t.thisRun()
-	network.once(t.process, c.process, func() {
+	asking := t.currentRun()
+	network.sendOnce(t.process, c.process, func() {
 		send(c, func(take func()) {
 			network.reply(c.process, asking, func() {
 				if t.attempt == attempt {
@@ -90,67 +91,67 @@
 	})
 }
 
-// openSteps opens the steps up to some way ahead, then fetches.
+// openSteps opens the steps up to stepsAhead, counting the current one, then announces the weight version.
 func (t *trainer) openSteps() {
-	if t.opened >= t.step+stepsAhead-1 {
-		t.announce()
+	if t.openedStep >= t.step+stepsAhead-1 {
+		t.announceVersion()
 		return
 	}
-	open := &wire.StepOpen{Trainer: t.name, Step: t.opened + 1, SamplesPerPrompt: samplesPerPrompt, Pool: modelPool,
-		Prompts: stepPrompts(t.opened + 1)}
-	t.call("opens a step", func(c *coordinator, answer func(func())) {
-		c.open(open, func(ok bool) {
+	open := &wire.StepOpen{Trainer: t.name, Step: t.openedStep + 1, SamplesPerPrompt: samplesPerPrompt, Pool: modelPool,
+		Prompts: stepPrompts(t.openedStep + 1)}
+	t.callCoordinator("opens a step", func(c *coordinator, answer func(func())) {
+		c.openStep(open, func(ok bool) {
 			answer(func() {
 				if ok {
-					t.opened = max(t.opened, open.Step)
+					t.openedStep = max(t.openedStep, open.Step)
 					t.openSteps()
 					return
 				}
 				t.coordinator++
-				t.after(fetchRetry, t.openSteps)
+				t.after(fetchRetryInterval, t.openSteps)
 			})
 		})
 	}, t.openSteps)
 }
 
-// announce tells of the newest version, then fetches.
-func (t *trainer) announce() {
+// announceVersion tells a coordinator the newest weight version, then fetches.
+func (t *trainer) announceVersion() {
 	version := t.version
-	t.call("announces its version", func(c *coordinator, answer func(func())) {
-		c.release(version, func(ok bool) {
+	t.callCoordinator("announces its version", func(c *coordinator, answer func(func())) {
+		c.releaseVersion(version, func(ok bool) {
 			answer(func() {
 				if ok {
 					t.fetch()
 					return
 				}
 				t.coordinator++
-				t.after(fetchRetry, t.announce)
+				t.after(fetchRetryInterval, t.announceVersion)
 			})
 		})
-	}, t.announce)
+	}, t.announceVersion)
 }
 
 func (t *trainer) fetch() {
-	request := fetchRequest{cursor: t.cursor + 1, version: t.version, fetch: t.attempt + 1}
-	t.call("fetches", func(c *coordinator, answer func(func())) {
+	request := fetchRequest{cursor: t.cursor + 1, version: t.version, number: t.attempt + 1}
+	t.callCoordinator("fetches", func(c *coordinator, answer func(func())) {
 		c.fetch(t.name, request, func(reply fetchReply) {
-			answer(func() { t.take(reply) })
+			answer(func() { t.handleReply(reply) })
 		})
 	}, t.fetch)
 }
 
-func (t *trainer) take(reply fetchReply) {
+func (t *trainer) handleReply(reply fetchReply) {
 	switch {
 	case !reply.ok:
 		t.coordinator++
-		t.after(fetchRetry, t.fetch)
+		t.after(fetchRetryInterval, t.fetch)
 		return
 	case len(reply.samples) == 0:
-		t.announce() // the wave's owner may have died
+		t.announceVersion() // the owner of the weight wave may have died
 		return
 	}
 	t.tracef("receives %d samples of step %d at cursor %d, step complete: %v", len(reply.samples), reply.step, reply.cursor, reply.complete)
-	t.world.truth.received(t, &reply)
+	t.world.truth.recordBatch(t, &reply)
 	t.cursor = reply.cursor
 	if !reply.complete {
 		t.fetch()
@@ -158,13 +159,13 @@
 	}
 	t.step = reply.step + 1
 	t.version++
-	t.after(t.world.between(trainTime/2, 2*trainTime), t.openSteps)
+	t.after(t.world.randomDuration(trainTime/2, 2*trainTime), t.openSteps)
 }
 
 func stepPrompts(step uint64) []*wire.Prompt {
 	prompts := make([]*wire.Prompt, 0, promptsPerStep)
 	for i := range promptsPerStep {
-		prompts = append(prompts, &wire.Prompt{Id: fmt.Sprintf("p%d", i), Text: fmt.Sprintf("question %d of step %d", i, step), MaxTokens: 2 * longestSample})
+		prompts = append(prompts, &wire.Prompt{Id: fmt.Sprintf("p%d", i), Text: fmt.Sprintf("question %d of step %d", i, step), MaxTokens: 2 * maxSampleTokens})
 	}
 	return prompts
 }
--- a/internal/sim/weights.go
+++ b/internal/sim/weights.go
@@ -6,17 +6,17 @@
 	"github.com/tamarindring/tamarindring/internal/wave"
 )
 
-// versionReport is what an engine said it serves.
+// versionReport is the weight version that an engine reported to serve.
 type versionReport struct {
 	version uint64
 	at      time.Duration
 }
 
-// available is the newest version that all engines heard of lately serve.
-func (c *coordinator) available() uint64 {
+// availableVersion returns the newest version that all engines with a recent report serve, or 0 without such reports.
+func (c *coordinator) availableVersion() uint64 {
 	least := ^uint64(0)
 	for _, e := range c.fleet.engines {
-		if report, known := c.reports[e.name]; known && c.clock()-report.at < reportLife {
+		if report, known := c.versionReports[e.name]; known && c.clock()-report.at < reportLifetime {
 			least = min(least, report.version)
 		}
 	}
@@ -26,20 +26,20 @@
 	return least
 }
 
-// waveOwner is a pool's weight wave at its owner.
+// waveOwner is a pool's weight wave at the coordinator that owns it.
 type waveOwner struct {
 	fence   uint64
 	planner *wave.Planner
 	target  uint64
 }
 
-// release makes a version the pool's target, as the pool's owner.
-func (c *coordinator) release(version uint64, done func(bool)) {
+// releaseVersion makes a version the pool's target. The coordinator becomes the pool's owner first if it is not.
+func (c *coordinator) releaseVersion(version uint64, done func(bool)) {
 	if c.wave != nil {
 		done(c.wave.release(c, version))
 		return
 	}
-	c.acquire("pool/"+modelPool, func(token uint64) {
+	c.acquireFence("pool/"+modelPool, func(token uint64) {
 		if token == 0 {
 			done(false)
 			return
@@ -60,7 +60,7 @@
 	return true
 }
 
-// driveWave sends the orders that are due.
+// driveWave sends the orders of the weight wave that are due.
 func (c *coordinator) driveWave() {
 	if c.wave == nil {
 		return
@@ -77,7 +77,7 @@
 }
 
 func (c *coordinator) sendOrder(owned *waveOwner, order wave.Order) {
-	e := c.fleet.engine(order.Replica)
+	e := c.fleet.engineByName(order.Replica)
 	answered := false
 	answer := func(outcome wave.Answer) {
 		if !answered {
@@ -90,18 +90,18 @@
 		answer(wave.Answer{Outcome: wave.Done, Serving: e.version})
 		return
 	}
-	fence, asking := owned.fence, c.thisRun()
-	c.world.network.once(c.process, e.process, func() {
-		e.swap(order.Version.Number, fence, func(said swapAnswer) {
+	fence, asking := owned.fence, c.currentRun()
+	c.world.network.sendOnce(c.process, e.process, func() {
+		e.swap(order.Version.Number, fence, func(result swapAnswer) {
 			c.world.network.reply(e.process, asking, func() {
 				switch {
-				case said.stale:
-					c.tracef("is no longer the owner of the pool's weights")
+				case result.stale:
+					c.tracef("has lost the ownership of the pool's weights")
 					if c.wave == owned {
 						c.wave = nil
 					}
-				case said.ok:
-					answer(wave.Answer{Outcome: wave.Done, Serving: said.serving})
+				case result.ok:
+					answer(wave.Answer{Outcome: wave.Done, Serving: result.serving})
 				default:
 					answer(wave.Answer{Outcome: wave.Failed})
 				}
@@ -111,24 +111,24 @@
 }
 
 const (
-	orderTimeout  = 4 * time.Second
-	reportEvery   = time.Second
-	slowestReport = 2 * time.Second
-	reportLife    = 6 * time.Second
+	orderTimeout   = 4 * time.Second
+	reportInterval = time.Second
+	maxReportDelay = 2 * time.Second
+	reportLifetime = 6 * time.Second
 )
 
-// reportLoad tells every coordinator's wave, late, what the engine serves.
-func (e *modelEngine) reportLoad() {
+// reportVersion reports the version that the engine serves to every coordinator, with a delay.
+func (e *modelEngine) reportVersion() {
 	serving := e.version
 	for _, c := range e.fleet.coordinators {
-		e.after(e.world.between(0, slowestReport), func() {
-			e.world.network.once(e.process, c.process, func() {
-				c.reports[e.name] = versionReport{version: serving, at: c.clock()}
+		e.after(e.world.randomDuration(0, maxReportDelay), func() {
+			e.world.network.sendOnce(e.process, c.process, func() {
+				c.versionReports[e.name] = versionReport{version: serving, at: c.clock()}
 				if c.wave != nil {
 					c.wave.planner.Report(c.clock(), e.name, wave.Report{Version: wave.Version{Name: "v", Number: serving}})
 				}
 			})
 		})
 	}
-	e.after(reportEvery, e.reportLoad)
+	e.after(reportInterval, e.reportVersion)
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// event is something that happens at a moment of virtual time. Events of one moment keep their order.
+// event is a function to run at a moment of virtual time. Events of the same moment run in the order in which they
+// were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -18,7 +19,7 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// eventHeap is a binary heap without the boxing of container/heap, which took a sixth of a run.
+// eventHeap is a binary heap that avoids the boxing of container/heap, which took a sixth of the time of a run.
 type eventHeap []event
 
 func (h *eventHeap) push(added event) {
@@ -63,20 +64,20 @@
 	return first
 }
 
-// world is virtual time with everything that the parts of a fleet share. It runs on one goroutine.
+// world holds the virtual time and everything that the parts of a fleet share. It runs on one goroutine.
 type world struct {
-	now      time.Duration
-	events   eventHeap
-	sequence uint64
-	random   *rand.Rand
-	tracing  bool
-	lines    []string
-	mutation Mutation
-	truth    *truth
-	network  *network
-	faults   faultCounts
-	history  *history
-	fleet    *fleet
+	now        time.Duration
+	events     eventHeap
+	sequence   uint64
+	random     *rand.Rand
+	tracing    bool
+	traceLines []string
+	mutation   Mutation
+	truth      *truth
+	network    *network
+	faults     faultCounts
+	history    *history
+	fleet      *fleet
 }
 
 func newWorld(scenario *Scenario, seed int64, mutation Mutation, tracing bool) *world {
@@ -87,15 +88,15 @@
 	return w
 }
 
-// after runs a function at a later moment, whatever happens to processes.
+// after runs a function after a delay, independently of the state of any process.
 func (w *world) after(delay time.Duration, run func()) {
 	w.sequence++
 	w.events.push(event{at: w.now + max(delay, 0), sequence: w.sequence, run: run})
 }
 
-// runUntil handles all events up to a moment.
+// runUntil runs all events up to a moment, unless a violation stops the run.
 func (w *world) runUntil(end time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= end && !w.truth.stopped() {
+	for len(w.events) > 0 && w.events[0].at <= end && !w.truth.isStopped() {
 		next := w.events.pop()
 		w.now = next.at
 		next.run()
@@ -108,28 +109,28 @@
 	if !w.tracing {
 		return
 	}
-	w.lines = append(w.lines, fmt.Sprintf("%11.6f %-12s %s", w.now.Seconds(), who, fmt.Sprintf(format, arguments...)))
+	w.traceLines = append(w.traceLines, fmt.Sprintf("%11.6f %-12s %s", w.now.Seconds(), who, fmt.Sprintf(format, arguments...)))
 }
 
-func (w *world) traceText() string { return strings.Join(w.lines, "\n") + "\n" }
+func (w *world) traceText() string { return strings.Join(w.traceLines, "\n") + "\n" }
 
-// chance is true with a probability.
-func (w *world) chance(probability float64) bool { return w.random.Float64() < probability }
+// randomBool returns true with the given probability.
+func (w *world) randomBool(probability float64) bool { return w.random.Float64() < probability }
 
-// between draws a duration.
-func (w *world) between(low, high time.Duration) time.Duration {
+// randomDuration draws a duration uniformly from low to high.
+func (w *world) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int63n(int64(high-low)+1))
 }
 
-// exponential draws the time until the next event of a stream of them.
-func (w *world) exponential(mean time.Duration) time.Duration {
+// exponentialDuration draws an exponentially distributed duration, the interval between events of a Poisson process.
+func (w *world) exponentialDuration(mean time.Duration) time.Duration {
 	return time.Duration(w.random.ExpFloat64() * float64(mean))
 }
 
-// mutated tells whether a safety step is switched off.
-func (w *world) mutated(mutation Mutation) bool { return w.mutation == mutation }
+// hasMutation reports whether the run omits the given safety step.
+func (w *world) hasMutation(mutation Mutation) bool { return w.mutation == mutation }
 
-// unixMillis is a wall clock, for what the production stamps with one.
+// unixMillis returns the wall clock in milliseconds, for fields that production stamps with one.
 func (w *world) unixMillis() int64 { return startUnixMillis + w.now.Milliseconds() }
 
 const startUnixMillis = 1_700_000_000_000
