--- a/internal/events/batch.go
+++ b/internal/events/batch.go
@@ -6,303 +6,305 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// JobSubmitted is a batch job that a gateway handed over, or could not.
+// JobSubmitted reports that a gateway submitted a batch job, or failed to.
 type JobSubmitted struct {
 	Job          string  `json:"job" doc:"id of the batch job"`
 	Route        string  `json:"route" doc:"route that matched"`
-	Model        string  `json:"model,omitempty" doc:"whose weights make the tokens"`
-	Step         uint64  `json:"step" doc:"the trainer's step"`
-	MinVersion   uint64  `json:"min_version,omitempty" doc:"oldest weight version that may make tokens"`
-	Items        int     `json:"items" doc:"items of the job"`
-	Status       int     `json:"status" doc:"status that the caller got"`
+	Model        string  `json:"model,omitempty" doc:"model whose weights generate the tokens"`
+	Step         uint64  `json:"step" doc:"number of the trainer's step"`
+	MinVersion   uint64  `json:"min_version,omitempty" doc:"oldest weight version that may generate tokens"`
+	Items        int     `json:"items" doc:"number of items in the job"`
+	Status       int     `json:"status" doc:"status returned to the caller"`
 	Verdict      string  `json:"verdict,omitempty" doc:"whether a job that was not accepted may run"`
-	Cause        string  `json:"cause,omitempty" doc:"why it was not accepted"`
-	TableVersion uint64  `json:"table_version" doc:"version of the table that was acted on"`
-	TookMs       float64 `json:"took_ms" doc:"time from the job's arrival"`
+	Cause        string  `json:"cause,omitempty" doc:"why the job was not accepted"`
+	TableVersion uint64  `json:"table_version" doc:"version of the configuration table in use"`
+	TookMs       float64 `json:"took_ms" doc:"time since the job arrived"`
 }
 
-var jobSubmittedKind = kind("job_submitted", logrus.InfoLevel, perRequest)
+var jobSubmittedKind = newKind("job_submitted", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*JobSubmitted) Kind() *logging.Kind { return &jobSubmittedKind }
 
-// BatchTurns is that owners of batch items begin or cease to take turns: there is not enough room for all items in time, and weights
-// differ or one owner asks for many times another's work.
+// BatchTurns reports that the owners of batch items start or stop taking turns. They take turns while capacity does
+// not suffice to finish all items in time and either the owners' weights differ or one owner requests many times the
+// work of another.
 type BatchTurns struct {
-	Taken   bool    `json:"taken" doc:"whether they take turns now; if not, items begin in the order of their latest starts"`
-	Owners  int     `json:"owners,omitempty" doc:"owners with open jobs"`
-	Waiting int     `json:"waiting,omitempty" doc:"items that wait"`
-	Largest string  `json:"largest,omitempty" doc:"the owner that asks for the most work: a tenant, or a model or job where no tenant is known"`
-	Most    float64 `json:"most,omitempty" doc:"events that it asks for"`
-	Least   float64 `json:"least,omitempty" doc:"events that the owner asks for which asks for the least"`
+	Taken   bool    `json:"taken" doc:"whether owners take turns now; if not, items start in the order of the latest times at which they have to start"`
+	Owners  int     `json:"owners,omitempty" doc:"number of owners with open jobs"`
+	Waiting int     `json:"waiting,omitempty" doc:"number of waiting items"`
+	Largest string  `json:"largest,omitempty" doc:"owner that requests the most work: a tenant, or a model or job if no tenant is known"`
+	Most    float64 `json:"most,omitempty" doc:"work that this owner requests, in events"`
+	Least   float64 `json:"least,omitempty" doc:"work that the owner with the smallest request asks for, in events"`
 }
 
-var batchTurnsKind = kind("batch_turns", logrus.InfoLevel, perChange)
+var batchTurnsKind = newKind("batch_turns", logrus.InfoLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*BatchTurns) Kind() *logging.Kind { return &batchTurnsKind }
 
-// JobCallFailed is a read of results or of an item's body, or an end of a job, that a gateway could not answer.
+// JobCallFailed reports that a gateway could not answer a call on a batch job: a read of results or of an item's
+// body, or the end of a job.
 type JobCallFailed struct {
 	Job    string `json:"job" doc:"id of the batch job"`
 	Item   string `json:"item,omitempty" doc:"id of the item"`
-	Method string `json:"method" doc:"of the call"`
-	From   string `json:"from,omitempty" doc:"position that results were asked from"`
-	Status int    `json:"status" doc:"status that the caller got"`
-	Cause  string `json:"cause,omitempty" doc:"why"`
+	Method string `json:"method" doc:"method of the call"`
+	From   string `json:"from,omitempty" doc:"position from which results were requested"`
+	Status int    `json:"status" doc:"status returned to the caller"`
+	Cause  string `json:"cause,omitempty" doc:"why the call failed"`
 }
 
-var jobCallFailedKind = kind("job_call_failed", logrus.WarnLevel, perFailure)
+var jobCallFailedKind = newKind("job_call_failed", logrus.WarnLevel, failureRate)
 
 // Kind implements logging.Event.
 func (*JobCallFailed) Kind() *logging.Kind { return &jobCallFailedKind }
 
-// JobEnded is a batch job that its caller has ended through a gateway.
+// JobEnded reports that a caller ended a batch job through a gateway.
 type JobEnded struct {
 	Job string `json:"job" doc:"id of the batch job"`
 }
 
-var jobEndedKind = kind("job_ended", logrus.InfoLevel, perRequest)
+var jobEndedKind = newKind("job_ended", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*JobEnded) Kind() *logging.Kind { return &jobEndedKind }
 
-// RunnerBegan is a node that leads the group of the batch jobs and begins to run their items.
+// RunnerBegan reports that this node leads the group of the batch jobs and starts to run their items.
 type RunnerBegan struct {
-	Term     uint64 `json:"term" doc:"term in which it leads"`
-	Open     int    `json:"open" doc:"open jobs that it found"`
-	Revision uint64 `json:"revision" doc:"revision of the group's state that they were read at"`
+	Term     uint64 `json:"term" doc:"term in which the node leads"`
+	Open     int    `json:"open" doc:"number of open jobs that it found"`
+	Revision uint64 `json:"revision" doc:"revision of the group's state at which the open jobs were read"`
 }
 
-var runnerBeganKind = kind("runner_began", logrus.InfoLevel, perChange)
+var runnerBeganKind = newKind("runner_began", logrus.InfoLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*RunnerBegan) Kind() *logging.Kind { return &runnerBeganKind }
 
-// RunnerEnded is a node that no longer leads the group of the batch jobs.
+// RunnerEnded reports that this node no longer leads the group of the batch jobs.
 type RunnerEnded struct {
-	Term    uint64 `json:"term" doc:"term in which it led"`
-	Open    int    `json:"open" doc:"open jobs that it leaves to the next leader"`
-	Running int    `json:"running" doc:"runs that were ended for it"`
+	Term    uint64 `json:"term" doc:"term in which the node led"`
+	Open    int    `json:"open" doc:"number of open jobs left to the next leader"`
+	Running int    `json:"running" doc:"runs that were stopped as a result"`
 }
 
-var runnerEndedKind = kind("runner_ended", logrus.WarnLevel, perChange)
+var runnerEndedKind = newKind("runner_ended", logrus.WarnLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*RunnerEnded) Kind() *logging.Kind { return &runnerEndedKind }
 
-// NearNodeRests is a control node in this process's zone from which no results are read for a while.
+// NearNodeRests reports that this process pauses reading results from a control node in its own zone.
 type NearNodeRests struct {
-	Address string  `json:"address" doc:"of the control node"`
-	Job     string  `json:"job" doc:"id of the batch job whose results it was asked for"`
-	From    uint64  `json:"from" doc:"position that it was asked for"`
-	Cause   string  `json:"cause,omitempty" doc:"error of the question; none: it has not applied the position yet"`
-	PauseMs float64 `json:"pause_ms" doc:"for how long the leader is asked in its place"`
+	Address string  `json:"address" doc:"address of the control node"`
+	Job     string  `json:"job" doc:"id of the batch job whose results were requested"`
+	From    uint64  `json:"from" doc:"position from which results were requested"`
+	Cause   string  `json:"cause,omitempty" doc:"error of the request; absent if the node answered but has not applied that position yet"`
+	PauseMs float64 `json:"pause_ms" doc:"how long the leader is asked instead"`
 }
 
-var nearNodeRestsKind = kind("near_node_rests", logrus.InfoLevel, perRequest)
+var nearNodeRestsKind = newKind("near_node_rests", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*NearNodeRests) Kind() *logging.Kind { return &nearNodeRestsKind }
 
-// JobOpened is a batch job whose items a leader begins to run.
+// JobOpened reports that a leader starts to run the items of a batch job.
 type JobOpened struct {
 	Job         string  `json:"job" doc:"id of the batch job"`
-	Route       string  `json:"route" doc:"route that it came by"`
-	Model       string  `json:"model,omitempty" doc:"whose weights make the tokens"`
-	Step        uint64  `json:"step" doc:"the trainer's step"`
-	MinVersion  uint64  `json:"min_version,omitempty" doc:"oldest weight version that may make tokens"`
-	Desired     uint32  `json:"desired" doc:"whole groups that the trainer waits for"`
-	Items       int     `json:"items" doc:"items of the job"`
-	Finished    int     `json:"finished,omitempty" doc:"items that had a result already"`
-	DueMs       float64 `json:"due_ms" doc:"time that is left until the results are due"`
-	AgeMs       float64 `json:"age_ms" doc:"how long ago the job was sent, by two machines' clocks"`
-	TableNeeded uint64  `json:"table_needed" doc:"version of the table that the job was taken under"`
+	Route       string  `json:"route" doc:"route by which the job arrived"`
+	Model       string  `json:"model,omitempty" doc:"model whose weights generate the tokens"`
+	Step        uint64  `json:"step" doc:"number of the trainer's step"`
+	MinVersion  uint64  `json:"min_version,omitempty" doc:"oldest weight version that may generate tokens"`
+	Desired     uint32  `json:"desired" doc:"number of complete groups that the trainer waits for"`
+	Items       int     `json:"items" doc:"number of items in the job"`
+	Finished    int     `json:"finished,omitempty" doc:"number of items that already had a result"`
+	DueMs       float64 `json:"due_ms" doc:"time left until the results are due"`
+	AgeMs       float64 `json:"age_ms" doc:"time since the job was sent, as the difference between two machines' clocks"`
+	TableNeeded uint64  `json:"table_needed" doc:"version of the configuration table under which the job was accepted"`
 }
 
-var jobOpenedKind = kind("job_opened", logrus.InfoLevel, perRequest)
+var jobOpenedKind = newKind("job_opened", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*JobOpened) Kind() *logging.Kind { return &jobOpenedKind }
 
-// JobClosed is a batch job that has ended, as the leader learns it.
+// JobClosed reports that the leader learned of the end of a batch job.
 type JobClosed struct {
 	Job        string  `json:"job" doc:"id of the batch job"`
-	Step       uint64  `json:"step" doc:"the trainer's step"`
-	Items      int     `json:"items" doc:"items of the job"`
-	Finished   int     `json:"finished" doc:"items with a result"`
-	Groups     int     `json:"groups" doc:"groups of the job"`
-	Whole      int     `json:"whole" doc:"groups all of whose items have a result"`
-	Desired    uint32  `json:"desired" doc:"whole groups that the trainer waits for"`
-	Running    int     `json:"running" doc:"runs that were ended for it"`
-	OverdueMs  float64 `json:"overdue_ms" doc:"time since the results were due; negative: before that"`
-	Runs       int     `json:"runs" doc:"runs of its items under this leader"`
-	RunsMoved  int     `json:"runs_moved,omitempty" doc:"of these, ended for a faster back end"`
-	RunsFull   int     `json:"runs_full,omitempty" doc:"of these, refused by a back end without room"`
-	RunsFailed int     `json:"runs_failed,omitempty" doc:"of these, ended without a whole answer for another reason"`
-	FirstRunMs float64 `json:"first_run_ms,omitempty" doc:"time from the opening to the first run"`
+	Step       uint64  `json:"step" doc:"number of the trainer's step"`
+	Items      int     `json:"items" doc:"number of items in the job"`
+	Finished   int     `json:"finished" doc:"number of items with a result"`
+	Groups     int     `json:"groups" doc:"number of groups in the job"`
+	Whole      int     `json:"whole" doc:"number of groups in which each item has a result"`
+	Desired    uint32  `json:"desired" doc:"number of complete groups that the trainer waits for"`
+	Running    int     `json:"running" doc:"runs that were stopped as a result"`
+	OverdueMs  float64 `json:"overdue_ms" doc:"time since the results were due; negative if the job ended earlier"`
+	Runs       int     `json:"runs" doc:"runs of the job's items under this leader"`
+	RunsMoved  int     `json:"runs_moved,omitempty" doc:"of these, stopped to move the item to a faster back end"`
+	RunsFull   int     `json:"runs_full,omitempty" doc:"of these, rejected by a back end without free capacity"`
+	RunsFailed int     `json:"runs_failed,omitempty" doc:"of these, ended without a complete answer for another reason"`
+	FirstRunMs float64 `json:"first_run_ms,omitempty" doc:"time from the opening of the job to its first run"`
 	Listings   int     `json:"listings" doc:"times that results were listed under this leader"`
-	Carried    int     `json:"carried,omitempty" doc:"groups known to come from an earlier job when this one was opened: they must be whole too"`
-	// The critical item is the one with which as many groups were whole as the trainer waits for.
-	Critical       string  `json:"critical,omitempty" doc:"item with which the desired groups were whole; none: they never were under this leader"`
-	WaitMs         float64 `json:"wait_ms,omitempty" doc:"of the critical item: time from the opening to its first run"`
-	RunningMs      float64 `json:"running_ms,omitempty" doc:"of the critical item: time in its runs"`
-	BetweenMs      float64 `json:"between_ms,omitempty" doc:"of the critical item: time between its runs, and for its score"`
+	Carried    int     `json:"carried,omitempty" doc:"groups known, when the job was opened, to come from an earlier job; these have to be complete as well"`
+	// The critical item is the one whose result completed the last of the groups that the trainer waits for.
+	Critical       string  `json:"critical,omitempty" doc:"critical item: the one whose result completed the desired number of groups; absent if that number was not reached under this leader"`
+	WaitMs         float64 `json:"wait_ms,omitempty" doc:"time from the opening of the job to the critical item's first run"`
+	RunningMs      float64 `json:"running_ms,omitempty" doc:"time that the critical item spent in its runs"`
+	BetweenMs      float64 `json:"between_ms,omitempty" doc:"time that the critical item spent between its runs and waiting for its score"`
 	AfterMs        float64 `json:"after_ms,omitempty" doc:"time from the critical item's result to the end of the job"`
-	CriticalRuns   int     `json:"critical_runs,omitempty" doc:"runs of the critical item"`
-	CriticalEvents int     `json:"critical_events,omitempty" doc:"events that these brought"`
+	CriticalRuns   int     `json:"critical_runs,omitempty" doc:"number of runs of the critical item"`
+	CriticalEvents int     `json:"critical_events,omitempty" doc:"number of events that these runs delivered"`
 }
 
-var jobClosedKind = kind("job_closed", logrus.InfoLevel, perRequest)
+var jobClosedKind = newKind("job_closed", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*JobClosed) Kind() *logging.Kind { return &jobClosedKind }
 
-// RunStarted is the start of an item at a back end.
+// RunStarted reports that a run of an item starts at a back end.
 type RunStarted struct {
 	Job             string  `json:"job" doc:"id of the batch job"`
 	Item            string  `json:"item" doc:"id of the item"`
-	Replica         string  `json:"replica" doc:"back end that it is sent to"`
-	Pool            string  `json:"pool" doc:"of the back end"`
-	TableVersion    uint64  `json:"table_version" doc:"version of the table that the choice was made on"`
-	Urgency         int     `json:"urgency" doc:"0 (first) to 9"`
-	Running         int     `json:"running" doc:"items that run there, with this one"`
-	Slots           int     `json:"slots" doc:"items that may run there"`
-	KnownVersion    uint64  `json:"known_version,omitempty" doc:"weight version last heard there"`
-	KnownAgeMs      float64 `json:"known_age_ms,omitempty" doc:"how long ago that was heard"`
-	ExpectedVersion uint64  `json:"expected_version,omitempty" doc:"weight version that is asked for"`
-	ResumeAfter     int64   `json:"resume_after,omitempty" doc:"last event that is held already"`
+	Replica         string  `json:"replica" doc:"back end that the item is sent to"`
+	Pool            string  `json:"pool" doc:"pool of the back end"`
+	TableVersion    uint64  `json:"table_version" doc:"version of the configuration table that the back end was chosen from"`
+	Urgency         int     `json:"urgency" doc:"urgency of the item, from 0 (first) to 9"`
+	Running         int     `json:"running" doc:"number of items running at the back end, including this one"`
+	Slots           int     `json:"slots" doc:"number of items that may run at the back end"`
+	KnownVersion    uint64  `json:"known_version,omitempty" doc:"weight version last learned from the back end"`
+	KnownAgeMs      float64 `json:"known_age_ms,omitempty" doc:"time since that version was learned"`
+	ExpectedVersion uint64  `json:"expected_version,omitempty" doc:"weight version that the run asks for"`
+	ResumeAfter     int64   `json:"resume_after,omitempty" doc:"last event that is already stored; the run continues after it"`
 }
 
-var runStartedKind = kind("run_started", logrus.InfoLevel, perRequest)
+var runStartedKind = newKind("run_started", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*RunStarted) Kind() *logging.Kind { return &runStartedKind }
 
-// RunEnded is the end of an item's run at a back end.
+// RunEnded reports that an item's run at a back end ended.
 type RunEnded struct {
 	Job      string  `json:"job" doc:"id of the batch job"`
 	Item     string  `json:"item" doc:"id of the item"`
-	Replica  string  `json:"replica" doc:"back end that it was sent to"`
-	Executor string  `json:"executor,omitempty" doc:"process that drove the run; empty: the leader itself"`
-	Ending   string  `json:"ending" doc:"how it ended: completed, failed, full, moved, ..."`
-	Why      string  `json:"why,omitempty" doc:"why the leader ended it: stalled, moved, restarted, job_ended, not_admitted, or suspected (back ends crashed under the item, and it must not run yet)"`
-	Next     string  `json:"next" doc:"what becomes of the item: again, done, to_score, given_up or forgotten"`
-	Status   int     `json:"status,omitempty" doc:"status of the back end; none: no answer came"`
-	Events   int     `json:"events" doc:"events that the run brought"`
-	Version  uint64  `json:"version,omitempty" doc:"weight version that it ended under"`
+	Replica  string  `json:"replica" doc:"back end that the run was sent to"`
+	Executor string  `json:"executor,omitempty" doc:"process that drove the run; absent if the leader drove it itself"`
+	Ending   string  `json:"ending" doc:"how the run ended: completed, failed, full, moved, ..."`
+	Why      string  `json:"why,omitempty" doc:"why the leader stopped the run: stalled, moved, restarted, job_ended, not_admitted, or suspected (back ends crashed under the item, and it must not run yet)"`
+	Next     string  `json:"next" doc:"what happens to the item next: again, done, to_score, given_up or forgotten"`
+	Status   int     `json:"status,omitempty" doc:"status that the back end returned; absent if no answer came"`
+	Events   int     `json:"events" doc:"number of events that the run delivered"`
+	Version  uint64  `json:"version,omitempty" doc:"weight version at the end of the run"`
 	Cause    string  `json:"cause,omitempty" doc:"error of the call or of the answer"`
-	Digest   string  `json:"digest,omitempty" doc:"of a run whose connection broke off, or that is suspected: what stays the same when the item runs again"`
-	Peer     string  `json:"peer,omitempty" doc:"likewise: whether the back end still listens: listening or gone (it crashed)"`
-	TookMs   float64 `json:"took_ms" doc:"time from its start"`
-	// What a move was decided by.
-	PaceMs  float64 `json:"pace_ms,omitempty" doc:"of a run that is moved: the time between two events at its back end"`
-	UsualMs float64 `json:"usual_ms,omitempty" doc:"of a run that is moved: the same at the fastest back end"`
-	LeftMs  float64 `json:"left_ms,omitempty" doc:"of a run that is moved: how much longer it was expected to go on; none: not known"`
-	Leaving bool    `json:"leaving,omitempty" doc:"of a run that is moved: its back end takes nothing new"`
-	// Likewise, where back ends say how long work takes there at the moment.
-	PassingPace float64 `json:"passing_pace,omitempty" doc:"of a run that is moved: how many times as long as lastingly work took at its back end, by what that said last; none: it says nothing"`
-	SavedMs     float64 `json:"saved_ms,omitempty" doc:"of a run that is moved: the time that the move was expected to save beyond its cost; none: not known"`
+	Digest   string  `json:"digest,omitempty" doc:"digest of the item that is the same when it runs again; present if the connection broke off or the item is suspected"`
+	Peer     string  `json:"peer,omitempty" doc:"whether the back end still listens: listening or gone (it crashed); present in the same cases as digest"`
+	TookMs   float64 `json:"took_ms" doc:"time since the run started"`
+	// The figures behind the decision to move a run.
+	PaceMs  float64 `json:"pace_ms,omitempty" doc:"for a moved run: time between two events at its back end"`
+	UsualMs float64 `json:"usual_ms,omitempty" doc:"for a moved run: time between two events at the fastest back end"`
+	LeftMs  float64 `json:"left_ms,omitempty" doc:"for a moved run: expected remaining time; absent if not known"`
+	Leaving bool    `json:"leaving,omitempty" doc:"for a moved run: whether its back end accepts no new work"`
+	// Further figures behind a move, known if back ends report how long work currently takes there.
+	PassingPace float64 `json:"passing_pace,omitempty" doc:"for a moved run: factor by which work at its back end currently takes longer than it does in the long run, from the back end's latest report; absent if it reports none"`
+	SavedMs     float64 `json:"saved_ms,omitempty" doc:"for a moved run: time that the move was expected to save beyond its own cost; absent if not known"`
 }
 
-var runEndedKind = kind("run_ended", logrus.InfoLevel, perRequest)
+var runEndedKind = newKind("run_ended", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*RunEnded) Kind() *logging.Kind { return &runEndedKind }
 
-// ItemFinished is an item whose result is on its way to be committed.
+// ItemFinished reports that an item has a result, which is about to be committed.
 type ItemFinished struct {
 	Job      string   `json:"job" doc:"id of the batch job"`
 	Item     string   `json:"item" doc:"id of the item"`
 	State    string   `json:"state" doc:"completed or terminated"`
-	Why      string   `json:"why,omitempty" doc:"why it is terminated: impossible, failed_too_often, score_failed, too_old or no_route"`
-	Versions []uint64 `json:"versions,omitempty" doc:"weight versions that made its text"`
+	Why      string   `json:"why,omitempty" doc:"why the item was terminated: impossible, failed_too_often, score_failed, too_old or no_route"`
+	Versions []uint64 `json:"versions,omitempty" doc:"weight versions that generated the text"`
 }
 
-var itemFinishedKind = kind("item_finished", logrus.InfoLevel, perRequest)
+var itemFinishedKind = newKind("item_finished", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*ItemFinished) Kind() *logging.Kind { return &itemFinishedKind }
 
-// ResultsCommitted is a command of results and texts that the group has applied.
+// ResultsCommitted reports that the group applied a command with results and texts.
 type ResultsCommitted struct {
 	Jobs     []string `json:"jobs" doc:"ids of the batch jobs"`
-	Results  int      `json:"results" doc:"results in it"`
-	Partials int      `json:"partials,omitempty" doc:"texts of running items in it"`
-	Unscored int      `json:"unscored,omitempty" doc:"whole texts that wait for their score in it"`
-	Scores   int      `json:"scores,omitempty" doc:"scores of such texts in it"`
-	Tries    int      `json:"tries" doc:"times that it was proposed"`
-	Refused  string   `json:"refused,omitempty" doc:"why the group refused it"`
-	// Unmatched results are committed again.
-	Unmatched int     `json:"unmatched,omitempty" doc:"results that follow a text which the group does not hold; they come again with their whole text"`
-	TookMs    float64 `json:"took_ms" doc:"time from the first proposal"`
+	Results  int      `json:"results" doc:"number of results in the command"`
+	Partials int      `json:"partials,omitempty" doc:"number of partial texts of running items in the command"`
+	Unscored int      `json:"unscored,omitempty" doc:"number of complete texts in the command that wait for their score"`
+	Scores   int      `json:"scores,omitempty" doc:"number of scores in the command for such texts"`
+	Tries    int      `json:"tries" doc:"number of times the command was proposed"`
+	Refused  string   `json:"refused,omitempty" doc:"why the group rejected the command"`
+	// Unmatched counts results that are committed again, with their complete text.
+	Unmatched int     `json:"unmatched,omitempty" doc:"number of results that continue a text which the group does not hold; they are committed again with their complete text"`
+	TookMs    float64 `json:"took_ms" doc:"time since the first proposal"`
 }
 
-var resultsCommittedKind = kind("results_committed", logrus.InfoLevel, perRequest)
+var resultsCommittedKind = newKind("results_committed", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*ResultsCommitted) Kind() *logging.Kind { return &resultsCommittedKind }
 
-// RewardBegan is a whole text whose reward call begins; the call's requests have its id.
+// RewardBegan reports that the reward call for a complete text starts. The requests of the call carry its id.
 type RewardBegan struct {
 	Job      string   `json:"job" doc:"id of the batch job"`
 	Item     string   `json:"item" doc:"id of the item"`
 	Call     string   `json:"call" doc:"id of the reward call, under which its requests are logged"`
-	Versions []uint64 `json:"versions,omitempty" doc:"weight versions that made the text"`
+	Versions []uint64 `json:"versions,omitempty" doc:"weight versions that generated the text"`
 }
 
-var rewardBeganKind = kind("reward_began", logrus.InfoLevel, perRequest)
+var rewardBeganKind = newKind("reward_began", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*RewardBegan) Kind() *logging.Kind { return &rewardBeganKind }
 
-// RewardTried is a try of a reward call that brought no score.
+// RewardTried reports that a try of a reward call returned no score.
 type RewardTried struct {
 	Job      string  `json:"job" doc:"id of the batch job"`
 	Item     string  `json:"item" doc:"id of the item"`
 	Call     string  `json:"call" doc:"id of the reward call"`
-	Ending   string  `json:"ending" doc:"failed (a back end said so), refused (none ran it) or lost (no answer that can be used)"`
-	Failures int     `json:"failures,omitempty" doc:"answers so far that the call failed"`
-	Most     int     `json:"most,omitempty" doc:"such answers after which the item is given up; none: never"`
-	Tries    int     `json:"tries" doc:"tries so far, with this one"`
-	PauseMs  float64 `json:"pause_ms,omitempty" doc:"wait before the next try"`
-	GivenUp  bool    `json:"given_up,omitempty" doc:"the item is given up"`
+	Ending   string  `json:"ending" doc:"failed (a back end reported a failure), refused (no back end ran the call) or lost (no usable answer)"`
+	Failures int     `json:"failures,omitempty" doc:"number of answers so far that reported a failed call"`
+	Most     int     `json:"most,omitempty" doc:"number of such answers after which the item is given up; absent if there is no limit"`
+	Tries    int     `json:"tries" doc:"number of tries so far, including this one"`
+	PauseMs  float64 `json:"pause_ms,omitempty" doc:"delay before the next try"`
+	GivenUp  bool    `json:"given_up,omitempty" doc:"whether the item is given up"`
 	Cause    string  `json:"cause,omitempty" doc:"why there is no score"`
 }
 
-var rewardTriedKind = kind("reward_tried", logrus.InfoLevel, perRequest)
+var rewardTriedKind = newKind("reward_tried", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*RewardTried) Kind() *logging.Kind { return &rewardTriedKind }
 
-// RewardEnded is the end of a text's reward call.
+// RewardEnded reports that the reward call for a text ended.
 type RewardEnded struct {
 	Job      string  `json:"job" doc:"id of the batch job"`
 	Item     string  `json:"item" doc:"id of the item"`
 	Call     string  `json:"call" doc:"id of the reward call"`
 	Ending   string  `json:"ending" doc:"scored, given_up or stopped"`
-	Why      string  `json:"why,omitempty" doc:"why it was stopped: job_ended or given_up; none: this node no longer leads"`
-	Tries    int     `json:"tries,omitempty" doc:"tries without a score"`
-	Failures int     `json:"failures,omitempty" doc:"answers that the call failed"`
-	TookMs   float64 `json:"took_ms" doc:"time from the whole text"`
+	Why      string  `json:"why,omitempty" doc:"why the call was stopped: job_ended or given_up; absent if this node no longer leads"`
+	Tries    int     `json:"tries,omitempty" doc:"number of tries without a score"`
+	Failures int     `json:"failures,omitempty" doc:"number of answers that reported a failed call"`
+	TookMs   float64 `json:"took_ms" doc:"time since the text was complete"`
 }
 
-var rewardEndedKind = kind("reward_ended", logrus.InfoLevel, perRequest)
+var rewardEndedKind = newKind("reward_ended", logrus.InfoLevel, requestRate)
 
 // Kind implements logging.Event.
 func (*RewardEnded) Kind() *logging.Kind { return &rewardEndedKind }
 
-// ReplicaSuspended is a back end that gets no items for a pause, and then one at a time.
+// ReplicaSuspended reports that a back end gets no items for a pause, and then one at a time.
 type ReplicaSuspended struct {
 	Replica string  `json:"replica" doc:"the back end"`
-	Ending  string  `json:"ending" doc:"ending of the run that is the reason"`
+	Ending  string  `json:"ending" doc:"how the run that caused the pause ended"`
 	Job     string  `json:"job" doc:"batch job of that run"`
 	Item    string  `json:"item" doc:"item of that run"`
-	InRow   int     `json:"in_row" doc:"pauses in a row for such a reason"`
+	InRow   int     `json:"in_row" doc:"consecutive pauses of this back end for such a reason"`
 	PauseMs float64 `json:"pause_ms" doc:"length of the pause"`
 }
 
-var replicaSuspendedKind = kind("replica_suspended", logrus.InfoLevel, perChange)
+var replicaSuspendedKind = newKind("replica_suspended", logrus.InfoLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*ReplicaSuspended) Kind() *logging.Kind { return &replicaSuspendedKind }
--- a/internal/events/catalog.go
+++ b/internal/events/catalog.go
@@ -8,13 +8,13 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// Area is a part of the catalog.
+// Area is a section of the catalog with the events of one subject.
 type Area struct {
 	Title  string
-	Events []logging.Event // zero values
+	Events []logging.Event // pointers to zero values, one for each kind
 }
 
-// Catalog returns all kinds of events.
+// Catalog returns all kinds of events, grouped by area.
 func Catalog() []Area {
 	return []Area{
 		{"Requests", []logging.Event{&RequestAnswered{}, &RequestFailed{}, &AdmissionRefused{}, &RequestRefused{}, &CallerCut{}, &AttemptFailed{}, &AttemptHedged{}, &RetryRefused{},
@@ -34,25 +34,25 @@
 	}
 }
 
-// Field is one field of an event's line.
+// Field describes one field of an event's log line.
 type Field struct {
-	Name string // in the line
-	Doc  string
+	Name string // name in the line
+	Doc  string // description for operators
 }
 
-// Fields returns the fields of an event's line in their order.
+// Fields returns the fields of an event's log line, in the order of the line. The event is a pointer to a struct.
 func Fields(event logging.Event) []Field {
-	described := reflect.TypeOf(event).Elem()
-	fields := make([]Field, 0, described.NumField())
-	for position := range described.NumField() {
-		tag := described.Field(position).Tag
+	eventType := reflect.TypeOf(event).Elem()
+	fields := make([]Field, 0, eventType.NumField())
+	for position := range eventType.NumField() {
+		tag := eventType.Field(position).Tag
 		name, _, _ := strings.Cut(tag.Get("json"), ",")
 		fields = append(fields, Field{Name: name, Doc: tag.Get("doc")})
 	}
 	return fields
 }
 
-// Markdown returns the page that lists all events.
+// Markdown returns the reference page of all events, as docs/operations/events.md holds it.
 func Markdown() string {
 	var page strings.Builder
 	page.WriteString(pageHead)
@@ -60,7 +60,7 @@
 		fmt.Fprintf(&page, "\n## %s\n", area.Title)
 		for _, event := range area.Events {
 			kind := event.Kind()
-			fmt.Fprintf(&page, "\n### `%s` (%s, at most %d a second)\n\n| field | what it is |\n| --- | --- |\n", kind.Name, kind.Level, kind.PerSecond)
+			fmt.Fprintf(&page, "\n### `%s` (%s, at most %d a second)\n\n| field | meaning |\n| --- | --- |\n", kind.Name, kind.Level, kind.PerSecond)
 			for _, field := range Fields(event) {
 				fmt.Fprintf(&page, "| `%s` | %s |\n", field.Name, field.Doc)
 			}
@@ -71,11 +71,11 @@
 
 const pageHead = `# Events in the logs
 
-This page is made from ` + "`internal/events`" + `; a test holds it against the code, and ` + "`tamarindring events`" + ` prints it.
+This page is generated from ` + "`internal/events`" + ` by ` + "`tamarindring events`" + `. A test compares it with the code.
 
-Each process writes one JSON object per line to its standard output. Every line has ` + "`time`" + ` (UTC, microseconds, the
-machine's own clock), ` + "`level`, `node`, `part`, `seq`" + ` (number of the line in this start of the process) and ` + "`event`" + `.
-A line with the event ` + "`message`" + ` is a sentence in ` + "`text`" + `. Fields in ` + "`_ms`" + ` are milliseconds; an empty field
-may be left out. Each kind of event has a rate above which lines are left out; at most once in five seconds
-` + "`lines_left_out`" + ` says how many.
+Each process writes one JSON object per line to its standard output. Every line has ` + "`time`" + ` (UTC, in microseconds, by
+the machine's own clock), ` + "`level`, `node`, `part`, `seq`" + ` (number of the line since this start of the process) and
+` + "`event`" + `. A line with the event ` + "`message`" + ` holds a message in ` + "`text`" + `. Fields that end in ` + "`_ms`" + ` are
+milliseconds. An empty field may be absent. Each kind of event has a rate limit; lines above it are dropped, and
+` + "`lines_left_out`" + ` reports their number, at most once every five seconds.
 `
--- a/internal/events/doc.go
+++ b/internal/events/doc.go
@@ -1,7 +1,7 @@
-// Package events lists every structured log event: one type for each decision that touches a request and for each
-// change of what a process believes. A type's exported fields are the fields of its line; their tags hold the JSON
-// name and the description that docs/operations/events.md shows. Times are in milliseconds. An empty field is left
-// out of the line.
+// Package events defines every structured log event. There is one type for each decision about a request and for each
+// change of a process's view of the system. A type's exported fields are the fields of its log line. Their tags hold the
+// JSON name and the description that docs/operations/events.md shows. Durations are in milliseconds. Fields tagged
+// omitempty are absent from the line when they are empty.
 package events
 
 import (
@@ -12,30 +12,31 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// Lines per second of one process, by how often a kind of event comes.
+// Rate limits of the kinds of events, in lines per second of one process. A kind's limit follows from what causes it.
 const (
-	perRequest = 200 // with each request, or each try of one
-	perFailure = 100 // with each request that fails
-	perChange  = 50  // when a belief changes
-	perStart   = 5   // a few times in a process's life
+	requestRate = 200 // each request, or each try of one
+	failureRate = 100 // each request that fails
+	changeRate  = 50  // each change of the process's view of the system
+	rareRate    = 5   // a few times in the life of a process, or a periodic report
 )
 
-func kind(name string, level logrus.Level, perSecond int) logging.Kind {
+// newKind returns the properties that all events of one kind share. perSecond is the kind's rate limit.
+func newKind(name string, level logrus.Level, perSecond int) logging.Kind {
 	return logging.Kind{Name: name, Level: level, PerSecond: perSecond}
 }
 
-// Millis is a duration as events hold it.
+// Millis converts a duration to milliseconds for an event's field, rounded to a tenth.
 func Millis(duration time.Duration) float64 {
 	return float64(duration.Round(100*time.Microsecond)) / float64(time.Millisecond)
 }
 
-// Megabytes is a size as events hold it, rounded to a tenth of a megabyte.
+// Megabytes converts a size in bytes to mebibytes for an event's field, rounded down to a tenth.
 func Megabytes(bytes uint64) float64 {
 	const tenth = 1 << 20 / 10
 	return float64(bytes/tenth) / 10
 }
 
-// ErrorText is an error as events hold it; empty for nil.
+// ErrorText returns the text of an error for an event's field, cut to maximumErrorText. It is empty for nil.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
@@ -47,5 +48,5 @@
 	return text
 }
 
-// maximumErrorText bounds an error in a line.
+// maximumErrorText is the maximum length in bytes of an error in a log line.
 const maximumErrorText = 300
--- a/internal/events/process.go
+++ b/internal/events/process.go
@@ -6,75 +6,75 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// ProcessStarted is the first line of a process.
+// ProcessStarted is the first event of a process.
 type ProcessStarted struct {
-	Role        string `json:"role" doc:"what it serves"`
+	Role        string `json:"role" doc:"role of the process"`
 	Version     string `json:"version" doc:"version of the program"`
-	Zone        string `json:"zone,omitempty" doc:"where it runs"`
-	Incarnation uint64 `json:"incarnation,omitempty" doc:"number of this start"`
-	MemoryMB    int    `json:"memory_mb,omitempty" doc:"memory that it may use; none: not bounded"`
+	Zone        string `json:"zone,omitempty" doc:"zone in which the process runs"`
+	Incarnation uint64 `json:"incarnation,omitempty" doc:"number of this start of the process"`
+	MemoryMB    int    `json:"memory_mb,omitempty" doc:"memory limit; absent if there is none"`
 }
 
-var processStartedKind = kind("process_started", logrus.InfoLevel, perStart)
+var processStartedKind = newKind("process_started", logrus.InfoLevel, rareRate)
 
 // Kind implements logging.Event.
 func (*ProcessStarted) Kind() *logging.Kind { return &processStartedKind }
 
-// ProcessMemory is what a process holds, told every few seconds.
+// ProcessMemory reports, every few seconds, the memory that a process holds.
 type ProcessMemory struct {
-	HeapMB     float64 `json:"heap_mb" doc:"objects of the Go heap, also those that are garbage by now"`
-	RuntimeMB  float64 `json:"runtime_mb" doc:"all memory that the Go runtime holds and has not given back"`
-	ResidentMB float64 `json:"resident_mb,omitempty" doc:"memory of the process in the machine, mapped files with it"`
-	LimitMB    int     `json:"limit_mb,omitempty" doc:"memory that it may use"`
-	Collects   uint64  `json:"collects" doc:"garbage collections since the start"`
+	HeapMB     float64 `json:"heap_mb" doc:"objects on the Go heap, including garbage that is not collected yet"`
+	RuntimeMB  float64 `json:"runtime_mb" doc:"all memory that the Go runtime holds and has not returned to the system"`
+	ResidentMB float64 `json:"resident_mb,omitempty" doc:"resident memory of the process, including mapped files"`
+	LimitMB    int     `json:"limit_mb,omitempty" doc:"memory that the process may use"`
+	Collects   uint64  `json:"collects" doc:"number of garbage collections since the start"`
 }
 
-var processMemoryKind = kind("process_memory", logrus.InfoLevel, perStart)
+var processMemoryKind = newKind("process_memory", logrus.InfoLevel, rareRate)
 
 // Kind implements logging.Event.
 func (*ProcessMemory) Kind() *logging.Kind { return &processMemoryKind }
 
-// ProcessServing is a process whose listeners are open.
+// ProcessServing reports that the listeners of the process are open.
 type ProcessServing struct {
-	Role    string `json:"role" doc:"what it serves"`
-	Address string `json:"address" doc:"where"`
+	Role    string `json:"role" doc:"role of the process"`
+	Address string `json:"address" doc:"address at which it serves"`
 }
 
-var processServingKind = kind("process_serving", logrus.InfoLevel, perStart)
+var processServingKind = newKind("process_serving", logrus.InfoLevel, rareRate)
 
 // Kind implements logging.Event.
 func (*ProcessServing) Kind() *logging.Kind { return &processServingKind }
 
-// ProcessStopping is a process that was asked to stop and finishes what is in flight.
+// ProcessStopping reports that the process was asked to stop and finishes the work in flight.
 type ProcessStopping struct {
-	Role string `json:"role" doc:"what it served"`
-	Why  string `json:"why" doc:"who asked for it"`
+	Role string `json:"role" doc:"role of the process"`
+	Why  string `json:"why" doc:"what requested the stop"`
 }
 
-var processStoppingKind = kind("process_stopping", logrus.InfoLevel, perStart)
+var processStoppingKind = newKind("process_stopping", logrus.InfoLevel, rareRate)
 
 // Kind implements logging.Event.
 func (*ProcessStopping) Kind() *logging.Kind { return &processStoppingKind }
 
-// ProcessStopped is the last line of a process.
+// ProcessStopped is the last event of a process.
 type ProcessStopped struct {
-	Role  string  `json:"role" doc:"what it served"`
-	Cause string  `json:"cause,omitempty" doc:"error that it ends with; none: by plan"`
+	Role  string  `json:"role" doc:"role of the process"`
+	Cause string  `json:"cause,omitempty" doc:"error with which the process ends; absent if it stops as planned"`
 	RanMs float64 `json:"ran_ms" doc:"time since its start"`
 }
 
-var processStoppedKind = kind("process_stopped", logrus.InfoLevel, perStart)
+var processStoppedKind = newKind("process_stopped", logrus.InfoLevel, rareRate)
 
 // Kind implements logging.Event.
 func (*ProcessStopped) Kind() *logging.Kind { return &processStoppedKind }
 
-// SettingsReloaded is a settings file that was read again.
+// SettingsReloaded reports that a settings file was read again.
 type SettingsReloaded struct {
-	Path  string `json:"path" doc:"of the file"`
-	Cause string `json:"cause,omitempty" doc:"what is wrong with it: the settings before stand; none: the new ones are in force"`
+	Path  string `json:"path" doc:"path of the file"`
+	Cause string `json:"cause,omitempty" doc:"what is wrong with the file, in which case the previous settings stay in force; absent if the new ones are in force"`
 }
 
-var settingsReloadedKind = kind("settings_reloaded", logrus.InfoLevel, perChange)
+var settingsReloadedKind = newKind("settings_reloaded", logrus.InfoLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*SettingsReloaded) Kind() *logging.Kind { return &settingsReloadedKind }
--- a/internal/events/usage.go
+++ b/internal/events/usage.go
@@ -6,41 +6,41 @@
 	"github.com/tamarindring/tamarindring/internal/logging"
 )
 
-// UsageSealed is a window whose figures are fixed.
+// UsageSealed reports that the figures of a usage window are final.
 type UsageSealed struct {
 	Window   uint64  `json:"window" doc:"number of the window"`
-	Tenants  int     `json:"tenants" doc:"tenants with requests in it"`
-	Requests uint64  `json:"requests" doc:"requests that began to run in it"`
-	AfterMs  float64 `json:"after_ms" doc:"time since the window's end"`
+	Tenants  int     `json:"tenants" doc:"number of tenants with requests in the window"`
+	Requests uint64  `json:"requests" doc:"number of requests that started to run in the window"`
+	AfterMs  float64 `json:"after_ms" doc:"time since the end of the window"`
 }
 
-var usageSealedKind = kind("usage_sealed", logrus.InfoLevel, perChange)
+var usageSealedKind = newKind("usage_sealed", logrus.InfoLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*UsageSealed) Kind() *logging.Kind { return &usageSealedKind }
 
-// UsageReported is a report of a sealed window, as it ended.
+// UsageReported reports the outcome of sending the report of a sealed usage window.
 type UsageReported struct {
 	Window   uint64  `json:"window" doc:"number of the window"`
 	Token    uint64  `json:"token" doc:"fencing token"`
-	Requests uint64  `json:"requests" doc:"requests that the report tells of"`
-	Cause    string  `json:"cause,omitempty" doc:"why it was not taken; none: it was"`
-	TookMs   float64 `json:"took_ms" doc:"until the answer"`
+	Requests uint64  `json:"requests" doc:"number of requests that the report covers"`
+	Cause    string  `json:"cause,omitempty" doc:"why the report was rejected; absent if it was accepted"`
+	TookMs   float64 `json:"took_ms" doc:"time until the answer came"`
 }
 
-var usageReportedKind = kind("usage_reported", logrus.InfoLevel, perChange)
+var usageReportedKind = newKind("usage_reported", logrus.InfoLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*UsageReported) Kind() *logging.Kind { return &usageReportedKind }
 
-// UsageLate are counts that came after their window was sealed.
+// UsageLate reports usage counts that came after their window was sealed.
 type UsageLate struct {
-	Windows  uint64 `json:"windows" doc:"windows whose counts came late, or again"`
-	Requests uint64 `json:"requests" doc:"requests that are in no report, at least"`
-	Next     uint64 `json:"next" doc:"first window that is not sealed"`
+	Windows  uint64 `json:"windows" doc:"number of windows whose counts came late or again"`
+	Requests uint64 `json:"requests" doc:"number of requests that are in no report, at least"`
+	Next     uint64 `json:"next" doc:"first window that is not sealed yet"`
 }
 
-var usageLateKind = kind("usage_late", logrus.WarnLevel, perChange)
+var usageLateKind = newKind("usage_late", logrus.WarnLevel, changeRate)
 
 // Kind implements logging.Event.
 func (*UsageLate) Kind() *logging.Kind { return &usageLateKind }
