--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,5 +1,6 @@
-// Package explain tells the story of one request, batch job or item from the logs of many processes: the lines that
-// name it, and those that say what the processes it met believed at the time. Package events lists the lines.
+// Package explain collects from the logs of many processes what concerns one request, batch job or item: the lines that
+// contain its id, and the lines that show the state of the processes involved at that time. Package events defines the
+// events in these lines.
 package explain
 
 import (
@@ -14,45 +15,46 @@
 	"github.com/gravitational/trace"
 )
 
-// maximumLineBytes bounds one line of a log.
-const maximumLineBytes = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Field is one field of a line, its value as JSON.
+// Field is one field of a log line. Its value is kept as JSON.
 type Field struct {
 	Name  string
 	Value json.RawMessage
 }
 
-// Line is one event in a process's log.
+// Line is one event in the log of a process.
 type Line struct {
-	Time  time.Time // by the clock of its machine
+	Time  time.Time // by the clock of the process's machine
 	Level string
 	Node  string
 	Event string
-	// Fields are those of the event, in their order.
+	// Fields holds the event's own fields in the order of the line.
 	Fields []Field
 
-	file     int // of Logs.files
-	position int // in its file
+	file     int // index in Logs.files
+	position int // index of the line in its file
 }
 
-// Logs are the lines of many processes.
+// Logs holds the log lines of many processes. The zero value is empty and ready to use.
 type Logs struct {
 	files   []string
 	lines   []*Line
 	skipped int
 }
 
-// Skipped counts lines that are no JSON objects of a log, such as a panic's.
+// Skipped returns the number of lines that hold no event as a JSON object, such as the output of a panic.
 func (l *Logs) Skipped() int { return l.skipped }
 
-// Add reads one process's log. Lines keep the order that they have there.
+// Add reads the log of one process up to its end. The name stands for the node in lines that name none. It returns an error
+// if reading fails or a line is longer than maxLineBytes.
 func (l *Logs) Add(name string, from io.Reader) error {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 64<<10), maximumLineBytes)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	l.files = append(l.files, name)
 	for position := 0; scanner.Scan(); position++ {
-		line := parse(scanner.Bytes())
+		line := parseLine(scanner.Bytes())
 		if line == nil {
 			l.skipped++
 			continue
@@ -66,9 +68,9 @@
 	return trace.Wrap(scanner.Err(), "log %s", name)
 }
 
-// parse reads one line; nil if it is none of a log. What stands before the object is passed over: a supervisor may
-// put a time or a name there.
-func parse(raw []byte) *Line {
+// parseLine decodes one line. It returns nil if the line holds no event. Text before the JSON object is ignored, because
+// a supervisor may put a time or a name there.
+func parseLine(raw []byte) *Line {
 	begin := bytes.IndexByte(raw, '{')
 	if begin < 0 {
 		return nil
@@ -81,13 +83,13 @@
 	for _, field := range fields {
 		switch field.Name {
 		case "time":
-			line.Time, err = time.Parse(time.RFC3339Nano, text(field.Value))
+			line.Time, err = time.Parse(time.RFC3339Nano, valueText(field.Value))
 		case "level":
-			line.Level = text(field.Value)
+			line.Level = valueText(field.Value)
 		case "node":
-			line.Node = text(field.Value)
+			line.Node = valueText(field.Value)
 		case "event":
-			line.Event = text(field.Value)
+			line.Event = valueText(field.Value)
 		case "part", "seq":
 		default:
 			line.Fields = append(line.Fields, field)
@@ -99,7 +101,7 @@
 	return line
 }
 
-// orderedFields reads a JSON object and keeps the order of its fields.
+// orderedFields decodes a JSON object and keeps the order of its fields, which a map would lose.
 func orderedFields(raw []byte) ([]Field, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if _, err := decoder.Token(); err != nil {
@@ -122,8 +124,8 @@
 	return fields, trace.Wrap(err)
 }
 
-// text is a JSON value as a person writes it: a string without its quotes.
-func text(value json.RawMessage) string {
+// valueText returns a JSON value as text: a string without its quotes, any other value unchanged.
+func valueText(value json.RawMessage) string {
 	var decoded string
 	if json.Unmarshal(value, &decoded) == nil {
 		return decoded
@@ -131,24 +133,24 @@
 	return string(value)
 }
 
-// Value is the text of a field; empty if the line has none of the name.
+// Value returns the text of the first field with a name, or an empty string if the line has no such field.
 func (l *Line) Value(name string) string {
 	for _, field := range l.Fields {
 		if field.Name == name {
-			return text(field.Value)
+			return valueText(field.Value)
 		}
 	}
 	return ""
 }
 
-// names tells whether a field of the line is the id, or lists it.
-func (l *Line) names(id string) bool {
+// hasID reports whether a field of the line equals the id or is a list that contains it.
+func (l *Line) hasID(id string) bool {
 	return slices.ContainsFunc(l.Fields, func(field Field) bool {
 		value := string(field.Value)
 		if !strings.Contains(value, id) {
 			return false
 		}
-		if text(field.Value) == id {
+		if valueText(field.Value) == id {
 			return true
 		}
 		var list []string
--- a/internal/explain/order.go
+++ b/internal/explain/order.go
@@ -5,52 +5,53 @@
 	"slices"
 )
 
-// causes are pairs of events of which, for one job, the first is the reason for the second.
-var causes = map[string]string{"job_ended": "job_closed"}
+// effects maps an event to the event that it causes for the same job.
+var effects = map[string]string{"job_ended": "job_closed"}
 
-// order puts lines in the order of what happened. Lines of one process keep their order; a cause comes before what it
-// brought; beyond that the machines' clocks decide, which may differ.
-func order(lines []*Line) []*Line {
+// orderLines sorts lines in the order in which the events happened. Lines of one process keep their order, and a cause
+// comes before its effect. Beyond that the machines' clocks decide, which may differ.
+func orderLines(lines []*Line) []*Line {
 	slices.SortStableFunc(lines, func(a, b *Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.file, b.file), cmp.Compare(a.position, b.position))
 	})
-	waiting := dependencies(lines)
+	predecessors := findPredecessors(lines)
 	ordered := make([]*Line, 0, len(lines))
-	done := map[*Line]bool{}
+	placed := map[*Line]bool{}
 	for len(ordered) < len(lines) {
-		next := firstReady(lines, waiting, done)
-		done[next] = true
+		next := firstReady(lines, predecessors, placed)
+		placed[next] = true
 		ordered = append(ordered, next)
 	}
 	return ordered
 }
 
-// dependencies returns for each line those that come before it for certain.
-func dependencies(lines []*Line) map[*Line][]*Line {
-	waiting := map[*Line][]*Line{}
+// findPredecessors returns for each line the lines that certainly precede it.
+func findPredecessors(lines []*Line) map[*Line][]*Line {
+	predecessors := map[*Line][]*Line{}
 	for _, line := range lines {
 		for _, other := range lines {
 			sameProcess := other.file == line.file && other.position < line.position
-			cause := causes[other.Event] == line.Event && other.Value("job") == line.Value("job")
-			if sameProcess || cause {
-				waiting[line] = append(waiting[line], other)
+			isCause := effects[other.Event] == line.Event && other.Value("job") == line.Value("job")
+			if sameProcess || isCause {
+				predecessors[line] = append(predecessors[line], other)
 			}
 		}
 	}
-	return waiting
+	return predecessors
 }
 
-// firstReady returns the earliest line whose dependencies are done; where they go round in a circle, the earliest.
-func firstReady(lines []*Line, waiting map[*Line][]*Line, done map[*Line]bool) *Line {
+// firstReady returns the earliest line whose predecessors are all placed, or the earliest line that is not placed if
+// the remaining predecessors form a cycle.
+func firstReady(lines []*Line, predecessors map[*Line][]*Line, placed map[*Line]bool) *Line {
 	var earliest *Line
 	for _, line := range lines {
-		if done[line] {
+		if placed[line] {
 			continue
 		}
 		if earliest == nil {
 			earliest = line
 		}
-		if !slices.ContainsFunc(waiting[line], func(other *Line) bool { return !done[other] }) {
+		if !slices.ContainsFunc(predecessors[line], func(other *Line) bool { return !placed[other] }) {
 			return line
 		}
 	}
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -6,75 +6,79 @@
 )
 
 const (
-	// before and after bound how much earlier and later than the id's own lines a belief may have changed to be
-	// told with them. Machines' clocks may differ by that much.
-	before = 5 * time.Second
-	after  = time.Second
+	// maxLead and maxLag bound how much earlier and later than the id's own lines the state of a process may have changed
+	// for the change to be included. They allow for differences between machines' clocks of that size.
+	maxLead = 5 * time.Second
+	maxLag  = time.Second
 )
 
-// Events that tell what a process, or a process about a replica, believes.
+// Events by the kind of state that they show.
 var (
-	processBeliefs = []string{"lease_lost", "lease_regained", "control_lost", "control_found", "table_adopted", "process_started",
+	// processStateEvents show the state of the process that logged them.
+	processStateEvents = []string{"lease_lost", "lease_regained", "control_lost", "control_found", "table_adopted", "process_started",
 		"process_serving", "process_stopping", "process_stopped", "settings_reloaded", "lines_left_out", "runner_began", "runner_ended",
 		"leader_changed", "disk_changed"}
-	replicaBeliefs = []string{"replica_quarantined", "replica_restored", "replica_suspended", "replica_registered", "replicas_silent",
+	// replicaStateEvents show what a process knows of a replica.
+	replicaStateEvents = []string{"replica_quarantined", "replica_restored", "replica_suspended", "replica_registered", "replicas_silent",
 		"order_sent", "order_ended"}
-	// runEvents come for each run of an item: a job's story counts them, an item's tells them.
+	// runEvents are logged for each run of an item. The story of a job counts them, that of an item contains them.
 	runEvents = []string{"run_started", "run_ended", "item_finished", "results_committed", "reward_began", "reward_tried", "reward_ended"}
 )
 
-// Story is what the logs say of one id.
+// Story holds what the logs contain about one id.
 type Story struct {
 	ID    string
-	Lines []*Line // in order of what happened
-	// Items sums up the items of a batch job, the slowest first.
+	Lines []*Line // in the order in which the events happened
+	// Items summarizes the items of a batch job, the last to finish first.
 	Items []Item
 }
 
-// Item is one item of a batch job in short.
+// Item summarizes one item of a batch job.
 type Item struct {
 	ID       string
-	State    string // of its result; empty: none was logged
+	State    string // state of its result; empty if no result was logged
 	Finished time.Time
 	Runs     int
-	Endings  map[string]int // of its runs
+	Endings  map[string]int // number of ended runs by how they ended
 }
 
-// Tell returns the story of an id: a caller's attempt id, a batch job's or an item's. Its Lines are empty when no line
-// names it.
+// Tell returns the story of an id, which is a caller's attempt id or the id of a batch job or an item. Its Lines are empty
+// if no line contains the id.
 func (l *Logs) Tell(id string) *Story {
 	story := &Story{ID: id}
-	own := l.naming(id)
+	own := l.findLines(id)
 	if len(own) == 0 {
 		return story
 	}
 	if isJob(own, id) {
-		story.Items = items(own, id)
+		story.Items = summarizeItems(own, id)
 		own = slices.DeleteFunc(own, func(line *Line) bool { return slices.Contains(runEvents, line.Event) })
-	} else if job := jobOf(own); job != "" {
-		own = append(own, l.rewardLines(own)...)
-		own = append(own, l.jobLines(job, own)...)
+	} else if job := findJob(own); job != "" {
+		own = append(own, l.findRewardLines(own)...)
+		own = append(own, l.findJobLines(job, own)...)
 	}
-	story.Lines = order(append(own, l.beliefs(own)...))
+	story.Lines = orderLines(append(own, l.findStateLines(own)...))
 	return story
 }
 
-func (l *Logs) naming(id string) []*Line {
+// findLines returns the lines that contain an id, in the order in which they were added.
+func (l *Logs) findLines(id string) []*Line {
 	var found []*Line
 	for _, line := range l.lines {
-		if line.names(id) {
+		if line.hasID(id) {
 			found = append(found, line)
 		}
 	}
 	return found
 }
 
+// isJob reports whether the id is that of a batch job, by the lines that contain it.
 func isJob(lines []*Line, id string) bool {
 	return slices.ContainsFunc(lines, func(line *Line) bool { return line.Value("job") == id })
 }
 
-// jobOf is the job of an item's lines.
-func jobOf(lines []*Line) string {
+// findJob returns the id of the batch job that an item's lines name, or an empty string if they name none.
+func findJob(lines []*Line) string {
 	for _, line := range lines {
 		if job := line.Value("job"); job != "" && line.Value("item") != "" {
 			return job
@@ -83,11 +87,12 @@
 	return ""
 }
 
-// rewardLines returns what the requests of an item's reward calls left, which name the calls' ids.
-func (l *Logs) rewardLines(known []*Line) []*Line {
+// findRewardLines returns further lines of the requests of an item's reward calls. These lines contain the id of the call,
+// not of the item.
+func (l *Logs) findRewardLines(known []*Line) []*Line {
 	var found []*Line
-	for _, call := range rewardCalls(known) {
-		for _, line := range l.naming(call) {
+	for _, call := range listRewardCalls(known) {
+		for _, line := range l.findLines(call) {
 			if !slices.Contains(known, line) && !slices.Contains(found, line) {
 				found = append(found, line)
 			}
@@ -96,8 +101,8 @@
 	return found
 }
 
-// rewardCalls are the ids of the reward calls that an item's lines name.
-func rewardCalls(lines []*Line) []string {
+// listRewardCalls returns the ids of the reward calls that an item's lines contain.
+func listRewardCalls(lines []*Line) []string {
 	var calls []string
 	for _, line := range lines {
 		if call := line.Value("call"); call != "" && !slices.Contains(calls, call) {
@@ -107,10 +112,10 @@
 	return calls
 }
 
-// jobLines returns a job's own lines, without those of its items.
-func (l *Logs) jobLines(job string, known []*Line) []*Line {
+// findJobLines returns further lines of a job, without those of its items.
+func (l *Logs) findJobLines(job string, known []*Line) []*Line {
 	var found []*Line
-	for _, line := range l.naming(job) {
+	for _, line := range l.findLines(job) {
 		if !slices.Contains(runEvents, line.Event) && line.Value("item") == "" && !slices.Contains(known, line) {
 			found = append(found, line)
 		}
@@ -118,9 +123,9 @@
 	return found
 }
 
-// beliefs returns what the processes of some lines believed at their time, of themselves and of the replicas that the
-// lines name.
-func (l *Logs) beliefs(lines []*Line) []*Line {
+// findStateLines returns lines that show the state of the processes that logged the given lines, and what any process knew
+// of the replicas in these lines, at about the same time.
+func (l *Logs) findStateLines(lines []*Line) []*Line {
 	nodes, replicas := map[string]bool{}, map[string]bool{}
 	from, to := lines[0].Time, lines[0].Time
 	for _, line := range lines {
@@ -139,29 +144,30 @@
 	}
 	var found []*Line
 	for _, line := range l.lines {
-		if line.Time.Before(from.Add(-before)) || line.Time.After(to.Add(after)) || slices.Contains(lines, line) {
+		if line.Time.Before(from.Add(-maxLead)) || line.Time.After(to.Add(maxLag)) || slices.Contains(lines, line) {
 			continue
 		}
-		ofProcess := nodes[line.Node] && slices.Contains(processBeliefs, line.Event)
-		ofReplica := slices.Contains(replicaBeliefs, line.Event) && l.aboutOne(line, replicas)
-		if ofProcess || ofReplica {
+		isProcessState := nodes[line.Node] && slices.Contains(processStateEvents, line.Event)
+		isReplicaState := slices.Contains(replicaStateEvents, line.Event) && l.hasAnyID(line, replicas)
+		if isProcessState || isReplicaState {
 			found = append(found, line)
 		}
 	}
 	return found
 }
 
-func (l *Logs) aboutOne(line *Line, replicas map[string]bool) bool {
+// hasAnyID reports whether a line contains the id of one of the replicas.
+func (l *Logs) hasAnyID(line *Line, replicas map[string]bool) bool {
 	for replica := range replicas {
-		if line.names(replica) {
+		if line.hasID(replica) {
 			return true
 		}
 	}
 	return false
 }
 
-// items sums up the items that a job's lines name.
-func items(lines []*Line, job string) []Item {
+// summarizeItems summarizes the items that a job's lines contain, the last to finish first.
+func summarizeItems(lines []*Line, job string) []Item {
 	found := map[string]*Item{}
 	var ids []string
 	for _, line := range lines {
@@ -169,31 +175,33 @@
 		if id == "" || line.Value("job") != job {
 			continue
 		}
-		held := found[id]
-		if held == nil {
-			held = &Item{ID: id, Endings: map[string]int{}}
-			found[id] = held
+		item := found[id]
+		if item == nil {
+			item = &Item{ID: id, Endings: map[string]int{}}
+			found[id] = item
 			ids = append(ids, id)
 		}
-		held.note(line)
+		item.update(line)
 	}
-	sums := make([]Item, 0, len(ids))
+	summaries := make([]Item, 0, len(ids))
 	for _, id := range ids {
-		sums = append(sums, *found[id])
+		summaries = append(summaries, *found[id])
 	}
-	slices.SortStableFunc(sums, func(a, b Item) int { return b.end().Compare(a.end()) })
-	return sums
+	slices.SortStableFunc(summaries, func(a, b Item) int { return b.finishTime().Compare(a.finishTime()) })
+	return summaries
 }
 
-// end is when the item was finished; one that was not comes after all others.
-func (i *Item) end() time.Time {
+// finishTime returns the time at which the item was finished. An unfinished item gets a time after all others, so that it
+// sorts first.
+func (i *Item) finishTime() time.Time {
 	if i.State == "" {
 		return time.Unix(1<<40, 0)
 	}
 	return i.Finished
 }
 
-func (i *Item) note(line *Line) {
+// update adds a line of the item to its summary.
+func (i *Item) update(line *Line) {
 	switch line.Event {
 	case "run_started":
 		i.Runs++
--- a/internal/explain/write.go
+++ b/internal/explain/write.go
@@ -10,9 +10,9 @@
 	"github.com/gravitational/trace"
 )
 
-// Write prints the story for a person: a line for each event, with the time since the first one, and of a job's items
-// the slowest ones in short.
-func (s *Story) Write(out io.Writer, mostItems int) error {
+// Write prints the story as text: one line for each event with the time since the first one, and a summary of the up to
+// maxItems items of a job that finished last.
+func (s *Story) Write(out io.Writer, maxItems int) error {
 	var page strings.Builder
 	for position, line := range s.Lines {
 		if position == 0 {
@@ -20,17 +20,18 @@
 				s.ID, len(s.Lines), line.Time.UTC().Format("2006-01-02T15:04:05.000Z"))
 		}
 		since := line.Time.Sub(s.Lines[0].Time)
-		fmt.Fprintf(&page, "%+9.3fs %-8s %-24s %s%s\n", since.Seconds(), line.Level, line.Node, line.Event, line.fieldText())
+		fmt.Fprintf(&page, "%+9.3fs %-8s %-24s %s%s\n", since.Seconds(), line.Level, line.Node, line.Event, line.formatFields())
 	}
-	s.writeItems(&page, mostItems)
+	s.writeItems(&page, maxItems)
 	_, err := io.WriteString(out, page.String())
 	return trace.Wrap(err)
 }
 
-func (l *Line) fieldText() string {
+// formatFields returns the fields as name=value pairs. Values that would be ambiguous stay quoted as in JSON.
+func (l *Line) formatFields() string {
 	var shown strings.Builder
 	for _, field := range l.Fields {
-		value := text(field.Value)
+		value := valueText(field.Value)
 		if strings.ContainsAny(value, " \t\n=") && value != string(field.Value) {
 			value = string(field.Value)
 		}
@@ -39,11 +40,12 @@
 	return shown.String()
 }
 
-func (s *Story) writeItems(page *strings.Builder, most int) {
+// writeItems prints the summary of the first maxItems items, if the story is that of a job.
+func (s *Story) writeItems(page *strings.Builder, maxItems int) {
 	if len(s.Items) == 0 {
 		return
 	}
-	shown := s.Items[:min(most, len(s.Items))]
+	shown := s.Items[:min(maxItems, len(s.Items))]
 	fmt.Fprintf(page, "%d items, the last to finish first (%d shown; explain one by its id):\n", len(s.Items), len(shown))
 	for _, item := range shown {
 		state := item.State
