--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -2,31 +2,32 @@
 
 import "github.com/sirupsen/logrus"
 
-// Names of the fields of every line. An event's own fields stand beside them.
+// Names of fields of a logrus entry, or of a line. They are reserved: no field of an event has one of these names.
 const (
 	partField    = "part"
 	messageField = "text"
-	// eventField holds an event in a logrus entry.
+	// eventField is the key of the Event in a logrus entry.
 	eventField = "event"
 )
 
-// Kind is what differs between kinds of events.
+// Kind holds the properties that all events of one kind share.
 type Kind struct {
-	// Name is the event's name in lines, such as "request_failed".
+	// Name is the event's name in log lines, such as "request_failed".
 	Name string
-	// Level is that of its lines.
+	// Level is the log level of the lines.
 	Level logrus.Level
-	// PerSecond bounds its lines; twice as many may come at once.
+	// PerSecond is the maximum rate in lines per second. A burst may have twice as many lines.
 	PerSecond int
 }
 
-// Event is one decision that touches a request, or one change of what the process believes. Its exported fields,
-// with their JSON names, are the fields of its line.
+// Event describes one decision about a request, or one change of the process's view of the system. Its exported fields
+// are, under their JSON names, the fields of its log line.
 type Event interface {
 	Kind() *Kind
 }
 
-// Emit writes an event's line, unless its kind's rate or the level leaves it out. It never blocks.
+// Emit logs an event. The line is dropped if the log level excludes it or the rate limit of its kind is exceeded. Emit never
+// blocks if the logger writes to a Sink.
 func Emit(log *logrus.Entry, event Event) {
 	kind := event.Kind()
 	if !log.Logger.IsLevelEnabled(kind.Level) {
@@ -35,5 +36,6 @@
 	log.WithField(eventField, event).Log(kind.Level, kind.Name)
 }
 
-// Wanted tells whether events of a kind are written at all, for those that cost something to make.
+// Wanted reports whether the log level includes events of a kind. Callers can use it to skip work for events that are
+// expensive to build.
 func Wanted(log *logrus.Entry, kind *Kind) bool { return log.Logger.IsLevelEnabled(kind.Level) }
--- a/internal/logging/format.go
+++ b/internal/logging/format.go
@@ -12,45 +12,46 @@
 )
 
 const (
-	// messageKindName is the event name of lines that are sentences.
-	messageKindName = "message"
-	// messagesPerSecond bounds the sentences of a process.
+	// messageEvent is the event name of lines that hold a plain message.
+	messageEvent = "message"
+	// messagesPerSecond is the maximum rate of plain messages of a process.
 	messagesPerSecond = 50
 )
 
-// encoder writes one line.
+// encoder encodes one log line. The event is nil for a plain message.
 type encoder interface {
 	encode(entry *logrus.Entry, event Event, sequence uint64) ([]byte, error)
 }
 
-// formatter implements logrus.Formatter: it leaves out what exceeds its kind's rate, and encodes the rest.
+// formatter implements logrus.Formatter. It drops lines above the rate limit of their kind and encodes the others.
 type formatter struct {
 	encoder encoder
-	sink    *Sink // nil: lines are written directly
+	sink    *Sink // nil if lines are written directly
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	limits   limits
 	sequence uint64
 }
 
 func newFormatter(encoder encoder, sink *Sink) *formatter {
-	made := &formatter{encoder: encoder, sink: sink, limits: limits{kinds: map[string]*kindLimit{}}}
+	f := &formatter{encoder: encoder, sink: sink, limits: limits{kinds: map[string]*kindLimit{}}}
 	if sink != nil {
-		sink.onClose(made.finalReport)
+		sink.setFinalLine(f.encodeFinalReport)
 	}
-	return made
+	return f
 }
 
-// Format implements logrus.Formatter. An empty result is a line that is left out.
+// Format implements logrus.Formatter. The result is empty if the line is dropped, and begins with a report of dropped lines
+// if one is due.
 func (f *formatter) Format(entry *logrus.Entry) ([]byte, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	event, _ := entry.Data[eventField].(Event)
-	name, perSecond := messageKindName, messagesPerSecond
+	name, perSecond := messageEvent, messagesPerSecond
 	if event != nil {
 		name, perSecond = event.Kind().Name, event.Kind().PerSecond
 	}
-	report, err := f.report(entry.Logger, entry.Time, false)
+	report, err := f.encodeReport(entry.Logger, entry.Time, false)
 	if err != nil {
 		return nil, err
 	}
@@ -62,13 +63,14 @@
 	return append(report, line...), err
 }
 
-// report returns a line that says what was left out since the last one; nothing if that is too soon, or nothing was.
-func (f *formatter) report(logger *logrus.Logger, now time.Time, last bool) ([]byte, error) {
-	var lost uint64
+// encodeReport returns a line with the numbers of dropped lines. It returns nil if no lines were dropped, and, unless final
+// is set, also if none were dropped since the last report or that report is too recent. The caller holds the mutex.
+func (f *formatter) encodeReport(logger *logrus.Logger, now time.Time, final bool) ([]byte, error) {
+	var dropped uint64
 	if f.sink != nil {
-		lost = f.sink.Lost()
+		dropped = f.sink.Dropped()
 	}
-	event := f.limits.report(now, lost, last)
+	event := f.limits.newReport(now, dropped, final)
 	if event == nil {
 		return nil, nil
 	}
@@ -77,23 +79,23 @@
 	return f.encoder.encode(entry, event, f.sequence)
 }
 
-// finalReport is the last line of a process, if it still has to say what was left out.
-func (f *formatter) finalReport() []byte {
+// encodeFinalReport returns the last line of a process, which reports dropped lines. It returns nil if there were none.
+func (f *formatter) encodeFinalReport() []byte {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	line, err := f.report(logrus.StandardLogger(), time.Now(), true)
+	line, err := f.encodeReport(logrus.StandardLogger(), time.Now(), true)
 	if err != nil {
 		return nil
 	}
 	return line
 }
 
-// jsonEncoder writes JSON objects, one per line.
+// jsonEncoder encodes lines as JSON objects, one per line.
 type jsonEncoder struct {
 	node string
 }
 
-// header are the fields that every JSON line begins with.
+// header holds the fields with which every JSON line begins.
 type header struct {
 	Time     string `json:"time"`
 	Level    string `json:"level"`
@@ -103,20 +105,20 @@
 	Event    string `json:"event"`
 }
 
-// timeLayout is RFC 3339 with microseconds, of a fixed width.
+// timeLayout is RFC 3339 with microseconds, with a fixed number of digits.
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
 func (e *jsonEncoder) encode(entry *logrus.Entry, event Event, sequence uint64) ([]byte, error) {
-	first := header{Time: entry.Time.UTC().Format(timeLayout), Level: entry.Level.String(), Node: e.node, Sequence: sequence,
-		Event: messageKindName}
-	first.Part, _ = entry.Data[partField].(string)
+	head := header{Time: entry.Time.UTC().Format(timeLayout), Level: entry.Level.String(), Node: e.node, Sequence: sequence,
+		Event: messageEvent}
+	head.Part, _ = entry.Data[partField].(string)
 	var body any = event
 	if event != nil {
-		first.Event = event.Kind().Name
+		head.Event = event.Kind().Name
 	} else {
-		body = sentence(entry)
+		body = messageFields(entry)
 	}
-	line, err := json.Marshal(&first)
+	line, err := json.Marshal(&head)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -124,11 +126,11 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return join(line, fields), nil
+	return joinObjects(line, fields), nil
 }
 
-// join makes one line of two JSON objects.
-func join(first, second []byte) []byte {
+// joinObjects merges two encoded JSON objects into one line. The first object must not be empty.
+func joinObjects(first, second []byte) []byte {
 	if len(second) > len("{}") {
 		first = append(first[:len(first)-1], ',')
 		first = append(first, second[1:]...)
@@ -136,21 +138,22 @@
 	return append(first, '\n')
 }
 
-// sentence is a message with the fields that were given to logrus, as text.
-func sentence(entry *logrus.Entry) map[string]string {
+// messageFields returns the message of an entry and the fields that were given to logrus, as text.
+func messageFields(entry *logrus.Entry) map[string]string {
 	fields := make(map[string]string, len(entry.Data)+1)
 	for name, value := range entry.Data {
 		switch {
 		case name == partField:
 		default:
-			fields[name] = text(value)
+			fields[name] = formatValue(value)
 		}
 	}
 	fields[messageField] = entry.Message
 	return fields
 }
 
-func text(value any) string {
+// formatValue returns the value of a logrus field as text.
+func formatValue(value any) string {
 	switch typed := value.(type) {
 	case string:
 		return typed
@@ -166,7 +169,7 @@
 	return string(encoded)
 }
 
-// textEncoder writes lines for a person, the part's name before each message.
+// textEncoder encodes lines as text for people, with the part's name before each message.
 type textEncoder struct {
 	logrus.TextFormatter
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,9 +1,10 @@
-// Package logging makes the loggers of all parts. A process writes one line per event: JSON objects on its
-// standard output, or text for a person. Events with a type of their own (see Event) are the usual case; other
-// messages are short sentences.
+// Package logging creates the loggers of all parts of a process. A process writes one line per event, as a JSON object on
+// its standard output or as text for people. Most lines are events with a type of their own (see Event). The others are
+// plain messages.
 //
-// Writing never blocks the caller: lines go through a bounded queue to a goroutine of their own. Each kind of event
-// has a rate of its own. What is left out, for either reason, is counted, and a line says so.
+// Writing to a Sink never blocks the caller. Lines go through a bounded queue to a separate goroutine. Each kind of event
+// has its own rate limit. Lines that are dropped because of the queue or the rate limit are counted, and LinesLeftOut
+// reports them.
 package logging
 
 import (
@@ -13,25 +14,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The formats of lines.
+// The formats of log lines.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
 )
 
-// Config says where and how to log.
+// Config configures a logger.
 type Config struct {
 	// Level is the lowest level written: debug, info, warning or error. Default info.
 	Level string
 	// Format is FormatText or FormatJSON. Default FormatText.
 	Format string
-	// Node names the process in JSON lines; may be empty.
+	// Node is the name of the process in JSON lines. It may be empty.
 	Node string
-	// Output receives the lines. Required. A *Sink keeps a slow reader from blocking the callers.
+	// Output receives the lines. Required. With a *Sink, a slow reader of the output does not block the callers.
 	Output io.Writer
 }
 
-// New returns the process's logger.
+// New returns the logger of a process. It returns an error for an unknown level or format.
 func New(config Config) (*logrus.Logger, error) {
 	if config.Level == "" {
 		config.Level = "info"
@@ -55,7 +56,7 @@
 	return logger, nil
 }
 
-// Part returns the logger of one part of the process, such as "gateway".
+// Part returns the logger of one part of the process, such as "gateway". Its lines name the part.
 func Part(logger *logrus.Logger, part string) *logrus.Entry {
 	return logger.WithField(partField, part)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -44,7 +44,8 @@
 	return lines
 }
 
-func TestEventsAndSentencesAreJSONLines(t *testing.T) {
+// TestEventsAndMessagesAreJSONLines guards against lines that are not valid JSON, lack a common field, or ignore the level.
+func TestEventsAndMessagesAreJSONLines(t *testing.T) {
 	var output bytes.Buffer
 	log := Part(newLogger(t, FormatJSON, &output), "gateway")
 	Emit(log, &testEvent{Request: "a1\n\"", AgeMs: 1.5})
@@ -52,22 +53,22 @@
 	log.Debug("not written")
 	lines := decode(t, output.String())
 	if len(lines) != 2 {
-		t.Fatalf("%d lines: %s", len(lines), output.String())
+		t.Fatalf("got %d lines, want 2: %s", len(lines), output.String())
 	}
 	first, second := lines[0], lines[1]
 	if first["event"] != "tested" || first["request"] != "a1\n\"" || first["age_ms"] != 1.5 || first["node"] != "edge-1" ||
 		first["part"] != "gateway" || first["level"] != "info" || first["seq"] != 1.0 {
-		t.Errorf("event: %v", first)
+		t.Errorf("got event line %v, want event tested with number 1 and all fields", first)
 	}
 	if second["event"] != "message" || second["text"] != "said 2" || second["error"] != "no \"room\"" || second["seq"] != 2.0 {
-		t.Errorf("sentence: %v", second)
+		t.Errorf("got message line %v, want the message with number 2 and its error", second)
 	}
 	if _, err := time.Parse(time.RFC3339Nano, first["time"].(string)); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestTextIsForAPerson(t *testing.T) {
+func TestTextLineShowsPartAndEvent(t *testing.T) {
 	var output bytes.Buffer
 	log := Part(newLogger(t, FormatText, &output), "gateway")
 	Emit(log, &testEvent{Request: "a1"})
@@ -76,16 +77,17 @@
 	}
 }
 
-func TestWrongLevelsAndFormatsAreRefused(t *testing.T) {
+func TestInvalidLevelsAndFormatsAreRejected(t *testing.T) {
 	for _, config := range []Config{{Level: "loud"}, {Format: "xml"}} {
 		if _, err := New(config); err == nil {
-			t.Errorf("%+v was taken", config)
+			t.Errorf("New accepted %+v, want an error", config)
 		}
 	}
 }
 
-// TestLinesAboveTheRateAreCounted writes far more than a kind's rate: what is left out is counted to the line, other
-// kinds are not held back by it.
+// TestLinesAboveTheRateAreCounted guards against a rate limit that is not enforced or whose drops are miscounted. It writes
+// far more lines than a kind's rate and expects one report with the exact number of dropped lines. Other kinds of lines,
+// such as the report, are not limited by it.
 func TestLinesAboveTheRateAreCounted(t *testing.T) {
 	var output bytes.Buffer
 	logger := newLogger(t, FormatJSON, &output)
@@ -107,19 +109,19 @@
 		}
 	}
 	if written != 2*testKind.PerSecond {
-		t.Fatalf("%d lines were written at once, want %d", written, 2*testKind.PerSecond)
+		t.Fatalf("%d lines were written in a burst, want %d", written, 2*testKind.PerSecond)
 	}
 	now = now.Add(reportInterval + time.Second)
 	lines := decode(t, emit(&testEvent{}))
 	if len(lines) != 2 || lines[0]["event"] != "lines_left_out" || fmt.Sprint(lines[0]["by_rate"]) != "map[tested:80]" {
-		t.Fatalf("the report is %v", lines)
+		t.Fatalf("got lines %v, want a report of 80 dropped lines and an event", lines)
 	}
 	if again := decode(t, emit(&testEvent{})); len(again) != 1 {
-		t.Fatalf("reported twice: %v", again)
+		t.Fatalf("got lines %v, want no second report", again)
 	}
 }
 
-// blockedWriter takes nothing until it is opened.
+// blockedWriter blocks writes until the channel open is closed.
 type blockedWriter struct {
 	open  chan struct{}
 	mutex sync.Mutex
@@ -133,9 +135,9 @@
 	return w.Buffer.Write(line)
 }
 
-// TestNobodyWaitsForTheReader logs to an output that takes nothing: the callers go on, and what did not fit is told
-// once the reader reads.
-func TestNobodyWaitsForTheReader(t *testing.T) {
+// TestBlockedOutputDoesNotBlockCallers guards against callers that wait for a blocked output, and against dropped lines that
+// are not reported once the output accepts data again.
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	output := &blockedWriter{open: make(chan struct{})}
 	sink := NewSink(output)
 	logger, err := New(Config{Format: FormatJSON, Output: sink})
@@ -145,22 +147,22 @@
 	line := []byte(strings.Repeat("x", 100) + "\n")
 	const sent = 20_000
 	for range sent {
-		_, _ = sink.Write(append([]byte(nil), line...)) // returns although nobody reads
+		_, _ = sink.Write(append([]byte(nil), line...)) // returns although the output is blocked
 	}
-	lost := sink.Lost()
-	if lost == 0 || lost >= sent {
-		t.Fatalf("%d of %d lines were lost", lost, sent)
+	dropped := sink.Dropped()
+	if dropped == 0 || dropped >= sent {
+		t.Fatalf("%d of %d lines were dropped, want some but not all", dropped, sent)
 	}
 	close(output.open)
 	logger.Info("after")
 	_ = sink.Close()
 	<-sink.closed
 	text := output.String()
-	if kept := strings.Count(text, string(line)); kept != sent-int(lost) {
-		t.Errorf("%d lines were kept and %d counted as lost of %d", kept, lost, sent)
+	if written := strings.Count(text, string(line)); written != sent-int(dropped) {
+		t.Errorf("%d lines were written and %d counted as dropped of %d, want their sum to match", written, dropped, sent)
 	}
-	if !strings.Contains(text, fmt.Sprintf(`"by_queue":%d`, sink.Lost())) {
-		t.Errorf("the log does not say that %d lines are missing", sink.Lost())
+	if !strings.Contains(text, fmt.Sprintf(`"by_queue":%d`, sink.Dropped())) {
+		t.Errorf("the log does not report the %d dropped lines", sink.Dropped())
 	}
 }
 
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// queueLines and queueBytes bound what waits to be written.
-	queueLines = 8192
-	queueBytes = 1 << 20
-	// writeBytes is about the size up to which lines are written together.
-	writeBytes = 32 << 10
-	// flushTime bounds how long Close waits for the reader of the output.
-	flushTime = 500 * time.Millisecond
+	// maxQueuedLines and maxQueuedBytes bound the lines that wait to be written.
+	maxQueuedLines = 8192
+	maxQueuedBytes = 1 << 20
+	// maxBatchBytes is the approximate size up to which lines are combined into one write.
+	maxBatchBytes = 32 << 10
+	// closeTimeout bounds how long Close waits until the queued lines are written.
+	closeTimeout = 500 * time.Millisecond
 )
 
-// Sink passes lines on to a writer from a goroutine of its own. A line that finds the queue full is lost and counted:
-// whoever logs never waits for whoever reads.
+// Sink writes lines to an output from its own goroutine, so that callers never wait for the reader of the output. A line is
+// dropped and counted if the queue is full.
 type Sink struct {
-	output  io.Writer
-	lines   chan []byte
-	waiting atomic.Int64 // bytes in lines
-	lost    atomic.Uint64
-	closing chan struct{}
-	closed  chan struct{}
-	once    sync.Once
-	last    func() []byte // makes the last line; nil: none
+	output      io.Writer
+	lines       chan []byte
+	queuedBytes atomic.Int64 // total size of the queued lines
+	dropped     atomic.Uint64
+	closing     chan struct{}
+	closed      chan struct{}
+	closeOnce   sync.Once
+	finalLine   func() []byte // returns the last line to write; nil if there is none
 }
 
-// NewSink returns a sink; Close ends it.
+// NewSink returns a sink for an output and starts its goroutine, which runs until Close.
 func NewSink(output io.Writer) *Sink {
-	sink := &Sink{output: output, lines: make(chan []byte, queueLines), closing: make(chan struct{}), closed: make(chan struct{})}
+	sink := &Sink{output: output, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), closed: make(chan struct{})}
 	go sink.run()
 	return sink
 }
 
-// Write implements io.Writer for whole lines. It takes the bytes over.
+// Write implements io.Writer for complete lines. It keeps the slice, which the caller must not change afterwards. It returns
+// no error for a dropped line.
 func (s *Sink) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil
 	}
-	if s.waiting.Add(int64(len(line))) > queueBytes {
+	if s.queuedBytes.Add(int64(len(line))) > maxQueuedBytes {
 		s.drop(line)
 		return len(line), nil
 	}
@@ -55,19 +56,20 @@
 }
 
 func (s *Sink) drop(line []byte) {
-	s.waiting.Add(-int64(len(line)))
-	s.lost.Add(1)
+	s.queuedBytes.Add(-int64(len(line)))
+	s.dropped.Add(1)
 }
 
-// Lost counts the lines that found the queue full.
-func (s *Sink) Lost() uint64 { return s.lost.Load() }
+// Dropped returns the number of lines that were dropped because the queue was full.
+func (s *Sink) Dropped() uint64 { return s.dropped.Load() }
 
-func (s *Sink) onClose(last func() []byte) { s.last = last }
+// setFinalLine sets the function that returns the last line, which is written when the sink is closed.
+func (s *Sink) setFinalLine(finalLine func() []byte) { s.finalLine = finalLine }
 
-// Close writes what waits, for a bounded time. Lines that come later are lost.
+// Close waits until the queued lines are written, for at most closeTimeout. Lines written after Close are lost.
 func (s *Sink) Close() error {
-	s.once.Do(func() { close(s.closing) })
-	timer := time.NewTimer(flushTime)
+	s.closeOnce.Do(func() { close(s.closing) })
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-s.closed:
@@ -81,19 +83,19 @@
 	for {
 		select {
 		case line := <-s.lines:
-			s.write(line)
+			s.writeBatch(line)
 		case <-s.closing:
-			s.finish()
+			s.flush()
 			return
 		}
 	}
 }
 
-// write writes a line and those that wait behind it, as long as they fit.
-func (s *Sink) write(first []byte) {
+// writeBatch writes a line together with further queued lines, up to about maxBatchBytes.
+func (s *Sink) writeBatch(first []byte) {
 	batch := first
 	size := int64(len(first))
-	for len(batch) < writeBytes {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-s.lines:
 			batch = append(batch, line...)
@@ -103,24 +105,25 @@
 		}
 		break
 	}
-	s.waiting.Add(-size)
-	_, _ = s.output.Write(batch) // nobody is left to tell
+	s.queuedBytes.Add(-size)
+	_, _ = s.output.Write(batch) // an error of the log output can't be logged
 }
 
-func (s *Sink) finish() {
+// flush writes the queued lines and the final line.
+func (s *Sink) flush() {
 	for {
 		select {
 		case line := <-s.lines:
-			s.write(line)
+			s.writeBatch(line)
 			continue
 		default:
 		}
 		break
 	}
-	if s.last == nil {
+	if s.finalLine == nil {
 		return
 	}
-	if line := s.last(); len(line) > 0 {
+	if line := s.finalLine(); len(line) > 0 {
 		_, _ = s.output.Write(line)
 	}
 }
