--- a/internal/experiment/coordinator.go
+++ b/internal/experiment/coordinator.go
@@ -8,18 +8,18 @@
 
 // Intervals of the coordinator.
 const (
-	coordinatorTick  = 250 * time.Millisecond // between looks for work that has become eligible
-	progressInterval = time.Second            // between reports of one running sample to the scheduler
+	coordinatorTickInterval = 250 * time.Millisecond // between two scheduling passes
+	progressInterval        = time.Second            // between two progress reports of a sample to the scheduler
 )
 
-// coordinator drives rollout.Scheduler as the production coordinator does.
+// coordinator drives rollout.Scheduler in the same way as the production coordinator.
 type coordinator struct {
-	simulation *simulation
-	scheduler  *rollout.Scheduler
-	trainers   []*trainer
-	samples    map[rollout.SampleID]*sample
-	gateways   int           // round robin over the gateways
-	holdUntil  time.Duration // no new samples before, because a gateway refused one
+	simulation    *simulation
+	scheduler     *rollout.Scheduler
+	trainers      []*trainer
+	samples       map[rollout.SampleID]*sample
+	gatewayCursor int           // selects gateways round-robin
+	holdUntil     time.Duration // no new samples start earlier, because a gateway rejected one
 }
 
 func newCoordinator(s *simulation) *coordinator {
@@ -34,7 +34,7 @@
 		c.trainers = append(c.trainers, newTrainer(c, index))
 	}
 	s.after(0, c.start)
-	s.weights.complete = c.weightsServed
+	s.weights.onServed = c.handleWeightsServed
 	return c
 }
 
@@ -46,73 +46,75 @@
 }
 
 func (c *coordinator) tick() {
-	c.simulation.weights.drive()
-	c.noteAvailable()
+	c.simulation.weights.executeOrders()
+	c.publishAvailableVersions()
 	c.discardExpired()
 	c.dispatch()
-	c.simulation.after(coordinatorTick, c.tick)
+	c.simulation.after(coordinatorTickInterval, c.tick)
 }
 
-// room is what the table grants to rollouts.
-func (c *coordinator) room() rollout.Room {
+// capacity returns the slots that the table grants to rollouts, and the staleness bound.
+func (c *coordinator) capacity() rollout.Room {
 	table := &c.simulation.scenario.Table
 	return rollout.Room{Slots: c.simulation.slots() * table.RolloutShare / 100, StalenessBound: table.StalenessBound}
 }
 
-// dispatch starts what the scheduler wants started.
+// dispatch starts the samples that the scheduler selects.
 func (c *coordinator) dispatch() {
 	now := c.simulation.now
 	if now < c.holdUntil {
 		return
 	}
-	for _, start := range c.scheduler.Next(now, c.room()) {
+	for _, start := range c.scheduler.Next(now, c.capacity()) {
 		c.samples[start.ID].start(start)
 	}
 }
 
-// discardExpired drops the samples that would be too old when they are used.
+// discardExpired discards the samples that would exceed the staleness bound when their step is delivered.
 func (c *coordinator) discardExpired() {
 	for _, id := range c.scheduler.Expired(c.simulation.scenario.Table.StalenessBound) {
 		c.samples[id].discard()
 	}
 }
 
-// released sends a trainer's new weights on their way. The scheduler hears of them when they are available.
-func (c *coordinator) released(one *trainer) {
+// releaseWeights starts the rollout of a trainer's new weights. The scheduler learns of them only once they are
+// available.
+func (c *coordinator) releaseWeights(one *trainer) {
 	c.simulation.weights.release(one.index, one.version)
 }
 
-// noteAvailable tells the scheduler which versions new samples will be made by.
-func (c *coordinator) noteAvailable() {
+// publishAvailableVersions tells the scheduler which weight versions generate new samples. With synchronous scheduling
+// it waits until all replicas that are up serve the newest weights.
+func (c *coordinator) publishAvailableVersions() {
 	weights := c.simulation.weights
-	if c.simulation.policy.Scheduling == SchedulingSynchronous && !weights.everywhere() {
+	if c.simulation.policy.Scheduling == SchedulingSynchronous && !weights.isServedEverywhere() {
 		return
 	}
 	for _, one := range c.trainers {
-		c.scheduler.Released(c.simulation.now, one.spec.Name, weights.available(one.index))
+		c.scheduler.Released(c.simulation.now, one.spec.Name, weights.availableVersion(one.index))
 	}
 }
 
-// weightsServed is called when a replica serves new weights.
-func (c *coordinator) weightsServed() {
-	c.noteAvailable()
+// handleWeightsServed is called when the set of served weights may have changed: after a swap, crash or restart.
+func (c *coordinator) handleWeightsServed() {
+	c.publishAvailableVersions()
 	c.dispatch()
 }
 
-// interruptOnSwap cuts the samples that run on a replica whose weights changed, if the policy keeps no
-// tokens over a change.
+// interruptOnSwap interrupts the samples on a replica whose weights changed, unless the policy keeps generated tokens
+// across weight changes.
 func (s *simulation) interruptOnSwap(r *replica) {
 	if s.coordinator.scheduler.Policy().KeepsPrefix() {
 		return
 	}
 	for _, one := range sortedAttempts(r) {
-		if cut, is := one.receiver.(*sample); is {
-			s.after(0, cut.interrupt)
+		if affected, isSample := one.receiver.(*sample); isSample {
+			s.after(0, affected.interrupt)
 		}
 	}
 }
 
-// close ends the trainers' waits that are still open at the end of the run.
+// close records the trainers' waits that are still open at the end of the run.
 func (c *coordinator) close() {
 	for _, one := range c.trainers {
 		one.close()
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,5 +1,5 @@
-// Package experiment compares scheduling and routing policies on a described fleet in virtual time. It
-// drives the production packages (engine, routing, admission, rollout), not copies of them. A run is one
-// event loop without goroutines: equal scenario, policy and seed give equal results. Runs of different
-// policies and seeds may go side by side.
+// Package experiment compares scheduling and routing policies on a simulated fleet in virtual time. It
+// drives the production packages (engine, routing, admission, rollout, wave), not copies of them. Each run is a
+// single-threaded event loop, so that the same scenario, policy and seed always give the same results. Runs of
+// different policies and seeds can execute in parallel.
 package experiment
--- a/internal/experiment/events.go
+++ b/internal/experiment/events.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// timer is one thing to do at a time; equal times run in the order in which they were set.
+// timer is a function to call at a virtual time. Timers with equal times run in the order in which they were set.
 type timer struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap implements heap.Interface, ordered by time and sequence number.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -20,7 +20,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -36,26 +36,26 @@
 	return popped
 }
 
-// agenda is the virtual time of one run and what is still to happen in it.
-type agenda struct {
-	now    time.Duration
-	timers timerHeap
-	wakes  wakeHeap
-	orders uint64
+// eventQueue holds the virtual time of one run and its pending events: timers and wake-ups of replicas.
+type eventQueue struct {
+	now          time.Duration
+	timers       timerHeap
+	wakes        wakeHeap
+	lastSequence uint64
 }
 
-// at does something at a time no earlier than now.
-func (a *agenda) at(when time.Duration, run func()) {
-	a.orders++
-	heap.Push(&a.timers, timer{at: max(when, a.now), order: a.orders, run: run})
+// at schedules run at the given time, or now if that time has passed.
+func (a *eventQueue) at(when time.Duration, run func()) {
+	a.lastSequence++
+	heap.Push(&a.timers, timer{at: max(when, a.now), sequence: a.lastSequence, run: run})
 }
 
-// after does something after a delay.
-func (a *agenda) after(delay time.Duration, run func()) { a.at(a.now+delay, run) }
+// after schedules run after a delay.
+func (a *eventQueue) after(delay time.Duration, run func()) { a.at(a.now+delay, run) }
 
-// step moves to the next event and runs it: a timer, or else a replica that is due. It returns false, with
-// nothing done, when the next event lies after end.
-func (a *agenda) step(end time.Duration) (due *replica, more bool) {
+// step advances the time to the next event. It runs a timer itself and returns a replica whose wake-up is due for the
+// caller to advance. If there is no event up to end, it does nothing and returns false.
+func (a *eventQueue) step(end time.Duration) (due *replica, more bool) {
 	if len(a.wakes) > 0 && (len(a.timers) == 0 || a.wakes[0].wakeAt < a.timers[0].at) {
 		if a.wakes[0].wakeAt > end {
 			return nil, false
@@ -72,8 +72,8 @@
 	return nil, true
 }
 
-// wake sets when a replica's engine is advanced next; not at all if due is false.
-func (a *agenda) wake(r *replica, at time.Duration, due bool) {
+// wake sets the time at which a replica's engine is advanced next, or removes its wake-up if due is false.
+func (a *eventQueue) wake(r *replica, at time.Duration, due bool) {
 	switch {
 	case !due && r.wakePosition >= 0:
 		heap.Remove(&a.wakes, r.wakePosition)
@@ -86,7 +86,7 @@
 	}
 }
 
-// wakeHeap implements heap.Interface over the replicas that are due.
+// wakeHeap implements heap.Interface over the replicas with a scheduled wake-up, ordered by time and index.
 type wakeHeap []*replica
 
 func (h wakeHeap) Len() int { return len(h) }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// small is a scenario that exercises everything in little time.
+// small is a short scenario with live traffic, every scheduling and routing, and all faults but replica-leave.
 const small = `
 name: small
 duration: 4m
@@ -79,47 +79,50 @@
 		reports[index] = string(content)
 	}
 	if reports[0] != reports[1] {
-		t.Fatalf("two reports of one scenario differ:\n%s\n%s", reports[0], reports[1])
+		t.Fatalf("reports of the same scenario differ:\n%s\n%s", reports[0], reports[1])
 	}
 }
 
-// TestRunsUnderFaults checks what must hold for every policy under every fault, and that faults were met.
-func TestRunsUnderFaults(t *testing.T) {
+// TestPoliciesKeepInvariantsUnderFaults guards against policies that, under faults, fail live traffic, stop delivering
+// steps, exceed the staleness bound or beat the lower bound on the step time. It also checks that a swap interrupted a
+// sample at least once under the policy without continuation.
+func TestPoliciesKeepInvariantsUnderFaults(t *testing.T) {
 	report := execute(t, mustParse(t, small), 4)
-	least := map[string]uint64{"cut": 50} // least-requests herds onto replicas that refuse: a known weakness of the baseline
+	// The least-requests baseline prefers replicas that reject requests, because they have few in flight.
+	minAnsweredPercent := map[string]uint64{"cut": 50}
 	for _, run := range report.Runs {
 		percent := uint64(90)
-		if known, is := least[run.Policy]; is {
+		if known, ok := minAnsweredPercent[run.Policy]; ok {
 			percent = known
 		}
 		if run.Live.Answered < run.Live.Calls*percent/100 || run.Live.Answered+run.Live.Refused+run.Live.Lost > run.Live.Calls {
-			t.Errorf("%s: live traffic %+v", run.Policy, run.Live)
+			t.Errorf("%s: got live traffic %+v, want most calls answered and no call counted twice", run.Policy, run.Live)
 		}
 		if run.Policy == "off" {
 			if run.Steps != 0 || run.RolloutRate != 0 {
-				t.Errorf("rollouts ran while off: %+v", run)
+				t.Errorf("got rollouts with scheduling none: %+v", run)
 			}
 			continue
 		}
 		if run.Steps < 5 {
-			t.Errorf("%s, seed %d: only %d steps", run.Policy, run.Seed, run.Steps)
+			t.Errorf("%s, seed %d: got %d steps, want at least 5", run.Policy, run.Seed, run.Steps)
 		}
 		if run.Staleness.Max > 2 {
-			t.Errorf("%s: a sample of age %d was delivered, the bound is 2", run.Policy, run.Staleness.Max)
+			t.Errorf("%s: got a delivered sample of staleness %d, want at most 2", run.Policy, run.Staleness.Max)
 		}
 		if run.Policy == "synchronous" && run.Staleness.Max > 0 {
-			t.Errorf("the synchronous baseline delivered old samples: %v", run.Staleness)
+			t.Errorf("synchronous: got staleness %v, want 0 for all samples", run.Staleness)
 		}
-		if run.Policy == "cut" && run.ThrownAway == 0 {
-			t.Error("without continuation nothing was thrown away: no swap met a running sample")
+		if run.Policy == "cut" && run.DiscardedShare == 0 {
+			t.Error("got no discarded tokens without continuation, want some: no swap interrupted a running sample")
 		}
 		if run.StepTime < run.Bound.StepTime*95/100 {
-			t.Errorf("%s: step time %v beats the lower bound %+v", run.Policy, run.StepTime, run.Bound)
+			t.Errorf("%s: got step time %v, want at least the lower bound %+v", run.Policy, run.StepTime, run.Bound)
 		}
 	}
 }
 
-func TestReportIsWritten(t *testing.T) {
+func TestReportWritesAllFiles(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "out")
 	if err := execute(t, mustParse(t, small), 4).Write(folder); err != nil {
 		t.Fatal(err)
@@ -127,12 +130,12 @@
 	for _, name := range []string{"report.json", "report.md", "idle.png", "staleness.png", "lengths.png", "live.png", "versions.png"} {
 		content, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil || len(content) == 0 {
-			t.Fatalf("%s: %d bytes, %v", name, len(content), err)
+			t.Fatalf("%s: got %d bytes and error %v, want a file with content", name, len(content), err)
 		}
 	}
 }
 
-func TestBadScenarioIsRefusedWithFileLineAndField(t *testing.T) {
+func TestInvalidScenarioErrorNamesFileLineAndField(t *testing.T) {
 	cases := map[string]struct{ from, to, want string }{
 		"unknown field": {"duration: 4m", "duraton: 4m", "small.yaml:3: duraton"},
 		"duration":      {"warmup: 30s", "warmup: soon", "small.yaml:4: warmup"},
@@ -146,10 +149,10 @@
 	for name, one := range cases {
 		broken := strings.Replace(small, one.from, one.to, 1)
 		if broken == small {
-			t.Fatalf("%s: %q does not occur", name, one.from)
+			t.Fatalf("%s: %q does not occur in the scenario", name, one.from)
 		}
 		if _, err := Parse("small.yaml", []byte(broken)); err == nil || !strings.HasPrefix(err.Error(), one.want) {
-			t.Errorf("%s: got %v, want %s", name, err, one.want)
+			t.Errorf("%s: got error %v, want prefix %s", name, err, one.want)
 		}
 	}
 }
@@ -157,7 +160,7 @@
 func TestShippedScenariosLoad(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("got no shipped scenarios, error %v", err)
 	}
 	for _, file := range files {
 		if _, err := Load(file); err != nil {
@@ -166,7 +169,7 @@
 	}
 }
 
-// TestEveryFieldIsDocumented compares the page with the types.
+// TestEveryFieldIsDocumented guards against fields of scenario files that the operators' page does not mention.
 func TestEveryFieldIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/experiments.md")
 	if err != nil {
@@ -185,7 +188,7 @@
 		for index := range kind.NumField() {
 			name := kind.Field(index).Tag.Get("yaml")
 			if name != "" && !strings.Contains(string(page), "`"+name+"`") {
-				t.Errorf("field %s of %s is not documented", name, kind)
+				t.Errorf("field %s of %s is not documented in experiments.md", name, kind)
 			}
 			check(kind.Field(index).Type)
 		}
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -13,37 +13,37 @@
 	"github.com/tamarindring/tamarindring/internal/routing"
 )
 
-// Classes of admission, most urgent first.
+// Admission classes, most urgent first.
 const (
 	classLive    = "live"
 	classRollout = "rollout"
 )
 
-// weightOfReplica is each replica's cell in the table.
-const weightOfReplica = 100
+// replicaWeight is the routing weight of each replica in the settings table.
+const replicaWeight = 100
 
-// routingBlockTokens is the size of the prompt blocks that routing compares.
+// routingBlockTokens is the size in tokens of the prompt blocks that routing compares.
 const routingBlockTokens = 128
 
-// gateway holds one gateway's own view: its routing pool and its part of the limits.
+// gateway is the state of one gateway: its routing pool and its share of the limits.
 type gateway struct {
-	zone   Zone
-	pool   *routing.Pool
-	policy routing.Policy
-	queue  *admission.Queue
-	random *rand.PCG
-	asked  map[uint64]*ask // admitted or waiting
-	limits admission.Limits
-	away   int // slots less than that, as of followed
+	zone             Zone
+	pool             *routing.Pool
+	policy           routing.Policy
+	queue            *admission.Queue
+	random           *rand.PCG
+	callbacks        map[uint64]*admissionCallbacks // of admitted and waiting requests, by request ID
+	limits           admission.Limits
+	unavailableSlots int // subtracted from limits.Slots as of limitsUpdatedAt
 
-	followed time.Duration
+	limitsUpdatedAt time.Duration
 }
 
-// ask is a request that asked for admission.
-type ask struct {
-	granted func()
-	refused func(retryAfter time.Duration)
-	yield   func()
+// admissionCallbacks holds the functions to call when the admission queue decides on a request. onPreempt may be nil.
+type admissionCallbacks struct {
+	onGranted  func()
+	onRejected func(retryAfter time.Duration)
+	onPreempt  func()
 }
 
 func replicaName(zone string, number int) string { return fmt.Sprintf("%s-%03d", zone, number) }
@@ -52,9 +52,10 @@
 	fleet := &s.scenario.Fleet
 	for rank := range fleet.Gateways {
 		added := &gateway{
-			zone: fleet.Zones[rank%len(fleet.Zones)], policy: s.policy.routingPolicy(), asked: map[uint64]*ask{},
+			zone: fleet.Zones[rank%len(fleet.Zones)], policy: s.policy.routingPolicy(),
+			callbacks: map[uint64]*admissionCallbacks{},
 			pool: routing.NewPool(routing.Settings{
-				ReportLag: fleet.ReportLag, SpreadBackground: s.policy.off(MechanismPacking),
+				ReportLag: fleet.ReportLag, SpreadBackground: s.policy.isDisabled(MechanismPacking),
 			}),
 			limits: s.limits(rank), queue: admission.New(s.limits(rank)),
 			random: rand.NewPCG(s.seed, uint64(rank)<<8|streamGateways),
@@ -64,6 +65,7 @@
 	}
 }
 
+// limits returns the share of the pool's limits that the gateway with the given rank applies.
 func (s *simulation) limits(rank int) admission.Limits {
 	count := s.scenario.Fleet.Gateways
 	slots := s.slots()
@@ -76,7 +78,7 @@
 	}
 }
 
-// slots is the number of requests that the pool may have in flight.
+// slots returns the maximum number of requests in flight in the whole pool.
 func (s *simulation) slots() int { return len(s.replicas) * s.scenario.Table.MaxInFlight }
 
 func (s *simulation) replicaConfigs(zone Zone, rank int) []routing.ReplicaConfig {
@@ -85,7 +87,7 @@
 	configs := make([]routing.ReplicaConfig, len(s.replicas))
 	for index, r := range s.replicas {
 		configs[index] = routing.ReplicaConfig{
-			Name: r.name, Weight: weightOfReplica, Distance: distance(zone, r.zone),
+			Name: r.name, Weight: replicaWeight, Distance: distance(zone, r.zone),
 			MaxInFlight:   admission.Share(s.scenario.Table.MaxInFlight, count, rank, uint64(index)),
 			MaxBackground: admission.Share(background, count, rank, uint64(index)),
 		}
@@ -103,8 +105,8 @@
 	return routing.OtherRegion
 }
 
-// delay is the one-way time between two zones.
-func (s *simulation) delay(from, to Zone) time.Duration {
+// oneWayDelay returns the one-way network delay between two zones.
+func (s *simulation) oneWayDelay(from, to Zone) time.Duration {
 	const sameZonePart = 10
 	switch distance(from, to) {
 	case routing.SameZone:
@@ -115,104 +117,108 @@
 	return s.scenario.Fleet.RegionDelay
 }
 
-// followInterval is the least time between a gateway's looks for replicas that take no work.
-const followInterval = 200 * time.Millisecond
+// limitsUpdateInterval is the minimum time between two updates of a gateway's limits.
+const limitsUpdateInterval = 200 * time.Millisecond
 
-// follow takes the slots of replicas that take no work off the limits, as the production gateway does.
-func (s *simulation) follow(g *gateway) {
-	if s.now < g.followed+followInterval {
+// updateLimits subtracts the slots of replicas that accept no work from the gateway's limits, as the production
+// gateway does. If no slots would remain, the limits stay unreduced.
+func (s *simulation) updateLimits(g *gateway) {
+	if s.now < g.limitsUpdatedAt+limitsUpdateInterval {
 		return
 	}
-	g.followed = s.now
+	g.limitsUpdatedAt = s.now
 	slots, background := g.pool.Away(s.now)
 	if slots >= g.limits.Slots {
 		slots, background = 0, 0
 	}
-	if slots == g.away {
+	if slots == g.unavailableSlots {
 		return
 	}
-	g.away = slots
+	g.unavailableSlots = slots
 	limits := g.limits
 	limits.Slots -= slots
 	limits.RolloutSlots = max(limits.RolloutSlots-background, 0)
-	s.apply(g, g.queue.SetLimits(s.now, limits))
+	s.applyEffects(g, g.queue.SetLimits(s.now, limits))
 }
 
-// admit asks a gateway for admission under an identity of the caller's choice.
-func (s *simulation) admit(g *gateway, request admission.Request, one *ask) {
-	s.follow(g)
-	g.asked[request.ID] = one
+// admit requests admission at a gateway. The caller chooses request.ID, which must be unique.
+func (s *simulation) admit(g *gateway, request admission.Request, callbacks *admissionCallbacks) {
+	s.updateLimits(g)
+	g.callbacks[request.ID] = callbacks
 	effects, until := g.queue.Arrive(s.now, request)
-	s.apply(g, effects)
-	if _, open := g.asked[request.ID]; open && until > s.now && until < s.scenario.Duration {
-		s.at(until, func() { s.apply(g, g.queue.Expire(s.now, request.ID)) })
+	s.applyEffects(g, effects)
+	if _, open := g.callbacks[request.ID]; open && until > s.now && until < s.scenario.Duration {
+		s.at(until, func() { s.applyEffects(g, g.queue.Expire(s.now, request.ID)) })
 	}
 }
 
-// release gives an admitted request's slot back.
-func (s *simulation) release(g *gateway, id uint64) {
-	delete(g.asked, id)
-	s.apply(g, g.queue.Done(s.now, id))
+// releaseSlot releases the slot of an admitted request.
+func (s *simulation) releaseSlot(g *gateway, id uint64) {
+	delete(g.callbacks, id)
+	s.applyEffects(g, g.queue.Done(s.now, id))
 }
 
-// apply tells the askers what the queue decided. What they do goes through the agenda, never back into the
-// queue at once, because the effects are only valid until the next call.
-func (s *simulation) apply(g *gateway, effects *admission.Effects) {
+// applyEffects schedules the callbacks for the queue's decisions. The callbacks run as separate events, because they
+// can call the queue and effects is valid only until the next call of the queue.
+func (s *simulation) applyEffects(g *gateway, effects *admission.Effects) {
 	for _, id := range effects.Granted {
-		if one := g.asked[id]; one != nil {
-			s.after(0, one.granted)
+		if one := g.callbacks[id]; one != nil {
+			s.after(0, one.onGranted)
 		}
 	}
-	for _, refusal := range effects.Refused {
-		if one := g.asked[refusal.ID]; one != nil {
-			delete(g.asked, refusal.ID)
-			retryAfter := refusal.RetryAfter
-			s.after(0, func() { one.refused(retryAfter) })
+	for _, rejection := range effects.Refused {
+		if one := g.callbacks[rejection.ID]; one != nil {
+			delete(g.callbacks, rejection.ID)
+			retryAfter := rejection.RetryAfter
+			s.after(0, func() { one.onRejected(retryAfter) })
 		}
 	}
 	for _, id := range effects.Yield {
-		if one := g.asked[id]; one != nil && one.yield != nil {
-			s.after(0, one.yield)
+		if one := g.callbacks[id]; one != nil && one.onPreempt != nil {
+			s.after(0, one.onPreempt)
 		}
 	}
 }
 
-// send chooses a replica for an admitted request and brings it there; false if none may take it.
-func (s *simulation) send(g *gateway, to receiver, request routing.Request, work engine.Request) (*attempt, bool) {
+// routeToReplica selects a replica for an admitted request and submits the request there. It returns false if no
+// replica can accept the request.
+func (s *simulation) routeToReplica(g *gateway, receiver receiver, request routing.Request, engineRequest engine.Request) (*attempt, bool) {
 	position := g.policy.Choose(g.pool, &request, s.now, g.random)
 	if position == routing.None {
 		return nil, false
 	}
 	request.Excluded = slices.Clone(request.Excluded)
-	s.requests++
-	chosen := s.replicas[position]
+	s.lastRequestID++
+	target := s.replicas[position]
 	one := &attempt{
-		id: s.requests, replica: chosen, gateway: g, request: request, receiver: to, delay: s.delay(g.zone, chosen.zone),
+		id: s.lastRequestID, replica: target, gateway: g, request: request, receiver: receiver,
+		oneWayDelay: s.oneWayDelay(g.zone, target.zone),
 	}
 	g.pool.Sent(position, &one.request, s.now)
-	work.ID = one.id
-	s.submit(one, work)
+	engineRequest.ID = one.id
+	s.submit(one, engineRequest)
 	return one, true
 }
 
-// scheduleReports makes every replica report its load to every gateway, late.
+// scheduleReports makes every replica report its load periodically to every gateway, where each report arrives after
+// the report lag. The reports of different replicas start at random offsets.
 func (s *simulation) scheduleReports() {
 	interval := s.scenario.Fleet.ReportInterval
 	for _, r := range s.replicas {
 		offset := time.Duration(float64(interval) * s.random.Float64())
-		s.after(offset, func() { s.report(r) })
+		s.after(offset, func() { s.reportLoad(r) })
 	}
 }
 
-func (s *simulation) report(r *replica) {
-	s.after(s.scenario.Fleet.ReportInterval, func() { s.report(r) })
+func (s *simulation) reportLoad(r *replica) {
+	s.after(s.scenario.Fleet.ReportInterval, func() { s.reportLoad(r) })
 	if r.down {
 		return
 	}
 	load := r.engine.Load(s.now)
 	report := routing.LoadReport{Requests: float64(load.Running + load.Waiting)}
 	s.after(s.reportLag, func() {
-		s.weights.report(r, load)
+		s.weights.reportLoad(r, load)
 		for _, g := range s.gateways {
 			g.pool.Report(r.name, report, s.now)
 		}
@@ -228,27 +234,28 @@
 	return sorted
 }
 
-// blockHashes returns the chained hashes of a prompt's whole blocks: equal for equal names.
-func blockHashes(name uint64, tokens, blockTokens int) []uint64 {
+// hashBlocks returns stand-ins for the chained hashes of a prompt's complete blocks. Prompts with the same name get the
+// same hashes.
+func hashBlocks(name uint64, tokens, blockTokens int) []uint64 {
 	hashes := make([]uint64, tokens/blockTokens)
 	for index := range hashes {
-		hashes[index] = mix(name*math.MaxUint32 + uint64(index) + 1)
+		hashes[index] = mixBits(name*math.MaxUint32 + uint64(index) + 1)
 	}
 	return hashes
 }
 
-// routingBlocks picks the hashes that end a block of routing's size.
-func routingBlocks(hashes []uint64, blockTokens int) []uint64 {
-	every := max(routingBlockTokens/blockTokens, 1)
+// selectRoutingBlocks returns the hashes of the engine blocks that end a block of routingBlockTokens.
+func selectRoutingBlocks(hashes []uint64, blockTokens int) []uint64 {
+	stride := max(routingBlockTokens/blockTokens, 1)
 	var picked []uint64
-	for index := every - 1; index < len(hashes); index += every {
+	for index := stride - 1; index < len(hashes); index += stride {
 		picked = append(picked, hashes[index])
 	}
 	return picked
 }
 
-// mix spreads a number over all bits (the finaliser of splitmix64).
-func mix(value uint64) uint64 {
+// mixBits hashes a number with the finalizer of splitmix64.
+func mixBits(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
 	value ^= value >> 27
@@ -256,9 +263,9 @@
 	return value ^ value>>31
 }
 
-// leave takes a request out of a gateway's queue, whether it waits or runs.
-func (s *simulation) leave(g *gateway, id uint64) {
-	delete(g.asked, id)
-	s.apply(g, g.queue.Leave(s.now, id))
-	s.apply(g, g.queue.Done(s.now, id))
+// withdraw removes a request from a gateway's queue, whether it is waiting or running.
+func (s *simulation) withdraw(g *gateway, id uint64) {
+	delete(g.callbacks, id)
+	s.applyEffects(g, g.queue.Leave(s.now, id))
+	s.applyEffects(g, g.queue.Done(s.now, id))
 }
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -9,62 +9,63 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// liveAttempts is how many replicas a live call is tried on.
-const liveAttempts = 3
+// maxLiveAttempts is the maximum number of replicas on which a live call is attempted.
+const maxLiveAttempts = 3
 
-// liveCall is one call of live traffic, from its arrival at a gateway to its answer.
+// liveCall is the state of one live call, from its arrival at a gateway to its answer.
 type liveCall struct {
-	simulation *simulation
-	gateway    *gateway
-	admission  uint64
-	arrived    time.Duration
-	call       workload.Call
-	prefix     []uint64
-	excluded   []int
-	current    *attempt
-	firstToken time.Duration
-	inWave     bool // new weights were on their way to some replica when it arrived
+	simulation        *simulation
+	gateway           *gateway
+	admissionID       uint64
+	arrivedAt         time.Duration
+	call              workload.Call
+	prefixHashes      []uint64
+	excludedReplicas  []int
+	current           *attempt
+	firstTokenAt      time.Duration
+	arrivedDuringWave bool // some replica did not serve the newest weights yet
 }
 
-// scheduleCall sets the next call of a source.
+// scheduleCall schedules the next call of a source, if it arrives before the end of the run.
 func (s *simulation) scheduleCall(generator *workload.Generator) {
 	call := generator.Next()
 	if call.At > s.scenario.Duration {
 		return
 	}
 	s.at(call.At, func() {
-		s.arrive(call)
+		s.startLiveCall(call)
 		s.scheduleCall(generator)
 	})
 }
 
-func (s *simulation) arrive(call workload.Call) {
+func (s *simulation) startLiveCall(call workload.Call) {
 	source := &s.scenario.Live[call.Source]
-	s.requests++
+	s.lastRequestID++
 	one := &liveCall{
-		simulation: s, gateway: s.gateways[s.random.IntN(len(s.gateways))], admission: s.requests, arrived: s.now, call: call,
-		inWave: s.weights.spreading(),
+		simulation: s, gateway: s.gateways[s.random.IntN(len(s.gateways))], admissionID: s.lastRequestID, arrivedAt: s.now,
+		call: call, arrivedDuringWave: s.weights.isUpdating(),
 	}
 	if call.Prefix >= 0 {
-		name := uint64(call.Source+1)<<32 | uint64(call.Prefix)
-		one.prefix = blockHashes(name, source.Sharing.PrefixTokens, s.scenario.Fleet.Engine.BlockTokens)
+		hashName := uint64(call.Source+1)<<32 | uint64(call.Prefix)
+		one.prefixHashes = hashBlocks(hashName, source.Sharing.PrefixTokens, s.scenario.Fleet.Engine.BlockTokens)
 		one.call.PromptTokens += source.Sharing.PrefixTokens
 	}
-	s.measure.liveArrived(s.now)
-	request := admission.Request{ID: one.admission, Class: classLive, Deadline: s.now + source.Deadline}
-	s.admit(one.gateway, request, &ask{granted: one.send, refused: func(time.Duration) { s.measure.liveRefused(s.now) }})
+	s.measurement.countLiveArrival(s.now)
+	request := admission.Request{ID: one.admissionID, Class: classLive, Deadline: s.now + source.Deadline}
+	s.admit(one.gateway, request, &admissionCallbacks{
+		onGranted: one.send, onRejected: func(time.Duration) { s.measurement.countLiveRejection(s.now) }})
 }
 
 func (l *liveCall) send() {
 	s := l.simulation
 	request := routing.Request{
-		Work: float64(l.call.OutputTokens), Urgent: true, Excluded: l.excluded,
-		Blocks: routingBlocks(l.prefix, s.scenario.Fleet.Engine.BlockTokens),
+		Work: float64(l.call.OutputTokens), Urgent: true, Excluded: l.excludedReplicas,
+		Blocks: selectRoutingBlocks(l.prefixHashes, s.scenario.Fleet.Engine.BlockTokens),
 	}
-	work := engine.Request{
-		Priority: priorityLive, PromptTokens: l.call.PromptTokens, OutputTokens: l.call.OutputTokens, Prefix: l.prefix,
+	engineRequest := engine.Request{
+		Priority: priorityLive, PromptTokens: l.call.PromptTokens, OutputTokens: l.call.OutputTokens, Prefix: l.prefixHashes,
 	}
-	sent, chosen := s.send(l.gateway, l, request, work)
+	sent, chosen := s.routeToReplica(l.gateway, l, request, engineRequest)
 	if !chosen {
 		l.fail()
 		return
@@ -72,25 +73,25 @@
 	l.current = sent
 }
 
-// tokens implements receiver.
-func (l *liveCall) tokens(first time.Duration, _ int, _ uint64) {
-	if l.firstToken == 0 {
-		l.firstToken = first + l.current.delay
+// onTokens implements receiver.
+func (l *liveCall) onTokens(first time.Duration, _ int, _ uint64) {
+	if l.firstTokenAt == 0 {
+		l.firstTokenAt = first + l.current.oneWayDelay
 	}
 }
 
-// finished implements receiver.
-func (l *liveCall) finished() {
+// onFinished implements receiver.
+func (l *liveCall) onFinished() {
 	s := l.simulation
-	s.release(l.gateway, l.admission)
-	s.measure.liveAnswered(l, s.now)
+	s.releaseSlot(l.gateway, l.admissionID)
+	s.measurement.recordLiveAnswer(l, s.now)
 }
 
-// lost implements receiver: the call is tried on another replica.
-func (l *liveCall) lost() {
-	l.excluded = append(l.excluded, l.current.replica.index)
-	l.firstToken = 0
-	if len(l.excluded) >= liveAttempts {
+// onLost implements receiver. It retries the call on another replica, up to maxLiveAttempts.
+func (l *liveCall) onLost() {
+	l.excludedReplicas = append(l.excludedReplicas, l.current.replica.index)
+	l.firstTokenAt = 0
+	if len(l.excludedReplicas) >= maxLiveAttempts {
 		l.fail()
 		return
 	}
@@ -98,6 +99,6 @@
 }
 
 func (l *liveCall) fail() {
-	l.simulation.release(l.gateway, l.admission)
-	l.simulation.measure.liveLost(l.simulation.now)
+	l.simulation.releaseSlot(l.gateway, l.admissionID)
+	l.simulation.measurement.countLiveLoss(l.simulation.now)
 }
--- a/internal/experiment/markdown.go
+++ b/internal/experiment/markdown.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Markdown returns the report as a page.
+// Markdown returns the report as a Markdown page.
 func (r *Report) Markdown() string {
 	var page strings.Builder
 	fmt.Fprintf(&page, "# %s\n\n", r.Scenario)
@@ -34,8 +34,8 @@
 			continue
 		}
 		fmt.Fprintf(page, "| %s | %s | %s | %s | %s | %s | %.0f | %s | %.0f | %.0f | %.0f |\n", one.Policy,
-			one.IdleShare.text(100, 1), one.BoundIdleShare.text(100, 1), one.StepTime.text(1, 1), one.StepTimeOverBound.text(1, 2),
-			one.StalenessMean.text(1, 2), one.StalenessMax.Max, one.ThrownAway.text(100, 2), one.RolloutRate.Mean,
+			one.IdleShare.format(100, 1), one.BoundIdleShare.format(100, 1), one.StepTime.format(1, 1), one.StepTimeOverBound.format(1, 2),
+			one.StalenessMean.format(1, 2), one.StalenessMax.Max, one.DiscardedShare.format(100, 2), one.RolloutRate.Mean,
 			100*one.CapacityUsed.Mean, 100*one.PrefixReuse.Mean)
 	}
 	page.WriteString("\n")
@@ -50,15 +50,16 @@
 	page.WriteString("|---|---|---|---|---|---|---|---|---|\n")
 	for index := range r.Policies {
 		one := &r.Policies[index]
-		fmt.Fprintf(page, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", one.Policy, one.LiveP50.text(1, 2), one.LiveP99.text(1, 2),
-			one.LiveP999.text(1, 2), one.LiveP99OverOff.text(1, 3), one.LiveP99InWaves.text(1, 3), one.FirstTokenP99.text(1, 3), one.LiveFailed.text(1, 0),
-			one.WeightsEverywhere.text(1, 1))
+		fmt.Fprintf(page, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", one.Policy, one.LiveP50.format(1, 2), one.LiveP99.format(1, 2),
+			one.LiveP999.format(1, 2), one.LiveP99OverNoRollouts.format(1, 3), one.LiveP99InWavesOverNoRollouts.format(1, 3), one.FirstTokenP99.format(1, 3), one.LiveFailed.format(1, 0),
+			one.WeightPropagationP99.format(1, 1))
 	}
 	page.WriteString("\n")
 }
 
-// text shows a spread, each figure multiplied.
-func (s Spread) text(factor float64, digits int) string {
+// format returns the mean with the given number of digits, followed by the range in brackets unless minimum and
+// maximum are equal. All figures are multiplied by factor.
+func (s Spread) format(factor float64, digits int) string {
 	if s.Min == s.Max {
 		return fmt.Sprintf("%.*f", digits, s.Mean*factor)
 	}
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -6,200 +6,202 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the latency histograms, in microseconds.
+// Parameters of the latency histograms. Latencies are recorded in microseconds, clamped to the bounds.
 const (
-	latencyLowest  = 100
-	latencyHighest = 600_000_000
-	latencyDigits  = 3
+	minLatencyMicros         = 100
+	maxLatencyMicros         = 600_000_000
+	latencySignificantDigits = 3
 )
 
-// timelinePoints is how many moments of a run are kept for plots.
+// timelinePoints is the number of fleet snapshots taken in a run for the plots.
 const timelinePoints = 240
 
-// measurement collects what one run shows. What happens before warmup counts only for the timeline.
+// measurement collects the results of one run. Events before the end of the warm-up are recorded only in timeline and
+// in the trainers' waits.
 type measurement struct {
-	scenario *Scenario
-	trainers []trainerMeasurement
-	live     liveMeasurement
-	generate struct{ tokens, thrown, delivered uint64 }
-	yields   uint64
-	preempts uint64
-	moves    uint64
-	spread   []time.Duration // release of weights to the last replica serving them
-	timeline []moment
+	scenario          *Scenario
+	trainers          []trainerMeasurement
+	live              liveMeasurement
+	rollouts          struct{ tokens, discarded, delivered uint64 }
+	slotPreemptions   uint64
+	enginePreemptions uint64
+	migrations        uint64
+	weightDelays      []time.Duration // from the release of weights until all replicas serve them
+	timeline          []fleetSnapshot
 }
 
 type trainerMeasurement struct {
-	idle      time.Duration
-	waits     []interval // all of the run, for the timeline
-	staleness []uint64   // samples by age in versions
-	steps     []stepMeasurement
-	lengths   []int // of delivered samples
+	idle          time.Duration
+	waits         []timeRange // over the whole run, for the plot of idle time
+	samplesByAge  []uint64    // number of delivered samples, indexed by staleness in versions
+	steps         []stepMeasurement
+	sampleLengths []int // of delivered samples
 }
 
-type interval struct{ from, to time.Duration }
+type timeRange struct{ from, to time.Duration }
 
-// stepMeasurement is one delivered step.
+// stepMeasurement holds the figures of one delivered step.
 type stepMeasurement struct {
-	delivered time.Duration
-	wait      time.Duration
-	trainTime time.Duration
-	tokens    int
-	prompts   int // tokens of the prompts
-	longest   int
-	// context is the sum over all tokens of the context that each attended to: no schedule changes it.
-	context float64
+	deliveredAt         time.Duration
+	wait                time.Duration
+	trainTime           time.Duration
+	sampleTokens        int
+	promptTokens        int // summed over the samples, so that a prompt counts once per sample
+	longestSampleTokens int
+	// contextTokens is the context length attended to, summed over all generated tokens. It does not depend on the
+	// schedule.
+	contextTokens float64
 }
 
 type liveMeasurement struct {
-	arrived, answered, refused, lost uint64
-	tokens                           uint64
-	latency, firstToken              *hdrhistogram.Histogram
-	inWaves                          *hdrhistogram.Histogram // latency of the calls that arrived in a wave of weights
+	arrived, answered, rejected, lost uint64
+	outputTokens                      uint64
+	latency, firstToken               *hdrhistogram.Histogram
+	latencyInWaves                    *hdrhistogram.Histogram // for calls that arrived during a rollout of new weights
 }
 
-// moment is the state of the fleet at one time.
-type moment struct {
-	at       time.Duration
-	versions map[uint64]int // replicas by number of the version served
+// fleetSnapshot is the state of the fleet at one time.
+type fleetSnapshot struct {
+	at                time.Duration
+	replicasByVersion map[uint64]int // number of replicas that serve each version
 }
 
 func newMeasurement(scenario *Scenario) *measurement {
 	return &measurement{
 		scenario: scenario, trainers: make([]trainerMeasurement, len(scenario.Trainers)),
-		live: liveMeasurement{latency: newHistogram(), firstToken: newHistogram(), inWaves: newHistogram()},
+		live: liveMeasurement{latency: newHistogram(), firstToken: newHistogram(), latencyInWaves: newHistogram()},
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantDigits)
 }
 
-func record(histogram *hdrhistogram.Histogram, value time.Duration) {
-	_ = histogram.RecordValue(min(max(value.Microseconds(), latencyLowest), latencyHighest))
+func recordLatency(histogram *hdrhistogram.Histogram, value time.Duration) {
+	_ = histogram.RecordValue(min(max(value.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
-// measured says that an event at that time counts.
-func (m *measurement) measured(at time.Duration) bool { return at >= m.scenario.Warmup }
+// isMeasured reports whether an event at the given time is after the warm-up and counts in the results.
+func (m *measurement) isMeasured(at time.Duration) bool { return at >= m.scenario.Warmup }
 
-func (m *measurement) liveArrived(at time.Duration) {
-	if m.measured(at) {
+func (m *measurement) countLiveArrival(at time.Duration) {
+	if m.isMeasured(at) {
 		m.live.arrived++
 	}
 }
 
-func (m *measurement) liveRefused(at time.Duration) {
-	if m.measured(at) {
-		m.live.refused++
+func (m *measurement) countLiveRejection(at time.Duration) {
+	if m.isMeasured(at) {
+		m.live.rejected++
 	}
 }
 
-func (m *measurement) liveLost(at time.Duration) {
-	if m.measured(at) {
+func (m *measurement) countLiveLoss(at time.Duration) {
+	if m.isMeasured(at) {
 		m.live.lost++
 	}
 }
 
-func (m *measurement) liveAnswered(call *liveCall, now time.Duration) {
-	if !m.measured(call.arrived) {
+func (m *measurement) recordLiveAnswer(call *liveCall, now time.Duration) {
+	if !m.isMeasured(call.arrivedAt) {
 		return
 	}
 	m.live.answered++
-	m.live.tokens += uint64(call.call.OutputTokens)
-	record(m.live.latency, now-call.arrived)
-	record(m.live.firstToken, call.firstToken-call.arrived)
-	if call.inWave {
-		record(m.live.inWaves, now-call.arrived)
+	m.live.outputTokens += uint64(call.call.OutputTokens)
+	recordLatency(m.live.latency, now-call.arrivedAt)
+	recordLatency(m.live.firstToken, call.firstTokenAt-call.arrivedAt)
+	if call.arrivedDuringWave {
+		recordLatency(m.live.latencyInWaves, now-call.arrivedAt)
 	}
 }
 
-func (m *measurement) rolloutTokens(at time.Duration, count int) {
-	if m.measured(at) {
-		m.generate.tokens += uint64(count)
+func (m *measurement) addRolloutTokens(at time.Duration, count int) {
+	if m.isMeasured(at) {
+		m.rollouts.tokens += uint64(count)
 	}
 }
 
-func (m *measurement) thrownAway(at time.Duration, count int) {
-	if m.measured(at) {
-		m.generate.thrown += uint64(count)
+func (m *measurement) addDiscardedTokens(at time.Duration, count int) {
+	if m.isMeasured(at) {
+		m.rollouts.discarded += uint64(count)
 	}
 }
 
-func (m *measurement) yielded(at time.Duration) {
-	if m.measured(at) {
-		m.yields++
+func (m *measurement) countSlotPreemption(at time.Duration) {
+	if m.isMeasured(at) {
+		m.slotPreemptions++
 	}
 }
 
-func (m *measurement) moved(at time.Duration) {
-	if m.measured(at) {
-		m.moves++
+func (m *measurement) countMigration(at time.Duration) {
+	if m.isMeasured(at) {
+		m.migrations++
 	}
 }
 
-func (m *measurement) preempted(at time.Duration) {
-	if m.measured(at) {
-		m.preempts++
+func (m *measurement) countEnginePreemption(at time.Duration) {
+	if m.isMeasured(at) {
+		m.enginePreemptions++
 	}
 }
 
-func (m *measurement) weightsServed(at, took time.Duration) {
-	if m.measured(at) {
-		m.spread = append(m.spread, took)
+func (m *measurement) recordWeightDelay(at, took time.Duration) {
+	if m.isMeasured(at) {
+		m.weightDelays = append(m.weightDelays, took)
 	}
 }
 
-// waited counts a trainer's wait.
-func (m *measurement) waited(trainer int, from, to time.Duration) {
+// addWait records a trainer's wait. Only the part after the warm-up counts as idle time.
+func (m *measurement) addWait(trainer int, from, to time.Duration) {
 	one := &m.trainers[trainer]
-	one.waits = append(one.waits, interval{from: from, to: to})
+	one.waits = append(one.waits, timeRange{from: from, to: to})
 	one.idle += max(to-max(from, m.scenario.Warmup), 0)
 }
 
-// delivered counts a step that was handed over.
-func (m *measurement) delivered(t *trainer, step *trainerStep, now time.Duration) {
-	m.waited(t.index, t.waitedFrom, now)
-	if !m.measured(now) {
+// recordStep records a delivered step and the trainer's wait for it.
+func (m *measurement) recordStep(t *trainer, step *trainerStep, now time.Duration) {
+	m.addWait(t.index, t.waitingSince, now)
+	if !m.isMeasured(now) {
 		return
 	}
 	one := &m.trainers[t.index]
-	made := stepMeasurement{delivered: now, wait: now - t.waitedFrom}
+	recorded := stepMeasurement{deliveredAt: now, wait: now - t.waitingSince}
 	for _, sample := range step.samples {
-		age := int(t.version - sample.oldest)
-		for len(one.staleness) <= age {
-			one.staleness = append(one.staleness, 0)
+		age := int(t.version - sample.oldestVersion)
+		for len(one.samplesByAge) <= age {
+			one.samplesByAge = append(one.samplesByAge, 0)
 		}
-		one.staleness[age]++
-		one.lengths = append(one.lengths, sample.length)
-		made.tokens += sample.length
-		made.prompts += sample.group.tokens
-		made.context += float64(sample.length) * (float64(sample.group.tokens) + float64(sample.length)/2)
-		made.longest = max(made.longest, sample.length)
+		one.samplesByAge[age]++
+		one.sampleLengths = append(one.sampleLengths, sample.targetTokens)
+		recorded.sampleTokens += sample.targetTokens
+		recorded.promptTokens += sample.group.promptTokens
+		recorded.contextTokens += float64(sample.targetTokens) * (float64(sample.group.promptTokens) + float64(sample.targetTokens)/2)
+		recorded.longestSampleTokens = max(recorded.longestSampleTokens, sample.targetTokens)
 	}
-	m.generate.delivered += uint64(made.tokens)
-	one.steps = append(one.steps, made)
+	m.rollouts.delivered += uint64(recorded.sampleTokens)
+	one.steps = append(one.steps, recorded)
 }
 
-// training notes the training time of the step that was delivered last.
-func (m *measurement) training(trainer int, length time.Duration) {
+// setTrainTime sets the training time of the trainer's last delivered step.
+func (m *measurement) setTrainTime(trainer int, length time.Duration) {
 	if steps := m.trainers[trainer].steps; len(steps) > 0 {
 		steps[len(steps)-1].trainTime = length
 	}
 }
 
-// scheduleSamples keeps moments for the timeline.
-func (s *simulation) scheduleSamples() {
+// scheduleTimeline takes fleet snapshots at regular intervals.
+func (s *simulation) scheduleTimeline() {
 	interval := max(s.scenario.Duration/timelinePoints, time.Millisecond)
-	var look func()
-	look = func() {
+	var takeSnapshot func()
+	takeSnapshot = func() {
 		versions := make(map[uint64]int)
 		for _, r := range s.replicas {
 			if !r.down {
 				versions[r.engine.Version()]++
 			}
 		}
-		s.measure.timeline = append(s.measure.timeline, moment{at: s.now, versions: versions})
-		s.after(interval, look)
+		s.measurement.timeline = append(s.measurement.timeline, fleetSnapshot{at: s.now, replicasByVersion: versions})
+		s.after(interval, takeSnapshot)
 	}
-	s.after(0, look)
+	s.after(0, takeSnapshot)
 }
--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -13,13 +13,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Size of each plot.
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 4.5 * vg.Inch
 )
 
-// plotFile is one plot of a report.
+// plotFile describes one plot of a report. draw returns nil if the runs have no data for the plot.
 type plotFile struct {
 	name, title string
 	draw        func(*Report) (*plot.Plot, error)
@@ -33,27 +33,27 @@
 	{"versions.png", "Replicas by weight version over time", (*Report).plotVersions},
 }
 
-// writePlots writes every plot that the runs have data for, of the first seed.
+// writePlots writes the plots of the runs with the first seed into folder. It skips plots without data.
 func (r *Report) writePlots(folder string) error {
 	for _, file := range plotFiles {
-		made, err := file.draw(r)
+		chart, err := file.draw(r)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if made == nil {
+		if chart == nil {
 			continue
 		}
-		made.Title.Text = file.title
-		made.Add(plotter.NewGrid())
-		if err := made.Save(plotWidth, plotHeight, filepath.Join(folder, file.name)); err != nil {
+		chart.Title.Text = file.title
+		chart.Add(plotter.NewGrid())
+		if err := chart.Save(plotWidth, plotHeight, filepath.Join(folder, file.name)); err != nil {
 			return trace.ConvertSystemError(err)
 		}
 	}
 	return nil
 }
 
-// firstSeed returns each policy's run with the first seed.
-func (r *Report) firstSeed() []*Run {
+// firstSeedRuns returns each policy's run with the first seed.
+func (r *Report) firstSeedRuns() []*Run {
 	var runs []*Run
 	for index := range r.Runs {
 		if r.Runs[index].Seed == r.Seeds[0] {
@@ -63,24 +63,24 @@
 	return runs
 }
 
-// withRollouts returns those that have rollouts.
-func (r *Report) withRollouts() []*Run {
-	return slices.DeleteFunc(r.firstSeed(), func(run *Run) bool { return run.Steps == 0 })
+// rolloutRuns returns the runs with the first seed that delivered at least one step.
+func (r *Report) rolloutRuns() []*Run {
+	return slices.DeleteFunc(r.firstSeedRuns(), func(run *Run) bool { return run.Steps == 0 })
 }
 
-// idleWindows is the number of windows of the plot of idle time.
+// idleWindows is the number of time windows in the plot of idle time.
 const idleWindows = 30
 
-// plotIdle shows the share of each window that the trainers waited.
+// plotIdle plots the share of each time window that the trainers waited, for each policy.
 func (r *Report) plotIdle() (*plot.Plot, error) {
-	made := plot.New()
-	made.X.Label.Text, made.Y.Label.Text = "minutes", "idle %"
-	made.Y.Min, made.Y.Max = 0, 100
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "minutes", "idle %"
+	chart.Y.Min, chart.Y.Max = 0, 100
 	var lines []any
-	for _, run := range r.withRollouts() {
+	for _, run := range r.rolloutRuns() {
 		lines = append(lines, run.Policy, run.idleOverTime(r.scenario))
 	}
-	return addLines(made, lines)
+	return addLines(chart, lines)
 }
 
 func (r *Run) idleOverTime(scenario *Scenario) plotter.XYs {
@@ -89,58 +89,58 @@
 	for index := range points {
 		from := window * time.Duration(index)
 		idle := 0.0
-		for trainer := range r.measure.trainers {
-			for _, wait := range r.measure.trainers[trainer].waits {
+		for trainer := range r.measurement.trainers {
+			for _, wait := range r.measurement.trainers[trainer].waits {
 				idle += max(min(wait.to, from+window)-max(wait.from, from), 0).Seconds()
 			}
 		}
 		points[index].X = (from + window/2).Minutes()
-		points[index].Y = 100 * idle / window.Seconds() / float64(len(r.measure.trainers))
+		points[index].Y = 100 * idle / window.Seconds() / float64(len(r.measurement.trainers))
 	}
 	return points
 }
 
-// addLines adds named lines of XYs; no lines, no plot.
-func addLines(made *plot.Plot, lines []any) (*plot.Plot, error) {
+// addLines adds lines to a plot, given as alternating names and plotter.XYs. It returns nil if there are no lines.
+func addLines(chart *plot.Plot, lines []any) (*plot.Plot, error) {
 	if len(lines) == 0 {
 		return nil, nil
 	}
-	made.Legend.Top = true
-	return made, plotutil.AddLines(made, lines...)
+	chart.Legend.Top = true
+	return chart, plotutil.AddLines(chart, lines...)
 }
 
-// plotStaleness shows a bar per age and policy.
+// plotStaleness plots the share of delivered samples of each staleness, with a bar for each policy.
 func (r *Report) plotStaleness() (*plot.Plot, error) {
-	runs := r.withRollouts()
+	runs := r.rolloutRuns()
 	if len(runs) == 0 {
 		return nil, nil
 	}
-	made := plot.New()
-	made.X.Label.Text, made.Y.Label.Text = "age in versions", "% of samples"
-	made.Legend.Top = true
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "age in versions", "% of samples"
+	chart.Legend.Top = true
 	width := vg.Points(120 / float64(len(runs)))
 	ages := 0
 	for index, run := range runs {
-		bars, err := plotter.NewBarChart(run.Staleness.shares(), width)
+		bars, err := plotter.NewBarChart(run.Staleness.sharesByAge(), width)
 		if err != nil {
 			return nil, err
 		}
 		bars.Color = plotutil.Color(index)
 		bars.LineStyle.Width = 0
 		bars.Offset = width * vg.Length(float64(index)-float64(len(runs)-1)/2)
-		made.Add(bars)
-		made.Legend.Add(run.Policy, bars)
+		chart.Add(bars)
+		chart.Legend.Add(run.Policy, bars)
 		ages = max(ages, len(run.Staleness.Samples))
 	}
 	names := make([]string, ages)
 	for age := range names {
 		names[age] = fmt.Sprint(age)
 	}
-	made.NominalX(names...)
-	return made, nil
+	chart.NominalX(names...)
+	return chart, nil
 }
 
-func (s *Staleness) shares() plotter.Values {
+func (s *Staleness) sharesByAge() plotter.Values {
 	total := 0.0
 	for _, count := range s.Samples {
 		total += float64(count)
@@ -152,52 +152,54 @@
 	return shares
 }
 
-// plotLengths shows the part of the samples that is longer than a length.
+// plotLengths plots the share of samples at least as long as a given length, for each trainer. It uses the first
+// policy's run only.
 func (r *Report) plotLengths() (*plot.Plot, error) {
-	runs := r.withRollouts()
+	runs := r.rolloutRuns()
 	if len(runs) == 0 {
 		return nil, nil
 	}
-	made := plot.New()
-	made.X.Label.Text, made.Y.Label.Text = "tokens", "% of samples that are longer"
-	made.X.Scale, made.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "tokens", "% of samples that are longer"
+	chart.X.Scale, chart.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	var lines []any
 	for trainer := range r.scenario.Trainers {
-		lengths := slices.Sorted(slices.Values(runs[0].measure.trainers[trainer].lengths))
+		lengths := slices.Sorted(slices.Values(runs[0].measurement.trainers[trainer].sampleLengths))
 		if len(lengths) > 0 {
-			lines = append(lines, r.scenario.Trainers[trainer].Name, tail(lengths))
+			lines = append(lines, r.scenario.Trainers[trainer].Name, survivalCurve(lengths))
 		}
 	}
-	return addLines(made, lines)
+	return addLines(chart, lines)
 }
 
-// plotPoints bounds the points of a curve.
-const plotPoints = 200
+// maxCurvePoints is the approximate maximum number of points of a curve.
+const maxCurvePoints = 200
 
-func tail(sorted []int) plotter.XYs {
-	every := max(len(sorted)/plotPoints, 1)
+// survivalCurve returns the percentage of lengths at or above each length. sorted must be ascending.
+func survivalCurve(sorted []int) plotter.XYs {
+	stride := max(len(sorted)/maxCurvePoints, 1)
 	var points plotter.XYs
-	for position := 0; position < len(sorted); position += every {
-		left := float64(len(sorted)-position) / float64(len(sorted))
-		points = append(points, plotter.XY{X: float64(max(sorted[position], 1)), Y: 100 * left})
+	for position := 0; position < len(sorted); position += stride {
+		longerShare := float64(len(sorted)-position) / float64(len(sorted))
+		points = append(points, plotter.XY{X: float64(max(sorted[position], 1)), Y: 100 * longerShare})
 	}
 	return points
 }
 
-// plotLive shows the latency at each percentile, up to the 99.9th.
+// plotLive plots the live latency at percentiles up to the 99.9th, for each policy.
 func (r *Report) plotLive() (*plot.Plot, error) {
 	if len(r.scenario.Live) == 0 {
 		return nil, nil
 	}
-	made := plot.New()
-	made.X.Label.Text, made.Y.Label.Text = "percentile", "seconds"
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "percentile", "seconds"
 	percents := []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.5, 99.9}
 	var lines []any
-	for _, run := range r.firstSeed() {
+	for _, run := range r.firstSeedRuns() {
 		points := make(plotter.XYs, len(percents))
 		for index, percent := range percents {
 			points[index].X = float64(index)
-			points[index].Y = float64(run.measure.live.latency.ValueAtQuantile(percent)) / 1e6
+			points[index].Y = float64(run.measurement.live.latency.ValueAtQuantile(percent)) / 1e6
 		}
 		lines = append(lines, run.Policy, points)
 	}
@@ -205,40 +207,40 @@
 	for index, percent := range percents {
 		ticks = append(ticks, plot.Tick{Value: float64(index), Label: fmt.Sprint(percent)})
 	}
-	made.X.Tick.Marker = ticks
-	made.Legend.Left = true
-	return addLines(made, lines)
+	chart.X.Tick.Marker = ticks
+	chart.Legend.Left = true
+	return addLines(chart, lines)
 }
 
-// plotVersions shows how many replicas serve each version of the first policy's run, over the last part of
-// the run: all of it would be a hatching.
+// plotVersions plots the number of replicas that serve each weight version in the first policy's run. It covers only
+// the last quarter of the run, because the lines of the whole run are too dense to tell apart.
 func (r *Report) plotVersions() (*plot.Plot, error) {
-	runs := r.withRollouts()
+	runs := r.rolloutRuns()
 	if len(runs) == 0 {
 		return nil, nil
 	}
-	made := plot.New()
-	made.X.Label.Text, made.Y.Label.Text = "minutes", "replicas"
-	moments := runs[0].measure.timeline
-	moments = moments[len(moments)*3/4:]
+	chart := plot.New()
+	chart.X.Label.Text, chart.Y.Label.Text = "minutes", "replicas"
+	snapshots := runs[0].measurement.timeline
+	snapshots = snapshots[len(snapshots)*3/4:]
 	var numbers []uint64
-	for _, moment := range moments {
-		for number := range moment.versions {
+	for _, snapshot := range snapshots {
+		for number := range snapshot.replicasByVersion {
 			numbers = append(numbers, number)
 		}
 	}
 	slices.Sort(numbers)
 	numbers = slices.Compact(numbers)
 	var lines []any
-	for _, number := range numbers[max(len(numbers)-versionsShown, 0):] {
-		points := make(plotter.XYs, len(moments))
-		for index, moment := range moments {
-			points[index] = plotter.XY{X: moment.at.Minutes(), Y: float64(moment.versions[number])}
+	for _, number := range numbers[max(len(numbers)-maxPlottedVersions, 0):] {
+		points := make(plotter.XYs, len(snapshots))
+		for index, snapshot := range snapshots {
+			points[index] = plotter.XY{X: snapshot.at.Minutes(), Y: float64(snapshot.replicasByVersion[number])}
 		}
 		lines = append(lines, fmt.Sprintf("version %d", number), points)
 	}
-	return addLines(made, lines)
+	return addLines(chart, lines)
 }
 
-// versionsShown bounds the versions of a plot.
-const versionsShown = 8
+// maxPlottedVersions is the maximum number of weight versions in a plot.
+const maxPlottedVersions = 8
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -11,15 +11,15 @@
 	"github.com/tamarindring/tamarindring/internal/strictyaml"
 )
 
-// Scheduling names a way of scheduling rollouts.
+// Scheduling names a scheduling policy for rollouts.
 type Scheduling string
 
-// The ways of scheduling rollouts.
+// The scheduling policies.
 const (
 	SchedulingPaced        Scheduling = "paced"        // rollout.Paced
-	SchedulingAsynchronous Scheduling = "asynchronous" // rollout.Asynchronous, a baseline
-	SchedulingSynchronous  Scheduling = "synchronous"  // rollout.Synchronous, a baseline
-	SchedulingNone         Scheduling = "none"         // no rollouts at all: what live traffic sees then
+	SchedulingAsynchronous Scheduling = "asynchronous" // rollout.Asynchronous, as a baseline
+	SchedulingSynchronous  Scheduling = "synchronous"  // rollout.Synchronous, as a baseline
+	SchedulingNone         Scheduling = "none"         // no rollouts, as the reference for live latency
 )
 
 // Routing names a routing policy.
@@ -28,12 +28,12 @@
 // The routing policies.
 const (
 	RoutingBalanced      Routing = "balanced"       // routing.Balanced
-	RoutingRandom        Routing = "random"         // routing.UniformRandom, a baseline
-	RoutingRoundRobin    Routing = "round-robin"    // routing.RoundRobin, a baseline
-	RoutingLeastRequests Routing = "least-requests" // routing.LeastRequests, a baseline
+	RoutingRandom        Routing = "random"         // routing.UniformRandom, as a baseline
+	RoutingRoundRobin    Routing = "round-robin"    // routing.RoundRobin, as a baseline
+	RoutingLeastRequests Routing = "least-requests" // routing.LeastRequests, as a baseline
 )
 
-// Mechanism names a part of the paced policy that can be switched off.
+// Mechanism names a part of the paced scheduling or of the balanced routing that a policy can disable.
 type Mechanism string
 
 // The mechanisms.
@@ -45,24 +45,24 @@
 	MechanismContinuation Mechanism = "continuation"
 	MechanismMargin       Mechanism = "margin"
 	MechanismSteadiness   Mechanism = "steadiness"
-	MechanismTransfer     Mechanism = "transfer" // of KV caches off leaving replicas
-	MechanismPacking      Mechanism = "packing"  // of the balanced routing, whatever the scheduling
+	MechanismTransfer     Mechanism = "transfer" // of KV caches from leaving replicas
+	MechanismPacking      Mechanism = "packing"  // part of the balanced routing, can be disabled with any scheduling
 )
 
 var mechanisms = []Mechanism{MechanismFreshness, MechanismPrediction, MechanismSmoothing, MechanismLongestFirst,
 	MechanismContinuation, MechanismMargin, MechanismSteadiness, MechanismTransfer,
 	MechanismPacking}
 
-// Policy is one combination to measure.
+// Policy is one combination of scheduling and routing to evaluate.
 type Policy struct {
-	// Name appears in the report; unique. Required.
+	// Name appears in the report. Required, unique.
 	Name string `yaml:"name"`
 	// Scheduling is paced, asynchronous, synchronous or none. Default paced.
 	Scheduling Scheduling `yaml:"scheduling"`
 	// Routing is balanced, random, round-robin or least-requests. Default balanced.
 	Routing Routing `yaml:"routing"`
-	// Disable lists mechanisms of paced that are off: freshness, prediction, smoothing, longest-first,
-	// continuation, margin, steadiness, transfer; and packing of the balanced routing.
+	// Disable lists the disabled mechanisms. Paced scheduling has freshness, prediction, smoothing, longest-first,
+	// continuation, margin, steadiness and transfer. Balanced routing has packing. Default none.
 	Disable []Mechanism `yaml:"disable"`
 }
 
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (p *Policy) off(mechanism Mechanism) bool { return slices.Contains(p.Disable, mechanism) }
+func (p *Policy) isDisabled(mechanism Mechanism) bool { return slices.Contains(p.Disable, mechanism) }
 
 func (p *Policy) rolloutPolicy() rollout.Policy {
 	switch p.Scheduling {
@@ -107,10 +107,10 @@
 		return rollout.Synchronous{}
 	}
 	return rollout.Paced{
-		NoFreshness: p.off(MechanismFreshness), NoPrediction: p.off(MechanismPrediction),
-		NoSmoothing: p.off(MechanismSmoothing), NoLongestFirst: p.off(MechanismLongestFirst),
-		NoContinuation: p.off(MechanismContinuation), NoMargin: p.off(MechanismMargin),
-		NoSteadiness: p.off(MechanismSteadiness),
+		NoFreshness: p.isDisabled(MechanismFreshness), NoPrediction: p.isDisabled(MechanismPrediction),
+		NoSmoothing: p.isDisabled(MechanismSmoothing), NoLongestFirst: p.isDisabled(MechanismLongestFirst),
+		NoContinuation: p.isDisabled(MechanismContinuation), NoMargin: p.isDisabled(MechanismMargin),
+		NoSteadiness: p.isDisabled(MechanismSteadiness),
 	}
 }
 
@@ -126,33 +126,34 @@
 	return routing.Balanced{}
 }
 
-// FaultKind names a fault.
+// FaultKind names a kind of fault.
 type FaultKind string
 
-// The faults.
+// The kinds of faults.
 const (
-	FaultCrash       FaultKind = "replica-crash" // replicas lose everything and are away for the duration
-	FaultSwap        FaultKind = "swap-failure"  // the next swap of the replicas fails
-	FaultLateReports FaultKind = "late-reports"  // load reports are as old as lag for the duration
-	FaultScorer      FaultKind = "scorer-stall"  // no score is given for the duration
-	FaultLeave       FaultKind = "replica-leave" // replicas announce it, are away for the duration and come back
+	FaultCrash       FaultKind = "replica-crash" // replicas lose all requests and are down for the duration
+	FaultSwap        FaultKind = "swap-failure"  // the next weight swap of the replicas fails
+	FaultLateReports FaultKind = "late-reports"  // load reports arrive with the age lag for the duration
+	FaultScorer      FaultKind = "scorer-stall"  // samples are not scored for the duration
+	FaultLeave       FaultKind = "replica-leave" // replicas announce it, shut down and return after the duration
 )
 
-// Fault is something that goes wrong, once or again and again.
+// Fault describes a fault that is injected once or repeatedly.
 type Fault struct {
 	// Kind is replica-crash, replica-leave, swap-failure, late-reports or scorer-stall. Required.
 	Kind FaultKind `yaml:"kind"`
-	// First is when it strikes first. Default 5m.
+	// First is the virtual time of the first occurrence. Default 5m.
 	First time.Duration `yaml:"first"`
-	// Every is the mean time between strikes, exponentially drawn; 0 is once.
+	// Every is the mean of the exponentially distributed time between occurrences. Default 0, a single occurrence.
 	Every time.Duration `yaml:"every"`
-	// Duration is how long it lasts; does not apply to swap-failure. Default 30s.
+	// Duration is the length of each occurrence. Ignored by swap-failure. Default 30s.
 	Duration time.Duration `yaml:"duration"`
-	// Replicas is how many replicas one strike hits; does not apply to late-reports and scorer-stall. Default 1.
+	// Replicas is the number of replicas affected by each occurrence. Ignored by late-reports and scorer-stall.
+	// Default 1.
 	Replicas int `yaml:"replicas"`
-	// Lag is the age of reports under late-reports. Default 5s.
+	// Lag is the age of load reports during late-reports. Default 5s.
 	Lag time.Duration `yaml:"lag"`
-	// Swap is how a swap fails: keeps-old, refuses or silent. Default keeps-old.
+	// Swap is the failure mode of swap-failure: keeps-old, refuses or silent. Default keeps-old.
 	Swap string `yaml:"swap"`
 }
 
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -8,10 +8,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Seconds is a length of time in seconds.
+// Seconds is a duration in seconds.
 type Seconds float64
 
-// Latency is a distribution of latencies.
+// Latency summarizes a distribution of latencies.
 type Latency struct {
 	P50  Seconds `json:"p50_seconds"`
 	P99  Seconds `json:"p99_seconds"`
@@ -19,43 +19,46 @@
 	Max  Seconds `json:"max_seconds"`
 }
 
-// Run is what one policy did with one seed, after the warm-up.
+// Run holds the results of one policy with one seed. Unless stated otherwise they cover the time after the warm-up.
 type Run struct {
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
-	// IdleShare is the part of the trainers' time that they waited, and the bound's.
+	// IdleShare is the share of their time that the trainers waited, 0 to 1.
 	IdleShare float64 `json:"idle_share"`
-	Bound     Bound   `json:"lower_bound"`
-	// StepTime is the mean time from one delivered step to the next.
+	// Bound holds the lower bounds for the work of this run.
+	Bound Bound `json:"lower_bound"`
+	// StepTime is the mean time between two delivered steps of a trainer.
 	StepTime Seconds `json:"step_time_seconds"`
 	Steps    int     `json:"steps"`
-	// Staleness of the delivered samples, in versions.
+	// Staleness is the distribution of the delivered samples' staleness.
 	Staleness Staleness `json:"staleness"`
-	// LongestWait is the 99th percentile of a trainer's wait for one step.
-	LongestWait Seconds `json:"wait_p99_seconds"`
-	// RolloutRate is the delivered and undelivered rollout tokens a second; CapacityUsed is its part of what
-	// live traffic leaves.
+	// WaitP99 is the 99th percentile of a trainer's wait for one step.
+	WaitP99 Seconds `json:"wait_p99_seconds"`
+	// RolloutRate is the rate of generated rollout tokens per second, including those that are not delivered.
+	// CapacityUsed is RolloutRate divided by Bound.Capacity.
 	RolloutRate  float64 `json:"rollout_tokens_per_second"`
 	CapacityUsed float64 `json:"capacity_used"`
-	// ThrownAway is the part of the generated tokens that was dropped.
-	ThrownAway  float64 `json:"thrown_away"`
-	Yields      uint64  `json:"yields"`
-	Preemptions uint64  `json:"preemptions"`
-	// Moves counts the samples that were taken off leaving replicas.
-	Moves uint64 `json:"moves"`
-	// PrefixReuse is the part of all prompt tokens that were found in the engines' prefix caches, over the
-	// whole run and all traffic.
+	// DiscardedShare is the share of the generated rollout tokens that was discarded, 0 to 1.
+	DiscardedShare float64 `json:"thrown_away"`
+	// SlotPreemptions is the number of times that a sample lost its slot because its gateway preempted it.
+	// EnginePreemptions is the number of preemptions within the engines, of all traffic.
+	SlotPreemptions   uint64 `json:"yields"`
+	EnginePreemptions uint64 `json:"preemptions"`
+	// Migrations is the number of times that a sample was migrated from a leaving replica.
+	Migrations uint64 `json:"moves"`
+	// PrefixReuse is the share of all prompt tokens that were found in the engines' prefix caches, over all traffic
+	// of the whole run, including the warm-up.
 	PrefixReuse float64 `json:"prefix_reuse"`
 	Live        Live    `json:"live"`
-	// WeightsEverywhere is the time from a release to the last replica serving it.
-	WeightsEverywhere Latency `json:"weights_everywhere"`
-	// WallTime is how long the run took; not part of what equal seeds repeat.
+	// WeightPropagation is the time from the release of weights until all replicas serve them.
+	WeightPropagation Latency `json:"weights_everywhere"`
+	// WallTime is the wall-clock time of the run. Unlike the other results it differs between runs with the same seed.
 	WallTime Seconds `json:"-"`
 
-	measure *measurement
+	measurement *measurement
 }
 
-// Staleness is a distribution of ages in versions.
+// Staleness summarizes a distribution of staleness, in weight versions.
 type Staleness struct {
 	Mean    float64  `json:"mean"`
 	P99     int      `json:"p99"`
@@ -63,37 +66,41 @@
 	Samples []uint64 `json:"samples_by_age"`
 }
 
-// Live is what callers of live traffic saw.
+// Live holds the results of the live traffic.
 type Live struct {
+	// Calls is the number of calls that arrived. Refused counts those that admission rejected, and Lost those without an
+	// answer after all attempts.
 	Calls      uint64  `json:"calls"`
 	Answered   uint64  `json:"answered"`
 	Refused    uint64  `json:"refused"`
 	Lost       uint64  `json:"lost"`
 	Latency    Latency `json:"latency"`
 	FirstToken Latency `json:"first_token"`
-	// InWaves is the latency of the calls that arrived while new weights were on their way to some replica.
+	// InWaves is the latency of the calls that arrived while some replica did not serve the newest weights yet.
 	InWaves Latency `json:"latency_in_waves"`
 }
 
 func newRun(s *simulation, wall time.Duration) Run {
-	m := s.measure
+	m := s.measurement
 	measured := (s.scenario.Duration - s.scenario.Warmup).Seconds()
 	run := Run{
-		Policy: s.policy.Name, Seed: s.seed, Yields: m.yields, Preemptions: m.preempts, Moves: m.moves, WallTime: Seconds(wall.Seconds()),
-		RolloutRate: float64(m.generate.tokens) / measured, measure: m, WeightsEverywhere: spread(m.spread),
+		Policy: s.policy.Name, Seed: s.seed, SlotPreemptions: m.slotPreemptions, EnginePreemptions: m.enginePreemptions,
+		Migrations: m.migrations, WallTime: Seconds(wall.Seconds()),
+		RolloutRate: float64(m.rollouts.tokens) / measured, measurement: m, WeightPropagation: summarizeDurations(m.weightDelays),
 		Live: Live{
-			Calls: m.live.arrived, Answered: m.live.answered, Refused: m.live.refused, Lost: m.live.lost,
-			Latency: latency(m.live.latency), FirstToken: latency(m.live.firstToken), InWaves: latency(m.live.inWaves),
+			Calls: m.live.arrived, Answered: m.live.answered, Refused: m.live.rejected, Lost: m.live.lost,
+			Latency: summarizeHistogram(m.live.latency), FirstToken: summarizeHistogram(m.live.firstToken),
+			InWaves: summarizeHistogram(m.live.latencyInWaves),
 		},
 	}
 	run.PrefixReuse = s.prefixReuse()
-	if m.generate.tokens > 0 {
-		run.ThrownAway = float64(m.generate.thrown) / float64(m.generate.tokens)
+	if m.rollouts.tokens > 0 {
+		run.DiscardedShare = float64(m.rollouts.discarded) / float64(m.rollouts.tokens)
 	}
 	if s.policy.Scheduling == SchedulingNone {
 		return run
 	}
-	run.Bound = m.bound()
+	run.Bound = m.computeBound()
 	if run.Bound.Capacity > 0 {
 		run.CapacityUsed = run.RolloutRate / run.Bound.Capacity
 	}
@@ -119,7 +126,7 @@
 		one := &m.trainers[index]
 		idle += one.idle.Seconds()
 		r.Steps += len(one.steps)
-		for age, count := range one.staleness {
+		for age, count := range one.samplesByAge {
 			for len(ages) <= age {
 				ages = append(ages, 0)
 			}
@@ -134,11 +141,11 @@
 	if r.Steps > 0 {
 		r.StepTime = Seconds(measured * trainers / float64(r.Steps))
 	}
-	r.Staleness = staleness(ages)
-	r.LongestWait = quantile(waits, 0.99)
+	r.Staleness = summarizeStaleness(ages)
+	r.WaitP99 = quantile(waits, 0.99)
 }
 
-func staleness(ages []uint64) Staleness {
+func summarizeStaleness(ages []uint64) Staleness {
 	result := Staleness{Samples: ages, Max: max(len(ages)-1, 0)}
 	total, sum := uint64(0), uint64(0)
 	for age, count := range ages {
@@ -160,14 +167,14 @@
 	return result
 }
 
-func latency(histogram *hdrhistogram.Histogram) Latency {
+func summarizeHistogram(histogram *hdrhistogram.Histogram) Latency {
 	at := func(percent float64) Seconds {
 		return Seconds(float64(histogram.ValueAtQuantile(percent)) / 1e6)
 	}
 	return Latency{P50: at(50), P99: at(99), P999: at(99.9), Max: Seconds(float64(histogram.Max()) / 1e6)}
 }
 
-func spread(times []time.Duration) Latency {
+func summarizeDurations(times []time.Duration) Latency {
 	return Latency{P50: quantile(times, 0.5), P99: quantile(times, 0.99), P999: quantile(times, 0.999), Max: quantile(times, 1)}
 }
 
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -11,105 +11,108 @@
 	"github.com/tamarindring/tamarindring/internal/defaults"
 )
 
-// Options are how a scenario is run.
+// Options controls the execution of a scenario.
 type Options struct {
-	// Parallel is how many runs go side by side. Default 4.
+	// Parallel is the number of runs that execute concurrently. Default 4.
 	Parallel int
-	// Progress is told now and then, from one goroutine, how far all runs are. May be nil.
+	// Progress, if not nil, is called every ProgressInterval with the progress of all runs. All calls come from one
+	// goroutine.
 	Progress func(Progress)
-	// ProgressInterval is the wall time between calls of Progress. Default 2s.
+	// ProgressInterval is the wall-clock time between two calls of Progress. Default 2s.
 	ProgressInterval time.Duration
 }
 
-// Progress is how far an experiment is.
+// Progress describes how much of an experiment is complete.
 type Progress struct {
+	// RunsDone is the number of completed runs out of Runs.
 	RunsDone, Runs int
-	// Virtual is the virtual time simulated so far, of Total, summed over the runs.
+	// Virtual is the virtual time simulated so far out of Total, each summed over the runs.
 	Virtual, Total time.Duration
 }
 
 const defaultParallel = 4
 
-// Execute runs every policy with every seed. The order of the runs in the report, and all of its content, do
-// not depend on Options.
+// Execute runs every policy with every seed. The report's content, including the order of its runs, does not depend
+// on options. If a run fails or ctx ends, Execute returns the error of the first failed run and no report.
 func Execute(ctx context.Context, scenario Scenario, options Options) (*Report, error) {
 	defaults.Set(&options.Parallel, defaultParallel)
 	defaults.Set(&options.ProgressInterval, 2*time.Second)
-	batch := newBatch(&scenario)
-	stop := batch.follow(options)
+	set := newRunSet(&scenario)
+	stop := set.reportProgress(options)
 	var group sync.WaitGroup
-	for range min(options.Parallel, len(batch.runs)) {
+	for range min(options.Parallel, len(set.runs)) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			batch.work(ctx)
+			set.executePending(ctx)
 		}()
 	}
 	group.Wait()
 	stop()
-	for _, err := range batch.errors {
+	for _, err := range set.errors {
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	return newReport(&scenario, batch.runs), nil
+	return newReport(&scenario, set.runs), nil
 }
 
-// batch is all runs of one experiment.
-type batch struct {
-	scenario *Scenario
-	next     atomic.Int64
-	done     atomic.Int64
-	virtual  []atomic.Int64 // time simulated, per run
-	runs     []Run
-	errors   []error
+// runSet holds the runs of one experiment and their progress. Its slices are indexed by run: policy by policy, and
+// by seed within a policy.
+type runSet struct {
+	scenario      *Scenario
+	nextRun       atomic.Int64
+	completedRuns atomic.Int64
+	simulated     []atomic.Int64 // virtual time simulated by each run
+	runs          []Run
+	errors        []error
 }
 
-func newBatch(scenario *Scenario) *batch {
+func newRunSet(scenario *Scenario) *runSet {
 	count := len(scenario.Policies) * len(scenario.Seeds)
-	return &batch{scenario: scenario, virtual: make([]atomic.Int64, count), runs: make([]Run, count), errors: make([]error, count)}
+	return &runSet{scenario: scenario, simulated: make([]atomic.Int64, count), runs: make([]Run, count), errors: make([]error, count)}
 }
 
-// work runs what nobody has taken yet.
-func (b *batch) work(ctx context.Context) {
+// executePending executes runs that no other worker has taken, until none is left.
+func (b *runSet) executePending(ctx context.Context) {
 	for {
-		index := int(b.next.Add(1)) - 1
+		index := int(b.nextRun.Add(1)) - 1
 		if index >= len(b.runs) {
 			return
 		}
 		b.runs[index], b.errors[index] = b.run(ctx, index)
-		b.done.Add(1)
+		b.completedRuns.Add(1)
 	}
 }
 
-func (b *batch) run(ctx context.Context, index int) (Run, error) {
+func (b *runSet) run(ctx context.Context, index int) (Run, error) {
 	policy := &b.scenario.Policies[index/len(b.scenario.Seeds)]
 	seed := b.scenario.Seeds[index%len(b.scenario.Seeds)]
 	started := time.Now()
-	made, err := newSimulation(b.scenario, policy, seed)
+	instance, err := newSimulation(b.scenario, policy, seed)
 	if err != nil {
 		return Run{}, err
 	}
-	if err := made.run(ctx, func(now time.Duration) { b.virtual[index].Store(int64(now)) }); err != nil {
+	if err := instance.run(ctx, func(now time.Duration) { b.simulated[index].Store(int64(now)) }); err != nil {
 		return Run{}, err
 	}
-	b.virtual[index].Store(int64(b.scenario.Duration))
-	return newRun(made, time.Since(started)), nil
+	b.simulated[index].Store(int64(b.scenario.Duration))
+	return newRun(instance, time.Since(started)), nil
 }
 
-// follow reports progress until the returned function is called.
-func (b *batch) follow(options Options) (stop func()) {
+// reportProgress calls options.Progress periodically until the returned function is called.
+func (b *runSet) reportProgress(options Options) (stop func()) {
 	if options.Progress == nil {
 		return func() {}
 	}
-	ended, stopped := make(chan struct{}), make(chan struct{})
+	stopRequested, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
 		ticker := time.NewTicker(options.ProgressInterval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-ended:
+			case <-stopRequested:
 				return
 			case <-ticker.C:
 				options.Progress(b.progress())
@@ -117,15 +120,15 @@
 		}
 	}()
 	return func() {
-		close(ended)
+		close(stopRequested)
 		<-stopped
 	}
 }
 
-func (b *batch) progress() Progress {
-	progress := Progress{RunsDone: int(b.done.Load()), Runs: len(b.runs), Total: b.scenario.Duration * time.Duration(len(b.runs))}
-	for index := range b.virtual {
-		progress.Virtual += time.Duration(b.virtual[index].Load())
+func (b *runSet) progress() Progress {
+	progress := Progress{RunsDone: int(b.completedRuns.Load()), Runs: len(b.runs), Total: b.scenario.Duration * time.Duration(len(b.runs))}
+	for index := range b.simulated {
+		progress.Virtual += time.Duration(b.simulated[index].Load())
 	}
 	return progress
 }
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -9,60 +9,61 @@
 	"github.com/tamarindring/tamarindring/internal/routing"
 )
 
-// promptGroup is one prompt and what its samples share.
+// promptGroup is a prompt that the samples of a group share.
 type promptGroup struct {
-	tokens int
-	hashes []uint64
-	blocks []uint64 // of hashes, those that routing compares
+	promptTokens  int
+	blockHashes   []uint64
+	routingBlocks []uint64 // the subset of blockHashes that routing compares
 }
 
-// sample is one slot of a step: the truth about its length, and what has been generated.
+// sample is one sample of a step. Its final length is fixed when the step opens, but unknown to the scheduler.
 type sample struct {
-	coordinator *coordinator
-	trainer     *trainer
-	step        *trainerStep
-	id          rollout.SampleID
-	group       *promptGroup
-	length      int
-	generated   int
-	oldest      uint64 // trainer version of the oldest kept token; meaningful when generated > 0
-	done        bool   // scored and reported
-	edition     uint32
-
-	gateway    *gateway
-	admission  uint64 // identity at the gateway's queue; 0 while not running
-	current    *attempt
-	reportedAt time.Duration
-	exported   int // tokens of context whose KV cache was exported when the sample was moved
+	coordinator     *coordinator
+	trainer         *trainer
+	step            *trainerStep
+	id              rollout.SampleID
+	group           *promptGroup
+	targetTokens    int
+	generatedTokens int
+	oldestVersion   uint64 // trainer's weight version of the oldest kept token; undefined if generatedTokens is 0
+	scored          bool   // and reported to the scheduler as finished
+	edition         uint32
+
+	gateway        *gateway
+	admissionID    uint64 // request ID in the gateway's admission queue; 0 while neither queued nor running
+	current        *attempt
+	reportedAt     time.Duration
+	exportedTokens int // context tokens in the KV cache that was exported when the sample was migrated
 }
 
-// moveAway takes the sample off its replica, with its KV cache where that is on; it goes on elsewhere.
-func (p *sample) moveAway() {
+// migrate interrupts the sample on its leaving replica, so that it continues on another one. Unless the transfer
+// mechanism is disabled, its KV cache is exported first.
+func (p *sample) migrate() {
 	s := p.coordinator.simulation
-	if !s.policy.off(MechanismTransfer) {
+	if !s.policy.isDisabled(MechanismTransfer) {
 		one := p.current
 		if exported, err := one.replica.engine.Export(s.now, one.id); err == nil {
-			p.exported = exported.Tokens
+			p.exportedTokens = exported.Tokens
 			delete(one.replica.attempts, one.id)
 			s.wakeForEvent(one.replica)
 		}
 	}
-	s.measure.moved(s.now)
+	s.measurement.countMigration(s.now)
 	p.interrupt()
 }
 
-// start asks a gateway for a slot.
+// start requests admission at the next gateway. Callbacks of an admission that has ended since are ignored.
 func (p *sample) start(start rollout.Start) {
 	c := p.coordinator
 	s := c.simulation
-	p.gateway = s.gateways[c.gateways%len(s.gateways)]
-	c.gateways++
-	s.requests++
-	p.admission = s.requests
-	identity := p.admission
-	current := func(run func()) func() {
+	p.gateway = s.gateways[c.gatewayCursor%len(s.gateways)]
+	c.gatewayCursor++
+	s.lastRequestID++
+	p.admissionID = s.lastRequestID
+	identity := p.admissionID
+	ifCurrent := func(run func()) func() {
 		return func() {
-			if p.admission == identity {
+			if p.admissionID == identity {
 				run()
 			}
 		}
@@ -71,136 +72,137 @@
 		ID: identity, Class: classRollout, Rollout: true, Preemptible: true, Deadline: s.scenario.Duration + time.Hour,
 		Resumed: start.PrefixTokens > 0,
 	}
-	s.admit(p.gateway, request, &ask{
-		granted: current(func() { p.send(start) }),
-		refused: func(retryAfter time.Duration) { current(func() { p.refused(retryAfter) })() },
-		yield:   current(p.yield),
+	s.admit(p.gateway, request, &admissionCallbacks{
+		onGranted:  ifCurrent(func() { p.send(start) }),
+		onRejected: func(retryAfter time.Duration) { ifCurrent(func() { p.handleRejection(retryAfter) })() },
+		onPreempt:  ifCurrent(p.preempt),
 	})
 }
 
 func (p *sample) send(start rollout.Start) {
 	s := p.coordinator.simulation
-	wanted := p.length - p.generated
-	if wanted == 0 { // the last token came just before the interruption
-		p.finished()
+	remaining := p.targetTokens - p.generatedTokens
+	if remaining == 0 { // interrupted after the last token but before the end arrived
+		p.onFinished()
 		return
 	}
-	request := routing.Request{Work: float64(start.PredictedTokens - start.PrefixTokens), Blocks: p.group.blocks}
-	work := engine.Request{
-		Priority: priorityRollout, PromptTokens: p.group.tokens + p.generated, OutputTokens: wanted, Prefix: p.group.hashes,
-		ImportedTokens: p.exported,
+	request := routing.Request{Work: float64(start.PredictedTokens - start.PrefixTokens), Blocks: p.group.routingBlocks}
+	engineRequest := engine.Request{
+		Priority: priorityRollout, PromptTokens: p.group.promptTokens + p.generatedTokens, OutputTokens: remaining,
+		Prefix: p.group.blockHashes, ImportedTokens: p.exportedTokens,
 	}
-	sent, chosen := s.send(p.gateway, p, request, work)
+	sent, chosen := s.routeToReplica(p.gateway, p, request, engineRequest)
 	if !chosen {
-		p.refused(coordinatorTick)
+		p.handleRejection(coordinatorTickInterval)
 		return
 	}
-	p.current, p.exported = sent, 0
+	p.current, p.exportedTokens = sent, 0
 	p.reportedAt = -progressInterval
 }
 
-// refused puts the sample back and holds new ones for a while.
-func (p *sample) refused(retryAfter time.Duration) {
+// handleRejection returns the sample to the scheduler and holds back new samples for retryAfter, at most one second.
+func (p *sample) handleRejection(retryAfter time.Duration) {
 	c := p.coordinator
 	c.holdUntil = max(c.holdUntil, c.simulation.now+min(retryAfter, time.Second))
 	p.interrupt()
 }
 
-func (p *sample) yield() {
-	p.coordinator.simulation.measure.yielded(p.coordinator.simulation.now)
+func (p *sample) preempt() {
+	p.coordinator.simulation.measurement.countSlotPreemption(p.coordinator.simulation.now)
 	p.interrupt()
 }
 
-// interrupt ends the running attempt; the scheduler says how many tokens are kept.
+// interrupt ends the running attempt. The scheduler decides whether the generated tokens are kept.
 func (p *sample) interrupt() {
-	if p.admission == 0 || p.done {
+	if p.admissionID == 0 || p.scored {
 		return
 	}
-	p.stop()
+	p.stopAttempt()
 	c := p.coordinator
-	c.scheduler.Progress(c.simulation.now, p.id, p.generated, p.oldest)
+	c.scheduler.Progress(c.simulation.now, p.id, p.generatedTokens, p.oldestVersion)
 	if c.scheduler.Interrupted(c.simulation.now, p.id) == 0 {
-		p.drop()
+		p.dropTokens()
 	}
 }
 
-// stop gives the slot back and cancels the attempt.
-func (p *sample) stop() {
+// stopAttempt cancels the attempt and releases the slot.
+func (p *sample) stopAttempt() {
 	s := p.coordinator.simulation
 	if p.current != nil {
 		s.advance(p.current.replica)
 		s.cancel(p.current)
 		p.current = nil
 	}
-	if p.admission != 0 {
-		identity := p.admission
-		p.admission = 0
-		s.leave(p.gateway, identity)
+	if p.admissionID != 0 {
+		identity := p.admissionID
+		p.admissionID = 0
+		s.withdraw(p.gateway, identity)
 	}
 }
 
-// drop throws the tokens away.
-func (p *sample) drop() {
-	p.coordinator.simulation.measure.thrownAway(p.coordinator.simulation.now, p.generated)
-	p.generated = 0
+// dropTokens discards the generated tokens.
+func (p *sample) dropTokens() {
+	p.coordinator.simulation.measurement.addDiscardedTokens(p.coordinator.simulation.now, p.generatedTokens)
+	p.generatedTokens = 0
 }
 
-// discard throws a sample away that is too old, so that it is generated again.
+// discard drops a sample that exceeds the staleness bound, so that it is generated again.
 func (p *sample) discard() {
-	p.stop()
-	p.drop()
-	if p.done {
-		p.done = false
+	p.stopAttempt()
+	p.dropTokens()
+	if p.scored {
+		p.scored = false
 		p.step.finished--
 	}
 	p.edition++
 	p.coordinator.scheduler.Discarded(p.coordinator.simulation.now, p.id, p.edition)
 }
 
-// tokens implements receiver.
-func (p *sample) tokens(_ time.Duration, count int, version uint64) {
+// onTokens implements receiver.
+func (p *sample) onTokens(_ time.Duration, count int, version uint64) {
 	c := p.coordinator
 	s := c.simulation
 	if p.current == nil {
 		return
 	}
 	number := s.weights.trainerVersion(version, p.trainer.index)
-	if p.generated == 0 || number < p.oldest {
-		p.oldest = number
+	if p.generatedTokens == 0 || number < p.oldestVersion {
+		p.oldestVersion = number
 	}
-	p.generated += count
-	s.measure.rolloutTokens(s.now, count)
+	p.generatedTokens += count
+	s.measurement.addRolloutTokens(s.now, count)
 	if s.now-p.reportedAt >= progressInterval {
 		p.reportedAt = s.now
-		c.scheduler.Progress(s.now, p.id, p.generated, number)
+		c.scheduler.Progress(s.now, p.id, p.generatedTokens, number)
 	}
 }
 
-// finished implements receiver: the scorer is next.
-func (p *sample) finished() {
+// onFinished implements receiver. It releases the slot and schedules the scoring of the sample.
+func (p *sample) onFinished() {
 	s := p.coordinator.simulation
 	p.current = nil
-	p.stop()
+	p.stopAttempt()
 	edition := p.edition
-	s.at(max(s.now, s.scorerUntil)+p.trainer.spec.ScoreTime, func() {
+	s.at(max(s.now, s.scorerStalledUntil)+p.trainer.spec.ScoreTime, func() {
 		if p.edition == edition {
-			p.scored()
+			p.handleScore()
 		}
 	})
 }
 
-func (p *sample) scored() {
+func (p *sample) handleScore() {
 	c := p.coordinator
-	p.done = true
+	p.scored = true
 	p.step.finished++
-	c.scheduler.Finished(c.simulation.now, p.id, p.generated, p.oldest)
+	c.scheduler.Finished(c.simulation.now, p.id, p.generatedTokens, p.oldestVersion)
 	p.trainer.tryDeliver()
 	c.dispatch()
 }
 
-// lost implements receiver: the tokens that were streamed before are kept if the policy keeps any.
-func (p *sample) lost() {
+// onLost implements receiver. Tokens streamed before the loss are kept if the policy keeps tokens of interrupted
+// samples.
+func (p *sample) onLost() {
 	p.current = nil
 	p.interrupt()
-	p.coordinator.simulation.after(coordinatorTick, p.coordinator.dispatch)
+	p.coordinator.simulation.after(coordinatorTickInterval, p.coordinator.dispatch)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -12,114 +12,120 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// Scenario is one experiment: a fleet, its load, its faults and the policies to compare on it.
+// Scenario describes one experiment: a fleet, its load, its faults and the policies to compare.
 type Scenario struct {
 	// Name appears in the report. Required.
 	Name string `yaml:"name"`
-	// Description is one line on what is modelled.
+	// Description is a one-line summary of the modelled system.
 	Description string `yaml:"description"`
-	// Duration is the virtual time of each run. Default 30m.
+	// Duration is the length of each run in virtual time. Default 30m.
 	Duration time.Duration `yaml:"duration"`
-	// Warmup is the part at the start that is not measured. Default a fifth of the duration.
+	// Warmup is the time at the start of each run that is excluded from the results. Default a fifth of the duration.
 	Warmup time.Duration `yaml:"warmup"`
-	// Seeds are the seeds of the runs: each policy runs once with each. Default 1, 2, 3.
+	// Seeds lists the random seeds. Each policy runs once with each seed. Default 1, 2, 3.
 	Seeds []uint64 `yaml:"seeds"`
-	// Fleet is the machines and the platform's manners.
+	// Fleet describes the replicas, the gateways and the delays between them.
 	Fleet Fleet `yaml:"fleet"`
-	// Table is the cells that operators would set.
+	// Table holds the pool settings that operators would set.
 	Table Table `yaml:"table"`
-	// Live is the sources of live traffic. Default none.
+	// Live lists the sources of live traffic. Default none.
 	Live []workload.Source `yaml:"live"`
-	// Trainers are the rollout demand. At least one.
+	// Trainers lists the trainers, which generate the rollout demand. At least one.
 	Trainers []Trainer `yaml:"trainers"`
-	// Weights is how new weights reach the replicas.
+	// Weights describes how new weights reach the replicas.
 	Weights Weights `yaml:"weights"`
-	// Faults are what goes wrong. Default nothing.
+	// Faults lists the faults to inject. Default none.
 	Faults []Fault `yaml:"faults"`
-	// Policies are what is compared, the baselines included. At least one.
+	// Policies lists the policies to compare, including the baselines. At least one.
 	Policies []Policy `yaml:"policies"`
 }
 
-// Fleet describes the machines.
+// Fleet describes the replicas, the gateways and the delays between them.
 type Fleet struct {
-	// Zones are the halls that hold the replicas and gateways. At least one.
+	// Zones lists the zones that hold the replicas and gateways. At least one.
 	Zones []Zone `yaml:"zones"`
-	// Gateways is the number of gateways, spread over the zones in turn. Default 3.
+	// Gateways is the number of gateways, assigned to the zones round-robin. Default 3.
 	Gateways int `yaml:"gateways"`
-	// Engine is the engine's parameters; each has a default.
+	// Engine holds the parameters of the simulated engines. Each has a default.
 	Engine engine.Parameters `yaml:"engine"`
-	// ZoneDelay is the one-way delay inside a region. Default 500µs; inside a zone it is a tenth of it.
+	// ZoneDelay is the one-way network delay between zones of a region. Within a zone the delay is a tenth of it.
+	// Default 500µs.
 	ZoneDelay time.Duration `yaml:"zone_delay"`
-	// RegionDelay is the one-way delay between regions. Default 15ms.
+	// RegionDelay is the one-way network delay between regions. Default 15ms.
 	RegionDelay time.Duration `yaml:"region_delay"`
-	// ReportInterval is the time between a replica's load reports. Default 500ms.
+	// ReportInterval is the time between two load reports of a replica. Default 500ms.
 	ReportInterval time.Duration `yaml:"report_interval"`
-	// ReportLag is how old a report is on arrival. Default 500ms.
+	// ReportLag is the age of a load report when it arrives at a gateway. Default 500ms.
 	ReportLag time.Duration `yaml:"report_lag"`
 }
 
-// Zone is one hall.
+// Zone describes one zone and its replicas.
 type Zone struct {
-	// Name is unique. Required.
+	// Name identifies the zone. Required, unique.
 	Name string `yaml:"name"`
-	// Region is the region that the zone is in. Required.
+	// Region is the region of the zone. Required.
 	Region string `yaml:"region"`
-	// Replicas is the number of engines there.
+	// Replicas is the number of replicas in the zone.
 	Replicas int `yaml:"replicas"`
 }
 
-// Table is the pool's row, under the table's column names.
+// Table holds the pool's row of the settings table, under the column names of that table.
 type Table struct {
-	// MaxInFlight is the limit of each replica. Default the engine's max_batch.
+	// MaxInFlight is the maximum number of requests in flight per replica. Default the engine's max_batch.
 	MaxInFlight int `yaml:"max_in_flight"`
-	// RolloutShare is the part of the slots that rollouts may hold, in percent. Default 90.
+	// RolloutShare is the maximum share of the slots that rollouts may hold, in percent. Default 90.
 	RolloutShare int `yaml:"rollout_share"`
-	// QueueLimit is how many requests may wait at all gateways together. Default 2000.
+	// QueueLimit is the maximum number of queued requests, summed over all gateways. Default 2000.
 	QueueLimit int `yaml:"queue_limit"`
-	// QueueWait is the longest wait for a slot. Default 10s.
+	// QueueWait is the maximum time that a request waits for a slot. Default 10s.
 	QueueWait time.Duration `yaml:"queue_wait"`
-	// StalenessBound is the greatest age of a sample on delivery, in versions. Default 2.
+	// StalenessBound is the maximum staleness of a sample on delivery, in weight versions. Default 2.
 	StalenessBound uint64 `yaml:"staleness_bound"`
 }
 
-// Trainer is one trainer's demand.
+// Trainer describes the rollout demand of one trainer.
 type Trainer struct {
-	// Name is unique. Required.
+	// Name identifies the trainer. Required, unique.
 	Name string `yaml:"name"`
-	// Share is its relative part of the room for rollouts. Default 1.
+	// Share is the trainer's relative share of the rollout capacity. Default 1.
 	Share float64 `yaml:"share"`
-	// PromptsPerStep is the number of prompts of a step. Default 64.
+	// PromptsPerStep is the number of prompts in a step. Default 64.
 	PromptsPerStep int `yaml:"prompts_per_step"`
-	// SamplesPerPrompt is the size of a group. Default 8.
+	// SamplesPerPrompt is the number of samples generated for each prompt, which form a group. Default 8.
 	SamplesPerPrompt int `yaml:"samples_per_prompt"`
-	// PromptTokens is the length of a prompt, which its group shares. Default median 512, sigma 0.3.
+	// PromptTokens is the distribution of prompt lengths. The samples of a group share their prompt.
+	// Default median 512, sigma 0.3.
 	PromptTokens workload.Length `yaml:"prompt_tokens"`
-	// OutputTokens is the typical length of a group's samples, with its tail. Default median 600, sigma 0.6.
+	// OutputTokens is the distribution of the typical sample length of a group. Default median 600, sigma 0.6.
 	OutputTokens workload.Length `yaml:"output_tokens"`
-	// GroupSigma is the sigma of the lognormal factor between the samples of one group. Default 0.3.
+	// GroupSigma is the sigma of the lognormal factor by which a sample's length differs from the typical length of
+	// its group. Default 0.3.
 	GroupSigma float64 `yaml:"group_sigma"`
-	// TrainTime is the time of training on one step. Default 2m.
+	// TrainTime is the time to train on one step. Default 2m.
 	TrainTime time.Duration `yaml:"train_time"`
-	// TrainJitter is the sigma of its lognormal factor. Default 0.05.
+	// TrainJitter is the sigma of the lognormal factor applied to TrainTime. Default 0.05.
 	TrainJitter float64 `yaml:"train_jitter"`
-	// StepsAhead is how many steps are open beyond the one that is wanted. Default the staleness bound.
+	// StepsAhead is the number of steps that are open beyond the one that the trainer waits for. Default the
+	// staleness bound.
 	StepsAhead int `yaml:"steps_ahead"`
-	// ScoreTime is how long a sample's score takes. Default 300ms.
+	// ScoreTime is the time to score a sample. Default 300ms.
 	ScoreTime time.Duration `yaml:"score_time"`
 }
 
-// Weights describes the way of new weights to the replicas.
+// Weights describes the distribution of new weights to the replicas.
 type Weights struct {
-	// FetchTime is how long one replica's copy from the weight store takes. Default 2s.
+	// FetchTime is the time that a replica takes to copy the weights, from the store or from another replica.
+	// Default 2s.
 	FetchTime time.Duration `yaml:"fetch_time"`
-	// StoreStreams is how many copies the rate-limited store serves at once. Default 4; replicas that have
-	// the weights pass them on to others.
+	// StoreStreams is the number of copies that the rate-limited store serves concurrently. Each replica that has
+	// the weights serves one further copy. Default 4.
 	StoreStreams int `yaml:"store_streams"`
-	// SwapShare is the part of the replicas that may swap at once, in percent. Default 20.
+	// SwapShare is the maximum share of the replicas that swap weights concurrently, in percent. Default 20.
 	SwapShare int `yaml:"swap_share"`
 }
 
-// Load reads a scenario; unknown fields and impossible values are refused with file, line and field.
+// Load reads a scenario from a file and fills in the defaults. The error for an unknown field or an invalid value
+// names file, line and field.
 func Load(path string) (Scenario, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -128,7 +134,8 @@
 	return Parse(path, content)
 }
 
-// Parse reads a scenario from YAML, fills in the defaults and checks it. Errors call the content file.
+// Parse reads a scenario from YAML, fills in the defaults and validates it. Errors refer to the content by the name
+// file.
 func Parse(file string, content []byte) (Scenario, error) {
 	var parsed Scenario
 	if err := strictyaml.Decode(file, content, &parsed); err != nil {
@@ -198,7 +205,7 @@
 	defaults.Set(&t.ScoreTime, 300*time.Millisecond)
 }
 
-// Replicas is the number of replicas of all zones.
+// Replicas returns the number of replicas in all zones.
 func (f *Fleet) Replicas() int {
 	count := 0
 	for _, zone := range f.Zones {
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -12,66 +12,68 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// Priorities at the engines; a lower number is more urgent.
+// Priorities of requests at the engines. A lower number is more urgent.
 const (
 	priorityLive    = 0
 	priorityRollout = 1
 )
 
-// replica is one engine and who has work there.
+// replica is a simulated engine and the attempts submitted to it.
 type replica struct {
 	index        int
 	name         string
 	zone         Zone
 	engine       *engine.Engine
-	attempts     map[uint64]*attempt // by request identity
+	attempts     map[uint64]*attempt // by attempt ID
 	wakeAt       time.Duration
-	wakePosition int // in the wake heap; -1 when not in it
+	wakePosition int // index in the wake heap, -1 if absent
 	down         bool
 	leaving      bool
 }
 
-// receiver is whoever asked for a request: a live call or a sample. The methods are called when the news
-// has travelled back to the gateway, but for tokens, which are streamed and counted at once.
+// receiver gets the results of an attempt. It is implemented by live calls and samples. onFinished and onLost are
+// called once the result has travelled back to the gateway. onTokens is called without that delay, because tokens
+// are streamed and counted immediately.
 type receiver interface {
-	// tokens reports count tokens generated under a version, the first at first.
-	tokens(first time.Duration, count int, version uint64)
-	// finished reports the whole answer.
-	finished()
-	// lost reports that the request ended without an answer.
-	lost()
+	// onTokens reports count tokens generated under a weight version, the first of them at the time first.
+	onTokens(first time.Duration, count int, version uint64)
+	// onFinished reports that the answer is complete.
+	onFinished()
+	// onLost reports that the attempt ended without a complete answer.
+	onLost()
 }
 
-// attempt is one request at one replica.
+// attempt is one submission of a request to one replica.
 type attempt struct {
-	id       uint64
-	replica  *replica
-	gateway  *gateway
-	request  routing.Request
-	receiver receiver
-	delay    time.Duration // one way between gateway and replica
-	over     bool
+	id          uint64
+	replica     *replica
+	gateway     *gateway
+	request     routing.Request
+	receiver    receiver
+	oneWayDelay time.Duration // between gateway and replica
+	ended       bool
 }
 
-// simulation is one run: one policy with one seed.
+// simulation is the state of one run, which simulates one policy with one seed.
 type simulation struct {
-	agenda
-	scenario    *Scenario
-	policy      *Policy
-	seed        uint64
-	random      *rand.Rand
-	replicas    []*replica
-	byName      map[string]int // index in replicas
-	gateways    []*gateway
-	coordinator *coordinator
-	weights     *weightRollout
-	measure     *measurement
-	reportLag   time.Duration
-	scorerUntil time.Duration
-	requests    uint64
+	eventQueue
+	scenario           *Scenario
+	policy             *Policy
+	seed               uint64
+	random             *rand.Rand
+	replicas           []*replica
+	replicaIndex       map[string]int // index in replicas by name
+	gateways           []*gateway
+	coordinator        *coordinator
+	weights            *weightRollout
+	measurement        *measurement
+	reportLag          time.Duration
+	scorerStalledUntil time.Duration
+	lastRequestID      uint64
 }
 
-// stream numbers of the random sources, so that one part's draws do not move another's.
+// Stream numbers of the random sources. Separate streams keep the draws of one component independent of how many
+// values another component draws.
 const (
 	streamGateways = iota + 1
 	streamTrainers
@@ -84,7 +86,7 @@
 func newSimulation(scenario *Scenario, policy *Policy, seed uint64) (*simulation, error) {
 	s := &simulation{
 		scenario: scenario, policy: policy, seed: seed, reportLag: scenario.Fleet.ReportLag,
-		random: newRandom(seed, streamGateways), measure: newMeasurement(scenario), byName: map[string]int{},
+		random: newRandom(seed, streamGateways), measurement: newMeasurement(scenario), replicaIndex: map[string]int{},
 	}
 	if err := s.addReplicas(); err != nil {
 		return nil, err
@@ -97,11 +99,12 @@
 	}
 	s.scheduleReports()
 	s.scheduleFaults()
-	s.scheduleSamples()
+	s.scheduleTimeline()
 	return s, nil
 }
 
-// run goes on to the scenario's end; progress is told the virtual time now and then.
+// run simulates up to the end of the scenario. It calls progress periodically with the current virtual time. It fails
+// only if ctx ends.
 func (s *simulation) run(ctx context.Context, progress func(time.Duration)) error {
 	const eventsPerCheck = 4096
 	for events := 0; ; events++ {
@@ -127,12 +130,12 @@
 func (s *simulation) addReplicas() error {
 	for _, zone := range s.scenario.Fleet.Zones {
 		for number := range zone.Replicas {
-			made, err := engine.New(s.scenario.Fleet.Engine, firstVersion)
+			made, err := engine.New(s.scenario.Fleet.Engine, initialVersion)
 			if err != nil {
 				return trace.Wrap(err)
 			}
 			name := replicaName(zone.Name, number)
-			s.byName[name] = len(s.replicas)
+			s.replicaIndex[name] = len(s.replicas)
 			s.replicas = append(s.replicas, &replica{
 				index: len(s.replicas), name: name, zone: zone, engine: made,
 				attempts: map[uint64]*attempt{}, wakePosition: -1,
@@ -142,102 +145,103 @@
 	return nil
 }
 
-// replica returns the replica of a name.
-func (s *simulation) replica(name string) *replica { return s.replicas[s.byName[name]] }
+// replica returns the replica with the given name.
+func (s *simulation) replica(name string) *replica { return s.replicas[s.replicaIndex[name]] }
 
-// advance runs a replica's engine up to now, hands out its events and sets its next wake.
+// advance runs a replica's engine up to the current time, handles its events and schedules its next wake-up.
 func (s *simulation) advance(r *replica) {
 	for _, event := range r.engine.Advance(s.now) {
-		s.handle(r, event)
+		s.handleEngineEvent(r, event)
 	}
 	at, due := r.engine.NextMilestone()
 	s.wake(r, at, due)
 }
 
-func (s *simulation) handle(r *replica, event engine.Event) {
+func (s *simulation) handleEngineEvent(r *replica, event engine.Event) {
 	switch event.Kind {
 	case engine.EventSwapped, engine.EventSwapFailed:
-		s.weights.swapEnded(r)
+		s.weights.handleSwapEnd(r)
 		return
 	case engine.EventPreempted:
-		s.measure.preempted(event.At)
+		s.measurement.countEnginePreemption(event.At)
 		return
 	}
 	one := r.attempts[event.Request]
 	if one == nil {
 		return
 	}
-	if one.over {
+	if one.ended {
 		s.handleCancelled(r, one, event)
 		return
 	}
 	switch event.Kind {
 	case engine.EventTokens:
-		one.receiver.tokens(event.First, event.Count, event.Version)
+		one.receiver.onTokens(event.First, event.Count, event.Version)
 	case engine.EventFinished:
 		delete(r.attempts, event.Request)
-		s.answer(one, event.At, true)
+		s.scheduleAttemptEnd(one, event.At, true)
 	case engine.EventFailed:
 		delete(r.attempts, event.Request)
-		s.answer(one, event.At, false)
+		s.scheduleAttemptEnd(one, event.At, false)
 	}
 }
 
-// handleCancelled counts what a replica does for a request between its cancellation at the gateway and the
-// arrival of the news.
+// handleCancelled handles an event of an attempt that its gateway has ended but whose cancellation has not reached the
+// replica yet. Rollout tokens generated in this interval count as discarded.
 func (s *simulation) handleCancelled(r *replica, one *attempt, event engine.Event) {
 	if event.Kind != engine.EventTokens {
 		delete(r.attempts, event.Request)
 		return
 	}
 	if !one.request.Urgent {
-		s.measure.rolloutTokens(s.now, event.Count)
-		s.measure.thrownAway(s.now, event.Count)
+		s.measurement.addRolloutTokens(s.now, event.Count)
+		s.measurement.addDiscardedTokens(s.now, event.Count)
 	}
 }
 
-// answer brings an attempt's end back to its gateway.
-func (s *simulation) answer(one *attempt, at time.Duration, whole bool) {
-	s.at(at+one.delay, func() { s.ended(one, whole) })
+// scheduleAttemptEnd reports the end of an attempt at its replica to its gateway, one network delay later.
+func (s *simulation) scheduleAttemptEnd(one *attempt, at time.Duration, succeeded bool) {
+	s.at(at+one.oneWayDelay, func() { s.endAttempt(one, succeeded) })
 }
 
-// ended takes an attempt off its gateway's books and tells the receiver.
-func (s *simulation) ended(one *attempt, whole bool) {
-	if one.over {
+// endAttempt removes an attempt from its gateway's routing pool and notifies the receiver.
+func (s *simulation) endAttempt(one *attempt, succeeded bool) {
+	if one.ended {
 		return
 	}
-	one.over = true
+	one.ended = true
 	pool := one.gateway.pool
 	pool.Ended(one.replica.name, &one.request, s.now)
-	if whole {
+	if succeeded {
 		pool.Succeeded(one.replica.name, s.now)
-		one.receiver.finished()
+		one.receiver.onFinished()
 		return
 	}
 	pool.Failed(one.replica.name, s.now)
-	one.receiver.lost()
+	one.receiver.onLost()
 }
 
-// wakeForEvent makes sure that the replica is advanced at its engine's next event of any kind.
+// wakeForEvent schedules the replica's next wake-up at its engine's next event of any kind.
 func (s *simulation) wakeForEvent(r *replica) {
 	at, due := r.engine.NextEvent()
 	s.wake(r, at, due)
 }
 
-// submit brings an attempt to its replica.
+// submit sends an attempt to its replica, where it arrives after the network delay and the transfer of an imported
+// KV cache.
 func (s *simulation) submit(one *attempt, request engine.Request) {
-	delay := one.delay
+	delay := one.oneWayDelay
 	if request.ImportedTokens > 0 {
-		delay += 2 * s.scenario.Fleet.Engine.TransferTime(request.ImportedTokens) // out and in
+		delay += 2 * s.scenario.Fleet.Engine.TransferTime(request.ImportedTokens) // export and import
 	}
 	s.after(delay, func() {
-		if one.over {
+		if one.ended {
 			return
 		}
 		r := one.replica
 		s.advance(r)
 		if err := r.engine.Submit(s.now, request); err != nil {
-			s.answer(one, s.now, false)
+			s.scheduleAttemptEnd(one, s.now, false)
 			return
 		}
 		r.attempts[one.id] = one
@@ -245,14 +249,14 @@
 	})
 }
 
-// cancel ends an attempt at once at its gateway and, a one-way delay later, at the replica.
+// cancel ends an attempt immediately at its gateway and, one network delay later, at the replica.
 func (s *simulation) cancel(one *attempt) {
-	if one.over {
+	if one.ended {
 		return
 	}
-	one.over = true
+	one.ended = true
 	one.gateway.pool.Ended(one.replica.name, &one.request, s.now)
-	s.after(one.delay, func() {
+	s.after(one.oneWayDelay, func() {
 		r := one.replica
 		if r.attempts[one.id] == nil {
 			return
@@ -268,8 +272,8 @@
 	})
 }
 
-// crash takes a replica away; all its requests are lost.
-func (s *simulation) crash(r *replica, away time.Duration) {
+// crash stops a replica, which loses all its attempts, and restarts it with the same weights after the downtime.
+func (s *simulation) crash(r *replica, downtime time.Duration) {
 	if r.down {
 		return
 	}
@@ -279,13 +283,13 @@
 	r.engine.Crash(s.now)
 	s.wake(r, 0, false)
 	for _, one := range sortedAttempts(r) {
-		s.answer(one, s.now, false)
+		s.scheduleAttemptEnd(one, s.now, false)
 	}
 	clear(r.attempts)
-	s.weights.crashed(r)
-	s.after(away, func() {
+	s.weights.handleCrash(r)
+	s.after(downtime, func() {
 		r.down = false
 		r.engine.Restart(s.now, version)
-		s.weights.restarted(r)
+		s.weights.handleRestart(r)
 	})
 }
--- a/internal/experiment/validate.go
+++ b/internal/experiment/validate.go
@@ -8,7 +8,7 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// Validate refuses impossible values with a strictyaml.FieldError.
+// Validate returns a strictyaml.FieldError for the first invalid value.
 func (s *Scenario) Validate() error {
 	switch {
 	case s.Name == "":
@@ -41,7 +41,7 @@
 
 func (s *Scenario) validateLive() error {
 	err := workload.Workload{Sources: s.Live}.Validate()
-	if field, is := err.(*strictyaml.FieldError); is {
+	if field, isFieldError := err.(*strictyaml.FieldError); isFieldError {
 		return strictyaml.Fieldf("live"+field.Path[len("sources"):], "%s", field.Reason)
 	}
 	return err
--- a/internal/experiment/weights.go
+++ b/internal/experiment/weights.go
@@ -8,91 +8,91 @@
 	"github.com/tamarindring/tamarindring/internal/wave"
 )
 
-// firstVersion is what the engines serve at the start.
-const firstVersion = 1
+// initialVersion is the weight version that all engines serve at the start.
+const initialVersion = 1
 
-// laggardPatience is how long a replica that does not serve the newest weights keeps them from counting as
-// available to rollouts, as in the coordinator.
-const laggardPatience = 10 * time.Second
+// laggardTimeout limits how long after their release the newest weights are held back from rollouts by replicas that
+// do not serve them yet. The production coordinator has the same limit.
+const laggardTimeout = 10 * time.Second
 
-// weightVersion is one content of the replicas: the newest weights of every trainer. Engines know its
-// number only.
+// weightVersion is one combination of weights on a replica, with the newest weights of every trainer at its release.
+// Engines know only its number.
 type weightVersion struct {
-	released time.Duration
-	trainers []uint64 // version number per trainer
-	serving  int      // replicas that serve it or a newer one
+	releasedAt      time.Duration
+	trainerVersions []uint64 // weight version of each trainer
+	serving         int      // number of replicas that serve this version or a newer one
 }
 
-// weightRollout brings new weights to all replicas: it carries out the orders of the production planner.
+// weightRollout distributes new weights to all replicas by executing the orders of the production planner.
 type weightRollout struct {
-	simulation *simulation
-	planner    *wave.Planner
-	versions   []weightVersion // by number
-	replicas   []replicaWeights
-	fetching   int
-	complete   func()
+	simulation    *simulation
+	planner       *wave.Planner
+	versions      []weightVersion // indexed by version number
+	replicas      []replicaWeights
+	activeFetches int
+	onServed      func()
 }
 
-// replicaWeights is what the rollout knows about one replica.
+// replicaWeights is the rollout's state for one replica.
 type replicaWeights struct {
-	served  uint64 // as verified
-	fetched uint64 // on the machine
-	order   uint64 // under way; 0 when none
-	swap    bool   // the order is a swap
+	servedVersion  uint64 // last version that the replica is known to serve
+	fetchedVersion uint64 // last version copied to the replica
+	orderID        uint64 // ID of the order in progress, 0 if none
+	orderIsSwap    bool   // whether the order in progress is a swap
 }
 
-// fence is the token of all orders: one run has one owner of the pool.
-const fence = 1
+// fencingToken is the token of all orders. It is constant because the pool has a single owner throughout a run.
+const fencingToken = 1
 
 func newWeightRollout(s *simulation) *weightRollout {
 	settings := &s.scenario.Weights
 	w := &weightRollout{
-		simulation: s, versions: make([]weightVersion, firstVersion+1), replicas: make([]replicaWeights, len(s.replicas)),
+		simulation: s, versions: make([]weightVersion, initialVersion+1), replicas: make([]replicaWeights, len(s.replicas)),
 		planner: wave.New(wave.Config{
 			SwapShare: float64(settings.SwapShare) / 100, StageTime: s.scenario.Fleet.Engine.StageTime,
 		}),
 	}
-	w.versions[firstVersion] = weightVersion{trainers: make([]uint64, len(s.scenario.Trainers)), serving: len(s.replicas)}
+	w.versions[initialVersion] = weightVersion{trainerVersions: make([]uint64, len(s.scenario.Trainers)), serving: len(s.replicas)}
 	names := make([]string, len(s.replicas))
 	for index, r := range s.replicas {
 		names[index] = r.name
-		w.replicas[index] = replicaWeights{served: firstVersion, fetched: firstVersion}
+		w.replicas[index] = replicaWeights{servedVersion: initialVersion, fetchedVersion: initialVersion}
 	}
 	w.planner.SetReplicas(names)
 	return w
 }
 
-// newest is the number of the newest released weights.
+// newest returns the number of the newest released weight version.
 func (w *weightRollout) newest() uint64 { return uint64(len(w.versions) - 1) }
 
-// trainerVersion is a trainer's version number in served weights.
+// trainerVersion returns the version of a trainer's weights within the weight version with the given number.
 func (w *weightRollout) trainerVersion(number uint64, trainer int) uint64 {
-	return w.versions[number].trainers[trainer]
+	return w.versions[number].trainerVersions[trainer]
 }
 
-// release makes a trainer's new version the target of all replicas.
+// release makes a trainer's new weights the target of all replicas.
 func (w *weightRollout) release(trainer int, version uint64) {
-	trainers := append([]uint64(nil), w.versions[w.newest()].trainers...)
+	trainers := append([]uint64(nil), w.versions[w.newest()].trainerVersions...)
 	trainers[trainer] = version
-	w.versions = append(w.versions, weightVersion{released: w.simulation.now, trainers: trainers})
-	w.planner.Release(w.simulation.now, w.name(w.newest()))
-	w.drive()
+	w.versions = append(w.versions, weightVersion{releasedAt: w.simulation.now, trainerVersions: trainers})
+	w.planner.Release(w.simulation.now, w.waveVersion(w.newest()))
+	w.executeOrders()
 }
 
-func (w *weightRollout) name(number uint64) wave.Version {
+func (w *weightRollout) waveVersion(number uint64) wave.Version {
 	return wave.Version{Name: strconv.FormatUint(number, 10), Number: number}
 }
 
-// drive carries out the orders that are due.
-func (w *weightRollout) drive() {
+// executeOrders executes the planner's orders that are due.
+func (w *weightRollout) executeOrders() {
 	for _, order := range w.planner.Next(w.simulation.now) {
 		r := w.simulation.replica(order.Replica)
 		state := &w.replicas[r.index]
-		state.order, state.swap = order.ID, order.Kind == wave.Swap
+		state.orderID, state.orderIsSwap = order.ID, order.Kind == wave.Swap
 		delay := w.simulation.scenario.Fleet.ZoneDelay
 		switch {
 		case r.down:
-			w.answer(r, order.ID, delay, wave.Answer{Outcome: wave.Failed})
+			w.scheduleAnswer(r, order.ID, delay, wave.Answer{Outcome: wave.Failed})
 		case order.Kind == wave.Stage:
 			w.fetch(r, order)
 		default:
@@ -101,50 +101,51 @@
 	}
 }
 
-// answer brings the end of an order back, unless a crash has ended it before.
-func (w *weightRollout) answer(r *replica, order uint64, delay time.Duration, answer wave.Answer) {
+// scheduleAnswer reports the outcome of an order to the planner after a delay, unless the order has ended by then
+// because of a crash.
+func (w *weightRollout) scheduleAnswer(r *replica, order uint64, delay time.Duration, answer wave.Answer) {
 	state := &w.replicas[r.index]
 	w.simulation.after(delay, func() {
-		if state.order != order {
+		if state.orderID != order {
 			return
 		}
-		state.order = 0
+		state.orderID = 0
 		w.planner.Answered(w.simulation.now, order, answer)
-		if answer.Outcome == wave.Done && state.swap {
-			w.verified(r, answer.Serving)
+		if answer.Outcome == wave.Done && state.orderIsSwap {
+			w.recordServed(r, answer.Serving)
 		}
-		w.drive()
+		w.executeOrders()
 	})
 }
 
-// fetch brings the weights to the machine: from the store, or from replicas that have them, which take as
-// many streams as there are.
+// fetch copies the weights to the replica, either from the store or from a replica that has them. Each such replica
+// serves one copy in addition to the streams of the store. A fetch beyond these limits is throttled.
 func (w *weightRollout) fetch(r *replica, order wave.Order) {
 	state := &w.replicas[r.index]
 	settings := &w.simulation.scenario.Weights
-	if w.fetching >= settings.StoreStreams+w.holders(order.Version.Number) {
-		w.answer(r, order.ID, 0, wave.Answer{Outcome: wave.Throttled, RetryAfter: settings.FetchTime})
+	if w.activeFetches >= settings.StoreStreams+w.countHolders(order.Version.Number) {
+		w.scheduleAnswer(r, order.ID, 0, wave.Answer{Outcome: wave.Throttled, RetryAfter: settings.FetchTime})
 		return
 	}
-	w.fetching++
+	w.activeFetches++
 	w.simulation.after(settings.FetchTime, func() {
-		w.fetching--
+		w.activeFetches--
 		answer := wave.Answer{Outcome: wave.Done}
-		if r.down || r.engine.StageWeights(w.simulation.now, order.Version.Number, fence) != nil {
+		if r.down || r.engine.StageWeights(w.simulation.now, order.Version.Number, fencingToken) != nil {
 			answer.Outcome = wave.Failed
 		} else {
-			state.fetched = order.Version.Number
+			state.fetchedVersion = order.Version.Number
 			w.simulation.wakeForEvent(r)
 		}
-		w.answer(r, order.ID, 0, answer)
+		w.scheduleAnswer(r, order.ID, 0, answer)
 	})
 }
 
-// holders is how many replicas can pass weights on.
-func (w *weightRollout) holders(number uint64) int {
+// countHolders returns the number of replicas that can serve copies of a weight version.
+func (w *weightRollout) countHolders(number uint64) int {
 	count := 0
 	for index := range w.replicas {
-		if w.replicas[index].fetched == number {
+		if w.replicas[index].fetchedVersion == number {
 			count++
 		}
 	}
@@ -154,85 +155,86 @@
 func (w *weightRollout) swap(r *replica, order wave.Order) {
 	w.simulation.advance(r)
 	delay := w.simulation.scenario.Fleet.ZoneDelay
-	if r.engine.SwapWeights(w.simulation.now, order.Version.Number, fence) != nil {
-		w.answer(r, order.ID, delay, wave.Answer{Outcome: wave.Failed})
+	if r.engine.SwapWeights(w.simulation.now, order.Version.Number, fencingToken) != nil {
+		w.scheduleAnswer(r, order.ID, delay, wave.Answer{Outcome: wave.Failed})
 		return
 	}
 	if load := r.engine.Load(w.simulation.now); load.Version == order.Version.Number && !load.Refusing {
-		w.answer(r, order.ID, delay, wave.Answer{Outcome: wave.Done, Serving: load.Version})
+		w.scheduleAnswer(r, order.ID, delay, wave.Answer{Outcome: wave.Done, Serving: load.Version})
 		return
 	}
 	w.simulation.wakeForEvent(r)
 }
 
-// swapEnded answers the order with the version that the replica serves: only that tells whether a swap that
-// is reported as done really is.
-func (w *weightRollout) swapEnded(r *replica) {
+// handleSwapEnd answers a replica's swap order with the version that the replica actually serves, because a swap can
+// be reported as done without having taken effect.
+func (w *weightRollout) handleSwapEnd(r *replica) {
 	state := &w.replicas[r.index]
 	w.simulation.interruptOnSwap(r)
-	if state.order != 0 && state.swap {
-		w.answer(r, state.order, w.simulation.scenario.Fleet.ZoneDelay, wave.Answer{Outcome: wave.Done, Serving: r.engine.Version()})
+	if state.orderID != 0 && state.orderIsSwap {
+		w.scheduleAnswer(r, state.orderID, w.simulation.scenario.Fleet.ZoneDelay, wave.Answer{Outcome: wave.Done, Serving: r.engine.Version()})
 	}
 }
 
-// verified notes the version that a replica really serves.
-func (w *weightRollout) verified(r *replica, version uint64) {
+// recordServed records the weight version that a replica actually serves.
+func (w *weightRollout) recordServed(r *replica, version uint64) {
 	state := &w.replicas[r.index]
-	for number := state.served + 1; number <= version; number++ {
+	for number := state.servedVersion + 1; number <= version; number++ {
 		w.versions[number].serving++
 		if w.versions[number].serving == len(w.replicas) {
-			w.simulation.measure.weightsServed(w.simulation.now, w.simulation.now-w.versions[number].released)
+			w.simulation.measurement.recordWeightDelay(w.simulation.now, w.simulation.now-w.versions[number].releasedAt)
 		}
 	}
-	state.served = version
-	if w.complete != nil {
-		w.complete()
+	state.servedVersion = version
+	if w.onServed != nil {
+		w.onServed()
 	}
 }
 
-// report passes a replica's load report on to the planner.
-func (w *weightRollout) report(r *replica, load engine.Load) {
+// reportLoad forwards a replica's load report to the planner.
+func (w *weightRollout) reportLoad(r *replica, load engine.Load) {
 	w.planner.Report(w.simulation.now, r.name, wave.Report{
-		Version: w.name(load.Version), Staged: load.Staged, Refusing: load.Refusing,
+		Version: w.waveVersion(load.Version), Staged: load.Staged, Refusing: load.Refusing,
 	})
 }
 
-// crashed ends the order that is under way at a replica.
-func (w *weightRollout) crashed(r *replica) {
+// handleCrash fails the order in progress at a crashed replica.
+func (w *weightRollout) handleCrash(r *replica) {
 	state := &w.replicas[r.index]
-	if state.order != 0 {
-		w.answer(r, state.order, w.simulation.scenario.Fleet.ZoneDelay, wave.Answer{Outcome: wave.Failed})
+	if state.orderID != 0 {
+		w.scheduleAnswer(r, state.orderID, w.simulation.scenario.Fleet.ZoneDelay, wave.Answer{Outcome: wave.Failed})
 	}
-	if w.complete != nil {
-		w.complete()
+	if w.onServed != nil {
+		w.onServed()
 	}
 }
 
-// restarted reads what a replica that is back serves.
-func (w *weightRollout) restarted(r *replica) { w.verified(r, r.engine.Version()) }
+// handleRestart records the weight version that a restarted replica serves.
+func (w *weightRollout) handleRestart(r *replica) { w.recordServed(r, r.engine.Version()) }
 
-// available is the oldest version of a trainer that a replica serves which is up and no laggard: what
-// starts now is made by this version or a newer one.
-func (w *weightRollout) available(trainer int) uint64 {
+// availableVersion returns the oldest version of a trainer's weights on any replica that is up. A sample that starts
+// now is generated with this version or a newer one. From laggardTimeout after the release of the newest weights,
+// replicas that do not serve them yet are ignored.
+func (w *weightRollout) availableVersion(trainer int) uint64 {
 	oldest := w.newest()
-	if w.simulation.now >= w.versions[oldest].released+laggardPatience {
+	if w.simulation.now >= w.versions[oldest].releasedAt+laggardTimeout {
 		return w.trainerVersion(oldest, trainer)
 	}
 	for index, r := range w.simulation.replicas {
 		if !r.down {
-			oldest = min(oldest, w.replicas[index].served)
+			oldest = min(oldest, w.replicas[index].servedVersion)
 		}
 	}
 	return w.trainerVersion(oldest, trainer)
 }
 
-// spreading says that new weights are on their way to some replica.
-func (w *weightRollout) spreading() bool { return w.versions[w.newest()].serving < len(w.replicas) }
+// isUpdating reports whether some replica does not serve the newest weights yet.
+func (w *weightRollout) isUpdating() bool { return w.versions[w.newest()].serving < len(w.replicas) }
 
-// everywhere says that all replicas that are up serve the newest weights.
-func (w *weightRollout) everywhere() bool {
+// isServedEverywhere reports whether all replicas that are up serve the newest weights.
+func (w *weightRollout) isServedEverywhere() bool {
 	for index, r := range w.simulation.replicas {
-		if !r.down && w.replicas[index].served < w.newest() {
+		if !r.down && w.replicas[index].servedVersion < w.newest() {
 			return false
 		}
 	}
