--- a/internal/workload/caller/attempt.go
+++ b/internal/workload/caller/attempt.go
@@ -19,46 +19,46 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// maxAnswer bounds an answer that is read at once.
-const maxAnswer = 64 << 20
+// maxAnswerBytes limits the size of an answer that is not streamed.
+const maxAnswerBytes = 64 << 20
 
-// resultKind says what became of one attempt.
+// resultKind classifies the outcome of an attempt.
 type resultKind uint8
 
 const (
-	answered resultKind = iota + 1 // a whole and right answer
-	refused                        // an error answer
-	lost                           // the connection broke: nothing is known
-	wrong                          // an answer that looks whole but is not the right one
+	resultAnswered resultKind = iota + 1 // a complete and correct answer
+	resultRejected                       // an error response
+	resultLost                           // no complete response because the connection failed; the outcome is unknown
+	resultWrong                          // a response that is presented as complete but is incorrect
 )
 
-// result is the outcome of an attempt, and of a call once it is the last one.
+// result is the outcome of an attempt. The result of the last attempt is the outcome of the call.
 type result struct {
-	kind       resultKind
-	verdict    verdict.Verdict
-	status     int
-	detail     string // of a refusal, a loss or a wrong answer
-	code       string // of a refusal
-	retryAfter time.Duration
-	unreached  bool // no connection was made
-	attempts   int
-	cuts       int       // attempts whose connection broke after it was made, this one included
-	trail      []Attempt // of a non-repeatable call
-	firstToken time.Time
-	backend    string
-	tokens     int
+	kind              resultKind
+	verdict           verdict.Verdict
+	status            int
+	detail            string // reason for a rejected, lost or wrong result
+	code              string // error code of a rejection
+	retryAfter        time.Duration
+	notConnected      bool // the connection could not be established
+	attempts          int
+	brokenConnections int       // attempts of the call so far whose established connection broke, including this one
+	trail             []Attempt // all attempts of a non-repeatable call
+	firstToken        time.Time
+	backend           string
+	tokens            int
 }
 
-// preparedCall is a call ready to be sent, again with equal content.
+// preparedCall is a call with its request content, which is the same for all attempts.
 type preparedCall struct {
-	source   *workload.Source
-	path     string
-	body     []byte
-	key      string // of a non-repeatable call
-	streamed bool
-	chat     bool
-	prompt   string // as the engine sees it
-	expected string
+	source       *workload.Source
+	path         string
+	body         []byte
+	key          string // idempotency key of a non-repeatable call; empty for a repeatable one
+	streamed     bool
+	chat         bool
+	prompt       string // prompt as the engine receives it, with the chat template applied
+	expectedText string
 }
 
 type completionBody struct {
@@ -69,11 +69,11 @@
 	Tokens   int            `json:"max_tokens"`
 }
 
-func prepare(source *workload.Source, call workload.Call, run string) *preparedCall {
+func prepareCall(source *workload.Source, call workload.Call, runName string) *preparedCall {
 	if source.Service == workload.ServiceApplication {
-		return prepareInvocation(source, call, run)
+		return prepareInvocation(source, call, runName)
 	}
-	content := source.PromptText(call, run)
+	content := source.PromptText(call, runName)
 	prepared := &preparedCall{source: source, streamed: call.Streamed, chat: call.Chat, path: "/v1/completions", prompt: content}
 	body := completionBody{Model: source.Pool, Prompt: content, Stream: call.Streamed, Tokens: max(call.OutputTokens, 1)}
 	if call.Chat {
@@ -82,12 +82,12 @@
 		prepared.prompt, _ = text.RenderChat(body.Messages, false)
 	}
 	prepared.body, _ = json.Marshal(body)
-	prepared.expected = text.ExpectedText(prepared.prompt, body.Tokens)
+	prepared.expectedText = text.ExpectedText(prepared.prompt, body.Tokens)
 	return prepared
 }
 
-func prepareInvocation(source *workload.Source, call workload.Call, run string) *preparedCall {
-	key := fmt.Sprintf("%s-%s-%d", run, source.Name, call.Number)
+func prepareInvocation(source *workload.Source, call workload.Call, runName string) *preparedCall {
+	key := fmt.Sprintf("%s-%s-%d", runName, source.Name, call.Number)
 	filling := strings.Repeat("x", source.BodyBytes)
 	return &preparedCall{
 		source: source, key: key, path: "/v1/pools/" + source.Pool + "/" + source.Operation,
@@ -95,13 +95,15 @@
 	}
 }
 
-// attempt sends the call once to one gateway and reads the whole answer.
-func (c *Caller) attempt(ctx context.Context, prepared *preparedCall, gateway string) result {
+// sendAttempt sends the call once to one gateway and reads the complete response.
+func (c *Caller) sendAttempt(ctx context.Context, prepared *preparedCall, gateway string) result {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+prepared.path, bytes.NewReader(prepared.body))
 	if err != nil {
-		return result{kind: lost, detail: err.Error()}
+		return result{kind: resultLost, detail: err.Error()}
 	}
-	request.GetBody = nil // with it the client sends a call with a key again by itself, uncounted, when a kept connection ends
+	// With GetBody set, the client would silently resend a call with an idempotency key when a kept-alive connection closes,
+	// and that attempt would not be counted.
+	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Tamarindring-Class", prepared.source.Class)
 	if deadline, ok := ctx.Deadline(); ok {
@@ -116,25 +118,25 @@
 	response, err := c.client.Do(request)
 	if err != nil {
 		var failed *net.OpError
-		return result{kind: lost, detail: err.Error(), unreached: errors.As(err, &failed) && failed.Op == "dial"}
+		return result{kind: resultLost, detail: err.Error(), notConnected: errors.As(err, &failed) && failed.Op == "dial"}
 	}
 	defer response.Body.Close()
-	read := c.read(prepared, response)
+	read := c.readAnswer(prepared, response)
 	read.status = response.StatusCode
 	read.backend = response.Header.Get("Tamarindring-Backend")
 	return read
 }
 
-func (c *Caller) read(prepared *preparedCall, response *http.Response) result {
+func (c *Caller) readAnswer(prepared *preparedCall, response *http.Response) result {
 	if response.StatusCode != http.StatusOK {
 		return readRefusal(response)
 	}
 	if prepared.streamed {
 		return readStream(prepared, response.Body)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return result{kind: lost, detail: err.Error()}
+		return result{kind: resultLost, detail: err.Error()}
 	}
 	if prepared.key != "" {
 		return checkInvocation(prepared, body)
@@ -142,7 +144,7 @@
 	return checkCompletion(prepared, body)
 }
 
-// errorBody is the OpenAI form of an error with the verdict.
+// errorBody is an error response in OpenAI format with the verdict added.
 type errorBody struct {
 	Error *errorDetail `json:"error"`
 }
@@ -161,17 +163,17 @@
 	}
 	code, _ := d.Code.(string)
 	return result{
-		kind: refused, verdict: known, detail: d.Message, code: code,
+		kind: resultRejected, verdict: known, detail: d.Message, code: code,
 		retryAfter: time.Duration(d.RetryAfterSeconds * float64(time.Second)),
 	}
 }
 
 func readRefusal(response *http.Response) result {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return result{kind: lost, detail: err.Error()}
+		return result{kind: resultLost, detail: err.Error()}
 	}
-	read := result{kind: refused, verdict: verdict.MayHaveRun, detail: string(body)}
+	read := result{kind: resultRejected, verdict: verdict.MayHaveRun, detail: string(body)}
 	var parsed errorBody
 	if json.Unmarshal(body, &parsed) == nil && parsed.Error != nil {
 		read = parsed.Error.result()
@@ -185,20 +187,20 @@
 	return read
 }
 
-// checkInvocation compares an application's answer with what the call must give.
+// checkInvocation checks that an application's answer has the checksum of this call.
 func checkInvocation(prepared *preparedCall, body []byte) result {
 	var answer application.Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return result{kind: wrong, verdict: verdict.Ran, detail: "the answer is no JSON: " + err.Error()}
+		return result{kind: resultWrong, verdict: verdict.Ran, detail: "the answer is no JSON: " + err.Error()}
 	}
 	hash := application.BodyHash(prepared.body)
 	if answer.Checksum != application.Checksum(prepared.source.Operation, prepared.key, hash) {
-		return result{kind: wrong, verdict: verdict.Ran, detail: fmt.Sprintf("the answer to %s is for key %s", prepared.key, answer.Key)}
+		return result{kind: resultWrong, verdict: verdict.Ran, detail: fmt.Sprintf("the answer to %s is for key %s", prepared.key, answer.Key)}
 	}
-	return result{kind: answered, verdict: verdict.Ran}
+	return result{kind: resultAnswered, verdict: verdict.Ran}
 }
 
-// wholeCompletion is the part of an answer that is not streamed which is checked.
+// wholeCompletion holds the checked fields of a completion that is not streamed.
 type wholeCompletion struct {
 	Choices []struct {
 		Text     string       `json:"text"`
@@ -210,21 +212,21 @@
 func checkCompletion(prepared *preparedCall, body []byte) result {
 	var answer wholeCompletion
 	if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) != 1 {
-		return result{kind: wrong, verdict: verdict.Ran, detail: "the answer is no completion"}
+		return result{kind: resultWrong, verdict: verdict.Ran, detail: "the answer is no completion"}
 	}
 	choice := answer.Choices[0]
 	return checkText(prepared, choice.Text+choice.Message.Content, choice.Checksum)
 }
 
-// checkText compares a text that was presented as whole with the only right one.
+// checkText compares a text that was presented as complete, and its checksum, with the expected ones.
 func checkText(prepared *preparedCall, content, checksum string) result {
-	if content != prepared.expected {
-		return result{kind: wrong, verdict: verdict.Ran, detail: fmt.Sprintf("the answer has %d of %d bytes, or other content", len(content), len(prepared.expected))}
+	if content != prepared.expectedText {
+		return result{kind: resultWrong, verdict: verdict.Ran, detail: fmt.Sprintf("the answer has %d of %d bytes, or other content", len(content), len(prepared.expectedText))}
 	}
 	if checksum != text.Checksum(prepared.prompt, content) {
-		return result{kind: wrong, verdict: verdict.Ran, detail: "the checksum is wrong"}
+		return result{kind: resultWrong, verdict: verdict.Ran, detail: "the checksum is wrong"}
 	}
-	return result{kind: answered, verdict: verdict.Ran, tokens: text.Count(content)}
+	return result{kind: resultAnswered, verdict: verdict.Ran, tokens: text.Count(content)}
 }
 
 var errNoEnd = errors.New("the stream ended without its end mark")
--- a/internal/workload/caller/caller.go
+++ b/internal/workload/caller/caller.go
@@ -13,19 +13,19 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// Caller drives gateways with a workload.
+// Caller generates load for gateways from a workload and records the outcome.
 type Caller struct {
-	config   Config
-	client   *http.Client
-	turn     atomic.Uint64
-	inFlight atomic.Int64
-	record   *recorder
+	config        Config
+	client        *http.Client
+	gatewayCursor atomic.Uint64
+	inFlight      atomic.Int64
+	recorder      *recorder
 
 	randomMutex sync.Mutex
 	random      *rand.Rand
 }
 
-// New returns a caller that has not started.
+// New returns a caller that has not started. It returns an error if config is invalid.
 func New(config Config) (*Caller, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -36,34 +36,34 @@
 		DisableCompression: true,
 	}
 	return &Caller{
-		config: config, client: &http.Client{Transport: transport}, record: newRecorder(config),
+		config: config, client: &http.Client{Transport: transport}, recorder: newRecorder(config),
 		random: rand.New(rand.NewSource(config.Seed)),
 	}, nil
 }
 
-// Run starts calls until ctx ends, then waits for those in flight, up to their deadlines.
+// Run starts calls until ctx ends and then waits for the calls in flight, up to their deadlines. It always returns nil.
 func (c *Caller) Run(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	start := time.Now()
-	c.record.begin(start)
+	c.recorder.start(start)
 	var sources, calls sync.WaitGroup
 	for _, generator := range c.config.Workload.Generators(c.config.Seed) {
-		sources.Go(func() { c.drive(ctx, start, generator, &calls) })
+		sources.Go(func() { c.runSource(ctx, start, generator, &calls) })
 	}
 	sources.Wait()
-	c.record.finish(time.Now())
+	c.recorder.finish(time.Now())
 	calls.Wait()
 	return nil
 }
 
-// Stats returns the account so far.
-func (c *Caller) Stats() Stats { return c.record.stats() }
+// Stats returns the statistics so far. It may be called while Run is active.
+func (c *Caller) Stats() Stats { return c.recorder.stats() }
 
-// Calls returns the remembered non-repeatable calls that are over.
-func (c *Caller) Calls() []Call { return c.record.calls() }
+// Calls returns the completed non-repeatable calls, up to the first Config.KeepCalls.
+func (c *Caller) Calls() []Call { return c.recorder.calls() }
 
-// drive starts one source's calls at their times.
-func (c *Caller) drive(ctx context.Context, start time.Time, generator *workload.Generator, calls *sync.WaitGroup) {
+// runSource starts the calls of one source at their intended times until ctx ends.
+func (c *Caller) runSource(ctx context.Context, start time.Time, generator *workload.Generator, calls *sync.WaitGroup) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -77,56 +77,59 @@
 		}
 		source := &c.config.Workload.Sources[call.Source]
 		if c.inFlight.Load() >= int64(c.config.MaxInFlight) {
-			c.record.unsent(source)
+			c.recorder.recordUnsent(source)
 			continue
 		}
 		c.inFlight.Add(1)
 		calls.Go(func() {
 			defer c.inFlight.Add(-1)
-			c.perform(ctx, source, call, intended)
+			c.performCall(ctx, source, call, intended)
 		})
 	}
 }
 
-// perform sends one call until its fate is known, its attempts are used up or its deadline has passed. It
-// outlives ctx: a planned end waits for the answers.
-func (c *Caller) perform(ctx context.Context, source *workload.Source, call workload.Call, intended time.Time) {
+// performCall sends one call until its outcome is known, its attempts are used up or its deadline has passed. It
+// continues after ctx ends, because Run waits for the answers of calls in flight.
+func (c *Caller) performCall(ctx context.Context, source *workload.Source, call workload.Call, intended time.Time) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), intended.Add(source.Deadline))
 	defer cancel()
-	prepared := prepare(source, call, c.config.Run)
-	if source.Service == workload.ServiceApplication && c.draw() < c.config.DoubleProbability {
-		c.performTwice(ctx, prepared, intended)
+	prepared := prepareCall(source, call, c.config.Run)
+	if source.Service == workload.ServiceApplication && c.randomFloat() < c.config.DoubleProbability {
+		c.performCallTwice(ctx, prepared, intended)
 		return
 	}
-	result := c.attempts(ctx, prepared)
-	c.record.done(prepared, result, intended)
+	result := c.sendWithRetries(ctx, prepared)
+	c.recorder.recordCall(prepared, result, intended)
 }
 
-// performTwice sends one key through two gateways at once and records the more certain result.
-func (c *Caller) performTwice(ctx context.Context, prepared *preparedCall, intended time.Time) {
-	second := make(chan result, 1)
-	go func() { second <- c.attempts(ctx, prepared) }()
-	first := c.attempts(ctx, prepared)
-	other := <-second
-	c.record.doubled(prepared, first, other)
-	c.record.done(prepared, combine(first, other), intended)
+// performCallTwice sends a call through two gateways concurrently with the same idempotency key and records the
+// combined result.
+func (c *Caller) performCallTwice(ctx context.Context, prepared *preparedCall, intended time.Time) {
+	secondResult := make(chan result, 1)
+	go func() { secondResult <- c.sendWithRetries(ctx, prepared) }()
+	first := c.sendWithRetries(ctx, prepared)
+	other := <-secondResult
+	c.recorder.recordDoubled(prepared, first, other)
+	c.recorder.recordCall(prepared, combineResults(first, other), intended)
 }
 
-// combine is what a caller knows of a key that it sent twice at once. A refusal settles the key only for what
-// had arrived by then, so the key did not run only if both were told so.
-func combine(first, second result) result {
-	kept, dropped := first, second
-	if certainty(second.verdict) > certainty(first.verdict) {
-		kept, dropped = second, first
+// combineResults merges the results of two concurrent sends of one key. A rejection settles the key only for sends that
+// had arrived by then, and the other send may still run. Therefore the combined verdict is DidNotRun only if both
+// results have it.
+func combineResults(first, second result) result {
+	combined, other := first, second
+	if certaintyRank(second.verdict) > certaintyRank(first.verdict) {
+		combined, other = second, first
 	}
-	kept.attempts += dropped.attempts
-	kept.cuts += dropped.cuts
-	kept.trail = append(append([]Attempt{}, first.trail...), second.trail...)
-	return kept
+	combined.attempts += other.attempts
+	combined.brokenConnections += other.brokenConnections
+	combined.trail = append(append([]Attempt{}, first.trail...), second.trail...)
+	return combined
 }
 
-// certainty orders verdicts by which of two answers about one key is the key's own.
-func certainty(known verdict.Verdict) int {
+// certaintyRank orders verdicts about one key. Of two concurrent sends, the verdict with the higher rank applies to the
+// key.
+func certaintyRank(known verdict.Verdict) int {
 	switch known {
 	case verdict.Ran:
 		return 2
@@ -137,63 +140,65 @@
 	}
 }
 
-// attempts repeats a call while its answer is lost.
-func (c *Caller) attempts(ctx context.Context, prepared *preparedCall) result {
-	mean := c.config.RetryPause
-	cuts := 0
+// sendWithRetries sends a call, retrying as retryDelay decides, and returns the last result. The result includes the
+// number of attempts and broken connections and, for a non-repeatable call, the trail of all attempts.
+func (c *Caller) sendWithRetries(ctx context.Context, prepared *preparedCall) result {
+	meanPause := c.config.RetryPause
+	brokenConnections := 0
 	var trail []Attempt
 	for attempt := 1; ; attempt++ {
-		gateway := c.gateway()
-		last := c.attempt(ctx, prepared, gateway)
+		gateway := c.nextGateway()
+		last := c.sendAttempt(ctx, prepared, gateway)
 		if prepared.key != "" {
 			trail = append(trail, Attempt{Gateway: gateway, Ended: time.Now(), Verdict: last.verdict.String(), Detail: last.detail})
 		}
 		last.trail = trail
-		if last.kind == lost && !last.unreached {
-			cuts++
+		if last.kind == resultLost && !last.notConnected {
+			brokenConnections++
 		}
-		last.attempts, last.cuts = attempt, cuts
-		wait, again := c.retry(prepared, last, attempt, mean)
-		if !again || pause.For(ctx, wait) != nil {
+		last.attempts, last.brokenConnections = attempt, brokenConnections
+		delay, retry := c.retryDelay(prepared, last, attempt, meanPause)
+		if !retry || pause.For(ctx, delay) != nil {
 			return last
 		}
-		mean *= 2
+		meanPause *= 2
 	}
 }
 
-// retry decides whether an attempt is repeated, and after which wait.
-func (c *Caller) retry(prepared *preparedCall, last result, attempt int, mean time.Duration) (time.Duration, bool) {
-	if last.kind == answered || last.kind == wrong || attempt >= c.config.MaxAttempts {
+// retryDelay reports whether an attempt is retried, and the pause before the retry.
+func (c *Caller) retryDelay(prepared *preparedCall, last result, attempt int, meanPause time.Duration) (time.Duration, bool) {
+	if last.kind == resultAnswered || last.kind == resultWrong || attempt >= c.config.MaxAttempts {
 		return 0, false
 	}
-	wait := time.Duration((0.5 + c.draw()) * float64(mean))
-	if last.kind == lost {
-		return wait, true
+	delay := time.Duration((0.5 + c.randomFloat()) * float64(meanPause))
+	if last.kind == resultLost {
+		return delay, true
 	}
-	if last.verdict == verdict.DidNotRun && sendsElsewhere(last.code) {
-		return wait, true // Retry-After is about the gateway that refused
+	if last.verdict == verdict.DidNotRun && asksForAnotherGateway(last.code) {
+		return delay, true // Retry-After applies only to the gateway that rejected the call
 	}
 	if !c.config.RetryRefused || last.verdict != verdict.DidNotRun || prepared.key != "" || last.retryAfter == 0 {
 		return 0, false
 	}
-	return max(wait, last.retryAfter), true
+	return max(delay, last.retryAfter), true
 }
 
-// sendsElsewhere tells whether a refusal asks for the same call at another gateway: one that stops by plan
-// or has lost touch with the control nodes, or one whose knowledge of the key's refusal there was still on its way.
-func sendsElsewhere(code string) bool {
+// asksForAnotherGateway reports whether the error code of a rejection asks for the same call at another gateway. The
+// gateway is shutting down, has lost contact with the control nodes, or rejected the key earlier and that rejection is
+// not known everywhere yet.
+func asksForAnotherGateway(code string) bool {
 	return code == "draining" || code == "lease_lapsed" || code == "refused_earlier"
 }
 
-func (c *Caller) gateway() string {
+func (c *Caller) nextGateway() string {
 	addresses := c.config.Gateways()
 	if len(addresses) == 0 {
 		return ""
 	}
-	return addresses[c.turn.Add(1)%uint64(len(addresses))]
+	return addresses[c.gatewayCursor.Add(1)%uint64(len(addresses))]
 }
 
-func (c *Caller) draw() float64 {
+func (c *Caller) randomFloat() float64 {
 	c.randomMutex.Lock()
 	defer c.randomMutex.Unlock()
 	return c.random.Float64()
--- a/internal/workload/caller/caller_test.go
+++ b/internal/workload/caller/caller_test.go
@@ -21,50 +21,52 @@
 )
 
 func TestMain(m *testing.M) {
-	// Both belong to fasthttp: a process-wide clock, and a cleaner that notices the stop after its sleep.
+	// These goroutines belong to fasthttp: a process-wide clock, and a cleaner that notices a stop only after its sleep.
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"))
 }
 
 const (
-	// drivenCalls are over before drive ends: so many that faults of a few tenths show, however slow the machine is.
-	drivenCalls = 60
-	// driveLimit only ends a test that would never end.
-	driveLimit = 20 * time.Second
+	// minCalls is the minimum number of calls that complete before runCalls returns. It is high enough that faults with
+	// probabilities of 0.2 or more occur, independent of the speed of the machine.
+	minCalls = 60
+	// runTimeout ends a test that would otherwise hang.
+	runTimeout = 20 * time.Second
 )
 
-// drive calls the addresses until drivenCalls are over, and returns the caller when every call is.
-func drive(t *testing.T, source workload.Source, addresses ...string) *Caller {
+// runCalls runs a caller against the addresses until minCalls calls have completed, waits for the calls in flight and
+// returns the caller.
+func runCalls(t *testing.T, source workload.Source, addresses ...string) *Caller {
 	t.Helper()
 	source.Name, source.Pool, source.Arrival.PerSecond = "source", "pool", 200
 	load := workload.Workload{Sources: []workload.Source{source}}
 	load.SetDefaults()
-	made, err := New(Config{
+	caller, err := New(Config{
 		Gateways: func() []string { return addresses }, Workload: load, Seed: 1, KeepCalls: 1000,
 		RetryPause: time.Millisecond, MaxAttempts: 20, Log: logging.Discard(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), driveLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { ended <- made.Run(ctx) }()
-	for ctx.Err() == nil && made.Stats().Total.Requests < drivenCalls {
+	go func() { ended <- caller.Run(ctx) }()
+	for ctx.Err() == nil && caller.Stats().Total.Requests < minCalls {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if over := made.Stats().Total.Requests; over < drivenCalls {
-		t.Fatalf("%d calls were over after %s, want %d", over, driveLimit, drivenCalls)
+	if over := caller.Stats().Total.Requests; over < minCalls {
+		t.Fatalf("got %d completed calls after %s, want at least %d", over, runTimeout, minCalls)
 	}
-	return made
+	return caller
 }
 
-func TestCutStreamsAreResentAndNeverLookWhole(t *testing.T) {
+func TestTruncatedStreamsAreRetriedNotAccepted(t *testing.T) {
 	started, err := engine.New(engine.Config{
 		Name: "e", Listen: "127.0.0.1:0", InitialVersion: "v1", InitialVersionNumber: 1, TimeScale: 100, Seed: 3, Log: logging.Discard(),
 	})
@@ -73,20 +75,20 @@
 	}
 	servertest.Run(t, started)
 	started.SetFaults(engine.Faults{CutProbability: 0.3, CutCleanly: true})
-	stats := drive(t, workload.Source{StreamedShare: 0.7, ChatShare: 0.5}, started.Address()).Stats()
+	stats := runCalls(t, workload.Source{StreamedShare: 0.7, ChatShare: 0.5}, started.Address()).Stats()
 	total := stats.Total
 	if total.Answered == 0 || total.Answered != total.Requests || total.Wrong != 0 {
-		t.Errorf("stats %+v, examples %v %v", total, stats.WrongExamples, stats.FailedExamples)
+		t.Errorf("got stats %+v, want all calls answered and none wrong; examples %v %v", total, stats.WrongExamples, stats.FailedExamples)
 	}
 	if total.Resent == 0 {
-		t.Errorf("no answer was cut: %+v", total)
+		t.Errorf("got no retries, want some after truncated answers: %+v", total)
 	}
 	if total.FirstToken.P50 <= 0 || total.Latency.P50 < total.FirstToken.P50 {
-		t.Errorf("latency %+v, first token %+v", total.Latency, total.FirstToken)
+		t.Errorf("got latency %+v and first token %+v, want 0 < first token p50 <= latency p50", total.Latency, total.FirstToken)
 	}
 }
 
-func TestDuplicatedChunksAreNoticed(t *testing.T) {
+func TestDuplicatedStreamChunksCountAsWrong(t *testing.T) {
 	started, err := engine.New(engine.Config{
 		Name: "e", Listen: "127.0.0.1:0", InitialVersion: "v1", InitialVersionNumber: 1, TimeScale: 100, Log: logging.Discard(),
 	})
@@ -95,36 +97,37 @@
 	}
 	servertest.Run(t, started)
 	started.SetFaults(engine.Faults{DuplicateProbability: 1})
-	total := drive(t, workload.Source{StreamedShare: 1}, started.Address()).Stats().Total
+	total := runCalls(t, workload.Source{StreamedShare: 1}, started.Address()).Stats().Total
 	if total.Requests == 0 || total.Wrong != total.Requests {
-		t.Errorf("stats %+v", total)
+		t.Errorf("got stats %+v, want all calls wrong", total)
 	}
 }
 
-// arrivals counts the sendings of calls by key.
-type arrivals struct {
+// sendCounter counts the received requests by idempotency key.
+type sendCounter struct {
 	mutex sync.Mutex
 	byKey map[string]int
 }
 
-func (a *arrivals) note(key string) {
+func (a *sendCounter) add(key string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.byKey[key]++
 }
 
-func (a *arrivals) of(key string) int {
+func (a *sendCounter) sent(key string) int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.byKey[key]
 }
 
-// poolProxy passes application calls on to a replica, as a gateway without any promise would, and counts them.
-func poolProxy(t *testing.T, replica string) (address string, came *arrivals) {
+// startCountingProxy starts a proxy that forwards application calls to a replica and counts them. Unlike a gateway it
+// guarantees nothing about calls that fail.
+func startCountingProxy(t *testing.T, replica string) (address string, counter *sendCounter) {
 	t.Helper()
-	came = &arrivals{byKey: map[string]int{}}
+	counter = &sendCounter{byKey: map[string]int{}}
 	proxy := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		came.note(request.Header.Get("Idempotency-Key"))
+		counter.add(request.Header.Get("Idempotency-Key"))
 		forward, err := http.NewRequestWithContext(request.Context(), http.MethodPost, "http://"+replica+"/v1/invoke/push", request.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
@@ -146,58 +149,59 @@
 		proxy.Close()
 		http.DefaultClient.CloseIdleConnections()
 	})
-	return proxy.Listener.Addr().String(), came
+	return proxy.Listener.Addr().String(), counter
 }
 
-func TestNonRepeatableCallsAreRemembered(t *testing.T) {
+func TestNonRepeatableCallsAreRecorded(t *testing.T) {
 	replica, err := application.New(application.Config{Name: "a", Listen: "127.0.0.1:0", ServiceTime: -1, Seed: 2, Log: logging.Discard()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	servertest.Run(t, replica)
 	replica.SetFaults(application.Faults{RefuseProbability: 0.2, CrashBeforeRunProbability: 0.2})
-	proxy, came := poolProxy(t, replica.Address())
-	made := drive(t, workload.Source{Service: workload.ServiceApplication, Operation: "push"}, proxy)
-	stats := made.Stats()
-	calls := made.Calls()
+	proxy, counter := startCountingProxy(t, replica.Address())
+	caller := runCalls(t, workload.Source{Service: workload.ServiceApplication, Operation: "push"}, proxy)
+	stats := caller.Stats()
+	calls := caller.Calls()
 	if len(calls) == 0 || len(calls) != stats.Total.Requests || stats.Total.Wrong != 0 {
-		t.Fatalf("%d calls, stats %+v, examples %v", len(calls), stats.Total, stats.WrongExamples)
+		t.Fatalf("got %d recorded calls, want one for each request and none wrong; stats %+v, examples %v", len(calls), stats.Total, stats.WrongExamples)
 	}
-	refused, resent := 0, 0
+	rejected, retried := 0, 0
 	for _, call := range calls {
 		executions := replica.Executions(call.Key)
 		if call.Verdict == verdict.DidNotRun {
-			refused++
+			rejected++
 		}
 		if call.Attempts > 1 {
-			resent++
+			retried++
 		}
-		if sent := came.of(call.Key); sent != call.Attempts {
-			t.Errorf("%+v was sent %d times", call, sent)
+		if sent := counter.sent(call.Key); sent != call.Attempts {
+			t.Errorf("%+v: got %d requests at the proxy, want one for each attempt", call, sent)
 		}
 		if call.Answered != (executions > 0) {
-			t.Errorf("%+v ran %d times", call, executions)
+			t.Errorf("%+v: got %d executions, want some exactly if the call was answered", call, executions)
 		}
 	}
-	if refused == 0 || resent == 0 || stats.Total.ByVerdict.DidNotRun != refused {
-		t.Errorf("%d refused, %d resent, stats %+v", refused, resent, stats.Total)
+	if rejected == 0 || retried == 0 || stats.Total.ByVerdict.DidNotRun != rejected {
+		t.Errorf("got %d rejected and %d retried calls, want some of each, and all rejected ones in the stats %+v", rejected, retried, stats.Total)
 	}
 }
 
-func TestAnotherCallsAnswerIsWrong(t *testing.T) {
-	mixed := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+func TestAnswerForAnotherKeyCountsAsWrong(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		hash := application.BodyHash([]byte("x"))
 		fmt.Fprintf(writer, `{"key":"other","checksum":%q}`, application.Checksum("push", "other", hash))
 	}))
-	t.Cleanup(mixed.Close)
-	stats := drive(t, workload.Source{Service: workload.ServiceApplication, Operation: "push"}, mixed.Listener.Addr().String()).Stats()
+	t.Cleanup(server.Close)
+	stats := runCalls(t, workload.Source{Service: workload.ServiceApplication, Operation: "push"}, server.Listener.Addr().String()).Stats()
 	if stats.Total.Wrong == 0 || stats.Total.Wrong != stats.Total.Requests || len(stats.WrongExamples) == 0 {
-		t.Errorf("stats %+v", stats.Total)
+		t.Errorf("got stats %+v, want all calls wrong and an example of them", stats.Total)
 	}
 }
 
-// TestARefusalHidesThatTheOtherSendingMayHaveRun combines what two sendings of one key were told.
-func TestARefusalHidesThatTheOtherSendingMayHaveRun(t *testing.T) {
+// TestRejectionDoesNotHideThatTheDuplicateMayHaveRun guards against a key that is recorded as not run because one of
+// its two concurrent sends was rejected, although the other one ran or may have run.
+func TestRejectionDoesNotHideThatTheDuplicateMayHaveRun(t *testing.T) {
 	for _, known := range []struct{ first, second, want verdict.Verdict }{
 		{verdict.DidNotRun, verdict.MayHaveRun, verdict.MayHaveRun},
 		{verdict.MayHaveRun, verdict.DidNotRun, verdict.MayHaveRun},
@@ -205,8 +209,8 @@
 		{verdict.MayHaveRun, verdict.Ran, verdict.Ran},
 		{verdict.DidNotRun, verdict.DidNotRun, verdict.DidNotRun},
 	} {
-		if got := combine(result{verdict: known.first}, result{verdict: known.second}); got.verdict != known.want {
-			t.Errorf("%s and %s combine to %s", known.first, known.second, got.verdict)
+		if got := combineResults(result{verdict: known.first}, result{verdict: known.second}); got.verdict != known.want {
+			t.Errorf("%s and %s: got combined verdict %s", known.first, known.second, got.verdict)
 		}
 	}
 }
--- a/internal/workload/caller/config.go
+++ b/internal/workload/caller/config.go
@@ -1,6 +1,6 @@
-// Package caller drives gateways with a workload, open-loop: calls start when the workload says, whether
-// or not earlier ones have been answered, and latency counts from the intended start. It checks each
-// answer's content and checksum and keeps what was told about each non-repeatable call.
+// Package caller generates open-loop load for gateways from a workload. Calls start at the times that the workload
+// defines, whether or not earlier calls have been answered, and latency is measured from the intended start. The caller
+// checks the content and checksum of each answer and records the outcome of non-repeatable calls.
 package caller
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	defaultMaxInFlight = 4096
 	defaultMaxAttempts = 4
@@ -21,34 +21,37 @@
 	defaultRunName     = "run"
 )
 
-// Config holds a caller's settings.
+// Config holds the settings of a Caller.
 type Config struct {
-	// Gateways returns the addresses, IP:port, to call now; each attempt goes to another one in turn.
-	// Required.
+	// Gateways returns the current gateway addresses as IP:port. Attempts use them round-robin. Required.
 	Gateways func() []string
-	// Workload is what to call. It must be valid.
+	// Workload describes the calls. It must be valid.
 	Workload workload.Workload
-	// Seed draws the workload and the faults.
+	// Seed seeds the workload, the retry pauses and the choice of the calls that are sent twice.
 	Seed int64
-	// Run makes prompts and keys of different runs differ. Default "run".
+	// Run names the run. It is part of prompts and idempotency keys, so that those of different runs differ.
+	// Default "run".
 	Run string
-	// MaxInFlight bounds the calls at once; one more is not sent and counted as unsent. Default 4096.
+	// MaxInFlight is the maximum number of concurrent calls. Calls beyond it are not sent and count as unsent.
+	// Default 4096.
 	MaxInFlight int
-	// MaxAttempts bounds how often a call whose answer was lost is sent. Default 4.
+	// MaxAttempts is the maximum number of attempts per call. Default 4.
 	MaxAttempts int
-	// RetryPause is the mean pause before an attempt is repeated; it doubles. Default 50ms.
+	// RetryPause is the mean pause before the first retry. It doubles with each retry. Default 50ms.
 	RetryPause time.Duration
-	// RetryRefused also repeats calls that were refused as "did not run" and told when to come back,
-	// within their deadline. Default false. A non-repeatable call is repeated after a refusal only when a
-	// gateway that stops sends it elsewhere, which repeats any call whatever this setting.
+	// RetryRefused also retries repeatable calls that were rejected with the verdict "did not run" and a retry delay,
+	// within their deadline. Default false. Regardless of this setting, any call is retried if a rejection asks for
+	// another gateway, for example because the gateway is draining. Non-repeatable calls are retried after a
+	// rejection only in that case.
 	RetryRefused bool
-	// DoubleProbability sends a non-repeatable call through two gateways at once, under one key.
+	// DoubleProbability is the probability that a non-repeatable call is sent through two gateways concurrently with
+	// the same idempotency key, 0 to 1. Default 0.
 	DoubleProbability float64
-	// KeepCalls bounds the remembered non-repeatable calls. Default 0, none.
+	// KeepCalls is the maximum number of non-repeatable calls that Caller.Calls returns. Default 0.
 	KeepCalls int
-	// Authorization is the value of the header of that name; none if empty.
+	// Authorization is the value of the Authorization header. The header is omitted if it is empty.
 	Authorization string
-	// Log is required.
+	// Log receives log messages. Required.
 	Log *logrus.Entry
 }
 
--- a/internal/workload/caller/record.go
+++ b/internal/workload/caller/record.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	largestLatency  = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits   = 3
-	keptExamples    = 20
-	microsPerMillis = 1000.0
+	maxLatencyMicros           = int64(10 * time.Minute / time.Microsecond)
+	latencySignificantDigits   = 3
+	maxExamples                = 20
+	microsecondsPerMillisecond = 1000.0
 )
 
-// Verdicts counts calls by what was finally known of them.
+// Verdicts counts calls by their final verdict.
 type Verdicts struct {
 	Ran        int `json:"ran"`
 	DidNotRun  int `json:"did_not_run"`
 	MayHaveRun int `json:"may_have_run"`
 }
 
-// Latency is a summary in milliseconds from the intended start of answered calls.
+// Latency summarizes the latency of answered calls from their intended start, in milliseconds.
 type Latency struct {
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
@@ -34,38 +34,38 @@
 	Max  float64 `json:"max_ms"`
 }
 
-// SourceStats is the account of one source, or of all.
+// SourceStats holds the statistics of one source or of a set of sources.
 type SourceStats struct {
 	Name       string   `json:"name"`
-	Requests   int      `json:"requests"` // over, whatever their end
-	Answered   int      `json:"answered"` // whole and right
-	Refused    int      `json:"refused"`  // error answers
-	Lost       int      `json:"lost"`     // nothing known after the last attempt
-	Wrong      int      `json:"wrong"`    // looked whole and was not: a broken promise
-	Unsent     int      `json:"unsent"`   // not sent, too many in flight
+	Requests   int      `json:"requests"` // completed calls, with any outcome
+	Answered   int      `json:"answered"` // complete and correct answers
+	Refused    int      `json:"refused"`  // error responses
+	Lost       int      `json:"lost"`     // outcome unknown after the last attempt
+	Wrong      int      `json:"wrong"`    // presented as complete but incorrect, which gateways must prevent
+	Unsent     int      `json:"unsent"`   // not sent because too many calls were in flight
 	Resent     int      `json:"resent"`   // attempts beyond the first
-	Cut        int      `json:"cut"`      // attempts whose connection broke after it was made
+	Cut        int      `json:"cut"`      // attempts whose established connection broke
 	Tokens     int      `json:"tokens"`
 	ByVerdict  Verdicts `json:"by_verdict"`
 	Latency    Latency  `json:"latency"`
 	FirstToken Latency  `json:"first_token"` // of streamed answers
 
-	FailedExamples []string `json:"failed_examples,omitempty"` // the last refused or lost ones, at most 20
+	FailedExamples []string `json:"failed_examples,omitempty"` // the last 20 rejected or lost calls
 }
 
-// Stats is a caller's account.
+// Stats holds the statistics of a caller.
 type Stats struct {
 	Seconds        float64       `json:"seconds"`
 	Total          SourceStats   `json:"total"`
 	Live           SourceStats   `json:"live"`       // all sources that call model pools
 	Operations     SourceStats   `json:"operations"` // all sources that call application pools
 	Sources        []SourceStats `json:"sources"`
-	Doubled        int           `json:"doubled"`         // keys sent through two gateways at once
-	WrongExamples  []string      `json:"wrong_examples"`  // at most 20
-	FailedExamples []string      `json:"failed_examples"` // refused or lost, at most 20
+	Doubled        int           `json:"doubled"`         // keys sent through two gateways concurrently
+	WrongExamples  []string      `json:"wrong_examples"`  // the first 20
+	FailedExamples []string      `json:"failed_examples"` // the first 20 rejected or lost calls
 }
 
-// Call is what a caller was finally told about one non-repeatable call.
+// Call is the final outcome of one non-repeatable call, as known to the caller.
 type Call struct {
 	Key       string
 	Pool      string
@@ -74,23 +74,23 @@
 	Answered  bool
 	Attempts  int
 	Ended     time.Time
-	Trail     []Attempt // every attempt in order; of a call sent twice at once, those of both
+	Trail     []Attempt // all attempts in order; if sent twice, the first send before the second
 }
 
-// Attempt is what one attempt at a non-repeatable call was told.
+// Attempt is the outcome of one attempt of a non-repeatable call.
 type Attempt struct {
 	Gateway string
 	Ended   time.Time
 	Verdict string
-	Detail  string // of a failure
+	Detail  string // reason of a failure
 }
 
-// String is the attempt on one line.
+// String formats the attempt on one line.
 func (a Attempt) String() string {
 	return fmt.Sprintf("%s %s: %s %s", a.Ended.Format("15:04:05.000"), a.Gateway, a.Verdict, a.Detail)
 }
 
-// sourceRecord accumulates one source.
+// sourceRecord accumulates the statistics of a source or a set of sources.
 type sourceRecord struct {
 	stats      SourceStats
 	latency    *hdrhistogram.Histogram
@@ -100,113 +100,113 @@
 func newSourceRecord(name string) *sourceRecord {
 	return &sourceRecord{
 		stats:      SourceStats{Name: name},
-		latency:    hdrhistogram.New(1, largestLatency, latencyDigits),
-		firstToken: hdrhistogram.New(1, largestLatency, latencyDigits),
+		latency:    hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits),
+		firstToken: hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits),
 	}
 }
 
-// recorder is the account of all sources.
+// recorder accumulates the statistics of all sources. It is safe for concurrent use.
 type recorder struct {
-	mutex    sync.Mutex
-	began    time.Time
-	ended    time.Time
-	total    *sourceRecord
-	services map[workload.Service]*sourceRecord
-	sources  map[string]*sourceRecord
-	order    []string
-	doubles  int
-	wrongs   []string
-	failures []string
-	keep     int
-	kept     []Call
+	mutex              sync.Mutex
+	startedAt          time.Time
+	endedAt            time.Time
+	total              *sourceRecord
+	services           map[workload.Service]*sourceRecord
+	sources            map[string]*sourceRecord
+	sourceNames        []string
+	doubledCalls       int
+	wrongExamples      []string
+	failedExamples     []string
+	maxRememberedCalls int
+	rememberedCalls    []Call
 }
 
 func newRecorder(config Config) *recorder {
-	made := &recorder{
-		total: newSourceRecord("total"), sources: make(map[string]*sourceRecord), keep: config.KeepCalls,
+	created := &recorder{
+		total: newSourceRecord("total"), sources: make(map[string]*sourceRecord), maxRememberedCalls: config.KeepCalls,
 		services: map[workload.Service]*sourceRecord{
 			workload.ServiceEngine: newSourceRecord("live"), workload.ServiceApplication: newSourceRecord("operations"),
 		},
 	}
 	for _, source := range config.Workload.Sources {
-		made.sources[source.Name] = newSourceRecord(source.Name)
-		made.order = append(made.order, source.Name)
+		created.sources[source.Name] = newSourceRecord(source.Name)
+		created.sourceNames = append(created.sourceNames, source.Name)
 	}
-	return made
+	return created
 }
 
-func (r *recorder) begin(now time.Time) {
+func (r *recorder) start(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.began = now
+	r.startedAt = now
 }
 
 func (r *recorder) finish(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.ended = now
+	r.endedAt = now
 }
 
-// of lists the records that a source's calls count in.
-func (r *recorder) of(source *workload.Source) [3]*sourceRecord {
+// recordsOf returns the records in which calls of a source are counted.
+func (r *recorder) recordsOf(source *workload.Source) [3]*sourceRecord {
 	return [3]*sourceRecord{r.total, r.services[source.Service], r.sources[source.Name]}
 }
 
-func (r *recorder) unsent(source *workload.Source) {
+func (r *recorder) recordUnsent(source *workload.Source) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, record := range r.of(source) {
+	for _, record := range r.recordsOf(source) {
 		record.stats.Unsent++
 	}
 }
 
-func (r *recorder) doubled(prepared *preparedCall, first, second result) {
+func (r *recorder) recordDoubled(prepared *preparedCall, first, second result) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.doubles++
+	r.doubledCalls++
 	for _, one := range []result{first, second} {
-		if one.kind == wrong {
-			r.wrongs = keepExample(r.wrongs, prepared.key+": "+one.detail)
+		if one.kind == resultWrong {
+			r.wrongExamples = appendExample(r.wrongExamples, prepared.key+": "+one.detail)
 		}
 	}
 }
 
-// done records a call that is over.
-func (r *recorder) done(prepared *preparedCall, last result, intended time.Time) {
+// recordCall records a completed call.
+func (r *recorder) recordCall(prepared *preparedCall, last result, intended time.Time) {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, record := range r.of(prepared.source) {
-		record.add(last, intended, now)
+	for _, record := range r.recordsOf(prepared.source) {
+		record.addCall(last, intended, now)
 	}
 	switch last.kind {
-	case wrong:
-		r.wrongs = keepExample(r.wrongs, prepared.source.Name+" "+prepared.key+": "+last.detail)
-	case refused, lost:
+	case resultWrong:
+		r.wrongExamples = appendExample(r.wrongExamples, prepared.source.Name+" "+prepared.key+": "+last.detail)
+	case resultRejected, resultLost:
 		example := prepared.source.Name + " " + prepared.key + ": " + last.verdict.String() + ": " + last.detail
-		r.failures = keepExample(r.failures, example)
+		r.failedExamples = appendExample(r.failedExamples, example)
 		own := r.sources[prepared.source.Name]
-		own.stats.FailedExamples = append(own.stats.FailedExamples[max(0, len(own.stats.FailedExamples)-keptExamples+1):], example)
+		own.stats.FailedExamples = append(own.stats.FailedExamples[max(0, len(own.stats.FailedExamples)-maxExamples+1):], example)
 	}
-	if prepared.key != "" && len(r.kept) < r.keep {
-		r.kept = append(r.kept, Call{
+	if prepared.key != "" && len(r.rememberedCalls) < r.maxRememberedCalls {
+		r.rememberedCalls = append(r.rememberedCalls, Call{
 			Key: prepared.key, Pool: prepared.source.Pool, Operation: prepared.source.Operation, Verdict: last.verdict,
-			Answered: last.kind == answered, Attempts: last.attempts, Ended: now, Trail: last.trail,
+			Answered: last.kind == resultAnswered, Attempts: last.attempts, Ended: now, Trail: last.trail,
 		})
 	}
 }
 
-func keepExample(examples []string, example string) []string {
-	if len(examples) >= keptExamples {
+func appendExample(examples []string, example string) []string {
+	if len(examples) >= maxExamples {
 		return examples
 	}
 	return append(examples, example)
 }
 
-func (s *sourceRecord) add(last result, intended, now time.Time) {
+func (s *sourceRecord) addCall(last result, intended, now time.Time) {
 	s.stats.Requests++
 	s.stats.Resent += last.attempts - 1
-	s.stats.Cut += last.cuts
+	s.stats.Cut += last.brokenConnections
 	s.stats.Tokens += last.tokens
 	switch last.verdict {
 	case verdict.Ran:
@@ -217,35 +217,35 @@
 		s.stats.ByVerdict.MayHaveRun++
 	}
 	switch last.kind {
-	case answered:
+	case resultAnswered:
 		s.stats.Answered++
 		recordLatency(s.latency, now.Sub(intended))
 		if !last.firstToken.IsZero() {
 			recordLatency(s.firstToken, last.firstToken.Sub(intended))
 		}
-	case refused:
+	case resultRejected:
 		s.stats.Refused++
-	case lost:
+	case resultLost:
 		s.stats.Lost++
-	case wrong:
+	case resultWrong:
 		s.stats.Wrong++
 	}
 }
 
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
-	_ = histogram.RecordValue(min(max(latency.Microseconds(), 1), largestLatency))
+	_ = histogram.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros))
 }
 
-func (s *sourceRecord) summary() SourceStats {
+func (s *sourceRecord) summarize() SourceStats {
 	summary := s.stats
 	summary.FailedExamples = slices.Clone(summary.FailedExamples)
-	summary.Latency = summarize(s.latency)
-	summary.FirstToken = summarize(s.firstToken)
+	summary.Latency = summarizeHistogram(s.latency)
+	summary.FirstToken = summarizeHistogram(s.firstToken)
 	return summary
 }
 
-func summarize(histogram *hdrhistogram.Histogram) Latency {
-	millis := func(micros int64) float64 { return float64(micros) / microsPerMillis }
+func summarizeHistogram(histogram *hdrhistogram.Histogram) Latency {
+	millis := func(micros int64) float64 { return float64(micros) / microsecondsPerMillisecond }
 	return Latency{
 		P50: millis(histogram.ValueAtQuantile(50)), P99: millis(histogram.ValueAtQuantile(99)),
 		P999: millis(histogram.ValueAtQuantile(99.9)), Max: millis(histogram.Max()),
@@ -255,20 +255,20 @@
 func (r *recorder) stats() Stats {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	ended := r.ended
+	ended := r.endedAt
 	if ended.IsZero() {
 		ended = time.Now()
 	}
 	stats := Stats{
-		Total: r.total.summary(), Live: r.services[workload.ServiceEngine].summary(),
-		Operations: r.services[workload.ServiceApplication].summary(), Doubled: r.doubles, WrongExamples: append([]string{}, r.wrongs...),
-		FailedExamples: append([]string{}, r.failures...),
+		Total: r.total.summarize(), Live: r.services[workload.ServiceEngine].summarize(),
+		Operations: r.services[workload.ServiceApplication].summarize(), Doubled: r.doubledCalls,
+		WrongExamples: append([]string{}, r.wrongExamples...), FailedExamples: append([]string{}, r.failedExamples...),
 	}
-	if !r.began.IsZero() {
-		stats.Seconds = ended.Sub(r.began).Seconds()
+	if !r.startedAt.IsZero() {
+		stats.Seconds = ended.Sub(r.startedAt).Seconds()
 	}
-	for _, name := range r.order {
-		stats.Sources = append(stats.Sources, r.sources[name].summary())
+	for _, name := range r.sourceNames {
+		stats.Sources = append(stats.Sources, r.sources[name].summarize())
 	}
 	return stats
 }
@@ -276,5 +276,5 @@
 func (r *recorder) calls() []Call {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]Call(nil), r.kept...)
+	return append([]Call(nil), r.rememberedCalls...)
 }
--- a/internal/workload/caller/report.go
+++ b/internal/workload/caller/report.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// ServiceReport describes calls to one kind of pool, in the form of the fleet's report.
+// ServiceReport summarizes the calls to one kind of pool, in the format of the fleet's report.
 type ServiceReport struct {
 	Requests  int            `json:"requests"`
 	P50       float64        `json:"p50_ms"`
@@ -22,7 +22,7 @@
 	ByVerdict map[string]int `json:"by_verdict"`
 }
 
-// Report is what a load run shows; it is written as report.json.
+// Report holds the results of a load run. Write stores it as report.json.
 type Report struct {
 	Seconds    float64            `json:"seconds"`
 	Violations uint64             `json:"violations"`
@@ -33,8 +33,8 @@
 	Callers    Stats              `json:"callers"`
 }
 
-// NewReport sums a caller's account up. Every answer that was presented as whole is an examined event of
-// the whole-answer invariant.
+// NewReport creates a report from a caller's statistics. Every answer that was presented as complete is an examined
+// event of the invariant WholeAnswer.
 func NewReport(stats Stats) Report {
 	registry := invariant.NewRegistry(invariant.WholeAnswer)
 	for range stats.Total.Answered {
@@ -50,11 +50,11 @@
 	summary := registry.Summary()
 	return Report{
 		Seconds: stats.Seconds, Violations: summary.Violations, Unexamined: summary.Unexamined, Invariants: registry.Results(),
-		Live: serviceReport(stats.Live), Operations: serviceReport(stats.Operations), Callers: stats,
+		Live: newServiceReport(stats.Live), Operations: newServiceReport(stats.Operations), Callers: stats,
 	}
 }
 
-func serviceReport(stats SourceStats) ServiceReport {
+func newServiceReport(stats SourceStats) ServiceReport {
 	return ServiceReport{
 		Requests: stats.Requests, P50: stats.Latency.P50, P99: stats.Latency.P99, P999: stats.Latency.P999,
 		ByVerdict: map[string]int{
@@ -64,10 +64,10 @@
 	}
 }
 
-// Passed says whether the run showed what it was meant to.
+// Passed reports whether no invariant was violated and all invariants were examined.
 func (r Report) Passed() bool { return r.Violations == 0 && len(r.Unexamined) == 0 }
 
-// Write stores report.json in folder, which is made if missing.
+// Write writes report.json into folder and creates the folder if it does not exist.
 func (r Report) Write(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
@@ -79,7 +79,7 @@
 	return trace.ConvertSystemError(os.WriteFile(filepath.Join(folder, "report.json"), append(content, '\n'), 0o644))
 }
 
-// Print writes a summary for a person.
+// Print writes a human-readable summary to output.
 func (r Report) Print(output io.Writer) {
 	fmt.Fprintf(output, "%-16s %9s %9s %8s %6s %6s %7s %9s %9s %9s\n",
 		"source", "requests", "answered", "refused", "lost", "wrong", "unsent", "p50 ms", "p99 ms", "p999 ms")
--- a/internal/workload/caller/stream.go
+++ b/internal/workload/caller/stream.go
@@ -12,9 +12,10 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-const maxEventLine = 4 << 20
+// maxEventLineBytes limits the length of a line of an event stream.
+const maxEventLineBytes = 4 << 20
 
-// streamEvent is one server-sent event of a streamed completion.
+// streamEvent is a server-sent event of a streamed completion.
 type streamEvent struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -29,12 +30,12 @@
 	Error *errorDetail `json:"error"`
 }
 
-// streamReader puts a streamed answer together.
+// streamReader assembles a streamed answer.
 type streamReader struct {
 	content    strings.Builder
 	checksum   string
 	finished   bool
-	next       int // token after the last one read
+	nextToken  int // offset of the next expected token
 	firstToken time.Time
 }
 
@@ -43,10 +44,10 @@
 	doneMark   = []byte("[DONE]")
 )
 
-// readStream reads a streamed answer; it counts as whole only with a finish reason and the end mark.
+// readStream reads a streamed answer. The answer counts as complete only if it has a finish reason and the end mark.
 func readStream(prepared *preparedCall, body io.Reader) result {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maxEventLine)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventLineBytes)
 	var reader streamReader
 	for scanner.Scan() {
 		data, ok := bytes.CutPrefix(scanner.Bytes(), dataPrefix)
@@ -55,9 +56,9 @@
 		}
 		data = bytes.TrimSpace(data)
 		if bytes.Equal(data, doneMark) {
-			return reader.end(prepared)
+			return reader.finish(prepared)
 		}
-		if ended := reader.event(data); ended != nil {
+		if ended := reader.readEvent(data); ended != nil {
 			return *ended
 		}
 	}
@@ -65,14 +66,14 @@
 	if err == nil {
 		err = errNoEnd
 	}
-	return result{kind: lost, detail: err.Error(), firstToken: reader.firstToken}
+	return result{kind: resultLost, detail: err.Error(), firstToken: reader.firstToken}
 }
 
-// event reads one event; a result ends the stream.
-func (r *streamReader) event(data []byte) *result {
+// readEvent processes one event. It returns a result if the event ends the stream with an error, or nil otherwise.
+func (r *streamReader) readEvent(data []byte) *result {
 	var event streamEvent
 	if err := json.Unmarshal(data, &event); err != nil {
-		return &result{kind: wrong, detail: "an event is no JSON: " + err.Error()}
+		return &result{kind: resultWrong, detail: "an event is no JSON: " + err.Error()}
 	}
 	if event.Error != nil {
 		ended := event.Error.result()
@@ -81,10 +82,10 @@
 	}
 	for _, choice := range event.Choices {
 		if choice.TokenCount > 0 && choice.TokenOffset != nil {
-			if *choice.TokenOffset != r.next {
-				return &result{kind: wrong, detail: fmt.Sprintf("token %d came after %d", *choice.TokenOffset, r.next)}
+			if *choice.TokenOffset != r.nextToken {
+				return &result{kind: resultWrong, detail: fmt.Sprintf("token %d came after %d", *choice.TokenOffset, r.nextToken)}
 			}
-			r.next += choice.TokenCount
+			r.nextToken += choice.TokenCount
 		}
 		content := choice.Text + choice.Delta.Content
 		if content != "" && r.firstToken.IsZero() {
@@ -98,9 +99,9 @@
 	return nil
 }
 
-func (r *streamReader) end(prepared *preparedCall) result {
+func (r *streamReader) finish(prepared *preparedCall) result {
 	if !r.finished {
-		return result{kind: wrong, verdict: verdict.Ran, detail: "the end mark came without a finish reason", firstToken: r.firstToken}
+		return result{kind: resultWrong, verdict: verdict.Ran, detail: "the end mark came without a finish reason", firstToken: r.firstToken}
 	}
 	checked := checkText(prepared, r.content.String(), r.checksum)
 	checked.firstToken = r.firstToken
--- a/internal/workload/fuzz_test.go
+++ b/internal/workload/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzParse takes any bytes as a workload: it is refused, or valid.
+// FuzzParse checks that Parse either rejects its input or returns a valid workload that SetDefaults keeps valid.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(example))
 	f.Add([]byte("sources: []\n"))
@@ -13,11 +13,11 @@
 			return
 		}
 		if err := parsed.Validate(); err != nil {
-			t.Fatalf("an invalid workload was taken: %v", err)
+			t.Fatalf("Parse accepted an invalid workload: %v", err)
 		}
 		parsed.SetDefaults()
 		if err := parsed.Validate(); err != nil {
-			t.Fatalf("defaults are not stable: %v", err)
+			t.Fatalf("workload is invalid after setting the defaults again: %v", err)
 		}
 	})
 }
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/engine/text"
 )
 
-// Draw returns one length, at least 1.
+// Draw returns a random length in tokens, between 1 and l.Max.
 func (l Length) Draw(random *rand.Rand) int {
 	value := l.Median * math.Exp(l.Sigma*random.NormFloat64())
 	if l.TailShare > 0 && random.Float64() < l.TailShare {
@@ -21,46 +21,46 @@
 
 // Call is one call of a source.
 type Call struct {
-	At           time.Duration // since the start
+	At           time.Duration // intended start, relative to the start of the run
 	Source       int           // index in Workload.Sources
-	Number       uint64        // rises per source, from 1
-	Prefix       int           // index of the shared prefix; -1 for none
-	PromptTokens int           // of the unshared part
+	Number       uint64        // counts the source's calls, from 1
+	Prefix       int           // index of the shared prefix, -1 for none
+	PromptTokens int           // length of the unshared part of the prompt
 	OutputTokens int
 	Streamed     bool
 	Chat         bool
 }
 
-// Generator yields one source's calls in order of time. Equal seeds yield equal calls.
+// Generator generates the calls of one source in order of time. Equal seeds generate equal calls.
 type Generator struct {
-	source    Source
-	index     int
-	random    *rand.Rand
-	next      time.Duration
-	burstAt   time.Duration
-	burstLeft int
-	number    uint64
+	source         Source
+	index          int
+	random         *rand.Rand
+	nextAt         time.Duration
+	burstAt        time.Duration
+	burstRemaining int
+	lastNumber     uint64
 }
 
-// Generators returns one generator per source of a valid workload.
+// Generators returns one generator per source. The workload must be valid.
 func (w Workload) Generators(seed int64) []*Generator {
 	var generators []*Generator
 	for index, source := range w.Sources {
-		made := &Generator{source: source, index: index, random: rand.New(rand.NewSource(seed + int64(index)*7919))}
-		made.next = made.interval(source.Arrival.PerSecond)
+		generator := &Generator{source: source, index: index, random: rand.New(rand.NewSource(seed + int64(index)*7919))}
+		generator.nextAt = generator.drawInterval(source.Arrival.PerSecond)
 		if source.Arrival.Process == ProcessBursts {
-			made.burstAt = made.interval(1 / source.Arrival.BurstEvery.Seconds())
+			generator.burstAt = generator.drawInterval(1 / source.Arrival.BurstEvery.Seconds())
 		}
-		generators = append(generators, made)
+		generators = append(generators, generator)
 	}
 	return generators
 }
 
-// Next returns the next call.
+// Next returns the next call. The sequence is unlimited.
 func (g *Generator) Next() Call {
-	g.number++
+	g.lastNumber++
 	call := Call{
-		At: g.arrive(), Source: g.index, Number: g.number, Prefix: -1,
+		At: g.nextArrival(), Source: g.index, Number: g.lastNumber, Prefix: -1,
 		PromptTokens: g.source.Prompt.Draw(g.random), OutputTokens: g.source.Output.Draw(g.random),
 		Streamed: g.random.Float64() < g.source.StreamedShare, Chat: g.random.Float64() < g.source.ChatShare,
 	}
@@ -70,24 +70,24 @@
 	return call
 }
 
-func (g *Generator) arrive() time.Duration {
-	if g.source.Arrival.Process == ProcessBursts && g.burstAt <= g.next {
-		if g.burstLeft == 0 {
-			g.burstLeft = g.source.Arrival.BurstSize
+func (g *Generator) nextArrival() time.Duration {
+	if g.source.Arrival.Process == ProcessBursts && g.burstAt <= g.nextAt {
+		if g.burstRemaining == 0 {
+			g.burstRemaining = g.source.Arrival.BurstSize
 		}
 		at := g.burstAt
-		g.burstLeft--
-		if g.burstLeft == 0 {
-			g.burstAt += g.interval(1 / g.source.Arrival.BurstEvery.Seconds())
+		g.burstRemaining--
+		if g.burstRemaining == 0 {
+			g.burstAt += g.drawInterval(1 / g.source.Arrival.BurstEvery.Seconds())
 		}
 		return at
 	}
-	at := g.next
-	g.next += g.interval(g.source.Arrival.PerSecond)
+	at := g.nextAt
+	g.nextAt += g.drawInterval(g.source.Arrival.PerSecond)
 	return at
 }
 
-func (g *Generator) interval(perSecond float64) time.Duration {
+func (g *Generator) drawInterval(perSecond float64) time.Duration {
 	seconds := 1 / perSecond
 	if g.source.Arrival.Process != ProcessUniform {
 		seconds *= g.random.ExpFloat64()
@@ -95,21 +95,21 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// PromptText returns a call's prompt: the shared prefix, words of its own, and the answer's length. run
-// makes the prompts of different runs differ.
-func (s Source) PromptText(call Call, run string) string {
+// PromptText returns a call's prompt, which consists of the shared prefix, text unique to the call and the requested
+// answer length. runName makes the prompts of different runs differ.
+func (s Source) PromptText(call Call, runName string) string {
 	var prompt strings.Builder
 	if call.Prefix >= 0 {
-		prompt.WriteString(filler(fmt.Sprintf("%s prefix %d", s.Name, call.Prefix), s.Sharing.PrefixTokens))
+		prompt.WriteString(fillerText(fmt.Sprintf("%s prefix %d", s.Name, call.Prefix), s.Sharing.PrefixTokens))
 	}
-	identity := fmt.Sprintf("%s call %d of %s", s.Name, call.Number, run)
-	prompt.WriteString(filler(identity, call.PromptTokens))
+	identity := fmt.Sprintf("%s call %d of %s", s.Name, call.Number, runName)
+	prompt.WriteString(fillerText(identity, call.PromptTokens))
 	fmt.Fprintf(&prompt, "%s [tokens=%d]", identity, call.OutputTokens)
 	return prompt.String()
 }
 
-// filler returns that many words that depend on a name only.
-func filler(name string, words int) string {
+// fillerText returns text with the given number of words. The text depends only on name.
+func fillerText(name string, words int) string {
 	request := text.Request{Prompt: name}
 	generator := request.Start()
 	return string(generator.Append(nil, words))
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload describes what callers ask for: arrival processes, length distributions with a tail
-// and shared prompts. It is typed, seeded and read from strict YAML; the load tool, the fleet and the
-// experiments use the same files.
+// Package workload describes the load that callers generate: arrival processes, heavy-tailed length distributions and
+// shared prompt prefixes. Workloads are read from strict YAML, and equal seeds generate equal calls. The load tool, the
+// fleet and the experiments share this format.
 package workload
 
 import (
@@ -14,100 +14,101 @@
 	"github.com/tamarindring/tamarindring/internal/strictyaml"
 )
 
-// Process names an arrival process.
+// Process names a kind of arrival process.
 type Process string
 
-// The arrival processes.
+// The kinds of arrival processes.
 const (
 	ProcessPoisson Process = "poisson" // independent arrivals at a mean rate
 	ProcessUniform Process = "uniform" // evenly spaced arrivals
-	ProcessBursts  Process = "bursts"  // Poisson arrivals, and bursts on top
+	ProcessBursts  Process = "bursts"  // Poisson arrivals plus bursts of simultaneous calls
 )
 
-// Service names what kind of back end a source calls.
+// Service names the kind of back end that a source calls.
 type Service string
 
-// The services.
+// The kinds of back ends.
 const (
 	ServiceEngine      Service = "engine"
 	ServiceApplication Service = "application"
 )
 
-// Workload is a set of sources that call at the same time.
+// Workload is a set of sources that call concurrently.
 type Workload struct {
-	// Sources are independent streams of calls. At least one.
+	// Sources lists the independent streams of calls. At least one.
 	Sources []Source `yaml:"sources"`
 }
 
-// Source is one stream of calls to one pool.
+// Source describes one stream of calls to one pool.
 type Source struct {
 	// Name appears in reports. Required, unique.
 	Name string `yaml:"name"`
-	// Pool is the pool called. Required.
+	// Pool is the name of the called pool. Required.
 	Pool string `yaml:"pool"`
-	// Service is engine or application. Default engine.
+	// Service is the kind of the pool's back ends, engine or application. Default engine.
 	Service Service `yaml:"service"`
-	// Operation of an application pool: push or join. Required there.
+	// Operation is the called operation of an application pool, push or join. Required for the service application.
 	Operation string `yaml:"operation"`
-	// Class is the caller class. Default live.
+	// Class is the caller class sent with each call. Default live.
 	Class string `yaml:"class"`
-	// Deadline of each call. Default 30s.
+	// Deadline is the time from a call's intended start within which it must be answered. Default 30s.
 	Deadline time.Duration `yaml:"deadline"`
-	// Arrival says when calls come.
+	// Arrival is the arrival process of the calls.
 	Arrival Arrival `yaml:"arrival"`
-	// Prompt is the length of the unshared part of a prompt, in tokens. Default median 64, sigma 0.6.
+	// Prompt is the length distribution of the unshared part of a prompt, in tokens. Default median 64, sigma 0.6.
 	Prompt Length `yaml:"prompt_tokens"`
-	// Output is the length of an answer, in tokens. Default median 48, sigma 0.6.
+	// Output is the length distribution of an answer, in tokens. Default median 48, sigma 0.6.
 	Output Length `yaml:"output_tokens"`
-	// Sharing makes prompts begin alike.
+	// Sharing makes prompts share common prefixes.
 	Sharing Sharing `yaml:"sharing"`
-	// StreamedShare is the part of the calls that ask for a streamed answer, 0 to 1. Default 0.
+	// StreamedShare is the share of calls that request a streamed answer, 0 to 1. Default 0.
 	StreamedShare float64 `yaml:"streamed_share"`
-	// ChatShare is the part of the calls that use chat completions, 0 to 1. Default 0.
+	// ChatShare is the share of calls that use chat completions, 0 to 1. Default 0.
 	ChatShare float64 `yaml:"chat_share"`
-	// BodyBytes is the size of an application call's body. Default 256.
+	// BodyBytes is the size of the filling in an application call's body, in bytes. Default 256.
 	BodyBytes int `yaml:"body_bytes"`
 }
 
-// Arrival is an arrival process.
+// Arrival describes an arrival process.
 type Arrival struct {
 	// Process is poisson, uniform or bursts. Default poisson.
 	Process Process `yaml:"process"`
-	// PerSecond is the mean rate; bursts come on top. Required.
+	// PerSecond is the mean rate in calls per second, not counting bursts. Required.
 	PerSecond float64 `yaml:"per_second"`
 	// BurstEvery is the mean time between bursts. Required for bursts.
 	BurstEvery time.Duration `yaml:"burst_every"`
-	// BurstSize is how many calls one burst has, all at once. Required for bursts.
+	// BurstSize is the number of simultaneous calls in a burst. Required for bursts.
 	BurstSize int `yaml:"burst_size"`
 }
 
-// Length is a distribution of lengths: lognormal, with a Pareto tail for a share of the draws.
+// Length is a distribution of lengths in tokens: lognormal, with a Pareto tail for a share of the draws.
 type Length struct {
-	// Median of the lognormal part, in tokens.
+	// Median is the median of the lognormal part, in tokens.
 	Median float64 `yaml:"median"`
-	// Sigma of the lognormal part's logarithm.
+	// Sigma is the standard deviation of the lognormal part's logarithm.
 	Sigma float64 `yaml:"sigma"`
-	// TailShare is the part of the draws that come from the tail, 0 to 1. Default 0.
+	// TailShare is the share of draws that come from the tail, 0 to 1. Default 0.
 	TailShare float64 `yaml:"tail_share"`
-	// TailFrom is where the tail begins, in tokens. Default four times the median.
+	// TailFrom is the minimum of the tail, in tokens. Default four times the median.
 	TailFrom float64 `yaml:"tail_from"`
-	// TailAlpha is the tail's exponent; the smaller, the heavier. Default 1.5.
+	// TailAlpha is the tail's exponent. Smaller values give a heavier tail. Default 1.5.
 	TailAlpha float64 `yaml:"tail_alpha"`
-	// Max bounds every draw. Default 4096.
+	// Max is the upper limit to which every draw is clamped, in tokens. Default 4096.
 	Max int `yaml:"max"`
 }
 
-// Sharing makes a share of the prompts begin with one of a few common texts.
+// Sharing makes a share of the prompts begin with one of several common prefixes.
 type Sharing struct {
-	// Prefixes is how many common texts there are. Default 0, none.
+	// Prefixes is the number of common prefixes. Default 0, none.
 	Prefixes int `yaml:"prefixes"`
-	// PrefixTokens is the length of each. Default 256.
+	// PrefixTokens is the length of each prefix, in tokens. Default 256.
 	PrefixTokens int `yaml:"prefix_tokens"`
-	// Share is the part of the calls that begin with one, 0 to 1. Default 1 when there are prefixes.
+	// Share is the share of calls whose prompt begins with a common prefix, 0 to 1. Default 1 if Prefixes is above 0.
 	Share float64 `yaml:"share"`
 }
 
-// Load reads a file; unknown fields and impossible values are refused with file, line and field.
+// Load reads a workload from a file and fills in the defaults. The error for an unknown field or an invalid value names
+// file, line and field.
 func Load(path string) (Workload, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -116,7 +117,8 @@
 	return Parse(path, content)
 }
 
-// Parse reads a workload from YAML, fills in the defaults and checks it. Errors call the content file.
+// Parse reads a workload from YAML, fills in the defaults and validates it. Errors refer to the content by the name
+// file.
 func Parse(file string, content []byte) (Workload, error) {
 	var parsed Workload
 	if err := strictyaml.Decode(file, content, &parsed); err != nil {
@@ -129,7 +131,7 @@
 	return parsed, nil
 }
 
-// SetDefaults fills in the documented defaults.
+// SetDefaults sets unset fields to their documented defaults.
 func (w *Workload) SetDefaults() {
 	for index := range w.Sources {
 		w.Sources[index].setDefaults()
@@ -150,7 +152,7 @@
 	}
 }
 
-// SetDefaults fills in the documented defaults around a median.
+// SetDefaults sets unset fields to their documented defaults, with the given default for the median.
 func (l *Length) SetDefaults(median float64) {
 	if l.Median == 0 {
 		l.Median = median
@@ -161,7 +163,7 @@
 	defaults.Set(&l.Max, 4096)
 }
 
-// Validate refuses impossible values with a strictyaml.FieldError.
+// Validate returns a strictyaml.FieldError for the first invalid value.
 func (w Workload) Validate() error {
 	if len(w.Sources) == 0 {
 		return strictyaml.Fieldf("sources", "at least one is needed")
@@ -233,7 +235,7 @@
 	return nil
 }
 
-// Validate refuses impossible values with a strictyaml.FieldError.
+// Validate returns a strictyaml.FieldError for the first invalid value.
 func (a Arrival) Validate() error {
 	if !(a.PerSecond > 0) {
 		return strictyaml.Fieldf("per_second", "%v must be above 0", a.PerSecond)
@@ -253,7 +255,7 @@
 	return nil
 }
 
-// Validate refuses impossible values with a strictyaml.FieldError.
+// Validate returns a strictyaml.FieldError for the first invalid value.
 func (l Length) Validate() error {
 	switch {
 	case !(l.Median >= 1):
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -34,14 +34,14 @@
 	}
 	copying, push := parsed.Sources[0], parsed.Sources[1]
 	if copying.Sharing.PrefixTokens != 256 || copying.Sharing.Share != 1 || copying.Deadline != 30*time.Second {
-		t.Errorf("defaults of the first source: %+v", copying)
+		t.Errorf("got defaults %+v for the first source, want 256 prefix tokens, share 1 and a deadline of 30s", copying)
 	}
 	if push.Arrival.Process != ProcessPoisson || push.Deadline != 500*time.Millisecond {
-		t.Errorf("defaults of the second source: %+v", push)
+		t.Errorf("got %+v for the second source, want Poisson arrivals and a deadline of 500ms", push)
 	}
 }
 
-func TestParseNamesTheField(t *testing.T) {
+func TestParseErrorNamesField(t *testing.T) {
 	cases := []struct{ from, to, want string }{
 		{"streamed_share: 0.5", "streamed_shore: 0.5", "streamed_shore"},
 		{"streamed_share: 0.5", "streamed_share: 1.5", "streamed_share"},
@@ -56,7 +56,7 @@
 	for _, test := range cases {
 		_, err := Parse("w.yaml", []byte(strings.Replace(example, test.from, test.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: error %v does not name %s", test.to, err, test.want)
+			t.Errorf("%s: got error %v, want one that names %s", test.to, err, test.want)
 		}
 	}
 }
@@ -73,10 +73,10 @@
 	for {
 		call := generator.Next()
 		if call != again.Next() {
-			t.Fatal("equal seeds gave different calls")
+			t.Fatal("got different calls for equal seeds")
 		}
 		if call.At < last {
-			t.Fatalf("call at %v after %v", call.At, last)
+			t.Fatalf("got a call at %v after one at %v, want ascending times", call.At, last)
 		}
 		last = call.At
 		if last > 200*time.Second {
@@ -84,9 +84,9 @@
 		}
 		count++
 	}
-	// 100 per second and 25 per second in bursts; the standard deviation of the sum is about 525.
+	// The mean rate is 100 calls per second plus 25 per second in bursts. The standard deviation of the count is about 525.
 	if count < 23000 || count > 27000 {
-		t.Errorf("%d calls in 200 s, want about 25000", count)
+		t.Errorf("got %d calls in 200 s, want about 25000", count)
 	}
 }
 
@@ -101,7 +101,7 @@
 		random := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		for range 100 {
 			if drawn := length.Draw(random); drawn < 1 || drawn > length.Max {
-				t.Fatalf("drew %d", drawn)
+				t.Fatalf("got length %d, want one from 1 to Max", drawn)
 			}
 		}
 	})
@@ -116,11 +116,11 @@
 	first := source.PromptText(Call{Number: 1, Prefix: 2, PromptTokens: 3, OutputTokens: 9}, "run")
 	second := source.PromptText(Call{Number: 2, Prefix: 2, PromptTokens: 3, OutputTokens: 9}, "run")
 	if first == second || first[:1000] != second[:1000] || !strings.HasSuffix(first, "[tokens=9]") {
-		t.Errorf("prompts %q and %q", first, second)
+		t.Errorf("got prompts %q and %q, want different prompts with a common prefix and the suffix [tokens=9]", first, second)
 	}
 }
 
-// TestDocumentedExampleIsValid keeps the operators' page true.
+// TestDocumentedExampleIsValid guards against an example on the operators' page that the load tool rejects.
 func TestDocumentedExampleIsValid(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/load-testing.md")
 	if err != nil {
@@ -129,10 +129,10 @@
 	_, rest, found := strings.Cut(string(page), "```yaml\n")
 	example, _, closed := strings.Cut(rest, "```")
 	if !found || !closed {
-		t.Fatal("the page has no YAML example")
+		t.Fatal("load-testing.md has no YAML example")
 	}
 	parsed, err := Parse("load-testing.md", []byte(example))
 	if err != nil || len(parsed.Sources) != 2 {
-		t.Errorf("%d sources, %v", len(parsed.Sources), err)
+		t.Errorf("got %d sources and error %v, want 2 sources", len(parsed.Sources), err)
 	}
 }
