--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// benchmarkEngine runs one engine that always has more work than room, from one time of next to another,
-// and reports steps and tokens.
+// benchmarkEngine runs one engine that always has more requests than fit its batch. It advances the engine to each time
+// that next returns, and reports steps and tokens per second.
 func benchmarkEngine(b *testing.B, batch, prompt, output int, next func(*Engine) (time.Duration, bool)) {
 	parameters := DefaultParameters()
 	parameters.MaxBatch = batch
--- a/internal/engine/blocks.go
+++ b/internal/engine/blocks.go
@@ -1,44 +1,44 @@
 package engine
 
-// none is the end of a list of cache entries.
-const none int32 = -1
+// noEntry marks the end of the list of idle cache entries.
+const noEntry int32 = -1
 
-// cacheEntry is one block whose content is known by its hash. Entries that nothing holds stand in a list
-// from the least to the most recently used.
+// cacheEntry is a block that can be found by the hash of its content. Idle entries, those without references, form a
+// list from the least to the most recently used.
 type cacheEntry struct {
-	hash     uint64
-	holders  int32
-	previous int32
-	next     int32
-	indexed  bool // found by its hash; false after the weights it was computed under are gone
+	hash       uint64
+	references int32 // running sequences that use the block
+	previous   int32 // neighbours in the list of idle entries
+	next       int32
+	indexed    bool // in blockPool.index; false once the weights it was computed under are no longer served
 }
 
-// blockPool is the KV memory. Every block is free, private to one sequence, or a cache entry.
+// blockPool manages the KV memory. Every block is free, private to one sequence, or a cache entry.
 type blockPool struct {
-	capacity int
-	free     int
-	idle     int // cache entries that nothing holds
-	entries  []cacheEntry
-	spare    []int32 // unused entry slots
-	index    map[uint64]int32
-	oldest   int32
-	newest   int32
-	journal  *cacheJournal
+	capacity    int
+	free        int
+	idle        int // cache entries without references
+	entries     []cacheEntry
+	unusedSlots []int32          // slots of entries that hold no block
+	index       map[uint64]int32 // slot by hash
+	oldest      int32            // least recently used idle entry
+	newest      int32            // most recently used idle entry
+	journal     *cacheJournal
 }
 
 func newBlockPool(capacity int, journal *cacheJournal) blockPool {
 	return blockPool{
-		capacity: capacity, free: capacity, index: make(map[uint64]int32), oldest: none, newest: none, journal: journal,
+		capacity: capacity, free: capacity, index: make(map[uint64]int32), oldest: noEntry, newest: noEntry, journal: journal,
 	}
 }
 
-// available is the number of blocks that can be taken at once.
+// available returns the number of blocks that can be allocated, evicting idle cache entries as needed.
 func (p *blockPool) available() int { return p.free + p.idle }
 
-// held is the number of blocks that running sequences use.
-func (p *blockPool) held() int { return p.capacity - p.free - p.idle }
+// used returns the number of blocks that running sequences use.
+func (p *blockPool) used() int { return p.capacity - p.free - p.idle }
 
-// match counts the leading blocks of prefix that are cached, and how many of them nothing holds yet.
+// match returns the number of leading blocks of prefix that are cached, and how many of these are idle.
 func (p *blockPool) match(prefix []uint64) (hits, idleHits int) {
 	for _, hash := range prefix {
 		slot, ok := p.index[hash]
@@ -46,45 +46,46 @@
 			break
 		}
 		hits++
-		if p.entries[slot].holders == 0 {
+		if p.entries[slot].references == 0 {
 			idleHits++
 		}
 	}
 	return hits, idleHits
 }
 
-// hold takes a share of the cached blocks of prefix and appends their slots.
-func (p *blockPool) hold(prefix []uint64, slots []int32) []int32 {
+// acquire adds a reference to each block of prefix, all of which must be cached, and appends their slots.
+func (p *blockPool) acquire(prefix []uint64, slots []int32) []int32 {
 	for _, hash := range prefix {
 		slot := p.index[hash]
 		entry := &p.entries[slot]
-		if entry.holders == 0 {
-			p.unlink(slot)
+		if entry.references == 0 {
+			p.removeIdle(slot)
 			p.idle--
 		}
-		entry.holders++
+		entry.references++
 		slots = append(slots, slot)
 	}
 	return slots
 }
 
-// take removes count blocks from the free ones, evicting the least recently used cache entries as
-// needed. The caller has checked available.
-func (p *blockPool) take(count int) {
+// allocate removes count blocks from the free ones, evicting the least recently used cache entries as needed. The
+// caller must have checked available.
+func (p *blockPool) allocate(count int) {
 	for p.free < count {
 		p.evict(p.oldest)
 	}
 	p.free -= count
 }
 
-// publish turns private blocks of a sequence into cache entries held by it, and reports how many.
+// publish turns private blocks of a sequence into cache entries that it references, and appends their slots. Hashes
+// that are already cached are skipped.
 func (p *blockPool) publish(prefix []uint64, slots []int32) []int32 {
 	for _, hash := range prefix {
 		if _, known := p.index[hash]; known {
 			continue
 		}
-		slot := p.slot()
-		p.entries[slot] = cacheEntry{hash: hash, holders: 1, previous: none, next: none, indexed: true}
+		slot := p.allocateSlot()
+		p.entries[slot] = cacheEntry{hash: hash, references: 1, previous: noEntry, next: noEntry, indexed: true}
 		p.index[hash] = slot
 		p.journal.record(CacheStored, hash)
 		slots = append(slots, slot)
@@ -92,30 +93,31 @@
 	return slots
 }
 
-// release gives back a sequence's blocks. Cached ones stay, the last block of the prefix as the first to
-// go: without it the others are still of use.
+// release returns the blocks of a sequence. Cached blocks stay in the cache as idle entries. The last block of the
+// prefix becomes the first to be evicted, because the blocks before it are still usable without it.
 func (p *blockPool) release(slots []int32, private int) {
 	p.free += private
 	for position := len(slots) - 1; position >= 0; position-- {
 		slot := slots[position]
 		entry := &p.entries[slot]
-		entry.holders--
-		if entry.holders > 0 {
+		entry.references--
+		if entry.references > 0 {
 			continue
 		}
 		if !entry.indexed {
-			p.spare = append(p.spare, slot)
+			p.unusedSlots = append(p.unusedSlots, slot)
 			p.free++
 			continue
 		}
-		p.link(slot)
+		p.appendIdle(slot)
 		p.idle++
 	}
 }
 
-// clear forgets every cached block; those in use become unknown to others and are freed by their holders.
+// clear empties the prefix cache. Blocks in use can no longer be found by hash and become free when the last sequence
+// that uses them releases them.
 func (p *blockPool) clear() {
-	for p.oldest != none {
+	for p.oldest != noEntry {
 		p.evict(p.oldest)
 	}
 	for hash, slot := range p.index {
@@ -125,29 +127,32 @@
 	p.journal.record(CacheCleared, 0)
 }
 
+// evict frees the block of an idle cache entry.
 func (p *blockPool) evict(slot int32) {
 	entry := &p.entries[slot]
-	p.unlink(slot)
+	p.removeIdle(slot)
 	delete(p.index, entry.hash)
 	p.journal.record(CacheRemoved, entry.hash)
-	p.spare = append(p.spare, slot)
+	p.unusedSlots = append(p.unusedSlots, slot)
 	p.idle--
 	p.free++
 }
 
-func (p *blockPool) slot() int32 {
-	if last := len(p.spare) - 1; last >= 0 {
-		slot := p.spare[last]
-		p.spare = p.spare[:last]
+// allocateSlot returns the slot of an unused entry.
+func (p *blockPool) allocateSlot() int32 {
+	if last := len(p.unusedSlots) - 1; last >= 0 {
+		slot := p.unusedSlots[last]
+		p.unusedSlots = p.unusedSlots[:last]
 		return slot
 	}
 	p.entries = append(p.entries, cacheEntry{})
 	return int32(len(p.entries) - 1)
 }
 
-func (p *blockPool) link(slot int32) {
-	p.entries[slot].previous, p.entries[slot].next = p.newest, none
-	if p.newest == none {
+// appendIdle adds an entry to the idle list as the most recently used.
+func (p *blockPool) appendIdle(slot int32) {
+	p.entries[slot].previous, p.entries[slot].next = p.newest, noEntry
+	if p.newest == noEntry {
 		p.oldest = slot
 	} else {
 		p.entries[p.newest].next = slot
@@ -155,14 +160,15 @@
 	p.newest = slot
 }
 
-func (p *blockPool) unlink(slot int32) {
+// removeIdle removes an entry from the idle list.
+func (p *blockPool) removeIdle(slot int32) {
 	previous, next := p.entries[slot].previous, p.entries[slot].next
-	if previous == none {
+	if previous == noEntry {
 		p.oldest = next
 	} else {
 		p.entries[previous].next = next
 	}
-	if next == none {
+	if next == noEntry {
 		p.newest = previous
 	} else {
 		p.entries[next].previous = previous
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -4,30 +4,30 @@
 	"time"
 )
 
-// sequence is one request inside the engine.
+// sequence is the state of one request inside the engine.
 type sequence struct {
-	request   Request
-	arrival   uint64 // order of submission
-	generated int
-	computed  int // tokens whose KV is in memory
-	target    int // computed reaches it when the prefill is complete
-	chunk     int // prompt tokens in the step that runs
-	decoding  bool
-	running   bool
-	cancelled bool
-	imported  int
-	reported  uint64  // call of Advance that event belongs to
-	event     int     // index of the sequence's last token event in that call
-	shared    []int32 // cache entries it holds
-	private   int     // blocks of its own
-	position  int     // in the waiting heap
+	request         Request
+	arrival         uint64 // order of submission
+	generated       int    // tokens generated so far
+	computedTokens  int    // context tokens whose KV is in memory
+	prefillTarget   int    // computedTokens reaches it when the prefill is complete
+	chunkTokens     int    // prompt tokens prefilled in the current step
+	decoding        bool
+	running         bool
+	cancelled       bool
+	importedTokens  int     // leading tokens covered by an imported KV cache; used at the first start only
+	reportedAdvance uint64  // number of the Advance call that eventIndex belongs to
+	eventIndex      int     // index of the sequence's last token event in that call
+	sharedSlots     []int32 // referenced cache entries
+	privateBlocks   int     // blocks that are not in the prefix cache
+	heapIndex       int     // position in the waiting heap
 }
 
-// context is the number of tokens the sequence stands at.
+// context returns the number of tokens in the sequence, prompt and generated.
 func (s *sequence) context() int { return s.request.PromptTokens + s.generated }
 
-// blocks is the number of blocks the sequence holds.
-func (s *sequence) blocks() int { return len(s.shared) + s.private }
+// blocks returns the number of blocks that the sequence uses.
+func (s *sequence) blocks() int { return len(s.sharedSlots) + s.privateBlocks }
 
 // Engine is one emulated model engine. It is not safe for concurrent use.
 type Engine struct {
@@ -38,24 +38,24 @@
 	sequences  map[uint64]*sequence
 	waiting    waitingQueue
 	running    []*sequence
-	prefilling []*sequence // scratch of planStep
-	retired    []*sequence // for reuse
+	prefilling []*sequence // sequences that prefill in the current step, set by planStep
+	recycled   []*sequence // ended sequences, reused to save allocations
 	arrivals   uint64
 	events     []Event
 	advances   uint64 // calls of Advance
 
-	stepping bool
-	swapping bool // the step that runs is a swap
-	stepEnd  time.Duration
-	startAt  time.Duration // start of the next step while idle; meaningful when pending
-	pending  bool
+	stepping     bool // a step or a swap is running
+	swapping     bool // the running step is a weight swap
+	stepEnd      time.Duration
+	startAt      time.Duration // start of the next step of an idle engine, valid if startPending
+	startPending bool
 
 	version    uint64
 	fence      uint64
 	staged     stagedWeights
-	swapTarget uint64 // of the swap that runs; 0 when none
-	failure    SwapFailure
-	refusing   bool
+	swapTarget uint64      // version of the running swap; 0 if none
+	failure    SwapFailure // how the next swap fails
+	refusing   bool        // rejects requests because a failed swap left the weights incomplete
 	crashed    bool
 
 	lastStep    time.Duration
@@ -66,7 +66,7 @@
 	preemptions uint64
 }
 
-// New returns an idle engine that serves version. The parameters must be valid.
+// New returns an idle engine that serves version, or the error of parameters.Validate.
 func New(parameters Parameters, version uint64) (*Engine, error) {
 	if err := parameters.Validate(); err != nil {
 		return nil, err
@@ -81,7 +81,8 @@
 	}, nil
 }
 
-// Submit queues a request at a time no earlier than the last call's.
+// Submit queues a request. The time now must not be before that of an earlier call. The error is ErrCrashed,
+// ErrRefusing, ErrEmpty, ErrTooLarge, ErrOverloaded or ErrDuplicate.
 func (e *Engine) Submit(now time.Duration, request Request) error {
 	e.now = max(e.now, now)
 	switch {
@@ -100,72 +101,73 @@
 		return ErrDuplicate
 	}
 	e.arrivals++
-	entered := e.newSequence()
-	entered.request = request
-	entered.arrival = e.arrivals
-	entered.imported = min(request.ImportedTokens, request.PromptTokens)
-	e.sequences[request.ID] = entered
-	e.waiting.push(entered)
-	e.wake(now)
+	seq := e.newSequence()
+	seq.request = request
+	seq.arrival = e.arrivals
+	seq.importedTokens = min(request.ImportedTokens, request.PromptTokens)
+	e.sequences[request.ID] = seq
+	e.waiting.push(seq)
+	e.scheduleStart(now)
 	return nil
 }
 
-// Cancel ends a request without an event. Tokens of the step that runs are not reported.
+// Cancel ends a request without an event. Its token of the running step is not reported. An unknown or ended request
+// gets ErrUnknown.
 func (e *Engine) Cancel(now time.Duration, id uint64) error {
 	e.now = max(e.now, now)
-	entered, ok := e.sequences[id]
+	seq, ok := e.sequences[id]
 	if !ok {
 		return ErrUnknown
 	}
 	delete(e.sequences, id)
-	if !entered.running {
-		e.waiting.remove(entered)
-		e.retire(entered)
+	if !seq.running {
+		e.waiting.remove(seq)
+		e.recycle(seq)
 		return nil
 	}
-	entered.cancelled = true
-	e.pool.release(entered.shared, entered.private)
-	entered.shared, entered.private = entered.shared[:0], 0
+	seq.cancelled = true
+	e.pool.release(seq.sharedSlots, seq.privateBlocks)
+	seq.sharedSlots, seq.privateBlocks = seq.sharedSlots[:0], 0
 	return nil
 }
 
 // KV describes the KV cache of an exported request.
 type KV struct {
-	Tokens    int // of context whose KV is held
-	Generated int // tokens generated here before the export
+	Tokens    int // context tokens that the KV cache covers
+	Generated int // tokens that this engine generated before the export
 }
 
-// Export ends a request without an event and returns its KV cache, whose transfer takes TransferTime. A
-// request that waits has none: its KV.Tokens is 0.
+// Export ends a request without an event and returns its KV cache, whose transfer takes Parameters.TransferTime. A
+// waiting request has no KV cache and returns KV.Tokens 0. An unknown or ended request gets ErrUnknown.
 func (e *Engine) Export(now time.Duration, id uint64) (KV, error) {
-	entered, ok := e.sequences[id]
+	seq, ok := e.sequences[id]
 	if !ok {
 		return KV{}, ErrUnknown
 	}
-	exported := KV{Generated: entered.generated}
-	if entered.running {
-		exported.Tokens = entered.computed
+	exported := KV{Generated: seq.generated}
+	if seq.running {
+		exported.Tokens = seq.computedTokens
 	}
 	return exported, e.Cancel(now, id)
 }
 
-// NextEvent returns when Advance has something to do next.
+// NextEvent returns the next time at which Advance changes the engine's state, or false if nothing is due.
 func (e *Engine) NextEvent() (time.Duration, bool) {
 	switch {
 	case e.crashed:
 		return 0, false
 	case e.stepping:
 		return e.stepEnd, true
-	case e.pending:
+	case e.startPending:
 		return e.startAt, true
-	case e.staged.swap:
+	case e.staged.swapOrdered:
 		return max(e.now, e.staged.readyAt), true
 	}
 	return 0, false
 }
 
-// Advance runs the engine up to now and returns what happened, in order. The slice is valid until the
-// next call.
+// Advance runs the engine up to now and returns the events in order, a token event at the place of its first token.
+// The slice is valid until the next call.
 func (e *Engine) Advance(now time.Duration) []Event {
 	e.events = e.events[:0]
 	e.advances++
@@ -185,67 +187,71 @@
 	return e.events
 }
 
-// Load returns the engine's report as of the last call's time.
+// Load returns the engine's load and counters. It does not advance the engine: the figures are those of the last call
+// of Advance and of the requests and orders since, and now is only reported.
 func (e *Engine) Load(now time.Duration) Load {
 	waitingTokens := 0
-	for _, entered := range e.waiting {
-		waitingTokens += entered.context()
+	for _, seq := range e.waiting {
+		waitingTokens += seq.context()
 	}
 	return Load{
-		At: now, Running: e.live(), Waiting: len(e.waiting), WaitingTokens: waitingTokens,
-		BlocksHeld: e.pool.held(), BlocksCached: e.pool.idle, BlocksTotal: e.parameters.Blocks,
+		At: now, Running: e.countRunning(), Waiting: len(e.waiting), WaitingTokens: waitingTokens,
+		BlocksHeld: e.pool.used(), BlocksCached: e.pool.idle, BlocksTotal: e.parameters.Blocks,
 		MaxBatch: e.parameters.MaxBatch, StepTime: e.lastStep, Steps: e.steps, Tokens: e.tokens,
 		Prefilled: e.prefilled, PrefixHits: e.prefixHits, Preemptions: e.preemptions, Version: e.version,
 		Staged: e.staged.version, Fence: e.fence, Refusing: e.refusing, Crashed: e.crashed,
 	}
 }
 
-// Crash loses every request and the whole memory without an event.
+// Crash drops every request and the whole KV memory without an event.
 func (e *Engine) Crash(now time.Duration) {
 	e.now = max(e.now, now)
 	e.dropAll()
-	e.crashed, e.stepping, e.swapping, e.pending = true, false, false, false
+	e.crashed, e.stepping, e.swapping, e.startPending = true, false, false, false
 	e.staged, e.swapTarget = stagedWeights{}, 0
 	e.failure = SwapSucceeds
 }
 
-// Restart brings a crashed engine back, empty, serving version. Fencing tokens are forgotten, as a
-// restarted process forgets them.
+// Restart starts a crashed engine again, empty and serving version. It resets the fencing token, as a restarted process
+// would.
 func (e *Engine) Restart(now time.Duration, version uint64) {
 	e.Crash(now)
 	e.crashed, e.refusing = false, false
 	e.version, e.fence = version, 0
 }
 
-// Version returns the version that the next step is computed under.
+// Version returns the weight version that the next step uses.
 func (e *Engine) Version() uint64 { return e.version }
 
-// Parameters returns what the engine was made with.
+// Parameters returns the parameters passed to New.
 func (e *Engine) Parameters() Parameters { return e.parameters }
 
-// Generated returns how many tokens an unfinished request has received so far.
+// Generated returns the number of tokens generated so far for an unfinished request, or false if the request is unknown
+// or has ended.
 func (e *Engine) Generated(id uint64) (int, bool) {
-	entered, ok := e.sequences[id]
+	seq, ok := e.sequences[id]
 	if !ok {
 		return 0, false
 	}
-	return entered.generated, true
+	return seq.generated, true
 }
 
-func (e *Engine) live() int {
+// countRunning returns the number of running sequences that are not cancelled.
+func (e *Engine) countRunning() int {
 	count := 0
-	for _, entered := range e.running {
-		if !entered.cancelled {
+	for _, seq := range e.running {
+		if !seq.cancelled {
 			count++
 		}
 	}
 	return count
 }
 
+// dropAll removes every request and clears the prefix cache.
 func (e *Engine) dropAll() {
-	for _, entered := range e.running {
-		if !entered.cancelled {
-			e.pool.release(entered.shared, entered.private)
+	for _, seq := range e.running {
+		if !seq.cancelled {
+			e.pool.release(seq.sharedSlots, seq.privateBlocks)
 		}
 	}
 	e.running = e.running[:0]
@@ -254,26 +260,29 @@
 	e.pool.clear()
 }
 
-func (e *Engine) wake(at time.Duration) {
-	if e.stepping || e.pending {
+// scheduleStart schedules the next step of an idle engine.
+func (e *Engine) scheduleStart(at time.Duration) {
+	if e.stepping || e.startPending {
 		return
 	}
-	e.pending, e.startAt = true, max(at, e.now)
+	e.startPending, e.startAt = true, max(at, e.now)
 }
 
+// blocksFor returns the number of blocks that hold that many tokens.
 func (e *Engine) blocksFor(tokens int) int {
 	return (tokens + e.parameters.BlockTokens - 1) / e.parameters.BlockTokens
 }
 
+// newSequence returns an empty sequence, recycled if possible.
 func (e *Engine) newSequence() *sequence {
-	last := len(e.retired) - 1
+	last := len(e.recycled) - 1
 	if last < 0 {
 		return &sequence{}
 	}
-	reused := e.retired[last]
-	e.retired = e.retired[:last]
-	*reused = sequence{shared: reused.shared[:0]}
+	reused := e.recycled[last]
+	e.recycled = e.recycled[:last]
+	*reused = sequence{sharedSlots: reused.sharedSlots[:0]}
 	return reused
 }
 
-func (e *Engine) retire(entered *sequence) { e.retired = append(e.retired, entered) }
+func (e *Engine) recycle(seq *sequence) { e.recycled = append(e.recycled, seq) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// smallParameters make memory and batch scarce, so that every mechanism is exercised.
+// smallParameters returns parameters with little memory and a small batch, so that queueing, preemption and eviction
+// occur.
 func smallParameters() Parameters {
 	parameters := DefaultParameters()
 	parameters.MaxBatch = 4
@@ -31,7 +32,7 @@
 	return made
 }
 
-// prefixOf gives requests of one family equal prefixes.
+// prefixOf returns block hashes for a prompt of that many tokens. Requests of one family share their prefix.
 func prefixOf(family, tokens, blockTokens int) []uint64 {
 	var prefix []uint64
 	for block := 0; block < tokens/blockTokens; block++ {
@@ -40,14 +41,15 @@
 	return prefix
 }
 
-// model is what a test expects of the requests it submitted.
+// model tracks the requests that a test submitted and the events it received for them.
 type model struct {
-	wanted   map[uint64]int
-	received map[uint64]int
+	wanted   map[uint64]int // tokens requested
+	received map[uint64]int // tokens reported
 	finished map[uint64]bool
-	gone     map[uint64]bool
+	gone     map[uint64]bool // cancelled or lost
 }
 
+// apply checks and records events: none may follow a request's end, and a finish needs all requested tokens.
 func (m *model) apply(t *rapid.T, events []Event) {
 	for _, event := range events {
 		if m.gone[event.Request] || m.finished[event.Request] {
@@ -67,6 +69,8 @@
 	}
 }
 
+// checkMemory verifies that every KV block is free, private or a cache entry, that reference counts match the
+// sequences, and that the batch limit holds.
 func checkMemory(t *rapid.T, e *Engine) {
 	pool := &e.pool
 	if pool.free < 0 || pool.idle < 0 || pool.free+pool.idle > pool.capacity {
@@ -74,25 +78,27 @@
 	}
 	private := 0
 	shared := map[int32]int32{}
-	for _, entered := range e.sequences {
-		private += entered.private
-		for _, slot := range entered.shared {
+	for _, seq := range e.sequences {
+		private += seq.privateBlocks
+		for _, slot := range seq.sharedSlots {
 			shared[slot]++
 		}
 	}
 	if got := pool.free + pool.idle + private + len(shared); got != pool.capacity {
 		t.Fatalf("blocks are not conserved: free %d, idle %d, private %d, shared %d of %d", pool.free, pool.idle, private, len(shared), pool.capacity)
 	}
-	for slot, holders := range shared {
-		if pool.entries[slot].holders != holders {
-			t.Fatalf("slot %d has %d holders, counted %d", slot, pool.entries[slot].holders, holders)
+	for slot, references := range shared {
+		if pool.entries[slot].references != references {
+			t.Fatalf("slot %d has %d references, counted %d", slot, pool.entries[slot].references, references)
 		}
 	}
 	if len(e.running) > e.parameters.MaxBatch {
-		t.Fatalf("%d sequences run", len(e.running))
+		t.Fatalf("%d sequences run, more than MaxBatch", len(e.running))
 	}
 }
 
+// TestTokensAndMemoryAreConserved guards against leaked KV blocks, lost or surplus tokens and requests that never end,
+// under random submissions, cancellations, swaps with failures, and crashes.
 func TestTokensAndMemoryAreConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEngine(t, smallParameters())
@@ -157,7 +163,9 @@
 	})
 }
 
-func TestMoreUrgentTakesRoomWithinOneStep(t *testing.T) {
+// TestUrgentRequestPreemptsWithinOneStep guards against an urgent request that waits behind running sequences of a
+// lower priority for longer than the step in which it arrived.
+func TestUrgentRequestPreemptsWithinOneStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEngine(t, smallParameters())
 		for id := uint64(1); id <= 8; id++ {
@@ -186,6 +194,8 @@
 	})
 }
 
+// TestVersionPerTokenAcrossSwap guards against tokens that are reported under another version than the one that
+// generated them.
 func TestVersionPerTokenAcrossSwap(t *testing.T) {
 	e := newEngine(t, smallParameters())
 	if err := e.Submit(0, Request{ID: 1, PromptTokens: 4, OutputTokens: 40}); err != nil {
@@ -214,10 +224,11 @@
 		}
 	}
 	if byVersion[1] == 0 || byVersion[2] == 0 || byVersion[1]+byVersion[2] != 40 {
-		t.Fatalf("tokens by version: %v", byVersion)
+		t.Fatalf("tokens by version: %v, want some under versions 1 and 2, 40 in total", byVersion)
 	}
 }
 
+// TestFailedSwaps checks the effects of each injected swap failure, and that the next swap repairs the engine.
 func TestFailedSwaps(t *testing.T) {
 	for _, failure := range []SwapFailure{SwapKeepsOld, SwapRefuses, SwapIsSilent} {
 		e := newEngine(t, smallParameters())
@@ -236,14 +247,14 @@
 			}
 		}
 		if lost != (failure == SwapRefuses) {
-			t.Errorf("failure %d: running request lost is %v", failure, lost)
+			t.Errorf("failure %d: running request lost is %v, want true for SwapRefuses only", failure, lost)
 		}
 		refused := errors.Is(e.Submit(time.Minute, Request{ID: 2, PromptTokens: 1, OutputTokens: 1}), ErrRefusing)
 		if refused != (failure == SwapRefuses) {
-			t.Errorf("failure %d: refused is %v", failure, refused)
+			t.Errorf("failure %d: new request rejected is %v, want true for SwapRefuses only", failure, refused)
 		}
 		if e.Load(time.Minute).Version != 1 {
-			t.Errorf("failure %d: version %d", failure, e.Version())
+			t.Errorf("failure %d: version %d, want 1", failure, e.Version())
 		}
 		if err := e.SwapWeights(time.Minute, 3, 1); err != nil {
 			t.Fatal(err)
@@ -255,16 +266,17 @@
 	}
 }
 
+// TestStaleFences guards against orders of a deposed controller that overwrite those of its successor.
 func TestStaleFences(t *testing.T) {
 	e := newEngine(t, smallParameters())
 	if err := e.SwapWeights(0, 5, 7); err != nil {
 		t.Fatal(err)
 	}
 	if err := e.SwapWeights(0, 6, 6); !errors.Is(err, ErrStaleFence) {
-		t.Errorf("lower fence: %v", err)
+		t.Errorf("lower fence: %v, want ErrStaleFence", err)
 	}
 	if err := e.SwapWeights(0, 4, 7); !errors.Is(err, ErrStaleFence) {
-		t.Errorf("older version under the same fence: %v", err)
+		t.Errorf("older version under the same fence: %v, want ErrStaleFence", err)
 	}
 	if err := e.SwapWeights(0, 5, 7); err != nil {
 		t.Errorf("repeated order: %v", err)
@@ -285,11 +297,11 @@
 	}
 	load := e.Load(e.now)
 	if load.PrefixHits != 16 || load.Prefilled != 24 {
-		t.Errorf("hits %d, prefilled %d", load.PrefixHits, load.Prefilled)
+		t.Errorf("hits %d, prefilled %d, want 16 and 24", load.PrefixHits, load.Prefilled)
 	}
 	events := e.CacheEvents(0, 100)
 	if len(events) != 5 || events[0].Kind != CacheStored || events[4].Sequence != 5 {
-		t.Errorf("cache events: %+v", events)
+		t.Errorf("cache events %+v, want 5 events, the first of kind stored", events)
 	}
 }
 
@@ -315,22 +327,22 @@
 		}
 	}
 	if err := e.Submit(0, Request{ID: 99, PromptTokens: 1, OutputTokens: 1}); !errors.Is(err, ErrOverloaded) {
-		t.Errorf("full queue: %v", err)
+		t.Errorf("full queue: %v, want ErrOverloaded", err)
 	}
 	e.Crash(0)
 	if err := e.Submit(0, Request{ID: 100, PromptTokens: 1, OutputTokens: 1}); !errors.Is(err, ErrCrashed) {
-		t.Errorf("crashed: %v", err)
+		t.Errorf("crashed: %v, want ErrCrashed", err)
 	}
 	e.Restart(0, 9)
 	if err := e.Submit(0, Request{ID: 1, PromptTokens: 1, OutputTokens: 1}); err != nil || e.Version() != 9 {
-		t.Errorf("after restart: %v, version %d", err, e.Version())
+		t.Errorf("after restart: %v, version %d, want no error and version 9", err, e.Version())
 	}
 }
 
 func TestParseParameters(t *testing.T) {
 	parsed, err := ParseParameters("e.yaml", []byte("step_base: 40ms\nmax_batch: 8\n"))
 	if err != nil || parsed.StepBase != 40*time.Millisecond || parsed.MaxBatch != 8 || parsed.BlockTokens != 16 {
-		t.Errorf("parsed %+v, %v", parsed, err)
+		t.Errorf("parsed %+v, %v, want step_base 40ms, max_batch 8 and the default block_tokens 16", parsed, err)
 	}
 	for content, want := range map[string]string{
 		"max_batch: 8\nkv_blocks: -3\n": "e.yaml:2: kv_blocks",
@@ -344,14 +356,15 @@
 	}
 }
 
-// schedule is a drawn sequence of calls that can be replayed.
+// schedule is a random sequence of calls that can be replayed. Call i happens at at[i] and is a swap if swap[i] is set,
+// otherwise a submission of request[i].
 type schedule struct {
 	at      []time.Duration
 	request []Request
 	swap    []bool
 }
 
-// outcome is what an engine did with a schedule, independent of how often it was advanced.
+// outcome holds those results of a schedule that must not depend on how often the engine was advanced.
 type outcome struct {
 	finished map[uint64]time.Duration
 	tokens   map[[2]uint64]int // by request and version
@@ -359,7 +372,7 @@
 	swapped  time.Duration
 }
 
-// runSchedule advances to the given times between the schedule's calls.
+// runSchedule replays a schedule. Between its calls it advances the engine to the times that step returns.
 func runSchedule(t *rapid.T, drawn schedule, step func(e *Engine, until time.Duration) time.Duration) outcome {
 	e := newEngine(t, smallParameters())
 	result := outcome{finished: map[uint64]time.Duration{}, tokens: map[[2]uint64]int{}}
@@ -396,6 +409,8 @@
 	return result
 }
 
+// TestCoarseAdvancesEqualFineOnes guards against results that depend on how often Advance is called: at every event,
+// only at milestones, or only at the calls of the schedule.
 func TestCoarseAdvancesEqualFineOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var drawn schedule
@@ -423,14 +438,15 @@
 			return until
 		})
 		if !reflect.DeepEqual(fine, coarse) {
-			t.Fatalf("fine %+v, coarse %+v", fine, coarse)
+			t.Fatalf("advanced at every event %+v, only at the calls %+v; want equal outcomes", fine, coarse)
 		}
 		if !reflect.DeepEqual(fine, milestones) {
-			t.Fatalf("fine %+v, by milestones %+v", fine, milestones)
+			t.Fatalf("advanced at every event %+v, only at milestones %+v; want equal outcomes", fine, milestones)
 		}
 	})
 }
 
+// TestMilestoneIsNoLaterThanTheNextFinish guards against a milestone after an event that a caller must see in time.
 func TestMilestoneIsNoLaterThanTheNextFinish(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEngine(t, smallParameters())
@@ -443,7 +459,7 @@
 		for finished < 6 {
 			milestone, ok := e.NextMilestone()
 			if !ok {
-				t.Fatalf("nothing to do with %d finished", finished)
+				t.Fatalf("no milestone with %d of 6 requests finished", finished)
 			}
 			for _, event := range e.Advance(milestone) {
 				if event.Kind == EventTokens {
@@ -466,7 +482,7 @@
 		t.Fatal(err)
 	}
 	if waiting, err := from.Export(0, 1); err != nil || waiting != (KV{}) {
-		t.Errorf("a waiting request exported %+v, %v", waiting, err)
+		t.Errorf("a waiting request exported %+v, %v, want an empty KV cache", waiting, err)
 	}
 	if err := from.Submit(0, Request{ID: 2, PromptTokens: 40, OutputTokens: 30}); err != nil {
 		t.Fatal(err)
@@ -477,11 +493,11 @@
 		t.Fatalf("exported %+v, %v", exported, err)
 	}
 	if _, err := from.Export(400*time.Millisecond, 2); !errors.Is(err, ErrUnknown) {
-		t.Errorf("second export: %v", err)
+		t.Errorf("second export: %v, want ErrUnknown", err)
 	}
 	from.Advance(time.Second)
 	if load := from.Load(time.Second); load.Running != 0 || load.BlocksHeld != 0 {
-		t.Errorf("load after the export %+v", load)
+		t.Errorf("load after the export %+v, want no running request and no blocks held", load)
 	}
 	rest := Request{ID: 1, PromptTokens: 40 + exported.Generated, OutputTokens: 30 - exported.Generated, ImportedTokens: exported.Tokens}
 	if err := to.Submit(0, rest); err != nil {
@@ -489,6 +505,6 @@
 	}
 	to.Advance(time.Minute)
 	if load := to.Load(time.Minute); load.Prefilled != 1 || load.Tokens != uint64(30-exported.Generated) {
-		t.Errorf("load of the importer %+v", load)
+		t.Errorf("load of the importer %+v, want 1 prefilled token and only the rest of the output generated", load)
 	}
 }
--- a/internal/engine/journal.go
+++ b/internal/engine/journal.go
@@ -1,27 +1,27 @@
 package engine
 
-// CacheEventKind says what happened to the prefix cache.
+// CacheEventKind is the type of a CacheEvent.
 type CacheEventKind uint8
 
 // The kinds of cache event.
 const (
-	CacheStored  CacheEventKind = iota + 1 // the block Hash can be reused
-	CacheRemoved                           // the block Hash is gone
-	CacheCleared                           // every block is gone
+	CacheStored  CacheEventKind = iota + 1 // the block with Hash was added
+	CacheRemoved                           // the block with Hash was evicted
+	CacheCleared                           // all blocks were removed; Hash is 0
 )
 
-// CacheEvent is one change of the prefix cache. Sequence numbers are contiguous; a reader that sees a
-// jump has lost events.
+// CacheEvent is one change of the prefix cache. Sequence numbers are contiguous, so a gap tells a reader that it has
+// missed events.
 type CacheEvent struct {
 	Sequence uint64
 	Kind     CacheEventKind
 	Hash     uint64
 }
 
-// cacheJournal keeps the latest events in a ring.
+// cacheJournal keeps the latest events in a ring buffer.
 type cacheJournal struct {
 	ring []CacheEvent
-	last uint64 // sequence of the latest event
+	last uint64 // sequence number of the latest event
 }
 
 func newCacheJournal(size int) *cacheJournal {
@@ -36,7 +36,8 @@
 	j.ring[j.last%uint64(len(j.ring))] = CacheEvent{Sequence: j.last, Kind: kind, Hash: hash}
 }
 
-// CacheEvents returns the kept events after a sequence number, oldest first, at most limit of them.
+// CacheEvents returns the recorded events with a sequence number above after, oldest first, at most limit of them.
+// Events that the ring buffer no longer holds are missing.
 func (e *Engine) CacheEvents(after uint64, limit int) []CacheEvent {
 	journal := e.journal
 	size := uint64(len(journal.ring))
--- a/internal/engine/parameters.go
+++ b/internal/engine/parameters.go
@@ -7,53 +7,52 @@
 	"github.com/tamarindring/tamarindring/internal/strictyaml"
 )
 
-// Parameters describe one model engine. The zero value of a field in a file means its default, except
-// where the field says otherwise.
+// Parameters configures one model engine. A field that is zero or missing in a file gets its default.
 type Parameters struct {
-	// StepBase is the duration of a step that does nothing else: kernel launches and the read of the
-	// weights. Default 20ms; the users' real value is unknown, studies range from 10ms to 80ms.
+	// StepBase is the fixed part of a step's duration: kernel launches and reading the weights. Default 20ms. The real
+	// value at the users is unknown; studies range from 10ms to 80ms.
 	StepBase time.Duration `yaml:"step_base"`
 	// StepPerSequence is added to a step for each sequence that decodes in it. Default 100µs.
 	StepPerSequence time.Duration `yaml:"step_per_sequence"`
 	// StepPerThousandContext is added for each thousand tokens of context that the step's decoding
 	// sequences attend to. Default 50µs.
 	StepPerThousandContext time.Duration `yaml:"step_per_thousand_context"`
-	// PrefillRate is how many prompt tokens are prefilled per second. Default 20000.
+	// PrefillRate is the number of prompt tokens prefilled per second. Default 20000.
 	PrefillRate float64 `yaml:"prefill_tokens_per_second"`
-	// PrefillChunk bounds the prompt tokens of one step, so that a long prompt does not stall those that
+	// PrefillChunk limits the prompt tokens of one step, so that a long prompt does not stall the sequences that
 	// decode. Default 512 tokens.
 	PrefillChunk int `yaml:"prefill_chunk_tokens"`
-	// MaxBatch bounds the sequences that run at once. Default 64.
+	// MaxBatch limits the sequences that run at the same time. Default 64.
 	MaxBatch int `yaml:"max_batch"`
-	// MaxWaiting bounds the requests that wait; one more is refused. Default 1024.
+	// MaxWaiting limits the waiting requests; further ones are rejected. Default 1024.
 	MaxWaiting int `yaml:"max_waiting"`
 	// BlockTokens is the size of one KV memory block. Default 16 tokens.
 	BlockTokens int `yaml:"block_tokens"`
-	// Blocks is the KV memory, running sequences and prefix cache together. Default 16384 blocks.
+	// Blocks is the size of the KV memory that running sequences and the prefix cache share. Default 16384 blocks.
 	Blocks int `yaml:"kv_blocks"`
-	// SwapTime is how long no step runs while staged weights replace the served ones. Default 500ms.
+	// SwapTime is the time without steps while staged weights replace the served ones. Default 500ms.
 	SwapTime time.Duration `yaml:"swap_time"`
-	// StageTime is how long staging a version takes beside the running steps, once its data is on the
-	// machine. Default 1s.
+	// StageTime is the time to stage a version whose data is already on the machine. Steps keep running meanwhile.
+	// Default 1s.
 	StageTime time.Duration `yaml:"stage_time"`
-	// TransferBase and TransferPerThousand are the cost of moving one sequence's KV blocks to another
-	// engine: a constant and a part per thousand tokens. Defaults 5ms and 8ms.
+	// TransferBase and TransferPerThousand are the time to move the KV blocks of one sequence to another engine: a
+	// constant part and a part per thousand tokens. Defaults 5ms and 8ms.
 	TransferBase        time.Duration `yaml:"transfer_base"`
 	TransferPerThousand time.Duration `yaml:"transfer_per_thousand_tokens"`
-	// CacheEvents is how many prefix cache events are kept for readers; older ones are lost to them and
-	// show as a gap. Default 4096; -1 records none.
+	// CacheEvents is the number of prefix cache events kept for readers. Readers that are further behind see a gap in
+	// the sequence numbers. Default 4096; -1 records none.
 	CacheEvents int `yaml:"cache_events"`
 }
 
-// DefaultParameters returns the documented defaults.
+// DefaultParameters returns parameters with every field at its documented default.
 func DefaultParameters() Parameters {
 	var parameters Parameters
 	parameters.SetDefaults()
 	return parameters
 }
 
-// ParseParameters reads parameters from YAML; unknown fields and impossible values are refused with file, line and field.
-// Errors call the content file.
+// ParseParameters decodes parameters from YAML content. It rejects unknown fields and invalid values with an error that
+// names file, line and field. The name in file is used in errors only.
 func ParseParameters(file string, content []byte) (Parameters, error) {
 	var parameters Parameters
 	if err := strictyaml.Decode(file, content, &parameters); err != nil {
@@ -66,7 +65,7 @@
 	return parameters, nil
 }
 
-// Validate refuses impossible values with a strictyaml.FieldError.
+// Validate returns a strictyaml.FieldError for the first invalid value.
 func (p Parameters) Validate() error {
 	durations := []struct {
 		field string
@@ -103,7 +102,7 @@
 	return nil
 }
 
-// SetDefaults gives fields that are zero their documented defaults.
+// SetDefaults sets fields that are zero to their documented defaults.
 func (p *Parameters) SetDefaults() {
 	defaults.Set(&p.StepBase, 20*time.Millisecond)
 	defaults.Set(&p.StepPerSequence, 100*time.Microsecond)
@@ -121,7 +120,7 @@
 	defaults.Set(&p.CacheEvents, 4096)
 }
 
-// TransferTime is the cost of moving the KV blocks of that many tokens to another engine.
+// TransferTime returns the time to move the KV blocks of that many tokens to another engine.
 func (p Parameters) TransferTime(tokens int) time.Duration {
 	return p.TransferBase + time.Duration(tokens)*p.TransferPerThousand/1000
 }
--- a/internal/engine/schedule.go
+++ b/internal/engine/schedule.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// moreUrgent orders requests: by priority, then by arrival.
+// moreUrgent reports whether a is scheduled before b.
 func moreUrgent(a, b *sequence) bool { return compareUrgency(a, b) < 0 }
 
+// compareUrgency orders sequences by priority, a lower number first, then by arrival.
 func compareUrgency(a, b *sequence) int {
 	if order := cmp.Compare(a.request.Priority, b.request.Priority); order != 0 {
 		return order
@@ -17,39 +18,39 @@
 	return cmp.Compare(a.arrival, b.arrival)
 }
 
-// waitingQueue is a heap, the most urgent request first.
+// waitingQueue is a heap with the most urgent request at index 0.
 type waitingQueue []*sequence
 
 func (q waitingQueue) Len() int           { return len(q) }
 func (q waitingQueue) Less(i, j int) bool { return moreUrgent(q[i], q[j]) }
 func (q waitingQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].position, q[j].position = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (q *waitingQueue) Push(value any) {
-	entered := value.(*sequence)
-	entered.position = len(*q)
-	*q = append(*q, entered)
+	seq := value.(*sequence)
+	seq.heapIndex = len(*q)
+	*q = append(*q, seq)
 }
 
 // Pop implements heap.Interface.
 func (q *waitingQueue) Pop() any {
 	last := len(*q) - 1
-	entered := (*q)[last]
+	seq := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	return entered
+	return seq
 }
 
-func (q *waitingQueue) push(entered *sequence)   { heap.Push(q, entered) }
-func (q *waitingQueue) pop() *sequence           { return heap.Pop(q).(*sequence) }
-func (q *waitingQueue) remove(entered *sequence) { heap.Remove(q, entered.position) }
+func (q *waitingQueue) push(seq *sequence)   { heap.Push(q, seq) }
+func (q *waitingQueue) pop() *sequence       { return heap.Pop(q).(*sequence) }
+func (q *waitingQueue) remove(seq *sequence) { heap.Remove(q, seq.heapIndex) }
 
-// startStep begins the next step, a swap or idleness at a step boundary.
+// startStep starts the next step or a due swap at a step boundary, or leaves the engine idle.
 func (e *Engine) startStep(at time.Duration) {
-	e.pending, e.stepping = false, false
+	e.startPending, e.stepping = false, false
 	e.dropCancelled()
 	if e.startSwap(at) {
 		return
@@ -64,58 +65,62 @@
 	e.lastStep = duration
 }
 
-// growRunning gives each running sequence room for its next token, taking it from the least urgent.
+// growRunning allocates a block to each running sequence whose next token needs one. If no block is available, it
+// preempts the least urgent sequences, possibly the one that grows.
 func (e *Engine) growRunning(at time.Duration) {
 	for index := 0; index < len(e.running); index++ {
-		entered := e.running[index]
-		if !entered.running || e.blocksFor(entered.computed+1) <= entered.blocks() {
+		seq := e.running[index]
+		if !seq.running || e.blocksFor(seq.computedTokens+1) <= seq.blocks() {
 			continue
 		}
-		for entered.running && e.pool.available() < 1 {
+		for seq.running && e.pool.available() < 1 {
 			e.preempt(at, e.leastUrgent())
 		}
-		if entered.running {
-			e.pool.take(1)
-			entered.private++
+		if seq.running {
+			e.pool.allocate(1)
+			seq.privateBlocks++
 		}
 	}
 	e.compactRunning()
 }
 
-// admit starts waiting requests, most urgent first. One that finds no room takes it from running ones
-// that are strictly less urgent, if that is enough.
+// admit starts waiting requests, most urgent first, until one does not fit. A request that does not fit preempts
+// running sequences of a strictly lower priority if that frees enough.
 func (e *Engine) admit(at time.Duration) {
 	for len(e.waiting) > 0 {
 		head := e.waiting[0]
 		if !e.fits(head) {
-			if !e.makeRoom(at, head) {
+			if !e.preemptFor(at, head) {
 				return
 			}
 		}
-		e.start(e.waiting.pop())
+		e.startSequence(e.waiting.pop())
 	}
 }
 
-// need is how many blocks would leave the available ones if entered started.
-func (e *Engine) need(entered *sequence) int {
-	hits, idleHits := e.pool.match(e.reusable(entered))
-	return e.blocksFor(entered.context()+1) - hits + idleHits
+// blocksNeeded returns by how many blocks starting the sequence would reduce the available ones. Cached blocks that are
+// idle count as available, so reusing them counts too.
+func (e *Engine) blocksNeeded(seq *sequence) int {
+	hits, idleHits := e.pool.match(e.reusablePrefix(seq))
+	return e.blocksFor(seq.context()+1) - hits + idleHits
 }
 
-func (e *Engine) fits(entered *sequence) bool {
-	return len(e.running) < e.parameters.MaxBatch && e.need(entered) <= e.pool.available()
+// fits reports whether a waiting sequence can start without preemption.
+func (e *Engine) fits(seq *sequence) bool {
+	return len(e.running) < e.parameters.MaxBatch && e.blocksNeeded(seq) <= e.pool.available()
 }
 
-// makeRoom preempts less urgent sequences until head fits; if all of them are not enough it leaves them.
-func (e *Engine) makeRoom(at time.Duration, head *sequence) bool {
+// preemptFor preempts sequences of a lower priority, least urgent first, until head fits. It preempts none and returns
+// false if all of them together would not free enough.
+func (e *Engine) preemptFor(at time.Duration, head *sequence) bool {
 	blocks, victims := 0, 0
-	for _, entered := range e.running {
-		if entered.request.Priority > head.request.Priority {
-			blocks += e.reclaimable(entered)
+	for _, seq := range e.running {
+		if seq.request.Priority > head.request.Priority {
+			blocks += e.reclaimable(seq)
 			victims++
 		}
 	}
-	if victims == 0 || e.need(head) > e.pool.available()+blocks {
+	if victims == 0 || e.blocksNeeded(head) > e.pool.available()+blocks {
 		return false
 	}
 	for !e.fits(head) {
@@ -129,106 +134,112 @@
 	return true
 }
 
-func (e *Engine) reclaimable(entered *sequence) int {
-	blocks := entered.private
-	for _, slot := range entered.shared {
-		if e.pool.entries[slot].holders == 1 {
+// reclaimable returns the number of blocks that become available if the sequence is preempted.
+func (e *Engine) reclaimable(seq *sequence) int {
+	blocks := seq.privateBlocks
+	for _, slot := range seq.sharedSlots {
+		if e.pool.entries[slot].references == 1 {
 			blocks++
 		}
 	}
 	return blocks
 }
 
-// reusable is the part of the prefix that may come from the cache: at least one token is computed anew,
-// since its output is the next token.
-func (e *Engine) reusable(entered *sequence) []uint64 {
-	blocks := min(len(entered.request.Prefix), (entered.context()-1)/e.parameters.BlockTokens)
-	return entered.request.Prefix[:max(blocks, 0)]
+// reusablePrefix returns the hashes of the blocks that may come from the cache. At least one token of the context is
+// always computed, since its output is the next token.
+func (e *Engine) reusablePrefix(seq *sequence) []uint64 {
+	blocks := min(len(seq.request.Prefix), (seq.context()-1)/e.parameters.BlockTokens)
+	return seq.request.Prefix[:max(blocks, 0)]
 }
 
-func (e *Engine) start(entered *sequence) {
-	reusable := e.reusable(entered)
+// startSequence allocates the blocks of a sequence, reusing cached ones, and adds it to the running ones.
+func (e *Engine) startSequence(seq *sequence) {
+	reusable := e.reusablePrefix(seq)
 	hits, _ := e.pool.match(reusable)
-	entered.shared = e.pool.hold(reusable[:hits], entered.shared[:0])
-	entered.private = e.blocksFor(entered.context()+1) - hits
-	e.pool.take(entered.private)
-	entered.target = entered.context()
+	seq.sharedSlots = e.pool.acquire(reusable[:hits], seq.sharedSlots[:0])
+	seq.privateBlocks = e.blocksFor(seq.context()+1) - hits
+	e.pool.allocate(seq.privateBlocks)
+	seq.prefillTarget = seq.context()
 	cached := hits * e.parameters.BlockTokens
 	e.prefixHits += uint64(cached)
-	entered.computed = min(max(cached, entered.imported), entered.target-1)
-	entered.imported = 0
-	entered.decoding = false
-	entered.running = true
-	e.running = append(e.running, entered)
+	seq.computedTokens = min(max(cached, seq.importedTokens), seq.prefillTarget-1)
+	seq.importedTokens = 0
+	seq.decoding = false
+	seq.running = true
+	e.running = append(e.running, seq)
 }
 
-// leastUrgent returns the running sequence that is preempted first.
+// leastUrgent returns the running sequence to preempt first, or nil if none runs.
 func (e *Engine) leastUrgent() *sequence {
 	var last *sequence
-	for _, entered := range e.running {
-		if entered.running && (last == nil || moreUrgent(last, entered)) {
-			last = entered
+	for _, seq := range e.running {
+		if seq.running && (last == nil || moreUrgent(last, seq)) {
+			last = seq
 		}
 	}
 	return last
 }
 
+// preempt releases the blocks of a running sequence and puts it back into the waiting queue.
 func (e *Engine) preempt(at time.Duration, victim *sequence) {
 	victim.running = false
-	e.pool.release(victim.shared, victim.private)
-	victim.shared, victim.private = victim.shared[:0], 0
+	e.pool.release(victim.sharedSlots, victim.privateBlocks)
+	victim.sharedSlots, victim.privateBlocks = victim.sharedSlots[:0], 0
 	e.waiting.push(victim)
 	e.preemptions++
 	e.events = append(e.events, Event{At: at, Kind: EventPreempted, Request: victim.request.ID, Version: e.version})
 }
 
+// compactRunning removes preempted sequences from the running ones.
 func (e *Engine) compactRunning() {
-	kept := e.running[:0]
-	for _, entered := range e.running {
-		if entered.running {
-			kept = append(kept, entered)
+	remaining := e.running[:0]
+	for _, seq := range e.running {
+		if seq.running {
+			remaining = append(remaining, seq)
 		}
 	}
-	e.running = kept
+	e.running = remaining
 }
 
+// dropCancelled removes cancelled sequences from the running ones.
 func (e *Engine) dropCancelled() {
-	kept := e.running[:0]
-	for _, entered := range e.running {
-		if entered.cancelled {
-			e.retire(entered)
+	remaining := e.running[:0]
+	for _, seq := range e.running {
+		if seq.cancelled {
+			e.recycle(seq)
 			continue
 		}
-		kept = append(kept, entered)
+		remaining = append(remaining, seq)
 	}
-	e.running = kept
+	e.running = remaining
 }
 
-// planStep gives the prefill chunk to the most urgent and returns the step's duration.
+// planStep divides the prefill chunk among the prefilling sequences, most urgent first, and returns the step's
+// duration.
 func (e *Engine) planStep() time.Duration {
 	decoding, contextTokens := 0, 0
 	e.prefilling = e.prefilling[:0]
-	for _, entered := range e.running {
-		if entered.decoding {
+	for _, seq := range e.running {
+		if seq.decoding {
 			decoding++
-			contextTokens += entered.computed
+			contextTokens += seq.computedTokens
 			continue
 		}
-		e.prefilling = append(e.prefilling, entered)
+		e.prefilling = append(e.prefilling, seq)
 	}
 	if len(e.prefilling) > 1 {
 		slices.SortFunc(e.prefilling, compareUrgency)
 	}
 	left := e.parameters.PrefillChunk
-	for _, entered := range e.prefilling {
-		entered.chunk = min(left, entered.target-entered.computed)
-		left -= entered.chunk
+	for _, seq := range e.prefilling {
+		seq.chunkTokens = min(left, seq.prefillTarget-seq.computedTokens)
+		left -= seq.chunkTokens
 	}
 	return e.parameters.StepTime(decoding, contextTokens, e.parameters.PrefillChunk-left)
 }
 
-// StepTime is the duration of a step in which sequences decode over contextTokens in all, and prefill
-// prompt tokens are computed.
+// StepTime returns the duration of a step in which that many sequences decode, attending to contextTokens tokens in
+// total, and prefill prompt tokens are computed.
 func (p Parameters) StepTime(sequences, contextTokens, prefill int) time.Duration {
 	return p.StepBase +
 		time.Duration(sequences)*p.StepPerSequence +
@@ -244,72 +255,74 @@
 		return
 	}
 	e.steps++
-	kept := e.running[:0]
-	for _, entered := range e.running {
-		if entered.cancelled {
-			e.retire(entered)
+	remaining := e.running[:0]
+	for _, seq := range e.running {
+		if seq.cancelled {
+			e.recycle(seq)
 			continue
 		}
-		if e.computeStep(entered) {
-			e.emit(at, at, entered, 1)
+		if e.computeStep(seq) {
+			e.emitTokens(at, at, seq, 1)
 		}
-		if entered.generated >= entered.request.OutputTokens {
-			e.finish(at, entered)
+		if seq.generated >= seq.request.OutputTokens {
+			e.finish(at, seq)
 			continue
 		}
-		kept = append(kept, entered)
+		remaining = append(remaining, seq)
 	}
-	e.running = kept
+	e.running = remaining
 }
 
 // computeStep accounts for one step of a sequence and reports whether it generated a token.
-func (e *Engine) computeStep(entered *sequence) bool {
-	if entered.decoding {
-		entered.computed++
+func (e *Engine) computeStep(seq *sequence) bool {
+	if seq.decoding {
+		seq.computedTokens++
 		return true
 	}
-	entered.computed += entered.chunk
-	e.prefilled += uint64(entered.chunk)
-	entered.chunk = 0
-	if entered.computed < entered.target {
+	seq.computedTokens += seq.chunkTokens
+	e.prefilled += uint64(seq.chunkTokens)
+	seq.chunkTokens = 0
+	if seq.computedTokens < seq.prefillTarget {
 		return false
 	}
-	entered.decoding = true
-	e.publish(entered)
+	seq.decoding = true
+	e.publish(seq)
 	return true
 }
 
-// publish makes the blocks of a complete prefill known to the prefix cache.
-func (e *Engine) publish(entered *sequence) {
-	whole := min(len(entered.request.Prefix), entered.target/e.parameters.BlockTokens)
-	before := len(entered.shared)
+// publish adds the whole blocks of a completed prefill to the prefix cache.
+func (e *Engine) publish(seq *sequence) {
+	whole := min(len(seq.request.Prefix), seq.prefillTarget/e.parameters.BlockTokens)
+	before := len(seq.sharedSlots)
 	if whole <= before {
 		return
 	}
-	entered.shared = e.pool.publish(entered.request.Prefix[before:whole], entered.shared)
-	entered.private -= len(entered.shared) - before
+	seq.sharedSlots = e.pool.publish(seq.request.Prefix[before:whole], seq.sharedSlots)
+	seq.privateBlocks -= len(seq.sharedSlots) - before
 }
 
-// emit reports count tokens, the first of which was generated at first and the last at last.
-func (e *Engine) emit(first, last time.Duration, entered *sequence, count int) {
-	entered.generated += count
+// emitTokens reports count tokens, the first generated at time first and the last at time last. It extends the
+// sequence's token event of the current Advance call if that has the same version.
+func (e *Engine) emitTokens(first, last time.Duration, seq *sequence, count int) {
+	seq.generated += count
 	e.tokens += uint64(count)
-	if entered.reported == e.advances {
-		if event := &e.events[entered.event]; event.Version == e.version {
+	if seq.reportedAdvance == e.advances {
+		if event := &e.events[seq.eventIndex]; event.Version == e.version {
 			event.At = last
 			event.Count += count
 			return
 		}
 	}
-	entered.reported, entered.event = e.advances, len(e.events)
+	seq.reportedAdvance, seq.eventIndex = e.advances, len(e.events)
 	e.events = append(e.events, Event{
-		At: last, First: first, Kind: EventTokens, Request: entered.request.ID, Count: count, Version: e.version,
+		At: last, First: first, Kind: EventTokens, Request: seq.request.ID, Count: count, Version: e.version,
 	})
 }
 
-func (e *Engine) finish(at time.Duration, entered *sequence) {
-	e.pool.release(entered.shared, entered.private)
-	delete(e.sequences, entered.request.ID)
-	e.events = append(e.events, Event{At: at, Kind: EventFinished, Request: entered.request.ID, Version: e.version})
-	e.retire(entered)
+// finish ends a sequence whose tokens are complete.
+func (e *Engine) finish(at time.Duration, seq *sequence) {
+	e.pool.release(seq.sharedSlots, seq.privateBlocks)
+	delete(e.sequences, seq.request.ID)
+	e.events = append(e.events, Event{At: at, Kind: EventFinished, Request: seq.request.ID, Version: e.version})
+	e.recycle(seq)
 }
--- a/internal/engine/skip.go
+++ b/internal/engine/skip.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// skipSteps runs at once the steps before now in which nothing but decoding happens: no sequence
-// finishes, prefills or is cancelled, no swap begins, and memory is enough. The result is the same as
-// step by step, for the cost of one step.
+// skipSteps runs the steps up to now in which sequences only decode as one step: no sequence finishes, prefills or is
+// cancelled, no swap begins, and no preemption is needed. The result equals that of running them one by one, at the
+// cost of a single step.
 func (e *Engine) skipSteps(now time.Duration) {
 	if !e.stepping || e.swapping || len(e.prefilling) > 0 || now-e.stepEnd < e.lastStep {
 		return
 	}
-	if e.staged.swap {
+	if e.staged.swapOrdered {
 		now = min(now, e.staged.readyAt-1)
 	}
 	limit := e.uniformSteps()
-	if limit < 2 || !e.roomFor(limit) {
+	if limit < 2 || !e.canGrow(limit) {
 		return
 	}
 	steps, end := e.countSteps(limit, now)
@@ -21,13 +21,13 @@
 		return
 	}
 	first := e.stepEnd
-	for _, entered := range e.running {
-		entered.computed += steps
-		if grow := e.blocksFor(entered.computed+1) - entered.blocks(); grow > 0 {
-			e.pool.take(grow)
-			entered.private += grow
+	for _, seq := range e.running {
+		seq.computedTokens += steps
+		if grow := e.blocksFor(seq.computedTokens+1) - seq.blocks(); grow > 0 {
+			e.pool.allocate(grow)
+			seq.privateBlocks += grow
 		}
-		e.emit(first, end, entered, steps)
+		e.emitTokens(first, end, seq, steps)
 	}
 	e.steps += uint64(steps)
 	e.lastStep = e.planStep()
@@ -35,32 +35,33 @@
 	e.now = max(e.now, end)
 }
 
-// uniformSteps is how many steps pass before the one that finishes a sequence; 0 if one was cancelled.
+// uniformSteps returns the number of steps before the one that finishes a sequence, or 0 if a sequence was cancelled.
 func (e *Engine) uniformSteps() int {
 	limit := int(^uint(0) >> 1)
-	for _, entered := range e.running {
-		if entered.cancelled {
+	for _, seq := range e.running {
+		if seq.cancelled {
 			return 0
 		}
-		limit = min(limit, entered.request.OutputTokens-entered.generated-1)
+		limit = min(limit, seq.request.OutputTokens-seq.generated-1)
 	}
 	return limit
 }
 
-// roomFor says whether every sequence can grow by that many tokens, and one more, without preemption.
-func (e *Engine) roomFor(steps int) bool {
+// canGrow reports whether every running sequence can grow by steps tokens, and one more, without preemption.
+func (e *Engine) canGrow(steps int) bool {
 	need := 0
-	for _, entered := range e.running {
-		need += e.blocksFor(entered.computed+steps+1) - entered.blocks()
+	for _, seq := range e.running {
+		need += e.blocksFor(seq.computedTokens+steps+1) - seq.blocks()
 	}
 	return need <= e.pool.available()
 }
 
-// countSteps counts the steps, the planned one first, that end by now, and when the last of them ends.
+// countSteps returns the number of steps that end by now, at most limit and including the one in progress, and the end
+// of the last of them.
 func (e *Engine) countSteps(limit int, now time.Duration) (steps int, end time.Duration) {
 	contextTokens := 0
-	for _, entered := range e.running {
-		contextTokens += entered.computed
+	for _, seq := range e.running {
+		contextTokens += seq.computedTokens
 	}
 	next := e.stepEnd
 	for steps < limit && next <= now {
@@ -71,8 +72,9 @@
 	return steps, end
 }
 
-// NextMilestone returns a time no later than the next event other than decoded tokens: a finish, an
-// admission, a preemption or a swap. A driver that needs no token's time may let the engine be until then.
+// NextMilestone returns a time no later than the next event other than decoded tokens: a finish, an admission, a
+// preemption or a swap. It returns false if nothing is due. A caller that does not need the time of each token need not
+// call Advance before the milestone.
 func (e *Engine) NextMilestone() (time.Duration, bool) {
 	at, ok := e.NextEvent()
 	if !ok || !e.stepping || e.swapping || len(e.prefilling) > 0 {
@@ -83,7 +85,7 @@
 		steps = min(steps, e.pool.available()/count)
 	}
 	milestone := at + time.Duration(max(steps, 0))*e.lastStep
-	if e.staged.swap {
+	if e.staged.swapOrdered {
 		milestone = min(milestone, max(at, e.staged.readyAt))
 	}
 	return milestone, true
--- a/internal/engine/swap.go
+++ b/internal/engine/swap.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// stagedWeights is a version on its way to being served.
+// stagedWeights is a version that is staged or being staged.
 type stagedWeights struct {
-	version uint64
-	readyAt time.Duration
-	swap    bool // swap as soon as it is ready
+	version     uint64
+	readyAt     time.Duration // end of the staging
+	swapOrdered bool          // swap at the first step boundary after readyAt
 }
 
-// StageWeights begins to stage a version beside the running steps. An order with a fencing token below
-// the highest one seen, or for an older version under the same token, gets ErrStaleFence.
+// StageWeights begins to stage a version while steps keep running. A crashed engine returns ErrCrashed. An order with a
+// fencing token below the highest one seen, or for an older version under the same token, gets ErrStaleFence.
 func (e *Engine) StageWeights(now time.Duration, version, fence uint64) error {
 	return e.orderWeights(now, version, fence, false)
 }
 
-// SwapWeights orders a version to be served: staged first unless it is, then swapped in between two
-// steps. Repeating an order is harmless. Fencing as for StageWeights.
+// SwapWeights orders the engine to serve a version. It stages the version unless that has been done, then swaps it in
+// between two steps. Repeating an order has no further effect. Errors are those of StageWeights.
 func (e *Engine) SwapWeights(now time.Duration, version, fence uint64) error {
 	return e.orderWeights(now, version, fence, true)
 }
 
+// orderWeights checks and executes a stage or swap order.
 func (e *Engine) orderWeights(now time.Duration, version, fence uint64, swap bool) error {
 	e.now = max(e.now, now)
 	if e.crashed {
@@ -40,11 +41,12 @@
 	if e.staged.version != version {
 		e.staged = stagedWeights{version: version, readyAt: now + e.parameters.StageTime}
 	}
-	e.staged.swap = e.staged.swap || swap
+	e.staged.swapOrdered = e.staged.swapOrdered || swap
 	return nil
 }
 
-// CheckOrder tells whether an order for version under a fencing token would be taken, and changes nothing.
+// CheckOrder returns ErrStaleFence if an order for version with this fencing token would be rejected as stale. It
+// changes nothing.
 func (e *Engine) CheckOrder(version, fence uint64) error {
 	newest := max(e.version, e.staged.version, e.swapTarget)
 	if fence < e.fence || (fence == e.fence && version < newest) {
@@ -53,7 +55,8 @@
 	return nil
 }
 
-// RaiseFence accepts a fencing token for an order that is not about weights.
+// RaiseFence records the fencing token of an order that does not concern weights. A token below the highest one seen
+// gets ErrStaleFence.
 func (e *Engine) RaiseFence(fence uint64) error {
 	if fence < e.fence {
 		return ErrStaleFence
@@ -62,12 +65,12 @@
 	return nil
 }
 
-// FailNextSwap makes the next swap fail.
+// FailNextSwap makes the next swap fail in the given way.
 func (e *Engine) FailNextSwap(failure SwapFailure) { e.failure = failure }
 
-// startSwap begins a swap at a step boundary, if one is due.
+// startSwap begins a swap at a step boundary and returns true if one is due.
 func (e *Engine) startSwap(at time.Duration) bool {
-	if !e.staged.swap || e.staged.readyAt > at {
+	if !e.staged.swapOrdered || e.staged.readyAt > at {
 		return false
 	}
 	e.stepping, e.swapping = true, true
@@ -76,7 +79,7 @@
 	return true
 }
 
-// finishSwap makes the staged version the served one, or fails as injected.
+// finishSwap makes the target of the swap the served version, or applies the injected failure.
 func (e *Engine) finishSwap(at time.Duration) {
 	e.swapping = false
 	version, failure := e.swapTarget, e.failure
@@ -96,27 +99,29 @@
 	}
 	e.version, e.refusing = version, false
 	e.pool.clear()
-	e.forgetMixedPrefixes()
+	e.dropMixedPrefixes()
 	e.events = append(e.events, Event{At: at, Kind: EventSwapped, Version: version})
 }
 
-// forgetMixedPrefixes keeps prefills that began under the old weights out of the prefix cache.
-func (e *Engine) forgetMixedPrefixes() {
-	for _, entered := range e.running {
-		if !entered.decoding {
-			entered.request.Prefix = nil
+// dropMixedPrefixes keeps prefills that began under the old weights out of the prefix cache. Their blocks would mix two
+// versions.
+func (e *Engine) dropMixedPrefixes() {
+	for _, seq := range e.running {
+		if !seq.decoding {
+			seq.request.Prefix = nil
 		}
 	}
 }
 
+// failAll reports every request as failed and drops them all.
 func (e *Engine) failAll(at time.Duration) {
-	for _, entered := range e.running {
-		if !entered.cancelled {
-			e.events = append(e.events, Event{At: at, Kind: EventFailed, Request: entered.request.ID, Version: e.version})
+	for _, seq := range e.running {
+		if !seq.cancelled {
+			e.events = append(e.events, Event{At: at, Kind: EventFailed, Request: seq.request.ID, Version: e.version})
 		}
 	}
-	for _, entered := range e.waiting {
-		e.events = append(e.events, Event{At: at, Kind: EventFailed, Request: entered.request.ID, Version: e.version})
+	for _, seq := range e.waiting {
+		e.events = append(e.events, Event{At: at, Kind: EventFailed, Request: seq.request.ID, Version: e.version})
 	}
 	e.dropAll()
 }
--- a/internal/engine/text/text.go
+++ b/internal/engine/text/text.go
@@ -1,7 +1,7 @@
-// Package text generates and checks the answers of the model engine stand-ins. A token is one word that
-// ends in a space. An answer's first word has a capital. Each token is a function of every byte of the context before it, so prompt plus a
-// generated prefix continues on any replica exactly as the uninterrupted answer does, and whoever knows
-// the request can tell the whole answer.
+// Package text generates and checks the answers of the model engine stand-ins. A token is one word with a trailing
+// space, and the first word of an answer is capitalized. Each token is a function of all bytes of the context before
+// it. A replica that gets the prompt and a generated prefix therefore continues exactly as the uninterrupted answer,
+// and a test that knows the request can compute the expected answer.
 package text
 
 import (
@@ -15,20 +15,20 @@
 	"github.com/gravitational/trace"
 )
 
-// DefaultMaxTokens bounds an answer when the request names no max_tokens.
+// DefaultMaxTokens limits the tokens of an answer if the request has no max_tokens.
 const DefaultMaxTokens = 4096
 
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
-	mixer     = 0x9e3779b97f4a7c15
+	mixer     = 0x9e3779b97f4a7c15 // the increment of splitmix64
 
 	directivePrefix = "[tokens="
 	directiveSuffix = "]"
 )
 
-// Lengths of answers without a directive: lognormal around a prompt's own median, so that the samples of
-// one prompt resemble each other, with a long tail.
+// Lengths of answers to prompts without a [tokens=N] directive. They are lognormal, which gives a long tail, around a
+// median that each prompt draws for itself, so that the samples of one prompt have similar lengths.
 const (
 	medianTokens     = 96
 	promptSpread     = 0.7 // sigma of the logarithm between prompts
@@ -39,28 +39,28 @@
 	sampleLengthSalt = 0x2545f491
 )
 
-// Request is what an answer depends on.
+// Request holds everything that determines an answer.
 type Request struct {
 	Prompt    string // the original prompt, without any generated continuation
 	Seed      uint64 // distinguishes samples of one prompt; 0 is the default answer
-	MaxTokens int    // bound of the whole answer, a continuation's prefix included; 0 means DefaultMaxTokens
+	MaxTokens int    // limit of the whole answer, including a continuation's prefix; 0 means DefaultMaxTokens
 }
 
-// Generator yields the tokens of one answer in order.
+// Generator generates the tokens of one answer in order.
 type Generator struct {
-	state uint64
-	begun bool
+	state   uint64
+	started bool
 }
 
-// Start returns a generator that stands before the answer's first token.
+// Start returns a generator whose next token is the first of the answer.
 func (r Request) Start() Generator {
 	return Generator{state: hashBytes(fnvOffset^mix(r.Seed*mixer), r.Prompt)}
 }
 
-// Skip moves the generator over text that is already generated.
+// Skip advances the generator past text that was generated before.
 func (g *Generator) Skip(generated string) {
 	g.state = hashBytes(g.state, generated)
-	g.begun = g.begun || generated != ""
+	g.started = g.started || generated != ""
 }
 
 // Append appends the next count tokens to buffer.
@@ -69,22 +69,22 @@
 		word := words[mix(g.state)%uint64(len(words))]
 		start := len(buffer)
 		buffer = append(buffer, word...)
-		if !g.begun {
+		if !g.started {
 			buffer[start] -= 'a' - 'A'
-			g.begun = true
+			g.started = true
 		}
 		g.state = hashBytes(g.state, buffer[start:])
 	}
 	return buffer
 }
 
-// Length returns the number of tokens of the whole answer and whether max_tokens cut it short.
-func (r Request) Length() (tokens int, cut bool) {
+// Length returns the number of tokens of the whole answer and whether MaxTokens truncated it.
+func (r Request) Length() (tokens int, truncated bool) {
 	limit := r.MaxTokens
 	if limit <= 0 {
 		limit = DefaultMaxTokens
 	}
-	wanted, ok := directive(r.Prompt)
+	wanted, ok := parseDirective(r.Prompt)
 	if !ok {
 		wanted = r.drawLength()
 	}
@@ -94,7 +94,7 @@
 	return wanted, false
 }
 
-// Digest identifies the request in checksums.
+// Digest returns the hash of prompt and seed, which binds a checksum to its request.
 func (r Request) Digest() uint64 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], r.Seed)
@@ -104,51 +104,51 @@
 	return digest.Sum64()
 }
 
-// Text returns the whole answer.
+// Text returns the whole answer to the request.
 func (r Request) Text() string {
 	tokens, _ := r.Length()
 	generator := r.Start()
-	return string(generator.Append(make([]byte, 0, tokens*averageWord), tokens))
+	return string(generator.Append(make([]byte, 0, tokens*tokenBytes), tokens))
 }
 
-// ExpectedText returns the whole answer to prompt under seed 0.
+// ExpectedText returns the whole answer to prompt with seed 0.
 func ExpectedText(prompt string, maxTokens int) string {
 	return Request{Prompt: prompt, MaxTokens: maxTokens}.Text()
 }
 
-// Checksum returns the checksum of a whole answer: hex of xxhash64 over the request's digest (eight
-// bytes, little endian) and the content.
+// Checksum returns the checksum of a whole answer in hex: xxhash64 over the request's digest (eight bytes, little
+// endian) followed by the content.
 func (r Request) Checksum(content string) string {
-	running := NewChecksum(r)
-	running.Write(content)
-	return running.Sum()
+	checksum := NewChecksum(r)
+	checksum.Write(content)
+	return checksum.Sum()
 }
 
-// Checksum returns the checksum of a whole answer to prompt under seed 0.
+// Checksum returns the checksum of a whole answer to prompt with seed 0.
 func Checksum(prompt, content string) string { return Request{Prompt: prompt}.Checksum(content) }
 
-// Running computes a checksum over content that arrives in parts.
-type Running struct {
+// ChecksumWriter computes the checksum of an answer that arrives in parts.
+type ChecksumWriter struct {
 	digest *xxhash.Digest
 }
 
 // NewChecksum starts the checksum of an answer to r.
-func NewChecksum(r Request) Running {
+func NewChecksum(r Request) ChecksumWriter {
 	var head [8]byte
 	binary.LittleEndian.PutUint64(head[:], r.Digest())
 	digest := xxhash.New()
 	_, _ = digest.Write(head[:])
-	return Running{digest: digest}
+	return ChecksumWriter{digest: digest}
 }
 
-// Write adds a part of the content.
-func (c Running) Write(part string) { _, _ = c.digest.WriteString(part) }
+// Write adds the next part of the content.
+func (c ChecksumWriter) Write(part string) { _, _ = c.digest.WriteString(part) }
 
-// WriteBytes adds a part of the content.
-func (c Running) WriteBytes(part []byte) { _, _ = c.digest.Write(part) }
+// WriteBytes adds the next part of the content.
+func (c ChecksumWriter) WriteBytes(part []byte) { _, _ = c.digest.Write(part) }
 
-// Sum returns the checksum's text form.
-func (c Running) Sum() string {
+// Sum returns the checksum of the parts written so far as 16 hex digits.
+func (c ChecksumWriter) Sum() string {
 	var sum [8]byte
 	binary.BigEndian.PutUint64(sum[:], c.digest.Sum64())
 	return hex.EncodeToString(sum[:])
@@ -157,9 +157,9 @@
 // Count returns the number of tokens in content.
 func Count(content string) int { return len(strings.Fields(content)) }
 
-// SplitContinuation separates the last count words of prompt, which are an already generated
-// continuation, from the original prompt. An answer's first word has a capital, which tells it from a
-// prompt that ends in letters.
+// SplitContinuation splits prompt into the original prompt and its last count words, which were generated before. The
+// capital of an answer's first word marks where the answer begins, even if the original prompt ends in letters. A
+// prompt that does not end in count generated words gets a BadParameter error.
 func SplitContinuation(prompt string, count int) (original, generated string, err error) {
 	if count == 0 {
 		return prompt, "", nil
@@ -187,8 +187,8 @@
 	Content string `json:"content"`
 }
 
-// RenderChat returns the prompt that a chat stands for. With continued set, the last message must be the
-// assistant's and holds the generated continuation: the prompt then ends in its content.
+// RenderChat returns the prompt for a chat. If continued is set, the last message must be the assistant's and hold the
+// continuation generated so far, with which the prompt then ends. Another last message gets a BadParameter error.
 func RenderChat(messages []Message, continued bool) (string, error) {
 	var prompt strings.Builder
 	last := len(messages)
@@ -212,8 +212,8 @@
 
 func isUpper(b byte) bool { return b >= 'A' && b <= 'Z' }
 
-// directive reads the first [tokens=N] of prompt.
-func directive(prompt string) (int, bool) {
+// parseDirective returns N of the first [tokens=N] in prompt, or false if there is none or N is not a positive integer.
+func parseDirective(prompt string) (int, bool) {
 	_, rest, found := strings.Cut(prompt, directivePrefix)
 	if !found {
 		return 0, false
@@ -229,6 +229,7 @@
 	return tokens, true
 }
 
+// drawLength returns the pseudo-random length of an answer to a prompt without a directive.
 func (r Request) drawLength() int {
 	promptHash := hashBytes(fnvOffset, r.Prompt)
 	logarithm := math.Log(medianTokens) +
@@ -238,13 +239,14 @@
 	return min(max(tokens, smallestDrawn), largestDrawn)
 }
 
-// gaussian maps a hash to a normally distributed number (Box and Muller).
+// gaussian maps a hash to a standard normal variate (Box-Muller transform).
 func gaussian(hash uint64) float64 {
 	first := float64(mix(hash)>>11)/(1<<53) + 1e-12
 	second := float64(mix(hash+mixer)>>11) / (1 << 53)
 	return math.Sqrt(-2*math.Log(first)) * math.Cos(2*math.Pi*second)
 }
 
+// hashBytes continues an FNV-1a hash.
 func hashBytes[T string | []byte](state uint64, content T) uint64 {
 	for index := 0; index < len(content); index++ {
 		state = (state ^ uint64(content[index])) * fnvPrime
@@ -252,15 +254,15 @@
 	return state
 }
 
-// mix is the finaliser of splitmix64: FNV alone leaves its low bits too regular.
+// mix is the finalizer of splitmix64. The low bits of FNV alone are too regular to select words by.
 func mix(value uint64) uint64 {
 	value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9
 	value = (value ^ (value >> 27)) * 0x94d049bb133111eb
 	return value ^ (value >> 31)
 }
 
-// PrefixHashes counts the tokens of a context, words by white space, and returns the chained hash of each
-// whole block of blockTokens of them.
+// PrefixHashes returns the number of tokens in a context, counted as words separated by white space, and the chained
+// hash of each whole block of blockTokens tokens.
 func PrefixHashes(context string, blockTokens int) (tokens int, hashes []uint64) {
 	state := uint64(fnvOffset)
 	inWord := false
--- a/internal/engine/text/text_test.go
+++ b/internal/engine/text/text_test.go
@@ -7,6 +7,8 @@
 	"pgregory.net/rapid"
 )
 
+// TestContinuationIsIdenticalToUninterruptedAnswer guards against a replica that continues an answer with other tokens
+// than the replica that began it.
 func TestContinuationIsIdenticalToUninterruptedAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := Request{
@@ -24,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if original != request.Prompt || generated != prefix {
-			t.Fatalf("split %q into %q and %q", request.Prompt+prefix, original, generated)
+			t.Fatalf("split %q into %q and %q, want the prompt and the generated prefix", request.Prompt+prefix, original, generated)
 		}
 		replay := Request{Prompt: original, Seed: request.Seed}
 		second := replay.Start()
@@ -34,16 +36,16 @@
 			t.Fatalf("continued answer differs: %q, want %q", answer, whole)
 		}
 		if replay.Checksum(answer) != request.Checksum(whole) {
-			t.Fatal("checksums differ")
+			t.Fatal("the continued answer has another checksum than the uninterrupted one")
 		}
 	})
 }
 
 func TestLengths(t *testing.T) {
 	cases := []struct {
-		request Request
-		tokens  int
-		cut     bool
+		request   Request
+		tokens    int
+		truncated bool
 	}{
 		{Request{Prompt: "a [tokens=12] b"}, 12, false},
 		{Request{Prompt: "[tokens=12]", MaxTokens: 5}, 5, true},
@@ -51,16 +53,16 @@
 		{Request{Prompt: "[tokens=99999999]"}, DefaultMaxTokens, true},
 	}
 	for _, test := range cases {
-		tokens, cut := test.request.Length()
-		if tokens != test.tokens || cut != test.cut {
-			t.Errorf("%+v: %d, %v", test.request, tokens, cut)
+		tokens, truncated := test.request.Length()
+		if tokens != test.tokens || truncated != test.truncated {
+			t.Errorf("%+v: got %d tokens, truncated %v", test.request, tokens, truncated)
 		}
 		if got := Count(test.request.Text()); got != test.tokens {
-			t.Errorf("%+v: text of %d tokens", test.request, got)
+			t.Errorf("%+v: text of %d tokens differs from the expected length", test.request, got)
 		}
 	}
 	if tokens, _ := (Request{Prompt: "[tokens=x] hello"}).Length(); tokens < smallestDrawn {
-		t.Errorf("a malformed directive gave %d tokens", tokens)
+		t.Errorf("a malformed directive gave %d tokens, want a drawn length", tokens)
 	}
 }
 
@@ -73,13 +75,13 @@
 		t.Error("another seed gave the same answer")
 	}
 	if Checksum("a", base) == Checksum("b", base) {
-		t.Error("the checksum does not bind the request")
+		t.Error("the same content has the same checksum for two different requests")
 	}
 }
 
 func TestSplitContinuationRefusesTooFewWords(t *testing.T) {
 	if _, _, err := SplitContinuation("one two", 1); err == nil || !strings.Contains(err.Error(), "prefix_tokens") {
-		t.Errorf("err = %v", err)
+		t.Errorf("got error %v, want one that names prefix_tokens", err)
 	}
 }
 
@@ -93,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if continued != plain+"oak " {
-		t.Errorf("continued prompt is %q", continued)
+		t.Errorf("continued prompt is %q, want the plain prompt followed by the continuation", continued)
 	}
 	if _, err := RenderChat([]Message{{Role: "user", Content: "hi"}}, true); err == nil {
 		t.Error("a continuation without the assistant's message was accepted")
--- a/internal/engine/text/words.go
+++ b/internal/engine/text/words.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// averageWord is a generous size of one token in bytes, for buffers.
-const averageWord = 7
+// tokenBytes is an upper estimate of a token's average size in bytes, for sizing buffers.
+const tokenBytes = 7
 
-// words is the vocabulary; every word is lower-case letters and one closing space.
+// words is the vocabulary. Every word consists of lower-case letters and one trailing space.
 var words = strings.SplitAfter(vocabulary, " ")
 
 const vocabulary = "about after again along also among apple apron arch arrow ash aunt autumn badge baker barn " +
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -1,7 +1,7 @@
 // Package engine emulates a model engine in virtual time: continuous batching with chunked prefill,
 // limited KV memory with a prefix cache, priorities with preemption, weight swaps and their failures.
-// Time is an argument; nothing here has a clock, a goroutine or I/O. The engine stand-in drives it in
-// real time, the experiments drive hundreds of them in virtual time.
+// Callers pass the current time to every call. The package has no clock, starts no goroutine and does no I/O, so that
+// the engine stand-in can run it in real time and experiments can run hundreds of engines in virtual time.
 package engine
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Errors of Submit and of the orders. Each refusal means that nothing was run or changed.
+// Errors of Submit, Cancel, Export and the weight orders. A call that returns one of them has run and changed nothing.
 var (
 	ErrCrashed    = errors.New("engine has crashed")
 	ErrRefusing   = errors.New("engine refuses work: its weights are incomplete")
@@ -23,37 +23,38 @@
 
 // Request is one sequence to generate.
 type Request struct {
-	// ID is the caller's handle, unique among the engine's unfinished requests.
+	// ID is assigned by the caller and is unique among the engine's unfinished requests.
 	ID uint64
 	// Priority orders requests; a lower number is more urgent.
 	Priority int
-	// PromptTokens is the length of the context, an already generated continuation included.
+	// PromptTokens is the length of the context in tokens, including any continuation that was already generated.
 	PromptTokens int
-	// OutputTokens is the number of tokens still to generate; the request finishes with the last.
+	// OutputTokens is the number of tokens still to generate. It must be at least 1.
 	OutputTokens int
-	// Prefix are the chained hashes of the context's whole blocks, first block first: equal hashes mean
-	// equal context up to the block's end. May be shorter than the context, or empty. Not modified.
+	// Prefix holds the chained hashes of the context's whole blocks, starting with the first block. Two equal hashes
+	// mean that the contexts are equal up to the end of the block. It may be shorter than the context, or empty. The
+	// engine does not modify it.
 	Prefix []uint64
-	// ImportedTokens is how many leading tokens of the context came with an imported KV cache and need
-	// no prefill.
+	// ImportedTokens is the number of leading context tokens that an imported KV cache covers. They need no prefill.
 	ImportedTokens int
 }
 
-// EventKind says what happened.
+// EventKind is the type of an Event.
 type EventKind uint8
 
 // The kinds of event.
 const (
 	EventTokens     EventKind = iota + 1 // Count tokens were generated under Version
-	EventFinished                        // the request's last token was generated
-	EventPreempted                       // the request lost its room and waits again
-	EventFailed                          // the request was lost to a failed swap
-	EventSwapped                         // Version is served from now on
+	EventFinished                        // the last token of the request was generated
+	EventPreempted                       // the request lost its KV blocks and is waiting again
+	EventFailed                          // a failed swap ended the request
+	EventSwapped                         // the engine serves Version from now on
 	EventSwapFailed                      // the swap to Version failed
 )
 
-// Event is one thing that happened. Within one call of Advance, the tokens that a request received under
-// one version are one event: Count of them, the first at First and the last at At.
+// Event reports a change of a request or of the served weights. One call of Advance reports all tokens that a request
+// received under one version as a single event, with their number in Count, the time of the first in First and the time
+// of the last in At.
 type Event struct {
 	At      time.Duration
 	First   time.Duration // EventTokens only
@@ -63,36 +64,36 @@
 	Version uint64
 }
 
-// Load is an engine's own report, exact at the time it is made.
+// Load is an engine's report of its own load and counters, exact at time At.
 type Load struct {
 	At            time.Duration
 	Running       int
 	Waiting       int
-	WaitingTokens int           // context of the waiting requests, an estimate of prefill to come
-	BlocksHeld    int           // by running sequences
-	BlocksCached  int           // prefix cache that nothing holds
-	BlocksTotal   int           //
-	MaxBatch      int           //
-	StepTime      time.Duration // of the last whole step
-	Steps         uint64        // since the start
+	WaitingTokens int           // context tokens of the waiting requests, an estimate of the prefill to come
+	BlocksHeld    int           // KV blocks used by running sequences
+	BlocksCached  int           // KV blocks of the prefix cache that no running sequence uses
+	BlocksTotal   int           // KV blocks of the whole memory
+	MaxBatch      int           // limit of Running
+	StepTime      time.Duration // duration of the last step that was planned
+	Steps         uint64        // completed since the start
 	Tokens        uint64        // generated since the start
 	Prefilled     uint64        // prompt tokens computed since the start
 	PrefixHits    uint64        // prompt tokens found in the prefix cache since the start
 	Preemptions   uint64        // since the start
-	Version       uint64        // served
-	Staged        uint64        // version that waits for a swap; 0 when none
+	Version       uint64        // served version
+	Staged        uint64        // version that is staged or being staged; 0 if none
 	Fence         uint64        // highest fencing token seen
-	Refusing      bool
+	Refusing      bool          // requests are rejected because a failed swap left the weights incomplete
 	Crashed       bool
 }
 
-// SwapFailure is how the next swap fails.
+// SwapFailure selects how the next swap fails.
 type SwapFailure uint8
 
 // The ways a swap can fail.
 const (
 	SwapSucceeds SwapFailure = iota
 	SwapKeepsOld             // reported as failed; the old version is still served
-	SwapRefuses              // reported as failed; running requests are lost, the engine refuses work until a swap succeeds
-	SwapIsSilent             // reported as done, though the old version is still served
+	SwapRefuses              // reported as failed; all requests are lost and new ones are rejected until a swap succeeds
+	SwapIsSilent             // reported as done although the old version is still served
 )
--- a/internal/standin/engine/write.go
+++ b/internal/standin/engine/write.go
@@ -18,7 +18,7 @@
 	stream    *stream
 	writer    *bufio.Writer
 	generator text.Generator
-	checksum  text.Running
+	checksum  text.ChecksumWriter
 	head      []byte // of every chunk, up to the choice's text
 	buffer    []byte
 	words     []byte
