--- a/internal/engine/schedule.go
+++ b/internal/engine/schedule.go
@@ -247,7 +247,7 @@
 		time.Duration(float64(prefill)/p.PrefillRate*float64(time.Second))
 }
 
-// finishStep reports the step's tokens and retires finished sequences.
+// finishStep reports the step's tokens and ends the sequences that are complete, or finishes a swap.
 func (e *Engine) finishStep(at time.Duration) {
 	e.stepping = false
 	if e.swapping {
--- a/internal/standin/engine/admin.go
+++ b/internal/standin/engine/admin.go
@@ -17,7 +17,7 @@
 type LoadReport struct {
 	Name          string  `json:"name"`
 	Zone          string  `json:"zone"`
-	AtUnixMillis  int64   `json:"at_unix_millis"` // of the figures, one lag before the answer
+	AtUnixMillis  int64   `json:"at_unix_millis"` // time of the figures, Config.LoadReportLag before the answer
 	Leaving       bool    `json:"leaving"`
 	Refusing      bool    `json:"refusing"`
 	Role          string  `json:"role"`
@@ -34,14 +34,14 @@
 	BlocksCached  int     `json:"kv_blocks_cached"`
 	BlocksTotal   int     `json:"kv_blocks_total"`
 	BlockTokens   int     `json:"block_tokens"`
-	StepMillis    float64 `json:"step_millis"` // of the last step, real time
+	StepMillis    float64 `json:"step_millis"` // duration of the last step in real time
 	Steps         uint64  `json:"steps"`
 	Tokens        uint64  `json:"tokens"`
 	PrefixHits    uint64  `json:"prefix_hit_tokens"`
 	Preemptions   uint64  `json:"preemptions"`
 }
 
-// BriefLoadReport is the body of GET /v1/load?brief=true: what gateways and coordinators read.
+// BriefLoadReport is the body of GET /v1/load?brief=true. It holds the fields that gateways and coordinators read.
 type BriefLoadReport struct {
 	Leaving       bool   `json:"leaving"`
 	Refusing      bool   `json:"refusing"`
@@ -52,13 +52,13 @@
 	Waiting       int    `json:"waiting"`
 }
 
-// Brief leaves out what only people and tools look at.
+// Brief returns the report without the fields that only people and tools read.
 func (r LoadReport) Brief() BriefLoadReport {
 	return BriefLoadReport{Leaving: r.Leaving, Refusing: r.Refusing, WeightVersion: r.WeightVersion, VersionNumber: r.VersionNumber,
 		StagedNumber: r.StagedNumber, Running: r.Running, Waiting: r.Waiting}
 }
 
-// WriteLoad answers GET /v1/load.
+// WriteLoad answers GET /v1/load with the report, or its brief form if the query asks for it.
 func WriteLoad(ctx *fasthttp.RequestCtx, report LoadReport) {
 	if ctx.QueryArgs().GetBool("brief") {
 		endpoint.WriteJSON(ctx, fasthttp.StatusOK, report.Brief())
@@ -67,6 +67,7 @@
 	endpoint.WriteJSON(ctx, fasthttp.StatusOK, report)
 }
 
+// report returns the load report, which lags by Config.LoadReportLag.
 func (s *Server) report() LoadReport {
 	load, at := s.reportedLoad()
 	s.mutex.Lock()
@@ -87,10 +88,10 @@
 	Version       string `json:"version"`
 	VersionNumber uint64 `json:"version_number"`
 	Fence         uint64 `json:"fence"`
-	Stage         bool   `json:"stage"` // only stage it; a later order without it swaps
+	Stage         bool   `json:"stage"` // only stage the version; a later order with stage false swaps it in
 }
 
-// weightsAnswer says what is served after an order.
+// weightsAnswer is the answer to a weight order: the version served and whether another one is staged.
 type weightsAnswer struct {
 	WeightVersion string `json:"weight_version"`
 	VersionNumber uint64 `json:"version_number"`
@@ -106,10 +107,10 @@
 	orderSuperseded
 )
 
-// weightOrder waits for its version's swap.
+// weightOrder is an order that waits for the swap to its version.
 type weightOrder struct {
-	number uint64
-	done   chan orderOutcome
+	number uint64            // version number
+	done   chan orderOutcome // receives the outcome once
 }
 
 func (s *Server) handleWeights(ctx *fasthttp.RequestCtx) {
@@ -123,23 +124,24 @@
 	}
 	s.mutex.Lock()
 	err := s.emulated.CheckOrder(order.VersionNumber, order.Fence)
-	known := s.fetched[order.VersionNumber] || s.config.WeightStore == ""
+	known := s.fetchedVersions[order.VersionNumber] || s.config.WeightStore == ""
 	s.mutex.Unlock()
 	if err != nil {
-		refuseStale(ctx)
+		rejectStale(ctx)
 		return
 	}
 	if !known && !s.fetch(ctx, order) {
 		return
 	}
-	s.execute(ctx, order)
+	s.executeOrder(ctx, order)
 }
 
-func refuseStale(ctx *fasthttp.RequestCtx) {
+// rejectStale answers an order with a stale fencing token.
+func rejectStale(ctx *fasthttp.RequestCtx) {
 	endpoint.Refuse(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "stale_fence", emulator.ErrStaleFence.Error(), 0)
 }
 
-// fetch loads a version's data from the weight store, or answers its refusal and returns false.
+// fetch loads a version's data from the weight store. If that fails, it answers with the error and returns false.
 func (s *Server) fetch(ctx *fasthttp.RequestCtx, order weightsOrder) bool {
 	response, err := s.client.Get("http://" + s.config.WeightStore + "/v1/versions/" + url.PathEscape(order.Version))
 	if err != nil {
@@ -150,7 +152,7 @@
 	switch response.StatusCode {
 	case http.StatusOK:
 		s.mutex.Lock()
-		s.fetched[order.VersionNumber] = true
+		s.fetchedVersions[order.VersionNumber] = true
 		s.mutex.Unlock()
 		return true
 	case http.StatusTooManyRequests:
@@ -165,14 +167,14 @@
 	return false
 }
 
-// execute gives the order to the emulator and, for a swap, waits for its outcome.
-func (s *Server) execute(ctx *fasthttp.RequestCtx, order weightsOrder) {
+// executeOrder passes the order to the emulator and, for a swap, waits for the outcome.
+func (s *Server) executeOrder(ctx *fasthttp.RequestCtx, order weightsOrder) {
 	waiting, err := s.submitOrder(order)
 	if err != nil {
-		refuseStale(ctx)
+		rejectStale(ctx)
 		return
 	}
-	s.poke()
+	s.wakeDriver()
 	if waiting == nil {
 		s.answerWeights(ctx, fasthttp.StatusOK)
 		return
@@ -187,7 +189,7 @@
 	}
 }
 
-// submitOrder returns nil without an error when there is nothing to wait for.
+// submitOrder passes the order to the emulator. It returns nil without an error if there is no swap to wait for.
 func (s *Server) submitOrder(order weightsOrder) (*weightOrder, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -228,15 +230,16 @@
 	endpoint.WriteJSON(ctx, status, answer)
 }
 
-// finishOrders tells the orders that wait for a swap. The caller holds the mutex.
-func (s *Server) finishOrders(event emulator.Event) {
-	kept := s.orders[:0]
+// resolveOrders sends their outcome to the waiting orders that a finished or failed swap decides. The caller must hold
+// the mutex.
+func (s *Server) resolveOrders(event emulator.Event) {
+	remaining := s.orders[:0]
 	for _, order := range s.orders {
 		switch {
 		case order.number != event.Version && event.Kind == emulator.EventSwapFailed:
-			kept = append(kept, order)
+			remaining = append(remaining, order)
 		case order.number > event.Version:
-			kept = append(kept, order)
+			remaining = append(remaining, order)
 		case order.number < event.Version:
 			order.done <- orderSuperseded
 		case event.Kind == emulator.EventSwapped:
@@ -245,10 +248,10 @@
 			order.done <- orderFailed
 		}
 	}
-	s.orders = kept
+	s.orders = remaining
 }
 
-// failOrders ends every waiting order. The caller holds the mutex.
+// failOrders fails every waiting order. The caller must hold the mutex.
 func (s *Server) failOrders() {
 	for _, order := range s.orders {
 		order.done <- orderFailed
@@ -256,7 +259,7 @@
 	s.orders = nil
 }
 
-// fencedOrder is the body of the adapter and role orders.
+// fencedOrder is the body of POST /v1/admin/adapter and /v1/admin/role.
 type fencedOrder struct {
 	Adapter string `json:"adapter"`
 	Role    string `json:"role"`
@@ -271,6 +274,7 @@
 	s.handleFenced(ctx, func(order fencedOrder) { s.role = order.Role })
 }
 
+// handleFenced applies change unless the order's fencing token is stale, and answers with the load report.
 func (s *Server) handleFenced(ctx *fasthttp.RequestCtx, change func(fencedOrder)) {
 	var order fencedOrder
 	if !endpoint.DecodeJSON(ctx, &order) {
@@ -283,7 +287,7 @@
 	}
 	s.mutex.Unlock()
 	if err != nil {
-		refuseStale(ctx)
+		rejectStale(ctx)
 		return
 	}
 	endpoint.WriteJSON(ctx, fasthttp.StatusOK, s.report())
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	cacheFeedLimit  = 8192
-	cacheAnswerSize = 1024
+	cacheFeedLimit  = 8192 // events kept for readers
+	cacheAnswerSize = 1024 // events in one answer
 )
 
-// CacheEvent is one change of the prefix cache as published. A jump in Sequence means lost events.
+// CacheEvent is one change of the prefix cache in the answer of GET /v1/cache_events. A gap in Sequence means that
+// events were lost.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Kind     string `json:"kind"` // stored, removed or cleared
@@ -28,18 +29,18 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// cacheFeed hands out the emulator's cache events late and with gaps.
+// cacheFeed serves the emulator's cache events with a lag and with random losses.
 type cacheFeed struct {
-	mutex  sync.Mutex
-	lag    time.Duration
-	loss   float64
-	random *rand.Rand
-	read   uint64 // sequence of the last event taken from the emulator
-	held   []heldEvent
+	mutex         sync.Mutex
+	lag           time.Duration
+	loss          float64
+	random        *rand.Rand
+	lastCollected uint64         // sequence number of the last event collected from the emulator
+	delayed       []delayedEvent // collected events, oldest first
 }
 
-type heldEvent struct {
-	at    time.Time
+type delayedEvent struct {
+	at    time.Time // of the collection
 	event emulator.CacheEvent
 }
 
@@ -48,46 +49,47 @@
 	f.random = rand.New(rand.NewSource(int64(config.Seed) + 1))
 }
 
-// collect takes the new events from the emulator.
+// collect reads the emulator's new events and drops some of them at random, as configured.
 func (f *cacheFeed) collect(now time.Time, emulated *emulator.Engine) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, event := range emulated.CacheEvents(f.read, cacheFeedLimit) {
-		f.read = event.Sequence
+	for _, event := range emulated.CacheEvents(f.lastCollected, cacheFeedLimit) {
+		f.lastCollected = event.Sequence
 		if f.loss > 0 && f.random.Float64() < f.loss {
 			continue
 		}
-		f.held = append(f.held, heldEvent{at: now, event: event})
+		f.delayed = append(f.delayed, delayedEvent{at: now, event: event})
 	}
-	if excess := len(f.held) - cacheFeedLimit; excess > 0 {
-		f.held = append(f.held[:0], f.held[excess:]...)
+	if excess := len(f.delayed) - cacheFeedLimit; excess > 0 {
+		f.delayed = append(f.delayed[:0], f.delayed[excess:]...)
 	}
 }
 
-// after returns events above a sequence number that are old enough to be handed out.
+// after returns events with a higher sequence number that have reached the configured lag.
 func (f *cacheFeed) after(sequence uint64, now time.Time) []CacheEvent {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	events := []CacheEvent{}
-	for _, held := range f.held {
-		if held.event.Sequence <= sequence {
+	for _, delayed := range f.delayed {
+		if delayed.event.Sequence <= sequence {
 			continue
 		}
-		if now.Sub(held.at) < f.lag || len(events) == cacheAnswerSize {
+		if now.Sub(delayed.at) < f.lag || len(events) == cacheAnswerSize {
 			break
 		}
-		events = append(events, published(held.event))
+		events = append(events, toCacheEvent(delayed.event))
 	}
 	return events
 }
 
-func published(event emulator.CacheEvent) CacheEvent {
+// toCacheEvent converts an event of the emulator to its form on the wire.
+func toCacheEvent(event emulator.CacheEvent) CacheEvent {
 	kinds := [...]string{emulator.CacheStored: "stored", emulator.CacheRemoved: "removed", emulator.CacheCleared: "cleared"}
-	shown := CacheEvent{Sequence: event.Sequence, Kind: kinds[event.Kind]}
+	converted := CacheEvent{Sequence: event.Sequence, Kind: kinds[event.Kind]}
 	if event.Kind != emulator.CacheCleared {
-		shown.Hash = strconv.FormatUint(event.Hash, 16)
+		converted.Hash = strconv.FormatUint(event.Hash, 16)
 	}
-	return shown
+	return converted
 }
 
 func (s *Server) handleCacheEvents(ctx *fasthttp.RequestCtx) {
--- a/internal/standin/engine/client_test.go
+++ b/internal/standin/engine/client_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// chunk is what a client reads of one server-sent event.
+// chunk holds the fields of a server-sent event that the tests check.
 type chunk struct {
 	Error   struct{ Code string }
 	Choices []struct {
@@ -23,17 +23,19 @@
 	}
 }
 
-// answer is a whole streamed answer as a client puts it together.
+// answer is a streamed answer as assembled by a client.
 type answer struct {
 	content  string
-	next     int // token after the last one read
+	next     int // position after the last token read
 	segments []Segment
 	finish   string
 	checksum string
 	failure  string // code of an error event
-	done     bool
+	done     bool   // [DONE] was read
 }
 
+// readStream reads server-sent events until the body ends. The first token must be at position next, and every chunk
+// must begin where the chunk before it ended.
 func readStream(t *testing.T, body io.Reader, next int) answer {
 	t.Helper()
 	read := answer{next: next}
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -15,10 +15,10 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// overloadRetry is what an overloaded engine tells its clients to wait.
+// overloadRetry is the Retry-After of an engine that rejects a request it may accept later.
 const overloadRetry = time.Second
 
-// completionRequest is the body of both completion calls.
+// completionRequest is the body of POST /v1/completions and /v1/chat/completions.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -39,34 +39,35 @@
 	if !endpoint.DecodeJSON(ctx, &body) {
 		return
 	}
-	prepared, problem := prepare(&body, chat)
+	prepared, problem := parseCompletion(&body, chat)
 	if problem != "" {
 		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_request", problem, 0)
 		return
 	}
-	prepared.key = string(ctx.Request.Header.Peek("Idempotency-Key"))
+	prepared.idempotencyKey = string(ctx.Request.Header.Peek("Idempotency-Key"))
 	if prepared.requestID == "" {
 		prepared.requestID = string(ctx.Request.Header.Peek("X-Request-Id"))
 	}
-	if !s.start(ctx, prepared, &body) {
+	if !s.submit(ctx, prepared, &body) {
 		return
 	}
 	if body.Stream {
-		s.serveStream(ctx, prepared, prepared.prefix)
+		s.serveStream(ctx, prepared, prepared.prefixTokens)
 		return
 	}
-	s.serveWhole(ctx, prepared)
+	s.serveUnstreamed(ctx, prepared)
 }
 
-// prepare turns a body into a stream that is not yet submitted, or says what is wrong with it.
-func prepare(body *completionRequest, chat bool) (*stream, string) {
+// parseCompletion validates a request body. It returns a stream that is not submitted yet, or a description of what is
+// wrong with the body.
+func parseCompletion(body *completionRequest, chat bool) (*stream, string) {
 	if body.N > 1 {
 		return nil, "n must be 1"
 	}
 	if body.PrefixTokens < 0 || body.MaxTokens < 0 || body.MaxCompletionTokens < 0 {
 		return nil, "prefix_tokens and max_tokens must not be negative"
 	}
-	prompt, problem := promptOf(body, chat)
+	prompt, problem := parsePrompt(body, chat)
 	if problem != "" {
 		return nil, problem
 	}
@@ -75,16 +76,17 @@
 		return nil, err.Error()
 	}
 	prepared := &stream{
-		requestID: body.RequestID, model: body.Model, chat: chat, generated: generated, prefix: body.PrefixTokens,
+		requestID: body.RequestID, model: body.Model, chat: chat, continuation: generated, prefixTokens: body.PrefixTokens,
 		request: text.Request{Prompt: original, Seed: body.Seed, MaxTokens: max(body.MaxTokens, body.MaxCompletionTokens)},
-		tokens:  body.PrefixTokens, outcome: OutcomeRunning, over: make(chan struct{}),
+		tokens:  body.PrefixTokens, outcome: OutcomeRunning, done: make(chan struct{}),
 	}
 	prepared.changed.L = &prepared.mutex
-	prepared.total, prepared.cut = prepared.request.Length()
+	prepared.totalTokens, prepared.truncated = prepared.request.Length()
 	return prepared, ""
 }
 
-func promptOf(body *completionRequest, chat bool) (prompt, problem string) {
+// parsePrompt returns the prompt of a request body, or a description of what is wrong with it.
+func parsePrompt(body *completionRequest, chat bool) (prompt, problem string) {
 	if chat {
 		if len(body.Messages) == 0 {
 			return "", "messages is missing"
@@ -105,75 +107,76 @@
 	return "", "prompt must be one string"
 }
 
-// start submits a stream to the emulator, or answers the refusal and returns false.
-func (s *Server) start(ctx *fasthttp.RequestCtx, prepared *stream, body *completionRequest) bool {
-	tokens, prefix := text.PrefixHashes(prepared.request.Prompt+prepared.generated, s.config.Parameters.BlockTokens)
+// submit submits a stream to the emulator, or answers with the rejection and returns false.
+func (s *Server) submit(ctx *fasthttp.RequestCtx, prepared *stream, body *completionRequest) bool {
+	tokens, prefix := text.PrefixHashes(prepared.request.Prompt+prepared.continuation, s.config.Parameters.BlockTokens)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	prepared.arrived, prepared.unread = time.Now(), time.Now()
-	s.handles++
-	prepared.handle = s.handles
+	prepared.arrived, prepared.unreadSince = time.Now(), time.Now()
+	s.lastHandle++
+	prepared.handle = s.lastHandle
 	if prepared.requestID == "" {
 		prepared.requestID = s.config.Name + "-" + strconv.FormatUint(prepared.handle, 10)
 	}
 	if s.leaving {
-		prepared.lateBy = max(prepared.arrived.Sub(s.leftAt), 1)
-		s.refuse(ctx, prepared, "leaving", "the engine is leaving", 0)
+		prepared.afterLeave = max(prepared.arrived.Sub(s.leftAt), 1)
+		s.reject(ctx, prepared, "leaving", "the engine is leaving", 0)
 		return false
 	}
-	if s.faults.refuses() {
-		s.refuse(ctx, prepared, "refused", "the engine refuses work", overloadRetry)
+	if s.faults.refusesAll() {
+		s.reject(ctx, prepared, "refused", "the engine refuses work", overloadRetry)
 		return false
 	}
-	if live := s.streams[prepared.requestID]; live != nil && s.byHandle[live.handle] == live {
+	if live := s.streams[prepared.requestID]; live != nil && s.runningByHandle[live.handle] == live {
 		endpoint.Refuse(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "duplicate_request", "a request of this identity is running", 0)
 		return false
 	}
 	imported := s.imports.take(body.KVImport)
-	if prepared.prefix < prepared.total {
+	if prepared.prefixTokens < prepared.totalTokens {
 		err := s.emulated.Submit(s.elapsed(), emulator.Request{
 			ID: prepared.handle, Priority: body.Priority, PromptTokens: max(tokens, 1), Prefix: prefix,
-			OutputTokens: prepared.total - prepared.prefix, ImportedTokens: imported,
+			OutputTokens: prepared.totalTokens - prepared.prefixTokens, ImportedTokens: imported,
 		})
 		if err != nil {
-			s.refuseSubmit(ctx, prepared, err)
+			s.rejectSubmit(ctx, prepared, err)
 			return false
 		}
-		s.byHandle[prepared.handle] = prepared
+		s.runningByHandle[prepared.handle] = prepared
 	}
 	s.streams[prepared.requestID] = prepared
-	if prepared.prefix >= prepared.total {
+	if prepared.prefixTokens >= prepared.totalTokens {
 		s.endStream(prepared, OutcomeFinished)
 	}
-	s.poke()
+	s.wakeDriver()
 	return true
 }
 
-func (s *Server) refuseSubmit(ctx *fasthttp.RequestCtx, prepared *stream, err error) {
+// rejectSubmit answers a request that the emulator rejected.
+func (s *Server) rejectSubmit(ctx *fasthttp.RequestCtx, prepared *stream, err error) {
 	if errors.Is(err, emulator.ErrTooLarge) {
 		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "too_large", err.Error(), 0)
 		return
 	}
-	s.refuse(ctx, prepared, "unavailable", err.Error(), overloadRetry)
+	s.reject(ctx, prepared, "unavailable", err.Error(), overloadRetry)
 }
 
-// refuse answers 503 did-not-run and logs it. The caller holds the mutex.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, prepared *stream, code, message string, retryAfter time.Duration) {
+// reject answers 503 with the verdict did-not-run and logs the rejected request. The caller must hold the mutex.
+func (s *Server) reject(ctx *fasthttp.RequestCtx, prepared *stream, code, message string, retryAfter time.Duration) {
 	entry := prepared.execution()
 	entry.Outcome, entry.Ended = OutcomeRefused, prepared.arrived
-	s.log.finish(entry)
+	s.log.record(entry)
 	endpoint.Refuse(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, code, message, retryAfter)
 }
 
-// serveWhole answers when the whole text is there.
-func (s *Server) serveWhole(ctx *fasthttp.RequestCtx, running *stream) {
+// serveUnstreamed waits for the end of a stream and answers with the whole text.
+func (s *Server) serveUnstreamed(ctx *fasthttp.RequestCtx, running *stream) {
 	running.attach()
 	defer running.detach()
 	last := running.awaitEnd()
 	switch last.outcome {
 	case OutcomeFinished:
 		ctx.SetContentType("application/json")
-		ctx.SetBody(wholeAnswer(running, last.tokens))
+		ctx.SetBody(encodeWholeAnswer(running, last.tokens))
 	case OutcomeCrashed:
 		endpoint.Cut(ctx.Conn())
 	default:
@@ -181,18 +184,18 @@
 	}
 }
 
-// serveStream answers with server-sent events from a token on.
+// serveStream answers with server-sent events, beginning with token from.
 func (s *Server) serveStream(ctx *fasthttp.RequestCtx, running *stream, from int) {
-	drawn := s.faults.draw(running.total - from)
-	drawn.ended = s.closed
+	drawn := s.faults.draw(running.totalTokens - from)
+	drawn.serverClosed = s.closed
 	connection := ctx.Conn()
 	running.attach()
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-cache")
 	ctx.SetBodyStreamWriter(func(writer *bufio.Writer) {
 		defer running.detach()
-		written := newStreamWriter(running, writer, from, drawn)
-		if !written.run() && !drawn.cleanly {
+		events := newStreamWriter(running, writer, from, drawn)
+		if !events.run() && !drawn.cutCleanly {
 			endpoint.Cut(connection)
 		}
 	})
--- a/internal/standin/engine/drive.go
+++ b/internal/standin/engine/drive.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	idleInterval = 20 * time.Millisecond
-	tidyInterval = 5 * time.Millisecond // between looks at what is not about single steps
+	idleInterval         = 20 * time.Millisecond // longest time between two runs of the driver
+	housekeepingInterval = 5 * time.Millisecond  // between runs of the work that need not be done at every step
 )
 
-// loadSample is one remembered load, for reports that lag.
+// loadSample is a load recorded for reports that lag.
 type loadSample struct {
 	at   time.Time
 	load emulator.Load
 }
 
-// drive advances the emulator in real time until ctx ends or the server stops.
+// drive advances the emulator in real time until ctx ends or the server stops. All streams and orders end with it.
 func (s *Server) drive(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	defer s.abandon()
+	defer s.endAll()
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,15 +36,15 @@
 	}
 }
 
-// abandon wakes every reader when the server ends.
-func (s *Server) abandon() {
+// endAll ends every stream and order when the server stops, which wakes those that wait for them.
+func (s *Server) endAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.failStreams(OutcomeCrashed)
 	s.failOrders()
 }
 
-// advance runs the emulator up to now and returns how long nothing will happen.
+// advance runs the emulator up to now and returns the time until the next run.
 func (s *Server) advance() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -52,10 +52,10 @@
 	for _, event := range s.emulated.Advance(s.elapsed()) {
 		s.apply(event)
 	}
-	if now.Sub(s.tidied) >= tidyInterval {
-		s.tidied = now
+	if now.Sub(s.lastHousekeeping) >= housekeepingInterval {
+		s.lastHousekeeping = now
 		s.cancelAbandoned(now)
-		s.forgetRetained(now)
+		s.pruneRetained(now)
 		s.sampleLoad(now)
 		s.cache.collect(now, s.emulated)
 	}
@@ -66,29 +66,30 @@
 	return min(max(s.realTime(next-s.elapsed()), 0), idleInterval)
 }
 
-// poke makes the driver look at the emulator at once.
-func (s *Server) poke() {
+// wakeDriver makes the driver run at once, for changes that it does not expect.
+func (s *Server) wakeDriver() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
+// apply records an event of the emulator. The caller must hold the mutex.
 func (s *Server) apply(event emulator.Event) {
 	switch event.Kind {
 	case emulator.EventSwapped, emulator.EventSwapFailed:
-		s.finishOrders(event)
+		s.resolveOrders(event)
 		return
 	}
-	running, ok := s.byHandle[event.Request]
+	running, ok := s.runningByHandle[event.Request]
 	if !ok {
 		return
 	}
 	switch event.Kind {
 	case emulator.EventTokens:
-		running.add(event.Count, event.Version, s.versions[event.Version])
+		running.appendTokens(event.Count, event.Version, s.versions[event.Version])
 	case emulator.EventPreempted:
-		running.preempted()
+		running.countPreemption()
 	case emulator.EventFinished:
 		s.endStream(running, OutcomeFinished)
 	case emulator.EventFailed:
@@ -96,32 +97,33 @@
 	}
 }
 
-// endStream records a stream's end and keeps it for resumes.
+// endStream ends a stream, logs it and retains it for resumes. The caller must hold the mutex.
 func (s *Server) endStream(ended *stream, outcome Outcome) {
-	delete(s.byHandle, ended.handle)
-	if ended.end(outcome, time.Now(), s.log.finish) {
+	delete(s.runningByHandle, ended.handle)
+	if ended.end(outcome, time.Now(), s.log.record) {
 		s.retained = append(s.retained, ended)
 	}
 }
 
+// failStreams ends every running stream with the given outcome. The caller must hold the mutex.
 func (s *Server) failStreams(outcome Outcome) {
-	for _, running := range s.byHandle {
+	for _, running := range s.runningByHandle {
 		s.endStream(running, outcome)
 	}
 }
 
-// cancelAbandoned ends streams that nobody has read for the grace time.
+// cancelAbandoned cancels streams that have had no reader for longer than the grace time.
 func (s *Server) cancelAbandoned(now time.Time) {
-	for _, running := range s.byHandle {
-		if running.abandoned(now, s.config.DetachGrace) {
+	for _, running := range s.runningByHandle {
+		if running.isAbandoned(now, s.config.DetachGrace) {
 			_ = s.emulated.Cancel(s.elapsed(), running.handle)
 			s.endStream(running, OutcomeCancelled)
 		}
 	}
 }
 
-// forgetRetained bounds what is kept for resumes in time and number.
-func (s *Server) forgetRetained(now time.Time) {
+// pruneRetained drops ended streams above the limits in age and number.
+func (s *Server) pruneRetained(now time.Time) {
 	for len(s.retained) > 0 {
 		oldest := s.retained[0]
 		if len(s.retained) <= defaultRetainStreams && now.Sub(oldest.endedAt()) < defaultRetain {
@@ -134,25 +136,26 @@
 	}
 }
 
+// sampleLoad records the load for reports that lag, and drops samples that no later report needs.
 func (s *Server) sampleLoad(now time.Time) {
 	if s.config.LoadReportLag == 0 {
 		return
 	}
-	if last := len(s.history) - 1; last >= 0 && now.Sub(s.history[last].at) < loadSampleInterval {
+	if last := len(s.loadHistory) - 1; last >= 0 && now.Sub(s.loadHistory[last].at) < loadSampleInterval {
 		return
 	}
-	s.history = append(s.history, loadSample{at: now, load: s.emulated.Load(s.elapsed())})
-	for len(s.history) > 1 && now.Sub(s.history[1].at) >= s.config.LoadReportLag {
-		s.history = s.history[1:]
+	s.loadHistory = append(s.loadHistory, loadSample{at: now, load: s.emulated.Load(s.elapsed())})
+	for len(s.loadHistory) > 1 && now.Sub(s.loadHistory[1].at) >= s.config.LoadReportLag {
+		s.loadHistory = s.loadHistory[1:]
 	}
 }
 
-// reportedLoad is the load as of one lag ago.
+// reportedLoad returns the load as of Config.LoadReportLag ago, and its time.
 func (s *Server) reportedLoad() (emulator.Load, time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.config.LoadReportLag == 0 || len(s.history) == 0 {
+	if s.config.LoadReportLag == 0 || len(s.loadHistory) == 0 {
 		return s.emulated.Load(s.elapsed()), time.Now()
 	}
-	return s.history[0].load, s.history[0].at
+	return s.loadHistory[0].load, s.loadHistory[0].at
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// Faults are misbehaviours that a test switches on. Probabilities are per streamed answer.
+// Faults configures the faults that a test injects. Probabilities are per streamed answer.
 type Faults struct {
-	// RefuseAll answers every new request 503 did-not-run.
+	// RefuseAll rejects every new request with 503 and the verdict did-not-run.
 	RefuseAll bool `json:"refuse_all"`
-	// CutAfterTokens cuts the connection of each streamed answer after that many tokens; 0 never.
+	// CutAfterTokens resets the connection of each streamed answer after that many tokens; 0 means never.
 	CutAfterTokens int `json:"cut_after_tokens"`
-	// CutProbability cuts a streamed answer at a random token.
+	// CutProbability is the probability that a streamed answer is cut at a random token.
 	CutProbability float64 `json:"cut_probability"`
-	// CutCleanly ends a cut answer's body properly, without its last chunk and without [DONE].
+	// CutCleanly makes a cut answer end as a complete HTTP body instead of a reset, without the last chunk and [DONE].
 	CutCleanly bool `json:"cut_cleanly"`
-	// StallAfterTokens stops each streamed answer after that many tokens until the faults change; 0 never. The
-	// engine goes on making tokens, as it does for a reader that is slow.
+	// StallAfterTokens stops each streamed answer after that many tokens until the faults change; 0 means never. The
+	// engine keeps generating tokens, as it does for a slow reader.
 	StallAfterTokens int `json:"stall_after_tokens"`
-	// ChunkDelay delays every chunk.
+	// ChunkDelay is the delay before each chunk.
 	ChunkDelay time.Duration `json:"chunk_delay_nanos"`
-	// DuplicateProbability sends a chunk of a streamed answer twice.
+	// DuplicateProbability is the probability that a streamed answer repeats its first chunk.
 	DuplicateProbability float64 `json:"duplicate_probability"`
 }
 
-type faultSwitches struct {
+// faultInjector holds the injected faults and draws those of each streamed answer.
+type faultInjector struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
 	faults  Faults
-	changed chan struct{} // closed when other faults are set
+	changed chan struct{} // closed and replaced when other faults are set
 }
 
-// streamFaults is what was drawn for one streamed answer.
+// streamFaults holds the faults drawn for one streamed answer.
 type streamFaults struct {
-	cutAfter  int             // tokens sent by this answer; 0 never
-	stall     int             // the same
-	lifted    <-chan struct{} // ends the stall
-	ended     <-chan struct{} // closed when the stand-in ends
-	cleanly   bool
-	delay     time.Duration
-	duplicate bool
+	cutAfter      int             // tokens sent before the cut; 0 means no cut
+	stallAfter    int             // tokens sent before the stall; 0 means no stall
+	faultsChanged <-chan struct{} // closed when the faults change, which ends the stall
+	serverClosed  <-chan struct{} // closed when the stand-in stops
+	cutCleanly    bool
+	delay         time.Duration
+	duplicate     bool
 }
 
-func (f *faultSwitches) seed(seed uint64) {
+func (f *faultInjector) seed(seed uint64) {
 	f.random, f.changed = rand.New(rand.NewSource(int64(seed))), make(chan struct{})
 }
 
-func (f *faultSwitches) set(faults Faults) {
+func (f *faultInjector) set(faults Faults) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.faults = faults
@@ -55,17 +56,18 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *faultSwitches) refuses() bool {
+func (f *faultInjector) refusesAll() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.faults.RefuseAll
 }
 
-func (f *faultSwitches) draw(tokens int) streamFaults {
+// draw draws the faults of a streamed answer of that many tokens.
+func (f *faultInjector) draw(tokens int) streamFaults {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	drawn := streamFaults{cutAfter: f.faults.CutAfterTokens, cleanly: f.faults.CutCleanly, delay: f.faults.ChunkDelay,
-		stall: f.faults.StallAfterTokens, lifted: f.changed}
+	drawn := streamFaults{cutAfter: f.faults.CutAfterTokens, cutCleanly: f.faults.CutCleanly, delay: f.faults.ChunkDelay,
+		stallAfter: f.faults.StallAfterTokens, faultsChanged: f.changed}
 	if f.random.Float64() < f.faults.CutProbability {
 		drawn.cutAfter = 1 + f.random.Intn(max(tokens, 1))
 	}
--- a/internal/standin/engine/handle.go
+++ b/internal/standin/engine/handle.go
@@ -12,7 +12,7 @@
 
 const streamsPath = "/v1/streams/"
 
-// handle routes one request.
+// handle routes a request by method and path.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if ctx.IsGet() {
@@ -64,7 +64,7 @@
 	}
 }
 
-// handleFaults replaces the injected faults of a stand-in that runs as its own process.
+// handleFaults replaces the injected faults. Tests use it for stand-ins that run as processes of their own.
 func (s *Server) handleFaults(ctx *fasthttp.RequestCtx) {
 	var faults Faults
 	if !endpoint.DecodeJSON(ctx, &faults) {
@@ -126,7 +126,7 @@
 type cancelledStream struct {
 	RequestID string    `json:"request_id"`
 	Outcome   Outcome   `json:"outcome"`
-	Tokens    int       `json:"tokens"` // of the whole answer, prefix included
+	Tokens    int       `json:"tokens"` // of the whole answer, including the prefix
 	Segments  []Segment `json:"segments"`
 }
 
@@ -135,22 +135,23 @@
 	return cancelledStream{RequestID: entry.RequestID, Outcome: entry.Outcome, Tokens: entry.Tokens, Segments: entry.Segments}
 }
 
-// cancel ends a stream unless it has ended.
+// cancel cancels a stream that is still running.
 func (s *Server) cancel(running *stream) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.byHandle[running.handle] != running {
+	if s.runningByHandle[running.handle] != running {
 		return
 	}
 	_ = s.emulated.Cancel(s.elapsed(), running.handle)
 	s.endStream(running, OutcomeCancelled)
 }
 
+// resume streams the answer of an existing stream, beginning with the token given in the query parameter from.
 func (s *Server) resume(ctx *fasthttp.RequestCtx, found *stream) {
 	from, err := strconv.Atoi(string(ctx.QueryArgs().Peek("from")))
-	if err != nil || from < found.prefix || from > found.total {
+	if err != nil || from < found.prefixTokens || from > found.totalTokens {
 		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.MayHaveRun, "bad_from",
-			"from must be a token between "+strconv.Itoa(found.prefix)+" and "+strconv.Itoa(found.total), 0)
+			"from must be a token between "+strconv.Itoa(found.prefixTokens)+" and "+strconv.Itoa(found.totalTokens), 0)
 		return
 	}
 	s.serveStream(ctx, found, from)
--- a/internal/standin/engine/life_test.go
+++ b/internal/standin/engine/life_test.go
@@ -12,13 +12,14 @@
 	"github.com/tamarindring/tamarindring/internal/standin/weightstore"
 )
 
-// await polls until a condition holds; a test that waits in vain is ended by the run's timeout.
+// await polls until a condition holds. If it never does, the timeout of the test run ends the test.
 func await(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// TestDrainFinishesStreamsInFlight guards against a drain that cuts a running stream or leaves the listener open.
 func TestDrainFinishesStreamsInFlight(t *testing.T) {
 	server := startServer(t, func(config *Config) { config.TimeScale = 10 })
 	response := post(t, server, "/v1/completions", map[string]any{"prompt": "[tokens=100]", "stream": true, "request_id": "d"})
@@ -26,7 +27,7 @@
 	go func() { drained <- server.Drain(context.Background()) }()
 	read := readStream(t, response.Body, 0)
 	if !read.done || read.content != text.ExpectedText("[tokens=100]", 0) {
-		t.Errorf("read %d tokens, done %v", read.next, read.done)
+		t.Errorf("read %d tokens, [DONE] %v, want the whole answer", read.next, read.done)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	if err := <-drained; err != nil {
@@ -37,6 +38,7 @@
 	}
 }
 
+// TestAbandonedStreamIsCancelledAfterItsGrace guards against a stream that runs to its end without a reader.
 func TestAbandonedStreamIsCancelledAfterItsGrace(t *testing.T) {
 	server := startServer(t, func(config *Config) { config.TimeScale, config.DetachGrace = 1, 20*time.Millisecond })
 	server.SetFaults(Faults{CutAfterTokens: 2})
@@ -46,10 +48,12 @@
 	}
 	await(func() bool { return len(server.Log()) == 1 })
 	if entry := server.Log()[0]; entry.Outcome != OutcomeCancelled || entry.Tokens >= 4000 {
-		t.Errorf("log entry %+v", entry)
+		t.Errorf("log entry %+v, want a cancelled request with fewer than 4000 tokens", entry)
 	}
 }
 
+// TestWeightStoreThrottlesOrders checks that an order reports a throttled read with Retry-After, and that a swap to a
+// staged version does not read it again.
 func TestWeightStoreThrottlesOrders(t *testing.T) {
 	store, err := weightstore.New(weightstore.Config{Listen: "127.0.0.1:0", ReadsPerSecond: 0.001, Burst: 2, Log: logging.Discard()})
 	if err != nil {
@@ -62,22 +66,22 @@
 		return post(t, server, "/v1/admin/weights", weightsOrder{Version: version, VersionNumber: number, Fence: 1, Stage: stage})
 	}
 	if got := order("v9", 9, false); got.StatusCode != http.StatusNotFound {
-		t.Errorf("unknown version: %d", got.StatusCode)
+		t.Errorf("unknown version: status %d, want 404", got.StatusCode)
 	}
 	if got := order("v2", 2, true); got.StatusCode != http.StatusOK {
-		t.Errorf("staged: %d", got.StatusCode)
+		t.Errorf("stage order: status %d, want 200", got.StatusCode)
 	}
 	if version, _ := server.Served(); version != "v1" {
-		t.Errorf("staging alone served %q", version)
+		t.Errorf("served %q after staging only, want v1", version)
 	}
 	if got := order("v2", 2, false); got.StatusCode != http.StatusOK {
-		t.Errorf("swap of a staged version: %d; it must not be read again", got.StatusCode)
+		t.Errorf("swap to a staged version: status %d, want 200 without another read", got.StatusCode)
 	}
 	if version, _ := server.Served(); version != "v2" {
-		t.Errorf("served %q", version)
+		t.Errorf("served %q after the swap, want v2", version)
 	}
 	throttled := order("v3", 3, false)
 	if throttled.StatusCode != http.StatusTooManyRequests || throttled.Header.Get("Retry-After") == "" {
-		t.Errorf("third read: %d, Retry-After %q", throttled.StatusCode, throttled.Header.Get("Retry-After"))
+		t.Errorf("third read: status %d, Retry-After %q, want 429 with a value", throttled.StatusCode, throttled.Header.Get("Retry-After"))
 	}
 }
--- a/internal/standin/engine/log.go
+++ b/internal/standin/engine/log.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome is how a request ended at the engine.
+// Outcome is the state in which a request ended at the engine, or OutcomeRunning.
 type Outcome string
 
 // The outcomes.
@@ -13,14 +13,14 @@
 	OutcomeRunning   Outcome = "running"
 	OutcomeFinished  Outcome = "finished"
 	OutcomeCancelled Outcome = "cancelled"
-	OutcomeFailed    Outcome = "failed"   // lost to a failed weight swap
-	OutcomeCrashed   Outcome = "crashed"  // lost to a crash
-	OutcomeExported  Outcome = "exported" // its KV cache left for another engine
-	OutcomeRefused   Outcome = "refused"  // never ran
+	OutcomeFailed    Outcome = "failed"   // ended by a failed weight swap
+	OutcomeCrashed   Outcome = "crashed"  // ended by a crash or stop of the engine
+	OutcomeExported  Outcome = "exported" // its KV cache was exported to another engine
+	OutcomeRefused   Outcome = "refused"  // rejected, never ran
 )
 
-// Segment is a run of tokens that one version of the weights generated. From counts from the beginning of
-// the whole answer, a continuation's prefix included.
+// Segment is a run of consecutive tokens generated under one weight version. From is the position of its first token in
+// the whole answer, including a continuation's prefix.
 type Segment struct {
 	Version       string `json:"version"`
 	VersionNumber uint64 `json:"version_number"`
@@ -28,35 +28,37 @@
 	Count         int    `json:"count"`
 }
 
-// Execution is one entry of the log: a request that was refused or has ended.
+// Execution is a log entry of a request that was rejected or has ended.
 type Execution struct {
 	Sequence       uint64        `json:"sequence"`
 	RequestID      string        `json:"request_id"`
 	IdempotencyKey string        `json:"idempotency_key,omitempty"`
-	Prompt         string        `json:"prompt"` // the original one, without a continuation
+	Prompt         string        `json:"prompt"` // original prompt, without a continuation
 	Seed           uint64        `json:"seed"`
 	MaxTokens      int           `json:"max_tokens"`
 	Arrived        time.Time     `json:"arrived"`
 	Ended          time.Time     `json:"ended"`
-	AfterLeave     time.Duration `json:"after_leave_nanos,omitempty"` // how long after the leave mark it arrived; 0 when before
+	AfterLeave     time.Duration `json:"after_leave_nanos,omitempty"` // time between the leave mark and the arrival; 0 if it arrived before the mark
 	Outcome        Outcome       `json:"outcome"`
-	PrefixTokens   int           `json:"prefix_tokens"` // came with the prompt
-	Tokens         int           `json:"tokens"`        // of the whole answer, prefix included
-	Segments       []Segment     `json:"segments"`      // of the tokens generated here
+	PrefixTokens   int           `json:"prefix_tokens"` // tokens of the continuation that came with the prompt
+	Tokens         int           `json:"tokens"`        // of the whole answer, including the prefix
+	Segments       []Segment     `json:"segments"`      // of the tokens that this engine generated
 	Preemptions    int           `json:"preemptions"`
 }
 
-// logLimit bounds the entries that are kept; older ones are dropped.
+// logLimit is the maximum number of entries. The older half is dropped when it is reached.
 const logLimit = 200000
 
+// executionLog holds the executions that have ended, oldest first and by prompt.
 type executionLog struct {
 	mutex    sync.Mutex
 	entries  []*Execution
 	byPrompt map[string][]*Execution
-	last     uint64
+	last     uint64 // last sequence number assigned
 }
 
-func (l *executionLog) finish(entry Execution) {
+// record assigns the next sequence number to an entry and adds it.
+func (l *executionLog) record(entry Execution) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.last++
@@ -76,14 +78,14 @@
 }
 
 func (l *executionLog) dropOldest(count int) {
-	kept := l.entries[count:]
+	remaining := l.entries[count:]
 	l.entries, l.byPrompt = nil, nil
-	for _, entry := range kept {
+	for _, entry := range remaining {
 		l.add(entry)
 	}
 }
 
-// after returns copies of the entries above a sequence number.
+// after returns copies of the entries with a higher sequence number.
 func (l *executionLog) after(sequence uint64) []Execution {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/standin/engine/write.go
+++ b/internal/standin/engine/write.go
@@ -19,29 +19,30 @@
 	writer    *bufio.Writer
 	generator text.Generator
 	checksum  text.ChecksumWriter
-	head      []byte // of every chunk, up to the choice's text
+	head      []byte // beginning of every chunk, up to the text of its choice
 	buffer    []byte
 	words     []byte
-	from      int
-	sent      int
+	from      int // first token of this HTTP answer
+	sent      int // token after the last one written
 	faults    streamFaults
 }
 
 func newStreamWriter(running *stream, writer *bufio.Writer, from int, faults streamFaults) *streamWriter {
 	made := &streamWriter{
 		stream: running, writer: writer, generator: running.generator(from), checksum: text.NewChecksum(running.request),
-		head: chunkHead(running), from: from, sent: from, faults: faults,
+		head: encodeChunkHead(running), from: from, sent: from, faults: faults,
 	}
-	made.checksum.Write(running.generated)
-	before := running.generator(running.prefix)
-	made.checksum.WriteBytes(before.Append(nil, from-running.prefix))
+	made.checksum.Write(running.continuation)
+	before := running.generator(running.prefixTokens)
+	made.checksum.WriteBytes(before.Append(nil, from-running.prefixTokens))
 	return made
 }
 
-// run writes until the answer's end and reports whether it was written properly.
+// run writes until the end of the answer. It returns false if the connection must be cut: after an injected cut, a
+// crash or a write error.
 func (w *streamWriter) run() bool {
 	for {
-		progress := w.stream.await(w.sent)
+		progress := w.stream.awaitProgress(w.sent)
 		for w.sent < progress.tokens {
 			if !w.writeTokens(progress.tokens) {
 				return false
@@ -61,7 +62,7 @@
 	}
 }
 
-// writeTokens writes one chunk of tokens before end that share a version.
+// writeTokens writes one chunk: the next tokens before end that share a version. It returns false if the answer is cut.
 func (w *streamWriter) writeTokens(end int) bool {
 	if limit := w.faults.cutAfter; limit > 0 {
 		if w.sent-w.from >= limit {
@@ -69,11 +70,11 @@
 		}
 		end = min(end, w.from+limit)
 	}
-	if limit := w.faults.stall; limit > 0 {
-		if w.sent-w.from >= limit && !w.awaitLifted() {
+	if limit := w.faults.stallAfter; limit > 0 {
+		if w.sent-w.from >= limit && !w.awaitStallEnd() {
 			return false
 		}
-		if w.faults.stall > 0 {
+		if w.faults.stallAfter > 0 {
 			end = min(end, w.from+limit)
 		}
 	}
@@ -95,18 +96,18 @@
 	return w.writer.Flush() == nil
 }
 
-// awaitLifted waits until the stall is lifted; it is false when the stand-in ends first.
-func (w *streamWriter) awaitLifted() bool {
+// awaitStallEnd waits until the faults change, which ends the stall. It returns false if the stand-in stops first.
+func (w *streamWriter) awaitStallEnd() bool {
 	select {
-	case <-w.faults.lifted:
-		w.faults.stall = 0
+	case <-w.faults.faultsChanged:
+		w.faults.stallAfter = 0
 		return true
-	case <-w.faults.ended:
+	case <-w.faults.serverClosed:
 		return false
 	}
 }
 
-// writeLast writes the chunk with the finish reason and the checksum, and the end mark.
+// writeLast writes the last chunk, with the finish reason and the checksum, and the [DONE] event.
 func (w *streamWriter) writeLast() error {
 	line := append(w.buffer[:0], w.head...)
 	if w.stream.chat {
@@ -128,7 +129,7 @@
 	return w.writer.Flush()
 }
 
-// writeError says in the stream why it ends early; there is neither a finish reason nor the end mark.
+// writeError writes an error event with the reason of an early end. Neither a finish reason nor [DONE] follows.
 func (w *streamWriter) writeError(outcome Outcome) error {
 	body, err := json.Marshal(endpoint.ErrorBody{Error: endpoint.ErrorDetail{
 		Message: "the request was " + string(outcome), Type: "server_error", Code: string(outcome), Verdict: verdict.MayHaveRun.String(),
@@ -142,6 +143,7 @@
 	return w.writer.Flush()
 }
 
+// appendChunk appends the event with the text in w.words and its segment.
 func (w *streamWriter) appendChunk(line []byte, segment Segment) []byte {
 	line = append(line, w.head...)
 	if w.stream.chat {
@@ -164,27 +166,29 @@
 	return append(line, "}]}\n\n"...)
 }
 
-func chunkHead(running *stream) []byte {
+// encodeChunkHead returns the part that all chunks of a stream begin with.
+func encodeChunkHead(running *stream) []byte {
 	object := "text_completion"
 	if running.chat {
 		object = "chat.completion.chunk"
 	}
-	head := append([]byte(`data: {"id":`), quoted(running.requestID)...)
+	head := append([]byte(`data: {"id":`), encodeString(running.requestID)...)
 	head = append(head, `,"object":"`+object+`","created":`...)
 	head = strconv.AppendInt(head, running.arrived.Unix(), 10)
 	head = append(head, `,"model":`...)
-	head = append(head, quoted(running.model)...)
+	head = append(head, encodeString(running.model)...)
 	return append(head, `,"choices":[{"index":0,`...)
 }
 
 func finishReason(running *stream) string {
-	if running.cut {
+	if running.truncated {
 		return "length"
 	}
 	return "stop"
 }
 
-func quoted(value string) []byte {
+// encodeString returns value as a JSON string.
+func encodeString(value string) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return []byte(`""`)
@@ -192,11 +196,12 @@
 	return encoded
 }
 
-// appendString appends a JSON string; version names need no escapes in the common case.
+// appendString appends value as a JSON string. Values without characters to escape, as most version names are, are
+// copied without an encoder.
 func appendString(line []byte, value string) []byte {
 	for index := 0; index < len(value); index++ {
 		if value[index] < ' ' || value[index] == '"' || value[index] == '\\' || value[index] > '~' {
-			return append(line, quoted(value)...)
+			return append(line, encodeString(value)...)
 		}
 	}
 	line = append(line, '"')
@@ -204,7 +209,7 @@
 	return append(line, '"')
 }
 
-// completionAnswer is the whole answer to a request that is not streamed.
+// completionAnswer is the answer to a request without streaming.
 type completionAnswer struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -219,7 +224,7 @@
 	Text          *string       `json:"text,omitempty"`
 	Message       *text.Message `json:"message,omitempty"`
 	FinishReason  string        `json:"finish_reason"`
-	WeightVersion string        `json:"weight_version"` // of the last token
+	WeightVersion string        `json:"weight_version"` // version of the last token
 	VersionNumber uint64        `json:"version_number"`
 	TokenOffset   int           `json:"token_offset"`
 	TokenCount    int           `json:"token_count"`
@@ -233,15 +238,16 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// wholeAnswer encodes the tokens after the prefix; the checksum covers the prefix too.
-func wholeAnswer(running *stream, tokens int) []byte {
-	generator := running.generator(running.prefix)
-	content := string(generator.Append(nil, tokens-running.prefix))
+// encodeWholeAnswer encodes the answer without streaming: the tokens after the prefix, and a checksum that covers the
+// prefix too.
+func encodeWholeAnswer(running *stream, tokens int) []byte {
+	generator := running.generator(running.prefixTokens)
+	content := string(generator.Append(nil, tokens-running.prefixTokens))
 	checksum := text.NewChecksum(running.request)
-	checksum.Write(running.generated)
+	checksum.Write(running.continuation)
 	checksum.Write(content)
 	choice := answerChoice{
-		FinishReason: finishReason(running), TokenOffset: running.prefix, TokenCount: tokens - running.prefix,
+		FinishReason: finishReason(running), TokenOffset: running.prefixTokens, TokenCount: tokens - running.prefixTokens,
 		Segments: running.copySegments(), Checksum: checksum.Sum(),
 	}
 	if last := len(choice.Segments) - 1; last >= 0 {
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -1,6 +1,6 @@
-// Package trainer is the stand-in of a trainer: it opens steps at a coordinator, fetches samples, trains
-// for a time, publishes a weight version and announces it. It keeps its own truth about what it was given,
-// and loses replies on purpose.
+// Package trainer is the stand-in of a trainer. It opens steps at a coordinator, fetches samples, trains for a
+// configured time, publishes a weight version and announces it. It keeps its own account of the samples it received,
+// checks them against the coordinator's guarantees, and discards replies on purpose to exercise refetches.
 package trainer
 
 import (
@@ -24,56 +24,59 @@
 
 // Config holds a trainer's settings.
 type Config struct {
-	// Name is the trainer's name at the coordinators. Required.
+	// Name identifies the trainer at the coordinators. Required.
 	Name string
-	// Coordinators are their addresses, IP:port; another is tried when one does not answer. Required.
+	// Coordinators lists the addresses of the coordinators as IP:port. A failed call is sent to the next one. Required.
 	Coordinators []string
 	// Pool is the model pool that generates the samples. Required.
 	Pool string
-	// Authorization is the value of the header of that name; none if empty.
+	// Authorization is the value of the Authorization header. If empty, the header is not sent.
 	Authorization string
-	// PromptsPerStep and SamplesPerPrompt are a step's size. Defaults 8 and 4.
+	// PromptsPerStep and SamplesPerPrompt set the size of a step. Defaults 8 and 4.
 	PromptsPerStep   int
 	SamplesPerPrompt int
-	// MaxTokens bounds each sample. Default 2048.
+	// MaxTokens limits the tokens of each sample. Default 2048.
 	MaxTokens int
-	// Prompt returns the text of a step's prompt. Default: a text that names trainer, step and index.
+	// Prompt returns the text of a step's prompt. The default text contains trainer, step and index.
 	Prompt func(step uint64, index int) string
-	// TrainTime is how long training on a whole step takes. Default 1s.
+	// TrainTime is the duration of the training on a whole step. Default 1s.
 	TrainTime time.Duration
-	// StepsAhead is how many steps are open beyond the one being collected. Default 0, synchronous.
+	// StepsAhead is the number of further steps opened before the training on a collected step begins. Default 0, which
+	// makes training synchronous.
 	StepsAhead int
-	// MaxSteps ends the trainer after that many steps. Default 0, until the context ends.
+	// MaxSteps is the number of steps after which the trainer ends. Default 0: it runs until its context ends.
 	MaxSteps uint64
-	// WholeStep fetches a step at once instead of samples as they come.
+	// WholeStep fetches a step as a whole instead of samples as they become available.
 	WholeStep bool
-	// MaxSamples bounds one fetch. Default 0, no bound.
+	// MaxSamples limits the samples of one fetch. Default 0, no limit.
 	MaxSamples int
-	// FetchWait is wait_millis of a fetch. Default 2s.
+	// FetchWait is the time for which a fetch waits for samples at the coordinator (wait_millis). Default 2s.
 	FetchWait time.Duration
-	// InitialVersionNumber is the version that the engines serve at the start.
+	// InitialVersionNumber is the number of the weight version that the engines serve at the start.
 	InitialVersionNumber uint64
-	// WeightStore is the IP:port of the weight store; empty publishes nothing there.
+	// WeightStore is the IP:port of the weight store. If empty, versions are announced but not stored.
 	WeightStore string
-	// LoseReplyProbability is how often a fetch's reply is dropped and asked for again.
+	// LoseReplyProbability is the probability that the reply to a fetch is discarded and the fetch sent again.
 	LoseReplyProbability float64
-	// StalenessBound returns the bound in force now, in versions; false when unknown. Default: the bound
-	// that the reply names.
+	// StalenessBound returns the staleness bound in force, in versions, or false if it is unknown. If nil, the bound in
+	// each reply is used.
 	StalenessBound func() (uint64, bool)
-	// Truth compares samples with what the engines really did. Default: not compared.
+	// Truth compares samples with what the engines generated. If nil, they are not compared.
 	Truth Truth
-	// Seed draws the lost replies.
+	// Seed seeds the random choice of lost replies.
 	Seed uint64
 	// Log is required.
 	Log *logrus.Entry
 }
 
-// Truth knows what the engines really generated.
+// Truth checks samples against what the engines really generated.
 type Truth interface {
-	// Check returns an error when the sample's text or segments are not what was generated.
+	// Check returns an error if the sample's text or segments differ from what was generated for the prompt.
 	Check(prompt string, sample Sample) error
 }
 
+// withDefaults returns the configuration with defaults for fields that are zero, or an error if a required field is
+// missing.
 func (c Config) withDefaults() (Config, error) {
 	if c.Name == "" || c.Pool == "" || len(c.Coordinators) == 0 || c.Log == nil {
 		return c, trace.BadParameter("a trainer needs name, pool, coordinators and a log")
--- a/internal/standin/trainer/ledger.go
+++ b/internal/standin/trainer/ledger.go
@@ -7,44 +7,44 @@
 	"github.com/tamarindring/tamarindring/internal/engine/text"
 )
 
-// ViolationKind names a broken promise.
+// ViolationKind names a guarantee of the coordinator that was violated.
 type ViolationKind string
 
 // The kinds of violation.
 const (
-	ViolationDuplicate ViolationKind = "duplicate"      // a sample was delivered twice
-	ViolationStale     ViolationKind = "stale"          // a sample was older than the bound at receipt
-	ViolationSegments  ViolationKind = "segments"       // the segments do not cover the text, or are not what the engines did
-	ViolationUnknown   ViolationKind = "unknown_sample" // a sample of no open prompt
-	ViolationRefetch   ViolationKind = "refetch"        // a fetch resent gave samples that the lost reply had not
-	ViolationCursor    ViolationKind = "cursor"         // another batch than the one asked for
+	ViolationDuplicate ViolationKind = "duplicate"      // a sample was delivered more than once
+	ViolationStale     ViolationKind = "stale"          // a sample exceeded the staleness bound when it was received
+	ViolationSegments  ViolationKind = "segments"       // the segments do not cover the text, or differ from what the engines generated
+	ViolationUnknown   ViolationKind = "unknown_sample" // a sample belongs to no open prompt, or its place is taken
+	ViolationRefetch   ViolationKind = "refetch"        // a repeated fetch returned samples that the lost reply did not have
+	ViolationCursor    ViolationKind = "cursor"         // the reply had another batch than the one requested
 )
 
-// Violation is one broken promise.
+// Violation is one observed violation of a guarantee.
 type Violation struct {
 	Kind     ViolationKind `json:"kind"`
 	SampleID string        `json:"sample_id"`
 	Detail   string        `json:"detail"`
 }
 
-// Stats is the trainer's own account. Every examined count belongs to a promise.
+// Stats is the trainer's account of its run. The fields named Examined count the checks behind the violations.
 type Stats struct {
 	Name              string        `json:"name"`
-	Steps             uint64        `json:"steps"` // trained
+	Steps             uint64        `json:"steps"` // steps trained on
 	StepsOpened       uint64        `json:"steps_opened"`
-	Samples           int           `json:"samples"` // received, each counted once
+	Samples           int           `json:"samples"` // received, without duplicates
 	Tokens            int           `json:"tokens"`
 	Duplicates        int           `json:"duplicates"`
-	Outstanding       int           `json:"outstanding"` // opened and not received yet
+	Outstanding       int           `json:"outstanding"` // samples of opened steps not received yet
 	SegmentsExamined  int           `json:"segments_examined"`
 	StalenessExamined int           `json:"staleness_examined"`
-	StalenessCounts   []int         `json:"staleness_counts"` // samples by age in versions
+	StalenessCounts   []int         `json:"staleness_counts"` // number of samples by age in versions
 	StalenessMean     float64       `json:"staleness_mean"`
 	StalenessP99      int           `json:"staleness_p99"`
 	StalenessMax      int           `json:"staleness_max"`
 	LostReplies       int           `json:"lost_replies"`
-	Refetches         int           `json:"refetches"` // compared with the lost reply
-	Errors            int           `json:"errors"`    // calls that were sent again
+	Refetches         int           `json:"refetches"` // repeated fetches that were compared with the lost reply
+	Errors            int           `json:"errors"`    // failed calls, which were sent again
 	LastError         string        `json:"last_error,omitempty"`
 	Wall              time.Duration `json:"wall_nanos"`
 	Idle              time.Duration `json:"idle_nanos"`
@@ -52,53 +52,53 @@
 	Violations        []Violation   `json:"violations"`
 }
 
-// promptKey names one prompt of one step.
+// promptKey identifies a prompt of a step.
 type promptKey struct {
 	step uint64
 	id   string
 }
 
-// ledger is what the trainer knows of its samples.
+// ledger records the opened prompts and the received samples.
 type ledger struct {
-	stats     Stats
-	received  map[string]bool
-	perStep   map[uint64]int
-	wanted    map[uint64]int
-	prompts   map[promptKey]string
-	slots     map[promptKey]map[int]bool
-	started   time.Time
-	ended     time.Time
-	waitSince time.Time
+	stats           Stats
+	received        map[string]bool            // by sample id
+	receivedPerStep map[uint64]int             // samples received by step
+	expectedPerStep map[uint64]int             // samples expected by step
+	prompts         map[promptKey]string       // prompt texts
+	receivedIndexes map[promptKey]map[int]bool // sample indexes received by prompt
+	started         time.Time
+	ended           time.Time
+	idleSince       time.Time // start of the current wait for samples; zero if not waiting
 }
 
 func newLedger() ledger {
 	return ledger{
-		received: make(map[string]bool), perStep: make(map[uint64]int), wanted: make(map[uint64]int),
-		prompts: make(map[promptKey]string), slots: make(map[promptKey]map[int]bool),
+		received: make(map[string]bool), receivedPerStep: make(map[uint64]int), expectedPerStep: make(map[uint64]int),
+		prompts: make(map[promptKey]string), receivedIndexes: make(map[promptKey]map[int]bool),
 	}
 }
 
-// Stats returns the account so far.
+// Stats returns the account of the run so far. It can be called while Run is running.
 func (t *Trainer) Stats() Stats {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	stats := t.truth.stats
+	stats := t.ledger.stats
 	stats.Name = t.config.Name
 	stats.StalenessCounts = append([]int(nil), stats.StalenessCounts...)
 	stats.Violations = append([]Violation{}, stats.Violations...)
 	stats.Outstanding = -stats.Samples
-	for _, wanted := range t.truth.wanted {
-		stats.Outstanding += wanted
+	for _, expected := range t.ledger.expectedPerStep {
+		stats.Outstanding += expected
 	}
-	now := t.truth.ended
+	now := t.ledger.ended
 	if now.IsZero() {
 		now = time.Now()
 	}
-	if !t.truth.started.IsZero() {
-		stats.Wall = now.Sub(t.truth.started)
+	if !t.ledger.started.IsZero() {
+		stats.Wall = now.Sub(t.ledger.started)
 	}
-	if !t.truth.waitSince.IsZero() {
-		stats.Idle += now.Sub(t.truth.waitSince)
+	if !t.ledger.idleSince.IsZero() {
+		stats.Idle += now.Sub(t.ledger.idleSince)
 	}
 	if stats.Wall > 0 {
 		stats.IdleShare = float64(stats.Idle) / float64(stats.Wall)
@@ -107,7 +107,7 @@
 	return stats
 }
 
-// summarize fills the staleness figures from the counts.
+// summarize computes mean, 99th percentile and maximum of the staleness from StalenessCounts.
 func (s *Stats) summarize() {
 	total, sum := 0, 0
 	for age, count := range s.StalenessCounts {
@@ -131,102 +131,108 @@
 	}
 }
 
-func (t *Trainer) start(now time.Time) {
+func (t *Trainer) markStarted(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.started = now
+	t.ledger.started = now
 }
 
-func (t *Trainer) finish() {
+func (t *Trainer) markEnded() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.ended = time.Now()
+	t.ledger.ended = time.Now()
 }
 
-func (t *Trainer) waiting(now time.Time) {
+// startIdle records the start of a wait for samples.
+func (t *Trainer) startIdle(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.waitSince = now
+	t.ledger.idleSince = now
 }
 
-func (t *Trainer) waited(now time.Time) {
+// endIdle adds the wait that ends now to the idle time.
+func (t *Trainer) endIdle(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.stats.Idle += now.Sub(t.truth.waitSince)
-	t.truth.waitSince = time.Time{}
+	t.ledger.stats.Idle += now.Sub(t.ledger.idleSince)
+	t.ledger.idleSince = time.Time{}
 }
 
+// recordOpened records an opened step and the samples expected for it.
 func (t *Trainer) recordOpened(step uint64, body stepBody) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.stats.StepsOpened++
-	t.truth.wanted[step] = len(body.Prompts) * body.SamplesPerPrompt
+	t.ledger.stats.StepsOpened++
+	t.ledger.expectedPerStep[step] = len(body.Prompts) * body.SamplesPerPrompt
 	for _, prompt := range body.Prompts {
 		key := promptKey{step: step, id: prompt.ID}
-		t.truth.prompts[key] = prompt.Text
-		t.truth.slots[key] = make(map[int]bool)
+		t.ledger.prompts[key] = prompt.Text
+		t.ledger.receivedIndexes[key] = make(map[int]bool)
 	}
 }
 
-func (t *Trainer) complete(step uint64) bool {
+// isComplete reports whether all samples of a step were received.
+func (t *Trainer) isComplete(step uint64) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.truth.perStep[step] >= t.truth.wanted[step]
+	return t.ledger.receivedPerStep[step] >= t.ledger.expectedPerStep[step]
 }
 
 func (t *Trainer) countStep() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.stats.Steps++
+	t.ledger.stats.Steps++
 }
 
 func (t *Trainer) countLost() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.stats.LostReplies++
+	t.ledger.stats.LostReplies++
 }
 
+// countError counts a failed call that is sent again.
 func (t *Trainer) countError(err error) {
-	t.config.Log.Debugf("Call failed: %v", err)
+	t.config.Log.Debugf("Call failed, will be sent again: %v", err)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.stats.Errors++
-	t.truth.stats.LastError = err.Error()
+	t.ledger.stats.Errors++
+	t.ledger.stats.LastError = err.Error()
 }
 
-func (t *Trainer) violate(kind ViolationKind, sample, detail string) {
+func (t *Trainer) recordViolation(kind ViolationKind, sample, detail string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.violate(kind, sample, detail)
+	t.ledger.recordViolation(kind, sample, detail)
 }
 
-func (l *ledger) violate(kind ViolationKind, sample, detail string) {
+func (l *ledger) recordViolation(kind ViolationKind, sample, detail string) {
 	l.stats.Violations = append(l.stats.Violations, Violation{Kind: kind, SampleID: sample, Detail: detail})
 }
 
-// receive accounts for a batch that arrived and is checked at this moment.
+// receive records the samples of a batch and checks them. Staleness is judged by the bound in force at this time.
 func (t *Trainer) receive(reply *fetchReply) {
-	bound, known := t.boundNow(reply)
+	bound, known := t.currentBound(reply)
 	for index := range reply.Samples {
 		sample := &reply.Samples[index]
-		prompt, fresh := t.account(reply.Step, sample, bound, known)
+		prompt, fresh := t.recordSample(reply.Step, sample, bound, known)
 		if !fresh {
 			continue
 		}
 		if err := checkSegments(sample); err != nil {
-			t.violate(ViolationSegments, sample.ID, err.Error())
+			t.recordViolation(ViolationSegments, sample.ID, err.Error())
 			continue
 		}
 		if t.config.Truth == nil {
 			continue
 		}
 		if err := t.config.Truth.Check(prompt, *sample); err != nil {
-			t.violate(ViolationSegments, sample.ID, err.Error())
+			t.recordViolation(ViolationSegments, sample.ID, err.Error())
 		}
 	}
 }
 
-func (t *Trainer) boundNow(reply *fetchReply) (uint64, bool) {
+// currentBound returns the staleness bound in force, or false if it is unknown.
+func (t *Trainer) currentBound(reply *fetchReply) (uint64, bool) {
 	if t.config.StalenessBound != nil {
 		return t.config.StalenessBound()
 	}
@@ -236,33 +242,36 @@
 	return 0, false
 }
 
-// account counts one sample; fresh is false when it must not be looked at further.
-func (t *Trainer) account(step uint64, sample *Sample, bound uint64, boundKnown bool) (prompt string, fresh bool) {
+// recordSample records a sample and returns the text of its prompt. fresh is false for a duplicate or unknown sample,
+// which is not checked further.
+func (t *Trainer) recordSample(step uint64, sample *Sample, bound uint64, boundKnown bool) (prompt string, fresh bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	l := &t.truth
+	l := &t.ledger
 	if l.received[sample.ID] {
 		l.stats.Duplicates++
-		l.violate(ViolationDuplicate, sample.ID, "delivered again")
+		l.recordViolation(ViolationDuplicate, sample.ID, "delivered again")
 		return "", false
 	}
 	l.received[sample.ID] = true
 	key := promptKey{step: step, id: sample.PromptID}
 	prompt, known := l.prompts[key]
-	if !known || sample.Index < 0 || sample.Index >= t.config.SamplesPerPrompt || l.slots[key][sample.Index] {
-		l.violate(ViolationUnknown, sample.ID, fmt.Sprintf("step %d prompt %q index %d", step, sample.PromptID, sample.Index))
+	if !known || sample.Index < 0 || sample.Index >= t.config.SamplesPerPrompt || l.receivedIndexes[key][sample.Index] {
+		l.recordViolation(ViolationUnknown, sample.ID, fmt.Sprintf("step %d prompt %q index %d", step, sample.PromptID, sample.Index))
 		return "", false
 	}
-	l.slots[key][sample.Index] = true
-	l.perStep[step]++
+	l.receivedIndexes[key][sample.Index] = true
+	l.receivedPerStep[step]++
 	l.stats.Samples++
 	l.stats.Tokens += text.Count(sample.Text)
 	l.stats.SegmentsExamined += len(sample.Segments)
-	l.countAge(sample, t.version, bound, boundKnown)
+	l.recordStaleness(sample, t.version, bound, boundKnown)
 	return prompt, true
 }
 
-func (l *ledger) countAge(sample *Sample, version, bound uint64, boundKnown bool) {
+// recordStaleness counts a sample by its age, the number of versions between its oldest segment and the trainer's
+// version, and checks the age against the bound if that is known.
+func (l *ledger) recordStaleness(sample *Sample, version, bound uint64, boundKnown bool) {
 	age := uint64(0)
 	for _, segment := range sample.Segments {
 		if segment.VersionNumber < version {
@@ -278,11 +287,11 @@
 	}
 	l.stats.StalenessExamined++
 	if age > bound {
-		l.violate(ViolationStale, sample.ID, fmt.Sprintf("age %d is above the bound %d", age, bound))
+		l.recordViolation(ViolationStale, sample.ID, fmt.Sprintf("age %d is above the bound %d", age, bound))
 	}
 }
 
-// checkSegments verifies that the segments cover the text's tokens without gap or overlap.
+// checkSegments returns an error unless the segments cover the text's tokens without gap or overlap.
 func checkSegments(sample *Sample) error {
 	next := 0
 	for _, segment := range sample.Segments {
@@ -297,12 +306,12 @@
 	return nil
 }
 
-// compareRefetch checks that a resent fetch gives no sample that the lost reply had not. It may give
-// fewer: one that became too old meanwhile is regenerated.
+// compareRefetch checks that a repeated fetch returns only samples that the lost reply had too, unchanged. It may
+// return fewer, because samples that have become too old meanwhile are regenerated.
 func (t *Trainer) compareRefetch(lost, again *fetchReply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.truth.stats.Refetches++
+	t.ledger.stats.Refetches++
 	known := make(map[string]Sample, len(lost.Samples))
 	for _, sample := range lost.Samples {
 		known[sample.ID] = sample
@@ -310,7 +319,7 @@
 	for _, sample := range again.Samples {
 		first, ok := known[sample.ID]
 		if !ok || first.Edition != sample.Edition || first.Text != sample.Text {
-			t.truth.violate(ViolationRefetch, sample.ID, fmt.Sprintf("batch %d differs from its lost reply", again.Cursor))
+			t.ledger.recordViolation(ViolationRefetch, sample.ID, fmt.Sprintf("batch %d differs from its lost reply", again.Cursor))
 		}
 	}
 }
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	retryPause    = 100 * time.Millisecond
+	retryPause    = 100 * time.Millisecond // before the first retry; doubled for each further one
 	maxRetryPause = 2 * time.Second
 )
 
-// Trainer is one trainer stand-in.
+// Trainer is one trainer stand-in. Only Run changes the fields without a lock; Stats and Finish can be called
+// concurrently.
 type Trainer struct {
-	config Config
-	client *http.Client
-	random *rand.Rand
-	turn   int // coordinator asked first
+	config      Config
+	client      *http.Client
+	random      *rand.Rand
+	nextAddress int // index of the coordinator for the next call, modulo their number
 
-	cursor  uint64 // highest batch received
-	fetches uint64 // number of the last fetch; rises also over a restart
-	version uint64 // weights that the next training starts from
-	opened  uint64 // highest step opened
+	cursor     uint64 // number of the last batch received
+	lastFetch  uint64 // number of the last fetch; higher than any number used before a restart
+	version    uint64 // number of the weight version that the next training starts from
+	lastOpened uint64 // number of the last step opened
 
-	finishing atomic.Bool // no further step is opened
+	finishing atomic.Bool // set by Finish: no further step is opened
 
-	mutex sync.Mutex
-	truth ledger
+	mutex  sync.Mutex
+	ledger ledger // guarded by mutex
 }
 
-// New returns a trainer that has not started.
+// New returns a trainer that does nothing before Run, or an error if a required field of config is missing.
 func New(config Config) (*Trainer, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -47,21 +48,22 @@
 	}
 	return &Trainer{
 		config: config, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}},
-		random: rand.New(rand.NewSource(int64(config.Seed))), version: config.InitialVersionNumber, truth: newLedger(),
+		random: rand.New(rand.NewSource(int64(config.Seed))), version: config.InitialVersionNumber, ledger: newLedger(),
 	}, nil
 }
 
-// errFinished ends a trainer that was told to finish.
+// errFinished reports that a step was not opened because Finish was called.
 var errFinished = errors.New("no further step is opened")
 
-// Finish makes Run open no further step and return after the last one that is open.
+// Finish makes Run open no further steps and return after the last open one.
 func (t *Trainer) Finish() { t.finishing.Store(true) }
 
-// Run trains until ctx ends, MaxSteps are done, or those that were open at Finish. An error means that a coordinator refused for good.
+// Run trains until ctx ends, MaxSteps steps are done, or, after Finish, the open steps are done. It returns an error if
+// a coordinator or the weight store rejects a call permanently, or if ctx ends during the final acknowledgement.
 func (t *Trainer) Run(ctx context.Context) error {
 	defer t.client.CloseIdleConnections()
-	t.start(time.Now())
-	defer t.finish()
+	t.markStarted(time.Now())
+	defer t.markEnded()
 	for step := uint64(1); t.config.MaxSteps == 0 || step <= t.config.MaxSteps; step++ {
 		if err := t.runStep(ctx, step); err != nil {
 			if errors.Is(err, errFinished) {
@@ -76,11 +78,12 @@
 	return t.acknowledgeLast(ctx)
 }
 
+// runStep opens a step if needed, collects its samples, opens the steps ahead, trains and publishes a version.
 func (t *Trainer) runStep(ctx context.Context, step uint64) error {
 	if err := t.openUpTo(ctx, step); err != nil {
 		return err
 	}
-	if t.opened < step {
+	if t.lastOpened < step {
 		return errFinished
 	}
 	if err := t.collect(ctx, step); err != nil {
@@ -95,34 +98,34 @@
 	return t.publish(ctx)
 }
 
-// openUpTo opens the steps that are not open yet.
+// openUpTo opens the steps up to last that are not open yet, unless Finish was called.
 func (t *Trainer) openUpTo(ctx context.Context, last uint64) error {
 	if t.config.MaxSteps > 0 {
 		last = min(last, t.config.MaxSteps)
 	}
-	for t.opened < last && !t.finishing.Load() {
-		step := t.opened + 1
+	for t.lastOpened < last && !t.finishing.Load() {
+		step := t.lastOpened + 1
 		body := stepBody{Pool: t.config.Pool, SamplesPerPrompt: t.config.SamplesPerPrompt}
 		for index := range t.config.PromptsPerStep {
 			body.Prompts = append(body.Prompts, Prompt{
 				ID: fmt.Sprintf("p%d", index), Text: t.config.Prompt(step, index), MaxTokens: t.config.MaxTokens,
 			})
 		}
-		if err := t.persist(ctx, http.MethodPut, t.path(fmt.Sprintf("/steps/%d", step)), body, nil, 0); err != nil {
+		if err := t.callCoordinator(ctx, http.MethodPut, t.path(fmt.Sprintf("/steps/%d", step)), body, nil, 0); err != nil {
 			return err
 		}
-		t.opened = step
+		t.lastOpened = step
 		t.recordOpened(step, body)
 	}
 	return nil
 }
 
-// collect fetches until the whole step is there; the time it takes is idle time.
+// collect fetches until all samples of the step are received. The time it takes counts as idle time.
 func (t *Trainer) collect(ctx context.Context, step uint64) error {
 	began := time.Now()
-	t.waiting(began)
-	defer func() { t.waited(time.Now()) }()
-	for !t.complete(step) {
+	t.startIdle(began)
+	defer func() { t.endIdle(time.Now()) }()
+	for !t.isComplete(step) {
 		if err := t.fetch(ctx); err != nil {
 			return err
 		}
@@ -130,7 +133,8 @@
 	return nil
 }
 
-// fetch gets one batch, losing replies on purpose.
+// fetch receives one batch, or none if the coordinator has no samples in time. It discards replies at random and
+// fetches the same batch again.
 func (t *Trainer) fetch(ctx context.Context) error {
 	body := &fetchBody{
 		Cursor: t.cursor + 1, Acknowledge: t.cursor, TrainerVersion: t.version, MaxSamples: t.config.MaxSamples,
@@ -139,14 +143,14 @@
 	var lost *fetchReply
 	for {
 		var reply fetchReply
-		if err := t.persist(ctx, http.MethodPost, t.path("/fetch"), body, &reply, t.config.FetchWait); err != nil {
+		if err := t.callCoordinator(ctx, http.MethodPost, t.path("/fetch"), body, &reply, t.config.FetchWait); err != nil {
 			return err
 		}
 		if reply.Cursor == 0 {
 			return nil
 		}
 		if reply.Cursor != body.Cursor {
-			t.violate(ViolationCursor, "", fmt.Sprintf("asked for batch %d, got %d", body.Cursor, reply.Cursor))
+			t.recordViolation(ViolationCursor, "", fmt.Sprintf("asked for batch %d, got %d", body.Cursor, reply.Cursor))
 		}
 		if lost != nil {
 			t.compareRefetch(lost, &reply)
@@ -162,14 +166,14 @@
 	}
 }
 
-// acknowledgeLast tells the coordinator that the last batch arrived.
+// acknowledgeLast acknowledges the last batch to the coordinator.
 func (t *Trainer) acknowledgeLast(ctx context.Context) error {
 	if t.cursor == 0 {
 		return nil
 	}
 	var reply fetchReply
 	body := &fetchBody{Cursor: t.cursor + 1, Acknowledge: t.cursor, TrainerVersion: t.version}
-	if err := t.persist(ctx, http.MethodPost, t.path("/fetch"), body, &reply, 0); err != nil {
+	if err := t.callCoordinator(ctx, http.MethodPost, t.path("/fetch"), body, &reply, 0); err != nil {
 		return err
 	}
 	if len(reply.Samples) > 0 {
@@ -179,10 +183,11 @@
 	return nil
 }
 
+// train waits for the training time.
 func (t *Trainer) train(ctx context.Context) error { return pause.For(ctx, t.config.TrainTime) }
 
-// publish writes the new version to the weight store, then announces it. A number that another trainer
-// of the pool has passed is skipped.
+// publish stores the new version in the weight store, then announces it. A version number that the coordinator rejects
+// as a conflict, because another trainer of the pool has used or passed it, is skipped.
 func (t *Trainer) publish(ctx context.Context) error {
 	for {
 		next := t.version + 1
@@ -199,33 +204,35 @@
 	}
 }
 
+// publishAs stores and announces a version with the given number.
 func (t *Trainer) publishAs(ctx context.Context, number uint64) error {
 	name := fmt.Sprintf("%s-v%d", t.config.Name, number)
 	if t.config.WeightStore != "" {
 		stored := storedVersion{Version: name, VersionNumber: number, Trainer: t.config.Name}
 		address := []string{t.config.WeightStore}
-		if err := t.persistAt(ctx, address, http.MethodPut, "/v1/versions/"+url.PathEscape(name), stored, nil, 0); err != nil {
+		if err := t.callWithRetries(ctx, address, http.MethodPut, "/v1/versions/"+url.PathEscape(name), stored, nil, 0); err != nil {
 			return err
 		}
 	}
 	announced := versionBody{Version: name, VersionNumber: number, Pool: t.config.Pool}
-	return t.persist(ctx, http.MethodPost, t.path("/versions"), announced, nil, 0)
+	return t.callCoordinator(ctx, http.MethodPost, t.path("/versions"), announced, nil, 0)
 }
 
-// persist repeats a call at the coordinators in turn until one answers, the call is refused for good, or
-// ctx ends. Every call of the trainers' interface may be sent again.
-func (t *Trainer) persist(ctx context.Context, method, path string, body, answer any, wait time.Duration) error {
-	return t.persistAt(ctx, t.config.Coordinators, method, path, body, answer, wait)
+// callCoordinator sends a call to the coordinators in turn, with retries, until one of them answers, rejects it
+// permanently, or ctx ends. Every call of the trainers' API is safe to send again.
+func (t *Trainer) callCoordinator(ctx context.Context, method, path string, body, answer any, wait time.Duration) error {
+	return t.callWithRetries(ctx, t.config.Coordinators, method, path, body, answer, wait)
 }
 
-func (t *Trainer) persistAt(ctx context.Context, addresses []string, method, path string, body, answer any, wait time.Duration) error {
+// callWithRetries sends a call to the addresses in turn, as callCoordinator does. It gives each fetch a new number.
+func (t *Trainer) callWithRetries(ctx context.Context, addresses []string, method, path string, body, answer any, wait time.Duration) error {
 	retryWait := retryPause
 	for {
 		if fetch, ok := body.(*fetchBody); ok {
-			t.fetches = max(t.fetches+1, uint64(time.Now().UnixMicro()))
-			fetch.Fetch = t.fetches
+			t.lastFetch = max(t.lastFetch+1, uint64(time.Now().UnixMicro()))
+			fetch.Fetch = t.lastFetch
 		}
-		err := t.call(ctx, method, addresses[t.turn%len(addresses)], path, body, answer, wait)
+		err := t.call(ctx, method, addresses[t.nextAddress%len(addresses)], path, body, answer, wait)
 		if err == nil {
 			return nil
 		}
@@ -233,14 +240,14 @@
 			return trace.Wrap(ctx.Err())
 		}
 		var refused *callError
-		if errors.As(err, &refused) && refused.permanent() {
+		if errors.As(err, &refused) && refused.isPermanent() {
 			return fmt.Errorf("%s %s: %w", method, path, err)
 		}
 		if refused != nil {
-			t.fetches = max(t.fetches, refused.fetch)
+			t.lastFetch = max(t.lastFetch, refused.fetch)
 		}
 		t.countError(err)
-		t.turn++
+		t.nextAddress++
 		if err := pause.For(ctx, retryWait); err != nil {
 			return err
 		}
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -21,15 +21,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// coordinator is a small right implementation of the trainers' interface, with switches to be wrong.
+// coordinator is a small correct implementation of the trainers' API that can be made to recordViolation its
+// guarantees.
 type coordinator struct {
 	mutex   sync.Mutex
 	version uint64
-	pending []Sample // of the open steps, in order, not acknowledged yet
-	step    map[string]uint64
-	sent    map[uint64]fetchReply
-	spoil   func(reply *fetchReply)
-	down    int // that many calls are answered 503
+	pending []Sample                // samples of the open steps that were not sent yet, in order
+	step    map[string]uint64       // step by sample id
+	sent    map[uint64]fetchReply   // replies by cursor
+	spoil   func(reply *fetchReply) // if set, changes each new reply
+	down    int                     // number of calls still to be answered with 503
 }
 
 func startCoordinator(t *testing.T) (*coordinator, string) {
@@ -122,6 +123,7 @@
 	_, _ = writer.Write([]byte(`{}`))
 }
 
+// train runs a trainer to its end and returns its account.
 func train(t *testing.T, address string, change func(*Config)) Stats {
 	t.Helper()
 	config := Config{
@@ -143,22 +145,24 @@
 	return made.Stats()
 }
 
+// TestCleanRunCountsEverySampleOnce guards against samples that are lost or counted twice when replies are lost, and
+// against violations reported for a correct coordinator.
 func TestCleanRunCountsEverySampleOnce(t *testing.T) {
 	fake, address := startCoordinator(t)
 	fake.down, fake.version = 1, 1
 	stats := train(t, address, func(config *Config) { config.LoseReplyProbability = 0.4 })
 	if stats.Steps != 3 || stats.Samples != 36 || stats.Outstanding != 0 || len(stats.Violations) != 0 {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats %+v, want 3 steps, 36 samples, none outstanding and no violations", stats)
 	}
 	if stats.LostReplies == 0 || stats.Refetches == 0 || stats.Errors == 0 {
-		t.Errorf("nothing was lost: %+v", stats)
+		t.Errorf("stats %+v, want lost replies, refetches and errors", stats)
 	}
-	// With one step ahead, each step but the first is opened under the version before the one it is used at.
+	// With one step ahead, each step but the first is opened one version before the one that trains on it.
 	if !slices.Equal(stats.StalenessCounts, []int{12, 24}) || stats.StalenessExamined != 36 || stats.StalenessMax != 1 {
-		t.Errorf("staleness %+v", stats)
+		t.Errorf("stats %+v, want 12 samples of age 0 and 24 of age 1, all examined", stats)
 	}
 	if stats.IdleShare <= 0 || stats.IdleShare > 1 {
-		t.Errorf("idle share %v", stats.IdleShare)
+		t.Errorf("idle share %v, want it in (0, 1]", stats.IdleShare)
 	}
 }
 
@@ -167,11 +171,12 @@
 	fake.version = 5
 	stats := train(t, address, nil)
 	if stats.Steps != 3 || fake.version != 8 {
-		t.Errorf("%d steps, version %d", stats.Steps, fake.version)
+		t.Errorf("%d steps, version %d, want 3 and 8", stats.Steps, fake.version)
 	}
 }
 
-func TestBrokenPromisesAreNoticed(t *testing.T) {
+// TestViolationsAreRecorded checks that the trainer detects each kind of violation.
+func TestViolationsAreRecorded(t *testing.T) {
 	var previous Sample
 	cases := []struct {
 		want  ViolationKind
@@ -199,24 +204,26 @@
 			}
 		})
 		if !slices.ContainsFunc(stats.Violations, func(violation Violation) bool { return violation.Kind == test.want }) {
-			t.Errorf("%s was not noticed: %+v", test.want, stats.Violations)
+			t.Errorf("no violation %s in %+v", test.want, stats.Violations)
 		}
 	}
 }
 
-func TestRefetchThatDiffersIsNoticed(t *testing.T) {
-	truth := &Trainer{config: Config{Log: logging.Discard()}, truth: newLedger()}
+// TestRefetchThatDiffersIsRecorded checks that a repeated fetch may leave out samples, but not change or add any.
+func TestRefetchThatDiffersIsRecorded(t *testing.T) {
+	trainer := &Trainer{config: Config{Log: logging.Discard()}, ledger: newLedger()}
 	first := &fetchReply{Cursor: 1, Samples: []Sample{{ID: "a", Text: "x "}, {ID: "b", Text: "y "}}}
-	truth.compareRefetch(first, &fetchReply{Cursor: 1, Samples: []Sample{{ID: "b", Text: "y "}}})
-	if len(truth.truth.stats.Violations) != 0 {
-		t.Errorf("a sample that became too old may be left out: %+v", truth.truth.stats.Violations)
+	trainer.compareRefetch(first, &fetchReply{Cursor: 1, Samples: []Sample{{ID: "b", Text: "y "}}})
+	if len(trainer.ledger.stats.Violations) != 0 {
+		t.Errorf("a left out sample gave violations %+v, want none", trainer.ledger.stats.Violations)
 	}
-	truth.compareRefetch(first, &fetchReply{Cursor: 1, Samples: []Sample{{ID: "b", Text: "other "}, {ID: "c"}}})
-	if len(truth.truth.stats.Violations) != 2 {
-		t.Errorf("violations %+v", truth.truth.stats.Violations)
+	trainer.compareRefetch(first, &fetchReply{Cursor: 1, Samples: []Sample{{ID: "b", Text: "other "}, {ID: "c"}}})
+	if len(trainer.ledger.stats.Violations) != 2 {
+		t.Errorf("violations %+v, want one for the changed and one for the added sample", trainer.ledger.stats.Violations)
 	}
 }
 
+// TestEnginesTruth checks which segments count as generated by the logged executions.
 func TestEnginesTruth(t *testing.T) {
 	executions := []engine.Execution{
 		{Prompt: "p", Seed: 3, Segments: []engine.Segment{{Version: "v2", VersionNumber: 2, From: 5, Count: 2}}},
@@ -238,11 +245,11 @@
 		{strings.ToUpper(answer), Segment{WeightVersion: "v1", VersionNumber: 1, FirstToken: 0, TokenCount: 2}, false},
 	}
 	for _, test := range cases {
-		if got := generated(executions, test.answer, test.segment); got != test.want {
-			t.Errorf("%+v: %v", test.segment, got)
+		if got := isGenerated(executions, test.answer, test.segment); got != test.want {
+			t.Errorf("segment %+v: got generated %v", test.segment, got)
 		}
 	}
 	if err := NewEngines().Check("p", Sample{Segments: []Segment{{Replica: "e"}}}); err == nil {
-		t.Error("an unknown replica was accepted")
+		t.Error("a segment of an unknown replica was accepted")
 	}
 }
--- a/internal/standin/trainer/truth.go
+++ b/internal/standin/trainer/truth.go
@@ -8,29 +8,29 @@
 	"github.com/tamarindring/tamarindring/internal/standin/engine"
 )
 
-// Engines is the truth of engine stand-ins that run in the same process.
+// Engines implements Truth with the logs of engine stand-ins that run in the same process.
 type Engines struct {
 	byName map[string]*engine.Server
 }
 
-// NewEngines returns the truth of engines whose names are their rows' names in the table.
+// NewEngines returns the Truth of the given engines. Each engine must have the name of its replica in the table.
 func NewEngines(engines ...*engine.Server) *Engines {
 	truth := &Engines{byName: make(map[string]*engine.Server)}
-	for _, one := range engines {
-		truth.byName[one.Name()] = one
+	for _, server := range engines {
+		truth.byName[server.Name()] = server
 	}
 	return truth
 }
 
-// Check implements Truth: each token of a segment must come from an execution of this very answer on the
-// replica that the segment names, under the version that it names.
+// Check implements Truth. Each token of a segment must come from an execution of the same answer on the replica and
+// under the weight version that the segment names.
 func (e *Engines) Check(prompt string, sample Sample) error {
 	for _, segment := range sample.Segments {
 		server, known := e.byName[segment.Replica]
 		if !known {
 			return fmt.Errorf("segment names unknown replica %q", segment.Replica)
 		}
-		if !generated(server.ExecutionsOf(prompt), sample.Text, segment) {
+		if !isGenerated(server.ExecutionsOf(prompt), sample.Text, segment) {
 			return fmt.Errorf("replica %s did not generate tokens %d to %d of this answer under %s",
 				segment.Replica, segment.FirstToken, segment.FirstToken+segment.TokenCount, segment.WeightVersion)
 		}
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// generated says whether executions of the answer cover the segment's tokens under its version. Several
-// may be needed: a cut request that was replayed on the same replica is two executions.
-func generated(executions []engine.Execution, answer string, segment Segment) bool {
+// isGenerated reports whether executions of the answer cover the segment's tokens under its version. Several executions
+// may be needed, because a cut request that was replayed on the same replica has two.
+func isGenerated(executions []engine.Execution, answer string, segment Segment) bool {
 	var parts []engine.Segment
 	for _, execution := range executions {
 		request := text.Request{Prompt: execution.Prompt, Seed: execution.Seed, MaxTokens: execution.MaxTokens}
--- a/internal/standin/trainer/wire.go
+++ b/internal/standin/trainer/wire.go
@@ -33,10 +33,10 @@
 	MaxSamples     int    `json:"max_samples"`
 	WaitMillis     int64  `json:"wait_millis"`
 	WholeStep      bool   `json:"whole_step"`
-	Fetch          uint64 `json:"fetch"` // rises with every call
+	Fetch          uint64 `json:"fetch"` // number of the call, higher for each further one
 }
 
-// Segment is a run of a sample's tokens that one weight version on one replica made.
+// Segment is a run of a sample's tokens that one replica generated under one weight version.
 type Segment struct {
 	WeightVersion string `json:"weight_version"`
 	VersionNumber uint64 `json:"version_number"`
@@ -45,7 +45,7 @@
 	Replica       string `json:"replica"`
 }
 
-// Sample is one sample as the coordinator hands it over.
+// Sample is one sample in the reply to a fetch.
 type Sample struct {
 	ID       string    `json:"id"`
 	PromptID string    `json:"prompt_id"`
@@ -78,21 +78,21 @@
 }
 
 const (
-	callMargin   = 15 * time.Second // beyond a fetch's own wait
-	maxErrorBody = 4096
+	callMargin   = 15 * time.Second // timeout of a call beyond the time for which a fetch waits
+	maxErrorBody = 4096             // bytes read of an error's body
 )
 
 // callError is an answer with an error status.
 type callError struct {
 	status int
 	code   string // of the error body
-	fetch  uint64 // that the next fetch has to pass
+	fetch  uint64 // number that the next fetch must exceed
 	body   string
 }
 
 func (e *callError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.body) }
 
-// conflictCode marks a conflict that asking again does not solve, such as a version number that is taken.
+// conflictCode is the error code of a conflict that a retry cannot solve, such as a version number that is taken.
 const conflictCode = "conflict"
 
 // errorBody is the part of an error's body that the trainer reads.
@@ -103,12 +103,13 @@
 	} `json:"error"`
 }
 
-// permanent says that asking again cannot help.
-func (e *callError) permanent() bool {
+// isPermanent reports whether a retry cannot succeed.
+func (e *callError) isPermanent() bool {
 	return e.status == http.StatusBadRequest || (e.status == http.StatusConflict && e.code == conflictCode)
 }
 
-// call sends one request to an address and decodes its answer; redirects are followed.
+// call sends one request to an address, follows redirects and decodes the answer. An error status gives a callError.
+// The call times out callMargin after wait.
 func (t *Trainer) call(ctx context.Context, method, address, path string, body, answer any, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
 	defer cancel()
@@ -142,6 +143,7 @@
 	return trace.Wrap(json.NewDecoder(response.Body).Decode(answer))
 }
 
+// path returns a path of the trainers' API for this trainer.
 func (t *Trainer) path(rest string) string {
 	return "/v1/trainers/" + url.PathEscape(t.config.Name) + rest
 }
