--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -285,4 +285,5 @@
 	return reused
 }
 
+// recycle keeps an ended sequence for reuse by newSequence.
 func (e *Engine) recycle(seq *sequence) { e.recycled = append(e.recycled, seq) }
--- a/internal/engine/journal.go
+++ b/internal/engine/journal.go
@@ -24,10 +24,12 @@
 	last uint64 // sequence number of the latest event
 }
 
+// newCacheJournal returns a journal of the last size events. With size 0 or less it records nothing.
 func newCacheJournal(size int) *cacheJournal {
 	return &cacheJournal{ring: make([]CacheEvent, max(size, 0))}
 }
 
+// record appends an event with the next sequence number.
 func (j *cacheJournal) record(kind CacheEventKind, hash uint64) {
 	if len(j.ring) == 0 {
 		return
--- a/internal/engine/text/words.go
+++ b/internal/engine/text/words.go
@@ -21,4 +21,5 @@
 	"spring square star stone storm stream summer sun swan table tea thistle thyme tide timber tower town trail " +
 	"tree tulip valley vine violet wagon walnut water wave west wheat willow wind window winter wolf wood wool yard "
 
+// SplitAfter leaves an empty string after the last space.
 func init() { words = words[:len(words)-1] }
--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -1,6 +1,6 @@
-// Package application is the stand-in of an application replica: the push gateway and the conference
-// bridge. It executes every call it accepts, also a second one of the same key, and its log is the truth
-// about what ran.
+// Package application is the stand-in of an application replica, such as a push gateway or a conference bridge. It
+// executes every call that it accepts, including a second one with the same idempotency key, and logs every call, so
+// that tests can count how often each key ran.
 package application
 
 import (
@@ -20,77 +20,78 @@
 	"github.com/tamarindring/tamarindring/internal/standin/endpoint"
 )
 
-// DefaultServiceTime is the median time that an execution takes.
+// DefaultServiceTime is the default of Config.ServiceTime.
 const DefaultServiceTime = 5 * time.Millisecond
 
-// DefaultMaxConcurrent bounds the executions at once.
+// DefaultMaxConcurrent is the default of Config.MaxConcurrent.
 const DefaultMaxConcurrent = 256
 
 // Config holds a stand-in's settings.
 type Config struct {
 	// Name appears in reports and answers.
 	Name string
-	// Listen is IP:port, port 0 allowed; ignored when Listener is set.
+	// Listen is the IP:port to listen on; port 0 selects a free port. It is ignored if Listener is set.
 	Listen   string
 	Listener net.Listener
 	// Zone is reported with the load.
 	Zone string
-	// ServiceTime is the least time of an execution. Default DefaultServiceTime; -1 means none.
+	// ServiceTime is the minimum duration of an execution. Default DefaultServiceTime; -1 means none.
 	ServiceTime time.Duration
-	// ServiceJitter is the mean of an exponential time added to it. Default 0.
+	// ServiceJitter is the mean of an exponentially distributed time added to ServiceTime. Default 0.
 	ServiceJitter time.Duration
-	// MaxConcurrent bounds the executions at once; one more is refused. Default DefaultMaxConcurrent.
+	// MaxConcurrent limits concurrent executions; further calls are rejected. Default DefaultMaxConcurrent.
 	MaxConcurrent int
-	// MaxBody bounds a request's body in bytes. Default endpoint.DefaultMaxBody.
+	// MaxBody limits the body of a request, in bytes. Default endpoint.DefaultMaxBody.
 	MaxBody int
-	// LoadReportLag is how old a load report is when it is handed out. Default 0.
+	// LoadReportLag is the age of a load report when it is served. Default 0.
 	LoadReportLag time.Duration
-	// Seed draws service times and faults.
+	// Seed seeds the random service times and faults.
 	Seed uint64
 	// Log is required.
 	Log *logrus.Entry
 }
 
-// Faults are misbehaviours that a test switches on. Probabilities are per call.
+// Faults configures the faults that a test injects. Probabilities are per call.
 type Faults struct {
-	// RefuseProbability answers 503 did-not-run before running.
+	// RefuseProbability is the probability that a call is rejected with 503 and the verdict did-not-run.
 	RefuseProbability float64 `json:"refuse_probability"`
-	// CrashAfterRunProbability cuts the connection after running, before the answer.
+	// CrashAfterRunProbability is the probability that the connection is reset after the execution, before the answer.
 	CrashAfterRunProbability float64 `json:"crash_after_run_probability"`
-	// CrashBeforeRunProbability cuts the connection before running.
+	// CrashBeforeRunProbability is the probability that the connection is reset before the execution.
 	CrashBeforeRunProbability float64 `json:"crash_before_run_probability"`
-	// Stall delays each answer after the run.
+	// Stall is added to the duration of each execution.
 	Stall time.Duration `json:"stall_nanos"`
 }
 
 // Server is one application stand-in.
 type Server struct {
-	config   Config
-	endpoint *endpoint.Endpoint
-	closed   chan struct{}
-	closing  sync.Once
-
-	mutex    sync.Mutex // guards what follows
-	random   *rand.Rand
-	faults   Faults
-	running  int
-	executed uint64
-	log      []Execution
-	sequence uint64
-	byKey    map[string]int
-	leaving  bool
-	leftAt   time.Time
-	late     LateArrivals
-	history  []loadSample
+	config    Config
+	endpoint  *endpoint.Endpoint
+	closed    chan struct{}
+	closeOnce sync.Once
+
+	mutex           sync.Mutex // guards the fields below
+	random          *rand.Rand
+	faults          Faults
+	running         int
+	executed        uint64
+	log             []Execution
+	sequence        uint64
+	executionsByKey map[string]int // executions by idempotency key
+	leaving         bool
+	leftAt          time.Time
+	late            LateArrivals
+	loadHistory     []loadSample
 }
 
 // LateArrivals counts the calls that arrived after the leave mark.
 type LateArrivals struct {
 	Count int           `json:"count"`
-	Last  time.Duration `json:"last_nanos"` // longest time after the mark
+	Last  time.Duration `json:"last_nanos"` // longest time between the mark and an arrival
 }
 
-// New binds the listener.
+// New binds the listener. Requests are served once Run is called. It returns an error if the configuration is invalid
+// or the address cannot be bound.
 func New(config Config) (*Server, error) {
 	if config.Log == nil {
 		return nil, trace.BadParameter("application stand-in %q needs a log", config.Name)
@@ -102,7 +103,7 @@
 		config.MaxConcurrent = DefaultMaxConcurrent
 	}
 	server := &Server{
-		config: config, random: rand.New(rand.NewSource(int64(config.Seed))), byKey: make(map[string]int), closed: make(chan struct{}),
+		config: config, random: rand.New(rand.NewSource(int64(config.Seed))), executionsByKey: make(map[string]int), closed: make(chan struct{}),
 	}
 	bound, err := endpoint.New(endpoint.Config{
 		Listen: config.Listen, Listener: config.Listener, Handler: server.handle, StreamBody: true, MaxBody: config.MaxBody, Log: config.Log,
@@ -114,36 +115,37 @@
 	return server, nil
 }
 
-// Address is the bound IP:port.
+// Address returns the IP:port that the listener is bound to.
 func (s *Server) Address() string { return s.endpoint.Address() }
 
-// Name is the configured name.
+// Name returns the configured name.
 func (s *Server) Name() string { return s.config.Name }
 
-// Run serves until ctx ends or the server is drained or closed.
+// Run serves requests until ctx ends or the server is drained or closed.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.stop()
 	return s.endpoint.Run(ctx)
 }
 
-// Drain refuses new work and waits for the requests in flight.
+// Drain rejects new calls and waits until those in flight have ended or ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.Leave()
 	defer s.stop()
 	return s.endpoint.Drain(ctx)
 }
 
-// Close ends the stand-in abruptly: every connection is cut.
+// Close stops the stand-in and resets every connection.
 func (s *Server) Close() error {
 	s.stop()
 	return s.endpoint.Close()
 }
 
-// Crash makes the stand-in behave like a dead process until Restart: connections are cut, executions that
-// have begun still count as run.
+// Crash makes the stand-in behave like a dead process until Restart. It resets every connection. Executions that have
+// begun still count as run.
 func (s *Server) Crash() { s.endpoint.SetDown(true) }
 
-// Restart brings a crashed stand-in back on the same address; its log stays, it is the test's truth.
+// Restart brings a crashed stand-in back on the same address. The log and the counts are kept, because tests compare
+// with them.
 func (s *Server) Restart() {
 	s.mutex.Lock()
 	s.leaving = false
@@ -151,7 +153,7 @@
 	s.endpoint.SetDown(false)
 }
 
-// Leave sets the leave mark: from now on new work is refused and counted.
+// Leave sets the leave mark. New calls are rejected from then on and counted in LateArrivals.
 func (s *Server) Leave() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// LateArrivals returns what arrived after the leave mark.
+// LateArrivals returns the counts of calls that arrived after the leave mark.
 func (s *Server) LateArrivals() LateArrivals {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -174,27 +176,28 @@
 	s.faults = faults
 }
 
-// Executions returns how often the key ran here.
+// Executions returns how often the replica executed calls with the idempotency key.
 func (s *Server) Executions(key string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.byKey[key]
+	return s.executionsByKey[key]
 }
 
-// Log returns the log's entries so far, oldest first.
+// Log returns the log entries so far, oldest first.
 func (s *Server) Log() []Execution { return s.logAfter(0) }
 
-func (s *Server) stop() { s.closing.Do(func() { close(s.closed) }) }
+func (s *Server) stop() { s.closeOnce.Do(func() { close(s.closed) }) }
 
-// BodyHash is the hash of a call's body in answers and logs.
-func BodyHash(body []byte) string { return hexSum(xxhash.Sum64(body)) }
+// BodyHash returns the hash of a call's body as answers and logs show it.
+func BodyHash(body []byte) string { return encodeHash(xxhash.Sum64(body)) }
 
-// Checksum is the checksum of the answer to a call: it binds the answer to operation, key and body.
+// Checksum returns the checksum of the answer to a call, which binds the answer to operation, key and body.
 func Checksum(operation, key, bodyHash string) string {
-	return hexSum(xxhash.Sum64String(operation + "\n" + key + "\n" + bodyHash))
+	return encodeHash(xxhash.Sum64String(operation + "\n" + key + "\n" + bodyHash))
 }
 
-func hexSum(sum uint64) string {
+// encodeHash returns a hash as 16 hex digits.
+func encodeHash(sum uint64) string {
 	var bytes [8]byte
 	binary.BigEndian.PutUint64(bytes[:], sum)
 	return hex.EncodeToString(bytes[:])
@@ -205,22 +208,22 @@
 	Operation string `json:"operation"`
 	Key       string `json:"key"`
 	Replica   string `json:"replica"`
-	Execution uint64 `json:"execution"` // the replica's count of executions
+	Execution uint64 `json:"execution"` // number of executions of the replica, including this one
 	BodyHash  string `json:"body_hash"`
 	Checksum  string `json:"checksum"`
 }
 
-// Outcome is how a call ended at the replica.
+// Outcome is the result of a call at the replica.
 type Outcome string
 
 // The outcomes.
 const (
 	OutcomeRan     Outcome = "ran"
 	OutcomeRefused Outcome = "refused"
-	OutcomeDropped Outcome = "dropped" // the connection was cut before running
+	OutcomeDropped Outcome = "dropped" // the connection was reset before the execution
 )
 
-// Execution is one entry of the log.
+// Execution is the log entry of one call, whether it was executed, rejected or dropped.
 type Execution struct {
 	Sequence   uint64        `json:"sequence"`
 	Key        string        `json:"key"`
@@ -228,15 +231,16 @@
 	Operation  string        `json:"operation"`
 	BodyHash   string        `json:"body_hash"`
 	Arrived    time.Time     `json:"arrived"`
-	Started    time.Time     `json:"started"` // zero when it never ran
+	Started    time.Time     `json:"started"` // zero if it never ran
 	Outcome    Outcome       `json:"outcome"`
-	AfterLeave time.Duration `json:"after_leave_nanos,omitempty"` // how long after the leave mark it arrived; 0 when before
+	AfterLeave time.Duration `json:"after_leave_nanos,omitempty"` // time between the leave mark and the arrival; 0 if it arrived before the mark
 }
 
-// logLimit bounds the entries that are kept; the counts per key are not bounded by it.
+// logLimit is the maximum number of log entries. The older half is dropped when it is reached. The counts per key are
+// not affected.
 const logLimit = 400000
 
-// record appends to the log. The caller holds the mutex.
+// record assigns the next sequence number to an entry and appends it to the log. The caller must hold the mutex.
 func (s *Server) record(entry Execution) {
 	s.sequence++
 	entry.Sequence = s.sequence
@@ -246,6 +250,7 @@
 	s.log = append(s.log, entry)
 }
 
+// logAfter returns copies of the log entries with a higher sequence number.
 func (s *Server) logAfter(sequence uint64) []Execution {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/application/application_test.go
+++ b/internal/standin/application/application_test.go
@@ -14,7 +14,8 @@
 )
 
 func TestMain(m *testing.M) {
-	// Both belong to fasthttp: a process-wide clock, and a cleaner that notices the stop after its sleep.
+	// Goroutines of fasthttp that outlive a server: its process-wide clock, and the cleaner of the worker pool, which
+	// ends only after its sleep.
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"))
@@ -45,6 +46,7 @@
 	return response, err
 }
 
+// TestInvokeAnswersWithChecksumAndLogsEveryRun guards against a stand-in that hides a second execution of the same key.
 func TestInvokeAnswersWithChecksumAndLogsEveryRun(t *testing.T) {
 	server := startServer(t, Config{})
 	for range 2 {
@@ -58,14 +60,15 @@
 		}
 		hash := BodyHash([]byte("buzz"))
 		if answer.BodyHash != hash || answer.Checksum != Checksum("push", "key-1", hash) {
-			t.Errorf("answer %+v", answer)
+			t.Errorf("answer %+v, want the hash of the body and the checksum of the call", answer)
 		}
 	}
 	if server.Executions("key-1") != 2 || len(server.Log()) != 2 {
-		t.Errorf("a second run of the key must show: %d executions", server.Executions("key-1"))
+		t.Errorf("%d executions of the key, want 2 and as many log entries", server.Executions("key-1"))
 	}
 }
 
+// TestLargeBodyIsHashedWhole guards against a hash of only the first part of a streamed body.
 func TestLargeBodyIsHashedWhole(t *testing.T) {
 	server := startServer(t, Config{})
 	audio := strings.Repeat("0123456789", 1<<20)
@@ -78,26 +81,29 @@
 		t.Fatal(err)
 	}
 	if answer.BodyHash != BodyHash([]byte(audio)) {
-		t.Errorf("hash %s", answer.BodyHash)
+		t.Errorf("hash %s, want that of the whole body", answer.BodyHash)
 	}
 }
 
+// TestCrashAfterRunCountsAndDropBeforeRunDoesNot guards against a count of executions that does not match the injected
+// crash.
 func TestCrashAfterRunCountsAndDropBeforeRunDoesNot(t *testing.T) {
 	server := startServer(t, Config{})
 	server.SetFaults(Faults{CrashAfterRunProbability: 1})
 	if _, err := invoke(t, server, "push", "after", ""); err == nil {
-		t.Error("an answer came through a crash")
+		t.Error("got an answer in spite of the crash")
 	}
 	server.SetFaults(Faults{CrashBeforeRunProbability: 1})
 	if _, err := invoke(t, server, "push", "before", ""); err == nil {
-		t.Error("an answer came through a crash")
+		t.Error("got an answer in spite of the crash")
 	}
 	if after, before := server.Executions("after"), server.Executions("before"); after == 0 || before != 0 {
-		t.Errorf("executions: %d after, %d before", after, before)
+		t.Errorf("%d executions with a crash after the run, %d before it, want some and none", after, before)
 	}
 }
 
-func TestRefusalsDidNotRun(t *testing.T) {
+// TestRejectedCallsDidNotRun guards against rejected calls that execute or lack the verdict did-not-run.
+func TestRejectedCallsDidNotRun(t *testing.T) {
 	server := startServer(t, Config{})
 	server.SetFaults(Faults{RefuseProbability: 1})
 	refused, err := invoke(t, server, "push", "refused", "")
@@ -116,14 +122,14 @@
 	}
 	statuses := [...]int{refused.StatusCode, late.StatusCode, bad.StatusCode}
 	if statuses != [...]int{503, 503, 400} {
-		t.Errorf("statuses %v", statuses)
+		t.Errorf("statuses %v, want 503, 503 and 400", statuses)
 	}
 	for _, response := range []*http.Response{refused, late, bad} {
 		if response.Header.Get(verdict.Header) != verdict.DidNotRun.String() {
-			t.Errorf("verdict %q", response.Header.Get(verdict.Header))
+			t.Errorf("verdict %q, want did-not-run", response.Header.Get(verdict.Header))
 		}
 	}
 	if server.Executions("refused")+server.Executions("late") != 0 || server.LateArrivals().Count != 1 {
-		t.Errorf("late arrivals %+v", server.LateArrivals())
+		t.Errorf("late arrivals %+v, want 1 and no execution", server.LateArrivals())
 	}
 }
--- a/internal/standin/application/handle.go
+++ b/internal/standin/application/handle.go
@@ -23,7 +23,7 @@
 type LoadReport struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
-	AtUnixMillis  int64  `json:"at_unix_millis"` // of the figures, one lag before the answer
+	AtUnixMillis  int64  `json:"at_unix_millis"` // time of the figures, Config.LoadReportLag before the answer
 	Leaving       bool   `json:"leaving"`
 	Running       int    `json:"running"`
 	MaxConcurrent int    `json:"max_concurrent"`
@@ -39,6 +39,7 @@
 	Executions []Execution `json:"executions"`
 }
 
+// handle routes a request by method and path.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	operation, invoked := strings.CutPrefix(path, invokePath)
@@ -64,14 +65,15 @@
 	}
 }
 
-// plan is what was drawn for one call.
-type plan struct {
-	refusal     string // reason; empty when it runs
-	cutBefore   bool
-	cutAfter    bool
-	serviceTime time.Duration
+// callPlan holds the random decisions about one call.
+type callPlan struct {
+	rejection    string // reason to reject the call; empty if it is not rejected
+	cutBeforeRun bool
+	cutAfterRun  bool
+	serviceTime  time.Duration
 }
 
+// invoke executes one call of an operation, with the injected faults.
 func (s *Server) invoke(ctx *fasthttp.RequestCtx, operation string) {
 	arrived := time.Now()
 	key := string(ctx.Request.Header.Peek("Idempotency-Key"))
@@ -87,18 +89,18 @@
 	entry := Execution{
 		Key: key, RequestID: string(ctx.Request.Header.Peek("X-Request-Id")), Operation: operation, BodyHash: hash, Arrived: arrived,
 	}
-	drawn, execution := s.begin(&entry)
+	drawn, execution := s.beginCall(&entry)
 	switch {
-	case drawn.refusal != "":
-		endpoint.Refuse(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, "refused", drawn.refusal, refusalRetry)
+	case drawn.rejection != "":
+		endpoint.Refuse(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, "refused", drawn.rejection, refusalRetry)
 		return
-	case drawn.cutBefore:
+	case drawn.cutBeforeRun:
 		endpoint.Cut(ctx.Conn())
 		return
 	}
 	s.sleep(drawn.serviceTime)
-	s.end()
-	if drawn.cutAfter {
+	s.endCall()
+	if drawn.cutAfterRun {
 		endpoint.Cut(ctx.Conn())
 		return
 	}
@@ -109,7 +111,7 @@
 	})
 }
 
-// hashBody reads the body as a stream, in bounded memory.
+// hashBody hashes the body as it arrives, in bounded memory.
 func hashBody(ctx *fasthttp.RequestCtx) (string, error) {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
@@ -121,13 +123,14 @@
 		return "", err
 	}
 	if announced := int64(ctx.Request.Header.ContentLength()); announced >= 0 && read != announced {
-		return "", io.ErrUnexpectedEOF // the HTTP library takes a cut body for a whole one
+		return "", io.ErrUnexpectedEOF // fasthttp reports no error for a body that ends early
 	}
-	return hexSum(digest.Sum64()), nil
+	return encodeHash(digest.Sum64()), nil
 }
 
-// begin decides a call's fate and logs it; an execution counts from here on.
-func (s *Server) begin(entry *Execution) (plan, uint64) {
+// beginCall decides whether a call is executed and logs it. A call that is executed counts from then on. The second
+// result is the number of executions so far.
+func (s *Server) beginCall(entry *Execution) (callPlan, uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	drawn := s.draw()
@@ -135,39 +138,41 @@
 		entry.AfterLeave = max(entry.Arrived.Sub(s.leftAt), 1)
 		s.late.Count++
 		s.late.Last = max(s.late.Last, entry.AfterLeave)
-		drawn.refusal = "the replica is leaving"
+		drawn.rejection = "the replica is leaving"
 	}
 	if s.running >= s.config.MaxConcurrent {
-		drawn.refusal = "the replica is full"
+		drawn.rejection = "the replica is full"
 	}
 	switch {
-	case drawn.refusal != "":
+	case drawn.rejection != "":
 		entry.Outcome = OutcomeRefused
-	case drawn.cutBefore:
+	case drawn.cutBeforeRun:
 		entry.Outcome = OutcomeDropped
 	default:
 		entry.Outcome, entry.Started = OutcomeRan, time.Now()
 		s.running++
 		s.executed++
-		s.byKey[entry.Key]++
+		s.executionsByKey[entry.Key]++
 	}
 	s.record(*entry)
 	return drawn, s.executed
 }
 
-func (s *Server) draw() plan {
-	drawn := plan{serviceTime: max(s.config.ServiceTime, 0) + s.faults.Stall}
+// draw selects the service time and faults of a call at random.
+func (s *Server) draw() callPlan {
+	drawn := callPlan{serviceTime: max(s.config.ServiceTime, 0) + s.faults.Stall}
 	if s.config.ServiceJitter > 0 {
 		drawn.serviceTime += time.Duration(s.random.ExpFloat64() * float64(s.config.ServiceJitter))
 	}
 	if s.random.Float64() < s.faults.RefuseProbability {
-		drawn.refusal = "the replica refuses work"
+		drawn.rejection = "the replica refuses work"
 	}
-	drawn.cutBefore = s.random.Float64() < s.faults.CrashBeforeRunProbability
-	drawn.cutAfter = s.random.Float64() < s.faults.CrashAfterRunProbability
+	drawn.cutBeforeRun = s.random.Float64() < s.faults.CrashBeforeRunProbability
+	drawn.cutAfterRun = s.random.Float64() < s.faults.CrashAfterRunProbability
 	return drawn
 }
 
+// sleep waits for a duration or until the server stops.
 func (s *Server) sleep(duration time.Duration) {
 	if duration <= 0 {
 		return
@@ -180,13 +185,14 @@
 	}
 }
 
-func (s *Server) end() {
+// endCall ends an execution that beginCall admitted.
+func (s *Server) endCall() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.running--
 }
 
-// report is the load as of one lag ago; samples are taken when reports are asked for.
+// report returns the load as of Config.LoadReportLag ago. Load samples are taken only when reports are requested.
 func (s *Server) report(now time.Time) LoadReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -197,11 +203,11 @@
 	if s.config.LoadReportLag == 0 {
 		return current
 	}
-	if last := len(s.history) - 1; last < 0 || now.Sub(s.history[last].at) >= loadSampleInterval {
-		s.history = append(s.history, loadSample{at: now, report: current})
+	if last := len(s.loadHistory) - 1; last < 0 || now.Sub(s.loadHistory[last].at) >= loadSampleInterval {
+		s.loadHistory = append(s.loadHistory, loadSample{at: now, report: current})
 	}
-	for len(s.history) > 1 && now.Sub(s.history[1].at) >= s.config.LoadReportLag {
-		s.history = s.history[1:]
+	for len(s.loadHistory) > 1 && now.Sub(s.loadHistory[1].at) >= s.config.LoadReportLag {
+		s.loadHistory = s.loadHistory[1:]
 	}
-	return s.history[0].report
+	return s.loadHistory[0].report
 }
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint is the HTTP listener that the stand-ins share: it can be drained, closed abruptly and
-// taken down for a while like a crashed process.
+// Package endpoint provides the HTTP server of the stand-ins. It can be drained, closed abruptly, and made to behave
+// like a crashed process for a while.
 package endpoint
 
 import (
@@ -18,38 +18,38 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// DefaultMaxBody bounds a request's body unless Config says otherwise.
+// DefaultMaxBody is the default of Config.MaxBody, in bytes.
 const DefaultMaxBody = 64 << 20
 
 // Config holds an endpoint's settings.
 type Config struct {
-	// Listen is IP:port; port 0 takes a free one. Ignored when Listener is set.
+	// Listen is the IP:port to listen on; port 0 selects a free port. It is ignored if Listener is set.
 	Listen string
-	// Listener is an already bound listener; the endpoint closes it.
+	// Listener is an already bound listener. The endpoint closes it.
 	Listener net.Listener
 	// Handler serves the requests. Required.
 	Handler fasthttp.RequestHandler
-	// StreamBody hands large bodies to the handler as a stream.
+	// StreamBody passes large bodies to the handler as a stream.
 	StreamBody bool
-	// MaxBody bounds a body in bytes. Default DefaultMaxBody.
+	// MaxBody limits the body of a request, in bytes. Default DefaultMaxBody.
 	MaxBody int
-	// Log receives the server's complaints. Required.
+	// Log receives the errors of the HTTP server at debug level. Required.
 	Log *logrus.Entry
 }
 
-// Endpoint is one HTTP listener.
+// Endpoint is one HTTP server with its listener.
 type Endpoint struct {
 	listener *trackedListener
 	server   *fasthttp.Server
 
-	mutex   sync.Mutex
-	drained chan struct{} // set when a drain begins, closed when it is over
+	mutex      sync.Mutex
+	drainEnded chan struct{} // created when the first drain begins, closed when it ends; guarded by mutex
 
-	closed  chan struct{}
-	closing sync.Once
+	closed    chan struct{} // closed when the endpoint stops
+	closeOnce sync.Once
 }
 
-// New binds the listener; nothing is served before Run.
+// New binds the listener. Requests are served once Run is called. It returns an error if the address cannot be bound.
 func New(config Config) (*Endpoint, error) {
 	listener := config.Listener
 	if listener == nil {
@@ -64,9 +64,9 @@
 	}
 	return &Endpoint{
 		closed:   make(chan struct{}),
-		listener: &trackedListener{Listener: listener, open: make(map[*trackedConnection]struct{})},
+		listener: &trackedListener{Listener: listener, openConnections: make(map[*trackedConnection]struct{})},
 		server: &fasthttp.Server{
-			Handler: naming(config.Handler), Logger: quietLogger{config.Log}, NoDefaultServerHeader: true,
+			Handler: echoRequestID(config.Handler), Logger: debugLogger{config.Log}, NoDefaultServerHeader: true,
 			StreamRequestBody: config.StreamBody, MaxRequestBodySize: config.MaxBody, CloseOnShutdown: true,
 			ReadTimeout: time.Minute, IdleTimeout: 2 * time.Minute,
 		},
@@ -75,8 +75,9 @@
 
 const headerRequestID = "X-Request-Id"
 
-// naming lets every answer name its request, so that gateways keep the connection for the next one.
-func naming(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
+// echoRequestID returns a handler that copies the request's X-Request-Id to the answer. Gateways reuse a connection
+// only if the answer names its request.
+func echoRequestID(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		id := string(ctx.Request.Header.Peek(headerRequestID))
 		handler(ctx)
@@ -86,23 +87,23 @@
 	}
 }
 
-// Address is the bound IP:port.
+// Address returns the IP:port that the listener is bound to.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// Closed is closed once the endpoint stops: handlers that wait give up then.
+// Closed returns a channel that is closed when the endpoint stops. Handlers that wait must stop waiting then.
 func (e *Endpoint) Closed() <-chan struct{} { return e.closed }
 
-func (e *Endpoint) stop() { e.closing.Do(func() { close(e.closed) }) }
+func (e *Endpoint) stop() { e.closeOnce.Do(func() { close(e.closed) }) }
 
-// Run serves until ctx ends, then closes abruptly; a drained or closed endpoint returns nil. It returns
-// only after a drain that has begun is over.
+// Run serves requests until ctx ends, which closes the endpoint abruptly, or until the endpoint is drained or closed.
+// It returns nil in all these cases, and not before a drain that has begun has ended.
 func (e *Endpoint) Run(ctx context.Context) error {
 	defer e.stop()
 	stop := context.AfterFunc(ctx, func() { _ = e.Close() })
 	defer stop()
 	err := e.server.Serve(e.listener)
-	if draining := e.draining(); draining != nil {
-		<-draining
+	if done := e.drainDone(); done != nil {
+		<-done
 	}
 	if err == nil || errors.Is(err, net.ErrClosed) {
 		return nil
@@ -110,52 +111,55 @@
 	return trace.Wrap(err)
 }
 
-// Drain stops accepting and waits for the requests in flight.
+// Drain stops accepting connections and waits until the requests in flight have ended. It returns an error if ctx ends
+// first.
 func (e *Endpoint) Drain(ctx context.Context) error {
 	defer e.stop()
 	e.mutex.Lock()
-	first := e.drained == nil
+	first := e.drainEnded == nil
 	if first {
-		e.drained = make(chan struct{})
+		e.drainEnded = make(chan struct{})
 	}
 	e.mutex.Unlock()
 	err := e.server.ShutdownWithContext(ctx)
 	if first {
-		close(e.drained)
+		close(e.drainEnded)
 	}
 	return trace.Wrap(err)
 }
 
-func (e *Endpoint) draining() <-chan struct{} {
+// drainDone returns a channel that is closed when the drain that has begun ends, or nil if none has begun.
+func (e *Endpoint) drainDone() <-chan struct{} {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.drained
+	return e.drainEnded
 }
 
-// Close cuts every connection and stops accepting.
+// Close stops accepting connections and resets the open ones.
 func (e *Endpoint) Close() error {
 	e.stop()
 	err := e.listener.Close()
-	e.listener.cutAll()
+	e.listener.resetAll()
 	return err
 }
 
-// SetDown makes the endpoint behave as if its process were dead: connections are cut, new ones closed at
-// once. With down false it serves again.
+// SetDown with down true makes the endpoint behave as if its process were dead: it resets open connections, and new
+// ones as soon as they are accepted. With down false the endpoint serves again.
 func (e *Endpoint) SetDown(down bool) {
 	e.listener.mutex.Lock()
 	e.listener.down = down
 	e.listener.mutex.Unlock()
 	if down {
-		e.listener.cutAll()
+		e.listener.resetAll()
 	}
 }
 
+// trackedListener keeps track of its open connections, so that they can be reset.
 type trackedListener struct {
 	net.Listener
-	mutex sync.Mutex
-	open  map[*trackedConnection]struct{}
-	down  bool
+	mutex           sync.Mutex // guards the fields below
+	openConnections map[*trackedConnection]struct{}
+	down            bool // set by SetDown: new connections are reset
 }
 
 type trackedConnection struct {
@@ -163,7 +167,7 @@
 	listener *trackedListener
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. While the listener is down it resets new connections instead of returning them.
 func (l *trackedListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
@@ -171,40 +175,41 @@
 			return nil, err
 		}
 		tracked := &trackedConnection{Conn: connection, listener: l}
-		if l.admit(tracked) {
+		if l.track(tracked) {
 			return tracked, nil
 		}
 		reset(connection)
 	}
 }
 
-func (l *trackedListener) admit(connection *trackedConnection) bool {
+// track adds a connection to the open ones, or returns false while the listener is down.
+func (l *trackedListener) track(connection *trackedConnection) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.down {
 		return false
 	}
-	l.open[connection] = struct{}{}
+	l.openConnections[connection] = struct{}{}
 	return true
 }
 
-func (l *trackedListener) cutAll() {
+func (l *trackedListener) resetAll() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for connection := range l.open {
+	for connection := range l.openConnections {
 		reset(connection.Conn)
 	}
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It removes the connection from the open ones.
 func (c *trackedConnection) Close() error {
 	c.listener.mutex.Lock()
-	delete(c.listener.open, c)
+	delete(c.listener.openConnections, c)
 	c.listener.mutex.Unlock()
 	return c.Conn.Close()
 }
 
-// Cut closes a request's connection abruptly, so that the client sees a reset and no proper end.
+// Cut resets the connection of a request, so that the client does not see a proper end of the answer.
 func Cut(connection net.Conn) {
 	if tracked, ok := connection.(*trackedConnection); ok {
 		reset(tracked.Conn)
@@ -213,6 +218,7 @@
 	reset(connection)
 }
 
+// reset closes a connection. A TCP connection sends a reset instead of a FIN.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -220,13 +226,13 @@
 	_ = connection.Close()
 }
 
-// quietLogger passes fasthttp's complaints, which injected faults cause by the thousand, to debug level.
-type quietLogger struct{ log *logrus.Entry }
+// debugLogger logs the messages of fasthttp at debug level, because injected faults cause thousands of them.
+type debugLogger struct{ log *logrus.Entry }
 
 // Printf implements fasthttp.Logger.
-func (l quietLogger) Printf(format string, arguments ...any) { l.log.Debugf(format, arguments...) }
+func (l debugLogger) Printf(format string, arguments ...any) { l.log.Debugf(format, arguments...) }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON answers with the status and value as JSON. A value that cannot be encoded gets status 500.
 func WriteJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -238,12 +244,12 @@
 	ctx.SetBody(body)
 }
 
-// ErrorBody is the OpenAI form of an error.
+// ErrorBody is the body of an error answer, in the form of the OpenAI API.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong and whether the request ran.
+// ErrorDetail describes an error and, in Verdict, whether the request may have run.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -251,8 +257,8 @@
 	Verdict string `json:"verdict"`
 }
 
-// Refuse answers with an error body and the verdict header. A retryAfter above 0 sets Retry-After, in
-// whole seconds rounded up.
+// Refuse answers with an error body and the verdict header. A positive retryAfter sets Retry-After, rounded up to whole
+// seconds.
 func Refuse(ctx *fasthttp.RequestCtx, status int, known verdict.Verdict, code, message string, retryAfter time.Duration) {
 	ctx.Response.Header.Set(verdict.Header, known.String())
 	if retryAfter > 0 {
@@ -266,7 +272,7 @@
 	WriteJSON(ctx, status, ErrorBody{Error: ErrorDetail{Message: message, Type: kind, Code: code, Verdict: known.String()}})
 }
 
-// DecodeJSON reads the request's body into target, or answers 400 and returns false.
+// DecodeJSON decodes the request's body into target. If that fails, it answers with status 400 and returns false.
 func DecodeJSON(ctx *fasthttp.RequestCtx, target any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), target); err != nil {
 		Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body is no valid JSON of this form: "+err.Error(), 0)
--- a/internal/standin/engine/admin.go
+++ b/internal/standin/engine/admin.go
@@ -99,12 +99,13 @@
 	Swapped       bool   `json:"swapped"`
 }
 
+// orderOutcome is the result of a swap for a weight order that waits for it.
 type orderOutcome uint8
 
 const (
 	orderSwapped orderOutcome = iota + 1
 	orderFailed
-	orderSuperseded
+	orderSuperseded // a newer version was swapped in
 )
 
 // weightOrder is an order that waits for the swap to its version.
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -39,6 +39,7 @@
 	delayed       []delayedEvent // collected events, oldest first
 }
 
+// delayedEvent is a cache event that is served once it has reached the lag.
 type delayedEvent struct {
 	at    time.Time // of the collection
 	event emulator.CacheEvent
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -34,6 +34,7 @@
 	KVImport            string          `json:"kv_import"`
 }
 
+// handleCompletion serves both completion endpoints, with and without streaming.
 func (s *Server) handleCompletion(ctx *fasthttp.RequestCtx, chat bool) {
 	var body completionRequest
 	if !endpoint.DecodeJSON(ctx, &body) {
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -48,6 +48,7 @@
 	f.random, f.changed = rand.New(rand.NewSource(int64(seed))), make(chan struct{})
 }
 
+// set replaces the faults and ends stalls.
 func (f *faultInjector) set(faults Faults) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -62,7 +63,7 @@
 	return f.faults.RefuseAll
 }
 
-// draw draws the faults of a streamed answer of that many tokens.
+// draw selects, partly at random, the faults of a streamed answer of that many tokens.
 func (f *faultInjector) draw(tokens int) streamFaults {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/standin/engine/handle.go
+++ b/internal/standin/engine/handle.go
@@ -123,6 +123,7 @@
 	}
 }
 
+// cancelledStream is the answer to the cancellation of a stream. Outcome differs from cancelled if it had ended before.
 type cancelledStream struct {
 	RequestID string    `json:"request_id"`
 	Outcome   Outcome   `json:"outcome"`
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -50,6 +50,7 @@
 	return tokens
 }
 
+// exportOrder is the body of POST /v1/kv/export.
 type exportOrder struct {
 	RequestID string `json:"request_id"`
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,7 @@
-// Package platform is the stand-in of the platform's list of live and leaving machines: GET /v1/machines.
-// The list lags and can contradict itself.
+// Package platform is the stand-in of the platform that provides the machines. It serves the platform's list of live
+// and leaving machines at GET /v1/machines. In the terms of this project, each machine runs one replica, and the
+// replica of a leaving machine has to drain before the platform takes the machine away. The list lags, and answers can
+// contradict each other or themselves.
 package platform
 
 import (
@@ -18,49 +20,49 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// State is a machine's state in the list.
+// State is the state of a machine in the list.
 type State string
 
-// The states. A machine that is gone is not listed.
+// The states. Machines that are gone are not listed.
 const (
 	StateLive    State = "live"
-	StateLeaving State = "leaving"
+	StateLeaving State = "leaving" // the platform is about to take the machine away
 )
 
-// Machine is one entry of the list.
+// Machine is one entry of the list: the machine of one replica.
 type Machine struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // IP:port of what it serves
+	Address string `json:"address"` // IP:port at which the replica serves
 	Zone    string `json:"zone"`
 	State   State  `json:"state"`
 }
 
 // List is the body of GET /v1/machines.
 type List struct {
-	AtUnixMillis int64     `json:"at_unix_millis"` // of the list's state, one lag before the answer
+	AtUnixMillis int64     `json:"at_unix_millis"` // time of the list's state, Config.Lag before the answer
 	Machines     []Machine `json:"machines"`
 }
 
 // Config holds a stand-in's settings.
 type Config struct {
-	// Listen is IP:port, port 0 allowed; ignored when Listener is set.
+	// Listen is the IP:port to listen on; port 0 selects a free port. It is ignored if Listener is set.
 	Listen   string
 	Listener net.Listener
-	// Lag is how old the list is when it is handed out. Default 0.
+	// Lag is the age of the list when it is served. Default 0.
 	Lag time.Duration
-	// ContradictionProbability is how often an answer has a machine in two states at once, or is an older
-	// list than one handed out before. Default 0.
+	// ContradictionProbability is the probability that an answer lists a machine in two states at once, or is a random
+	// older list, which may be older than one served before. Default 0.
 	ContradictionProbability float64
-	// Seed draws the contradictions.
+	// Seed seeds the random choice of contradictions.
 	Seed uint64
 	// Log is required.
 	Log *logrus.Entry
 }
 
-// historyLimit bounds the remembered changes.
+// historyLimit is the maximum number of recorded changes. The older half is dropped above it.
 const historyLimit = 4096
 
-// change is the list's state from a time on.
+// change is the content of the list from a time on.
 type change struct {
 	at       time.Time
 	machines []Machine // sorted by name; never modified
@@ -68,15 +70,16 @@
 
 // Server is one platform stand-in.
 type Server struct {
-	*endpoint.Endpoint // address and life cycle
+	*endpoint.Endpoint // provides Address, Run, Drain, Close and SetDown
 	config             Config
 
-	mutex   sync.Mutex // guards what follows
+	mutex   sync.Mutex // guards the fields below
 	random  *rand.Rand
 	history []change
 }
 
-// New binds the listener.
+// New binds the listener. Requests are served once Run is called. It returns an error if the configuration is invalid
+// or the address cannot be bound.
 func New(config Config) (*Server, error) {
 	if config.Log == nil {
 		return nil, trace.BadParameter("platform stand-in needs a log")
@@ -92,10 +95,10 @@
 	return server, nil
 }
 
-// Set adds a machine or changes it.
+// Set adds a machine, or replaces the one of the same name.
 func (s *Server) Set(machine Machine) {
 	s.edit(func(machines []Machine) []Machine {
-		position, found := find(machines, machine.Name)
+		position, found := findMachine(machines, machine.Name)
 		if found {
 			machines[position] = machine
 			return machines
@@ -104,10 +107,10 @@
 	})
 }
 
-// Remove takes a machine off the list.
+// Remove removes a machine from the list. An unknown name has no effect.
 func (s *Server) Remove(name string) {
 	s.edit(func(machines []Machine) []Machine {
-		position, found := find(machines, name)
+		position, found := findMachine(machines, name)
 		if !found {
 			return machines
 		}
@@ -115,12 +118,14 @@
 	})
 }
 
-func find(machines []Machine, name string) (int, bool) {
+// findMachine returns the position of a machine in a list sorted by name, or where to insert it.
+func findMachine(machines []Machine, name string) (int, bool) {
 	return slices.BinarySearchFunc(machines, name, func(machine Machine, name string) int {
 		return strings.Compare(machine.Name, name)
 	})
 }
 
+// edit records the result of apply on a copy of the latest list as a change.
 func (s *Server) edit(apply func([]Machine) []Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -161,23 +166,23 @@
 	endpoint.WriteJSON(ctx, fasthttp.StatusOK, machine)
 }
 
-// list is the list as of one lag ago, sometimes contradicting itself.
+// list returns the list as of Config.Lag ago, with the configured contradictions.
 func (s *Server) list(now time.Time) List {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	shown := s.stateAt(now.Add(-s.config.Lag))
+	index := s.changeIndexAt(now.Add(-s.config.Lag))
 	if s.random.Float64() >= s.config.ContradictionProbability {
-		return answer(now.Add(-s.config.Lag), s.history[shown].machines)
+		return newList(now.Add(-s.config.Lag), s.history[index].machines)
 	}
 	if s.random.Intn(2) == 0 {
-		older := s.history[s.random.Intn(shown+1)]
-		return answer(now.Add(-s.config.Lag), older.machines)
+		older := s.history[s.random.Intn(index+1)]
+		return newList(now.Add(-s.config.Lag), older.machines)
 	}
-	return answer(now.Add(-s.config.Lag), s.doubled(s.history[shown].machines))
+	return newList(now.Add(-s.config.Lag), s.withContradiction(s.history[index].machines))
 }
 
-// stateAt is the index of the last change at or before a time.
-func (s *Server) stateAt(at time.Time) int {
+// changeIndexAt returns the index of the last change at or before a time.
+func (s *Server) changeIndexAt(at time.Time) int {
 	index := len(s.history) - 1
 	for index > 0 && s.history[index].at.After(at) {
 		index--
@@ -185,20 +190,21 @@
 	return index
 }
 
-// doubled lists one machine a second time, in the other state.
-func (s *Server) doubled(machines []Machine) []Machine {
+// withContradiction returns a list in which a random machine appears a second time, in the other state.
+func (s *Server) withContradiction(machines []Machine) []Machine {
 	if len(machines) == 0 {
 		return machines
 	}
-	twin := machines[s.random.Intn(len(machines))]
-	if twin.State == StateLive {
-		twin.State = StateLeaving
+	duplicate := machines[s.random.Intn(len(machines))]
+	if duplicate.State == StateLive {
+		duplicate.State = StateLeaving
 	} else {
-		twin.State = StateLive
+		duplicate.State = StateLive
 	}
-	return append(slices.Clone(machines), twin)
+	return append(slices.Clone(machines), duplicate)
 }
 
-func answer(at time.Time, machines []Machine) List {
+// newList returns the answer with a copy of the machines.
+func newList(at time.Time, machines []Machine) List {
 	return List{AtUnixMillis: at.UnixMilli(), Machines: append([]Machine{}, machines...)}
 }
--- a/internal/standin/scorer/scorer_test.go
+++ b/internal/standin/scorer/scorer_test.go
@@ -10,6 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/servertest"
 )
 
+// TestScoresAreFunctionsOfTheText checks that scores depend only on prompt and text, in both forms of the request, and
+// that every scoring of a sample is counted.
 func TestScoresAreFunctionsOfTheText(t *testing.T) {
 	server, err := New(Config{Listen: "127.0.0.1:0", Log: logging.Discard()})
 	if err != nil {
@@ -28,13 +30,13 @@
 		err = json.NewDecoder(response.Body).Decode(&answer)
 		response.Body.Close()
 		if err != nil || len(answer.Scores) != samples {
-			t.Fatalf("%s: %+v, %v", body, answer, err)
+			t.Fatalf("body %s: answer %+v, error %v, want one score for each sample", body, answer, err)
 		}
 		if answer.Score != Score("p", "t") || answer.Scores[0] != answer.Score {
-			t.Errorf("%s: %+v", body, answer)
+			t.Errorf("body %s: answer %+v, want the score of the first sample as Score", body, answer)
 		}
 	}
 	if server.Scored("a") != 2 {
-		t.Errorf("scored %d times", server.Scored("a"))
+		t.Errorf("sample a was scored %d times, want 2", server.Scored("a"))
 	}
 }
--- a/internal/standin/trainer/ledger.go
+++ b/internal/standin/trainer/ledger.go
@@ -178,12 +178,14 @@
 	return t.ledger.receivedPerStep[step] >= t.ledger.expectedPerStep[step]
 }
 
+// countStep counts a step that was trained on and published.
 func (t *Trainer) countStep() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.ledger.stats.Steps++
 }
 
+// countLost counts a reply that was discarded on purpose.
 func (t *Trainer) countLost() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/standin/trainer/wire.go
+++ b/internal/standin/trainer/wire.go
@@ -20,12 +20,15 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
+// stepBody is the body of PUT /v1/trainers/{trainer}/steps/{step}, which opens a step.
 type stepBody struct {
 	Pool             string   `json:"pool"`
 	SamplesPerPrompt int      `json:"samples_per_prompt"`
 	Prompts          []Prompt `json:"prompts"`
 }
 
+// fetchBody is the body of POST /v1/trainers/{trainer}/fetch. Cursor is the number of the requested batch, Acknowledge
+// that of the last one received.
 type fetchBody struct {
 	Cursor         uint64 `json:"cursor"`
 	Acknowledge    uint64 `json:"acknowledge"`
@@ -57,6 +60,7 @@
 	Edition  uint32    `json:"edition"`
 }
 
+// fetchReply is the answer to a fetch. Cursor is 0 if it has no batch.
 type fetchReply struct {
 	Cursor         uint64   `json:"cursor"`
 	Step           uint64   `json:"step"`
@@ -65,12 +69,14 @@
 	StalenessBound *uint64  `json:"staleness_bound"`
 }
 
+// versionBody is the body of POST /v1/trainers/{trainer}/versions, which announces a weight version.
 type versionBody struct {
 	Version       string `json:"version"`
 	VersionNumber uint64 `json:"version_number"`
 	Pool          string `json:"pool,omitempty"`
 }
 
+// storedVersion is the body of PUT /v1/versions/{version} at the weight store.
 type storedVersion struct {
 	Version       string `json:"version"`
 	VersionNumber uint64 `json:"version_number"`
--- a/internal/standin/weightstore/weightstore.go
+++ b/internal/standin/weightstore/weightstore.go
@@ -1,4 +1,4 @@
-// Package weightstore is the stand-in of the rate-limited weight store: PUT and GET /v1/versions/{version}.
+// Package weightstore is the stand-in of the rate-limited weight store. It serves PUT and GET /v1/versions/{version}.
 package weightstore
 
 import (
@@ -22,27 +22,27 @@
 
 // Config holds a stand-in's settings.
 type Config struct {
-	// Listen is IP:port, port 0 allowed; ignored when Listener is set.
+	// Listen is the IP:port to listen on; port 0 selects a free port. It is ignored if Listener is set.
 	Listen   string
 	Listener net.Listener
-	// ReadsPerSecond bounds the reads; those above it get 429 with Retry-After. Default 0, unlimited.
+	// ReadsPerSecond limits the rate of reads. Reads above it get status 429 with Retry-After. Default 0, unlimited.
 	ReadsPerSecond float64
-	// Burst is how many reads may come at once. Default 1 when reads are limited.
+	// Burst is the number of reads allowed at once. Default 1 if reads are limited.
 	Burst int
-	// ReadTime is how long a read takes. Default 0.
+	// ReadTime is the duration of a read. Default 0.
 	ReadTime time.Duration
 	// Log is required.
 	Log *logrus.Entry
 }
 
-// Version is the description of one version; the weights themselves are not modelled.
+// Version describes one weight version. The weights themselves are not modelled.
 type Version struct {
 	Version       string `json:"version"`
 	VersionNumber uint64 `json:"version_number"`
 	Trainer       string `json:"trainer,omitempty"`
 }
 
-// Stats counts what the store was asked.
+// Stats counts the requests to the store. Reads includes the throttled ones.
 type Stats struct {
 	Reads     int `json:"reads"`
 	Throttled int `json:"throttled"`
@@ -51,17 +51,18 @@
 
 // Server is one weight store stand-in.
 type Server struct {
-	*endpoint.Endpoint // address and life cycle
+	*endpoint.Endpoint // provides Address, Run, Drain, Close and SetDown
 	config             Config
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	limiter  *rate.Limiter
 	readTime time.Duration
 	versions map[string]Version
 	stats    Stats
 }
 
-// New binds the listener.
+// New binds the listener. Requests are served once Run is called. It returns an error if the configuration is invalid
+// or the address cannot be bound.
 func New(config Config) (*Server, error) {
 	if config.Log == nil {
 		return nil, trace.BadParameter("weight store stand-in needs a log")
@@ -80,6 +81,7 @@
 	return server, nil
 }
 
+// newLimiter returns a limiter without a limit if readsPerSecond is not positive.
 func newLimiter(readsPerSecond float64, burst int) *rate.Limiter {
 	if readsPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 1)
@@ -87,14 +89,14 @@
 	return rate.NewLimiter(rate.Limit(readsPerSecond), max(burst, 1))
 }
 
-// SetReads changes the limit and the duration of reads.
+// SetReads changes the rate limit and the duration of reads, with the meaning of the fields of Config.
 func (s *Server) SetReads(readsPerSecond float64, burst int, readTime time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.limiter, s.readTime = newLimiter(readsPerSecond, burst), readTime
 }
 
-// Put adds a version, as PUT does.
+// Put stores a version, as a PUT request does.
 func (s *Server) Put(version Version) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -127,7 +129,7 @@
 }
 
 func (s *Server) read(ctx *fasthttp.RequestCtx, name string) {
-	wait, throttled := s.throttle()
+	wait, throttled := s.reserveRead()
 	if throttled {
 		endpoint.Refuse(ctx, fasthttp.StatusTooManyRequests, verdict.DidNotRun, "throttled", "too many reads", wait)
 		return
@@ -149,8 +151,9 @@
 	endpoint.WriteJSON(ctx, fasthttp.StatusOK, found)
 }
 
-// throttle takes one read from the limit, or says how long to wait.
-func (s *Server) throttle() (time.Duration, bool) {
+// reserveRead counts a read against the rate limit. If the limit is exceeded, it returns true and the time after which
+// to retry.
+func (s *Server) reserveRead() (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stats.Reads++
--- a/internal/standin/weightstore/weightstore_test.go
+++ b/internal/standin/weightstore/weightstore_test.go
@@ -20,7 +20,8 @@
 	return server
 }
 
-func status(t *testing.T, server *Server, method, name, body string) *http.Response {
+// send sends a request for a version and returns the answer, whose body is closed.
+func send(t *testing.T, server *Server, method, name, body string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+server.Address()+"/v1/versions/"+name, strings.NewReader(body))
 	if err != nil {
@@ -34,25 +35,26 @@
 	return response
 }
 
+// TestWritesAndLimitedReads checks writes, reads and the answer to a read above the limit, which needs a Retry-After.
 func TestWritesAndLimitedReads(t *testing.T) {
 	server := startServer(t, Config{ReadsPerSecond: 0.001, Burst: 2})
-	if got := status(t, server, http.MethodPut, "v1", `{"version":"v1","version_number":1}`); got.StatusCode != http.StatusOK {
-		t.Errorf("write: %d", got.StatusCode)
+	if got := send(t, server, http.MethodPut, "v1", `{"version":"v1","version_number":1}`); got.StatusCode != http.StatusOK {
+		t.Errorf("write: status %d, want 200", got.StatusCode)
 	}
-	if got := status(t, server, http.MethodPut, "v2", `{"version":"v1"}`); got.StatusCode != http.StatusBadRequest {
-		t.Errorf("write under another name: %d", got.StatusCode)
+	if got := send(t, server, http.MethodPut, "v2", `{"version":"v1"}`); got.StatusCode != http.StatusBadRequest {
+		t.Errorf("write under another name: status %d, want 400", got.StatusCode)
 	}
-	if got := status(t, server, http.MethodGet, "v1", ""); got.StatusCode != http.StatusOK {
-		t.Errorf("read: %d", got.StatusCode)
+	if got := send(t, server, http.MethodGet, "v1", ""); got.StatusCode != http.StatusOK {
+		t.Errorf("read: status %d, want 200", got.StatusCode)
 	}
-	if got := status(t, server, http.MethodGet, "v9", ""); got.StatusCode != http.StatusNotFound {
-		t.Errorf("unknown version: %d", got.StatusCode)
+	if got := send(t, server, http.MethodGet, "v9", ""); got.StatusCode != http.StatusNotFound {
+		t.Errorf("unknown version: status %d, want 404", got.StatusCode)
 	}
-	throttled := status(t, server, http.MethodGet, "v1", "")
+	throttled := send(t, server, http.MethodGet, "v1", "")
 	if throttled.StatusCode != http.StatusTooManyRequests || throttled.Header.Get("Retry-After") == "" {
-		t.Errorf("third read: %d, Retry-After %q", throttled.StatusCode, throttled.Header.Get("Retry-After"))
+		t.Errorf("third read: status %d, Retry-After %q, want 429 with a value", throttled.StatusCode, throttled.Header.Get("Retry-After"))
 	}
 	if stats := server.Stats(); stats.Throttled != 1 || stats.Writes != 1 {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats %+v, want 1 throttled read and 1 write", stats)
 	}
 }
