--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -266,7 +266,7 @@
 	}
 }
 
-// TestStaleFences guards against orders of a deposed controller that overwrite those of its successor.
+// TestStaleFences guards against orders of a superseded controller that overwrite those of its successor.
 func TestStaleFences(t *testing.T) {
 	e := newEngine(t, smallParameters())
 	if err := e.SwapWeights(0, 5, 7); err != nil {
