--- a/internal/engine/text/words.go
+++ b/internal/engine/text/words.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// averageWord is a generous size of one token in bytes, for buffers.
-const averageWord = 7
+// tokenBytes is an upper estimate of a token's average size in bytes, for sizing buffers.
+const tokenBytes = 7
 
-// words is the vocabulary; every word is lower-case letters and one closing space.
+// words is the vocabulary. Every word consists of lower-case letters and one trailing space.
 var words = strings.SplitAfter(vocabulary, " ")
 
 const vocabulary = "about after again along also among apple apron arch arrow ash aunt autumn badge baker barn " +
@@ -21,4 +21,5 @@
 	"spring square star stone storm stream summer sun swan table tea thistle thyme tide timber tower town trail " +
 	"tree tulip valley vine violet wagon walnut water wave west wheat willow wind window winter wolf wood wool yard "
 
+// SplitAfter leaves an empty string after the last space.
 func init() { words = words[:len(words)-1] }
