--- a/cmd/tamarindring/main.go
+++ b/cmd/tamarindring/main.go
@@ -1,4 +1,4 @@
-// Command tamarindring is every process of the service: see "tamarindring --help".
+// Command tamarindring runs any process of the service, and the operator's commands. See "tamarindring --help".
 package main
 
 import (
--- a/internal/bench/controlbench/config.go
+++ b/internal/bench/controlbench/config.go
@@ -67,7 +67,7 @@
 	Seconds      float64 `json:"seconds"`
 	ProcessCores float64 `json:"process_cores"` // everything, by the operating system's account
 	// ControlCores and NodeCores are the parts of all control nodes and of all hollow nodes; see
-	// rolecost.Cost.Apportioned.
+	// rolecost.Cost.ApportionedCores.
 	ControlCores float64 `json:"control_cores"`
 	NodeCores    float64 `json:"node_cores"`
 	// NodeBytesPerSecond is a hollow node's mean traffic with control, both directions.
--- a/internal/bench/controlbench/run.go
+++ b/internal/bench/controlbench/run.go
@@ -167,8 +167,8 @@
 		return Phase{}, err
 	}
 	seconds := cost.Wall.Seconds()
-	phase := Phase{Seconds: seconds, ProcessCores: cost.TotalCores, ControlCores: cost.Apportioned(rig.RoleControl),
-		NodeCores:          cost.Apportioned(roleNode),
+	phase := Phase{Seconds: seconds, ProcessCores: cost.TotalCores, ControlCores: cost.ApportionedCores(rig.RoleControl),
+		NodeCores:          cost.ApportionedCores(roleNode),
 		NodeBytesPerSecond: float64(r.fleet.traffic.Bytes()-nodeBytes) / seconds / float64(len(r.fleet.clients))}
 	for index, after := range r.control.NodeBytes() {
 		phase.LeaderBytesPerSecond = max(phase.LeaderBytesPerSecond, float64(after-controlBytes[index])/seconds)
--- a/internal/bench/gatewaybench/scale.go
+++ b/internal/bench/gatewaybench/scale.go
@@ -206,8 +206,8 @@
 	if err != nil {
 		return ScalePoint{}, trace.Wrap(err)
 	}
-	return ScalePoint{Offered: offered, PerSecond: count / cost.Wall.Seconds(), GatewayCores: cost.Apportioned(roleGateway),
-		ControlCores: cost.Apportioned(rig.RoleControl), ProcessCores: cost.TotalCores, Failures: failures}, nil
+	return ScalePoint{Offered: offered, PerSecond: count / cost.Wall.Seconds(), GatewayCores: cost.ApportionedCores(roleGateway),
+		ControlCores: cost.ApportionedCores(rig.RoleControl), ProcessCores: cost.TotalCores, Failures: failures}, nil
 }
 
 // fit adds the line of the gateway's processor time.
--- a/internal/httpexample/httpexample.go
+++ b/internal/httpexample/httpexample.go
@@ -1,11 +1,11 @@
-// Package httpexample runs the HTTP examples of a documentation page against real servers, so that the page
-// can't say what the servers don't do.
+// Package httpexample runs the HTTP examples of a documentation page against real servers. Tests use it to keep the
+// page in agreement with the servers' behavior.
 //
-// An example is two fenced blocks of language http that follow each other: a request, then the answer. The
-// answer's status and every header that the page shows must be the server's; the server may send more
-// headers. Bodies must be equal, JSON by value. Text in angle brackets, such as <id>, stands for any text
-// in a header and, as a whole JSON string, for any JSON value but null. A line `data: <chunks>` stands for
-// any number of events.
+// An example consists of two consecutive fenced code blocks of language http, a request and its response. The server's
+// response must have the status and every header of the documented one, and may have more headers. Bodies must be
+// equal; JSON is compared by value. Text in angle brackets, such as <id>, is a placeholder. In a header it matches any
+// text that is not empty. As a whole JSON string it matches any JSON value except null. A line `data: <chunks>` matches
+// any number of server-sent events.
 package httpexample
 
 import (
@@ -16,29 +16,30 @@
 	"strings"
 )
 
-// Message is a request or an answer as it stands on the page.
+// Message is a documented request or response.
 type Message struct {
-	Line   int    // of the block's first line on the page, from 1
-	Start  string // request line or status line
-	Header http.Header
-	Body   string
+	Line      int    // line number on the page of the first line in the fence, from 1
+	StartLine string // request line or status line
+	Header    http.Header
+	Body      string
 }
 
-// Example is a request and the answer that the page promises.
+// Example is a documented request and the response that the page shows for it.
 type Example struct {
-	Section string // the heading of level two that the example stands under
-	Request Message
-	Answer  Message
+	Section  string // text of the level-two heading above the example
+	Request  Message
+	Response Message
 }
 
 const (
-	fenceOpen  = "```http"
-	fenceClose = "```"
-	headMark   = "## "
-	answerMark = "HTTP/1.1 "
+	fenceOpen        = "```http"
+	fenceClose       = "```"
+	headingPrefix    = "## "
+	statusLinePrefix = "HTTP/1.1 "
 )
 
-// Parse reads the examples of a page in their order.
+// Parse returns the examples of a Markdown page in the order of the page. It fails when a block is malformed or has no
+// end, and when requests and responses do not alternate.
 func Parse(page []byte) ([]Example, error) {
 	blocks, err := readBlocks(page)
 	if err != nil {
@@ -47,13 +48,13 @@
 	var examples []Example
 	for i := 0; i < len(blocks); i += 2 {
 		request := blocks[i]
-		if request.isAnswer() {
-			return nil, fmt.Errorf("line %d: an answer without a request", request.Line)
+		if request.isResponse() {
+			return nil, fmt.Errorf("line %d: response without a preceding request", request.Line)
 		}
-		if i+1 == len(blocks) || !blocks[i+1].isAnswer() {
-			return nil, fmt.Errorf("line %d: a request without an answer", request.Line)
+		if i+1 == len(blocks) || !blocks[i+1].isResponse() {
+			return nil, fmt.Errorf("line %d: request without a following response", request.Line)
 		}
-		examples = append(examples, Example{Section: request.section, Request: request.Message, Answer: blocks[i+1].Message})
+		examples = append(examples, Example{Section: request.section, Request: request.Message, Response: blocks[i+1].Message})
 	}
 	return examples, nil
 }
@@ -63,52 +64,53 @@
 	section string
 }
 
-func (b *block) isAnswer() bool { return strings.HasPrefix(b.Start, answerMark) }
+func (b *block) isResponse() bool { return strings.HasPrefix(b.StartLine, statusLinePrefix) }
 
 func readBlocks(page []byte) ([]block, error) {
 	var blocks []block
-	var text []string
-	section, opened := "", 0
+	var lines []string
+	section, fenceLine := "", 0
 	scanner := bufio.NewScanner(bytes.NewReader(page))
-	for number := 1; scanner.Scan(); number++ {
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
 		line := scanner.Text()
 		switch {
-		case opened > 0 && line == fenceClose:
-			message, err := parseMessage(opened+1, text)
+		case fenceLine > 0 && line == fenceClose:
+			message, err := parseMessage(fenceLine+1, lines)
 			if err != nil {
 				return nil, err
 			}
 			blocks = append(blocks, block{Message: message, section: section})
-			text, opened = nil, 0
-		case opened > 0:
-			text = append(text, line)
+			lines, fenceLine = nil, 0
+		case fenceLine > 0:
+			lines = append(lines, line)
 		case line == fenceOpen:
-			opened = number
-		case strings.HasPrefix(line, headMark):
-			section = strings.TrimPrefix(line, headMark)
+			fenceLine = lineNumber
+		case strings.HasPrefix(line, headingPrefix):
+			section = strings.TrimPrefix(line, headingPrefix)
 		}
 	}
-	if opened > 0 {
-		return nil, fmt.Errorf("line %d: the block has no end", opened)
+	if fenceLine > 0 {
+		return nil, fmt.Errorf("line %d: fenced block is not closed", fenceLine)
 	}
 	return blocks, scanner.Err()
 }
 
-// parseMessage reads a start line, headers, an empty line and a body.
-func parseMessage(line int, text []string) (Message, error) {
+// parseMessage parses the lines of a block: a start line, headers, and after an empty line the body. line is the number
+// of the first of them on the page.
+func parseMessage(line int, lines []string) (Message, error) {
 	message := Message{Line: line, Header: http.Header{}}
-	if len(text) == 0 {
-		return message, fmt.Errorf("line %d: the block is empty", line)
+	if len(lines) == 0 {
+		return message, fmt.Errorf("line %d: fenced block is empty", line)
 	}
-	message.Start = text[0]
-	for i, field := range text[1:] {
+	message.StartLine = lines[0]
+	for i, field := range lines[1:] {
 		if field == "" {
-			message.Body = strings.Join(text[i+2:], "\n")
+			message.Body = strings.Join(lines[i+2:], "\n")
 			return message, nil
 		}
 		name, value, found := strings.Cut(field, ": ")
 		if !found {
-			return message, fmt.Errorf("line %d: %q is no header", line+i+1, field)
+			return message, fmt.Errorf("line %d: %q is not a header of the form \"Name: value\"", line+i+1, field)
 		}
 		message.Header.Add(name, value)
 	}
--- a/internal/rolecost/rolecost.go
+++ b/internal/rolecost/rolecost.go
@@ -1,7 +1,7 @@
-// Package rolecost measures what each role costs when many roles share one process: processor time by
-// the pprof label that a role's goroutines inherit, and the process's resident memory. The resolution is
-// the CPU profiler's 100 samples a second; time of the runtime itself (garbage collection, scheduler) has
-// no label and is reported apart.
+// Package rolecost measures the processor time of each role when many roles run in one process. Goroutines of a role
+// carry a pprof label, which goroutines that they start inherit, and the CPU profile is summed by that label. The
+// resolution is the CPU profiler's 100 samples a second. Time of the Go runtime itself, such as garbage collection and
+// scheduling, has no label and is reported under the role Unlabelled.
 package rolecost
 
 import (
@@ -15,47 +15,47 @@
 	"github.com/gravitational/trace"
 )
 
-// labelKey is the pprof label that names a role.
+// labelKey is the key of the pprof label whose value is the role name.
 const labelKey = "role"
 
-// Unlabelled is the role name of time that no role's goroutine spent.
+// Unlabelled is the role name under which samples without a role label are reported.
 const Unlabelled = "runtime"
 
-// Do runs work so that its goroutines, and those they start, are accounted to role.
+// Do runs work and attributes its processor time, and that of the goroutines that it starts, to role.
 func Do(ctx context.Context, role string, work func(context.Context)) {
 	pprof.Do(ctx, pprof.Labels(labelKey, role), work)
 }
 
-// Recorder is a running measurement. One may run at a time per process.
+// Recorder is a measurement in progress. The CPU profiler allows only one at a time per process.
 type Recorder struct {
-	buffer  bytes.Buffer
-	started time.Time
-	usage   time.Duration
+	profileData bytes.Buffer
+	started     time.Time
+	cpuAtStart  time.Duration
 }
 
-// Start begins a measurement.
+// Start begins a measurement. It fails when the CPU profiler is already running.
 func Start() (*Recorder, error) {
-	recorder := &Recorder{started: time.Now(), usage: ProcessCPU()}
-	if err := pprof.StartCPUProfile(&recorder.buffer); err != nil {
+	recorder := &Recorder{started: time.Now(), cpuAtStart: ProcessCPU()}
+	if err := pprof.StartCPUProfile(&recorder.profileData); err != nil {
 		return nil, trace.Wrap(err, "the CPU profiler cannot start")
 	}
 	return recorder, nil
 }
 
-// RoleShare is the processor time of one role.
+// RoleShare is the processor time of one role during a measurement.
 type RoleShare struct {
 	Role  string  `json:"role"`
-	Cores float64 `json:"cores"` // processor time over wall time
+	Cores float64 `json:"cores"` // sampled processor time divided by wall time
 }
 
-// Cost is the result of a measurement.
+// Cost is the result of a measurement. Roles are listed in the order in which the profile first mentions them.
 type Cost struct {
 	Wall       time.Duration
-	TotalCores float64 // of the whole process, from the operating system's account
+	TotalCores float64 // processor time of the whole process by getrusage, divided by wall time
 	Roles      []RoleShare
 }
 
-// Cores returns a role's processor time over wall time.
+// Cores returns a role's sampled processor time divided by wall time, or 0 for a role without samples.
 func (c Cost) Cores(role string) float64 {
 	for _, share := range c.Roles {
 		if share.Role == role {
@@ -65,51 +65,51 @@
 	return 0
 }
 
-// Apportioned returns a role's part of the whole process's processor time, in cores: the operating system's
-// total, runtime included, divided among the labelled roles by their profile samples. It is 0 when no
-// labelled sample was taken.
-func (c Cost) Apportioned(role string) float64 {
-	labelled := 0.0
+// ApportionedCores returns a role's share of TotalCores. The total, which includes the Go runtime, is divided among the
+// labelled roles in proportion to their profile samples. The result is 0 for Unlabelled and when no labelled sample
+// was taken.
+func (c Cost) ApportionedCores(role string) float64 {
+	labelledCores := 0.0
 	for _, share := range c.Roles {
 		if share.Role != Unlabelled {
-			labelled += share.Cores
+			labelledCores += share.Cores
 		}
 	}
-	if labelled == 0 || role == Unlabelled {
+	if labelledCores == 0 || role == Unlabelled {
 		return 0
 	}
-	return c.TotalCores * c.Cores(role) / labelled
+	return c.TotalCores * c.Cores(role) / labelledCores
 }
 
-// Stop ends the measurement.
+// Stop ends the measurement and returns its result. It fails when the recorded profile cannot be parsed.
 func (r *Recorder) Stop() (Cost, error) {
 	pprof.StopCPUProfile()
 	wall := time.Since(r.started)
-	cost := Cost{Wall: wall, TotalCores: float64(ProcessCPU()-r.usage) / float64(wall)}
-	parsed, err := profile.Parse(&r.buffer)
+	cost := Cost{Wall: wall, TotalCores: float64(ProcessCPU()-r.cpuAtStart) / float64(wall)}
+	cpuProfile, err := profile.Parse(&r.profileData)
 	if err != nil {
 		return Cost{}, trace.Wrap(err, "the CPU profile cannot be read")
 	}
-	byRole := make(map[string]int64)
-	valueIndex := len(parsed.SampleType) - 1 // cpu/nanoseconds
-	var order []string
-	for _, sample := range parsed.Sample {
+	nanosByRole := make(map[string]int64)
+	valueIndex := len(cpuProfile.SampleType) - 1 // a CPU profile has the values samples/count and cpu/nanoseconds
+	var roles []string
+	for _, sample := range cpuProfile.Sample {
 		role := Unlabelled
 		if labels := sample.Label[labelKey]; len(labels) > 0 {
 			role = labels[0]
 		}
-		if _, known := byRole[role]; !known {
-			order = append(order, role)
+		if _, known := nanosByRole[role]; !known {
+			roles = append(roles, role)
 		}
-		byRole[role] += sample.Value[valueIndex]
+		nanosByRole[role] += sample.Value[valueIndex]
 	}
-	for _, role := range order {
-		cost.Roles = append(cost.Roles, RoleShare{Role: role, Cores: float64(byRole[role]) / float64(wall)})
+	for _, role := range roles {
+		cost.Roles = append(cost.Roles, RoleShare{Role: role, Cores: float64(nanosByRole[role]) / float64(wall)})
 	}
 	return cost, nil
 }
 
-// ProcessCPU returns the process's user and system time so far.
+// ProcessCPU returns the user and system time that this process has used so far, or 0 if getrusage fails.
 func ProcessCPU() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/rolecost/rolecost_test.go
+++ b/internal/rolecost/rolecost_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestTimeIsAccountedToTheRoleThatSpentIt burns a fixed amount of work in one role, in a goroutine that
-// the role started, and none in another.
-func TestTimeIsAccountedToTheRoleThatSpentIt(t *testing.T) {
+// TestTimeIsAttributedToTheRoleThatSpentIt guards against processor time that is lost or attributed to the wrong role.
+// One role does a fixed amount of work in a goroutine that it started, another role does nothing.
+func TestTimeIsAttributedToTheRoleThatSpentIt(t *testing.T) {
 	recorder, err := Start()
 	if err != nil {
 		t.Fatal(err)
@@ -29,6 +29,6 @@
 		t.Fatal(err)
 	}
 	if cost.Cores("busy") <= cost.Cores("idle") || cost.Cores("busy") == 0 {
-		t.Fatalf("cost %+v (sink %d): the busy role has no more than the idle one", cost, sink)
+		t.Fatalf("got %+v (sink %d), want more processor time for the busy role than for the idle one", cost, sink)
 	}
 }
