--- a/internal/bench/controlbench/run.go
+++ b/internal/bench/controlbench/run.go
@@ -141,7 +141,7 @@
 	if joiners > 0 {
 		point.JoinBytes = float64(r.fleet.traffic.Bytes()-traffic) / float64(joiners)
 	}
-	point.LiveBytes = rig.LiveBytes()
+	point.LiveBytes = rig.MeasureLiveBytes()
 	var err error
 	point.Idle, err = r.phase(func() error { return pause.For(ctx, r.config.Idle) })
 	if err != nil {
--- a/internal/bench/gatewaybench/scale.go
+++ b/internal/bench/gatewaybench/scale.go
@@ -186,7 +186,7 @@
 	for opened.Load()+failures.Load() < int64(streams) && time.Now().Before(deadline) && ctx.Err() == nil {
 		time.Sleep(warmTime / 10)
 	}
-	point := ScalePoint{Offered: streams, PerSecond: float64(opened.Load()), LiveBytes: rig.LiveBytes(), Failures: failures.Load()}
+	point := ScalePoint{Offered: streams, PerSecond: float64(opened.Load()), LiveBytes: rig.MeasureLiveBytes(), Failures: failures.Load()}
 	stop()
 	reading.Wait()
 	if point.PerSecond < float64(streams) {
--- a/internal/bench/processbench/processbench.go
+++ b/internal/bench/processbench/processbench.go
@@ -1,5 +1,5 @@
-// Package processbench measures what running processes cost, from the operating system's account: resident
-// memory, processor time, and bytes passed by system calls. It needs Linux's /proc.
+// Package processbench measures resident memory, processor time and system call traffic of running processes. It reads
+// /proc and therefore works on Linux only.
 package processbench
 
 import (
@@ -16,37 +16,40 @@
 
 const (
 	procFolder = "/proc"
-	// clockTicks is the unit of processor times in /proc, in ticks a second; fixed for programs by Linux.
+	// clockTicks is the number of ticks a second in which /proc reports processor time. Linux fixes this value for user
+	// space.
 	clockTicks = 100
-	// Positions in /proc/PID/stat behind the command, which ends with the last ')'.
-	userTimePosition   = 11
-	systemTimePosition = 12
+	// Indexes of the fields utime and stime among those of /proc/PID/stat that follow the command. The command ends at
+	// the last ')' of the line.
+	userTimeIndex   = 11
+	systemTimeIndex = 12
 )
 
-// Cost is what one process cost while it was watched.
+// Cost is the resource usage of one process during a measurement.
 type Cost struct {
 	PID           int     `json:"pid"`
 	Command       string  `json:"command"`
-	ResidentBytes uint64  `json:"resident_bytes"`      // at the end
-	Cores         float64 `json:"cores"`               // processor time over wall time
+	ResidentBytes uint64  `json:"resident_bytes"`      // at the end of the measurement
+	Cores         float64 `json:"cores"`               // processor time divided by wall time
 	ReadPerSec    float64 `json:"read_bytes_per_s"`    // by system calls: sockets and files
 	WrittenPerSec float64 `json:"written_bytes_per_s"` // by system calls: sockets and files
 }
 
-// sample is one reading of a process's account.
+// sample contains a process's counters in /proc at one moment, counted from the start of the process.
 type sample struct {
-	processor time.Duration
-	read      uint64
-	written   uint64
+	processorTime time.Duration
+	readBytes     uint64
+	writtenBytes  uint64
 }
 
-// Measure watches the processes for duration, or until ctx ends, which is an error.
+// Measure returns the resource usage of the processes during the given duration, in the order of pids. It fails when ctx
+// ends before that, or when a process is not running or may not be inspected.
 func Measure(ctx context.Context, pids []int, duration time.Duration) ([]Cost, error) {
 	before := make([]sample, len(pids))
 	started := time.Now()
 	for index, pid := range pids {
 		var err error
-		if before[index], err = readSample(pid); err != nil {
+		if before[index], err = takeSample(pid); err != nil {
 			return nil, err
 		}
 	}
@@ -60,7 +63,7 @@
 	wall := time.Since(started)
 	var costs []Cost
 	for index, pid := range pids {
-		cost, err := costSince(pid, before[index], wall)
+		cost, err := readCostSince(pid, before[index], wall)
 		if err != nil {
 			return nil, err
 		}
@@ -69,28 +72,30 @@
 	return costs, nil
 }
 
-func costSince(pid int, before sample, wall time.Duration) (Cost, error) {
-	after, err := readSample(pid)
+// readCostSince returns the usage of a process since the sample before, which was taken the duration wall ago.
+func readCostSince(pid int, before sample, wall time.Duration) (Cost, error) {
+	after, err := takeSample(pid)
 	if err != nil {
 		return Cost{}, err
 	}
-	resident, err := readResident(pid)
+	resident, err := readResidentBytes(pid)
 	if err != nil {
 		return Cost{}, err
 	}
-	command, err := readFile(pid, "cmdline")
+	command, err := readProcFile(pid, "cmdline")
 	if err != nil {
 		return Cost{}, err
 	}
 	return Cost{
 		PID: pid, Command: strings.TrimSpace(strings.ReplaceAll(command, "\x00", " ")), ResidentBytes: resident,
-		Cores:         float64(after.processor-before.processor) / float64(wall),
-		ReadPerSec:    float64(after.read-before.read) / wall.Seconds(),
-		WrittenPerSec: float64(after.written-before.written) / wall.Seconds(),
+		Cores:         float64(after.processorTime-before.processorTime) / float64(wall),
+		ReadPerSec:    float64(after.readBytes-before.readBytes) / wall.Seconds(),
+		WrittenPerSec: float64(after.writtenBytes-before.writtenBytes) / wall.Seconds(),
 	}, nil
 }
 
-func readFile(pid int, name string) (string, error) {
+// readProcFile returns the content of a file in the process's folder of /proc.
+func readProcFile(pid int, name string) (string, error) {
 	content, err := os.ReadFile(filepath.Join(procFolder, strconv.Itoa(pid), name))
 	if err != nil {
 		return "", trace.BadParameter("process %d can't be watched: %v", pid, err)
@@ -98,42 +103,43 @@
 	return string(content), nil
 }
 
-func readSample(pid int) (sample, error) {
-	stat, err := readFile(pid, "stat")
+func takeSample(pid int) (sample, error) {
+	stat, err := readProcFile(pid, "stat")
 	if err != nil {
 		return sample{}, err
 	}
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
-	if len(fields) <= systemTimePosition {
+	if len(fields) <= systemTimeIndex {
 		return sample{}, trace.BadParameter("process %d has an account of an unknown form", pid)
 	}
 	var ticks uint64
-	for _, position := range []int{userTimePosition, systemTimePosition} {
-		number, err := strconv.ParseUint(fields[position], 10, 64)
+	for _, index := range []int{userTimeIndex, systemTimeIndex} {
+		count, err := strconv.ParseUint(fields[index], 10, 64)
 		if err != nil {
 			return sample{}, trace.Wrap(err)
 		}
-		ticks += number
+		ticks += count
 	}
-	account, err := readFile(pid, "io")
+	ioCounters, err := readProcFile(pid, "io")
 	if err != nil {
 		return sample{}, err
 	}
-	taken := sample{processor: time.Duration(ticks) * time.Second / clockTicks}
-	if _, err := fmt.Sscanf(account, "rchar: %d\nwchar: %d", &taken.read, &taken.written); err != nil {
+	taken := sample{processorTime: time.Duration(ticks) * time.Second / clockTicks}
+	if _, err := fmt.Sscanf(ioCounters, "rchar: %d\nwchar: %d", &taken.readBytes, &taken.writtenBytes); err != nil {
 		return sample{}, trace.Wrap(err, "the account of process %d has an unknown form", pid)
 	}
 	return taken, nil
 }
 
-func readResident(pid int) (uint64, error) {
-	content, err := readFile(pid, "statm")
+// readResidentBytes returns the size of the process's resident memory.
+func readResidentBytes(pid int) (uint64, error) {
+	content, err := readProcFile(pid, "statm")
 	if err != nil {
 		return 0, err
 	}
-	var size, resident uint64
-	if _, err := fmt.Sscan(content, &size, &resident); err != nil {
+	var size, residentPages uint64
+	if _, err := fmt.Sscan(content, &size, &residentPages); err != nil {
 		return 0, trace.Wrap(err)
 	}
-	return resident * uint64(os.Getpagesize()), nil
+	return residentPages * uint64(os.Getpagesize()), nil
 }
--- a/internal/bench/processbench/processbench_test.go
+++ b/internal/bench/processbench/processbench_test.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-func TestWorkOfAProcessIsNotSeen(t *testing.T) {
+// TestMeasureReportsActivityOfAProcess guards against figures that stay 0. The measured process is the test itself, which
+// writes to the null device all the time.
+func TestMeasureReportsActivityOfAProcess(t *testing.T) {
 	stop := make(chan struct{})
 	finished := make(chan struct{})
 	go func() {
@@ -34,12 +36,13 @@
 		t.Fatal(err)
 	}
 	if cost := costs[0]; cost.Cores == 0 || cost.WrittenPerSec == 0 || cost.ResidentBytes == 0 || cost.Command == "" {
-		t.Fatalf("a process that writes all the time is shown as %+v", cost)
+		t.Fatalf("got %+v for a process that writes all the time, want values above 0 and a command", cost)
 	}
 }
 
-func TestAnUnknownProcessIsMeasured(t *testing.T) {
+// TestMeasureRejectsUnknownProcess guards against a result for a process that does not exist.
+func TestMeasureRejectsUnknownProcess(t *testing.T) {
 	if _, err := Measure(context.Background(), []int{-1}, time.Millisecond); err == nil {
-		t.Fatal("a process that does not exist has a cost")
+		t.Fatal("got a cost for a process that does not exist, want an error")
 	}
 }
--- a/internal/bench/rig/rig.go
+++ b/internal/bench/rig/rig.go
@@ -1,5 +1,6 @@
-// Package rig starts what measurements share: a control group of real servers over real TCP and real
-// files, whose traffic is counted and whose processor time is accounted to the role "control".
+// Package rig contains the environment that several benchmarks share: a control group of real servers in this process
+// that use TCP connections and data files. Their network traffic is counted, and their processor time is attributed to
+// the role "control".
 package rig
 
 import (
@@ -18,22 +19,22 @@
 	"github.com/tamarindring/tamarindring/internal/rolecost"
 )
 
-// RoleControl is the role that the control nodes' processor time is accounted to.
+// RoleControl is the role of package rolecost to which the processor time of the control nodes is attributed.
 const RoleControl = "control"
 
-// Options says what to start.
+// Options configures a control group.
 type Options struct {
-	// Nodes is the number of voters. Default 3.
+	// Nodes is the number of control nodes, all of them voters. Default 3.
 	Nodes int
-	// Folder holds the nodes' data. Required.
+	// Folder is where each node creates its data folder. Required.
 	Folder string
 	// LedgerGroups is the number of ledger groups. Default control.DefaultLedgerGroups.
 	LedgerGroups int
-	// Lease is the table lease. Default control.DefaultLeaseDuration.
+	// Lease is the duration of a table lease. Default control.DefaultLeaseDuration.
 	Lease time.Duration
 }
 
-// Control is a running control group.
+// Control is a running control group. Addresses are those of its nodes, in the form IP:port.
 type Control struct {
 	Addresses []string
 	servers   []*control.Server
@@ -42,7 +43,8 @@
 	running   sync.WaitGroup
 }
 
-// StartControl starts a control group; it may take an election until it serves.
+// StartControl starts a control group. It does not wait for the first election, before which the group serves no
+// requests.
 func StartControl(options Options) (*Control, error) {
 	if options.Nodes == 0 {
 		options.Nodes = 3
@@ -51,15 +53,15 @@
 	group := &Control{stop: stop}
 	var peers []control.Peer
 	for index := range options.Nodes {
-		inner, err := net.Listen("tcp4", "127.0.0.1:0")
+		tcpListener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			group.Close()
 			return nil, trace.Wrap(err)
 		}
-		listener := &CountingListener{Listener: inner}
+		listener := &CountingListener{Listener: tcpListener}
 		group.listeners = append(group.listeners, listener)
-		group.Addresses = append(group.Addresses, inner.Addr().String())
-		peers = append(peers, control.Peer{ID: uint64(index + 1), Name: fmt.Sprintf("control-%d", index+1), Address: inner.Addr().String()})
+		group.Addresses = append(group.Addresses, tcpListener.Addr().String())
+		peers = append(peers, control.Peer{ID: uint64(index + 1), Name: fmt.Sprintf("control-%d", index+1), Address: tcpListener.Addr().String()})
 	}
 	for index, peer := range peers {
 		if err := group.startNode(ctx, options, peers, peer, group.listeners[index]); err != nil {
@@ -71,22 +73,23 @@
 }
 
 func (c *Control) startNode(ctx context.Context, options Options, peers []control.Peer, peer control.Peer, listener net.Listener) error {
-	var built *control.Server
+	var server *control.Server
 	var err error
 	rolecost.Do(ctx, RoleControl, func(context.Context) {
-		built, err = control.New(control.Config{Name: peer.Name, NodeID: peer.ID, ClusterID: "bench", Listener: listener,
+		server, err = control.New(control.Config{Name: peer.Name, NodeID: peer.ID, ClusterID: "bench", Listener: listener,
 			Peers: peers, Zone: "bench", DataFolder: filepath.Join(options.Folder, peer.Name), LedgerGroups: options.LedgerGroups,
 			LeaseDuration: options.Lease, Log: logging.Discard()})
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	c.servers = append(c.servers, built)
-	c.running.Go(func() { rolecost.Do(ctx, RoleControl, func(ctx context.Context) { _ = built.Run(ctx) }) })
+	c.servers = append(c.servers, server)
+	c.running.Go(func() { rolecost.Do(ctx, RoleControl, func(ctx context.Context) { _ = server.Run(ctx) }) })
 	return nil
 }
 
-// Bytes returns how many bytes crossed the nodes' listeners, both directions, each node's once.
+// Bytes returns how many bytes connections accepted by the nodes have transferred, in both directions. Traffic between
+// two nodes is counted once, at the node that accepted the connection.
 func (c *Control) Bytes() uint64 {
 	var total uint64
 	for _, listener := range c.listeners {
@@ -95,16 +98,16 @@
 	return total
 }
 
-// NodeBytes returns the bytes of each node's listener.
+// NodeBytes returns how many bytes connections accepted by each node have transferred, in the order of Addresses.
 func (c *Control) NodeBytes() []uint64 {
-	all := make([]uint64, 0, len(c.listeners))
+	bytesByNode := make([]uint64, 0, len(c.listeners))
 	for _, listener := range c.listeners {
-		all = append(all, listener.Bytes())
+		bytesByNode = append(bytesByNode, listener.Bytes())
 	}
-	return all
+	return bytesByNode
 }
 
-// Close ends the group abruptly.
+// Close closes all nodes without any handover and waits until they have stopped.
 func (c *Control) Close() {
 	for _, server := range c.servers {
 		_ = server.Close()
@@ -116,8 +119,8 @@
 	}
 }
 
-// WrittenBytes returns how many bytes the nodes have written to their data files. The operating system's own
-// account is of no use here: it counts whole groups of cached pages for each page that changes in them.
+// WrittenBytes returns how many bytes the nodes have written to their data files. The operating system's own counter is
+// not usable for this, because it counts whole groups of cached pages for each page that changes in them.
 func (c *Control) WrittenBytes() uint64 {
 	var total uint64
 	for _, server := range c.servers {
@@ -126,13 +129,13 @@
 	return total
 }
 
-// CountingListener counts the bytes of its connections in both directions.
+// CountingListener wraps a listener and counts the bytes that its connections transfer in both directions.
 type CountingListener struct {
 	net.Listener
 	bytes atomic.Uint64
 }
 
-// Bytes returns the count.
+// Bytes returns how many bytes all connections have transferred so far.
 func (l *CountingListener) Bytes() uint64 { return l.bytes.Load() }
 
 // Accept implements net.Listener.
@@ -144,6 +147,7 @@
 	return &countingConnection{Conn: connection, bytes: &l.bytes}, nil
 }
 
+// countingConnection adds the bytes that it transfers to a counter that connections share.
 type countingConnection struct {
 	net.Conn
 	bytes *atomic.Uint64
--- a/internal/bench/slope/slope.go
+++ b/internal/bench/slope/slope.go
@@ -1,4 +1,5 @@
-// Package slope fits straight lines to measurements at several sizes and projects them to a target size.
+// Package slope fits straight lines to measurements that were taken at several sizes, in order to project them to a
+// target size.
 package slope
 
 import (
@@ -8,28 +9,29 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement.
+// Point is a value measured at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Line is a least-squares fit of Value = Intercept + Slope*Size.
+// Line is a least-squares fit of Value = Intercept + Slope*Size to Points.
 type Line struct {
-	Quantity  string  `json:"quantity"` // what was measured
-	Unit      string  `json:"unit"`     // of the value
-	Per       string  `json:"per"`      // unit of the size
+	Quantity  string  `json:"quantity"` // name of the measured quantity
+	Unit      string  `json:"unit"`     // unit of Value
+	SizeUnit  string  `json:"per"`      // unit of Size
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	Fit       float64 `json:"r_squared"` // share of the variance that the line explains; 1 is a perfect line
+	RSquared  float64 `json:"r_squared"` // share of the variance that the line explains; 1 means that all points lie on the line
 	Points    []Point `json:"points"`
 }
 
-// minPoints is the least number of sizes: a line through two points says nothing about the fit.
+// minPoints is the minimum number of points. Any two points lie on a line, so that RSquared would say nothing.
 const minPoints = 3
 
-// Fit returns the line through points.
-func Fit(quantity, unit, per string, points []Point) (Line, error) {
+// Fit returns the least-squares line through points. It fails when there are fewer than three. The names of the quantity
+// and of the units of value and size are copied into the result.
+func Fit(quantity, unit, sizeUnit string, points []Point) (Line, error) {
 	if len(points) < minPoints {
 		return Line{}, trace.BadParameter("%s: %d sizes measured, at least %d are needed for a slope", quantity, len(points), minPoints)
 	}
@@ -37,20 +39,20 @@
 	for index, point := range points {
 		sizes[index], values[index] = point.Size, point.Value
 	}
-	line := Line{Quantity: quantity, Unit: unit, Per: per, Points: points}
+	line := Line{Quantity: quantity, Unit: unit, SizeUnit: sizeUnit, Points: points}
 	line.Intercept, line.Slope = stat.LinearRegression(sizes, values, nil, false)
-	line.Fit = stat.RSquared(sizes, values, nil, line.Intercept, line.Slope)
-	if math.IsNaN(line.Fit) {
-		line.Fit = 1 // all values equal: the line is exact
+	line.RSquared = stat.RSquared(sizes, values, nil, line.Intercept, line.Slope)
+	if math.IsNaN(line.RSquared) {
+		line.RSquared = 1 // the variance is 0 when all values are equal, and the line is exact then
 	}
 	return line, nil
 }
 
-// At returns the line's value at a size.
+// At returns the line's value at the given size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Extrapolated tells whether size lies outside the measured sizes.
-func (l Line) Extrapolated(size float64) bool {
+// IsExtrapolation reports whether size is larger than every measured size.
+func (l Line) IsExtrapolation(size float64) bool {
 	for _, point := range l.Points {
 		if point.Size >= size {
 			return false
