--- a/internal/bench/controlbench/changes.go
+++ b/internal/bench/controlbench/changes.go
@@ -12,11 +12,12 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// changeTimeout bounds one change until it is in force.
+// changeTimeout bounds the time from the request for a change until the last node has applied it.
 const changeTimeout = 30 * time.Second
 
-// changes makes the table changes of one size, one after another at the configured pace.
-func (r *run) changes(ctx context.Context, point *Point) error {
+// measureChanges makes the table changes of one size, one after another at the configured rate, and stores their
+// latencies in point. It ends at the first change that fails.
+func (r *run) measureChanges(ctx context.Context, point *Point) error {
 	interval := time.Duration(float64(time.Second) / r.config.ChangesPerSecond)
 	var accepted, inForce, lastNode []time.Duration
 	began := time.Now()
@@ -24,9 +25,9 @@
 		if err := pause.For(ctx, time.Until(began.Add(time.Duration(index)*interval))); err != nil {
 			return err
 		}
-		times, err := r.oneChange(ctx, index)
+		times, err := r.measureChange(ctx, index)
 		if err != nil {
-			point.Refused++
+			point.Rejected++
 			return err
 		}
 		accepted = append(accepted, times.accepted)
@@ -38,42 +39,45 @@
 	return nil
 }
 
-// changeTimes are one change's times: accepted counts from the request, the others from accepted.
+// changeTimes contains the latencies of one change. accepted counts from the request, inForce and lastNode count from
+// the response that the change is accepted.
 type changeTimes struct {
 	accepted time.Duration
 	inForce  time.Duration
 	lastNode time.Duration
 }
 
-func (r *run) oneChange(ctx context.Context, index int) (changeTimes, error) {
+// measureChange changes the weight of one back end and waits until the change is in force and the last node has applied
+// it.
+func (r *run) measureChange(ctx context.Context, index int) (changeTimes, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	weight := strconv.Itoa(1 + (r.number % 999))
+	weight := strconv.Itoa(1 + (r.changeNumber % 999))
 	sent := time.Now()
-	change, err := r.change(ctx, []*wire.CellChange{{Row: rowName(index % r.config.Rows), Column: "weight", Value: weight}})
+	change, err := r.changeTable(ctx, []*wire.CellChange{{Row: rowName(index % r.config.Rows), Column: "weight", Value: weight}})
 	if err != nil {
 		return changeTimes{}, err
 	}
 	accepted := time.Now()
-	if err := r.inForce(ctx, change); err != nil {
+	if err := r.waitInForce(ctx, change); err != nil {
 		return changeTimes{}, err
 	}
 	inForce := time.Now()
-	last, err := r.fleet.progress.wait(ctx, r.version)
+	last, err := r.fleet.progress.waitReached(ctx, r.tableVersion)
 	if err != nil {
-		return changeTimes{}, trace.Wrap(err, "not every node acted on table version %d", r.version)
+		return changeTimes{}, trace.Wrap(err, "not every node acted on table version %d", r.tableVersion)
 	}
 	return changeTimes{accepted: accepted.Sub(sent), inForce: inForce.Sub(accepted), lastNode: max(last.Sub(accepted), 0)}, nil
 }
 
-// summarise returns the quantiles of a few durations by the nearest rank.
+// summarise returns quantiles by the nearest-rank method. It sorts durations.
 func summarise(durations []time.Duration) Latency {
 	if len(durations) == 0 {
 		return Latency{}
 	}
 	slices.Sort(durations)
-	rank := func(percent int) float64 {
+	quantile := func(percent int) float64 {
 		return millis(durations[(len(durations)*percent+99)/100-1])
 	}
-	return Latency{Count: len(durations), P50: rank(50), P99: rank(99), Max: rank(100)}
+	return Latency{Count: len(durations), P50: quantile(50), P99: quantile(99), Max: quantile(100)}
 }
--- a/internal/bench/controlbench/controlbench_test.go
+++ b/internal/bench/controlbench/controlbench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRunMeasuresEverySize runs the whole bench at three small sizes.
+// TestRunMeasuresEverySize guards against sizes at which nothing is measured and changes that do not reach every node.
+// The whole benchmark runs at three small sizes.
 func TestRunMeasuresEverySize(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a control group on real files for several seconds")
@@ -17,32 +18,35 @@
 		t.Fatal(err)
 	}
 	for _, point := range report.Points {
-		if point.InForce.Count != 3 || point.LastNode.Count != 3 || point.Refused != 0 {
-			t.Errorf("%d nodes: %d changes came into force, %d reached the last node, %d were refused; want 3, 3, 0",
-				point.Nodes, point.InForce.Count, point.LastNode.Count, point.Refused)
+		if point.InForce.Count != 3 || point.LastNode.Count != 3 || point.Rejected != 0 {
+			t.Errorf("%d nodes: got %d changes in force, %d applied by the last node, %d rejected; want 3, 3, 0",
+				point.Nodes, point.InForce.Count, point.LastNode.Count, point.Rejected)
 		}
 		if point.Changing.NodeBytesPerSecond <= 0 || point.LiveBytes == 0 {
-			t.Errorf("%d nodes: no traffic or memory was measured: %+v", point.Nodes, point)
+			t.Errorf("%d nodes: got no traffic or no memory, want both above 0: %+v", point.Nodes, point)
 		}
 	}
 	if len(report.Lines) != 9 {
-		t.Errorf("%d lines were fitted, want 9", len(report.Lines))
+		t.Errorf("got %d lines, want 9", len(report.Lines))
 	}
 }
 
-func TestProgressIsReachedByTheLastNodeOnly(t *testing.T) {
+// TestVersionIsReachedByTheLastNodeOnly guards against a version that counts as reached before all nodes have reported
+// it.
+func TestVersionIsReachedByTheLastNodeOnly(t *testing.T) {
 	p := newProgress()
-	p.setNodes(2)
-	p.acted(7)
+	p.reset(2)
+	p.report(7)
 	if _, reached := p.reached[7]; reached {
-		t.Fatal("one node of two counts as all")
+		t.Fatal("version 7 is reached after one node of two, want it to wait for both")
 	}
-	p.acted(7)
-	if _, err := p.wait(context.Background(), 7); err != nil {
+	p.report(7)
+	if _, err := p.waitReached(context.Background(), 7); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestSummariseTakesTheNearestRank guards against quantiles that are off by one, and against unsorted input.
 func TestSummariseTakesTheNearestRank(t *testing.T) {
 	var durations []time.Duration
 	for n := 50; n > 0; n-- {
--- a/internal/bench/controlbench/nodes.go
+++ b/internal/bench/controlbench/nodes.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// roleNode is the role that the hollow nodes' processor time is accounted to.
+	// roleNode is the role of package rolecost to which the processor time of the hollow nodes is attributed.
 	roleNode = "node"
-	// joinersAtOnce bounds the sessions that are being opened.
-	joinersAtOnce = 32
-	joinTimeout   = 30 * time.Second
+	// maxConcurrentJoins bounds the number of sessions that are being opened at the same time.
+	maxConcurrentJoins = 32
+	joinTimeout        = 30 * time.Second
 )
 
-// fleet is the hollow nodes: each has a client of its own with one session.
+// fleet is the set of hollow nodes. Each has its own client with one session.
 type fleet struct {
-	control  []string // addresses
-	traffic  rig.CountingDialer
+	control  []string // addresses of the control nodes
+	dialer   rig.CountingDialer
 	progress *progress
 	clients  []*controlclient.Client
 }
 
-// grow adds hollow nodes until there are size and returns when all hold a lease.
+// grow adds hollow nodes until there are size of them, and returns when all hold a lease.
 func (f *fleet) grow(ctx context.Context, size int) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	joining, ctx := errgroup.WithContext(ctx)
-	joining.SetLimit(joinersAtOnce)
+	joining.SetLimit(maxConcurrentJoins)
 	var mutex sync.Mutex
 	for index := len(f.clients); index < size; index++ {
 		joining.Go(func() error {
@@ -51,16 +51,17 @@
 		})
 	}
 	err := joining.Wait()
-	f.progress.setNodes(len(f.clients))
+	f.progress.reset(len(f.clients))
 	return err
 }
 
-// join opens one node's session; its goroutines inherit the role.
+// join opens the session of one node. The goroutines of the session inherit the role, so that their processor time is
+// attributed to the hollow nodes.
 func (f *fleet) join(ctx context.Context, index int) (client *controlclient.Client, err error) {
 	member := &wire.Member{Name: fmt.Sprintf("node-%03d", index), Role: wire.MemberRole_MEMBER_ROLE_GATEWAY,
 		Address: fmt.Sprintf("127.0.0.1:%d", 20000+index), Zone: fmt.Sprintf("bench-%d", index%7), Region: "bench"}
 	rolecost.Do(ctx, roleNode, func(ctx context.Context) {
-		client, err = controlclient.New(controlclient.Config{Addresses: f.control, Member: member, Dial: f.traffic.Dial})
+		client, err = controlclient.New(controlclient.Config{Addresses: f.control, Member: member, Dial: f.dialer.Dial})
 		if err != nil {
 			return
 		}
@@ -69,7 +70,7 @@
 			_ = client.Close()
 			return
 		}
-		session.OnUpdate(func(view *table.View) { f.progress.acted(view.Version()) })
+		session.OnUpdate(func(view *table.View) { f.progress.report(view.Version()) })
 	})
 	return client, err
 }
@@ -80,56 +81,56 @@
 	}
 }
 
-// progress notes when the last node acted on each table version. A node that gets two versions in one
-// update acts on the later one only, so a version is reached when every node acts on it or a later one.
+// progress records when the last node applied each table version. A node that receives two versions in one update
+// applies and reports the later one only. The benchmark therefore makes one change at a time, so that every node
+// reports every version.
 type progress struct {
 	mutex   sync.Mutex
 	nodes   int
-	count   map[uint64]int // nodes that moved to exactly this version
-	reached map[uint64]time.Time
-	moved   chan struct{} // closed at each step
+	nodesAt map[uint64]int       // number of nodes that reported this version
+	reached map[uint64]time.Time // when the last node reported this version
+	changed chan struct{}        // closed and replaced whenever a version is reached
 }
 
 func newProgress() *progress {
-	return &progress{count: map[uint64]int{}, reached: map[uint64]time.Time{}, moved: make(chan struct{})}
+	return &progress{nodesAt: map[uint64]int{}, reached: map[uint64]time.Time{}, changed: make(chan struct{})}
 }
 
-// setNodes starts over with a number of nodes.
-func (p *progress) setNodes(nodes int) {
+// reset discards everything recorded and sets the number of nodes that must report a version.
+func (p *progress) reset(nodes int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.nodes = nodes
-	clear(p.count)
+	clear(p.nodesAt)
 	clear(p.reached)
 }
 
-// acted notes that a node acts on version from now on. Changes are made one at a time, so that no node
-// can skip one.
-func (p *progress) acted(version uint64) {
+// report records that a node has applied version.
+func (p *progress) report(version uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.count[version]++
-	if p.count[version] == p.nodes {
+	p.nodesAt[version]++
+	if p.nodesAt[version] == p.nodes {
 		p.reached[version] = time.Now()
-		close(p.moved)
-		p.moved = make(chan struct{})
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}
 }
 
-// wait returns when the last node acted on version.
-func (p *progress) wait(ctx context.Context, version uint64) (time.Time, error) {
+// waitReached waits until the last node has applied version and returns the time at which it did.
+func (p *progress) waitReached(ctx context.Context, version uint64) (time.Time, error) {
 	for {
 		p.mutex.Lock()
-		at, known := p.reached[version]
-		moved := p.moved
+		reachedAt, known := p.reached[version]
+		changed := p.changed
 		p.mutex.Unlock()
 		if known {
-			return at, nil
+			return reachedAt, nil
 		}
 		select {
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
-		case <-moved:
+		case <-changed:
 		}
 	}
 }
--- a/internal/bench/controlbench/run.go
+++ b/internal/bench/controlbench/run.go
@@ -19,22 +19,22 @@
 
 const (
 	setupTimeout = 20 * time.Second
-	// settleTime lets the last joiners' member updates reach everybody before the idle measurement.
+	// settleTime is how long the idle measurement waits for the member updates of the last joins to reach all nodes.
 	settleTime = time.Second
 )
 
-// run is one run of the bench.
+// run is the state of one call of Run.
 type run struct {
-	config  Config
-	control *rig.Control
-	fleet   *fleet
-	editor  *controlclient.Client
-	version uint64 // of the table
-	number  int    // of the next change
-	report  Report
+	config       Config
+	control      *rig.Control
+	fleet        *fleet
+	tableClient  *controlclient.Client
+	tableVersion uint64 // newest version of the table that this run made
+	changeNumber int    // number of the last change, part of its change id
+	report       Report
 }
 
-// Run measures at every size and fits the lines.
+// Run measures at every size and fits a line to each quantity. It needs at least three sizes.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	config.setDefaults()
 	control, err := rig.StartControl(rig.Options{Nodes: config.ControlNodes, Folder: filepath.Join(config.Folder, "control"), Lease: config.Lease})
@@ -42,32 +42,33 @@
 		return nil, err
 	}
 	defer control.Close()
-	editor, err := controlclient.New(controlclient.Config{Addresses: control.Addresses})
+	tableClient, err := controlclient.New(controlclient.Config{Addresses: control.Addresses})
 	if err != nil {
 		return nil, err
 	}
-	defer editor.Close()
-	r := &run{config: config, control: control, editor: editor, fleet: &fleet{control: control.Addresses, progress: newProgress()},
+	defer tableClient.Close()
+	r := &run{config: config, control: control, tableClient: tableClient, fleet: &fleet{control: control.Addresses, progress: newProgress()},
 		report: Report{ControlNodes: config.ControlNodes, LeaseSeconds: config.Lease.Seconds(), Rows: config.Rows, ChangesPerSecond: config.ChangesPerSecond}}
 	defer func() { r.fleet.close() }()
 	if err := r.fillTable(ctx); err != nil {
 		return nil, err
 	}
 	for _, size := range config.Sizes {
-		point, err := r.measure(ctx, size)
+		point, err := r.measureSize(ctx, size)
 		if err != nil {
 			return nil, trace.Wrap(err, "%d nodes", size)
 		}
 		r.report.Points = append(r.report.Points, *point)
 	}
-	r.report.Lines, err = fit(r.report.Points)
+	r.report.Lines, err = fitLines(r.report.Points)
 	return &r.report, err
 }
 
-// cellsPerChange keeps the first filling of the table below the bound of one change.
+// cellsPerChange is the maximum number of cells in a change that fills the table. It keeps these changes below the size
+// limit of a change.
 const cellsPerChange = 300
 
-// fillTable makes the back ends' rows.
+// fillTable adds one pool and the rows of all back ends to the table, and waits until the table is in force.
 func (r *run) fillTable(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
@@ -81,56 +82,59 @@
 			&wire.CellChange{Row: name, Column: "max_in_flight", Value: "64"})
 	}
 	const columns = 5
-	head := cells[:2]
-	if _, err := r.change(ctx, head); err != nil {
+	poolCells := cells[:2]
+	if _, err := r.changeTable(ctx, poolCells); err != nil {
 		return err
 	}
 	for part := range slices.Chunk(cells[2:], cellsPerChange/columns*columns) {
-		if _, err := r.change(ctx, part); err != nil {
+		if _, err := r.changeTable(ctx, part); err != nil {
 			return err
 		}
 	}
-	// A new leader calls nothing in force until it knows every lease: the measurement begins after that.
-	last, err := r.change(ctx, []*wire.CellChange{{Row: rowName(0), Column: "weight", Value: "100"}})
+	// A new leader declares no version in force until it knows every lease. Waiting for one more change here keeps that
+	// time out of the measurements.
+	last, err := r.changeTable(ctx, []*wire.CellChange{{Row: rowName(0), Column: "weight", Value: "100"}})
 	if err != nil {
 		return err
 	}
-	return r.inForce(ctx, last)
+	return r.waitInForce(ctx, last)
 }
 
-// inForce waits until a change that was accepted as the newest version is in force: a resend is answered
-// with the same version then.
-func (r *run) inForce(ctx context.Context, change *wire.TableChange) error {
-	_, version, err := r.editor.ChangeTable(ctx, change, true)
+// waitInForce waits until the newest version, which was made by change, is in force. It sends the change again, which
+// has no effect except that the response is delayed until that version is in force or ctx ends.
+func (r *run) waitInForce(ctx context.Context, change *wire.TableChange) error {
+	_, version, err := r.tableClient.ChangeTable(ctx, change, true)
 	if err != nil {
 		return err
 	}
-	if version < r.version {
-		return trace.LimitExceeded("table version %d did not come into force in time", r.version)
+	if version < r.tableVersion {
+		return trace.LimitExceeded("table version %d did not come into force in time", r.tableVersion)
 	}
 	return nil
 }
 
 func rowName(index int) string { return fmt.Sprintf("replica-%03d", index) }
 
-// change makes one table change and returns its result, accepted but perhaps not yet in force.
-func (r *run) change(ctx context.Context, cells []*wire.CellChange) (*wire.TableChange, error) {
-	r.number++
-	change := &wire.TableChange{ChangeId: fmt.Sprintf("bench-%d", r.number), Operator: "bench", BaseVersion: r.version, Cells: cells}
-	result, _, err := r.editor.ChangeTable(ctx, change, false)
+// changeTable makes one table change and returns it when it is accepted. The change may not be in force yet. A change
+// that is not accepted is an error.
+func (r *run) changeTable(ctx context.Context, cells []*wire.CellChange) (*wire.TableChange, error) {
+	r.changeNumber++
+	change := &wire.TableChange{ChangeId: fmt.Sprintf("bench-%d", r.changeNumber), Operator: "bench", BaseVersion: r.tableVersion, Cells: cells}
+	result, _, err := r.tableClient.ChangeTable(ctx, change, false)
 	if err != nil {
 		return nil, err
 	}
 	if result.Outcome != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
-		return nil, trace.BadParameter("change %d was not accepted: %v", r.number, result)
+		return nil, trace.BadParameter("change %d was not accepted: %v", r.changeNumber, result)
 	}
-	r.version = result.Version
+	r.tableVersion = result.Version
 	return change, nil
 }
 
-// measure measures one size.
-func (r *run) measure(ctx context.Context, size int) (*Point, error) {
-	began, traffic, joiners := time.Now(), r.fleet.traffic.Bytes(), size-len(r.fleet.clients)
+// measureSize adds hollow nodes up to size and measures the cost of joining, the idle cost, and the cost and latencies of
+// table changes.
+func (r *run) measureSize(ctx context.Context, size int) (*Point, error) {
+	began, bytesBefore, joiners := time.Now(), r.fleet.dialer.Bytes(), size-len(r.fleet.clients)
 	if err := r.fleet.grow(ctx, size); err != nil {
 		return nil, err
 	}
@@ -139,21 +143,21 @@
 		return nil, err
 	}
 	if joiners > 0 {
-		point.JoinBytes = float64(r.fleet.traffic.Bytes()-traffic) / float64(joiners)
+		point.JoinBytes = float64(r.fleet.dialer.Bytes()-bytesBefore) / float64(joiners)
 	}
 	point.LiveBytes = rig.MeasureLiveBytes()
 	var err error
-	point.Idle, err = r.phase(func() error { return pause.For(ctx, r.config.Idle) })
+	point.Idle, err = r.measurePhase(func() error { return pause.For(ctx, r.config.Idle) })
 	if err != nil {
 		return nil, err
 	}
-	point.Changing, err = r.phase(func() error { return r.changes(ctx, point) })
+	point.Changing, err = r.measurePhase(func() error { return r.measureChanges(ctx, point) })
 	return point, err
 }
 
-// phase measures the cost of work.
-func (r *run) phase(work func() error) (Phase, error) {
-	nodeBytes, controlBytes := r.fleet.traffic.Bytes(), r.control.NodeBytes()
+// measurePhase measures processor time and traffic while work runs.
+func (r *run) measurePhase(work func() error) (Phase, error) {
+	nodeBytesBefore, controlBytesBefore := r.fleet.dialer.Bytes(), r.control.NodeBytes()
 	recorder, err := rolecost.Start()
 	if err != nil {
 		return Phase{}, err
@@ -169,17 +173,18 @@
 	seconds := cost.Wall.Seconds()
 	phase := Phase{Seconds: seconds, ProcessCores: cost.TotalCores, ControlCores: cost.ApportionedCores(rig.RoleControl),
 		NodeCores:          cost.ApportionedCores(roleNode),
-		NodeBytesPerSecond: float64(r.fleet.traffic.Bytes()-nodeBytes) / seconds / float64(len(r.fleet.clients))}
+		NodeBytesPerSecond: float64(r.fleet.dialer.Bytes()-nodeBytesBefore) / seconds / float64(len(r.fleet.clients))}
 	for index, after := range r.control.NodeBytes() {
-		phase.LeaderBytesPerSecond = max(phase.LeaderBytesPerSecond, float64(after-controlBytes[index])/seconds)
+		phase.LeaderBytesPerSecond = max(phase.LeaderBytesPerSecond, float64(after-controlBytesBefore[index])/seconds)
 	}
 	return phase, nil
 }
 
 func millis(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
-// fit returns the lines through the points.
-func fit(points []Point) ([]slope.Line, error) {
+// fitLines fits a line to each quantity. The cost of one change is the cost of the phase with changes above that of an
+// idle phase of the same duration, divided by the number of changes.
+func fitLines(points []Point) ([]slope.Line, error) {
 	perChange := func(value func(Phase) float64) func(Point) float64 {
 		return func(p Point) float64 {
 			return (value(p.Changing) - value(p.Idle)) * p.Changing.Seconds / float64(p.Changes)
--- a/internal/bench/gatewaybench/bench.go
+++ b/internal/bench/gatewaybench/bench.go
@@ -1,6 +1,6 @@
-// Package gatewaybench measures what the gateway's hop costs: its latency beside calling the stand-ins
-// directly, in alternating slices of one run, and its processor time by role. Callers, stand-ins, control
-// nodes and the gateway share one process and the loopback interface.
+// Package gatewaybench measures the latency that the gateway adds to a request and the processor time that it uses.
+// Latency is compared with that of direct calls to the same stand-ins, and the two kinds of call alternate in short
+// slices of one run. Callers, stand-ins, control nodes and the gateway share one process and the loopback interface.
 package gatewaybench
 
 import (
@@ -14,31 +14,34 @@
 	"github.com/tamarindring/tamarindring/internal/rolecost"
 )
 
-// Config says how long and how hard to measure.
+// Config sets the duration and the load of the measurements.
 type Config struct {
-	// Folder holds the control nodes' data. Default: a new folder of the system's temporary files.
+	// Folder holds the control nodes' data. Default: a new temporary folder that is removed after the run.
 	Folder string
-	// Duration of each measurement. Default 2s.
+	// Duration is the time for which each kind of request is measured. The latency of streams is measured for twice
+	// that time. Default 2s.
 	Duration time.Duration
-	// Rate of requests a second in the latency measurements. Default 1050: half of what one gateway core
-	// has to carry.
+	// Rate is the number of requests a second in the latency measurement of requests that are not streamed. Default
+	// 1050, which is half of the load that one gateway core has to sustain.
 	Rate int
-	// ClaimRate of claimed requests a second. Default 200.
+	// ClaimRate is the number of claimed requests a second in the measurement of claims. Default 200.
 	ClaimRate int
-	// Streams is the number of concurrent streams. Default 64.
+	// Streams is the number of concurrent streams in the capacity measurement. Half of it is the number of streams
+	// started a second in the latency measurement. Default 64.
 	Streams int
-	// StreamTokens is the length of each streamed answer. Default 256.
+	// StreamTokens is the number of tokens of a stream in the capacity measurement. Streams of the latency measurement
+	// have a quarter of it. Default 256.
 	StreamTokens int
-	// Clients is the number of callers in the capacity measurements. Default 64.
+	// Clients is the number of concurrent callers in the capacity measurement of requests. Default 64.
 	Clients int
 }
 
 func (c *Config) setDefaults() {
 	defaults := Config{Duration: 2 * time.Second, Rate: 1050, ClaimRate: 200, Streams: 64, StreamTokens: 256, Clients: 64}
-	for field, value := range map[*int]int{&c.Rate: defaults.Rate, &c.ClaimRate: defaults.ClaimRate,
+	for field, standard := range map[*int]int{&c.Rate: defaults.Rate, &c.ClaimRate: defaults.ClaimRate,
 		&c.Streams: defaults.Streams, &c.StreamTokens: defaults.StreamTokens, &c.Clients: defaults.Clients} {
 		if *field <= 0 {
-			*field = value
+			*field = standard
 		}
 	}
 	if c.Duration <= 0 {
@@ -46,7 +49,7 @@
 	}
 }
 
-// Latency is a summary in milliseconds.
+// Latency summarises latencies in milliseconds.
 type Latency struct {
 	Samples int64   `json:"samples"`
 	P50     float64 `json:"p50_ms"`
@@ -54,7 +57,9 @@
 	P999    float64 `json:"p999_ms"`
 }
 
-// Hop compares one kind of request through the gateway with the same request sent directly.
+// Hop compares the latency of requests through the gateway with that of the same requests sent directly to a replica.
+// Ratios divide a quantile of the former by that of the latter, and added times are the difference. Failures counts
+// both kinds of request. PerSecond is the rate at which requests are started.
 type Hop struct {
 	Direct      Latency `json:"direct"`
 	Gateway     Latency `json:"gateway"`
@@ -65,32 +70,35 @@
 	AddedP99    float64 `json:"added_p99_ms"`
 	Failures    int64   `json:"failures"`
 	PerSecond   float64 `json:"requests_per_second"`
-	ServiceTime float64 `json:"service_time_ms"` // of the stand-in
+	ServiceTime float64 `json:"service_time_ms"` // fixed time that the stand-in takes for a request, or for a step of an engine
 }
 
-// Capacity is a closed loop through the gateway and what the gateway's own goroutines spent on it.
+// Capacity is the throughput of a closed loop through the gateway and the processor time that it took. PerSecond counts
+// requests or tokens. GatewayCores is the time of the gateway's own goroutines, without that of the Go runtime.
 type Capacity struct {
 	PerSecond    float64 `json:"per_second"`
 	GatewayCores float64 `json:"gateway_cores"`
 	PerCore      float64 `json:"per_gateway_core"`
-	ProcessCores float64 `json:"process_cores"` // callers, stand-ins and runtime included
+	ProcessCores float64 `json:"process_cores"` // of the whole process, including callers, stand-ins and the Go runtime
 	RuntimeCores float64 `json:"unlabelled_cores"`
 	Failures     int64   `json:"failures"`
 }
 
-// Claim is the latency of the durable claim before the first byte, beside what it cannot be below.
+// Claim is the latency of the durable claim that the gateway makes before it forwards a request that is not repeatable,
+// next to the latency of operations that every claim includes.
 type Claim struct {
 	Stage     Latency `json:"claim_stage"`
 	Whole     Latency `json:"whole_request"`
 	BareSync  Latency `json:"bare_synced_write"`
 	RoundTrip Latency `json:"loopback_round_trip"`
-	// RatioP99 is the p99 of the claim stage over the p99 of one synced write plus that of one round trip.
+	// RatioP99 is the p99 of the claim stage divided by the sum of the p99 of one synced write and that of one round
+	// trip. RatioP50 is the same ratio of medians.
 	RatioP99 float64 `json:"ratio_p99"`
 	RatioP50 float64 `json:"ratio_p50"`
 	Failures int64   `json:"failures"`
 }
 
-// Report is the result.
+// Report is the result of Run.
 type Report struct {
 	Duration  string    `json:"duration_per_measurement"`
 	Rate      int       `json:"rate"`
@@ -102,14 +110,14 @@
 	Claim     *Claim    `json:"claim"`
 }
 
-// run is one measurement under way.
+// run is the state of one call of Run.
 type run struct {
 	config Config
 	fleet  *fleet
 	report Report
 }
 
-// Run measures everything, one after another.
+// Run starts a deployment, makes all measurements one after another and returns their results.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	config.setDefaults()
 	if config.Folder == "" {
@@ -126,7 +134,7 @@
 	}
 	defer started.close()
 	r := &run{config: config, fleet: started, report: Report{Duration: config.Duration.String(), Rate: config.Rate}}
-	for _, measure := range []func(context.Context) error{r.plain, r.streams, r.requestCapacity, r.tokenCapacity, r.claims} {
+	for _, measure := range []func(context.Context) error{r.measureRequestLatency, r.measureStreamLatency, r.measureRequestCapacity, r.measureTokenCapacity, r.measureClaims} {
 		if err := measure(ctx); err != nil {
 			return nil, err
 		}
@@ -137,10 +145,10 @@
 	return &r.report, nil
 }
 
-// roleGateway is the role that the gateway's processor time is accounted to.
+// roleGateway is the role of package rolecost to which the gateway's processor time is attributed.
 const roleGateway = "gateway"
 
-// highest and lowest values of a histogram, in nanoseconds, and its digits.
+// Range of a latency histogram in nanoseconds, and its precision in significant decimal digits.
 const (
 	lowestLatency  = int64(time.Microsecond)
 	highestLatency = int64(time.Minute)
@@ -158,8 +166,9 @@
 	return Latency{Samples: h.TotalCount(), P50: millis(50), P99: millis(99), P999: millis(99.9)}
 }
 
-func compare(direct, through *hdrhistogram.Histogram) *Hop {
-	hop := &Hop{Direct: summarise(direct), Gateway: summarise(through)}
+// compareLatencies returns a Hop whose latencies, ratios and differences are set.
+func compareLatencies(direct, gateway *hdrhistogram.Histogram) *Hop {
+	hop := &Hop{Direct: summarise(direct), Gateway: summarise(gateway)}
 	hop.RatioP50 = ratio(hop.Gateway.P50, hop.Direct.P50)
 	hop.RatioP99 = ratio(hop.Gateway.P99, hop.Direct.P99)
 	hop.RatioP999 = ratio(hop.Gateway.P999, hop.Direct.P999)
@@ -168,6 +177,7 @@
 	return hop
 }
 
+// ratio returns value divided by base, or 0 if base is 0.
 func ratio(value, base float64) float64 {
 	if base == 0 {
 		return 0
@@ -175,20 +185,21 @@
 	return value / base
 }
 
-// capacity runs a load under the profiler and relates its count to the gateway's processor time.
-func capacity(load func() (count float64, failures int64)) (*Capacity, error) {
+// measureCapacity runs a load while the CPU profiler is on and divides the count that load returns by the elapsed time
+// and by the gateway's processor time.
+func measureCapacity(load func() (count float64, failures int64)) (*Capacity, error) {
 	recorder, err := rolecost.Start()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	began := time.Now()
 	count, failures := load()
-	took := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	cost, err := recorder.Stop()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	cores := cost.Cores(roleGateway)
-	return &Capacity{PerSecond: count / took, GatewayCores: cores, PerCore: ratio(count/took, cores),
+	return &Capacity{PerSecond: count / seconds, GatewayCores: cores, PerCore: ratio(count/seconds, cores),
 		ProcessCores: cost.TotalCores, RuntimeCores: cost.Cores(rolecost.Unlabelled), Failures: failures}, nil
 }
--- a/internal/bench/gatewaybench/bench_test.go
+++ b/internal/bench/gatewaybench/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRunMeasuresEveryPart runs every measurement briefly.
+// TestRunMeasuresEveryPart guards against parts of the benchmark that measure nothing or whose calls fail. Every
+// measurement runs briefly.
 func TestRunMeasuresEveryPart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a control group on real files for several seconds")
@@ -18,23 +19,25 @@
 	for name, samples := range map[string]int64{"plain": report.Plain.Gateway.Samples, "direct": report.Plain.Direct.Samples,
 		"streams": report.Stream.Gateway.Samples, "claims": report.Claim.Stage.Samples, "syncs": report.Claim.BareSync.Samples} {
 		if samples == 0 {
-			t.Errorf("%s: nothing was measured", name)
+			t.Errorf("%s: got 0 samples, want at least 1", name)
 		}
 	}
 	if report.Requests.PerSecond == 0 || report.Tokens.PerSecond == 0 {
-		t.Errorf("capacity: %+v, %+v", report.Requests, report.Tokens)
+		t.Errorf("got request capacity %+v and token capacity %+v, want rates above 0", report.Requests, report.Tokens)
 	}
 	if failures := report.Plain.Failures + report.Stream.Failures + report.Claim.Failures + report.Requests.Failures + report.Tokens.Failures; failures > 0 {
-		t.Errorf("%d calls failed", failures)
+		t.Errorf("got %d failed calls, want 0", failures)
 	}
 }
 
-func TestStageTimeReadsItsOwnStage(t *testing.T) {
+// TestParseStageTimeReadsOnlyTheNamedStage guards against the time of another stage, such as the total, that is
+// reported as the time of the claim.
+func TestParseStageTimeReadsOnlyTheNamedStage(t *testing.T) {
 	header := "queue;dur=0.010, claim;dur=2.500, total;dur=9.000"
-	if got := stageTime(header, "claim"); got != 2500*time.Microsecond {
-		t.Fatalf("claim took %v", got)
+	if got := parseStageTime(header, "claim"); got != 2500*time.Microsecond {
+		t.Fatalf("got %v for the claim stage, want 2.5ms", got)
 	}
-	if got := stageTime(header, "connect"); got != 0 {
-		t.Fatalf("a stage that is not there took %v", got)
+	if got := parseStageTime(header, "connect"); got != 0 {
+		t.Fatalf("got %v for a stage that the header does not have, want 0", got)
 	}
 }
--- a/internal/bench/gatewaybench/fleet.go
+++ b/internal/bench/gatewaybench/fleet.go
@@ -19,44 +19,50 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// The pools of the measured deployment.
+// Names of the pools of the measured deployment.
 const (
 	poolCalls = "calls" // application replicas with a service time
-	poolBare  = "bare"  // application replicas that answer at once
-	poolModel = "model" // engines with steps of 10ms
-	poolQuick = "quick" // engines that emit tokens as fast as they can
-	poolHeld  = "held"  // engines that keep many slow streams
+	poolBare  = "bare"  // application replicas without a service time
+	poolModel = "model" // engines whose steps take modelStep
+	poolQuick = "quick" // engines with short steps, for the capacity measurement of tokens
+	poolHeld  = "held"  // engines that run many slow streams, for the memory measurement
 )
 
 const (
-	replicas     = 3
-	startTimeout = 20 * time.Second
-	// modelStep and quickStep are the engines' step times.
+	replicasPerPool = 3
+	startTimeout    = 20 * time.Second
+	// modelStep, quickStep and heldStep are the base times of a step of the engines of poolModel, poolQuick and
+	// poolHeld.
 	modelStep = 10 * time.Millisecond
 	quickStep = time.Millisecond
-	quickPer  = time.Microsecond
-	quickSize = 256 // sequences at once
-	heldStep  = 200 * time.Millisecond
-	heldSize  = 512 // sequences at once
+	// quickStepIncrement is added to a step of poolQuick for each sequence, and for each thousand tokens of context.
+	quickStepIncrement = time.Microsecond
+	// quickMaxBatch and heldMaxBatch are how many sequences an engine of poolQuick or poolHeld runs at once.
+	quickMaxBatch = 256
+	heldStep      = 200 * time.Millisecond
+	heldMaxBatch  = 512
 )
 
-// fleet is the deployment that is measured.
+// fleet is the measured deployment: a control group, one gateway, and the replicas of all pools.
 type fleet struct {
 	control   *rig.Control
 	client    *controlclient.Client
 	gateway   *gateway.Server
 	backends  []backend
-	addresses map[string][]string // by pool
+	addresses map[string][]string // of the replicas, by pool
 	stop      context.CancelFunc
 	running   sync.WaitGroup
 }
 
+// backend is the stand-in for one replica.
 type backend interface {
 	Address() string
 	Run(context.Context) error
 	Close() error
 }
 
+// startFleet starts a deployment whose control nodes keep their data under config.Folder, and waits until the gateway
+// is open. The caller closes it.
 func startFleet(ctx context.Context, config Config) (*fleet, error) {
 	control, err := rig.StartControl(rig.Options{Folder: filepath.Join(config.Folder, "control")})
 	if err != nil {
@@ -71,6 +77,8 @@
 	return f, nil
 }
 
+// start starts the replicas, makes the table and opens the gateway. ctx bounds the start, and the servers run until
+// runContext ends.
 func (f *fleet) start(ctx, runContext context.Context) error {
 	cells, err := f.startBackends(runContext)
 	if err != nil {
@@ -99,7 +107,7 @@
 	return err
 }
 
-// startBackends starts the replicas of every pool and returns the table's cells.
+// startBackends starts the replicas of every pool and returns the table cells that describe pools and replicas.
 func (f *fleet) startBackends(ctx context.Context) ([]*wire.CellChange, error) {
 	var cells []*wire.CellChange
 	add := func(row, column, value string) {
@@ -113,25 +121,26 @@
 		for column, value := range map[string]string{"kind": "pool", "service": service, "max_in_flight": "1000", "queue_limit": "10000"} {
 			add(pool, column, value)
 		}
-		for i := range replicas {
+		for i := range replicasPerPool {
 			name := pool + "-" + string(rune('1'+i))
-			built, err := newBackend(name, pool)
+			replica, err := newBackend(name, pool)
 			if err != nil {
 				return nil, err
 			}
-			f.backends = append(f.backends, built)
-			f.addresses[pool] = append(f.addresses[pool], built.Address())
+			f.backends = append(f.backends, replica)
+			f.addresses[pool] = append(f.addresses[pool], replica.Address())
 			f.running.Go(func() {
-				rolecost.Do(ctx, "backend", func(ctx context.Context) { _ = built.Run(ctx) })
+				rolecost.Do(ctx, "backend", func(ctx context.Context) { _ = replica.Run(ctx) })
 			})
 			add(name, "kind", "backend")
 			add(name, "pool", pool)
-			add(name, "address", built.Address())
+			add(name, "address", replica.Address())
 		}
 	}
 	return cells, nil
 }
 
+// newBackend returns a replica of a pool with the service or step times of that pool.
 func newBackend(name, pool string) (backend, error) {
 	parameters := engine.DefaultParameters()
 	switch pool {
@@ -143,10 +152,10 @@
 		parameters.StepBase = modelStep
 	case poolHeld:
 		parameters.StepBase = heldStep
-		parameters.MaxBatch, parameters.Blocks = heldSize, 1<<18
+		parameters.MaxBatch, parameters.Blocks = heldMaxBatch, 1<<18
 	default:
-		parameters.StepBase, parameters.StepPerSequence, parameters.StepPerThousandContext = quickStep, quickPer, quickPer
-		parameters.MaxBatch, parameters.Blocks = quickSize, 1<<18
+		parameters.StepBase, parameters.StepPerSequence, parameters.StepPerThousandContext = quickStep, quickStepIncrement, quickStepIncrement
+		parameters.MaxBatch, parameters.Blocks = quickMaxBatch, 1<<18
 	}
 	return enginestandin.New(enginestandin.Config{Name: name, Listen: "127.0.0.1:0", Parameters: parameters,
 		InitialVersion: "w1", InitialVersionNumber: 1, Log: logging.Discard()})
--- a/internal/bench/gatewaybench/load.go
+++ b/internal/bench/gatewaybench/load.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	sliceTime  = 250 * time.Millisecond // direct and gateway take turns
-	warmTime   = 300 * time.Millisecond
-	callBody   = `{"customer":"c-1","offer":"scarf","text":"Two for one until Sunday."}`
-	maxAtOnce  = 4096
-	callPath   = "/v1/invoke/push"
-	clientWait = 30 * time.Second
+	sliceDuration      = 250 * time.Millisecond // time after which the open loop switches between its two kinds of call
+	warmUpTime         = 300 * time.Millisecond
+	callBody           = `{"customer":"c-1","offer":"scarf","text":"Two for one until Sunday."}`
+	maxConcurrentCalls = 4096
+	directPath         = "/v1/invoke/push"
+	clientTimeout      = 30 * time.Second
 )
 
-// recorder collects latencies from many goroutines.
-type recorder struct {
+// latencyRecorder collects latencies and counts failures. It is safe for concurrent use.
+type latencyRecorder struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
 	failures  atomic.Int64
 }
 
-func newRecorder() *recorder { return &recorder{histogram: newHistogram()} }
+func newLatencyRecorder() *latencyRecorder { return &latencyRecorder{histogram: newHistogram()} }
 
-func (r *recorder) record(latency time.Duration, err error) {
+func (r *latencyRecorder) record(latency time.Duration, err error) {
 	if err != nil {
 		r.failures.Add(1)
 		return
@@ -45,11 +45,12 @@
 	_ = r.histogram.RecordValue(int64(latency))
 }
 
-// openLoop starts calls at a fixed rate, whether or not earlier ones have ended, in slices that alternate
-// between the two kinds of call.
-func openLoop(ctx context.Context, rate int, duration time.Duration, calls [2]func() error, results [2]*recorder) {
+// runOpenLoop starts calls at a fixed rate for the given duration, independently of when earlier calls end, and waits
+// for all of them. It alternates between the two kinds of call every sliceDuration and records each kind in the result
+// of the same index. While maxConcurrentCalls are in progress the next call waits. Its latency counts from its start.
+func runOpenLoop(ctx context.Context, rate int, duration time.Duration, calls [2]func() error, results [2]*latencyRecorder) {
 	interval := time.Second / time.Duration(rate)
-	atOnce := make(chan struct{}, maxAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var pending sync.WaitGroup
 	began := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -60,34 +61,35 @@
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
 		}
-		side := int(due.Sub(began)/sliceTime) % 2
-		atOnce <- struct{}{}
+		kind := int(due.Sub(began)/sliceDuration) % 2
+		slots <- struct{}{}
 		sent := time.Now()
 		pending.Go(func() {
-			defer func() { <-atOnce }()
-			err := calls[side]()
-			results[side].record(time.Since(sent), err)
+			defer func() { <-slots }()
+			err := calls[kind]()
+			results[kind].record(time.Since(sent), err)
 		})
 	}
 	pending.Wait()
 }
 
-// httpCaller sends requests that are not streamed.
+// httpCaller sends requests whose responses are not streamed.
 type httpCaller struct{ client *fasthttp.Client }
 
 func newHTTPCaller() *httpCaller {
-	return &httpCaller{client: &fasthttp.Client{MaxConnsPerHost: maxAtOnce, ReadTimeout: clientWait, WriteTimeout: clientWait,
+	return &httpCaller{client: &fasthttp.Client{MaxConnsPerHost: maxConcurrentCalls, ReadTimeout: clientTimeout, WriteTimeout: clientTimeout,
 		MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true}}
 }
 
-// call posts the body and returns the answer's Server-Timing header.
-func (c *httpCaller) call(address, path, key string, repeatable bool) (string, error) {
+// post sends callBody to path and returns the Server-Timing header of the response. It makes a single attempt, and a
+// status other than 200 is an error. repeatable marks the request as one that needs no durable claim.
+func (c *httpCaller) post(address, path, key string, repeatable bool) (string, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + address + path)
-	request.Header.Set(gatewayKeyHeader, key)
+	request.Header.Set(idempotencyKeyHeader, key)
 	if repeatable {
 		request.Header.Set("Tamarindring-Repeatable", "true")
 	}
@@ -101,21 +103,22 @@
 	return string(response.Header.Peek("Server-Timing")), nil
 }
 
-const gatewayKeyHeader = "Idempotency-Key"
+const idempotencyKeyHeader = "Idempotency-Key"
 
-// keys makes keys that are never used twice.
-type keys struct{ next atomic.Uint64 }
+// keyGenerator returns a new idempotency key with each call of next.
+type keyGenerator struct{ count atomic.Uint64 }
 
-func (k *keys) take() string { return "key-" + strconv.FormatUint(k.next.Add(1), 10) }
+func (k *keyGenerator) next() string { return "key-" + strconv.FormatUint(k.count.Add(1), 10) }
 
-// streamCaller reads streamed completions.
+// streamCaller requests streamed completions.
 type streamCaller struct{ client *http.Client }
 
 func newStreamCaller() *streamCaller {
-	return &streamCaller{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxAtOnce}}}
+	return &streamCaller{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrentCalls}}}
 }
 
-// stream reads one answer to its end and returns the time of its first chunk and its tokens.
+// stream reads one streamed completion to its end. It returns the time until the first line of the response and the
+// number of tokens. A number other than tokens is an error. n makes the prompt unique.
 func (c *streamCaller) stream(address, pool string, n uint64, tokens int) (first time.Duration, count int, err error) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"offer %d [tokens=%d]","stream":true}`, pool, n, tokens)
 	began := time.Now()
@@ -133,11 +136,11 @@
 		if first == 0 {
 			first = time.Since(began)
 		}
-		if at := bytes.Index(line, []byte(`"token_count":`)); at >= 0 {
-			digits := line[at+len(`"token_count":`):]
-			end := bytes.IndexAny(digits, ",}")
-			part, _ := strconv.Atoi(string(digits[:max(end, 0)]))
-			count += part
+		if position := bytes.Index(line, []byte(`"token_count":`)); position >= 0 {
+			number := line[position+len(`"token_count":`):]
+			end := bytes.IndexAny(number, ",}")
+			chunkTokens, _ := strconv.Atoi(string(number[:max(end, 0)]))
+			count += chunkTokens
 		}
 		if bytes.Contains(line, []byte("[DONE]")) {
 			break
@@ -150,12 +153,14 @@
 	return first, count, err
 }
 
-// holdTokens is the length of a stream that is held open: longer than any measurement.
-const holdTokens = 100_000
+// heldStreamTokens is the number of tokens of a stream that is held open. Emitting them takes longer than any
+// measurement.
+const heldStreamTokens = 100_000
 
-// hold opens a stream, tells opened at its first chunk and reads on until ctx ends.
-func (c *streamCaller) hold(ctx context.Context, address, pool string, n int, opened func()) error {
-	body := fmt.Sprintf(`{"model":%q,"prompt":"hold %d [tokens=%d]","stream":true}`, pool, n, holdTokens)
+// hold opens a stream, calls onOpen when its first line has arrived, and continues to read until ctx ends. It returns
+// nil if the stream is open until then.
+func (c *streamCaller) hold(ctx context.Context, address, pool string, n int, onOpen func()) error {
+	body := fmt.Sprintf(`{"model":%q,"prompt":"hold %d [tokens=%d]","stream":true}`, pool, n, heldStreamTokens)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return err
@@ -170,7 +175,7 @@
 	if _, err := reader.ReadSlice('\n'); err != nil {
 		return err
 	}
-	opened()
+	onOpen()
 	if _, err = io.Copy(io.Discard, reader); ctx.Err() != nil {
 		return nil
 	}
--- a/internal/bench/gatewaybench/measure.go
+++ b/internal/bench/gatewaybench/measure.go
@@ -16,55 +16,55 @@
 	"github.com/tamarindring/tamarindring/internal/standin/application"
 )
 
-// turn goes round a pool's replicas for the direct calls.
-type turn struct {
+// roundRobin selects the replicas of a pool in turn for the direct calls.
+type roundRobin struct {
 	addresses []string
-	next      atomic.Uint64
+	count     atomic.Uint64
 }
 
-func (t *turn) take() string { return t.addresses[t.next.Add(1)%uint64(len(t.addresses))] }
+func (t *roundRobin) next() string { return t.addresses[t.count.Add(1)%uint64(len(t.addresses))] }
 
-// plain compares repeatable calls that are not streamed.
-func (r *run) plain(ctx context.Context) error {
-	caller, names := newHTTPCaller(), &keys{}
-	direct := &turn{addresses: r.fleet.addresses[poolCalls]}
+// measureRequestLatency compares repeatable calls that are not streamed.
+func (r *run) measureRequestLatency(ctx context.Context) error {
+	caller, keys := newHTTPCaller(), &keyGenerator{}
+	direct := &roundRobin{addresses: r.fleet.addresses[poolCalls]}
 	calls := [2]func() error{
-		func() error { _, err := caller.call(direct.take(), callPath, names.take(), true); return err },
+		func() error { _, err := caller.post(direct.next(), directPath, keys.next(), true); return err },
 		func() error {
-			_, err := caller.call(r.fleet.gateway.Address(), "/v1/pools/"+poolCalls+"/push", names.take(), true)
+			_, err := caller.post(r.fleet.gateway.Address(), "/v1/pools/"+poolCalls+"/push", keys.next(), true)
 			return err
 		},
 	}
-	openLoop(ctx, r.config.Rate, warmTime*2, calls, [2]*recorder{newRecorder(), newRecorder()})
-	results := [2]*recorder{newRecorder(), newRecorder()}
-	openLoop(ctx, r.config.Rate, r.config.Duration*2, calls, results)
-	r.report.Plain = compare(results[0].histogram, results[1].histogram)
+	runOpenLoop(ctx, r.config.Rate, warmUpTime*2, calls, [2]*latencyRecorder{newLatencyRecorder(), newLatencyRecorder()})
+	results := [2]*latencyRecorder{newLatencyRecorder(), newLatencyRecorder()}
+	runOpenLoop(ctx, r.config.Rate, r.config.Duration*2, calls, results)
+	r.report.Plain = compareLatencies(results[0].histogram, results[1].histogram)
 	r.report.Plain.Failures = results[0].failures.Load() + results[1].failures.Load()
 	r.report.Plain.PerSecond = float64(r.config.Rate)
 	r.report.Plain.ServiceTime = application.DefaultServiceTime.Seconds() * 1000
 	return nil
 }
 
-// streams compares streamed completions: the first chunk and the whole answer.
-func (r *run) streams(ctx context.Context) error {
+// measureStreamLatency compares the time to the first chunk and the time to the end of streamed completions.
+func (r *run) measureStreamLatency(ctx context.Context) error {
 	caller := newStreamCaller()
-	direct := &turn{addresses: r.fleet.addresses[poolModel]}
-	var number atomic.Uint64
-	first := [2]*recorder{newRecorder(), newRecorder()}
+	direct := &roundRobin{addresses: r.fleet.addresses[poolModel]}
+	var promptNumber atomic.Uint64
+	firstChunks := [2]*latencyRecorder{newLatencyRecorder(), newLatencyRecorder()}
 	tokens := r.config.StreamTokens / 4
-	call := func(side int, address func() string) func() error {
+	call := func(kind int, address func() string) func() error {
 		return func() error {
-			began, _, err := caller.stream(address(), poolModel, number.Add(1), tokens)
-			first[side].record(began, err)
+			firstChunk, _, err := caller.stream(address(), poolModel, promptNumber.Add(1), tokens)
+			firstChunks[kind].record(firstChunk, err)
 			return err
 		}
 	}
-	calls := [2]func() error{call(0, direct.take), call(1, r.fleet.gateway.Address)}
+	calls := [2]func() error{call(0, direct.next), call(1, r.fleet.gateway.Address)}
 	rate := max(r.config.Streams/2, 1)
-	results := [2]*recorder{newRecorder(), newRecorder()}
-	openLoop(ctx, rate, r.config.Duration*4, calls, results)
-	r.report.FirstByte = compare(first[0].histogram, first[1].histogram)
-	r.report.Stream = compare(results[0].histogram, results[1].histogram)
+	results := [2]*latencyRecorder{newLatencyRecorder(), newLatencyRecorder()}
+	runOpenLoop(ctx, rate, r.config.Duration*4, calls, results)
+	r.report.FirstByte = compareLatencies(firstChunks[0].histogram, firstChunks[1].histogram)
+	r.report.Stream = compareLatencies(results[0].histogram, results[1].histogram)
 	for _, hop := range []*Hop{r.report.FirstByte, r.report.Stream} {
 		hop.Failures = results[0].failures.Load() + results[1].failures.Load()
 		hop.PerSecond = float64(rate)
@@ -73,8 +73,9 @@
 	return nil
 }
 
-// closedLoop runs clients one request after another and returns the sum of what they count.
-func closedLoop(ctx context.Context, clients int, duration time.Duration, call func() (int, error)) (count float64, failures int64) {
+// runClosedLoop runs clients for the given duration. Each starts its next call when the last one has returned. The
+// result is the sum of the counts that call returned and the number of calls that failed.
+func runClosedLoop(ctx context.Context, clients int, duration time.Duration, call func() (int, error)) (count float64, failures int64) {
 	var total, failed atomic.Int64
 	var running sync.WaitGroup
 	end := time.Now().Add(duration)
@@ -94,40 +95,43 @@
 	return float64(total.Load()), failed.Load()
 }
 
-func (r *run) requestCapacity(ctx context.Context) error {
-	caller, names := newHTTPCaller(), &keys{}
+// measureRequestCapacity measures the rate of repeatable requests that are not streamed in a closed loop.
+func (r *run) measureRequestCapacity(ctx context.Context) error {
+	caller, keys := newHTTPCaller(), &keyGenerator{}
 	call := func() (int, error) {
-		_, err := caller.call(r.fleet.gateway.Address(), "/v1/pools/"+poolBare+"/push", names.take(), true)
+		_, err := caller.post(r.fleet.gateway.Address(), "/v1/pools/"+poolBare+"/push", keys.next(), true)
 		return 1, err
 	}
-	closedLoop(ctx, r.config.Clients, warmTime, call)
+	runClosedLoop(ctx, r.config.Clients, warmUpTime, call)
 	var err error
-	r.report.Requests, err = capacity(func() (float64, int64) { return closedLoop(ctx, r.config.Clients, r.config.Duration, call) })
+	r.report.Requests, err = measureCapacity(func() (float64, int64) { return runClosedLoop(ctx, r.config.Clients, r.config.Duration, call) })
 	return err
 }
 
-func (r *run) tokenCapacity(ctx context.Context) error {
+// measureTokenCapacity measures the rate of streamed tokens in a closed loop.
+func (r *run) measureTokenCapacity(ctx context.Context) error {
 	caller := newStreamCaller()
-	var number atomic.Uint64
+	var promptNumber atomic.Uint64
 	call := func() (int, error) {
-		_, count, err := caller.stream(r.fleet.gateway.Address(), poolQuick, number.Add(1), r.config.StreamTokens)
+		_, count, err := caller.stream(r.fleet.gateway.Address(), poolQuick, promptNumber.Add(1), r.config.StreamTokens)
 		return count, err
 	}
-	closedLoop(ctx, r.config.Streams, warmTime, call)
+	runClosedLoop(ctx, r.config.Streams, warmUpTime, call)
 	var err error
-	r.report.Tokens, err = capacity(func() (float64, int64) { return closedLoop(ctx, r.config.Streams, r.config.Duration, call) })
+	r.report.Tokens, err = measureCapacity(func() (float64, int64) { return runClosedLoop(ctx, r.config.Streams, r.config.Duration, call) })
 	return err
 }
 
-// claims measures the claim stage of non-repeatable calls, and its lower bound between the same slices.
-func (r *run) claims(ctx context.Context) error {
-	caller, names := newHTTPCaller(), &keys{}
-	stage, whole := newRecorder(), newRecorder()
-	claimed := func() error {
+// measureClaims measures the claim stage of calls that are not repeatable. The lower bound is measured in alternating
+// slices of the same run.
+func (r *run) measureClaims(ctx context.Context) error {
+	caller, keys := newHTTPCaller(), &keyGenerator{}
+	claimStages, wholeRequests := newLatencyRecorder(), newLatencyRecorder()
+	claimedCall := func() error {
 		began := time.Now()
-		timing, err := caller.call(r.fleet.gateway.Address(), "/v1/pools/"+poolBare+"/push", "claim-"+names.take(), false)
-		whole.record(time.Since(began), err)
-		stage.record(stageTime(timing, "claim"), err)
+		timing, err := caller.post(r.fleet.gateway.Address(), "/v1/pools/"+poolBare+"/push", "claim-"+keys.next(), false)
+		wholeRequests.record(time.Since(began), err)
+		claimStages.record(parseStageTime(timing, "claim"), err)
 		return err
 	}
 	bound, err := newLowerBound(filepath.Join(r.config.Folder, "bare"))
@@ -135,19 +139,19 @@
 		return err
 	}
 	defer bound.close()
-	ignored := [2]*recorder{newRecorder(), newRecorder()}
-	openLoop(ctx, r.config.ClaimRate, r.config.Duration*2, [2]func() error{claimed, func() error { return bound.measure() }}, ignored)
-	r.report.Claim = &Claim{Stage: summarise(stage.histogram), Whole: summarise(whole.histogram),
-		BareSync: summarise(bound.sync.histogram), RoundTrip: summarise(bound.trip.histogram),
-		Failures: whole.failures.Load() + ignored[1].failures.Load()}
+	loopResults := [2]*latencyRecorder{newLatencyRecorder(), newLatencyRecorder()}
+	runOpenLoop(ctx, r.config.ClaimRate, r.config.Duration*2, [2]func() error{claimedCall, func() error { return bound.measure() }}, loopResults)
+	r.report.Claim = &Claim{Stage: summarise(claimStages.histogram), Whole: summarise(wholeRequests.histogram),
+		BareSync: summarise(bound.syncs.histogram), RoundTrip: summarise(bound.roundTrips.histogram),
+		Failures: wholeRequests.failures.Load() + loopResults[1].failures.Load()}
 	claim := r.report.Claim
 	claim.RatioP99 = ratio(claim.Stage.P99, claim.BareSync.P99+claim.RoundTrip.P99)
 	claim.RatioP50 = ratio(claim.Stage.P50, claim.BareSync.P50+claim.RoundTrip.P50)
 	return nil
 }
 
-// stageTime reads one stage of a Server-Timing header.
-func stageTime(header, name string) time.Duration {
+// parseStageTime returns the duration of one stage in a Server-Timing header, or 0 if the header does not have it.
+func parseStageTime(header, name string) time.Duration {
 	for _, part := range strings.Split(header, ", ") {
 		if value, found := strings.CutPrefix(part, name+";dur="); found {
 			millis, _ := strconv.ParseFloat(value, 64)
@@ -157,18 +161,20 @@
 	return 0
 }
 
-// lowerBound measures one synced write and one round trip over loopback, which no claim can do without.
+// lowerBound measures one synced write and one round trip over the loopback interface. Every claim takes at least these
+// two.
 type lowerBound struct {
-	mutex      sync.Mutex
-	file       *os.File
-	conn       net.Conn
-	listener   net.Listener
-	sync, trip *recorder
+	mutex             sync.Mutex
+	file              *os.File
+	conn              net.Conn
+	listener          net.Listener
+	syncs, roundTrips *latencyRecorder
 }
 
-// bareBytes is about the size of one claim.
-const bareBytes = 256
+// claimBytes is the approximate size of one claim.
+const claimBytes = 256
 
+// newLowerBound creates the file to be written at path and connects to an echo server. The caller closes the result.
 func newLowerBound(path string) (*lowerBound, error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -178,22 +184,22 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	go echo(listener)
+	go serveEcho(listener)
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &lowerBound{file: file, conn: conn, listener: listener, sync: newRecorder(), trip: newRecorder()}, nil
+	return &lowerBound{file: file, conn: conn, listener: listener, syncs: newLatencyRecorder(), roundTrips: newLatencyRecorder()}, nil
 }
 
-// echo sends back what comes, a block at a time.
-func echo(listener net.Listener) {
+// serveEcho accepts one connection and sends back what it receives until the connection closes.
+func serveEcho(listener net.Listener) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	block := make([]byte, bareBytes)
+	block := make([]byte, claimBytes)
 	for {
 		n, err := conn.Read(block)
 		if err != nil {
@@ -205,13 +211,13 @@
 	}
 }
 
-// measure makes one write and one round trip, unless another is under way.
+// measure records the times of one write and one round trip. It does nothing while another call is in progress.
 func (b *lowerBound) measure() error {
 	if !b.mutex.TryLock() {
 		return nil
 	}
 	defer b.mutex.Unlock()
-	block := make([]byte, bareBytes)
+	block := make([]byte, claimBytes)
 	began := time.Now()
 	if _, err := b.file.Write(block); err != nil {
 		return err
@@ -219,7 +225,7 @@
 	if err := b.file.Sync(); err != nil {
 		return err
 	}
-	b.sync.record(time.Since(began), nil)
+	b.syncs.record(time.Since(began), nil)
 	began = time.Now()
 	if _, err := b.conn.Write(block); err != nil {
 		return err
@@ -227,7 +233,7 @@
 	if _, err := b.conn.Read(block); err != nil {
 		return err
 	}
-	b.trip.record(time.Since(began), nil)
+	b.roundTrips.record(time.Since(began), nil)
 	return nil
 }
 
--- a/internal/bench/gatewaybench/scale.go
+++ b/internal/bench/gatewaybench/scale.go
@@ -14,15 +14,15 @@
 	"github.com/tamarindring/tamarindring/internal/rolecost"
 )
 
-// ScaleConfig says how long to measure the gateway at several sizes.
+// ScaleConfig configures Scale.
 type ScaleConfig struct {
 	// Folder holds the control nodes' data. Required.
 	Folder string
-	// PerPoint is the time of each measurement. Default 4s.
+	// PerPoint is the duration of each measurement. Default 4s.
 	PerPoint time.Duration
 }
 
-// The fitted quantities of ScaleReport, of one gateway.
+// Quantities of the lines in ScaleReport. All are those of one gateway.
 const (
 	RequestCores = "gateway: processor time for requests that are not streamed"
 	ClaimedCores = "gateway: processor time for claimed requests"
@@ -30,9 +30,10 @@
 	StreamBytes  = "gateway: live memory for open streams, gateway, engine and caller together"
 )
 
-// ScalePoint is one load on one gateway.
+// ScalePoint is the cost of one load on one gateway. PerSecond is the rate of completed requests or tokens. For open
+// streams it is their number, and no processor time is measured.
 type ScalePoint struct {
-	Offered      int     `json:"offered"` // requests a second, or streams at once
+	Offered      int     `json:"offered"` // requests a second, or concurrent streams
 	PerSecond    float64 `json:"per_second"`
 	GatewayCores float64 `json:"gateway_cores"`
 	ControlCores float64 `json:"control_cores"`
@@ -41,7 +42,7 @@
 	Failures     int64   `json:"failures"`
 }
 
-// ScaleReport is the gateway's cost at several sizes.
+// ScaleReport is the cost of one gateway at several loads.
 type ScaleReport struct {
 	Requests []ScalePoint `json:"requests"`
 	Claimed  []ScalePoint `json:"claimed_requests"`
@@ -50,15 +51,15 @@
 	Lines    []slope.Line `json:"lines"`
 }
 
-// Sizes of the measurements.
+// Loads at which each quantity is measured.
 var (
-	scaleRates   = []int{500, 1000, 2000, 4000} // requests a second
-	claimedRates = []int{100, 200, 400, 800}    // requests a second
-	tokenStreams = []int{8, 16, 32, 64}         // closed-loop callers
-	openStreams  = []int{100, 200, 400, 800}    // at once
+	requestRates        = []int{500, 1000, 2000, 4000} // requests a second
+	claimedRequestRates = []int{100, 200, 400, 800}    // requests a second
+	tokenStreamCounts   = []int{8, 16, 32, 64}         // concurrent closed-loop callers
+	openStreamCounts    = []int{100, 200, 400, 800}    // concurrent streams
 )
 
-// Scale measures one gateway at several sizes and fits lines.
+// Scale measures one gateway at several loads and fits a line to each quantity.
 func Scale(ctx context.Context, config ScaleConfig) (*ScaleReport, error) {
 	if config.PerPoint <= 0 {
 		config.PerPoint = 4 * time.Second
@@ -71,8 +72,8 @@
 		return nil, err
 	}
 	defer started.close()
-	s := &scale{config: config, fleet: started}
-	for _, measure := range []func(context.Context) error{s.requests, s.claimed, s.tokens, s.openStreams} {
+	s := &scaleRun{config: config, fleet: started}
+	for _, measure := range []func(context.Context) error{s.measureRequests, s.measureClaimedRequests, s.measureTokens, s.measureOpenStreams} {
 		if err := measure(ctx); err != nil {
 			return nil, err
 		}
@@ -80,44 +81,45 @@
 	return &s.report, nil
 }
 
-// scale is one run of Scale.
-type scale struct {
+// scaleRun is the state of one call of Scale.
+type scaleRun struct {
 	config ScaleConfig
 	fleet  *fleet
 	report ScaleReport
 }
 
-// requests offers repeatable requests at fixed rates.
-func (s *scale) requests(ctx context.Context) (err error) {
-	s.report.Requests, err = s.rates(ctx, scaleRates, true)
+// measureRequests measures repeatable requests at fixed rates.
+func (s *scaleRun) measureRequests(ctx context.Context) (err error) {
+	s.report.Requests, err = s.measureRates(ctx, requestRates, true)
 	if err != nil {
 		return err
 	}
-	return s.fit(RequestCores, "request/s", s.report.Requests)
+	return s.fitCores(RequestCores, "request/s", s.report.Requests)
 }
 
-// claimed offers requests that need a durable claim.
-func (s *scale) claimed(ctx context.Context) (err error) {
-	s.report.Claimed, err = s.rates(ctx, claimedRates, false)
+// measureClaimedRequests measures requests that need a durable claim at fixed rates.
+func (s *scaleRun) measureClaimedRequests(ctx context.Context) (err error) {
+	s.report.Claimed, err = s.measureRates(ctx, claimedRequestRates, false)
 	if err != nil {
 		return err
 	}
-	return s.fit(ClaimedCores, "request/s", s.report.Claimed)
+	return s.fitCores(ClaimedCores, "request/s", s.report.Claimed)
 }
 
-func (s *scale) rates(ctx context.Context, rates []int, repeatable bool) ([]ScalePoint, error) {
-	caller, names := newHTTPCaller(), &keys{}
+// measureRates measures one point for each rate after a warm-up at the first of them.
+func (s *scaleRun) measureRates(ctx context.Context, rates []int, repeatable bool) ([]ScalePoint, error) {
+	caller, keys := newHTTPCaller(), &keyGenerator{}
 	prefix := map[bool]string{true: "plain-", false: "claimed-"}[repeatable]
 	call := func() error {
-		_, err := caller.call(s.fleet.gateway.Address(), "/v1/pools/"+poolBare+"/push", prefix+names.take(), repeatable)
+		_, err := caller.post(s.fleet.gateway.Address(), "/v1/pools/"+poolBare+"/push", prefix+keys.next(), repeatable)
 		return err
 	}
 	var points []ScalePoint
-	openLoop(ctx, rates[0], warmTime*2, [2]func() error{call, call}, [2]*recorder{newRecorder(), newRecorder()})
+	runOpenLoop(ctx, rates[0], warmUpTime*2, [2]func() error{call, call}, [2]*latencyRecorder{newLatencyRecorder(), newLatencyRecorder()})
 	for _, rate := range rates {
-		results := newRecorder()
-		point, err := scalePoint(rate, func() (float64, int64) {
-			openLoop(ctx, rate, s.config.PerPoint, [2]func() error{call, call}, [2]*recorder{results, results})
+		results := newLatencyRecorder()
+		point, err := measurePoint(rate, func() (float64, int64) {
+			runOpenLoop(ctx, rate, s.config.PerPoint, [2]func() error{call, call}, [2]*latencyRecorder{results, results})
 			return float64(results.histogram.TotalCount()), results.failures.Load()
 		})
 		if err != nil {
@@ -128,31 +130,32 @@
 	return points, nil
 }
 
-// tokens streams answers as fast as a number of callers can.
-func (s *scale) tokens(ctx context.Context) error {
+// measureTokens measures streamed tokens with several numbers of closed-loop callers.
+func (s *scaleRun) measureTokens(ctx context.Context) error {
 	caller := newStreamCaller()
-	var number atomic.Uint64
+	var promptNumber atomic.Uint64
 	call := func() (int, error) {
-		_, count, err := caller.stream(s.fleet.gateway.Address(), poolQuick, number.Add(1), streamTokens)
+		_, count, err := caller.stream(s.fleet.gateway.Address(), poolQuick, promptNumber.Add(1), averageStreamTokens)
 		return count, err
 	}
-	closedLoop(ctx, tokenStreams[0], warmTime, call)
-	for _, streams := range tokenStreams {
-		point, err := scalePoint(streams, func() (float64, int64) { return closedLoop(ctx, streams, s.config.PerPoint, call) })
+	runClosedLoop(ctx, tokenStreamCounts[0], warmUpTime, call)
+	for _, streams := range tokenStreamCounts {
+		point, err := measurePoint(streams, func() (float64, int64) { return runClosedLoop(ctx, streams, s.config.PerPoint, call) })
 		if err != nil {
 			return err
 		}
 		s.report.Tokens = append(s.report.Tokens, point)
 	}
-	return s.fit(TokenCores, "token/s", s.report.Tokens)
+	return s.fitCores(TokenCores, "token/s", s.report.Tokens)
 }
 
-// streamTokens is the length of a streamed answer: the target's tokens over its requests.
-const streamTokens = 476
+// averageStreamTokens is the number of tokens of a streamed completion. It is the token rate of the target load divided
+// by its request rate.
+const averageStreamTokens = 476
 
-// openStreams holds long streams open and looks at the memory meanwhile.
-func (s *scale) openStreams(ctx context.Context) error {
-	for _, streams := range openStreams {
+// measureOpenStreams measures live memory with several numbers of open streams.
+func (s *scaleRun) measureOpenStreams(ctx context.Context) error {
+	for _, streams := range openStreamCounts {
 		point, err := s.holdStreams(ctx, streams)
 		if err != nil {
 			return err
@@ -168,8 +171,9 @@
 	return err
 }
 
-// holdStreams opens streams that go on until the memory was measured.
-func (s *scale) holdStreams(ctx context.Context, streams int) (ScalePoint, error) {
+// holdStreams opens streams, measures live memory and closes the streams. It fails if not all of them are open within
+// PerPoint.
+func (s *scaleRun) holdStreams(ctx context.Context, streams int) (ScalePoint, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	caller := newStreamCaller()
@@ -184,7 +188,7 @@
 	}
 	deadline := time.Now().Add(s.config.PerPoint)
 	for opened.Load()+failures.Load() < int64(streams) && time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(warmTime / 10)
+		time.Sleep(warmUpTime / 10)
 	}
 	point := ScalePoint{Offered: streams, PerSecond: float64(opened.Load()), LiveBytes: rig.MeasureLiveBytes(), Failures: failures.Load()}
 	stop()
@@ -195,8 +199,8 @@
 	return point, nil
 }
 
-// scalePoint measures the processor time of a load.
-func scalePoint(offered int, load func() (count float64, failures int64)) (ScalePoint, error) {
+// measurePoint measures the processor time of a load. load returns how many requests or tokens it completed.
+func measurePoint(offered int, load func() (count float64, failures int64)) (ScalePoint, error) {
 	recorder, err := rolecost.Start()
 	if err != nil {
 		return ScalePoint{}, trace.Wrap(err)
@@ -210,13 +214,13 @@
 		ControlCores: cost.ApportionedCores(rig.RoleControl), ProcessCores: cost.TotalCores, Failures: failures}, nil
 }
 
-// fit adds the line of the gateway's processor time.
-func (s *scale) fit(quantity, per string, measured []ScalePoint) error {
+// fitCores adds a line of the gateway's processor time over the rate to the report.
+func (s *scaleRun) fitCores(quantity, sizeUnit string, measured []ScalePoint) error {
 	points := make([]slope.Point, 0, len(measured))
 	for _, point := range measured {
 		points = append(points, slope.Point{Size: point.PerSecond, Value: point.GatewayCores})
 	}
-	line, err := slope.Fit(quantity, "cores", per, points)
+	line, err := slope.Fit(quantity, "cores", sizeUnit, points)
 	s.report.Lines = append(s.report.Lines, line)
 	return err
 }
