--- a/internal/bench/consensusbench/baresync.go
+++ b/internal/bench/consensusbench/baresync.go
@@ -13,16 +13,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// bareWriteBytes is about the size of one claim in the log.
+// bareWriteBytes is the approximate size of one claim in the log.
 const bareWriteBytes = 256
 
-// bareSync measures an append and fdatasync by one writer, and by three at once.
-func (r *run) bareSync(ctx context.Context) error {
-	one, err := r.syncWriters(ctx, 1)
+// measureBareSync measures an append followed by fdatasync, first by one writer and then by three concurrent writers.
+func (r *run) measureBareSync(ctx context.Context) error {
+	one, err := r.runSyncWriters(ctx, 1)
 	if err != nil {
 		return err
 	}
-	three, err := r.syncWriters(ctx, nodeCount)
+	three, err := r.runSyncWriters(ctx, nodeCount)
 	if err != nil {
 		return err
 	}
@@ -30,26 +30,29 @@
 	return nil
 }
 
-func (r *run) syncWriters(ctx context.Context, writers int) (*hdrhistogram.Histogram, error) {
+// runSyncWriters runs concurrent writers with a file each for half of the configured duration and returns the latencies
+// of all their writes.
+func (r *run) runSyncWriters(ctx context.Context, writers int) (*hdrhistogram.Histogram, error) {
 	histograms := make([]*hdrhistogram.Histogram, writers)
 	running, ctx := errgroup.WithContext(ctx)
 	for i := range writers {
 		running.Go(func() error {
 			var err error
-			histograms[i], err = syncWriter(ctx, filepath.Join(r.folder, fmt.Sprintf("bare-%d-%d", writers, i)), r.config.Duration/2)
+			histograms[i], err = runSyncWriter(ctx, filepath.Join(r.folder, fmt.Sprintf("bare-%d-%d", writers, i)), r.config.Duration/2)
 			return err
 		})
 	}
 	if err := running.Wait(); err != nil {
 		return nil, err
 	}
-	for _, other := range histograms[1:] {
-		histograms[0].Merge(other)
+	for _, histogram := range histograms[1:] {
+		histograms[0].Merge(histogram)
 	}
 	return histograms[0], nil
 }
 
-func syncWriter(ctx context.Context, path string, duration time.Duration) (*hdrhistogram.Histogram, error) {
+// runSyncWriter appends blocks to a new file at path, each followed by fdatasync, and returns the latencies.
+func runSyncWriter(ctx context.Context, path string, duration time.Duration) (*hdrhistogram.Histogram, error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
--- a/internal/bench/consensusbench/bench.go
+++ b/internal/bench/consensusbench/bench.go
@@ -11,29 +11,29 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config says what to measure. The whole run is bounded by these numbers.
+// Config sets the sizes and durations of the measurements, which bound the duration of the whole run.
 type Config struct {
-	// Folder holds the nodes' data folders during the run; its disk is what is measured. Default: the
-	// system's folder for temporary files.
+	// Folder is where the nodes' data folders are created. They are removed after the run. The result depends on the
+	// disk that it is on. Default: the system's folder for temporary files.
 	Folder string
 	// Clients lists the numbers of concurrent clients. Default 1, 8, 64, 512.
 	Clients []int
-	// Duration is the time of each load. Default 2s.
+	// Duration is the duration of each load. Bare synced writes are measured for half of it. Default 2s.
 	Duration time.Duration
-	// Rate is the number of claims a second of the open-loop load. Default 10000.
+	// Rate is the number of claims a second in the open-loop load. Default 10000.
 	Rate int
-	// LedgerGroups is the number of groups that claims are spread over. Default 4.
+	// LedgerGroups is the number of ledger groups over which claims are distributed. Default 4.
 	LedgerGroups int
-	// Kills is the number of times that the leader is stopped abruptly. Default 9.
+	// Kills is how many times the leader is stopped without a handover. Default 9.
 	Kills int
-	// Entries is the log length of the restart measurement. Default 10000.
+	// Entries is the number of log entries that a node replays in the restart measurement. Default 10000.
 	Entries int
 	// Changes is the number of entries that a node misses in the catch-up measurement. Default 500.
 	Changes int
-	// SnapshotClaims is the number of claims in the state that is transferred; more than the entries that
-	// raft retains behind a snapshot (1000). Default 50000.
+	// SnapshotClaims is the number of claims in the state that is transferred as a snapshot. It must exceed the 1000
+	// entries that raft retains behind a snapshot, because a learner needs no snapshot otherwise. Default 50000.
 	SnapshotClaims int
-	// Log receives the nodes' messages. Optional.
+	// Log receives the nodes' log messages. Optional.
 	Log *logrus.Entry
 }
 
@@ -53,54 +53,56 @@
 	CommittedPerSec float64 `json:"committed_per_second"`
 	Errors          int64   `json:"errors"`
 	Latency         Latency `json:"latency"`
-	// P50Syncs and P99Syncs are the latencies over the median bare sync of three concurrent writers.
-	P50Syncs float64 `json:"p50_over_bare_sync"`
-	P99Syncs float64 `json:"p99_over_bare_sync"`
-	// P99OverP99 is the p99 latency over the p99 of the bare sync.
-	P99OverP99 float64 `json:"p99_over_bare_sync_p99"`
-	// Speedup is the rate over that of one sync per claim with as many clients.
+	// P50OverSync and P99OverSync are the latencies divided by the median latency of a bare synced write by three
+	// concurrent writers.
+	P50OverSync float64 `json:"p50_over_bare_sync"`
+	P99OverSync float64 `json:"p99_over_bare_sync"`
+	// P99OverSyncP99 is the p99 latency divided by the p99 latency of the same bare synced writes.
+	P99OverSyncP99 float64 `json:"p99_over_bare_sync_p99"`
+	// Speedup is CommittedPerSec divided by that of one sync per claim with the same number of clients.
 	Speedup float64 `json:"over_sync_per_claim,omitempty"`
 }
 
-// Report is what the bench prints.
+// Report is the result of Run.
 type Report struct {
 	Processors     int     `json:"processors"`
 	Nodes          int     `json:"nodes"`
 	LedgerGroups   int     `json:"ledger_groups"`
 	BareSync       Latency `json:"bare_sync"`             // one writer
-	BareSyncShared Latency `json:"bare_sync_three_files"` // three writers at once, as the three nodes are
+	BareSyncShared Latency `json:"bare_sync_three_files"` // three concurrent writers with a file each, like the three nodes
 	Loads          []Load  `json:"loads"`
-	// LeaderLoss is the time from an abrupt stop of the leader to the next commit, in milliseconds.
-	LeaderLoss Sample `json:"without_leader"`
-	// Restart is the time in which one node opens its folder and has applied the log.
+	// LeaderLoss is the time from a stop of the leader without a handover until the next commit.
+	LeaderLoss Summary `json:"without_leader"`
+	// Restart is the time that one node takes to open its folder and apply its log.
 	Restart Restart `json:"restart"`
-	// CatchUp is the time from the start of a node that missed changes until it has applied them.
+	// CatchUp is the time from the start of a node that missed entries until it has applied them.
 	CatchUp CatchUp `json:"catch_up"`
-	// Snapshot is the time in which an empty learner gets the whole state.
+	// Snapshot is the time that an empty learner takes to receive and apply the whole state.
 	Snapshot SnapshotTransfer `json:"snapshot_transfer"`
 }
 
-// Sample summarises a few durations in milliseconds.
-type Sample struct {
+// Summary summarises a small number of durations in milliseconds.
+type Summary struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_millis"`
 	Min    float64 `json:"min_millis"`
 	Max    float64 `json:"max_millis"`
 }
 
-// Restart is the result of the restart measurement.
+// Restart is the result of the restart measurement: the number of log entries and the time to apply them.
 type Restart struct {
 	Entries int     `json:"entries"`
 	Millis  float64 `json:"millis"`
 }
 
-// CatchUp is the result of the catch-up measurement.
+// CatchUp is the result of the catch-up measurement: the number of missed entries and the time to apply them.
 type CatchUp struct {
 	Changes int     `json:"changes"`
 	Millis  float64 `json:"millis"`
 }
 
-// SnapshotTransfer is the result of the snapshot measurement.
+// SnapshotTransfer is the result of the snapshot measurement: the claims in the state, the size of the snapshot and the
+// time from the addition of the learner until it has applied all committed entries.
 type SnapshotTransfer struct {
 	Claims int     `json:"claims"`
 	Bytes  int     `json:"bytes"`
@@ -124,7 +126,8 @@
 	}
 }
 
-// Run measures everything and returns the report. A load whose requests fail is reported with its errors.
+// Run makes all measurements and returns the report. Failed requests of a load are counted in the report. Any other
+// failure ends the run, and the report of what was measured before it is returned together with the error.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	config.setDefaults()
 	folder, err := os.MkdirTemp(config.Folder, "bench-consensus-")
@@ -134,7 +137,7 @@
 	defer os.RemoveAll(folder)
 	run := &run{config: config, folder: folder, report: &Report{
 		Processors: runtime.GOMAXPROCS(0), Nodes: nodeCount, LedgerGroups: config.LedgerGroups}}
-	steps := []func(context.Context) error{run.bareSync, run.loads, run.leaderLoss, run.restart, run.catchUp, run.snapshot}
+	steps := []func(context.Context) error{run.measureBareSync, run.measureLoads, run.measureLeaderLoss, run.measureRestart, run.measureCatchUp, run.measureSnapshot}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return run.report, err
@@ -143,7 +146,7 @@
 	return run.report, nil
 }
 
-// run is one run of the bench.
+// run is the state of one call of Run.
 type run struct {
 	config Config
 	folder string
--- a/internal/bench/consensusbench/bench_test.go
+++ b/internal/bench/consensusbench/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRunMeasuresEverything runs a small bench: every part has to have examined something.
+// TestRunMeasuresEverything guards against parts of the benchmark that measure nothing or whose claims fail. The whole
+// benchmark runs with small sizes.
 func TestRunMeasuresEverything(t *testing.T) {
 	report, err := Run(context.Background(), Config{Folder: t.TempDir(), Clients: []int{4}, Duration: 200 * time.Millisecond,
 		Rate: 200, Kills: 1, Entries: 200, Changes: 50, SnapshotClaims: 1500})
@@ -14,15 +15,15 @@
 		t.Fatal(err)
 	}
 	if len(report.Loads) != 3 {
-		t.Fatalf("%d loads, want 3", len(report.Loads))
+		t.Fatalf("got %d loads, want 3", len(report.Loads))
 	}
 	for _, load := range report.Loads {
 		if load.Latency.Count == 0 || load.Errors > 0 {
-			t.Errorf("%s committed %d claims with %d errors", load.Mode, load.Latency.Count, load.Errors)
+			t.Errorf("%s: got %d committed claims and %d errors, want claims and no error", load.Mode, load.Latency.Count, load.Errors)
 		}
 	}
 	if report.BareSync.Count == 0 || report.LeaderLoss.Count != 1 || report.Snapshot.Claims < 1500 || report.Snapshot.Bytes == 0 ||
 		report.Restart.Millis == 0 || report.CatchUp.Millis == 0 {
-		t.Errorf("something was not measured: %+v", report)
+		t.Errorf("got a report with missing measurements: %+v", report)
 	}
 }
--- a/internal/bench/consensusbench/cluster.go
+++ b/internal/bench/consensusbench/cluster.go
@@ -35,27 +35,27 @@
 	finished chan struct{}
 }
 
-// cluster is a few nodes in this process over TCP on the loopback interface.
+// cluster is a set of nodes in this process that communicate by TCP over the loopback interface.
 type cluster struct {
-	run    *run
-	change func(*consensus.Config)
-	nodes  []*node
-	groups []uint32
+	run       *run
+	configure func(*consensus.Config) // modifies the configuration of every node; may be nil
+	nodes     []*node
+	groups    []uint32
 }
 
-// startCluster starts a new cluster whose folders lie under name.
-func (r *run) startCluster(name string, change func(*consensus.Config)) (*cluster, error) {
-	c := &cluster{run: r, change: change}
+// startCluster starts a new cluster whose nodes keep their data under the folder name of the run's folder.
+func (r *run) startCluster(name string, configure func(*consensus.Config)) (*cluster, error) {
+	c := &cluster{run: r, configure: configure}
 	for group := range r.config.LedgerGroups + 1 {
 		c.groups = append(c.groups, uint32(group))
 	}
 	for id := uint64(1); id <= nodeCount; id++ {
-		if err := c.add(id, name); err != nil {
+		if err := c.addNode(id, name); err != nil {
 			return nil, err
 		}
 	}
 	for _, node := range c.nodes {
-		if err := c.start(node, false); err != nil {
+		if err := c.startNode(node, false); err != nil {
 			c.close()
 			return nil, err
 		}
@@ -63,8 +63,8 @@
 	return c, nil
 }
 
-// add reserves an address for a node.
-func (c *cluster) add(id uint64, name string) error {
+// addNode adds a node that is not started yet. It chooses a free TCP port for its address.
+func (c *cluster) addNode(id uint64, name string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// start opens a node's folder and runs it.
-func (c *cluster) start(n *node, join bool) error {
+// startNode opens a node's folder and runs the node in the background. join marks a new member of a running cluster.
+func (c *cluster) startNode(n *node, join bool) error {
 	var err error
 	n.store, err = storage.Open(storage.Options{Folder: n.folder, ClusterID: clusterID, NodeID: n.peer.ID, NodeName: n.peer.Name})
 	if err != nil {
@@ -90,8 +90,8 @@
 	for _, other := range c.nodes {
 		config.Peers = append(config.Peers, other.peer)
 	}
-	if c.change != nil {
-		c.change(&config)
+	if c.configure != nil {
+		c.configure(&config)
 	}
 	n.host, err = consensus.New(config)
 	if err != nil {
@@ -101,6 +101,7 @@
 	return n.serve()
 }
 
+// serve serves the node's raft connections and runs its host until kill is called.
 func (n *node) serve() error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterRaft(mux, n.host); err != nil {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// kill stops a node abruptly and releases its folder.
+// kill stops a node without a handover of leadership, waits until it has stopped and closes its store.
 func (n *node) kill() {
 	if n.host == nil {
 		return
@@ -144,8 +145,8 @@
 	}
 }
 
-// leader waits until a running node confirms that it leads the group.
-func (c *cluster) leader(ctx context.Context, group uint32) (*node, error) {
+// waitForLeader waits until a running node confirms that it leads the group, and returns that node.
+func (c *cluster) waitForLeader(ctx context.Context, group uint32) (*node, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderWait)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -159,19 +160,19 @@
 	return nil, trace.LimitExceeded("group %d has no leader", group)
 }
 
-// spreadLeaders hands each ledger group to another node, as a placement of a running fleet would.
+// spreadLeaders distributes the leaders of the groups evenly over the nodes, as a running deployment does.
 func (c *cluster) spreadLeaders(ctx context.Context) error {
 	for _, group := range c.groups {
-		want := c.nodes[int(group)%nodeCount]
+		wantLeader := c.nodes[int(group)%nodeCount]
 		for {
-			leader, err := c.leader(ctx, group)
+			leader, err := c.waitForLeader(ctx, group)
 			if err != nil {
 				return err
 			}
-			if leader == want {
+			if leader == wantLeader {
 				break
 			}
-			err = leader.host.TransferLeadership(ctx, group, want.peer.ID)
+			err = leader.host.TransferLeadership(ctx, group, wantLeader.peer.ID)
 			var notLeader *consensus.ErrNotLeader
 			if err != nil && !errors.As(err, &notLeader) {
 				return err
@@ -182,8 +183,8 @@
 	return nil
 }
 
-// applied waits until a node has applied a group's log up to an index.
-func (n *node) applied(ctx context.Context, group uint32, index uint64) error {
+// waitApplied waits until the node has applied a group's log up to index.
+func (n *node) waitApplied(ctx context.Context, group uint32, index uint64) error {
 	for {
 		status, err := n.host.Status(ctx, group)
 		if err != nil {
@@ -196,9 +197,9 @@
 	}
 }
 
-// compacted waits until the node has dropped the beginning of the log, which it does beside its other work:
-// from then on a new member needs the snapshot.
-func (n *node) compacted(ctx context.Context, group uint32) error {
+// waitCompacted waits until the node has removed the beginning of the group's log, so that a new member needs a
+// snapshot. Nodes compact in the background.
+func (n *node) waitCompacted(ctx context.Context, group uint32) error {
 	for {
 		status, err := n.host.Status(ctx, group)
 		if err != nil {
--- a/internal/bench/consensusbench/recovery.go
+++ b/internal/bench/consensusbench/recovery.go
@@ -15,52 +15,54 @@
 )
 
 const (
-	recoveryGroup  uint32 = 1 // the group whose leader is killed and whose log is measured
-	proposeTimeout        = 100 * time.Millisecond
-	fillers               = 256 // concurrent proposers that fill a log
+	recoveryGroup          uint32 = 1 // ledger group whose leader is stopped and whose log is measured
+	proposeTimeout                = 100 * time.Millisecond
+	maxConcurrentProposals        = 256 // maximum number of concurrent proposals of fillLog
 )
 
-// leaderLoss stops the leader abruptly, again and again, and measures the time to the next commit.
-func (r *run) leaderLoss(ctx context.Context) error {
+// measureLeaderLoss repeatedly stops the leader without a handover and measures the time until the next commit. The
+// stopped node is restarted and has caught up before the next repetition.
+func (r *run) measureLeaderLoss(ctx context.Context) error {
 	c, err := r.startCluster("leader-loss", nil)
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	source := &claims{prefix: "loss", groups: r.config.LedgerGroups}
+	source := &claimGenerator{prefix: "loss", groups: r.config.LedgerGroups}
 	var losses []time.Duration
 	for range r.config.Kills {
-		leader, err := c.leader(ctx, recoveryGroup)
+		leader, err := c.waitForLeader(ctx, recoveryGroup)
 		if err != nil {
 			return err
 		}
 		begin := time.Now()
 		leader.kill()
-		if err := c.commitSomewhere(ctx, source); err != nil {
+		if err := c.commitClaim(ctx, source); err != nil {
 			return err
 		}
 		losses = append(losses, time.Since(begin))
-		if err := c.start(leader, false); err != nil {
+		if err := c.startNode(leader, false); err != nil {
 			return err
 		}
-		if err := c.level(ctx, leader); err != nil {
+		if err := c.waitCaughtUp(ctx, leader); err != nil {
 			return err
 		}
 	}
 	slices.Sort(losses)
-	r.report.LeaderLoss = Sample{Count: len(losses), Median: millis(losses[len(losses)/2]), Min: millis(losses[0]),
+	r.report.LeaderLoss = Summary{Count: len(losses), Median: millis(losses[len(losses)/2]), Min: millis(losses[0]),
 		Max: millis(losses[len(losses)-1])}
 	return nil
 }
 
-// commitSomewhere offers a command to all running nodes in turn until one commits it.
-func (c *cluster) commitSomewhere(ctx context.Context, source *claims) error {
-	_, command := source.begin()
-	return c.resend(ctx, command)
+// commitClaim proposes a new claim to all running nodes in turn until one commits it.
+func (c *cluster) commitClaim(ctx context.Context, source *claimGenerator) error {
+	_, command := source.next()
+	return c.proposeUntilCommitted(ctx, command)
 }
 
-// resend offers a command whose fate may be unknown to all running nodes in turn until one commits it.
-func (c *cluster) resend(ctx context.Context, command *wire.Command) error {
+// proposeUntilCommitted proposes a command to all running nodes in turn until one commits it, and fails after
+// leaderWait. An earlier attempt with the same command may have been committed.
+func (c *cluster) proposeUntilCommitted(ctx context.Context, command *wire.Command) error {
 	deadline := time.Now().Add(leaderWait)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		for _, node := range c.nodes {
@@ -79,9 +81,9 @@
 	return trace.LimitExceeded("nothing was committed after the loss of the leader")
 }
 
-// level waits until a node has applied all that its group's leader has committed.
-func (c *cluster) level(ctx context.Context, n *node) error {
-	leader, err := c.leader(ctx, recoveryGroup)
+// waitCaughtUp waits until the node has applied all entries that the leader of recoveryGroup has committed at the call.
+func (c *cluster) waitCaughtUp(ctx context.Context, n *node) error {
+	leader, err := c.waitForLeader(ctx, recoveryGroup)
 	if err != nil {
 		return err
 	}
@@ -89,24 +91,24 @@
 	if err != nil {
 		return err
 	}
-	return n.applied(ctx, recoveryGroup, status.Commit)
+	return n.waitApplied(ctx, recoveryGroup, status.Commit)
 }
 
-// fill commits a number of claims in the measured group and returns its leader. An election meanwhile, as on a
-// busy machine, costs time and no claim.
-func (c *cluster) fill(ctx context.Context, prefix string, count int) (*node, error) {
-	leader, err := c.leader(ctx, recoveryGroup)
+// fillLog commits count claims in recoveryGroup and returns the group's leader. An election meanwhile, which can happen
+// on a busy machine, costs time but no claim, because claims that the old leader did not commit are proposed again.
+func (c *cluster) fillLog(ctx context.Context, prefix string, count int) (*node, error) {
+	leader, err := c.waitForLeader(ctx, recoveryGroup)
 	if err != nil {
 		return nil, err
 	}
-	source := &claims{prefix: prefix, groups: 1}
+	source := &claimGenerator{prefix: prefix, groups: 1}
 	running, fillCtx := errgroup.WithContext(ctx)
-	running.SetLimit(fillers)
+	running.SetLimit(maxConcurrentProposals)
 	for range count {
 		running.Go(func() error {
-			_, command := source.begin()
+			_, command := source.next()
 			if _, _, err := leader.host.Propose(fillCtx, recoveryGroup, command); err != nil {
-				return c.resend(fillCtx, command)
+				return c.proposeUntilCommitted(fillCtx, command)
 			}
 			return nil
 		})
@@ -114,11 +116,11 @@
 	if err := running.Wait(); err != nil {
 		return nil, err
 	}
-	return c.leader(ctx, recoveryGroup)
+	return c.waitForLeader(ctx, recoveryGroup)
 }
 
-// follower returns a running node other than the leader.
-func (c *cluster) follower(leader *node) *node {
+// pickFollower returns the first node that is not the leader. All nodes must be running.
+func (c *cluster) pickFollower(leader *node) *node {
 	for _, node := range c.nodes {
 		if node != leader {
 			return node
@@ -127,92 +129,93 @@
 	return nil
 }
 
-// keepLog keeps nodes from compacting, so that the whole log is replayed.
-func (r *run) keepLog(config *consensus.Config) {
+// disableCompaction sets the snapshot interval so high that nodes never compact their logs, so that a restarted node
+// replays the whole log.
+func (r *run) disableCompaction(config *consensus.Config) {
 	config.SnapshotEntries = 100 * (r.config.Entries + r.config.Changes + r.config.SnapshotClaims)
 }
 
-// restart measures how long a node takes to open its folder and apply a log without a snapshot.
-func (r *run) restart(ctx context.Context) error {
-	c, err := r.startCluster("restart", r.keepLog)
+// measureRestart measures how long a node takes to open its folder and apply its log without a snapshot.
+func (r *run) measureRestart(ctx context.Context) error {
+	c, err := r.startCluster("restart", r.disableCompaction)
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	leader, err := c.fill(ctx, "restart", r.config.Entries)
+	leader, err := c.fillLog(ctx, "restart", r.config.Entries)
 	if err != nil {
 		return err
 	}
-	restarted := c.follower(leader)
-	if err := c.level(ctx, restarted); err != nil {
+	restarted := c.pickFollower(leader)
+	if err := c.waitCaughtUp(ctx, restarted); err != nil {
 		return err
 	}
 	restarted.kill()
 	begin := time.Now()
-	if err := c.start(restarted, false); err != nil {
+	if err := c.startNode(restarted, false); err != nil {
 		return err
 	}
-	if err := c.level(ctx, restarted); err != nil {
+	if err := c.waitCaughtUp(ctx, restarted); err != nil {
 		return err
 	}
 	r.report.Restart = Restart{Entries: r.config.Entries, Millis: millis(time.Since(begin))}
 	return nil
 }
 
-// catchUp measures how long a node takes that missed hundreds of changes, from its start.
-func (r *run) catchUp(ctx context.Context) error {
+// measureCatchUp measures the time from the start of a node that missed entries until it has applied them.
+func (r *run) measureCatchUp(ctx context.Context) error {
 	c, err := r.startCluster("catch-up", nil)
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	leader, err := c.fill(ctx, "before", 1)
+	leader, err := c.fillLog(ctx, "before", 1)
 	if err != nil {
 		return err
 	}
-	missing := c.follower(leader)
-	missing.kill()
-	if _, err := c.fill(ctx, "missed", r.config.Changes); err != nil {
+	stopped := c.pickFollower(leader)
+	stopped.kill()
+	if _, err := c.fillLog(ctx, "missed", r.config.Changes); err != nil {
 		return err
 	}
 	begin := time.Now()
-	if err := c.start(missing, false); err != nil {
+	if err := c.startNode(stopped, false); err != nil {
 		return err
 	}
-	if err := c.level(ctx, missing); err != nil {
+	if err := c.waitCaughtUp(ctx, stopped); err != nil {
 		return err
 	}
 	r.report.CatchUp = CatchUp{Changes: r.config.Changes, Millis: millis(time.Since(begin))}
 	return nil
 }
 
-// snapshot measures how long an empty learner takes to get the whole state as a snapshot.
-func (r *run) snapshot(ctx context.Context) error {
+// measureSnapshot measures how long an empty learner takes to receive the whole state as a snapshot and apply it.
+func (r *run) measureSnapshot(ctx context.Context) error {
 	c, err := r.startCluster("snapshot", func(config *consensus.Config) { config.SnapshotEntries = r.config.SnapshotClaims })
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	leader, err := c.fill(ctx, "snapshot", r.config.SnapshotClaims+1)
+	leader, err := c.fillLog(ctx, "snapshot", r.config.SnapshotClaims+1)
 	if err != nil {
 		return err
 	}
-	if err := leader.compacted(ctx, recoveryGroup); err != nil {
+	if err := leader.waitCompacted(ctx, recoveryGroup); err != nil {
 		return err
 	}
 	const learnerID = nodeCount + 1
-	if err := c.add(learnerID, "snapshot"); err != nil {
+	if err := c.addNode(learnerID, "snapshot"); err != nil {
 		return err
 	}
 	learner := c.nodes[nodeCount]
-	if err := c.start(learner, true); err != nil {
+	if err := c.startNode(learner, true); err != nil {
 		return err
 	}
 	begin := time.Now()
 	if err := leader.host.AddLearner(ctx, recoveryGroup, learnerID); err != nil && !errors.Is(err, raft.ErrAlreadyMember) {
 		return err
 	}
-	if err := c.level(ctx, learner); err != nil {
+	if err := c.waitCaughtUp(ctx, learner); err != nil {
 		return err
 	}
 	elapsed := time.Since(begin)
--- a/internal/bench/processbench/processbench.go
+++ b/internal/bench/processbench/processbench.go
@@ -42,8 +42,8 @@
 	writtenBytes  uint64
 }
 
-// Measure returns the resource usage of the processes during the given duration, in the order of pids. It fails when ctx
-// ends before that, or when a process is not running or may not be inspected.
+// Measure returns the resource usage of the processes during the given duration, in the order of pids. It fails when
+// ctx ends before that, or when a process is not running or may not be inspected.
 func Measure(ctx context.Context, pids []int, duration time.Duration) ([]Cost, error) {
 	before := make([]sample, len(pids))
 	started := time.Now()
--- a/internal/bench/processbench/processbench_test.go
+++ b/internal/bench/processbench/processbench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestMeasureReportsActivityOfAProcess guards against figures that stay 0. The measured process is the test itself, which
-// writes to the null device all the time.
+// TestMeasureReportsActivityOfAProcess guards against figures that stay 0. The measured process is the test itself,
+// which writes to the null device all the time.
 func TestMeasureReportsActivityOfAProcess(t *testing.T) {
 	stop := make(chan struct{})
 	finished := make(chan struct{})
--- a/internal/bench/slope/slope.go
+++ b/internal/bench/slope/slope.go
@@ -29,8 +29,8 @@
 // minPoints is the minimum number of points. Any two points lie on a line, so that RSquared would say nothing.
 const minPoints = 3
 
-// Fit returns the least-squares line through points. It fails when there are fewer than three. The names of the quantity
-// and of the units of value and size are copied into the result.
+// Fit returns the least-squares line through points. It fails when there are fewer than three. The names of the
+// quantity and of the units of value and size are copied into the result.
 func Fit(quantity, unit, sizeUnit string, points []Point) (Line, error) {
 	if len(points) < minPoints {
 		return Line{}, trace.BadParameter("%s: %d sizes measured, at least %d are needed for a slope", quantity, len(points), minPoints)
--- a/internal/httpexample/httpexample_test.go
+++ b/internal/httpexample/httpexample_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestParseRejectsMalformedPages guards against examples that are skipped because their blocks are malformed or unpaired.
+// TestParseRejectsMalformedPages guards against examples that are skipped because their blocks are malformed or
+// unpaired.
 func TestParseRejectsMalformedPages(t *testing.T) {
 	for name, text := range map[string]string{
 		"no answer":  "```http\nGET / HTTP/1.1\n```\n",
