--- a/internal/fleet/cable.go
+++ b/internal/fleet/cable.go
@@ -10,18 +10,17 @@
 
 const (
 	dialTimeout = time.Second
-	// sendBuffer is what a connection takes while its cable is cut, like the kernel's buffer.
+	// sendBuffer is how many bytes a connection accepts while its cable is cut, like the kernel's send buffer.
 	sendBuffer = 1 << 20
 )
 
-// cable is how one part is connected to the others. While it is cut nothing is refused and nothing arrives:
-// connections stay open in silence, and what was sent arrives after the cable is mended, as it does by TCP's
-// retransmission.
+// cable is the network link between one part and the others. While it is cut, connections are neither refused nor
+// closed and no bytes arrive. What was sent arrives after the repair, as it does through TCP retransmission.
 type cable struct {
 	mutex       sync.Mutex
 	holdsIn     bool
 	holdsOut    bool
-	mended      chan struct{} // closed when nothing is held
+	mended      chan struct{} // closed while nothing is held
 	connections map[*cableConnection]struct{}
 }
 
@@ -31,7 +30,7 @@
 	return &cable{mended: mended, connections: map[*cableConnection]struct{}{}}
 }
 
-// cut stops what arrives, what leaves, or both.
+// cut stops incoming bytes, outgoing bytes, or both.
 func (c *cable) cut(in, out bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -41,7 +40,7 @@
 	c.holdsIn, c.holdsOut = in, out
 }
 
-// mend lets everything through again.
+// mend ends the cut and sends what was held.
 func (c *cable) mend() {
 	c.mutex.Lock()
 	if c.holdsIn || c.holdsOut {
@@ -58,7 +57,7 @@
 	}
 }
 
-// held returns a channel that is closed at the mending, or nil when nothing is held in that direction.
+// held returns a channel that is closed when the cable is mended, or nil when nothing is held in the given direction.
 func (c *cable) held(out bool) <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -68,7 +67,8 @@
 	return nil
 }
 
-// dial implements controlclient.DialFunc: a new connection over a cut cable waits.
+// dial implements controlclient.DialFunc. A new connection over a cut cable waits for the repair, for at most
+// dialTimeout.
 func (c *cable) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	for _, out := range []bool{true, false} {
 		if held := c.held(out); held != nil {
@@ -105,7 +105,7 @@
 	delete(c.connections, connection)
 }
 
-// cableListener attaches the connections that it accepts.
+// cableListener attaches the connections that it accepts to a cable.
 type cableListener struct {
 	net.Listener
 	cable *cable
@@ -120,7 +120,7 @@
 	return l.cable.attach(connection), nil
 }
 
-// cableConnection is one connection over a cable.
+// cableConnection is a connection over a cable.
 type cableConnection struct {
 	net.Conn
 	cable   *cable
@@ -128,16 +128,16 @@
 	closing sync.Once
 
 	readMutex sync.Mutex
-	arrived   []byte // read from the network while nothing could arrive
+	arrived   []byte // read from the network while incoming bytes were held
 
 	writeMutex sync.Mutex
-	pending    []byte // accepted while nothing could leave
+	pending    []byte // written while outgoing bytes were held
 
 	deadlineMutex sync.Mutex
 	readDeadline  time.Time
 }
 
-// Read implements net.Conn. What comes over a cut cable is held back, an end of the stream too.
+// Read implements net.Conn. It holds back what arrives over a cut cable, including the end of the stream.
 func (c *cableConnection) Read(buffer []byte) (int, error) {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
@@ -160,7 +160,7 @@
 	return count, err
 }
 
-// awaitArrival waits until something may arrive, the connection is closed, or its deadline has passed.
+// awaitArrival waits until bytes may arrive, the connection is closed, or its read deadline has passed.
 func (c *cableConnection) awaitArrival() error {
 	held := c.cable.held(false)
 	if held == nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-// Write implements net.Conn. A cut cable takes what a send buffer takes, then blocks.
+// Write implements net.Conn. Over a cut cable it accepts sendBuffer bytes and then blocks.
 func (c *cableConnection) Write(buffer []byte) (int, error) {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
@@ -219,7 +219,7 @@
 	return c.Conn.Write(buffer)
 }
 
-// writePending sends what was held. The caller holds writeMutex.
+// writePending sends the held bytes. The caller holds writeMutex.
 func (c *cableConnection) writePending() error {
 	if len(c.pending) == 0 {
 		return nil
@@ -254,13 +254,13 @@
 	return c.Conn.SetDeadline(deadline)
 }
 
-// Close implements net.Conn. The other side learns of it only once the cable is mended.
+// Close implements net.Conn. The peer sees the close only once the cable is mended.
 func (c *cableConnection) Close() error {
 	var err error
 	c.closing.Do(func() {
 		close(c.closed)
 		if held := c.cable.held(true); held != nil {
-			_ = c.Conn.SetReadDeadline(time.Now()) // ends a read under way
+			_ = c.Conn.SetReadDeadline(time.Now()) // ends a pending read
 			go func() {
 				<-held
 				c.flush()
--- a/internal/fleet/cable_test.go
+++ b/internal/fleet/cable_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// cableAndPeer returns a connection over a cable and the other end of it.
+// cableAndPeer returns a connection over a cable and its other end.
 func cableAndPeer(t *testing.T) (over *cable, ours, theirs net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	return over, ours, theirs
 }
 
-// arrives reads one byte, or tells that none came in a while.
+// arrives reads one byte and reports whether one came within 50 ms.
 func arrives(t *testing.T, connection net.Conn) bool {
 	t.Helper()
 	if err := connection.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
@@ -61,7 +61,7 @@
 	}
 	over.mend()
 	if !arrives(t, ours) || !arrives(t, theirs) {
-		t.Fatal("a byte was lost though the cable was mended")
+		t.Fatal("a byte was lost although the cable was mended")
 	}
 }
 
@@ -74,11 +74,12 @@
 		}
 	}
 	if arrives(t, ours) || !arrives(t, theirs) {
-		t.Fatal("only what arrives is to be held")
+		t.Fatal("want incoming bytes held and outgoing bytes delivered")
 	}
 }
 
-// TestACloseOverACutCableIsHeard closes our end in silence: the other side may hear of it only afterwards.
+// TestACloseOverACutCableIsHeard closes one end while the cable is cut. The peer must see the close only after the
+// repair.
 func TestACloseOverACutCableIsHeard(t *testing.T) {
 	over, ours, theirs := cableAndPeer(t)
 	over.cut(true, true)
@@ -91,17 +92,17 @@
 		t.Fatal(err)
 	}
 	if err := <-read; !errors.Is(err, net.ErrClosed) {
-		t.Fatalf("a read on a closed connection gave %v", err)
+		t.Fatalf("a read on a closed connection returned %v, want net.ErrClosed", err)
 	}
 	if arrives(t, theirs) {
-		t.Fatal("something was heard")
+		t.Fatal("the peer saw the close while the cable was cut")
 	}
 	over.mend()
 	if err := theirs.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("after the mending the close gave %v", err)
+		t.Fatalf("after the repair the peer's read returned %v, want io.EOF", err)
 	}
 }
 
@@ -111,6 +112,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := over.dial(ctx, "tcp", "127.0.0.1:1"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("dialled with %v", err)
+		t.Fatalf("dial over a cut cable returned %v, want context.DeadlineExceeded", err)
 	}
 }
--- a/internal/fleet/checks.go
+++ b/internal/fleet/checks.go
@@ -17,7 +17,7 @@
 
 const historyLimit = 15 * time.Second
 
-// examineAnswers checks that answers that looked whole were the right ones.
+// examineAnswers records every complete answer that callers got, and a violation for each one with wrong content.
 func (f *fleet) examineAnswers(stats caller.Stats) {
 	for range stats.Total.Answered {
 		f.registry.Examine(invariant.WholeAnswer, true, "")
@@ -31,7 +31,7 @@
 	}
 }
 
-// runs tells how often a key ran at the application replicas, whose memory of keys survives their crashes.
+// runs returns how often a key ran at the application replicas, which keep their execution records when they crash.
 func (f *fleet) runs(key string) int {
 	total := 0
 	for _, part := range f.applications {
@@ -40,7 +40,7 @@
 	return total
 }
 
-// examineVerdicts compares what callers were told about each key with how often it ran.
+// examineVerdicts compares what callers were told about each key with the number of its runs.
 func (f *fleet) examineVerdicts(calls []caller.Call, runs func(key string) int) {
 	for _, call := range calls {
 		count := runs(call.Key)
@@ -51,7 +51,7 @@
 	}
 }
 
-// examineAnsweredKeys checks that what was answered has run.
+// examineAnsweredKeys checks that every answered call ran exactly once.
 func (f *fleet) examineAnsweredKeys(calls []caller.Call) {
 	for _, call := range calls {
 		if call.Answered {
@@ -60,7 +60,7 @@
 	}
 }
 
-// examineLateArrivals checks what the back ends that left saw arrive.
+// examineLateArrivals checks that leaving back ends received no request later than leaveBound after they left.
 func (f *fleet) examineLateArrivals() {
 	for _, part := range f.applications {
 		late := part.current.LateArrivals()
@@ -76,7 +76,7 @@
 	}
 }
 
-// examineTrainer takes over a trainer's own account.
+// examineTrainer records what a trainer found in its samples.
 func (f *fleet) examineTrainer(stats trainer.Stats) {
 	violated := map[invariant.Name]int{}
 	for _, violation := range stats.Violations {
@@ -103,17 +103,17 @@
 	}
 }
 
-// examineHistory reads the table and its history and compares them with what the operators were told.
+// examineHistory reads the table and its history and compares both with the answers that the operators got.
 func (f *fleet) examineHistory(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, historyLimit)
 	defer cancel()
 	entries, err := operator.ReadHistory(ctx, f.client, operator.HistoryFilter{})
 	if err != nil {
-		return fmt.Errorf("the history can't be read: %w", err)
+		return fmt.Errorf("cannot read the history of the table: %w", err)
 	}
 	sheet, err := operator.ReadSheet(ctx, f.client)
 	if err != nil {
-		return fmt.Errorf("the table can't be read: %w", err)
+		return fmt.Errorf("cannot read the table: %w", err)
 	}
 	f.compareHistory(entries)
 	f.compareSheet(sheet)
@@ -125,8 +125,8 @@
 	row, column string
 }
 
-// compareHistory checks that every accepted change is in the history, and nothing that was refused. Gateways change the rows of requests
-// under which back ends crashed, and nothing else.
+// compareHistory checks that the history has every accepted change and no rejected one. Gateways may only change the
+// rows of requests under which back ends crashed.
 func (f *fleet) compareHistory(entries []*wire.HistoryEntry) {
 	byCell := make(map[historyKey]*wire.HistoryEntry, len(entries))
 	known := map[string]bool{}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole deployment in one process: control nodes, gateways, coordinators, stand-ins of
-// back ends, scorer, weight store and trainers, callers and an operator, over real TCP on loopback and real
-// files in a temporary folder. It examines every promised invariant while it runs and reports the result.
+// Package fleet runs a whole deployment in one process: control nodes, gateways, coordinators, simulated back ends,
+// scorer, weight store and trainers, callers and an operator. They communicate over TCP on loopback and store their
+// data in a folder. It checks every promised invariant during the run and reports the result.
 package fleet
 
 import (
@@ -18,34 +18,34 @@
 	DefaultDuration      = 20 * time.Second
 	DefaultLiveRate      = 40
 	DefaultOperationRate = 60
-	// MinimumDuration leaves room for the planned stops and for the bounds to pass behind them.
+	// MinimumDuration leaves time for the planned stops and for the time limits that start at them.
 	MinimumDuration = 10 * time.Second
 )
 
-// Config says what to run and for how long.
+// Config sets what to run and for how long.
 type Config struct {
 	// Deployment is one of Deployments. Required.
 	Deployment Deployment
-	// Duration is how long callers call; start and end come on top. Default DefaultDuration, at least
+	// Duration is how long callers send requests, without start and shutdown. Default DefaultDuration, at least
 	// MinimumDuration.
 	Duration time.Duration
-	// Faults kills, cuts off and restarts parts while callers call.
+	// Faults kills, disconnects and restarts parts while callers send requests.
 	Faults bool
-	// Seed draws workload, operator's changes and faults.
+	// Seed seeds the workload, the operator's changes and the faults.
 	Seed int64
-	// Folder holds the nodes' data and the operator's pending changes. Required.
+	// Folder stores the nodes' data and the operator's pending changes. Required.
 	Folder string
-	// LiveRate is the calls a second to the model pool. Default DefaultLiveRate.
+	// LiveRate is the number of calls per second to the model pool. Default DefaultLiveRate.
 	LiveRate float64
-	// OperationRate is the calls a second to the application pool. Default DefaultOperationRate.
+	// OperationRate is the number of calls per second to the application pool. Default DefaultOperationRate.
 	OperationRate float64
-	// Progress receives a line every two seconds. Default: nothing is shown.
+	// Progress receives a line every two seconds. Default: no output.
 	Progress io.Writer
-	// Log is for the parts' own messages. Default: nothing.
+	// Log receives the log messages of the parts. Default: no output.
 	Log *logrus.Logger
 }
 
-// Check refuses values that cannot work, before anything is written.
+// Check returns an error for values that cannot work. It has no side effects.
 func (c Config) Check() error { return c.setDefaults() }
 
 func (c *Config) setDefaults() error {
--- a/internal/fleet/daemon_test.go
+++ b/internal/fleet/daemon_test.go
@@ -32,7 +32,7 @@
 	return path
 }
 
-// freeAddress returns an address that nothing listens on.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 	return listener.Addr().String()
 }
 
-// daemon is one real process of the built binary.
+// daemon is a process of the built binary.
 type daemon struct {
 	t         *testing.T
 	name      string
@@ -92,7 +92,7 @@
 	}
 }
 
-// kill ends the process as kill -9 does.
+// kill ends the process with SIGKILL.
 func (d *daemon) kill() {
 	if d.command == nil {
 		return
@@ -102,7 +102,7 @@
 	d.command = nil
 }
 
-// drain stops the process by plan; it must end by itself without an error.
+// drain ends the process with SIGTERM. It must exit by itself without an error.
 func (d *daemon) drain() {
 	d.t.Helper()
 	d.signal(syscall.SIGTERM)
@@ -118,7 +118,7 @@
 	}
 }
 
-// answers returns a readiness check: a path answers 200.
+// answers returns a readiness check that requires status 200 for a path.
 func answers(path string) func(context.Context, *daemon) error {
 	return func(ctx context.Context, d *daemon) error {
 		_, err := get(ctx, "http://"+d.address+path)
@@ -128,7 +128,7 @@
 
 var errNotOK = errors.New("the answer is not 200")
 
-// get reads a page without keeping a connection.
+// get fetches a page over a new connection.
 func get(ctx context.Context, address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestLimit)
 	defer cancel()
--- a/internal/fleet/deployment.go
+++ b/internal/fleet/deployment.go
@@ -10,21 +10,21 @@
 	"github.com/tamarindring/tamarindring/internal/workload"
 )
 
-// The pools of every deployment's table.
+// Pools in the table of every deployment.
 const (
-	poolModel = "model" // engines: live completions and rollouts
-	// poolNarrow has the application replicas under a limit of one request each and no queue, so that
-	// bursts are refused as not run.
+	poolModel = "model" // engines, for live completions and rollouts
+	// poolNarrow contains the application replicas with a limit of one request each and without a queue, so that
+	// bursts are rejected as not run.
 	poolNarrow = "narrow"
 )
 
-// Names of the callers' sources.
+// Names of the callers' traffic sources.
 const (
 	sourceLive   = "live"
-	sourceBursts = "bursts" // expected to be refused in part
+	sourceBursts = "bursts" // some of its requests are expected to be rejected
 )
 
-// Deployment is one user's fleet at its size of today.
+// Deployment describes a user's fleet at its present size.
 type Deployment struct {
 	Name            string
 	Zones           []string
@@ -34,19 +34,19 @@
 	Engines         int
 	Applications    int
 	ApplicationPool string
-	Operation       string // of the application pool: push or join
-	// Trainer is how the deployment trains.
+	Operation       string // operation of the application pool: push or join
+	// Trainer describes the deployment's training.
 	Trainer TrainerShape
 }
 
-// TrainerShape is what differs between the users' trainers.
+// TrainerShape contains the settings in which the users' trainers differ.
 type TrainerShape struct {
-	Prompts          int // of a step
+	Prompts          int // per step
 	SamplesPerPrompt int
 	MaxTokens        int
 	TrainTime        time.Duration
 	StepsAhead       int
-	StalenessBound   uint64 // versions, at the start; the operator changes it
+	StalenessBound   uint64 // initial bound in weight versions; the operator changes it
 }
 
 // Deployments returns the known deployments.
@@ -64,7 +64,7 @@
 	return []Deployment{vltava, dalanet}
 }
 
-// FindDeployment returns the deployment of a name.
+// FindDeployment returns the deployment with the given name, or a BadParameter error that lists the known names.
 func FindDeployment(name string) (Deployment, error) {
 	var names []string
 	for _, known := range Deployments() {
@@ -76,11 +76,11 @@
 	return Deployment{}, trace.BadParameter("deployment %q is unknown: want %s", name, strings.Join(names, " or "))
 }
 
-// zone spreads the parts of one kind over the zones.
+// zone assigns the parts of one kind to the zones in turn.
 func (d Deployment) zone(index int) string { return d.Zones[index%len(d.Zones)] }
 
-// engineParameters are a quick engine's: the users don't know their step times, and a demonstration of 20
-// seconds is to see several training steps and weight swaps.
+// engineParameters returns the parameters of a fast engine, because the users' step times are unknown and a
+// demonstration of 20 seconds should show several training steps and weight swaps.
 func engineParameters() engine.Parameters {
 	parameters := engine.DefaultParameters()
 	parameters.StepBase = 10 * time.Millisecond
@@ -89,8 +89,8 @@
 	return parameters
 }
 
-// callers is the callers' workload: live completions, the deployment's non-repeatable calls, and bursts of
-// them at the narrow pool.
+// callers returns the callers' workload: live completions, the deployment's non-idempotent calls, and bursts of these
+// to the narrow pool.
 func (d Deployment) callers(liveRate, operationRate float64) workload.Workload {
 	const (
 		operationDeadline = 10 * time.Second
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// directory is the list of gateways that callers know.
+// directory is the list of gateway addresses that callers use.
 type directory struct {
 	mutex     sync.Mutex
 	addresses []string
@@ -33,13 +33,13 @@
 	return d.addresses
 }
 
-// Event is something that was done to the fleet.
+// Event is an action on the fleet, such as a fault, a repair or a planned stop.
 type Event struct {
 	AtSeconds float64 `json:"at_seconds"`
 	What      string  `json:"what"`
 }
 
-// eventLog collects events.
+// eventLog collects events with the time since the start of the run.
 type eventLog struct {
 	started time.Time
 	mutex   sync.Mutex
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -11,26 +11,26 @@
 
 const (
 	collectInterval = 300 * time.Millisecond
-	// leaveBound is the promise: a leaving back end gets no new work after it.
+	// leaveBound is the promised time after which a leaving back end gets no new work.
 	leaveBound = 3 * time.Second
 )
 
-// evidence is what is collected while the fleet runs.
+// evidence is the data collected while the fleet runs, for checks of the invariants.
 type evidence struct {
 	table tableEvidence
 
 	mutex  sync.Mutex
-	read   map[*gateway.Server]uint64 // last dispatch read of each
+	read   map[*gateway.Server]uint64 // sequence of the last dispatch read of each
 	leaves []leave
 }
 
-// leave is a back end that left.
+// leave records that a back end, listed under the given rows, has left.
 type leave struct {
 	rows map[string]bool
 	at   time.Time
 }
 
-// left notes that the back end of the given rows has set its leave mark.
+// left records that the back end of the given rows has announced that it leaves.
 func (e *evidence) left(at time.Time, rows ...string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -41,7 +41,7 @@
 	e.leaves = append(e.leaves, noted)
 }
 
-// collect reads the gateways' dispatch logs until ctx ends, and once more then.
+// collect reads the gateways' dispatch logs periodically until ctx ends, and once more after that.
 func (f *fleet) collect(ctx context.Context) {
 	ticker := time.NewTicker(collectInterval)
 	defer ticker.Stop()
@@ -79,8 +79,8 @@
 	return found
 }
 
-// examineDispatch checks the version that a gateway acted on, and that it sent nothing new to a back end
-// that had left.
+// examineDispatch checks the table version on which a gateway acted, and that it sent no new work to a back end that
+// had left.
 func (f *fleet) examineDispatch(dispatch gateway.Dispatch) {
 	required := f.evidence.table.required(dispatch.At)
 	f.registry.Examine(invariant.TableInForce, dispatch.TableVersion >= required,
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -20,33 +20,33 @@
 	mostFaultPause   = 900 * time.Millisecond
 	leastFaultTime   = 300 * time.Millisecond
 	mostFaultTime    = 2500 * time.Millisecond
-	leastCutTime     = 3 * time.Second // beyond every lease, and beyond the bound of a change
+	leastCutTime     = 3 * time.Second // cut duration, beyond every lease and beyond inForceBound
 	mostCutTime      = 4 * time.Second
-	faultsEnd        = 4 * time.Second // before the load's end all is repaired
-	faultProbability = 0.2             // of a misbehaviour per call while it is switched on
-	slowStoreReads   = 3.0             // a second
+	faultsEnd        = 4 * time.Second // all is repaired this long before the end of the load
+	faultProbability = 0.2             // per call, while a misbehaviour is switched on
+	slowStoreReads   = 3.0             // per second
 	slowStoreRead    = 300 * time.Millisecond
 )
 
-// fault is one kind of failure of one kind of part.
+// fault is a kind of failure of one kind of part.
 type fault struct {
 	role string
-	most int  // parts of the role in trouble at once
+	most int  // concurrently faulty parts of the role
 	long bool // lasts beyond every lease
-	// begin does it to a part and returns its name, what was done and how to repair it; an empty name means
-	// that no part was free.
+	// begin injects the fault into a part. It returns the part's name, a description of the fault and the function
+	// that repairs it. An empty name means that no part was available.
 	begin func(*faultPlan) (name, what string, repair func(context.Context) error)
 }
 
-// faultPlan draws the failures of one run.
+// faultPlan draws the faults of a run.
 type faultPlan struct {
 	fleet  *fleet
 	random *rand.Rand
 	faults []fault
-	round  []int // faults that are still to come before any comes again
+	round  []int // faults still to come before any is repeated
 
 	mutex   sync.Mutex
-	trouble map[string]map[string]bool // role, then part
+	trouble map[string]map[string]bool // names of the faulty parts, by role
 	errors  []error
 	running sync.WaitGroup
 }
@@ -73,7 +73,7 @@
 	return made
 }
 
-// run lets faults happen until ctx ends or little time is left, then waits until all is repaired.
+// run injects faults until ctx ends or its deadline is near, then waits until all are repaired.
 func (p *faultPlan) run(ctx context.Context) error {
 	deadline, limited := ctx.Deadline()
 	for pause(ctx, p.between(leastFaultPause, mostFaultPause)) {
@@ -92,8 +92,8 @@
 	return least + time.Duration(p.random.Int63n(int64(most-least)))
 }
 
-// draw returns the next fault whose role is not in trouble enough already. Each comes once before any comes
-// again.
+// draw returns the next fault whose role has fewer than its most faulty parts. Each fault occurs once before any is
+// repeated.
 func (p *faultPlan) draw() (fault, bool) {
 	if len(p.round) == 0 {
 		p.round = p.random.Perm(len(p.faults))
@@ -109,7 +109,7 @@
 	return fault{}, false
 }
 
-// next begins one fault, if one is possible now.
+// next injects a fault if one is possible now.
 func (p *faultPlan) next(ctx context.Context) {
 	drawn, possible := p.draw()
 	if !possible {
@@ -152,7 +152,7 @@
 	}
 }
 
-// free draws a part that is not in trouble.
+// free draws a part that is not faulty, or returns nil if there is none.
 func free[S server](p *faultPlan, parts []*process[S]) *process[S] {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// killOne stops a part abruptly; the repair starts it again with what it has on its disk.
+// killOne stops a part abruptly. The repair starts it again with the data on its disk.
 func killOne[S server](parts []*process[S]) func(*faultPlan) (string, string, func(context.Context) error) {
 	return func(p *faultPlan) (string, string, func(context.Context) error) {
 		part := free(p, parts)
@@ -182,7 +182,7 @@
 	}
 }
 
-// cutOne cuts a part off in silence, in one direction or both.
+// cutOne cuts the cable of a part in one direction or both.
 func cutOne[S server](parts []*process[S]) func(*faultPlan) (string, string, func(context.Context) error) {
 	return func(p *faultPlan) (string, string, func(context.Context) error) {
 		part := free(p, parts)
@@ -202,7 +202,7 @@
 	}
 }
 
-// staying are the back ends that do not leave by plan.
+// staying returns the back ends without the last one, which leaves by plan.
 func staying[S server](parts []*process[S]) []*process[S] { return parts[:len(parts)-1] }
 
 func freeEngine(p *faultPlan) (*process[*engine.Server], bool) {
@@ -210,7 +210,7 @@
 	return part, part != nil
 }
 
-// crashEngine loses an engine's requests and memory; it comes back with the version that it served.
+// crashEngine makes an engine lose its requests and its memory. It restarts with the weight version that it served.
 func crashEngine(p *faultPlan) (string, string, func(context.Context) error) {
 	part, ok := freeEngine(p)
 	if !ok {
@@ -235,7 +235,7 @@
 	return part.name, "will fail its next swap", func(context.Context) error { return nil }
 }
 
-// disturbStreams cuts and doubles parts of an engine's streamed answers.
+// disturbStreams cuts streamed answers of an engine and duplicates parts of them.
 func disturbStreams(p *faultPlan) (string, string, func(context.Context) error) {
 	part, ok := freeEngine(p)
 	if !ok {
@@ -248,7 +248,7 @@
 	}
 }
 
-// crashApplication cuts an application replica's connections; what had begun to run has run.
+// crashApplication closes an application replica's connections. Requests that had begun to run count as run.
 func crashApplication(p *faultPlan) (string, string, func(context.Context) error) {
 	part := free(p, staying(p.fleet.applications))
 	if part == nil {
@@ -261,7 +261,7 @@
 	}
 }
 
-// disturbCalls cuts connections before and after runs, and refuses calls.
+// disturbCalls closes connections before and after runs, and rejects calls.
 func disturbCalls(p *faultPlan) (string, string, func(context.Context) error) {
 	part := free(p, staying(p.fleet.applications))
 	if part == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 
 const (
 	clusterID      = "fleet"
-	gatewayPrefix  = "gateway-" // of the gateways' names
+	gatewayPrefix  = "gateway-" // prefix of the gateways' names
 	startLimit     = 30 * time.Second
 	initialVersion = 1
 	loadReportLag  = 100 * time.Millisecond
@@ -52,7 +52,7 @@
 	events    eventLog
 }
 
-// newFleet describes the parts; nothing is started.
+// newFleet creates the parts without starting them.
 func newFleet(config Config) *fleet {
 	f := &fleet{config: config, started: time.Now(), registry: invariant.NewRegistry(
 		invariant.SampleVersions, invariant.StalenessBound, invariant.SampleOnce, invariant.WholeAnswer, invariant.NotRunIsFinal,
@@ -95,7 +95,7 @@
 	return addresses
 }
 
-// controlConfig is how a part reaches the control nodes over its cable.
+// controlConfig returns the client settings with which a part reaches the control nodes over its cable.
 func (f *fleet) controlConfig(part string, over *cable) controlclient.Config {
 	return controlclient.Config{Addresses: f.controlAddresses(), Dial: over.dial, Log: f.log(part)}
 }
@@ -144,7 +144,7 @@
 
 func versionName(number uint64) string { return fmt.Sprintf("v%d", number) }
 
-// start brings everything up: control nodes, back ends, the table, gateways, coordinators.
+// start starts the control nodes, the back ends, the table, the gateways and the coordinators in this order.
 func (f *fleet) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// stop ends everything that runs, callers and trainers being over already.
+// stop stops all parts. The callers and trainers have ended before.
 func (f *fleet) stop(ctx context.Context) error {
 	var problems []error
 	problems = append(problems, f.rollouts.stop(ctx)...)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// All belong to fasthttp: process-wide clocks, and cleaners that notice a stop after their sleep.
+	// All of these belong to fasthttp: process-wide clocks, and cleaners that notice a stop only after their sleep.
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*Client).mCleaner"),
@@ -51,8 +51,8 @@
 	return invariant.Result{}
 }
 
-// TestADispatchOnAnOldTableIsNotSeen feeds one dispatch on an old version before, and one after the time at
-// which the newer one must be in force.
+// TestADispatchOnAnOldTableIsNotSeen examines a dispatch on an old version just before and just at the time at which
+// the newer version must be in force. Only the second is a violation.
 func TestADispatchOnAnOldTableIsNotSeen(t *testing.T) {
 	f := testFleet(t)
 	evidence := &f.evidence.table
@@ -63,11 +63,11 @@
 	evidence.answered(change, &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, Version: 2}, at)
 	f.examineDispatch(gateway.Dispatch{At: at.Add(inForceBound - time.Millisecond), TableVersion: 1})
 	if found := result(t, f, invariant.TableInForce); found.Examined != 1 || found.Violated != 0 {
-		t.Fatalf("%+v: a dispatch within the bound is no violation", found)
+		t.Fatalf("%+v: want no violation by a dispatch within the bound", found)
 	}
 	f.examineDispatch(gateway.Dispatch{At: at.Add(inForceBound), TableVersion: 1})
 	if found := result(t, f, invariant.TableInForce); found.Examined != 2 || found.Violated != 1 {
-		t.Fatalf("%+v: a dispatch on version 1 after the bound is a violation", found)
+		t.Fatalf("%+v: want a violation by a dispatch on version 1 after the bound", found)
 	}
 }
 
@@ -83,15 +83,16 @@
 		f.examineDispatch(dispatch)
 	}
 	if found := result(t, f, invariant.LeavingBackend); found.Examined != 1 || found.Violated != 0 {
-		t.Fatalf("%+v: only the dispatch to engine-2 is to be examined, and it holds", found)
+		t.Fatalf("%+v: want only the dispatch to engine-2 examined, without a violation", found)
 	}
 	f.examineDispatch(gateway.Dispatch{Kind: "send", Backend: "engine-1", At: at.Add(2 * leaveBound)})
 	if found := result(t, f, invariant.LeavingBackend); found.Violated != 1 {
-		t.Fatalf("%+v: a send after the bound is a violation", found)
+		t.Fatalf("%+v: want a violation by a send after the bound", found)
 	}
 }
 
-// TestATightenedBoundIsNotExpected tightens the staleness bound and looks at what a trainer must expect.
+// TestATightenedBoundIsNotExpected tightens the staleness bound. A trainer must accept the old bound until the new
+// one is in force, and not after that.
 func TestATightenedBoundIsNotExpected(t *testing.T) {
 	f := testFleet(t)
 	evidence := &f.evidence.table
@@ -103,15 +104,16 @@
 	evidence.sending(change)
 	evidence.answered(change, &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, Version: 2}, time.Now())
 	if now, _ := evidence.boundNow(); now != 3 {
-		t.Fatalf("bound %d: the old one may be acted on until the new one is in force", now)
+		t.Fatalf("bound %d, want 3 until the tightened bound is in force", now)
 	}
 	evidence.inForce(2, time.Now().Add(-logSlack))
 	if now, _ := evidence.boundNow(); now != 2 {
-		t.Fatalf("bound %d: the tightened one is in force", now)
+		t.Fatalf("bound %d, want 2 once the tightened bound is in force", now)
 	}
 }
 
-// TestADoubledExecutionIsNotSeen runs a key twice at a stand-in, and one that callers were told did not run.
+// TestADoubledExecutionIsNotSeen runs a key twice at an application replica, and runs a key whose caller was told
+// that it did not run. Both must be violations.
 func TestADoubledExecutionIsNotSeen(t *testing.T) {
 	f := testFleet(t)
 	for _, part := range f.applications {
@@ -126,10 +128,10 @@
 	f.examineVerdicts([]caller.Call{{Key: "twice", Verdict: verdict.Ran}, {Key: "refused", Verdict: verdict.DidNotRun},
 		{Key: "once", Verdict: verdict.Ran, Answered: true}}, f.runs)
 	if found := result(t, f, invariant.RunAtMostOnce); found.Examined != 3 || found.Violated != 1 {
-		t.Fatalf("run-at-most-once: %+v", found)
+		t.Fatalf("run-at-most-once: %+v, want 3 examined and 1 violated", found)
 	}
 	if found := result(t, f, invariant.NotRunIsFinal); found.Examined != 1 || found.Violated != 1 {
-		t.Fatalf("not-run-is-final: %+v", found)
+		t.Fatalf("not-run-is-final: %+v, want 1 examined and 1 violated", found)
 	}
 }
 
@@ -153,7 +155,7 @@
 func TestARunThatExaminedNothingPasses(t *testing.T) {
 	f := testFleet(t)
 	if summary := f.registry.Summary(); summary.Passed() || len(summary.Unexamined) != 10 {
-		t.Fatalf("%+v: all ten invariants are unexamined", summary)
+		t.Fatalf("%+v: want all ten invariants unexamined", summary)
 	}
 	report := &Report{Unexamined: []invariant.Name{invariant.SampleOnce}}
 	if report.Passed() {
@@ -161,7 +163,8 @@
 	}
 }
 
-// TestAWholeDeploymentBreaksAPromise runs a deployment for ten seconds.
+// TestAWholeDeploymentBreaksAPromise runs a deployment for ten seconds. No invariant may be violated or stay
+// unexamined.
 func TestAWholeDeploymentBreaksAPromise(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs for ten seconds")
@@ -183,7 +186,7 @@
 	checkKeys(t, filepath.Join(folder, "report.json"))
 }
 
-// checkKeys looks for what readers of report.json rely on.
+// checkKeys checks that report.json has the keys on which its readers rely.
 func checkKeys(t *testing.T, path string) {
 	t.Helper()
 	content, err := os.ReadFile(path)
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -17,12 +17,12 @@
 
 const (
 	changeInterval = 250 * time.Millisecond
-	changeLimit    = 15 * time.Second // until the answer to a change must be known
+	changeLimit    = 15 * time.Second // within which the answer to a change must be known
 	resendPause    = 50 * time.Millisecond
-	raceShare      = 0.2 // of the changes that two operators make under one version at once
+	raceShare      = 0.2 // share of changes that two operators make concurrently on the same version
 )
 
-// tableOperator changes cells several times a second, sends each change twice and lets two operators race.
+// tableOperator changes cells several times a second, sends each change twice and makes two operators race.
 type tableOperator struct {
 	client   *controlclient.Client
 	evidence *tableEvidence
@@ -33,7 +33,7 @@
 	number   int
 
 	mutex   sync.Mutex
-	busy    map[string]bool // cells with a change under way
+	busy    map[string]bool // cells with a change in progress
 	running sync.WaitGroup
 }
 
@@ -46,7 +46,7 @@
 	return made
 }
 
-// run makes changes until ctx ends, then waits for the answers to those under way.
+// run makes changes until ctx ends, then waits for the answers to those in progress.
 func (o *tableOperator) run(ctx context.Context) {
 	ticker := time.NewTicker(changeInterval)
 	defer ticker.Stop()
@@ -61,7 +61,7 @@
 	}
 }
 
-// next starts one change of a cell that no other change is at.
+// next starts a change of a random cell unless a change of it is in progress.
 func (o *tableOperator) next(ctx context.Context) {
 	row, column, value := o.draw()
 	cell := row + " " + column
@@ -100,7 +100,7 @@
 	}
 }
 
-// race lets two operators change one cell under the same version: one of them must be refused.
+// race makes two operators change a cell on the same version. At most one change may be accepted.
 func (o *tableOperator) race(ctx context.Context, number int, edit operator.Edit) {
 	base := o.evidence.latest()
 	other := edit
@@ -114,7 +114,8 @@
 		"change %d: two changes of %s %s under version %d were both accepted", number, edit.Row, edit.Column, base)
 }
 
-// change makes one change and sends it again, as an operator who lost the answer does: it must be made once.
+// change sends a change and then resends it, as an operator does who lost the answer. It must be applied once. change
+// reports whether it was accepted.
 func (o *tableOperator) change(ctx context.Context, number int, author string, base uint64, edits ...operator.Edit) bool {
 	ctx, cancel := context.WithTimeout(ctx, changeLimit)
 	defer cancel()
@@ -139,7 +140,7 @@
 	return accepted(result)
 }
 
-// send repeats a change until its answer is known.
+// send resends a change until it is answered or ctx ends.
 func (o *tableOperator) send(ctx context.Context, change *wire.TableChange, wait bool) (*wire.TableResult, uint64, error) {
 	for {
 		result, inForce, err := o.client.ChangeTable(ctx, change, wait)
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -17,7 +17,7 @@
 	drainLimit  = 20 * time.Second
 )
 
-// server is what every role's runtime offers.
+// server is the common interface of the servers of all roles.
 type server interface {
 	Address() string
 	Run(context.Context) error
@@ -25,28 +25,28 @@
 	Close() error
 }
 
-// process is one part of the fleet as if it were a process of its own: it can be drained, killed and
-// started again on the same address. Its processor time is accounted to its name.
+// process is a part of the fleet that can be drained, killed and restarted on the same address as if it were a
+// process of its own. Its processor time is accounted under its name.
 type process[S server] struct {
 	name  string
 	zone  string
-	cable *cable // to the control nodes; of a part with cuttable, to everything
-	// cuttable puts the cable and a counter of bytes between listener and server. A server can't look into
-	// such a connection, so it is left out where that matters.
+	cable *cable // link to the control nodes; with cuttable: to all other parts
+	// cuttable puts the cable and a byte counter between listener and server. A server that needs the underlying
+	// connection cannot use them, so they are left out for such roles.
 	cuttable bool
 	open     func(ctx context.Context, listener net.Listener) (S, error)
 
-	mutex     sync.Mutex // guards what follows
+	mutex     sync.Mutex // guards the fields below
 	address   string
 	bound     net.Listener // bound before the first start
 	listeners []*rig.CountingListener
 	current   S
 	up        bool
 	finished  chan error
-	retired   []S // stopped ones, whose logs are still read
+	retired   []S // stopped servers, whose logs are still read
 }
 
-// bind takes an address for the first start, so that others can be told of it.
+// bind reserves an address before the first start, so that other parts can be configured with it.
 func (p *process[S]) bind() error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// startNew starts a part that takes any address unless it was bound to one.
+// startNew starts a part on a free address, unless bind has reserved one.
 func (p *process[S]) startNew(ctx context.Context) error {
 	if p.bound == nil {
 		if err := p.bind(); err != nil {
@@ -82,7 +82,7 @@
 	})
 	if err != nil {
 		_ = listener.Close()
-		return trace.Wrap(err, "%s can't start", p.name)
+		return trace.Wrap(err, "cannot start %s", p.name)
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -101,7 +101,7 @@
 	return cableListener{Listener: counting, cable: p.cable}
 }
 
-// listen binds the address, again if an earlier owner is still letting go of it.
+// listen binds the address. It retries while an earlier owner releases it.
 func (p *process[S]) listen(ctx context.Context) (net.Listener, error) {
 	if listener := p.bound; listener != nil {
 		p.bound = nil
@@ -120,14 +120,14 @@
 	}
 }
 
-// running returns the server, if it is up.
+// running returns the current server and whether it is up.
 func (p *process[S]) running() (S, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.current, p.up
 }
 
-// each calls visit with the running server and all earlier ones.
+// each calls visit with all earlier servers and the running one.
 func (p *process[S]) each(visit func(S)) {
 	p.mutex.Lock()
 	all := append([]S(nil), p.retired...)
@@ -140,7 +140,7 @@
 	}
 }
 
-// drain stops by plan.
+// drain stops the server gracefully within drainLimit, and otherwise closes it.
 func (p *process[S]) drain(ctx context.Context) error {
 	stopping, up := p.running()
 	if !up {
@@ -155,7 +155,7 @@
 	return p.retire(err)
 }
 
-// kill stops abruptly.
+// kill stops the server abruptly.
 func (p *process[S]) kill() error {
 	stopping, up := p.running()
 	if !up {
@@ -175,7 +175,7 @@
 	return trace.NewAggregate(cause, <-finished)
 }
 
-// bytes returns how many bytes crossed its listeners, both directions.
+// bytes returns how many bytes crossed the listeners in both directions.
 func (p *process[S]) bytes() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -186,7 +186,7 @@
 	return total
 }
 
-// release gives back an address that was never used.
+// release closes a reserved address that was never used.
 func (p *process[S]) release() {
 	if p.bound != nil {
 		_ = p.bound.Close()
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -14,12 +14,12 @@
 
 const bytesPerMiB = 1 << 20
 
-// Report is what a run has shown; it is written as report.json.
+// Report is the result of a run. Write stores it as report.json.
 type Report struct {
 	Deployment string               `json:"deployment"`
 	Seed       int64                `json:"seed"`
 	Faults     bool                 `json:"faults"`
-	Seconds    float64              `json:"seconds"` // that callers called
+	Seconds    float64              `json:"seconds"` // during which callers sent requests
 	Violations uint64               `json:"violations"`
 	Unexamined []invariant.Name     `json:"unexamined,omitempty"` // invariants that examined nothing
 	Invariants []invariant.Result   `json:"invariants"`
@@ -34,7 +34,7 @@
 	Events     []Event              `json:"events"`
 }
 
-// RolloutReport counts samples that trainers got.
+// RolloutReport counts the samples that trainers received.
 type RolloutReport struct {
 	Samples         int     `json:"samples"`
 	Tokens          int     `json:"tokens"`
@@ -42,13 +42,13 @@
 	TokensPerSecond float64 `json:"tokens_per_second"`
 }
 
-// TrainerReport is one trainer's measures.
+// TrainerReport contains the measurements of a trainer.
 type TrainerReport struct {
 	Name      string    `json:"name"`
 	Steps     uint64    `json:"steps"`
-	IdleShare float64   `json:"idle_share"` // of its wall time, spent waiting for samples
+	IdleShare float64   `json:"idle_share"` // share of its wall time spent waiting for samples
 	Staleness Staleness `json:"staleness"`
-	Errors    int       `json:"errors"` // calls to coordinators that were sent again
+	Errors    int       `json:"errors"` // calls to coordinators that were retried
 }
 
 // Staleness is the age of samples at receipt, in weight versions.
@@ -58,13 +58,13 @@
 	Max  int     `json:"max"`
 }
 
-// NodeReport is what one control node costs.
+// NodeReport contains the cost of a control node.
 type NodeReport struct {
 	Name     string  `json:"name"`
 	CPUShare float64 `json:"cpu_share"` // of one core
-	// ResidentMiB is the whole process's resident memory: parts of one process cannot be told apart.
+	// ResidentMiB is the resident memory of the whole process, because parts of one process cannot be told apart.
 	ResidentMiB float64 `json:"rss_mb"`
-	// ResidentScope says what ResidentMiB covers.
+	// ResidentScope names what ResidentMiB covers.
 	ResidentScope string  `json:"rss_scope"`
 	KBPerSecond   float64 `json:"kb_per_second"` // through its listener, both directions
 }
@@ -72,23 +72,24 @@
 // TableReport counts the operators' changes.
 type TableReport struct {
 	Accepted   int     `json:"accepted"`
-	Conflicts  int     `json:"conflicts"` // refused: another operator had changed the cell
-	Unknown    int     `json:"unknown"`   // the answer was never known
+	Conflicts  int     `json:"conflicts"` // rejected because another operator had changed the cell
+	Unknown    int     `json:"unknown"`   // without an answer
 	InForceP50 float64 `json:"in_force_p50_ms"`
 	InForceMax float64 `json:"in_force_max_ms"`
 }
 
-// ProcessReport is what the whole process cost.
+// ProcessReport contains the cost of the whole process.
 type ProcessReport struct {
 	Cores       float64              `json:"cores"`
 	ResidentMiB float64              `json:"rss_mb"`
 	Roles       []rolecost.RoleShare `json:"roles"`
 }
 
-// Passed says whether nothing was violated and every invariant examined something.
+// Passed reports whether no invariant was violated and every invariant examined something.
 func (r *Report) Passed() bool { return r.Violations == 0 && len(r.Unexamined) == 0 }
 
-// Write stores report.json in folder, which is made if missing.
+// Write stores the report as report.json in folder and creates the folder if necessary. It returns errors of the file
+// system.
 func (r *Report) Write(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
@@ -100,7 +101,7 @@
 	return trace.ConvertSystemError(os.WriteFile(filepath.Join(folder, "report.json"), append(content, '\n'), 0o644))
 }
 
-// report sums the run up; everything has been examined.
+// report builds the report after all invariants have been examined.
 func (f *fleet) report(calls caller.Stats, cost rolecost.Cost, resident uint64) *Report {
 	summary := f.registry.Summary()
 	made := &Report{Deployment: f.config.Deployment.Name, Seed: f.config.Seed, Faults: f.config.Faults, Seconds: calls.Seconds,
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// trainersLimit is how long trainers may take for the steps that are open when the load ends.
+	// trainersLimit is the time that trainers have for the steps that are open when the load ends.
 	trainersLimit   = 30 * time.Second
 	loseReplyShare  = 0.05
 	trainerFetch    = time.Second
 	trainerMaxBatch = 16
 )
 
-// rollouts are the coordinators and the trainers that they serve.
+// rollouts contains the coordinators and the trainers that use them.
 type rollouts struct {
 	fleet        *fleet
 	coordinators []*process[*coordinator.Server]
@@ -41,7 +41,7 @@
 	return made
 }
 
-// start starts the coordinators and the trainers.
+// start starts the coordinators and the trainer.
 func (r *rollouts) start(ctx context.Context) error {
 	if err := startAll(ctx, r.coordinators); err != nil {
 		return err
@@ -57,7 +57,7 @@
 	return all
 }
 
-// startTrainer runs a trainer that compares its samples with a truth.
+// startTrainer runs a trainer that compares its samples with what the engines generated.
 func (r *rollouts) startTrainer(truth trainer.Truth) error {
 	made, err := r.newTrainer(truth)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return restart(ctx, r.coordinators[0])
 }
 
-// finish lets the trainers end the steps that are open.
+// finish lets the trainers end their open steps, and cancels them after trainersLimit.
 func (r *rollouts) finish() {
 	for _, one := range r.trainers {
 		one.Finish()
@@ -117,7 +117,7 @@
 	}
 }
 
-// stop stops the coordinators; the trainers are over.
+// stop stops the trainers and the coordinators.
 func (r *rollouts) stop(ctx context.Context) []error {
 	if r.cancel != nil {
 		r.cancel()
@@ -126,7 +126,7 @@
 	return stopAll(ctx, r.coordinators)
 }
 
-// discarded returns the tokens that all coordinators threw away.
+// discarded returns the number of generated tokens that the coordinators discarded.
 func (r *rollouts) discarded() uint64 {
 	var total uint64
 	for _, part := range r.coordinators {
@@ -135,7 +135,7 @@
 	return total
 }
 
-// openCoordinator opens a coordinator that reaches the control nodes over its part's cable.
+// openCoordinator opens a coordinator that reaches the control nodes over the cable of its part.
 func (f *fleet) openCoordinator(ctx context.Context, part *process[*coordinator.Server], listener net.Listener) (*coordinator.Server, error) {
 	return coordinator.Open(ctx, coordinator.Config{Name: part.name, Listener: listener, Zone: part.zone,
 		Control: f.controlConfig(part.name, part.cable), Scorer: f.scorer.address, WeightStore: f.store.address, Log: f.log(part.name)})
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -17,12 +17,12 @@
 	progressInterval  = 2 * time.Second
 	doubleProbability = 0.1
 	keptCalls         = 1 << 20
-	// callerAttempts with their doubling pauses last longer than a new leader of the control nodes takes.
+	// callerAttempts with their doubling pauses last longer than the election of a new leader of the control nodes.
 	callerAttempts = 8
 )
 
-// Run starts the deployment, lets callers, trainers and an operator use it for the duration, stops it and
-// reports. An error means that the run itself failed; a broken promise is in the report.
+// Run starts the deployment, lets callers, trainers and an operator use it for config.Duration, stops it and returns
+// the report. An error means that the run itself failed; violations of invariants are in the report.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 		Seed: f.config.Seed, MaxAttempts: callerAttempts, DoubleProbability: doubleProbability, KeepCalls: keptCalls, Log: f.log("callers")})
 }
 
-// load lets everything act on the fleet until the duration is over and the answers are there.
+// load runs the load and the faults for the configured duration and waits for the outstanding answers.
 func (f *fleet) load(ctx context.Context, calls *caller.Caller) error {
 	loadContext, cancel := context.WithTimeout(ctx, f.config.Duration)
 	defer cancel()
--- a/internal/fleet/stops.go
+++ b/internal/fleet/stops.go
@@ -10,14 +10,14 @@
 
 const (
 	firstStop = 2 * time.Second
-	// directoryLag is how long callers are still sent to a gateway that has begun to stop.
+	// directoryLag is how long callers still use a gateway that has begun to stop.
 	directoryLag = 100 * time.Millisecond
-	// settleTime passes after each restart, so that the requests that a stop met are over.
+	// settleTime is the wait after each restart until the requests affected by the stop have ended.
 	settleTime = time.Second
 )
 
-// plannedStops drains and restarts one part of each role, one after another, and lets one engine and one
-// application replica leave. No request may fail meanwhile.
+// plannedStops drains and restarts one part of each role, one after another, and lets one engine and one application
+// replica leave. No request may fail meanwhile.
 func (f *fleet) plannedStops(ctx context.Context, calls *caller.Caller) error {
 	if !pause(ctx, firstStop) {
 		return nil
@@ -56,7 +56,7 @@
 	return part.start(ctx)
 }
 
-// restartGateway stops the second gateway; callers learn of it with a lag.
+// restartGateway restarts the second gateway. Callers stop using it after directoryLag.
 func (f *fleet) restartGateway(ctx context.Context) error {
 	part := f.gateways[1]
 	forget := time.AfterFunc(directoryLag, func() { f.directory.remove(part.address) })
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// leaveBackends lets the last engine and the last application replica leave.
+// leaveBackends makes the last engine and the last application replica leave.
 func (f *fleet) leaveBackends() {
 	engine, application := f.engines[len(f.engines)-1], f.applications[len(f.applications)-1]
 	engine.current.Leave()
@@ -79,13 +79,13 @@
 	f.events.add("%s and %s leave", engine.name, application.name)
 }
 
-// examineStop compares the callers' accounts from before and after a planned stop. Every call that ended
-// meanwhile must have been answered, and no attempt cut off.
+// examineStop compares the callers' statistics from before and after a planned stop. Every call that ended in between
+// must have been answered, and no attempt cut off.
 func (f *fleet) examineStop(name string, before, after caller.Stats) {
 	for index, source := range after.Sources {
 		earlier := before.Sources[index]
 		if source.Name == sourceBursts {
-			source.Refused = earlier.Refused // the narrow pool refuses by its limits, whoever stops
+			source.Refused = earlier.Refused // the narrow pool rejects by its limits, independent of the stop
 		}
 		refused, lost, cut := source.Refused-earlier.Refused, source.Lost-earlier.Lost, source.Cut-earlier.Cut
 		for count := range source.Requests - earlier.Requests {
@@ -102,7 +102,7 @@
 	return examples[len(examples)-1]
 }
 
-// pause waits; false means that ctx ended first.
+// pause waits for duration. It returns false if ctx ends first.
 func pause(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/fleet/summary.go
+++ b/internal/fleet/summary.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Print writes a summary for a person.
+// Print writes a human-readable summary of the report.
 func (r *Report) Print(output io.Writer) {
 	fmt.Fprintf(output, "\n%s: %.0f s of calls, seed %d, faults %v\n\n", r.Deployment, r.Seconds, r.Seed, r.Faults)
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Limits of the table at the start.
+// Initial limits in the table.
 const (
 	modelInFlight  = "64"
 	modelLiveRoom  = "16"
@@ -21,7 +21,7 @@
 	callQueueWait  = "5000"
 )
 
-// createTable makes the first version of the table.
+// createTable creates the first version of the table.
 func (f *fleet) createTable(ctx context.Context) error {
 	change := &wire.TableChange{ChangeId: "create", Operator: "fleet", Cells: f.firstCells()}
 	result, _, err := f.client.ChangeTable(ctx, change, true)
@@ -35,10 +35,10 @@
 	return nil
 }
 
-// cellList collects cells.
+// cellList is a list of cells under construction.
 type cellList []*wire.CellChange
 
-// row adds a row's cells, given as column and value in turn.
+// row adds cells of a row, given as column and value in turn.
 func (l *cellList) row(name string, cells ...string) {
 	for index := 0; index+1 < len(cells); index += 2 {
 		*l = append(*l, &wire.CellChange{Row: name, Column: cells[index], Value: cells[index+1]})
@@ -66,5 +66,5 @@
 	return cells
 }
 
-// narrowRow is the row of an application replica in the narrow pool.
+// narrowRow returns the row of an application replica in the narrow pool.
 func narrowRow(replica string) string { return poolNarrow + "-" + replica }
--- a/internal/fleet/tableevidence.go
+++ b/internal/fleet/tableevidence.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// inForceBound is the promise at today's size: an accepted change is in force everywhere after it.
+	// inForceBound is the promised time, at the present deployment size, after which an accepted change is in force
+	// everywhere.
 	inForceBound = 2 * time.Second
-	// logSlack is the time between a dispatch's admission under the lease and its entry in the log, on a
-	// busy machine.
+	// logSlack is the time from a dispatch's admission under the lease to its entry in the log, on a busy machine.
 	logSlack = 100 * time.Millisecond
 )
 
@@ -25,8 +25,8 @@
 	id         string
 	version    uint64
 	cells      []*wire.CellChange
-	acceptedAt time.Time // when the answer was there, not before the acceptance
-	// effective is when no process may act on an older version any more.
+	acceptedAt time.Time // when the answer arrived, which is not before the acceptance
+	// effective is the time from which no process may act on an older version.
 	effective time.Time
 }
 
@@ -34,20 +34,20 @@
 type boundValue struct {
 	changeID string
 	value    uint64
-	expires  time.Time // zero while nothing later was accepted
+	expires  time.Time // zero while no later bound was accepted
 }
 
-// tableEvidence is what the operators were told about their changes.
+// tableEvidence records the answers that operators got to their changes.
 type tableEvidence struct {
 	mutex     sync.Mutex
 	accepted  []*acceptedChange
 	conflicts int
-	unknowns  map[string]bool // change ids whose answers were never known
+	unknowns  map[string]bool // ids of changes whose answers never arrived
 	bounds    []boundValue
-	waits     *hdrhistogram.Histogram // from acceptance to in force, in ms
+	waits     *hdrhistogram.Histogram // from acceptance to in force, in milliseconds
 }
 
-// created records the first version.
+// created records the first version of the table.
 func (e *tableEvidence) created(version uint64, cells []*wire.CellChange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return 0, false
 }
 
-// latest is the highest version known to be accepted.
+// latest returns the highest version known to be accepted.
 func (e *tableEvidence) latest() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -81,7 +81,7 @@
 	return highest
 }
 
-// sending notes that a change may be accepted from now on.
+// sending records that a change may be accepted from now on.
 func (e *tableEvidence) sending(change *wire.TableChange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// answered records what became of a change.
+// answered records the result of a change.
 func (e *tableEvidence) answered(change *wire.TableChange, result *wire.TableResult, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -104,14 +104,14 @@
 	e.expireBounds(change.ChangeId, now.Add(inForceBound))
 }
 
-// unknown records a change whose answer never came; it may have been made.
+// unknown records a change whose answer never arrived. It may have been applied.
 func (e *tableEvidence) unknown(change *wire.TableChange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.unknowns[change.ChangeId] = true
 }
 
-// inForce records that a version was said to be in force everywhere.
+// inForce records that a version was reported to be in force everywhere.
 func (e *tableEvidence) inForce(version uint64, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// expireBounds ends the bounds that came before a change's own. The caller holds the mutex.
+// expireBounds sets the expiry of the staleness bounds before that of the given change. The caller holds the mutex.
 func (e *tableEvidence) expireBounds(changeID string, at time.Time) {
 	own := slices.IndexFunc(e.bounds, func(bound boundValue) bool { return bound.changeID == changeID })
 	for index := range own {
@@ -142,7 +142,7 @@
 	return first
 }
 
-// boundNow is the largest staleness bound that a coordinator may still act on.
+// boundNow returns the largest staleness bound on which a coordinator may still act, and whether one is known.
 func (e *tableEvidence) boundNow() (uint64, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -157,7 +157,7 @@
 	return largest, known
 }
 
-// required is the lowest version that a dispatch at the given time may act on.
+// required returns the lowest version on which a dispatch at the given time may act.
 func (e *tableEvidence) required(at time.Time) uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -170,7 +170,7 @@
 	return lowest
 }
 
-// changes returns the accepted changes by version.
+// changes returns the accepted changes in order of their versions.
 func (e *tableEvidence) changes() []acceptedChange {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -188,7 +188,7 @@
 	return e.unknowns[changeID]
 }
 
-// report sums the changes up.
+// report summarizes the changes.
 func (e *tableEvidence) report() TableReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
