--- a/internal/fleet/blackbox_test.go
+++ b/internal/fleet/blackbox_test.go
@@ -38,19 +38,19 @@
 // blackBox is a deployment of real processes under load from the test.
 type blackBox struct {
 	*fleet
-	t        *testing.T
-	binary   string
-	nodes    []*daemon
-	gates    []*daemon
-	makers   []*daemon // coordinators
-	backends []*daemon
-	calls    *caller.Caller
+	t                  *testing.T
+	binary             string
+	controlDaemons     []*daemon
+	gatewayDaemons     []*daemon
+	coordinatorDaemons []*daemon // coordinators
+	backendDaemons     []*daemon
+	calls              *caller.Caller
 
-	mutex   sync.Mutex
-	read    map[string]uint64 // sequence of the last dispatch read, by gateway process
-	since   map[string]int    // number of dispatches read, by gateway
-	keyRuns map[string]int    // runs at the application replica that is a real process, by key
-	lastRun uint64
+	mutex          sync.Mutex
+	lastDispatch   map[string]uint64 // sequence of the last dispatch read, by gateway process
+	dispatchCounts map[string]int    // number of dispatches read, by gateway
+	keyRuns        map[string]int    // runs at the application replica that is a real process, by key
+	lastRun        uint64
 }
 
 func newBlackBox(t *testing.T) *blackBox {
@@ -62,13 +62,13 @@
 	if err := config.setDefaults(); err != nil {
 		t.Fatal(err)
 	}
-	b := &blackBox{fleet: newFleet(config), t: t, binary: buildBinary(t), read: map[string]uint64{}, since: map[string]int{}, keyRuns: map[string]int{}}
+	b := &blackBox{fleet: newFleet(config), t: t, binary: buildBinary(t), lastDispatch: map[string]uint64{}, dispatchCounts: map[string]int{}, keyRuns: map[string]int{}}
 	t.Cleanup(b.stopAll)
 	return b
 }
 
 func (b *blackBox) stopAll() {
-	for _, group := range [][]*daemon{b.gates, b.makers, b.nodes, b.backends} {
+	for _, group := range [][]*daemon{b.gatewayDaemons, b.coordinatorDaemons, b.controlDaemons, b.backendDaemons} {
 		for _, one := range group {
 			one.kill()
 		}
@@ -96,7 +96,7 @@
 		made := b.daemon(node.name, b.nodeReady, "control", "--name", node.name, "--id", fmt.Sprint(index+1), "--cluster", clusterID,
 			"--data", filepath.Join(b.config.Folder, node.name))
 		node.address = made.address
-		b.nodes = append(b.nodes, made)
+		b.controlDaemons = append(b.controlDaemons, made)
 		peers = append(peers, fmt.Sprintf("%d=%s@%s", index+1, made.name, made.address))
 	}
 	client, err := controlclient.New(b.controlConfig("test", newCable()))
@@ -105,7 +105,7 @@
 	}
 	b.client = client
 	var starting sync.WaitGroup
-	for _, node := range b.nodes {
+	for _, node := range b.controlDaemons {
 		node.arguments = append(node.arguments, "--peers", strings.Join(peers, ","))
 		starting.Go(node.start) // none is ready without a quorum
 	}
@@ -135,11 +135,11 @@
 	if err := b.fleet.startBackends(ctx); err != nil {
 		b.t.Fatal(err)
 	}
-	b.backends = []*daemon{
-		b.daemon(realEngine, answers("/v1/load"), "standin", "engine", "--name", realEngine, "--weight-store", b.store.address),
-		b.daemon(realApplication, answers("/v1/load"), "standin", "application", "--name", realApplication),
+	b.backendDaemons = []*daemon{
+		b.daemon(realEngine, readyAt("/v1/load"), "standin", "engine", "--name", realEngine, "--weight-store", b.store.address),
+		b.daemon(realApplication, readyAt("/v1/load"), "standin", "application", "--name", realApplication),
 	}
-	for _, one := range b.backends {
+	for _, one := range b.backendDaemons {
 		one.start()
 	}
 	if err := b.createTable(ctx); err != nil {
@@ -147,15 +147,15 @@
 	}
 	edits := []operator.Edit{}
 	for row, pool := range map[string]string{realEngine: poolModel, realApplication: b.config.Deployment.ApplicationPool} {
-		address := b.backends[0].address
+		address := b.backendDaemons[0].address
 		if row == realApplication {
-			address = b.backends[1].address
+			address = b.backendDaemons[1].address
 		}
 		edits = append(edits, operator.Edit{Row: row, Column: table.ColumnKind, To: string(table.Backend)},
 			operator.Edit{Row: row, Column: table.ColumnPool, To: pool}, operator.Edit{Row: row, Column: table.ColumnAddress, To: address})
 	}
 	made := newTableOperator(b.fleet)
-	if !made.change(ctx, 0, "test", b.evidence.table.latest(), edits...) {
+	if !made.change(ctx, 0, "test", b.evidence.table.latestVersion(), edits...) {
 		b.t.Fatal("the real back ends were not added to the table")
 	}
 }
@@ -164,18 +164,18 @@
 func (b *blackBox) startServers() {
 	control := strings.Join(b.controlAddresses(), ",")
 	for _, part := range b.gateways {
-		b.gates = append(b.gates, b.daemon(part.name, answers("/readyz"), "gateway", "--name", part.name, "--zone", part.zone, "--control", control))
+		b.gatewayDaemons = append(b.gatewayDaemons, b.daemon(part.name, readyAt("/readyz"), "gateway", "--name", part.name, "--zone", part.zone, "--control", control))
 	}
 	for _, part := range b.rollouts.coordinators {
-		made := b.daemon(part.name, answers("/v1/stats"), "coordinator", "--name", part.name, "--zone", part.zone, "--control", control,
+		made := b.daemon(part.name, readyAt("/v1/stats"), "coordinator", "--name", part.name, "--zone", part.zone, "--control", control,
 			"--scorer", b.scorer.address, "--weight-store", b.store.address)
 		part.address = made.address
-		b.makers = append(b.makers, made)
+		b.coordinatorDaemons = append(b.coordinatorDaemons, made)
 	}
-	for _, one := range append(append([]*daemon{}, b.gates...), b.makers...) {
+	for _, one := range append(append([]*daemon{}, b.gatewayDaemons...), b.coordinatorDaemons...) {
 		one.start()
 	}
-	for _, one := range b.gates {
+	for _, one := range b.gatewayDaemons {
 		b.directory.add(one.address)
 	}
 }
@@ -230,15 +230,15 @@
 func (b *blackBox) collect() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for _, gate := range b.gates {
-		content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", gate.address, b.read[gate.name]))
+	for _, gate := range b.gatewayDaemons {
+		content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", gate.address, b.lastDispatch[gate.name]))
 		var log struct{ Dispatches []gateway.Dispatch }
 		if err != nil || json.Unmarshal(content, &log) != nil {
 			continue // it is down or paused
 		}
 		for _, dispatch := range log.Dispatches {
-			b.read[gate.name] = dispatch.Sequence
-			b.since[gate.name]++
+			b.lastDispatch[gate.name] = dispatch.Sequence
+			b.dispatchCounts[gate.name]++
 			b.examineDispatch(dispatch)
 		}
 	}
@@ -246,7 +246,7 @@
 }
 
 func (b *blackBox) collectRuns() {
-	content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", b.backends[1].address, b.lastRun))
+	content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", b.backendDaemons[1].address, b.lastRun))
 	var log struct{ Executions []application.Execution }
 	if err != nil || json.Unmarshal(content, &log) != nil {
 		return
@@ -269,12 +269,12 @@
 // killEach kills and restarts one process of each role under load.
 func (b *blackBox) killEach() {
 	leader := b.leader()
-	for _, victim := range []*daemon{b.gates[0], b.makers[0], leader, b.backends[0], b.backends[1]} {
+	for _, victim := range []*daemon{b.gatewayDaemons[0], b.coordinatorDaemons[0], leader, b.backendDaemons[0], b.backendDaemons[1]} {
 		b.collect() // a killed process loses its log
 		victim.kill()
 		time.Sleep(downTime)
 		b.mutex.Lock()
-		b.read[victim.name] = 0
+		b.lastDispatch[victim.name] = 0
 		if victim.name == realApplication {
 			b.lastRun = 0
 		}
@@ -293,7 +293,7 @@
 		for _, node := range operator.ReadStatus(context.Background(), b.client).Nodes {
 			for _, group := range node.Groups {
 				if group.Group == 0 && group.Role == "leader" {
-					return b.nodes[node.ID-1]
+					return b.controlDaemons[node.ID-1]
 				}
 			}
 		}
@@ -304,13 +304,13 @@
 
 // restartAll stops and restarts every process by plan, one after another. No call may fail meanwhile.
 func (b *blackBox) restartAll() {
-	for _, one := range append(append(append([]*daemon{}, b.gates...), b.makers...), b.nodes...) {
+	for _, one := range append(append(append([]*daemon{}, b.gatewayDaemons...), b.coordinatorDaemons...), b.controlDaemons...) {
 		before := b.calls.Stats()
 		b.collect()
 		forget := time.AfterFunc(directoryLag, func() { b.directory.remove(one.address) })
 		one.drain()
 		b.mutex.Lock()
-		b.read[one.name] = 0
+		b.lastDispatch[one.name] = 0
 		b.mutex.Unlock()
 		one.start()
 		forget.Stop()
@@ -322,8 +322,8 @@
 	}
 }
 
-// await waits up to electionLimit for a condition and reports whether it holds.
-func (b *blackBox) await(holds func() bool) bool {
+// waitFor waits up to electionLimit for a condition and reports whether it holds.
+func (b *blackBox) waitFor(holds func() bool) bool {
 	for end := time.Now().Add(electionLimit); !holds() && time.Now().Before(end); time.Sleep(stopSettle) {
 	}
 	return holds()
@@ -332,20 +332,20 @@
 // pauseBeyondTheLease pauses a gateway and the leading control node and resumes them. They must not act on outdated
 // state after that. The pause lasts until a change was accepted without them.
 func (b *blackBox) pauseBeyondTheLease() {
-	gate, leader := b.gates[1], b.leader()
-	version := b.evidence.table.latest()
+	gate, leader := b.gatewayDaemons[1], b.leader()
+	version := b.evidence.table.latestVersion()
 	for _, victim := range []*daemon{gate, leader} {
 		victim.signal(syscall.SIGSTOP)
 	}
 	time.Sleep(pauseTime)
-	if !b.await(func() bool { return b.evidence.table.latest() != version }) {
+	if !b.waitFor(func() bool { return b.evidence.table.latestVersion() != version }) {
 		b.t.Errorf("no change was accepted while %s was paused", leader.name)
 	}
 	before := b.dispatched(gate)
 	for _, victim := range []*daemon{gate, leader} {
 		victim.signal(syscall.SIGCONT)
 	}
-	if !b.await(func() bool { return b.dispatched(gate) != before }) {
+	if !b.waitFor(func() bool { return b.dispatched(gate) != before }) {
 		b.t.Errorf("%s dispatched nothing after it was resumed", gate.name)
 	}
 }
@@ -355,7 +355,7 @@
 	b.collect()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.since[gate.name]
+	return b.dispatchCounts[gate.name]
 }
 
 // TestRealProcessesBreakAPromiseUnderKillsRestartsAndPauses checks the promised invariants on processes of the built
--- a/internal/fleet/cable.go
+++ b/internal/fleet/cable.go
@@ -20,14 +20,14 @@
 	mutex       sync.Mutex
 	holdsIn     bool
 	holdsOut    bool
-	mended      chan struct{} // closed while nothing is held
+	repaired    chan struct{} // closed while nothing is held
 	connections map[*cableConnection]struct{}
 }
 
 func newCable() *cable {
-	mended := make(chan struct{})
-	close(mended)
-	return &cable{mended: mended, connections: map[*cableConnection]struct{}{}}
+	repaired := make(chan struct{})
+	close(repaired)
+	return &cable{repaired: repaired, connections: map[*cableConnection]struct{}{}}
 }
 
 // cut stops incoming bytes, outgoing bytes, or both.
@@ -35,17 +35,17 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.holdsIn && !c.holdsOut {
-		c.mended = make(chan struct{})
+		c.repaired = make(chan struct{})
 	}
 	c.holdsIn, c.holdsOut = in, out
 }
 
-// mend ends the cut and sends what was held.
-func (c *cable) mend() {
+// repair ends the cut and sends what was held.
+func (c *cable) repair() {
 	c.mutex.Lock()
 	if c.holdsIn || c.holdsOut {
 		c.holdsIn, c.holdsOut = false, false
-		close(c.mended)
+		close(c.repaired)
 	}
 	open := make([]*cableConnection, 0, len(c.connections))
 	for connection := range c.connections {
@@ -57,12 +57,12 @@
 	}
 }
 
-// held returns a channel that is closed when the cable is mended, or nil when nothing is held in the given direction.
-func (c *cable) held(out bool) <-chan struct{} {
+// blocked returns a channel that is closed when the cable is repaired, or nil when the given direction is not cut.
+func (c *cable) blocked(out bool) <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if (out && c.holdsOut) || (!out && c.holdsIn) {
-		return c.mended
+		return c.repaired
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 // dialTimeout.
 func (c *cable) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	for _, out := range []bool{true, false} {
-		if held := c.held(out); held != nil {
+		if held := c.blocked(out); held != nil {
 			timer := time.NewTimer(dialTimeout)
 			defer timer.Stop()
 			select {
@@ -162,7 +162,7 @@
 
 // awaitArrival waits until bytes may arrive, the connection is closed, or its read deadline has passed.
 func (c *cableConnection) awaitArrival() error {
-	held := c.cable.held(false)
+	held := c.cable.blocked(false)
 	if held == nil {
 		return nil
 	}
@@ -199,7 +199,7 @@
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
 	for {
-		held := c.cable.held(true)
+		held := c.cable.blocked(true)
 		if held == nil {
 			break
 		}
@@ -233,7 +233,7 @@
 func (c *cableConnection) flush() {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
-	if c.cable.held(true) == nil {
+	if c.cable.blocked(true) == nil {
 		_ = c.writePending()
 	}
 }
@@ -254,12 +254,12 @@
 	return c.Conn.SetDeadline(deadline)
 }
 
-// Close implements net.Conn. The peer sees the close only once the cable is mended.
+// Close implements net.Conn. The peer sees the close only once the cable is repaired.
 func (c *cableConnection) Close() error {
 	var err error
 	c.closing.Do(func() {
 		close(c.closed)
-		if held := c.cable.held(true); held != nil {
+		if held := c.cable.blocked(true); held != nil {
 			_ = c.Conn.SetReadDeadline(time.Now()) // ends a pending read
 			go func() {
 				<-held
--- a/internal/fleet/cable_test.go
+++ b/internal/fleet/cable_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		over.mend()
+		over.repair()
 		for _, closer := range []io.Closer{ours, theirs, listener} {
 			_ = closer.Close()
 		}
@@ -59,9 +59,9 @@
 	if arrives(t, ours) || arrives(t, theirs) {
 		t.Fatal("a byte crossed a cut cable")
 	}
-	over.mend()
+	over.repair()
 	if !arrives(t, ours) || !arrives(t, theirs) {
-		t.Fatal("a byte was lost although the cable was mended")
+		t.Fatal("a byte was lost although the cable was repaired")
 	}
 }
 
@@ -97,7 +97,7 @@
 	if arrives(t, theirs) {
 		t.Fatal("the peer saw the close while the cable was cut")
 	}
-	over.mend()
+	over.repair()
 	if err := theirs.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/checks.go
+++ b/internal/fleet/checks.go
@@ -147,7 +147,7 @@
 			f.registry.Examine(invariant.TableNoReversal, byGateway, "version %d of %s %s was made by %s, which keeps no record of suspects", entry.Version, entry.Row, entry.Column, entry.Operator)
 			continue
 		}
-		legitimate := known[entry.ChangeId] || f.evidence.table.maybeMade(entry.ChangeId)
+		legitimate := known[entry.ChangeId] || f.evidence.table.mayBeApplied(entry.ChangeId)
 		f.registry.Examine(invariant.TableNoReversal, legitimate, "version %d of %s %s was made by a refused change", entry.Version, entry.Row, entry.Column)
 	}
 }
--- a/internal/fleet/daemon_test.go
+++ b/internal/fleet/daemon_test.go
@@ -51,7 +51,7 @@
 	arguments []string
 	address   string
 	ready     func(context.Context, *daemon) error
-	written   servertest.Output
+	output    servertest.Output
 
 	command *exec.Cmd
 	ended   chan error
@@ -61,7 +61,7 @@
 func (d *daemon) start() {
 	d.t.Helper()
 	d.command = exec.Command(d.binary, d.arguments...)
-	d.command.Stdout, d.command.Stderr = &d.written, &d.written
+	d.command.Stdout, d.command.Stderr = &d.output, &d.output
 	if err := d.command.Start(); err != nil {
 		d.t.Fatal(err)
 	}
@@ -76,10 +76,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			d.t.Fatalf("%s is not ready: %v\n%s", d.name, err, d.written.String())
+			d.t.Fatalf("%s is not ready: %v\n%s", d.name, err, d.output.String())
 		case ended := <-d.ended:
 			d.command = nil
-			d.t.Fatalf("%s ended: %v\n%s", d.name, ended, d.written.String())
+			d.t.Fatalf("%s ended: %v\n%s", d.name, ended, d.output.String())
 		case <-time.After(readyPause):
 		}
 	}
@@ -110,16 +110,16 @@
 	case err := <-d.ended:
 		d.command = nil
 		if err != nil {
-			d.t.Errorf("%s stopped with %v\n%s", d.name, err, d.written.String())
+			d.t.Errorf("%s stopped with %v\n%s", d.name, err, d.output.String())
 		}
 	case <-time.After(daemonLimit):
 		d.kill()
-		d.t.Errorf("%s did not stop\n%s", d.name, d.written.String())
+		d.t.Errorf("%s did not stop\n%s", d.name, d.output.String())
 	}
 }
 
-// answers returns a readiness check that requires status 200 for a path.
-func answers(path string) func(context.Context, *daemon) error {
+// readyAt returns a readiness check that requires status 200 for a path.
+func readyAt(path string) func(context.Context, *daemon) error {
 	return func(ctx context.Context, d *daemon) error {
 		_, err := get(ctx, "http://"+d.address+path)
 		return err
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -19,9 +19,9 @@
 type evidence struct {
 	table tableEvidence
 
-	mutex  sync.Mutex
-	read   map[*gateway.Server]uint64 // sequence of the last dispatch read of each
-	leaves []leave
+	mutex    sync.Mutex
+	lastRead map[*gateway.Server]uint64 // sequence of the last dispatch read of each
+	leaves   []leave
 }
 
 // leave records that a back end, listed under the given rows, has left.
@@ -30,8 +30,8 @@
 	at   time.Time
 }
 
-// left records that the back end of the given rows has announced that it leaves.
-func (e *evidence) left(at time.Time, rows ...string) {
+// recordLeave records that the back end of the given rows has announced that it leaves.
+func (e *evidence) recordLeave(at time.Time, rows ...string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	noted := leave{rows: map[string]bool{}, at: at}
@@ -59,22 +59,22 @@
 func (f *fleet) collectDispatches() {
 	for _, part := range f.gateways {
 		part.each(func(server *gateway.Server) {
-			for _, dispatch := range f.evidence.unread(server) {
+			for _, dispatch := range f.evidence.nextDispatches(server) {
 				f.examineDispatch(dispatch)
 			}
 		})
 	}
 }
 
-func (e *evidence) unread(server *gateway.Server) []gateway.Dispatch {
+func (e *evidence) nextDispatches(server *gateway.Server) []gateway.Dispatch {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.read == nil {
-		e.read = map[*gateway.Server]uint64{}
+	if e.lastRead == nil {
+		e.lastRead = map[*gateway.Server]uint64{}
 	}
-	found := server.Dispatches(e.read[server])
+	found := server.Dispatches(e.lastRead[server])
 	if len(found) > 0 {
-		e.read[server] = found[len(found)-1].Sequence
+		e.lastRead[server] = found[len(found)-1].Sequence
 	}
 	return found
 }
@@ -82,7 +82,7 @@
 // examineDispatch checks the table version on which a gateway acted, and that it sent no new work to a back end that
 // had left.
 func (f *fleet) examineDispatch(dispatch gateway.Dispatch) {
-	required := f.evidence.table.required(dispatch.At)
+	required := f.evidence.table.requiredVersion(dispatch.At)
 	f.registry.Examine(invariant.TableInForce, dispatch.TableVersion >= required,
 		"%s sent a request to %s on version %d when version %d was in force", dispatch.Gateway, dispatch.Backend, dispatch.TableVersion, required)
 	if dispatch.Kind == "resume" {
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -30,9 +30,9 @@
 
 // fault is a kind of failure of one kind of part.
 type fault struct {
-	role string
-	most int  // concurrently faulty parts of the role
-	long bool // lasts beyond every lease
+	role      string
+	maxFaulty int  // concurrently faulty parts of the role
+	long      bool // lasts beyond every lease
 	// begin injects the fault into a part. It returns the part's name, a description of the fault and the function
 	// that repairs it. An empty name means that no part was available.
 	begin func(*faultPlan) (name, what string, repair func(context.Context) error)
@@ -40,19 +40,19 @@
 
 // faultPlan draws the faults of a run.
 type faultPlan struct {
-	fleet  *fleet
-	random *rand.Rand
-	faults []fault
-	round  []int // faults still to come before any is repeated
+	fleet     *fleet
+	random    *rand.Rand
+	faults    []fault
+	remaining []int // faults still to come before any is repeated
 
 	mutex   sync.Mutex
-	trouble map[string]map[string]bool // names of the faulty parts, by role
+	faulty  map[string]map[string]bool // names of the faulty parts, by role
 	errors  []error
 	running sync.WaitGroup
 }
 
 func newFaultPlan(f *fleet) *faultPlan {
-	made := &faultPlan{fleet: f, random: rand.New(rand.NewSource(f.config.Seed)), trouble: map[string]map[string]bool{}}
+	made := &faultPlan{fleet: f, random: rand.New(rand.NewSource(f.config.Seed)), faulty: map[string]map[string]bool{}}
 	made.faults = []fault{
 		{"control", 1, false, killOne(f.control)},
 		{"control", 1, true, cutOne(f.control)},
@@ -60,7 +60,7 @@
 		{"gateway", 2, false, killOne(f.gateways)},
 		{"gateway", 2, true, cutOne(f.gateways)},
 		{"engine", 3, false, crashEngine},
-		{"engine", 3, false, cutOne(staying(f.engines))},
+		{"engine", 3, false, cutOne(withoutLeaving(f.engines))},
 		{"engine", 3, false, failSwap},
 		{"engine", 3, false, disturbStreams},
 		{"application", 2, false, crashApplication},
@@ -92,17 +92,17 @@
 	return least + time.Duration(p.random.Int63n(int64(most-least)))
 }
 
-// draw returns the next fault whose role has fewer than its most faulty parts. Each fault occurs once before any is
+// draw returns the next fault whose role has fewer than maxFaulty faulty parts. Each fault occurs once before any is
 // repeated.
 func (p *faultPlan) draw() (fault, bool) {
-	if len(p.round) == 0 {
-		p.round = p.random.Perm(len(p.faults))
+	if len(p.remaining) == 0 {
+		p.remaining = p.random.Perm(len(p.faults))
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for position, index := range p.round {
-		if drawn := p.faults[index]; len(p.trouble[drawn.role]) < drawn.most {
-			p.round = slices.Delete(p.round, position, position+1)
+	for position, index := range p.remaining {
+		if drawn := p.faults[index]; len(p.faulty[drawn.role]) < drawn.maxFaulty {
+			p.remaining = slices.Delete(p.remaining, position, position+1)
 			return drawn, true
 		}
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	p.fleet.events.add("%s %s for %s", name, what, lasting.Round(time.Millisecond))
-	p.mark(drawn.role, name, true)
+	p.setFaulty(drawn.role, name, true)
 	p.running.Go(func() {
 		pause(ctx, lasting)
 		ctx, cancel := context.WithTimeout(ctx, startLimit)
@@ -135,30 +135,30 @@
 			p.mutex.Unlock()
 		}
 		p.fleet.events.add("%s is repaired", name)
-		p.mark(drawn.role, name, false)
+		p.setFaulty(drawn.role, name, false)
 	})
 }
 
-func (p *faultPlan) mark(role, name string, troubled bool) {
+func (p *faultPlan) setFaulty(role, name string, troubled bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.trouble[role] == nil {
-		p.trouble[role] = map[string]bool{}
+	if p.faulty[role] == nil {
+		p.faulty[role] = map[string]bool{}
 	}
 	if troubled {
-		p.trouble[role][name] = true
+		p.faulty[role][name] = true
 	} else {
-		delete(p.trouble[role], name)
+		delete(p.faulty[role], name)
 	}
 }
 
-// free draws a part that is not faulty, or returns nil if there is none.
-func free[S server](p *faultPlan, parts []*process[S]) *process[S] {
+// drawHealthy draws a part that is not faulty, or returns nil if there is none.
+func drawHealthy[S server](p *faultPlan, parts []*process[S]) *process[S] {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, index := range p.random.Perm(len(parts)) {
 		troubled := false
-		for _, names := range p.trouble {
+		for _, names := range p.faulty {
 			troubled = troubled || names[parts[index].name]
 		}
 		if !troubled {
@@ -171,7 +171,7 @@
 // killOne stops a part abruptly. The repair starts it again with the data on its disk.
 func killOne[S server](parts []*process[S]) func(*faultPlan) (string, string, func(context.Context) error) {
 	return func(p *faultPlan) (string, string, func(context.Context) error) {
-		part := free(p, parts)
+		part := drawHealthy(p, parts)
 		if part == nil {
 			return "", "", nil
 		}
@@ -185,7 +185,7 @@
 // cutOne cuts the cable of a part in one direction or both.
 func cutOne[S server](parts []*process[S]) func(*faultPlan) (string, string, func(context.Context) error) {
 	return func(p *faultPlan) (string, string, func(context.Context) error) {
-		part := free(p, parts)
+		part := drawHealthy(p, parts)
 		if part == nil {
 			return "", "", nil
 		}
@@ -196,23 +196,23 @@
 		drawn := kinds[p.random.Intn(len(kinds))]
 		part.cable.cut(drawn.in, drawn.out)
 		return part.name, drawn.what, func(context.Context) error {
-			part.cable.mend()
+			part.cable.repair()
 			return nil
 		}
 	}
 }
 
-// staying returns the back ends without the last one, which leaves by plan.
-func staying[S server](parts []*process[S]) []*process[S] { return parts[:len(parts)-1] }
+// withoutLeaving returns the back ends without the last one, which leaves by plan.
+func withoutLeaving[S server](parts []*process[S]) []*process[S] { return parts[:len(parts)-1] }
 
-func freeEngine(p *faultPlan) (*process[*engine.Server], bool) {
-	part := free(p, staying(p.fleet.engines))
+func drawHealthyEngine(p *faultPlan) (*process[*engine.Server], bool) {
+	part := drawHealthy(p, withoutLeaving(p.fleet.engines))
 	return part, part != nil
 }
 
 // crashEngine makes an engine lose its requests and its memory. It restarts with the weight version that it served.
 func crashEngine(p *faultPlan) (string, string, func(context.Context) error) {
-	part, ok := freeEngine(p)
+	part, ok := drawHealthyEngine(p)
 	if !ok {
 		return "", "", nil
 	}
@@ -226,7 +226,7 @@
 
 // failSwap makes an engine's next weight swap fail in one of the known ways.
 func failSwap(p *faultPlan) (string, string, func(context.Context) error) {
-	part, ok := freeEngine(p)
+	part, ok := drawHealthyEngine(p)
 	if !ok {
 		return "", "", nil
 	}
@@ -237,7 +237,7 @@
 
 // disturbStreams cuts streamed answers of an engine and duplicates parts of them.
 func disturbStreams(p *faultPlan) (string, string, func(context.Context) error) {
-	part, ok := freeEngine(p)
+	part, ok := drawHealthyEngine(p)
 	if !ok {
 		return "", "", nil
 	}
@@ -250,7 +250,7 @@
 
 // crashApplication closes an application replica's connections. Requests that had begun to run count as run.
 func crashApplication(p *faultPlan) (string, string, func(context.Context) error) {
-	part := free(p, staying(p.fleet.applications))
+	part := drawHealthy(p, withoutLeaving(p.fleet.applications))
 	if part == nil {
 		return "", "", nil
 	}
@@ -263,7 +263,7 @@
 
 // disturbCalls closes connections before and after runs, and rejects calls.
 func disturbCalls(p *faultPlan) (string, string, func(context.Context) error) {
-	part := free(p, staying(p.fleet.applications))
+	part := drawHealthy(p, withoutLeaving(p.fleet.applications))
 	if part == nil {
 		return "", "", nil
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -58,16 +58,16 @@
 		invariant.SampleVersions, invariant.StalenessBound, invariant.SampleOnce, invariant.WholeAnswer, invariant.NotRunIsFinal,
 		invariant.RunAtMostOnce, invariant.LeavingBackend, invariant.PlannedStop, invariant.TableInForce, invariant.TableNoReversal)}
 	f.events.started = f.started
-	f.describeControl()
-	f.describeBackends()
-	f.describeGateways()
+	f.addControl()
+	f.addBackends()
+	f.addGateways()
 	f.rollouts = newRollouts(f)
 	return f
 }
 
 func (f *fleet) log(part string) *logrus.Entry { return logging.Part(f.config.Log, part) }
 
-func (f *fleet) describeControl() {
+func (f *fleet) addControl() {
 	for index := range f.config.Deployment.ControlNodes {
 		node := &process[*control.Server]{name: fmt.Sprintf("control-%d", index+1), zone: f.config.Deployment.zone(index),
 			cable: newCable(), cuttable: true}
@@ -100,7 +100,7 @@
 	return controlclient.Config{Addresses: f.controlAddresses(), Dial: over.dial, Log: f.log(part)}
 }
 
-func (f *fleet) describeGateways() {
+func (f *fleet) addGateways() {
 	for index := range f.config.Deployment.Gateways {
 		part := &process[*gateway.Server]{name: fmt.Sprintf(gatewayPrefix+"%d", index+1), zone: f.config.Deployment.zone(index), cable: newCable()}
 		part.open = func(ctx context.Context, listener net.Listener) (*gateway.Server, error) {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *fleet) describeBackends() {
+func (f *fleet) addBackends() {
 	deployment := f.config.Deployment
 	f.store = &process[*weightstore.Server]{name: "weight-store"}
 	f.store.open = func(_ context.Context, listener net.Listener) (*weightstore.Server, error) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -56,11 +56,11 @@
 func TestADispatchOnAnOldTableIsNotSeen(t *testing.T) {
 	f := testFleet(t)
 	evidence := &f.evidence.table
-	evidence.created(1, nil)
+	evidence.recordCreation(1, nil)
 	change := &wire.TableChange{ChangeId: "second"}
-	evidence.sending(change)
+	evidence.recordSending(change)
 	at := time.Now()
-	evidence.answered(change, &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, Version: 2}, at)
+	evidence.recordAnswer(change, &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, Version: 2}, at)
 	f.examineDispatch(gateway.Dispatch{At: at.Add(inForceBound - time.Millisecond), TableVersion: 1})
 	if found := result(t, f, invariant.TableInForce); found.Examined != 1 || found.Violated != 0 {
 		t.Fatalf("%+v: want no violation by a dispatch within the bound", found)
@@ -74,7 +74,7 @@
 func TestNewWorkForALeavingBackendIsNotSeen(t *testing.T) {
 	f := testFleet(t)
 	at := time.Now()
-	f.evidence.left(at, "engine-1")
+	f.evidence.recordLeave(at, "engine-1")
 	for _, dispatch := range []gateway.Dispatch{
 		{Kind: "send", Backend: "engine-1", At: at.Add(leaveBound)},
 		{Kind: "resume", Backend: "engine-1", At: at.Add(2 * leaveBound)},
@@ -99,15 +99,15 @@
 	bound := func(value string) []*wire.CellChange {
 		return []*wire.CellChange{{Row: poolModel, Column: table.ColumnStalenessBound, Value: value}}
 	}
-	evidence.created(1, bound("3"))
+	evidence.recordCreation(1, bound("3"))
 	change := &wire.TableChange{ChangeId: "tighter", Cells: bound("2")}
-	evidence.sending(change)
-	evidence.answered(change, &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, Version: 2}, time.Now())
-	if now, _ := evidence.boundNow(); now != 3 {
+	evidence.recordSending(change)
+	evidence.recordAnswer(change, &wire.TableResult{Outcome: wire.TableOutcome_TABLE_OUTCOME_ACCEPTED, Version: 2}, time.Now())
+	if now, _ := evidence.largestBound(); now != 3 {
 		t.Fatalf("bound %d, want 3 until the tightened bound is in force", now)
 	}
-	evidence.inForce(2, time.Now().Add(-logSlack))
-	if now, _ := evidence.boundNow(); now != 2 {
+	evidence.recordInForce(2, time.Now().Add(-logSlack))
+	if now, _ := evidence.largestBound(); now != 2 {
 		t.Fatalf("bound %d, want 2 once the tightened bound is in force", now)
 	}
 }
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -24,22 +24,22 @@
 
 // tableOperator changes cells several times a second, sends each change twice and makes two operators race.
 type tableOperator struct {
-	client   *controlclient.Client
-	evidence *tableEvidence
-	registry *invariant.Registry
-	random   *rand.Rand
-	engines  []string // rows whose weight it changes
-	bound    uint64   // least staleness bound
-	number   int
+	client       *controlclient.Client
+	evidence     *tableEvidence
+	registry     *invariant.Registry
+	random       *rand.Rand
+	engines      []string // rows whose weight it changes
+	minimumBound uint64   // least staleness bound
+	number       int
 
-	mutex   sync.Mutex
-	busy    map[string]bool // cells with a change in progress
-	running sync.WaitGroup
+	mutex      sync.Mutex
+	inProgress map[string]bool // cells with a change in progress
+	running    sync.WaitGroup
 }
 
 func newTableOperator(f *fleet) *tableOperator {
-	made := &tableOperator{client: f.client, evidence: &f.evidence.table, registry: f.registry, busy: map[string]bool{},
-		random: rand.New(rand.NewSource(f.config.Seed)), bound: f.config.Deployment.Trainer.StalenessBound}
+	made := &tableOperator{client: f.client, evidence: &f.evidence.table, registry: f.registry, inProgress: map[string]bool{},
+		random: rand.New(rand.NewSource(f.config.Seed)), minimumBound: f.config.Deployment.Trainer.StalenessBound}
 	for _, part := range f.engines {
 		made.engines = append(made.engines, part.name)
 	}
@@ -66,8 +66,8 @@
 	row, column, value := o.draw()
 	cell := row + " " + column
 	o.mutex.Lock()
-	taken := o.busy[cell]
-	o.busy[cell] = true
+	taken := o.inProgress[cell]
+	o.inProgress[cell] = true
 	o.mutex.Unlock()
 	if taken {
 		return
@@ -79,13 +79,13 @@
 		defer func() {
 			o.mutex.Lock()
 			defer o.mutex.Unlock()
-			delete(o.busy, cell)
+			delete(o.inProgress, cell)
 		}()
 		if race {
 			o.race(ctx, number, operator.Edit{Row: row, Column: column, To: value})
 			return
 		}
-		o.change(ctx, number, "alice", o.evidence.latest(), operator.Edit{Row: row, Column: column, To: value})
+		o.change(ctx, number, "alice", o.evidence.latestVersion(), operator.Edit{Row: row, Column: column, To: value})
 	})
 }
 
@@ -94,7 +94,7 @@
 	case 0:
 		return poolModel, table.ColumnLiveRoom, strconv.Itoa(8 + o.random.Intn(16))
 	case 1:
-		return poolModel, table.ColumnStalenessBound, strconv.FormatUint(o.bound+uint64(o.random.Intn(2)), 10)
+		return poolModel, table.ColumnStalenessBound, strconv.FormatUint(o.minimumBound+uint64(o.random.Intn(2)), 10)
 	default:
 		return o.engines[o.random.Intn(len(o.engines))], table.ColumnWeight, strconv.Itoa(50 + o.random.Intn(100))
 	}
@@ -102,7 +102,7 @@
 
 // race makes two operators change a cell on the same version. At most one change may be accepted.
 func (o *tableOperator) race(ctx context.Context, number int, edit operator.Edit) {
-	base := o.evidence.latest()
+	base := o.evidence.latestVersion()
 	other := edit
 	other.To += "0"
 	var second bool
@@ -121,13 +121,13 @@
 	defer cancel()
 	plan := &operator.Plan{Base: base, Edits: edits}
 	change := operator.NewChange(plan, operator.Author{Operator: author, Note: fmt.Sprintf("change %d", number)}, time.Now())
-	o.evidence.sending(change)
+	o.evidence.recordSending(change)
 	result, _, err := o.send(ctx, change, false)
 	if err != nil {
-		o.evidence.unknown(change)
+		o.evidence.recordUnknown(change)
 		return false
 	}
-	o.evidence.answered(change, result, time.Now())
+	o.evidence.recordAnswer(change, result, time.Now())
 	again, inForce, err := o.send(ctx, change, true)
 	if err != nil {
 		return accepted(result)
@@ -135,7 +135,7 @@
 	o.registry.Examine(invariant.TableNoReversal, again.Outcome == result.Outcome && (!accepted(result) || again.Version == result.Version),
 		"change %d was answered %v version %d, then %v version %d", number, result.Outcome, result.Version, again.Outcome, again.Version)
 	if accepted(result) && inForce >= result.Version {
-		o.evidence.inForce(result.Version, time.Now())
+		o.evidence.recordInForce(result.Version, time.Now())
 	}
 	return accepted(result)
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -16,7 +16,7 @@
 const (
 	progressInterval  = 2 * time.Second
 	doubleProbability = 0.1
-	keptCalls         = 1 << 20
+	maxKeptCalls      = 1 << 20
 	// callerAttempts with their doubling pauses last longer than the election of a new leader of the control nodes.
 	callerAttempts = 8
 )
@@ -70,7 +70,7 @@
 
 func (f *fleet) newCaller() (*caller.Caller, error) {
 	return caller.New(caller.Config{Gateways: f.directory.list, Workload: f.config.Deployment.callers(f.config.LiveRate, f.config.OperationRate),
-		Seed: f.config.Seed, MaxAttempts: callerAttempts, DoubleProbability: doubleProbability, KeepCalls: keptCalls, Log: f.log("callers")})
+		Seed: f.config.Seed, MaxAttempts: callerAttempts, DoubleProbability: doubleProbability, KeepCalls: maxKeptCalls, Log: f.log("callers")})
 }
 
 // load runs the load and the faults for the configured duration and waits for the outstanding answers.
@@ -108,7 +108,7 @@
 		summary := f.registry.Summary()
 		fmt.Fprintf(f.config.Progress, "%5.1f s: %d answers, live p99 %.0f ms, %d refused, %d samples, %d steps, table version %d, %d violations\n",
 			time.Since(f.started).Seconds(), stats.Total.Answered, stats.Live.Latency.P99, stats.Total.Refused, samples, steps,
-			f.evidence.table.latest(), summary.Violations)
+			f.evidence.table.latestVersion(), summary.Violations)
 	}
 }
 
--- a/internal/fleet/stops.go
+++ b/internal/fleet/stops.go
@@ -73,9 +73,9 @@
 func (f *fleet) leaveBackends() {
 	engine, application := f.engines[len(f.engines)-1], f.applications[len(f.applications)-1]
 	engine.current.Leave()
-	f.evidence.left(time.Now(), engine.name)
+	f.evidence.recordLeave(time.Now(), engine.name)
 	application.current.Leave()
-	f.evidence.left(time.Now(), application.name, narrowRow(application.name))
+	f.evidence.recordLeave(time.Now(), application.name, narrowRow(application.name))
 	f.events.add("%s and %s leave", engine.name, application.name)
 }
 
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -31,7 +31,7 @@
 	if result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 		return trace.BadParameter("the table was not accepted: %v", result)
 	}
-	f.evidence.table.created(result.Version, change.Cells)
+	f.evidence.table.recordCreation(result.Version, change.Cells)
 	return nil
 }
 
--- a/internal/fleet/tableevidence.go
+++ b/internal/fleet/tableevidence.go
@@ -39,20 +39,20 @@
 
 // tableEvidence records the answers that operators got to their changes.
 type tableEvidence struct {
-	mutex     sync.Mutex
-	accepted  []*acceptedChange
-	conflicts int
-	unknowns  map[string]bool // ids of changes whose answers never arrived
-	bounds    []boundValue
-	waits     *hdrhistogram.Histogram // from acceptance to in force, in milliseconds
+	mutex         sync.Mutex
+	accepted      []*acceptedChange
+	conflicts     int
+	unknowns      map[string]bool // ids of changes whose answers never arrived
+	bounds        []boundValue
+	inForceDelays *hdrhistogram.Histogram // from acceptance to in force, in milliseconds
 }
 
-// created records the first version of the table.
-func (e *tableEvidence) created(version uint64, cells []*wire.CellChange) {
+// recordCreation records the first version of the table.
+func (e *tableEvidence) recordCreation(version uint64, cells []*wire.CellChange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
-	e.waits = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
+	e.inForceDelays = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	e.unknowns = map[string]bool{}
 	e.accepted = append(e.accepted, &acceptedChange{id: "create", version: version, cells: cells, acceptedAt: now, effective: now})
 	if value, ok := stalenessBound(cells); ok {
@@ -70,8 +70,8 @@
 	return 0, false
 }
 
-// latest returns the highest version known to be accepted.
-func (e *tableEvidence) latest() uint64 {
+// latestVersion returns the highest version known to be accepted.
+func (e *tableEvidence) latestVersion() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var highest uint64
@@ -81,8 +81,8 @@
 	return highest
 }
 
-// sending records that a change may be accepted from now on.
-func (e *tableEvidence) sending(change *wire.TableChange) {
+// recordSending records that a change may be accepted from now on.
+func (e *tableEvidence) recordSending(change *wire.TableChange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if value, ok := stalenessBound(change.Cells); ok {
@@ -90,8 +90,8 @@
 	}
 }
 
-// answered records the result of a change.
-func (e *tableEvidence) answered(change *wire.TableChange, result *wire.TableResult, now time.Time) {
+// recordAnswer records the result of a change.
+func (e *tableEvidence) recordAnswer(change *wire.TableChange, result *wire.TableResult, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if !accepted(result) {
@@ -104,20 +104,20 @@
 	e.expireBounds(change.ChangeId, now.Add(inForceBound))
 }
 
-// unknown records a change whose answer never arrived. It may have been applied.
-func (e *tableEvidence) unknown(change *wire.TableChange) {
+// recordUnknown records a change whose answer never arrived. It may have been applied.
+func (e *tableEvidence) recordUnknown(change *wire.TableChange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.unknowns[change.ChangeId] = true
 }
 
-// inForce records that a version was reported to be in force everywhere.
-func (e *tableEvidence) inForce(version uint64, now time.Time) {
+// recordInForce records that a version was reported to be in force everywhere.
+func (e *tableEvidence) recordInForce(version uint64, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, change := range e.accepted {
 		if change.version == version {
-			_ = e.waits.RecordValue(max(now.Sub(change.acceptedAt).Milliseconds(), 1))
+			_ = e.inForceDelays.RecordValue(max(now.Sub(change.acceptedAt).Milliseconds(), 1))
 			change.effective = earlier(change.effective, now.Add(logSlack))
 			e.expireBounds(change.id, now.Add(logSlack))
 		}
@@ -142,8 +142,8 @@
 	return first
 }
 
-// boundNow returns the largest staleness bound on which a coordinator may still act, and whether one is known.
-func (e *tableEvidence) boundNow() (uint64, bool) {
+// largestBound returns the largest staleness bound on which a coordinator may still act, and whether one is known.
+func (e *tableEvidence) largestBound() (uint64, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
@@ -157,8 +157,8 @@
 	return largest, known
 }
 
-// required returns the lowest version on which a dispatch at the given time may act.
-func (e *tableEvidence) required(at time.Time) uint64 {
+// requiredVersion returns the lowest version on which a dispatch at the given time may act.
+func (e *tableEvidence) requiredVersion(at time.Time) uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var lowest uint64
@@ -182,7 +182,7 @@
 	return all
 }
 
-func (e *tableEvidence) maybeMade(changeID string) bool {
+func (e *tableEvidence) mayBeApplied(changeID string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.unknowns[changeID]
@@ -193,5 +193,5 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return TableReport{Accepted: len(e.accepted), Conflicts: e.conflicts, Unknown: len(e.unknowns),
-		InForceP50: float64(e.waits.ValueAtQuantile(50)), InForceMax: float64(e.waits.Max())}
+		InForceP50: float64(e.inForceDelays.ValueAtQuantile(50)), InForceMax: float64(e.inForceDelays.Max())}
 }
