--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -16,13 +16,13 @@
 const (
 	progressInterval  = 2 * time.Second
 	doubleProbability = 0.1
-	keptCalls         = 1 << 20
-	// callerAttempts with their doubling pauses last longer than a new leader of the control nodes takes.
+	maxKeptCalls      = 1 << 20
+	// callerAttempts with their doubling pauses last longer than the election of a new leader of the control nodes.
 	callerAttempts = 8
 )
 
-// Run starts the deployment, lets callers, trainers and an operator use it for the duration, stops it and
-// reports. An error means that the run itself failed; a broken promise is in the report.
+// Run starts the deployment, lets callers, trainers and an operator use it for config.Duration, stops it and returns
+// the report. An error means that the run itself failed; violations of invariants are in the report.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, err
@@ -70,10 +70,10 @@
 
 func (f *fleet) newCaller() (*caller.Caller, error) {
 	return caller.New(caller.Config{Gateways: f.directory.list, Workload: f.config.Deployment.callers(f.config.LiveRate, f.config.OperationRate),
-		Seed: f.config.Seed, MaxAttempts: callerAttempts, DoubleProbability: doubleProbability, KeepCalls: keptCalls, Log: f.log("callers")})
+		Seed: f.config.Seed, MaxAttempts: callerAttempts, DoubleProbability: doubleProbability, KeepCalls: maxKeptCalls, Log: f.log("callers")})
 }
 
-// load lets everything act on the fleet until the duration is over and the answers are there.
+// load runs the load and the faults for the configured duration and waits for the outstanding answers.
 func (f *fleet) load(ctx context.Context, calls *caller.Caller) error {
 	loadContext, cancel := context.WithTimeout(ctx, f.config.Duration)
 	defer cancel()
@@ -108,7 +108,7 @@
 		summary := f.registry.Summary()
 		fmt.Fprintf(f.config.Progress, "%5.1f s: %d answers, live p99 %.0f ms, %d refused, %d samples, %d steps, table version %d, %d violations\n",
 			time.Since(f.started).Seconds(), stats.Total.Answered, stats.Live.Latency.P99, stats.Total.Refused, samples, steps,
-			f.evidence.table.latest(), summary.Violations)
+			f.evidence.table.latestVersion(), summary.Violations)
 	}
 }
 
