--- a/internal/batchrun/listed.go
+++ b/internal/batchrun/listed.go
@@ -25,7 +25,7 @@
 			open[entry.groupName()]++
 		}
 	}
-	carried := t.scheduler.Carried(opened.submit.GetId())
+	carried := t.scheduler.CarriedGroups(opened.submit.GetId())
 	opened.listing = jobListing{carried: len(carried), pace: listing.New(t.config.ListInterval, &listing.Job{
 		Opened: opened.openedAt, Due: opened.deadline, Open: open, Whole: len(groups) - len(open),
 		Desired: int(opened.submit.GetDesired()), Carried: carried,
@@ -45,7 +45,7 @@
 // updateExpectedEnd passes the expected completion time of a job's wanted groups to its listing. Without one, the
 // listing holds no results back for the end.
 func (t *termRunner) updateExpectedEnd(openJob *job) {
-	end, known := t.scheduler.Expected(openJob.submit.GetId())
+	end, known := t.scheduler.ExpectedEnd(openJob.submit.GetId())
 	if !known {
 		openJob.listing.pace.Expect(0)
 		return
--- a/internal/batchrun/listed_test.go
+++ b/internal/batchrun/listed_test.go
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	moved := &call{Start: schedule.Start{Key: schedule.Key{Job: "a", Item: "i0"}}, stream: &stream{}, stopReason: stopMoved, ending: schedule.Moved,
-		move: schedule.Move{Pace: 60 * time.Millisecond, Fastest: 40 * time.Millisecond, Left: 2 * time.Second, Leaving: true, Passing: 2.5,
+		move: schedule.Move{Pace: 60 * time.Millisecond, Fastest: 40 * time.Millisecond, Remaining: 2 * time.Second, Leaving: true, RelativePace: 2.5,
 			Saved: time.Second}}
 	newTermRunner(runner, 1).logEnd(moved, 9, schedule.Again)
 	ended := eventsOf[*events.RunEnded](r)
--- a/internal/batchrun/log.go
+++ b/internal/batchrun/log.go
@@ -131,9 +131,9 @@
 func (t *termRunner) logStart(c *call) {
 	event := &events.RunStarted{
 		Job: c.Job, Item: c.Item, Replica: c.Instance, Pool: c.Pool, TableVersion: t.view.Version(), Urgency: c.Urgency, Running: c.Running,
-		Slots: c.Slots, KnownVersion: c.Known, ExpectedVersion: c.ExpectedVersion, ResumeAfter: max(c.text.lastID, 0),
+		Slots: c.Slots, KnownVersion: c.KnownVersion, ExpectedVersion: c.ExpectedVersion, ResumeAfter: max(c.text.lastID, 0),
 	}
-	if c.Known > 0 {
+	if c.KnownVersion > 0 {
 		event.KnownAgeMs = events.Millis(c.KnownAge)
 	}
 	logging.Emit(t.config.Log, event)
@@ -154,8 +154,8 @@
 	}
 	if c.stopReason == stopMoved {
 		event.PaceMs, event.UsualMs = events.Millis(c.move.Pace), events.Millis(c.move.Fastest)
-		event.LeftMs, event.Leaving = events.Millis(c.move.Left), c.move.Leaving
-		event.PassingPace, event.SavedMs = c.move.Passing, events.Millis(c.move.Saved)
+		event.LeftMs, event.Leaving = events.Millis(c.move.Remaining), c.move.Leaving
+		event.PassingPace, event.SavedMs = c.move.RelativePace, events.Millis(c.move.Saved)
 	}
 	switch {
 	case errors.Is(c.outcome.Err, errNotAdmitted):
--- a/internal/batchrun/metrics.go
+++ b/internal/batchrun/metrics.go
@@ -98,7 +98,7 @@
 	fleet, metrics := t.scheduler.Fleet(), t.runner.metrics
 	metrics.fastestPause.Set(fleet.Fastest.Seconds())
 	metrics.slowestPause.Set(fleet.Slowest.Seconds())
-	metrics.passingSlowness.Set(fleet.Rest.Seconds())
+	metrics.passingSlowness.Set(fleet.SlowdownRemaining.Seconds())
 	metrics.memoryTaken.Set(fleet.Memory)
 	if t.fleet != nil {
 		metrics.executors.Set(float64(t.fleet.Usable()))
--- a/internal/batchrun/report_test.go
+++ b/internal/batchrun/report_test.go
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			work.reportProgress(running)
-			if got := work.scheduler.Fleet().Rest > time.Duration(0); got != test.used {
+			if got := work.scheduler.Fleet().SlowdownRemaining > time.Duration(0); got != test.used {
 				t.Errorf("%s, rejected %v: report in use %v, want the opposite", name, refused, got)
 			}
 		}
--- a/internal/batchrun/schedule/fleet.go
+++ b/internal/batchrun/schedule/fleet.go
@@ -7,8 +7,8 @@
 	// Fastest and Slowest are the times between two events on the fastest and on the slowest replica, by their
 	// long-term paces. 0: unknown.
 	Fastest, Slowest time.Duration
-	// Rest is how long a temporary slowdown is expected to last; 0: no replica reports its pace.
-	Rest time.Duration
+	// SlowdownRemaining is how long a temporary slowdown is expected to last; 0: no replica reports its pace.
+	SlowdownRemaining time.Duration
 	// Memory is the used fraction of memory of the replica whose memory is fullest; 0: no memory size is known.
 	Memory float64
 }
@@ -18,7 +18,7 @@
 	var found Fleet
 	for _, pool := range s.pools {
 		if pool.reportsPace {
-			found.Rest = max(found.Rest, pool.slowdownRest.Expected())
+			found.SlowdownRemaining = max(found.SlowdownRemaining, pool.slowdownRest.Expected())
 		}
 		for _, replica := range pool.replicas {
 			if pause := fromSeconds(replica.pace); pause > 0 {
--- a/internal/batchrun/schedule/forecast.go
+++ b/internal/batchrun/schedule/forecast.go
@@ -46,11 +46,11 @@
 	s.lengthLimits[model].note(events)
 }
 
-// Expected returns when the groups that a job's owner requires are expected to be complete, according to the running
+// ExpectedEnd returns when the groups that a job's owner requires are expected to be complete, according to the running
 // items and the paces of their replicas. An answer that has outgrown its estimate is expected to reach the maximum
 // length of its model's answers. The end is unknown while a required item is not running or while that maximum is
 // unknown.
-func (s *Scheduler) Expected(id string) (end time.Duration, known bool) {
+func (s *Scheduler) ExpectedEnd(id string) (end time.Duration, known bool) {
 	job := s.jobs[id]
 	if job == nil {
 		return 0, false
--- a/internal/batchrun/schedule/forecast_test.go
+++ b/internal/batchrun/schedule/forecast_test.go
@@ -32,23 +32,23 @@
 	for _, key := range keys {
 		deliverEvents(s, key, 1, second)
 	}
-	if end, known := s.Expected("job"); known {
+	if end, known := s.ExpectedEnd("job"); known {
 		t.Errorf("end expected at %v although no limit is known", end)
 	}
 	learnLimit(s, "m", 80)
-	if end, known := s.Expected("job"); !known || end != second+59*eventPause {
+	if end, known := s.ExpectedEnd("job"); !known || end != second+59*eventPause {
 		t.Errorf("end expected at %v (known: %v), want the end of the second group", end, known)
 	}
 	deliverEvents(s, keys[0], 21, second)
-	if end, _ := s.Expected("job"); end != second+79*eventPause {
+	if end, _ := s.ExpectedEnd("job"); end != second+79*eventPause {
 		t.Errorf("end expected at %v, want the first group's answer to reach the limit", end)
 	}
 	s.Ended(3*second, keys[0], Completed, 1)
-	if end, _ := s.Expected("job"); end < second+59*eventPause || end > second+60*eventPause { // the estimate has grown with the completed answer
+	if end, _ := s.ExpectedEnd("job"); end < second+59*eventPause || end > second+60*eventPause { // the estimate has grown with the completed answer
 		t.Errorf("end expected at %v after the first group completed, want the end of the second", end)
 	}
 	s.Ended(4*second, keys[1], Broken, 1)
-	if end, known := s.Expected("job"); known && end != second+79*eventPause {
+	if end, known := s.ExpectedEnd("job"); known && end != second+79*eventPause {
 		t.Errorf("end expected at %v from an item that does not run", end)
 	}
 }
@@ -66,7 +66,7 @@
 	for _, item := range []string{"i0", "i1"} {
 		deliverEvents(s, Key{"job", item}, 1, second)
 	}
-	if end, known := s.Expected("job"); !known || end != second+99*eventPause {
+	if end, known := s.ExpectedEnd("job"); !known || end != second+99*eventPause {
 		t.Errorf("end expected at %v (known: %v), want the end of the carried group", end, known)
 	}
 }
--- a/internal/batchrun/schedule/memory.go
+++ b/internal/batchrun/schedule/memory.go
@@ -34,8 +34,8 @@
 	}
 	produced := float64(entry.earlierEvents+entry.run.events) * p.tokensPerEvent()
 	remaining := math.Max(expected-produced, likelyRemainingShare*produced)
-	if entry.Most > 0 {
-		remaining = math.Max(math.Min(remaining, float64(entry.Most)-produced), 0)
+	if entry.MaxTokens > 0 {
+		remaining = math.Max(math.Min(remaining, float64(entry.MaxTokens)-produced), 0)
 	}
 	return answerMemory{produced: produced, remaining: remaining}
 }
--- a/internal/batchrun/schedule/memory_test.go
+++ b/internal/batchrun/schedule/memory_test.go
@@ -140,7 +140,7 @@
 			for _, key := range runs {
 				s.Progress(key, rapid.IntRange(0, 100).Draw(t, "events"), now, 1)
 			}
-			s.Slow(now)
+			s.PlanMoves(now)
 			if len(runs) > 0 && rapid.Bool().Draw(t, "end") {
 				s.Ended(now, runs[0], rapid.SampledFrom([]Ending{Completed, Moved, Broken, Full}).Draw(t, "ending"), 1)
 				runs = runs[1:]
@@ -194,7 +194,7 @@
 			for _, key := range runs {
 				s.Progress(key, rapid.IntRange(0, 100).Draw(t, "events"), now, 1)
 			}
-			s.Slow(now)
+			s.PlanMoves(now)
 			if len(runs) > 0 && rapid.Bool().Draw(t, "end") {
 				s.Ended(now, runs[0], rapid.SampledFrom([]Ending{Completed, Moved, Broken, Full, Changed}).Draw(t, "ending"), 1)
 				runs = runs[1:]
--- a/internal/batchrun/schedule/move.go
+++ b/internal/batchrun/schedule/move.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Slow returns runs of required groups that would continue much faster on another replica, or whose replica leaves
+// PlanMoves returns runs of required groups that would continue much faster on another replica, or whose replica leaves
 // before they end. The number of runs is limited by the free capacity that no waiting item could use. The caller must
 // stop the runs and report them to Ended with the ending Moved. Until then they count as running.
-func (s *Scheduler) Slow(now time.Duration) []Move {
+func (s *Scheduler) PlanMoves(now time.Duration) []Move {
 	for _, replica := range s.replicas {
 		replica.incomingMoves = 0
 	}
@@ -33,11 +33,11 @@
 		Pace: fromSeconds(replica.pace), Fastest: fromSeconds(s.poolNamed(replica.Pool).fastestPace()),
 	}
 	if left := s.remainingTime(entry); left < unboundedTime {
-		move.Left = left
+		move.Remaining = left
 	}
 	if pool := s.poolNamed(replica.Pool); pool.reportsPace && !replica.draining {
-		move.Passing = replica.reportedPace.Pace().Passing
-		if move.Left > 0 && entry.reservedReplica != nil {
+		move.RelativePace = replica.reportedPace.Pace().Passing
+		if move.Remaining > 0 && entry.reservedReplica != nil {
 			move.Saved = s.savedTime(entry, replica, entry.reservedReplica, pool, now)
 		}
 	}
--- a/internal/batchrun/schedule/move_test.go
+++ b/internal/batchrun/schedule/move_test.go
@@ -9,7 +9,7 @@
 // movedKeys returns the items whose runs are to move.
 func movedKeys(s *Scheduler, now time.Duration) []Key {
 	var keys []Key
-	for _, move := range s.Slow(now) {
+	for _, move := range s.PlanMoves(now) {
 		keys = append(keys, move.Key)
 	}
 	return keys
@@ -29,7 +29,7 @@
 	if moved := movedKeys(s, DefaultMovePause-1); len(moved) != 0 {
 		t.Fatalf("%v moved before MovePause", moved)
 	}
-	moved := s.Slow(second)
+	moved := s.PlanMoves(second)
 	if len(moved) != 1 || moved[0] != (Move{Key: runs["r2"], Pace: 50 * time.Millisecond, Fastest: 10 * time.Millisecond}) {
 		t.Fatalf("moved %v, want the run on r2", moved)
 	}
--- a/internal/batchrun/schedule/order.go
+++ b/internal/batchrun/schedule/order.go
@@ -31,7 +31,7 @@
 			Key:      Key{Job: entry.job.ID, Item: entry.ID},
 			Instance: chosen.Instance, Address: chosen.Address, Pool: chosen.Pool, Slots: chosen.Slots,
 			Urgency: entry.urgency, ExpectedVersion: expected,
-			Running: chosen.running, Known: known.number, KnownAge: now - known.heardAt,
+			Running: chosen.running, KnownVersion: known.number, KnownAge: now - known.heardAt,
 		})
 	}
 	clear(s.waitingOrder[len(unplaced):])
--- a/internal/batchrun/schedule/replay_test.go
+++ b/internal/batchrun/schedule/replay_test.go
@@ -148,7 +148,7 @@
 		}
 		name := modelNamed(one.model)
 		r.replicas[one.replica].version[name] = r.versions[name]
-		r.scheduler.Told(fmt.Sprintf("i-%03d", one.replica), name, r.versions[name], false, now)
+		r.scheduler.SetServedVersion(fmt.Sprintf("i-%03d", one.replica), name, r.versions[name], false, now)
 		if r.random.IntN(loadPauseOdds) == 0 {
 			r.pauseRuns(one.replica)
 		}
@@ -200,7 +200,7 @@
 	for number, replica := range r.replicas {
 		for model := range modelCount {
 			loading := slices.ContainsFunc(r.activeLoads, func(one weightLoad) bool { return one.replica == number && one.model == model })
-			r.scheduler.Told(fmt.Sprintf("i-%03d", number), modelNamed(model), replica.version[modelNamed(model)], loading, now)
+			r.scheduler.SetServedVersion(fmt.Sprintf("i-%03d", number), modelNamed(model), replica.version[modelNamed(model)], loading, now)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 		}
 		r.scheduler.Progress(key, run.events, run.lastEvent, 0)
 	}
-	for _, move := range r.scheduler.Slow(now) {
+	for _, move := range r.scheduler.PlanMoves(now) {
 		if run := r.runs[move.Key]; run != nil {
 			r.moved++
 			if r.replicas[run.replica].pace == fastPace {
--- a/internal/batchrun/schedule/scale_test.go
+++ b/internal/batchrun/schedule/scale_test.go
@@ -26,7 +26,7 @@
 		s.Route(Key{Job: "job", Item: fmt.Sprint("item-", number)}, []Share{{Pool: "pool", Weight: 1}})
 	}
 	for number, one := range described {
-		s.Told(one.Instance, "m", 1, false, 0)
+		s.SetServedVersion(one.Instance, "m", 1, false, 0)
 		s.replicas[one.Instance].pace = 0.04 + 0.00001*float64(number)
 	}
 	return s
@@ -60,7 +60,7 @@
 				s.Progress(start.Key, 1, time.Millisecond, 1)
 			}
 			for range b.N {
-				s.Slow(time.Second)
+				s.PlanMoves(time.Second)
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 	}
 	pool.paceStatisticsValid = false
 	for _, entry := range s.jobs["job"].items {
-		entry.Length, entry.Estimated, entry.Prompt, entry.Most = 100+entry.Length*13%3000, true, 200, 12_000
+		entry.Length, entry.Estimated, entry.Prompt, entry.MaxTokens = 100+entry.Length*13%3000, true, 200, 12_000
 	}
 	return s
 }
@@ -133,7 +133,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				s.Slow(opened + time.Second + time.Duration(i)*earliestEndTTL)
+				s.PlanMoves(opened + time.Second + time.Duration(i)*earliestEndTTL)
 			}
 		})
 	}
--- a/internal/batchrun/schedule/schedule_test.go
+++ b/internal/batchrun/schedule/schedule_test.go
@@ -124,11 +124,11 @@
 	s.Open(Job{ID: "first", Items: alone}, nil, nil)
 	s.End("first")
 	s.Open(Job{ID: "next", Items: append(alone, Item{ID: "i8", Group: "a"})}, nil, nil)
-	if got := s.Carried("next"); !slices.Equal(got, []string{"alone", "z"}) {
+	if got := s.CarriedGroups("next"); !slices.Equal(got, []string{"alone", "z"}) {
 		t.Fatal(got)
 	}
 	s.Terminate(Key{"next", "i9"})
-	if got := s.Carried("next"); !slices.Equal(got, []string{"alone"}) || s.Carried("first") != nil {
+	if got := s.CarriedGroups("next"); !slices.Equal(got, []string{"alone"}) || s.CarriedGroups("first") != nil {
 		t.Fatal(got)
 	}
 }
@@ -226,11 +226,11 @@
 	s := newScheduler(1, 4)
 	open(s, Job{ID: "j"}, "a:1")
 	key := s.Starts(0)[0].Key
-	s.Known(key, DefaultFirstEvent/2)
+	s.SetHeardUntil(key, DefaultFirstEvent/2)
 	if stalled := s.Stalled(10 * DefaultFirstEvent); len(stalled) != 0 {
 		t.Errorf("%v stalled while its process was silent", stalled)
 	}
-	s.Known(key, DefaultFirstEvent+1)
+	s.SetHeardUntil(key, DefaultFirstEvent+1)
 	if stalled := s.Stalled(10 * DefaultFirstEvent); len(stalled) != 1 {
 		t.Error("a run that its process reports as silent has not stalled")
 	}
@@ -287,10 +287,10 @@
 	s := newScheduler(1, 1)
 	open(s, Job{ID: "j", GiveUp: 3 * second}, "a:1", "b:1")
 	running := s.Starts(0)[0]
-	if expired := s.Expired(3*second - 1); len(expired) != 0 {
+	if expired := s.TerminateExpired(3*second - 1); len(expired) != 0 {
 		t.Fatalf("%v expired early", expired)
 	}
-	if expired := s.Expired(3 * second); len(expired) != 1 || expired[0] == running.Key {
+	if expired := s.TerminateExpired(3 * second); len(expired) != 1 || expired[0] == running.Key {
 		t.Fatalf("%v expired, want the waiting item only", expired)
 	}
 	if next := s.Ended(3*second, running.Key, Completed, 0); next != Done {
@@ -319,7 +319,7 @@
 					}
 				}
 			case 3:
-				s.Expired(now)
+				s.TerminateExpired(now)
 			default:
 				for _, key := range s.Stalled(now + 1) {
 					s.Ended(now, key, Ending(rapid.IntRange(0, int(Lost)).Draw(t, "ending")), 0)
@@ -358,7 +358,7 @@
 	s := newScheduler(3, 4)
 	report := func(now time.Duration, numbers ...uint64) {
 		for position, number := range numbers {
-			s.Told(fmt.Sprint("r", position+1), "m", number, position == 1, now)
+			s.SetServedVersion(fmt.Sprint("r", position+1), "m", number, position == 1, now)
 		}
 	}
 	open(s, Job{ID: "j", Model: "m", MinVersion: 5}, "a:1", "b:1", "c:1", "d:1", "e:1", "f:1")
@@ -392,7 +392,7 @@
 // report has expired.
 func TestOldVersionsAreTriedOnceReportsExpire(t *testing.T) {
 	s := newScheduler(1, 4)
-	s.Told("r1", "m", 4, false, second)
+	s.SetServedVersion("r1", "m", 4, false, second)
 	open(s, Job{ID: "j", Model: "m", MinVersion: 5}, "a:1")
 	if got := s.Starts(second + reportTTL - 1); len(got) > 0 {
 		t.Fatalf("started %v before the report expired", got)
@@ -430,7 +430,7 @@
 	if !s.Terminate(Key{"a", "i1"}) || s.Scored(Key{"a", "i1"}) {
 		t.Fatal("an item without a score is not terminated permanently")
 	}
-	if expired := s.Expired(11 * second); !slices.Equal(expired, []Key{{"a", "i2"}, {"a", "i3"}}) {
+	if expired := s.TerminateExpired(11 * second); !slices.Equal(expired, []Key{{"a", "i2"}, {"a", "i3"}}) {
 		t.Fatalf("%v expired, want the two items without a score", expired)
 	}
 	// Completed groups may reappear in a later job as well, because their owner may not have read the last result.
--- a/internal/batchrun/schedule/turns.go
+++ b/internal/batchrun/schedule/turns.go
@@ -29,8 +29,8 @@
 	return fairqueue.Owner{Name: "job/" + j.ID}
 }
 
-// Weigh sets the weight of a job's tenant.
-func (s *Scheduler) Weigh(id string, weight uint32) {
+// SetWeight sets the weight of a job's tenant.
+func (s *Scheduler) SetWeight(id string, weight uint32) {
 	if job := s.jobs[id]; job != nil && job.Weight != weight {
 		job.Weight, s.waitingOrder = weight, nil
 	}
--- a/internal/batchrun/schedule/turns_test.go
+++ b/internal/batchrun/schedule/turns_test.go
@@ -174,7 +174,7 @@
 		job.Tenant = tenant
 		s.Open(job, nil, nil)
 	}
-	s.Weigh("two", 300)
+	s.SetWeight("two", 300)
 	s.sortWaiting(3 * time.Second)
 	ofTwo := 0
 	for _, entry := range s.waitingOrder[:20] {
--- a/internal/batchrun/schedule/types.go
+++ b/internal/batchrun/schedule/types.go
@@ -25,7 +25,7 @@
 	Length uint64
 	// Estimated reports that Length is an estimate rather than an upper bound of the answer's length.
 	Estimated bool
-	Most      uint64 // maximum number of tokens in the answer; 0: unknown
+	MaxTokens uint64 // maximum number of tokens in the answer; 0: unknown
 	Prompt    uint64 // tokens of the prompt, which the items of a group share; 0: unknown
 	// Scored reports that the item is finished only once its text has a score; see Scheduler.Scored.
 	Scored bool
@@ -77,21 +77,21 @@
 	ExpectedVersion uint64
 	// The basis of the choice: the number of items running on the replica including this one, the weight version last
 	// heard from it (0: none) and the age of that information.
-	Running  int
-	Known    uint64
-	KnownAge time.Duration
+	Running      int
+	KnownVersion uint64
+	KnownAge     time.Duration
 }
 
 // Move is a run that is to continue on another replica, with the figures on which the decision was based.
 type Move struct {
 	Key
 	Pace, Fastest time.Duration // time between two events on its replica and on the fastest one of its pool; 0: unknown
-	Left          time.Duration // expected time until the run ends; 0: unknown
+	Remaining     time.Duration // expected time until the run ends; 0: unknown
 	Leaving       bool          // its replica accepts no new work
-	// Passing is the replica's last reported pace as a multiple of its long-term pace. Saved is the time that the move
+	// RelativePace is the replica's last reported pace as a multiple of its long-term pace. Saved is the time that the move
 	// is expected to save after subtracting its cost. Both are 0 if unknown or if the pool reports no pace.
-	Passing float64
-	Saved   time.Duration
+	RelativePace float64
+	Saved        time.Duration
 }
 
 // Suspension is a pause during which a replica receives no items.
--- a/internal/batchrun/schedule/uneven.go
+++ b/internal/batchrun/schedule/uneven.go
@@ -103,8 +103,8 @@
 		return max(expected-delivered, leastRemainingShare*delivered)
 	}
 	left := max(expected-delivered, likelyRemainingShare*delivered)
-	if entry.Most > 0 {
-		left = min(left, max(float64(entry.Most)/pool.tokensPerEvent()-delivered, 1))
+	if entry.MaxTokens > 0 {
+		left = min(left, max(float64(entry.MaxTokens)/pool.tokensPerEvent()-delivered, 1))
 	}
 	return left
 }
--- a/internal/batchrun/schedule/uneven_test.go
+++ b/internal/batchrun/schedule/uneven_test.go
@@ -185,12 +185,12 @@
 		open(s, Job{ID: "j", Deadline: deadline}, "a:300")
 		key := startOn(t, s, "r2", 20, 20*time.Millisecond)
 		s.replicas["r1"].Slots = 8
-		moves := s.Slow(2 * second)
+		moves := s.PlanMoves(2 * second)
 		if len(moves) != want {
 			t.Errorf("deadline %v: moves %v, want one for the deadline of 3 s only", deadline, moves)
 			continue
 		}
-		if want > 0 && (moves[0].Key != key || moves[0].Saved < second || moves[0].Passing != 1 || moves[0].Left == 0) {
+		if want > 0 && (moves[0].Key != key || moves[0].Saved < second || moves[0].RelativePace != 1 || moves[0].Remaining == 0) {
 			t.Errorf("move %+v, want the run on r2, at least 1 s saved and known figures", moves[0])
 		}
 	}
@@ -208,7 +208,7 @@
 		now += 25 * time.Millisecond
 		reportPace(s, now, 2.5, 2)
 		s.Progress(key, 41+event, now, 1)
-		if moves := s.Slow(now); len(moves) != 0 {
+		if moves := s.PlanMoves(now); len(moves) != 0 {
 			t.Fatalf("%+v moved after %d slow events", moves, event+1)
 		}
 	}
@@ -217,7 +217,7 @@
 		reportPace(s, now, 6, 2)
 		s.Progress(key, 71+event, now, 1)
 	}
-	if moves := s.Slow(now); len(moves) != 1 {
+	if moves := s.PlanMoves(now); len(moves) != 1 {
 		t.Fatalf("%v moved off a replica that became permanently slow, want one run", moves)
 	}
 }
@@ -238,7 +238,7 @@
 	if started["r1"] != 2 || started["r2"] != 2 {
 		t.Errorf("runs by replica %v, want two on each", started)
 	}
-	if moves := s.Slow(2 * second); len(moves) != 0 {
+	if moves := s.PlanMoves(2 * second); len(moves) != 0 {
 		t.Errorf("%v moved before paces are known", moves)
 	}
 }
@@ -272,7 +272,7 @@
 	s.replicas["r2"].pace = 0.02
 	s.replicas["r1"].pace = 0.01
 	got := s.Fleet()
-	if got.Fastest != 10*time.Millisecond || got.Slowest != 20*time.Millisecond || got.Memory != 0.25 || got.Rest <= 0 {
+	if got.Fastest != 10*time.Millisecond || got.Slowest != 20*time.Millisecond || got.Memory != 0.25 || got.SlowdownRemaining <= 0 {
 		t.Errorf("fleet %+v, want paces of 10 ms and 20 ms, a quarter of the memory and a positive rest", got)
 	}
 }
@@ -286,7 +286,7 @@
 		open(s, Job{ID: "j", Deadline: 3 * second}, "a:300")
 		key := startOn(t, s, "r2", 20, 20*time.Millisecond)
 		s.replicas["r1"].Slots = 1
-		if moves := s.Slow(2 * second); len(moves) != 1 {
+		if moves := s.PlanMoves(2 * second); len(moves) != 1 {
 			t.Fatalf("moves %v, want one", moves)
 		}
 		open(s, Job{ID: "other", Deadline: 2 * second}, "b:400")
@@ -313,7 +313,7 @@
 	key := startOn(t, s, "r2", 20, 20*time.Millisecond)
 	fast := s.replicas["r1"]
 	fast.Slots = 1
-	if moves := s.Slow(2 * second); len(moves) != 1 || fast.reservedSlots != 1 || len(fast.items) != 1 {
+	if moves := s.PlanMoves(2 * second); len(moves) != 1 || fast.reservedSlots != 1 || len(fast.items) != 1 {
 		t.Fatalf("moves %v; %d reserved slots, want one of each", moves, fast.reservedSlots)
 	}
 	s.End("j")
@@ -325,7 +325,7 @@
 	fast.Slots = 0
 	key = startOn(t, s, "r2", 20, 20*time.Millisecond)
 	fast.Slots = 1
-	if moves := s.Slow(3 * second); len(moves) != 1 {
+	if moves := s.PlanMoves(3 * second); len(moves) != 1 {
 		t.Fatalf("moves %v, want one", moves)
 	}
 	s.Replicas(someReplicas(2, 8)[1:])
@@ -371,7 +371,7 @@
 		open(s, Job{ID: "j", Deadline: 3 * second}, "a:300")
 		startOn(t, s, "r1", 20, here)
 		s.replicas["r2"].Slots = 1
-		if moves := s.Slow(2 * second); len(moves) != want {
+		if moves := s.PlanMoves(2 * second); len(moves) != want {
 			t.Errorf("from %v to 15 ms per event, with the fastest at 10 ms: moves %v, want one from 45 ms only", here, moves)
 		}
 	}
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -150,7 +150,7 @@
 	if owner := t.tenants.Named(openJob.submit.GetTenant()); owner != nil {
 		weight = owner.Weight
 	}
-	t.scheduler.Weigh(id, weight)
+	t.scheduler.SetWeight(id, weight)
 }
 
 // stopRunsOfEndedStarts stops the runs at replicas that have restarted according to the table. Behind a network
@@ -331,10 +331,10 @@
 	}
 	if driving := c.executor.Load(); driving != nil {
 		// Heard is read before the progress, so that it does not cover a report whose events the progress lacks.
-		t.scheduler.Known(c.Key, driving.Heard())
+		t.scheduler.SetHeardUntil(c.Key, driving.Heard())
 	} else if t.fleet != nil {
 		// This node drives the run itself, possibly after an executor rejected it.
-		t.scheduler.Known(c.Key, t.config.Clock())
+		t.scheduler.SetHeardUntil(c.Key, t.config.Clock())
 	}
 	events, last, version := c.stream.progress()
 	t.scheduler.Progress(c.Key, events, last, version)
--- a/internal/batchrun/tenure.go
+++ b/internal/batchrun/tenure.go
@@ -212,8 +212,8 @@
 		length, estimated := t.expectedLength(entry)
 		described.Items = append(described.Items, schedule.Item{
 			ID: entry.GetId(), Group: entry.GetGroup(), Length: length, Estimated: estimated, Prompt: t.promptTokens(entry),
-			Most:   entry.GetTokens() - t.promptTokens(entry),
-			Scored: needsScore(entry),
+			MaxTokens: entry.GetTokens() - t.promptTokens(entry),
+			Scored:    needsScore(entry),
 		})
 	}
 	for _, finished := range taken.GetFinished() {
@@ -324,13 +324,13 @@
 			running.cancel()
 		}
 	}
-	for _, move := range t.scheduler.Slow(now) {
+	for _, move := range t.scheduler.PlanMoves(now) {
 		if running := t.calls[move.Key]; running != nil {
 			running.stopReason, running.move = stopMoved, move
 			running.cancel()
 		}
 	}
-	for _, key := range t.scheduler.Expired(now) {
+	for _, key := range t.scheduler.TerminateExpired(now) {
 		t.terminate(key, whyTooOld)
 	}
 	for _, openJob := range t.jobs {
@@ -349,7 +349,7 @@
 	t.serving = serving
 	for model, replicas := range serving.Versions {
 		for replica, number := range replicas {
-			t.scheduler.Told(replica, model, number, serving.Loading[replica] == model, now)
+			t.scheduler.SetServedVersion(replica, model, number, serving.Loading[replica] == model, now)
 		}
 	}
 }
