--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -293,12 +293,12 @@
 // isAdmitted checks the lease and the table again, immediately before a call is sent.
 func (t *termRunner) isAdmitted(c *call) bool {
 	view, ok := t.config.Session.AdmitView()
-	return ok && Permits(view, t.config.Route, c.item, &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool})
+	return ok && PermitsRun(view, t.config.Route, c.item, &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool})
 }
 
-// Permits reports whether a table permits an item to run at a replica. The back end must be serving under the target's
+// PermitsRun reports whether a table permits an item to run at a replica. The back end must be serving under the target's
 // instance, address and pool, and the item's route must include that pool.
-func Permits(view *table.View, routeOf RouteFunc, item *wire.JobItem, target *wire.RunTarget) bool {
+func PermitsRun(view *table.View, routeOf RouteFunc, item *wire.JobItem, target *wire.RunTarget) bool {
 	row := view.Backend(target.GetInstance())
 	if row == nil || !row.Serving() || row.Address != target.GetAddress() || row.Pool != target.GetPool() {
 		return false
