--- a/internal/batchrun/listed.go
+++ b/internal/batchrun/listed.go
@@ -8,7 +8,7 @@
 
 // jobListing holds the results of a job that wait to be listed, and decides when they are listed.
 type jobListing struct {
-	pace    *listing.Pace
+	pace    *listing.Planner
 	waiting []pendingEntry
 	// waitingSince is when the first waiting result arrived, or the time of the last listing if that held some back.
 	waitingSince time.Duration
@@ -27,7 +27,7 @@
 	}
 	carried := t.scheduler.CarriedGroups(opened.submit.GetId())
 	opened.listing = jobListing{carried: len(carried), pace: listing.New(t.config.ListInterval, &listing.Job{
-		Opened: opened.openedAt, Due: opened.deadline, Open: open, Whole: len(groups) - len(open),
+		Opened: opened.openedAt, Due: opened.deadline, MissingResults: open, CompleteGroups: len(groups) - len(open),
 		Desired: int(opened.submit.GetDesired()), Carried: carried,
 	})}
 }
--- a/internal/batchrun/listing/listing.go
+++ b/internal/batchrun/listing/listing.go
@@ -44,16 +44,16 @@
 
 // Job describes the state of a job when its listing begins.
 type Job struct {
-	Opened, Due time.Duration
-	Open        map[string]int // number of items without a result, by group; owned by the Pace after New
-	Whole       int            // complete groups
-	Desired     int            // complete groups that the owner waits for; 0: all
+	Opened, Due    time.Duration
+	MissingResults map[string]int // number of items without a result, by group; owned by the Pace after New
+	CompleteGroups int            // complete groups
+	Desired        int            // complete groups that the owner waits for; 0: all
 	// Carried are the open groups, carried from an earlier job, that the owner waits for in any case.
 	Carried []string
 }
 
-// Pace decides when the results of one job are listed.
-type Pace struct {
+// Planner decides when the results of one job are listed.
+type Planner struct {
 	interval      time.Duration
 	lastCall      time.Duration   // time of the last useful listing; interval boundaries are counted from here
 	lastListing   time.Duration   // time of the last listing, or of the job's opening before the first one
@@ -67,14 +67,14 @@
 }
 
 // New returns the Pace of a job. interval is the time between two listings while the job's end is not near.
-func New(interval time.Duration, job *Job) *Pace {
+func New(interval time.Duration, job *Job) *Planner {
 	desired := job.Desired
 	if desired <= 0 {
-		desired = job.Whole + len(job.Open)
+		desired = job.CompleteGroups + len(job.MissingResults)
 	}
-	pace := &Pace{
-		interval: interval, lastCall: job.Due + lastCallDelay, lastListing: job.Opened, open: job.Open, carried: map[string]bool{},
-		wanted: desired - job.Whole,
+	pace := &Planner{
+		interval: interval, lastCall: job.Due + lastCallDelay, lastListing: job.Opened, open: job.MissingResults, carried: map[string]bool{},
+		wanted: desired - job.CompleteGroups,
 	}
 	for _, group := range job.Carried {
 		pace.carried[group] = true
@@ -83,7 +83,7 @@
 }
 
 // Finished adds the result of an item in a group, which waits to be listed from now on.
-func (p *Pace) Finished(group string, now time.Duration) {
+func (p *Planner) Finished(group string, now time.Duration) {
 	p.waiting = append(p.waiting, now)
 	if p.open[group]--; p.open[group] > 0 {
 		return
@@ -96,10 +96,10 @@
 
 // Expect sets when the groups that the owner waits for are expected to be complete (0: unknown). It may be called again
 // at any time.
-func (p *Pace) Expect(end time.Duration) { p.expectedEnd = end }
+func (p *Planner) Expect(end time.Duration) { p.expectedEnd = end }
 
 // Release returns how many of the waiting results, oldest first, must be listed now, and counts them as listed.
-func (p *Pace) Release(now time.Duration) int {
+func (p *Planner) Release(now time.Duration) int {
 	count := min(p.countDue(now), len(p.waiting))
 	if count <= 0 {
 		return 0
@@ -111,7 +111,7 @@
 }
 
 // countDue returns how many results must be listed now. It may exceed the number that wait, which means all.
-func (p *Pace) countDue(now time.Duration) int {
+func (p *Planner) countDue(now time.Duration) int {
 	if p.expectedEnd != 0 && now > p.expectedEnd+readerTurn {
 		p.expectedEnd = 0 // the expected end has passed, so nothing is held back for it any more
 	}
@@ -119,7 +119,7 @@
 }
 
 // countOverheld returns how many results have waited for maximumHold.
-func (p *Pace) countOverheld(now time.Duration) (count int) {
+func (p *Planner) countOverheld(now time.Duration) (count int) {
 	for count < len(p.waiting) && now-p.waiting[count] >= maximumHold {
 		count++
 	}
@@ -127,7 +127,7 @@
 }
 
 // countScheduled returns how many results must be listed now according to the intervals and the end of the job.
-func (p *Pace) countScheduled(now time.Duration) int {
+func (p *Planner) countScheduled(now time.Duration) int {
 	const all = math.MaxInt
 	beforeEnd := p.expectedEnd - endLead
 	switch {
@@ -147,18 +147,18 @@
 
 // hasReached reports whether a moment before the expected end has passed without a listing for it. The expected end is
 // updated continually, so a listing within a turn before the moment counts as the listing for it.
-func (p *Pace) hasReached(moment, now time.Duration) bool {
+func (p *Planner) hasReached(moment, now time.Duration) bool {
 	return p.hasPassed(moment, now) && p.lastListing < moment-readerTurn
 }
 
 // hasPassed reports whether a moment has passed since the last listing.
-func (p *Pace) hasPassed(moment, now time.Duration) bool {
+func (p *Planner) hasPassed(moment, now time.Duration) bool {
 	return p.lastListing < moment && moment <= now
 }
 
 // isLastCall reports whether the waiting results must be listed now to be of use to the owner. If there was a listing
 // shortly before, only a group that was completed since justifies another one.
-func (p *Pace) isLastCall(now time.Duration) bool {
+func (p *Planner) isLastCall(now time.Duration) bool {
 	moment := p.lastCall
 	if p.expectedEnd > moment && p.expectedEnd <= moment+lastCallExtension {
 		moment += lastCallExtension
@@ -168,7 +168,7 @@
 
 // countDueByInterval returns how many results must be listed now if an interval has begun since the last listing: all
 // except those that are held back for an expected end.
-func (p *Pace) countDueByInterval(now time.Duration) int {
+func (p *Planner) countDueByInterval(now time.Duration) int {
 	switch {
 	case p.intervalNumber(now) == p.intervalNumber(p.lastListing):
 		return 0
@@ -180,7 +180,7 @@
 
 // intervalNumber returns the number of the interval that contains a time. Interval 0 begins at the last call, and
 // earlier intervals have negative numbers.
-func (p *Pace) intervalNumber(at time.Duration) int64 {
+func (p *Planner) intervalNumber(at time.Duration) int64 {
 	since := at - p.lastCall
 	number := int64(since / p.interval)
 	if since < 0 && since%p.interval != 0 {
--- a/internal/batchrun/listing/listing_test.go
+++ b/internal/batchrun/listing/listing_test.go
@@ -12,7 +12,7 @@
 // Results must be listed together after the interval, and at once with the third complete group, which completes the
 // job.
 func TestResultsAreListedTogether(t *testing.T) {
-	pace := New(second, &Job{Due: 10*second - lastCallDelay, Open: map[string]int{"a": 2, "b": 1, "c": 1, "d": 4}, Whole: 1, Desired: 3})
+	pace := New(second, &Job{Due: 10*second - lastCallDelay, MissingResults: map[string]int{"a": 2, "b": 1, "c": 1, "d": 4}, CompleteGroups: 1, Desired: 3})
 	for _, step := range []struct {
 		at    time.Duration
 		group string
@@ -39,7 +39,7 @@
 func TestResultsAreListedAtTheLastCall(t *testing.T) {
 	for _, interval := range []time.Duration{second / 4, 900 * time.Millisecond, 7 * second, time.Hour} {
 		for _, opened := range []time.Duration{0, 313 * time.Millisecond, 2 * second, 8 * second} {
-			pace := New(interval, &Job{Opened: opened, Due: 8 * second, Open: map[string]int{"a": 2, "b": 1}})
+			pace := New(interval, &Job{Opened: opened, Due: 8 * second, MissingResults: map[string]int{"a": 2, "b": 1}})
 			pace.Finished("a", opened)
 			pace.Release(max(opened, 8*second+lastCallDelay-1))
 			pace.Finished("a", 8*second+lastCallDelay-1)
@@ -60,7 +60,7 @@
 		"put off":    func(now time.Duration) time.Duration { return now + second },
 		"any moment": func(now time.Duration) time.Duration { return now },
 	} {
-		pace := New(DefaultInterval, &Job{Due: 20 * second, Open: map[string]int{"a": 1000}})
+		pace := New(DefaultInterval, &Job{Due: 20 * second, MissingResults: map[string]int{"a": 1000}})
 		var waiting []time.Duration
 		for now := tick; now < 40*second; now += tick {
 			pace.Expect(expected(now))
@@ -77,7 +77,7 @@
 
 // A job must count as complete only when its groups carried from an earlier job are complete too.
 func TestCarriedGroupsAreWaitedFor(t *testing.T) {
-	pace := New(time.Hour, &Job{Due: 2 * time.Hour, Open: map[string]int{"a": 1, "b": 1, "c": 2}, Desired: 2, Carried: []string{"c"}})
+	pace := New(time.Hour, &Job{Due: 2 * time.Hour, MissingResults: map[string]int{"a": 1, "b": 1, "c": 2}, Desired: 2, Carried: []string{"c"}})
 	for _, step := range []struct {
 		group string
 		want  bool
@@ -211,7 +211,7 @@
 
 // replay returns the time from the completion of a step until its reader ends it. expected may be nil, for a step whose
 // end is not known in advance. elsewhere is the fraction of turns in which the reader makes another request.
-func (s *replayedStep) replay(random *rand.Rand, pace *Pace, expected *forecast, elsewhere float64) time.Duration {
+func (s *replayedStep) replay(random *rand.Rand, pace *Planner, expected *forecast, elsewhere float64) time.Duration {
 	whole := s.completeAt()
 	waiting, listed, seen, seenWhole := 0, 0, 0, false
 	type listing struct {
@@ -255,12 +255,12 @@
 }
 
 // newPace returns the Pace of a replayed step.
-func (s *replayedStep) newPace(interval time.Duration, due time.Duration, carried []string) *Pace {
+func (s *replayedStep) newPace(interval time.Duration, due time.Duration, carried []string) *Planner {
 	open := map[string]int{}
 	for _, item := range s.items {
 		open[item.group]++
 	}
-	return New(interval, &Job{Due: due, Open: open, Desired: s.desired, Carried: carried})
+	return New(interval, &Job{Due: due, MissingResults: open, Desired: s.desired, Carried: carried})
 }
 
 // meanDelay returns the mean result of replay for 200 steps whose ends are not known in advance.
@@ -331,8 +331,8 @@
 // that does not come, and at the last call.
 func TestNothingIsListedShortlyBeforeTheExpectedEnd(t *testing.T) {
 	const end = 5 * second
-	begun := func(due time.Duration) *Pace {
-		pace := New(DefaultInterval, &Job{Due: due, Open: map[string]int{"a": 1, "b": 2}})
+	begun := func(due time.Duration) *Planner {
+		pace := New(DefaultInterval, &Job{Due: due, MissingResults: map[string]int{"a": 1, "b": 2}})
 		pace.Expect(end)
 		for now := time.Duration(0); now < end-300*time.Millisecond; now += step {
 			pace.Release(now)
