--- a/internal/batchrun/reward/reward.go
+++ b/internal/batchrun/reward/reward.go
@@ -78,8 +78,8 @@
 	Pause time.Duration
 }
 
-// Rested records an attempt that was not permitted, and will not be for the time left.
-func (c *Call) Rested(left time.Duration) Next {
+// RecordNotPermitted records an attempt that was not permitted, and will not be for the time left.
+func (c *Call) RecordNotPermitted(left time.Duration) Next {
 	c.tries++
 	return Next{Pause: min(left, maximumHeldPause)}
 }
--- a/internal/batchrun/rewards.go
+++ b/internal/batchrun/rewards.go
@@ -146,7 +146,7 @@
 			condemned()
 		}
 		if tried.ending == reward.Held {
-			next = call.attempts.Rested(tried.retryAfter)
+			next = call.attempts.RecordNotPermitted(tried.retryAfter)
 		} else {
 			next = call.attempts.Ended(r.config.Reward, tried.failures, tried.maximumFailures, tried.retryAfter, rand.Float64())
 		}
