--- a/internal/batchrun/executors.go
+++ b/internal/batchrun/executors.go
@@ -38,8 +38,8 @@
 		return nil
 	}
 	fleet, err := executorclient.New(executorclient.Config{
-		Term: t.term, Leader: t.config.Node, Peers: t.config.Executors, Numbers: &t.runner.orderNumber,
-		Ignored: t.runner.metrics.ignoredReports.Inc, Clock: t.config.Clock, Log: t.config.Log,
+		Term: t.term, Leader: t.config.Node, Peers: t.config.Executors, LastNumber: &t.runner.orderNumber,
+		OnIgnoredReport: t.runner.metrics.ignoredReports.Inc, Clock: t.config.Clock, Log: t.config.Log,
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -51,7 +51,7 @@
 
 // mustAwaitExecutors reports whether starts are delayed until the executors have reported the runs that they hold.
 func (t *termRunner) mustAwaitExecutors(now time.Duration) bool {
-	return t.fleet != nil && now < t.readyAt+executorSurveyTimeout && !t.fleet.Surveyed()
+	return t.fleet != nil && now < t.readyAt+executorSurveyTimeout && !t.fleet.IsSurveyed()
 }
 
 // zoneOf returns the zone of a run's replica, or "" if no executor may drive the run.
@@ -80,7 +80,7 @@
 	}
 	var chosen *executorclient.Executor
 	if c.zone != "" {
-		chosen = t.fleet.For(c.zone, c.Instance)
+		chosen = t.fleet.ChooseExecutor(c.zone, c.Instance)
 	}
 	if chosen == nil {
 		return t.config.Caller.Do(ctx, request, c.stream)
--- a/internal/batchrun/executors_test.go
+++ b/internal/batchrun/executors_test.go
@@ -198,7 +198,7 @@
 // A load report that an executor forwarded must be dated by its arrival at the executor.
 func TestForwardedLoadReportsKeepTheirArrivalTime(t *testing.T) {
 	s := &stream{text: newText(), clock: func() time.Duration { return 10 * time.Second }}
-	s.Came(9 * time.Second)
+	s.ReceivedAt(9 * time.Second)
 	if err := s.Head(replica.Head{Status: 200, Stream: true, Load: &loadreport.Report{Pace: 2}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/batchrun/metrics.go
+++ b/internal/batchrun/metrics.go
@@ -101,7 +101,7 @@
 	metrics.passingSlowness.Set(fleet.SlowdownRemaining.Seconds())
 	metrics.memoryTaken.Set(fleet.Memory)
 	if t.fleet != nil {
-		metrics.executors.Set(float64(t.fleet.Usable()))
+		metrics.executors.Set(float64(t.fleet.CountUsable()))
 	}
 }
 
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -331,7 +331,7 @@
 	}
 	if driving := c.executor.Load(); driving != nil {
 		// Heard is read before the progress, so that it does not cover a report whose events the progress lacks.
-		t.scheduler.SetHeardUntil(c.Key, driving.Heard())
+		t.scheduler.SetHeardUntil(c.Key, driving.LastReportAt())
 	} else if t.fleet != nil {
 		// This node drives the run itself, possibly after an executor rejected it.
 		t.scheduler.SetHeardUntil(c.Key, t.config.Clock())
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -116,8 +116,8 @@
 	return s.fail(s.checkVersion())
 }
 
-// Came implements executorclient.Sink. It sets the time at which the data that follows arrived at the executor.
-func (s *stream) Came(at time.Duration) { s.arrivedAt = at }
+// ReceivedAt implements executorclient.Sink. It sets the time at which the data that follows arrived at the executor.
+func (s *stream) ReceivedAt(at time.Duration) { s.arrivedAt = at }
 
 // Body implements replica.Sink.
 func (s *stream) Body(chunk []byte) error {
--- a/internal/executorclient/fixture_test.go
+++ b/internal/executorclient/fixture_test.go
@@ -147,7 +147,7 @@
 	}()
 	stop := sync.OnceFunc(func() { cancel(); <-done })
 	t.Cleanup(stop)
-	until(t, "the survey of the executor", fleet.Surveyed)
+	until(t, "the survey of the executor", fleet.IsSurveyed)
 	return &leader{Fleet: fleet, stop: stop}
 }
 
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (c *collectingSink) Came(at time.Duration) {
+func (c *collectingSink) ReceivedAt(at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.came = at
@@ -219,7 +219,7 @@
 
 func (l *leader) start(t *testing.T) *backgroundRun {
 	t.Helper()
-	chosen := l.For("a", "r1")
+	chosen := l.ChooseExecutor("a", "r1")
 	if chosen == nil {
 		t.Fatal("no executor accepts the run")
 	}
--- a/internal/executorclient/fleet.go
+++ b/internal/executorclient/fleet.go
@@ -46,12 +46,12 @@
 	Leader string // name of this node in the membership
 	// Peers returns the current executors.
 	Peers func() []Peer
-	// Numbers holds the number that was last assigned to a stream or an order. All Fleets of one process share it,
+	// LastNumber holds the number that was last assigned to a stream or an order. All Fleets of one process share it,
 	// because a node may lead twice in the same term and executors reject numbers that don't increase. Default: a new
 	// counter.
-	Numbers *atomic.Uint64
-	// Ignored is called for each report about a run that is not followed. It must not block. Default: no call.
-	Ignored func()
+	LastNumber *atomic.Uint64
+	// OnIgnoredReport is called for each report about a run that is not followed. It must not block. Default: no call.
+	OnIgnoredReport func()
 	// Dial opens a connection to an executor. Default: plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Clock is the time source. Default: monotonic.Now.
@@ -84,11 +84,11 @@
 			return dialer.DialContext(ctx, "tcp", address)
 		}
 	}
-	if config.Numbers == nil {
-		config.Numbers = &atomic.Uint64{}
+	if config.LastNumber == nil {
+		config.LastNumber = &atomic.Uint64{}
 	}
-	if config.Ignored == nil {
-		config.Ignored = func() {}
+	if config.OnIgnoredReport == nil {
+		config.OnIgnoredReport = func() {}
 	}
 	if config.Clock == nil {
 		config.Clock = monotonic.Now
@@ -128,8 +128,8 @@
 	}
 }
 
-// Surveyed reports whether each current executor has either listed the runs that it holds or could not be reached.
-func (f *Fleet) Surveyed() bool {
+// IsSurveyed reports whether each current executor has either listed the runs that it holds or could not be reached.
+func (f *Fleet) IsSurveyed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, peer := range f.config.Peers() {
@@ -140,8 +140,8 @@
 	return true
 }
 
-// Usable returns the number of executors that accept new runs now.
-func (f *Fleet) Usable() (count int) {
+// CountUsable returns the number of executors that accept new runs now.
+func (f *Fleet) CountUsable() (count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, open := range f.links {
@@ -212,7 +212,7 @@
 
 // hello returns the first order of a new stream. Each call assigns a new number.
 func (f *Fleet) hello() *wire.RunHello {
-	return &wire.RunHello{Term: f.config.Term, Leader: f.config.Leader, Number: f.config.Numbers.Add(1), Protocol: executor.Protocol}
+	return &wire.RunHello{Term: f.config.Term, Leader: f.config.Leader, Number: f.config.LastNumber.Add(1), Protocol: executor.Protocol}
 }
 
 // Executor is a handle to an executor to which runs can be ordered.
@@ -221,17 +221,17 @@
 // Name returns the name of the executor in the membership.
 func (e *Executor) Name() string { return e.link.peer.Name }
 
-// Heard returns the time of the executor's last report, by the fleet's clock; 0 if there was none. The state of a run
+// LastReportAt returns the time of the executor's last report, by the fleet's clock; 0 if there was none. The state of a run
 // is known only up to that time: a run without progress by then had made none, and what it did since is unknown.
-func (e *Executor) Heard() time.Duration {
+func (e *Executor) LastReportAt() time.Duration {
 	e.link.mutex.Lock()
 	defer e.link.mutex.Unlock()
 	return e.link.lastReportAt
 }
 
-// For returns the executor that is to drive a run at the given replica; see choose. It returns nil if there is none,
+// ChooseExecutor returns the executor that is to drive a run at the given replica; see choose. It returns nil if there is none,
 // and the caller then drives the run itself.
-func (f *Fleet) For(zone, instance string) *Executor {
+func (f *Fleet) ChooseExecutor(zone, instance string) *Executor {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	usable := make([]Peer, 0, len(f.links))
--- a/internal/executorclient/fleet_test.go
+++ b/internal/executorclient/fleet_test.go
@@ -106,7 +106,7 @@
 		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
-	if chosen := former.For("a", "r1"); chosen != nil {
+	if chosen := former.ChooseExecutor("a", "r1"); chosen != nil {
 		other := startOrder()
 		other.Key.Item = "other"
 		if outcome := chosen.Do(context.Background(), other, &collectingSink{}); outcome.Verdict != verdict.DidNotRun || outcome.Err == nil {
@@ -170,7 +170,7 @@
 	if outcome := run.end(t); !errors.Is(outcome.Err, ErrLost) || outcome.Verdict == verdict.DidNotRun {
 		t.Errorf("outcome %+v, want ErrLost and not did-not-run", outcome)
 	}
-	if lead.For("a", "r1") != nil {
+	if lead.ChooseExecutor("a", "r1") != nil {
 		t.Error("a lost executor was chosen for a run")
 	}
 	p.reset(false)
@@ -194,7 +194,7 @@
 	if outcome := run.end(t); !errors.Is(outcome.Err, executor.ErrNotAdmitted) || outcome.Verdict != verdict.DidNotRun {
 		t.Errorf("outcome %+v, want ErrNotAdmitted and did-not-run", outcome)
 	}
-	if lead.For("a", "r1") != nil {
+	if lead.ChooseExecutor("a", "r1") != nil {
 		t.Error("an executor that did not permit a run was chosen again at once")
 	}
 	if p.replica.begun() != 0 {
@@ -207,16 +207,16 @@
 func TestRunsAreDrivenInTheZoneOfTheReplica(t *testing.T) {
 	p := startProcess(t, "e1")
 	lead := startLeader(t, 1, p)
-	if lead.For("b", "r1") != nil {
+	if lead.ChooseExecutor("b", "r1") != nil {
 		t.Error("an executor of another zone was chosen")
 	}
-	if count := lead.Usable(); count != 1 {
+	if count := lead.CountUsable(); count != 1 {
 		t.Errorf("%d usable executors, want 1", count)
 	}
 	run := lead.start(t)
 	until(t, "the run", func() bool { return p.replica.begun() == 1 })
 	p.server.Leave()
-	until(t, "the report that the executor is draining", func() bool { return lead.For("a", "r1") == nil && lead.Usable() == 0 })
+	until(t, "the report that the executor is draining", func() bool { return lead.ChooseExecutor("a", "r1") == nil && lead.CountUsable() == 0 })
 	close(p.replica.parts)
 	if outcome := run.end(t); !outcome.Whole {
 		t.Errorf("outcome %+v of a run at a draining executor, want a complete answer", outcome)
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -310,7 +310,7 @@
 	defer l.mutex.Unlock()
 	followed := l.runs[keyOf(key)]
 	if followed == nil || followed.order != executor.OrderOf(order) {
-		l.fleet.config.Ignored()
+		l.fleet.config.OnIgnoredReport()
 		return nil
 	}
 	return followed
--- a/internal/executorclient/link_test.go
+++ b/internal/executorclient/link_test.go
@@ -18,7 +18,7 @@
 func newTestLink(t *testing.T) *testLink {
 	t.Helper()
 	made := &testLink{}
-	fleet, err := New(Config{Term: 3, Peers: func() []Peer { return nil }, Ignored: func() { made.ignored++ }})
+	fleet, err := New(Config{Term: 3, Peers: func() []Peer { return nil }, OnIgnoredReport: func() { made.ignored++ }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,12 +116,12 @@
 	l.fleet.config.Clock = func() time.Duration { return now }
 	run := l.begin(t, 1)
 	at := &Executor{link: l.link}
-	if heard := at.Heard(); heard != 0 {
+	if heard := at.LastReportAt(); heard != 0 {
 		t.Errorf("heard at %v before the first report, want 0", heard)
 	}
 	l.applyReport(&wire.RunReport{})
 	now += time.Second
-	if heard := at.Heard(); heard != 10*time.Second {
+	if heard := at.LastReportAt(); heard != 10*time.Second {
 		t.Errorf("heard at %v, want 10s", heard)
 	}
 	l.loseAll(ErrLost)
--- a/internal/executorclient/run.go
+++ b/internal/executorclient/run.go
@@ -19,9 +19,9 @@
 // Sink receives an answer as it arrives.
 type Sink interface {
 	replica.Sink
-	// Came is called directly before Head and Body with the time, by the fleet's clock, at which the executor received
+	// ReceivedAt is called directly before Head and Body with the time, by the fleet's clock, at which the executor received
 	// the load report of that Head or the newest byte of that Body.
-	Came(at time.Duration)
+	ReceivedAt(at time.Duration)
 }
 
 // followedRun is a run that this leader follows at an executor. The link queues what the executor reports, and the
@@ -132,7 +132,7 @@
 // the next leader. The outcome is that of the replica. Its error matches ErrLost if the executor is no longer
 // reachable.
 func (e *Executor) Do(ctx context.Context, start *wire.RunStart, sink Sink) replica.Outcome {
-	start.Number = e.link.fleet.config.Numbers.Add(1)
+	start.Number = e.link.fleet.config.LastNumber.Add(1)
 	run := newFollowedRun(executor.Order{Term: e.link.fleet.config.Term, Number: start.Number})
 	if !e.link.begin(start.GetKey(), run, &wire.RunOrder{Kind: &wire.RunOrder_Start{Start: start}}) {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: ErrLost}
@@ -204,7 +204,7 @@
 		if len(one.data) == 0 {
 			continue
 		}
-		sink.Came(one.newestAt)
+		sink.ReceivedAt(one.newestAt)
 		if err := sink.Body(one.data); err != nil {
 			return err
 		}
@@ -215,7 +215,7 @@
 // deliverHead passes the head of an answer to the sink, after the time at which its load report was received.
 func deliverHead(one piece, sink Sink) error {
 	load, age := executor.LoadOf(one.head.GetLoad())
-	sink.Came(one.reportedAt - age)
+	sink.ReceivedAt(one.reportedAt - age)
 	return sink.Head(replica.Head{
 		Status: int(one.head.GetStatus()), Stream: one.head.GetStream(), Versions: one.head.GetVersion(), Length: -1, Load: load,
 	})
