--- a/internal/batchclient/client.go
+++ b/internal/batchclient/client.go
@@ -32,12 +32,12 @@
 
 // FullError rejects a batch job because the stored jobs leave no space for it.
 type FullError struct {
-	RoomIn time.Duration // time until the next job is removed; 0: unknown
+	SpaceIn time.Duration // time until the next job is removed; 0: unknown
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return "the batch jobs that are kept leave no room; the next one is forgotten in " + e.RoomIn.String()
+	return "the batch jobs that are kept leave no room; the next one is forgotten in " + e.SpaceIn.String()
 }
 
 // errUnexpectedView reports a control node that does not know the kind of query.
@@ -87,7 +87,7 @@
 		return trace.BadParameter("batch job %q has other content than before", job.ID)
 	}
 	if reply.GetOutcome() == wire.JobOutcome_JOB_OUTCOME_FULL && reply.GetUnproposed() {
-		full := &FullError{RoomIn: time.Duration(reply.GetRoomInMillis()) * time.Millisecond}
+		full := &FullError{SpaceIn: time.Duration(reply.GetRoomInMillis()) * time.Millisecond}
 		return verdict.Wrap(verdict.DidNotRun, full, "batch job %q was not taken", job.ID)
 	}
 	// An earlier, delayed copy of the command may still be applied, so that the job may yet run.
--- a/internal/batchclient/full_test.go
+++ b/internal/batchclient/full_test.go
@@ -39,8 +39,8 @@
 			if verdict.Of(err) != example.want || errors.As(err, &refused) != (example.roomIn > 0) {
 				t.Fatalf("unexpected verdict or error type: %v", err)
 			}
-			if refused != nil && refused.RoomIn != example.roomIn {
-				t.Errorf("FullError.RoomIn is %v", refused.RoomIn)
+			if refused != nil && refused.SpaceIn != example.roomIn {
+				t.Errorf("FullError.RoomIn is %v", refused.SpaceIn)
 			}
 		})
 	}
