--- a/internal/executor/server.go
+++ b/internal/executor/server.go
@@ -105,8 +105,8 @@
 	return trace.Wrap(err)
 }
 
-// Leave starts draining: no further runs are accepted, and those that are held continue.
-func (s *Server) Leave() {
+// Drain starts draining: no further runs are accepted, and those that are held continue.
+func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.table.Leave()
--- a/internal/executorclient/fleet_test.go
+++ b/internal/executorclient/fleet_test.go
@@ -215,7 +215,7 @@
 	}
 	run := lead.start(t)
 	until(t, "the run", func() bool { return p.replica.begun() == 1 })
-	p.server.Leave()
+	p.server.Drain()
 	until(t, "the report that the executor is draining", func() bool { return lead.ChooseExecutor("a", "r1") == nil && lead.CountUsable() == 0 })
 	close(p.replica.parts)
 	if outcome := run.end(t); !outcome.Whole {
