--- a/internal/batchrun/rewards.go
+++ b/internal/batchrun/rewards.go
@@ -84,7 +84,7 @@
 	failure := r.forwarder.Serve(ctx, &forward.Request{
 		AttemptID: call.request.GetId(), Method: http.MethodPost, Host: call.request.GetHost(), Path: call.request.GetPath(),
 		Body: call.request.GetBody(), Tenant: call.job.GetTenant(), Received: time.Now(), Deadline: r.config.Reward.Deadline,
-		Failed: func(string) { tried.failures++ },
+		OnServerError: func(string) { tried.failures++ },
 	}, answer)
 	switch {
 	case failure == nil && answer.status/100 == 2 && answer.score != "":
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -33,7 +33,7 @@
 	sendNumber      int // among the sends of its request, from 1
 	started         time.Time
 	sentAt          time.Time // immediately before the first byte; zero: nothing was sent
-	startReported   bool      // Config.Began was called
+	startReported   bool      // Config.OnRunStarted was called
 	reportedHealth  health    // what the finished attempt indicates about its back end
 	routingRequest  routing.Request
 	call            *replica.Call
@@ -52,7 +52,7 @@
 		resuming: x.partForwarded, resumable: x.route.Resumable && x.route.Kind == table.Stream, lastEventID: x.lastEventID}
 	x.sends++
 	created := &attempt{forwarder: x.forwarder, pool: x.pool, target: chosen.target, chosen: chosen, sendNumber: x.sends, routingRequest: x.routingRequest,
-		started: x.forwarder.config.Now(), call: x.newCall(chosen), answer: sink, requestMayFail: x.request.Failed != nil, permittedRun: x.permittedRun}
+		started: x.forwarder.config.Now(), call: x.newCall(chosen), answer: sink, requestMayFail: x.request.OnServerError != nil, permittedRun: x.permittedRun}
 	if x.permittedRun = nil; created.permittedRun != nil {
 		created.permittedRun.At(chosen.target.Instance, chosen.target.Address)
 	}
@@ -136,10 +136,10 @@
 	return x.newAttempt(chosen, first.answer.owner, false)
 }
 
-// watchStart calls Config.Began as soon as the answer's head shows that the request runs. A long stream ends much
+// watchStart calls Config.OnRunStarted as soon as the answer's head shows that the request runs. A long stream ends much
 // later.
 func (a *attempt) watchStart() {
-	if a.forwarder.config.Began == nil {
+	if a.forwarder.config.OnRunStarted == nil {
 		return
 	}
 	admit := a.call.Admit
@@ -156,13 +156,13 @@
 	}
 }
 
-// reportStart calls Config.Began unless that was done already.
+// reportStart calls Config.OnRunStarted unless that was done already.
 func (a *attempt) reportStart(at time.Time) {
-	if a.startReported || a.forwarder.config.Began == nil {
+	if a.startReported || a.forwarder.config.OnRunStarted == nil {
 		return
 	}
 	a.startReported = true
-	a.forwarder.config.Began(a.call.Tenant, at)
+	a.forwarder.config.OnRunStarted(a.call.Tenant, at)
 }
 
 // run sends the request and receives the answer.
@@ -240,8 +240,8 @@
 
 // conclude forwards a whole answer, or decides how to continue without one.
 func (x *exchange) conclude(ctx context.Context, a *attempt) (*Failure, bool) {
-	if x.request.Failed != nil && a.isServerFailure() {
-		x.request.Failed(a.target.Instance)
+	if x.request.OnServerError != nil && a.isServerFailure() {
+		x.request.OnServerError(a.target.Instance)
 	}
 	if !a.outcome.Whole {
 		x.logAttempt(a)
--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestBeganIsReportedOncePerRun checks that Config.Began is called once for each back end that ran or may have run a
+// TestBeganIsReportedOncePerRun checks that Config.OnRunStarted is called once for each back end that ran or may have run a
 // request, with the time at which the run began: the first event of a stream and otherwise the send, even if the answer
 // comes much later or never.
 func TestBeganIsReportedOncePerRun(t *testing.T) {
@@ -31,7 +31,7 @@
 			start := time.Now()
 			var mutex sync.Mutex
 			var reported []time.Duration
-			f.config.Began = func(tenant string, at time.Time) {
+			f.config.OnRunStarted = func(tenant string, at time.Time) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				if tenant != "One" {
@@ -53,7 +53,7 @@
 	f := newFixture(t, tenantRows, func(_ context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease}
 	})
-	f.config.Began = func(string, time.Time) { t.Error("Began was called for a request that was not sent") }
+	f.config.OnRunStarted = func(string, time.Time) { t.Error("Began was called for a request that was not sent") }
 	if failure := f.serveWithKey("k1", ""); failure == nil {
 		t.Error("the request was answered, want a failure")
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -53,19 +53,19 @@
 	// Budget bounds the memory of all buffered answers. An answer that does not fit is forwarded as it arrives. nil:
 	// the forwarder creates its own budget.
 	Budget bytebudget.Reserver
-	// ConnectionShare divides a pool's max_connections: this process opens at most max_connections/ConnectionShare
+	// ConnectionDivisor divides a pool's max_connections: this process opens at most max_connections/ConnectionDivisor
 	// connections.
-	ConnectionShare int
+	ConnectionDivisor int
 	// SlotShare is the fraction of a pool's slots that this process may fill, above 0 and at most 1. The rest is left
 	// to the pool's other callers.
 	SlotShare float64
 	Routing   routing.Settings
-	// StartWait is how long after the process start requests may wait for the first lease, see AwaitStart. 0: requests
+	// FirstLeaseWait is how long after the process start requests may wait for the first lease, see AwaitStart. 0: requests
 	// are rejected at once.
-	StartWait time.Duration
-	// Began is called for each send that ran or may have run at a back end, with the name of the tenant and the time at
+	FirstLeaseWait time.Duration
+	// OnRunStarted is called for each send that ran or may have run at a back end, with the name of the tenant and the time at
 	// which the run began: the first event of a stream, or the send for all other answers. May be nil.
-	Began func(tenant string, at time.Time)
+	OnRunStarted func(tenant string, at time.Time)
 	// Guard permits the runs of requests and receives their results. nil: all runs are permitted.
 	Guard *poisonguard.Guard
 	// Now is the wall clock. nil: time.Now.
@@ -130,8 +130,8 @@
 	if config.Budget == nil {
 		config.Budget = bytebudget.New(bytebudget.LimitFor(0))
 	}
-	if config.ConnectionShare <= 0 {
-		config.ConnectionShare = DefaultConnectionShare
+	if config.ConnectionDivisor <= 0 {
+		config.ConnectionDivisor = DefaultConnectionShare
 	}
 	if config.SlotShare <= 0 || config.SlotShare > 1 {
 		config.SlotShare = DefaultSlotShare
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -426,7 +426,7 @@
 	for number, quarantined := range []int{0, 2} { // the second request fails at the same back ends
 		var failed []string
 		request := &Request{AttemptID: "id", Method: "POST", Path: "/x", Host: "h", Received: time.Now(),
-			Failed: func(replica string) { failed = append(failed, replica) }}
+			OnServerError: func(replica string) { failed = append(failed, replica) }}
 		if failure := f.Serve(t.Context(), request, &recordedReply{}); failure != nil {
 			t.Fatal(failure)
 		}
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -106,7 +106,7 @@
 	p.version, p.view, p.targets, p.slots = view.Version(), view, targets, slots
 	p.maxConnections = 0
 	if row.MaxConnections > 0 {
-		p.maxConnections = max(1, int(row.MaxConnections)/config.ConnectionShare)
+		p.maxConnections = max(1, int(row.MaxConnections)/config.ConnectionDivisor)
 	}
 	p.replicas.SetReplicas(configs)
 	p.cancelRestartedSends()
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -24,10 +24,10 @@
 	Deadline time.Duration
 	// Work is the expected work in tokens. 0: unknown.
 	Work float64
-	// Failed is called before Serve returns with each back end that answered status 500. May be nil. Set it for
+	// OnServerError is called before Serve returns with each back end that answered status 500. May be nil. Set it for
 	// requests that may fail through their own fault: such an answer then counts as half a failure of the back end
 	// instead of a whole one.
-	Failed func(replica string)
+	OnServerError func(replica string)
 }
 
 // Reply receives the answer for the caller. Its methods return an error if the caller is gone.
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -13,7 +13,7 @@
 )
 
 // AwaitStart makes a request that arrives right after the process start wait for the first lease. It waits at most
-// until Config.StartWait after the start, and at most patience/startWaitDivisor, where patience is the time that the
+// until Config.FirstLeaseWait after the start, and at most patience/startWaitDivisor, where patience is the time that the
 // caller allows (0: unknown). A caller that reaches a process that is not ready has usually found no other one, because
 // all processes start together after a power loss. AwaitStart never waits once a lease was held: while the lease of
 // this process has lapsed, other processes may hold theirs.
@@ -21,7 +21,7 @@
 	if f.hadLease.Load() {
 		return
 	}
-	limit := f.config.StartWait
+	limit := f.config.FirstLeaseWait
 	if patience > 0 {
 		limit = min(limit, f.now()+patience/startWaitDivisor)
 	}
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -27,7 +27,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				lease := &testLease{lost: true}
-				f, err := New(Config{Control: lease, Caller: &scriptedCaller{}, StartWait: startWait})
+				f, err := New(Config{Control: lease, Caller: &scriptedCaller{}, FirstLeaseWait: startWait})
 				if err != nil {
 					t.Fatal(err)
 				}
