--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -29,10 +29,10 @@
 	probe          *item              // item that is tried on a replica on probation or with old weights
 	versions       map[string]version // by model
 	measuredPace   paceAverage
-	lastingPace    pace.Lasting // long-term pace
-	pace           float64      // seconds between two events as measured; 0: unknown
-	reportedPace   pace.Said    // pace that the replica itself reports
-	memoryUsage    *memoryUsage // memory used by its items; nil: not computed yet
+	lastingPace    pace.LastingEstimator // long-term pace
+	pace           float64               // seconds between two events as measured; 0: unknown
+	reportedPace   pace.ReportEstimator  // pace that the replica itself reports
+	memoryUsage    *memoryUsage          // memory used by its items; nil: not computed yet
 }
 
 // version is the last known state of a model's weights on a replica.
@@ -83,10 +83,10 @@
 	paceStatisticsValid bool      // the cached paces are up to date
 	paces               []float64 // buffer for sorting paces
 
-	reportsPace         bool      // replicas report their current pace
-	slowdownRest        pace.Rest // how long temporary slowdowns last
-	overrun             float64   // quantile of the ratio of actual to estimated length of complete answers; 0: none was seen
-	meanFirstEventDelay float64   // seconds from the start of a run to its first event; 0: none was seen
+	reportsPace         bool                   // replicas report their current pace
+	slowdownRest        pace.SlowdownEstimator // how long temporary slowdowns last
+	overrun             float64                // quantile of the ratio of actual to estimated length of complete answers; 0: none was seen
+	meanFirstEventDelay float64                // seconds from the start of a run to its first event; 0: none was seen
 }
 
 // noteVersion records the weight version under which a replica answered; 0 is ignored.
--- a/internal/batchrun/schedule/uneven.go
+++ b/internal/batchrun/schedule/uneven.go
@@ -31,7 +31,7 @@
 // slowdowns, and otherwise the average of the last events.
 func (p *pool) paceOf(replica *replica) float64 {
 	if p.reportsPace {
-		return replica.lastingPace.Value(minimumPaceEvents)
+		return replica.lastingPace.SecondsPerEvent(minimumPaceEvents)
 	}
 	return replica.measuredPace.value(minimumPaceEvents)
 }
--- a/internal/pace/lasting.go
+++ b/internal/pace/lasting.go
@@ -15,10 +15,10 @@
 	maxIntervals = 13
 )
 
-// Lasting estimates a replica's lasting time per event of a stream: the median over the latest intervals in which
+// LastingEstimator estimates a replica's lasting time per event of a stream: the median over the latest intervals in which
 // events arrived. The estimate is kept while nothing runs at the replica. The zero value has no events. It is not
 // safe for concurrent use.
-type Lasting struct {
+type LastingEstimator struct {
 	intervals []interval // oldest first
 	sorted    []float64
 }
@@ -31,7 +31,7 @@
 }
 
 // Add records events that took a number of seconds in total. at is when the last of them arrived.
-func (l *Lasting) Add(at time.Duration, seconds float64, events int) {
+func (l *LastingEstimator) Add(at time.Duration, seconds float64, events int) {
 	index := at / intervalLength
 	for i := len(l.intervals) - 1; i >= 0; i-- {
 		if l.intervals[i].index == index {
@@ -49,8 +49,8 @@
 	l.intervals = append(l.intervals, interval{index: index, seconds: seconds, events: float64(events)})
 }
 
-// Value returns the seconds per event, or 0 while fewer than minEvents events were seen.
-func (l *Lasting) Value(minEvents float64) float64 {
+// SecondsPerEvent returns the seconds per event, or 0 while fewer than minEvents events were seen.
+func (l *LastingEstimator) SecondsPerEvent(minEvents float64) float64 {
 	l.sorted = l.sorted[:0]
 	seen := 0.0
 	for _, each := range l.intervals {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -17,9 +17,9 @@
 type Pace struct {
 	Lasting float64 // learned slowly, from runs alone or with known other runs beside them; 0: unknown
 	Passing float64 // additional factor, from the replica's latest report; 0: unknown
-	// Seen is when Passing was reported. Its influence decays with its age, at the rate at which slowdowns usually
+	// ReportedAt is when Passing was reported. Its influence decays with its age, at the rate at which slowdowns usually
 	// end.
-	Seen time.Duration
+	ReportedAt time.Duration
 }
 
 // Bounds of the passing part. No report makes a replica look idle or dead.
@@ -51,7 +51,7 @@
 	if slowdownDuration <= 0 {
 		return 0
 	}
-	return math.Exp(-float64(max(now-p.Seen, 0)) / float64(slowdownDuration))
+	return math.Exp(-float64(max(now-p.ReportedAt, 0)) / float64(slowdownDuration))
 }
 
 // Slowed reports whether the passing part made work notably longer when it was reported, and the report is still
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -11,7 +11,7 @@
 
 // TestPassingSlowdownDecaysWithAge guards against an old report of a slowdown that counts as much as a fresh one.
 func TestPassingSlowdownDecaysWithAge(t *testing.T) {
-	reported := Pace{Lasting: 2, Passing: 3, Seen: time.Second}
+	reported := Pace{Lasting: 2, Passing: 3, ReportedAt: time.Second}
 	for age, want := range map[time.Duration]float64{0: 6, -time.Second: 6, time.Second: 2 * (1 + 2/math.E), time.Minute: 2} {
 		if got := reported.Expected(time.Second+age, time.Second); math.Abs(got-want) > 1e-6 {
 			t.Errorf("expected factor after %v: got %v, want %v", age, got, want)
@@ -28,7 +28,7 @@
 // TestImplausiblePassingPaceIsBounded guards against a report that makes a replica look idle or dead.
 func TestImplausiblePassingPaceIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reported := Pace{Passing: rapid.Float64Range(0, 1e12).Draw(t, "passing"), Seen: time.Second}
+		reported := Pace{Passing: rapid.Float64Range(0, 1e12).Draw(t, "passing"), ReportedAt: time.Second}
 		if got := reported.Expected(time.Second, time.Second); got < minPassing || got > maxPassing {
 			t.Fatalf("expected factor %v, want a value within the bounds of the passing part", got)
 		}
@@ -37,7 +37,7 @@
 
 // addFlickering adds the events of a replica that is 2.5 times slower for 0.6 s in each 3.6 s. usual is its time per
 // event otherwise.
-func addFlickering(l *Lasting, usual, from, to time.Duration) {
+func addFlickering(l *LastingEstimator, usual, from, to time.Duration) {
 	for now := from; now < to; {
 		pause := usual
 		if now%(3600*time.Millisecond) < 600*time.Millisecond {
@@ -52,16 +52,16 @@
 // that takes more than two seconds to follow a permanent one.
 func TestLastingPaceFollowsPermanentSlowdownOnly(t *testing.T) {
 	const usual = 50 * time.Millisecond
-	var flickering, turningSlow Lasting
+	var flickering, turningSlow LastingEstimator
 	addFlickering(&turningSlow, usual, 0, 10*time.Second)
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		addFlickering(&flickering, usual, now, now+100*time.Millisecond)
-		if got := flickering.Value(5); got != 0 && math.Abs(got-usual.Seconds()) > 0.01 && now > 2*time.Second {
+		if got := flickering.SecondsPerEvent(5); got != 0 && math.Abs(got-usual.Seconds()) > 0.01 && now > 2*time.Second {
 			t.Fatalf("lasting time per event %v s after %v of short slowdowns, want 0.05", got, now)
 		}
 	}
 	addFlickering(&turningSlow, 2*usual, 10*time.Second, 12*time.Second)
-	if got := turningSlow.Value(5); math.Abs(got-2*usual.Seconds()) > 0.01 {
+	if got := turningSlow.SecondsPerEvent(5); math.Abs(got-2*usual.Seconds()) > 0.01 {
 		t.Errorf("lasting time per event %v s, two seconds after a permanent slowdown, want 0.1", got)
 	}
 }
@@ -69,8 +69,8 @@
 // TestLastingPaceSurvivesIdleTime checks that the estimate is kept without new events, and that it is unknown with
 // too few.
 func TestLastingPaceSurvivesIdleTime(t *testing.T) {
-	var l Lasting
-	if l.Value(0) != 0 {
+	var l LastingEstimator
+	if l.SecondsPerEvent(0) != 0 {
 		t.Error("a value is known without events, want 0")
 	}
 	for event := range 8 {
@@ -78,10 +78,10 @@
 	}
 	l.Add(time.Hour, 0.05, 1)
 	l.Add(time.Minute, 9, 1) // arrives late: it is counted but does not become the median
-	if got := l.Value(5); math.Abs(got-0.05) > 1e-9 {
+	if got := l.SecondsPerEvent(5); math.Abs(got-0.05) > 1e-9 {
 		t.Errorf("lasting time per event %v s, want 0.05", got)
 	}
-	if l.Value(100) != 0 {
+	if l.SecondsPerEvent(100) != 0 {
 		t.Error("a value is known from fewer events than the least number, want 0")
 	}
 }
@@ -91,7 +91,7 @@
 func TestSlowdownDurationIsLearned(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, want := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond} {
-		var r Rest
+		var r SlowdownEstimator
 		var states [10]slowdownState
 		var until [10]time.Duration
 		var isSlow [10]bool
@@ -117,7 +117,7 @@
 // TestRepeatedAndLateReportsAreBounded guards against a replica that repeats one report forever, and against reports
 // that arrive again or late: the first must not raise the estimate beyond its bound, the others must not change it.
 func TestRepeatedAndLateReportsAreBounded(t *testing.T) {
-	var r Rest
+	var r SlowdownEstimator
 	var one slowdownState
 	for now := time.Duration(0); now < time.Hour; now += 100 * time.Millisecond {
 		r.observe(&one, 2.5, now)
@@ -136,8 +136,8 @@
 // whose lasting part must not change, and one that becomes slow permanently, whose lasting part must follow within
 // two seconds.
 func TestReportedPaceIsSplitIntoLastingAndPassing(t *testing.T) {
-	var rest Rest
-	var flickering, turningSlow Said
+	var rest SlowdownEstimator
+	var flickering, turningSlow ReportEstimator
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * time.Millisecond {
 		figure := 0.55
 		if now%(3600*time.Millisecond) >= 3*time.Second {
@@ -164,8 +164,8 @@
 // in random order.
 func TestImplausibleReportsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var rest Rest
-		var estimator Said
+		var rest SlowdownEstimator
+		var estimator ReportEstimator
 		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			seen := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "seen"))
 			estimator.Note(rapid.Float64Range(-1, 1e12).Draw(t, "figure"), seen, &rest)
@@ -179,11 +179,11 @@
 
 // TestOutdatedReportsAreDropped checks that a report that arrived before the latest one is ignored.
 func TestOutdatedReportsAreDropped(t *testing.T) {
-	var rest Rest
-	var estimator Said
+	var rest SlowdownEstimator
+	var estimator ReportEstimator
 	estimator.Note(1, 2*time.Second, &rest)
 	estimator.Note(2.5, time.Second, &rest)
-	if got := estimator.Pace(); got.Passing != 1 || got.Seen != 2*time.Second {
+	if got := estimator.Pace(); got.Passing != 1 || got.ReportedAt != 2*time.Second {
 		t.Errorf("pace %+v after an outdated report, want a passing part of 1 seen at 2 s", got)
 	}
 }
--- a/internal/pace/rest.go
+++ b/internal/pace/rest.go
@@ -15,9 +15,9 @@
 	maxRememberedTime = 30 * time.Second
 )
 
-// Rest estimates how long a passing slowdown lasts, from the reports of many replicas. The zero value has no
+// SlowdownEstimator estimates how long a passing slowdown lasts, from the reports of many replicas. The zero value has no
 // observations. It is not safe for concurrent use.
-type Rest struct {
+type SlowdownEstimator struct {
 	slowTime time.Duration // total time during which slow replicas were observed
 	endCount float64       // number of observed ends of slowdowns
 }
@@ -32,7 +32,7 @@
 
 // observe processes a replica's report of its passing part. The part of a slowdown beyond maxSlowdownDuration is
 // ignored: it is not a passing one, or the replica repeats an old report.
-func (r *Rest) observe(state *slowdownState, passing float64, seen time.Duration) {
+func (r *SlowdownEstimator) observe(state *slowdownState, passing float64, seen time.Duration) {
 	if state.known && seen <= state.lastSeen {
 		return
 	}
@@ -55,7 +55,7 @@
 }
 
 // Expected returns how much longer a slowdown is expected to last, however long ago it began.
-func (r *Rest) Expected() time.Duration {
+func (r *SlowdownEstimator) Expected() time.Duration {
 	expected := float64(r.slowTime+DefaultSlowdownDuration) / (r.endCount + 1)
 	return min(max(time.Duration(expected), minSlowdownDuration), maxSlowdownDuration)
 }
--- a/internal/pace/said.go
+++ b/internal/pace/said.go
@@ -20,9 +20,9 @@
 	maxReported = 10
 )
 
-// Said estimates a replica's pace from its own reports, which contain the lasting and the passing part in one number.
+// ReportEstimator estimates a replica's pace from its own reports, which contain the lasting and the passing part in one number.
 // The zero value has no reports. It is not safe for concurrent use.
-type Said struct {
+type ReportEstimator struct {
 	samples    []float64 // oldest first
 	sampledAt  time.Duration
 	latest     float64
@@ -33,7 +33,7 @@
 
 // Note adds a report: how long work takes, as a multiple of the usual time. seen is when it arrived. It also updates
 // rest. Reports of 0 or less, and those that arrived before the latest one, are ignored.
-func (s *Said) Note(reported float64, seen time.Duration, rest *Rest) {
+func (s *ReportEstimator) Note(reported float64, seen time.Duration, rest *SlowdownEstimator) {
 	if reported <= 0 || s.latest > 0 && seen < s.latestSeen {
 		return
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-func (s *Said) addSample(reported float64, seen time.Duration) {
+func (s *ReportEstimator) addSample(reported float64, seen time.Duration) {
 	if len(s.samples) == maxSamples {
 		s.samples = append(s.samples[:0], s.samples[1:]...)
 	}
@@ -62,9 +62,9 @@
 
 // Pace returns the reported pace, split into its two parts. Until minSamples samples were taken, all of it counts as
 // the passing part.
-func (s *Said) Pace() Pace {
+func (s *ReportEstimator) Pace() Pace {
 	if s.lasting == 0 {
-		return Pace{Passing: s.latest, Seen: s.latestSeen}
+		return Pace{Passing: s.latest, ReportedAt: s.latestSeen}
 	}
-	return Pace{Lasting: s.lasting, Passing: s.latest / s.lasting, Seen: s.latestSeen}
+	return Pace{Lasting: s.lasting, Passing: s.latest / s.lasting, ReportedAt: s.latestSeen}
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -32,7 +32,7 @@
 	reportedAt      time.Duration
 	hasReport       bool
 
-	reportedPace pace.Said // how long work takes, from the replica's own reports
+	reportedPace pace.ReportEstimator // how long work takes, from the replica's own reports
 
 	leavingSources   Source
 	wasPolled        bool // asked for its load at least once since polling began
@@ -56,7 +56,7 @@
 	meanWork          float64 // tokens per request, smoothed
 	meanUrgent        float64 // tokens per urgent request, smoothed
 	prefixes          prefixTable
-	slowdownDuration  pace.Rest // how long a passing slowdown lasts, learned from all replicas
+	slowdownDuration  pace.SlowdownEstimator // how long a passing slowdown lasts, learned from all replicas
 }
 
 // NewPool returns an empty pool.
