--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -127,7 +127,7 @@
 		return
 	}
 	g.limitsUpdatedAt = s.now
-	slots, background := g.pool.Away(s.now)
+	slots, background := g.pool.UnavailableSlots(s.now)
 	if slots >= g.limits.Slots {
 		slots, background = 0, 0
 	}
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -258,7 +258,7 @@
 	}
 	name := p.replicas.Name(i)
 	p.replicas.Sent(i, request, now)
-	hasSpare := p.replicas.Len()-tried > 1 && p.replicas.Spare(name, now)
+	hasSpare := p.replicas.Len()-tried > 1 && p.replicas.HasAlternative(name, now)
 	return choice{target: p.targets[name], version: p.version, maxConnections: p.maxConnections, hasSpare: hasSpare,
 		inFlight: p.replicas.InFlight(i)}, true
 }
@@ -318,10 +318,10 @@
 			p.replicas.Failed(name, now)
 		}
 	case healthLeaving:
-		p.replicas.RefusedLeaving(name, now)
+		p.replicas.RecordLeavingRefusal(name, now)
 	}
 	if load != nil {
 		p.replicas.Report(name, routing.LoadReport{Requests: float64(load.Running + load.Waiting)}, now)
-		p.replicas.Paced(name, load.Pace, load.Seen)
+		p.replicas.RecordPace(name, load.Pace, load.Seen)
 	}
 }
--- a/internal/gateway/collector.go
+++ b/internal/gateway/collector.go
@@ -112,7 +112,7 @@
 		switch {
 		case p.replicas.Leaving(i):
 			status.draining++
-		case p.replicas.Silent(i):
+		case p.replicas.IsSilent(i):
 			status.silent++
 		case p.replicas.Quarantined(i, now):
 			status.quarantined++
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -71,7 +71,7 @@
 		return
 	}
 	p.limitsAdjustedAt = now
-	slots, background := p.replicas.Away(now)
+	slots, background := p.replicas.UnavailableSlots(now)
 	if slots >= p.tableLimits.Slots {
 		slots, background = 0, 0
 	}
@@ -225,7 +225,7 @@
 	case outcomeBad:
 		p.replicas.Failed(name, now)
 	case outcomeLeaving:
-		p.replicas.RefusedLeaving(name, now)
+		p.replicas.RecordLeavingRefusal(name, now)
 	}
 }
 
@@ -247,14 +247,14 @@
 func (p *pool) recordEmptyPoll(name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.replicas.Asked(name)
+	p.replicas.RecordPoll(name)
 }
 
 // hasUnpolledReplica reports whether some polled replica was not polled for its load yet.
 func (p *pool) hasUnpolledReplica() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.replicas.Unasked()
+	return p.replicas.HasUnpolled()
 }
 
 // tableRow returns the pool's row of the table.
@@ -270,7 +270,7 @@
 	defer p.mutex.Unlock()
 	used := make(map[string]string)
 	for name, address := range p.addresses {
-		if i := p.replicas.Index(name); i >= 0 && !p.replicas.Reserve(i) {
+		if i := p.replicas.Index(name); i >= 0 && !p.replicas.IsReserve(i) {
 			used[name] = address
 		}
 	}
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -16,8 +16,8 @@
 func (p *pool) recordUnansweredPoll(now time.Duration, name string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.replicas.Unanswered(name)
-	if i := p.replicas.Index(name); i < 0 || !p.replicas.Silent(i) || !p.replicas.Spare(name, now) {
+	p.replicas.RecordMissedPoll(name)
+	if i := p.replicas.Index(name); i < 0 || !p.replicas.IsSilent(i) || !p.replicas.HasAlternative(name, now) {
 		return
 	}
 	for _, x := range p.exchanges {
--- a/internal/routing/pace_test.go
+++ b/internal/routing/pace_test.go
@@ -13,14 +13,14 @@
 func TestSlowReplicaGetsFewerRequests(t *testing.T) {
 	pool := uniformPool(4)
 	for i := range 4 {
-		pool.Paced(pool.Name(i), 1, time.Second)
+		pool.RecordPace(pool.Name(i), 1, time.Second)
 	}
-	pool.Paced("r0", 2.5, time.Second)
+	pool.RecordPace("r0", 2.5, time.Second)
 	if counts := spread(pool, 2000, &Request{Work: 100}, time.Second); counts[0] >= counts[1]*2/3 {
 		t.Errorf("r0 takes 2.5 times as long and still got its share: requests by replica %v, want less than two thirds of r1's for r0", counts)
 	}
 	pool = uniformPool(4)
-	pool.Paced("r0", 2.5, time.Second)
+	pool.RecordPace("r0", 2.5, time.Second)
 	if counts := spread(pool, 2000, &Request{Work: 100}, 20*time.Second); counts[0] < counts[1]*9/10 {
 		t.Errorf("a pace report that is 19 s old still counts: requests by replica %v, want about the same for r0 and r1", counts)
 	}
@@ -30,8 +30,8 @@
 // thereby attracts all requests or none.
 func TestImplausiblePaceIsBounded(t *testing.T) {
 	pool := uniformPool(10)
-	pool.Paced("r0", 1e-9, time.Second)
-	pool.Paced("r1", 1e9, time.Second)
+	pool.RecordPace("r0", 1e-9, time.Second)
+	pool.RecordPace("r1", 1e9, time.Second)
 	counts := spread(pool, 4000, &Request{Work: 100}, time.Second)
 	if counts[0] > 2000 || counts[1] == 0 {
 		t.Fatalf("requests by replica %v, want at most 2000 for r0 and more than 0 for r1", counts)
@@ -42,9 +42,9 @@
 // not in the pool, such as a previous instance.
 func TestOutdatedOrUnknownPaceReportIsIgnored(t *testing.T) {
 	pool := uniformPool(2)
-	pool.Paced("r0", 1, 2*time.Second)
-	pool.Paced("r0", 2.5, time.Second)
-	pool.Paced("former", 2.5, 3*time.Second)
+	pool.RecordPace("r0", 1, 2*time.Second)
+	pool.RecordPace("r0", 2.5, time.Second)
+	pool.RecordPace("former", 2.5, 3*time.Second)
 	if slow := pool.expectedSlowdown(&pool.replicas[0], 2*time.Second); slow != 1 {
 		t.Errorf("slowdown %v after an outdated report, want 1", slow)
 	}
@@ -63,7 +63,7 @@
 			name := withoutPaces.Name(rapid.IntRange(0, 5).Draw(t, "replica"))
 			report := LoadReport{Requests: float64(rapid.IntRange(0, 20).Draw(t, "requests"))}
 			withZeroPaces.Report(name, report, now)
-			withZeroPaces.Paced(name, 0, now)
+			withZeroPaces.RecordPace(name, 0, now)
 			withoutPaces.Report(name, report, now)
 			i, j := Balanced{}.Choose(withZeroPaces, request, now, first), Balanced{}.Choose(withoutPaces, request, now, second)
 			if i != j {
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -136,8 +136,8 @@
 	return -1
 }
 
-// Reserve reports whether a replica is outside this gateway's subset.
-func (p *Pool) Reserve(i int) bool { return p.replicas[i].config.Reserve }
+// IsReserve reports whether a replica is outside this gateway's subset.
+func (p *Pool) IsReserve(i int) bool { return p.replicas[i].config.Reserve }
 
 // InFlight returns the number of this gateway's requests at a replica.
 func (p *Pool) InFlight(i int) int { return p.replicas[i].inFlight }
@@ -155,8 +155,8 @@
 	}
 }
 
-// RefusedLeaving records that a replica refused work because it is leaving.
-func (p *Pool) RefusedLeaving(name string, now time.Duration) {
+// RecordLeavingRefusal records that a replica refused work because it is leaving.
+func (p *Pool) RecordLeavingRefusal(name string, now time.Duration) {
 	if i := p.Index(name); i >= 0 {
 		p.replicas[i].setLeaving(SourceRefusal, true)
 		p.replicas[i].refusalExpiresAt = now + p.settings.RefusalLife
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -51,7 +51,7 @@
 				requests := rapid.SampledFrom([]float64{0, -5, 1e300, math.NaN(), math.Inf(1), 500}).Draw(t, "requests")
 				pool.Report(name, LoadReport{Requests: requests, Leaving: rapid.Bool().Draw(t, "leaving")}, now)
 			case 2:
-				pool.RefusedLeaving(name, now)
+				pool.RecordLeavingRefusal(name, now)
 			case 3:
 				pool.Ended(name, request, now)
 			}
@@ -258,17 +258,17 @@
 // service.
 func TestAwayCountsSlotsOfUnavailableReplicas(t *testing.T) {
 	pool := limitedPool(4, 10)
-	if slots, background := pool.Away(0); slots != 0 || background != 0 {
+	if slots, background := pool.UnavailableSlots(0); slots != 0 || background != 0 {
 		t.Fatalf("%d slots and %d for rollouts are away in a healthy pool, want 0 and 0", slots, background)
 	}
 	pool.SetLeaving(pool.Name(0), SourceLoadReport, true)
 	for range 3 {
 		pool.Failed(pool.Name(1), 0)
 	}
-	if slots, background := pool.Away(0); slots != 36 || background != 2*pool.replicas[0].config.MaxBackground {
+	if slots, background := pool.UnavailableSlots(0); slots != 36 || background != 2*pool.replicas[0].config.MaxBackground {
 		t.Errorf("%d slots and %d for rollouts are away with one leaving and one quarantined replica, want 36 and all of both", slots, background)
 	}
-	if slots, _ := pool.Away(time.Minute); slots != 18 {
+	if slots, _ := pool.UnavailableSlots(time.Minute); slots != 18 {
 		t.Errorf("%d slots are away after the quarantine, want 18 of the leaving replica", slots)
 	}
 }
@@ -292,9 +292,9 @@
 			t.Fatalf("chose %s, which was not polled yet and may be leaving; want known", pool.Name(chosen))
 		}
 	}
-	pool.Unanswered("new")
-	pool.Asked("back")
-	if pool.Unasked() {
+	pool.RecordMissedPoll("new")
+	pool.RecordPoll("back")
+	if pool.HasUnpolled() {
 		t.Fatal("Unasked is true although all replicas were polled")
 	}
 	if chosen := (Balanced{}).Choose(pool, &Request{Work: 1, Urgent: true}, 0, random); pool.Name(chosen) == "known" {
--- a/internal/routing/silence.go
+++ b/internal/routing/silence.go
@@ -6,24 +6,24 @@
 // silent. One may be lost, and two may coincide with a pause of the replica.
 const missedReportLimit = 3
 
-// Unanswered records that a replica did not answer a poll for its load. A silent replica gets requests only when no
+// RecordMissedPoll records that a replica did not answer a poll for its load. A silent replica gets requests only when no
 // other replica can take them. Its next load report ends this state.
-func (p *Pool) Unanswered(name string) {
+func (p *Pool) RecordMissedPoll(name string) {
 	if i := p.Index(name); i >= 0 {
 		p.replicas[i].wasPolled = true
 		p.replicas[i].missedReports++
 	}
 }
 
-// Asked records that a replica was polled for its load and its answer contained no load report.
-func (p *Pool) Asked(name string) {
+// RecordPoll records that a replica was polled for its load and its answer contained no load report.
+func (p *Pool) RecordPoll(name string) {
 	if i := p.Index(name); i >= 0 {
 		p.replicas[i].wasPolled = true
 	}
 }
 
-// Unasked reports whether any polled replica still awaits its first poll.
-func (p *Pool) Unasked() bool {
+// HasUnpolled reports whether any polled replica still awaits its first poll.
+func (p *Pool) HasUnpolled() bool {
 	for i := range p.replicas {
 		if p.replicas[i].awaitsFirstPoll() {
 			return true
@@ -34,8 +34,8 @@
 
 func (r *replica) awaitsFirstPoll() bool { return r.config.Polled && !r.wasPolled }
 
-// Silent reports whether a replica has missed so many polls in a row that it is assumed not to answer any more.
-func (p *Pool) Silent(i int) bool { return p.replicas[i].isSilent() }
+// IsSilent reports whether a replica has missed so many polls in a row that it is assumed not to answer any more.
+func (p *Pool) IsSilent(i int) bool { return p.replicas[i].isSilent() }
 
 func (r *replica) isSilent() bool { return r.missedReports >= missedReportLimit }
 
@@ -49,9 +49,9 @@
 	return r.health.isQuarantined(now) || r.isSilent()
 }
 
-// Away returns the total slots, and the slots for rollout work, of the replicas that are in service according to the
+// UnavailableSlots returns the total slots, and the slots for rollout work, of the replicas that are in service according to the
 // table but take no work now. The other replicas have no free capacity for the requests that would have run there.
-func (p *Pool) Away(now time.Duration) (slots, background int) {
+func (p *Pool) UnavailableSlots(now time.Duration) (slots, background int) {
 	for i := range p.replicas {
 		r := &p.replicas[i]
 		if r.config.Reserve || r.config.Draining || r.config.Weight <= 0 {
@@ -65,9 +65,9 @@
 	return slots, background
 }
 
-// Spare reports whether any replica other than the named one is healthy, was polled if it has to be, and can take an
+// HasAlternative reports whether any replica other than the named one is healthy, was polled if it has to be, and can take an
 // urgent request.
-func (p *Pool) Spare(name string, now time.Duration) bool {
+func (p *Pool) HasAlternative(name string, now time.Duration) bool {
 	for i := range p.replicas {
 		if r := &p.replicas[i]; r.config.Name != name && p.canAccept(i, &anyRequest) && !r.isAvoided(now) {
 			return true
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -199,7 +199,7 @@
 		pool, random, request := reservePool(), rand.NewPCG(1, 2), &Request{Work: 1, Urgent: true}
 		for range 2 {
 			i := policy.Choose(pool, request, 0, random)
-			if i == None || pool.Reserve(i) {
+			if i == None || pool.IsReserve(i) {
 				t.Fatalf("%s: chose %d while the subset has free capacity, want a replica of the subset", name, i)
 			}
 			pool.Sent(i, request, 0)
@@ -209,9 +209,9 @@
 		}
 		pool.SetLeaving("own-1", SourceLoadReport, true)
 		for range missedReportLimit {
-			pool.Unanswered("own-2")
+			pool.RecordMissedPoll("own-2")
 		}
-		if i := policy.Choose(pool, request, 0, random); i == None || !pool.Reserve(i) {
+		if i := policy.Choose(pool, request, 0, random); i == None || !pool.IsReserve(i) {
 			t.Errorf("%s: chose %d while the subset is unavailable and the reserve is alive, want a replica of the reserve", name, i)
 		}
 	}
--- a/internal/sim/send.go
+++ b/internal/sim/send.go
@@ -123,7 +123,7 @@
 	x.gateway.release(up)
 	x.releaseBackend(false)
 	if answer.leaving && !x.gateway.world.hasMutation(IgnoreLeaving) {
-		x.gateway.pool.replicas.RefusedLeaving(x.chosen.name, x.gateway.clock())
+		x.gateway.pool.replicas.RecordLeavingRefusal(x.chosen.name, x.gateway.clock())
 	}
 	if answer.refused {
 		x.handleEvent(dispatch.Event{Kind: dispatch.RefusedByBackend, Status: 503})
