--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -224,9 +224,9 @@
 	if crash.New {
 		a.forwarder.metrics.countCrash(crash)
 		logging.Emit(a.forwarder.config.Log, &events.LargeBodyCrash{Pool: a.pool.name, Replica: a.target.Instance, Request: a.call.AttemptID,
-			HeldBytes: crash.Bytes, Bodies: crash.Bodies, AnsweredBytes: crash.MaxAnswered, LimitBytes: crash.Limit, BySum: crash.BySum})
+			HeldBytes: crash.Bytes, Bodies: crash.Bodies, AnsweredBytes: crash.MaxAnswered, LimitBytes: crash.Limit, BySum: crash.ByTotal})
 	}
-	return crash.BySum
+	return crash.ByTotal
 }
 
 // hasSuspectAtReplica reports whether a suspect of this process runs at the attempt's back end.
--- a/internal/forward/largeroom.go
+++ b/internal/forward/largeroom.go
@@ -152,7 +152,7 @@
 	if soonest <= 0 {
 		return 0, 0
 	}
-	took = p.large.ledger.Took()
+	took = p.large.ledger.BodyDuration()
 	return soonest + took*time.Duration(p.queuedBytesBefore(waiting, limit)/(limit*replicas)), took
 }
 
--- a/internal/forward/largeroom_test.go
+++ b/internal/forward/largeroom_test.go
@@ -243,7 +243,7 @@
 			close(gone)
 			calls.Wait()
 			ledger := pool.large.ledger
-			if ledger.Limit(f.now()) != 0 || ledger.LoneCrash(f.now()) != 0 {
+			if ledger.Limit(f.now()) != 0 || ledger.SingleBodyCrash(f.now()) != 0 {
 				t.Errorf("the crash under a suspect of %d bytes led to a limit of %d, want none", size, ledger.Limit(f.now()))
 			}
 		})
--- a/internal/forward/largeshares.go
+++ b/internal/forward/largeshares.go
@@ -40,8 +40,8 @@
 // isInUse reports whether limits or turns must still be shared, because large bodies are present or a limit or a turn
 // has not ended.
 func (l *largeBodies) isInUse(now time.Duration) bool {
-	return l.sharing.active && (l.ledger.Bytes() > 0 || len(l.queue) > 0 || len(l.sharing.turns.Instances()) > 0 || l.ledger.Learned(now) > 0 ||
-		l.ledger.LoneCrash(now) > 0)
+	return l.sharing.active && (l.ledger.Bytes() > 0 || len(l.queue) > 0 || len(l.sharing.turns.Instances()) > 0 || l.ledger.LearnedLimit(now) > 0 ||
+		l.ledger.SingleBodyCrash(now) > 0)
 }
 
 // withdrawLarge withdraws the demands of a pool that was removed from the table. The caller holds the mutex.
@@ -65,8 +65,8 @@
 
 // publishLimit reports the limit that this process has learned to the leader. The caller holds the mutex.
 func (p *pool) publishLimit(now time.Duration) {
-	limit := p.large.ledger.Learned(now)
-	lone := p.large.ledger.LoneCrash(now)
+	limit := p.large.ledger.LearnedLimit(now)
+	lone := p.large.ledger.SingleBodyCrash(now)
 	p.large.sharing.source.Want(share.Bytes(p.name), share.Demand{InUse: byteUnits(limit), Waiting: 1 + byteUnits(lone)})
 }
 
@@ -90,7 +90,7 @@
 		waiting = 0 // without a limit the remaining turns end
 	}
 	before := sharing.turns.Instances()
-	sharing.turns.Step(now, &replicabytes.Situation{Replicas: p.eligibleBackends(), Waiting: waiting, Granted: p.isGranted,
+	sharing.turns.Step(now, &replicabytes.StepInput{Replicas: p.eligibleBackends(), Waiting: waiting, Granted: p.isGranted,
 		Held: func(instance string) bool { return p.large.ledger.Held(instance) > 0 }})
 	p.publishTurns(before)
 	p.notifyOnShareChange(now)
@@ -160,7 +160,7 @@
 	if _, divided := sharing.source.Share(share.Bytes(p.name)); !divided {
 		return true
 	}
-	return sharing.turns.May(now, instance)
+	return sharing.turns.MaySend(now, instance)
 }
 
 // fits reports whether a back end has free space for a large body. The caller holds the mutex.
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -107,7 +107,7 @@
 // countCrash records a back end that crashed while it held large bodies.
 func (c *forwarderMetrics) countCrash(crash replicabytes.Crash) {
 	cause := "request"
-	if crash.BySum {
+	if crash.ByTotal {
 		cause = "sum"
 	}
 	c.crashes.WithLabelValues(cause).Inc()
--- a/internal/replicabytes/ledger.go
+++ b/internal/replicabytes/ledger.go
@@ -99,11 +99,11 @@
 	Bodies      int
 	MaxAnswered int64 // the largest total that a replica of the pool held when it answered
 	Limit       int64 // limit in bytes learned from the crash; 0: none
-	// BySum reports that the total is a likelier cause than a single request, since no replica has answered with as
+	// ByTotal reports that the total is a likelier cause than a single request, since no replica has answered with as
 	// much. It is false while a limit is in force: totals beyond it are not sent, so the request that crashes
 	// replicas has to be found.
-	BySum bool
-	New   bool // this is the first call for this crash
+	ByTotal bool
+	New     bool // this is the first call for this crash
 }
 
 // New returns a Ledger without bodies and without a limit.
@@ -123,15 +123,15 @@
 // Limit returns the bytes that one replica may hold of this process: the lower of the learned and the fleet limit, or
 // 0 if there is neither.
 func (l *Ledger) Limit(now time.Duration) int64 {
-	learned := l.Learned(now)
+	learned := l.LearnedLimit(now)
 	if learned == 0 || l.fleetLimit == 0 {
 		return max(learned, l.fleetLimit)
 	}
 	return min(learned, l.fleetLimit)
 }
 
-// Learned returns the limit in bytes that this process has learned itself, or 0 if there is none.
-func (l *Ledger) Learned(now time.Duration) int64 {
+// LearnedLimit returns the limit in bytes that this process has learned itself, or 0 if there is none.
+func (l *Ledger) LearnedLimit(now time.Duration) int64 {
 	if l.limit > 0 && now-l.limitLoweredAt >= retention {
 		l.limit, l.crashBytes = 0, 0
 	}
@@ -147,15 +147,15 @@
 		return
 	}
 	l.fleetLimit, l.fleetLimitAt = limit, now
-	if limit > 0 && l.LoneCrash(now) > 0 {
+	if limit > 0 && l.SingleBodyCrash(now) > 0 {
 		l.lowerLimit(now, limit, limit*learnedDivisor)
 		l.singleBodyCrash = holding{}
 	}
 }
 
-// LoneCrash returns the size in bytes of the only body that this process had at a replica that crashed within
+// SingleBodyCrash returns the size in bytes of the only body that this process had at a replica that crashed within
 // singleBodyCrashWindow, or 0 if there was no such crash.
-func (l *Ledger) LoneCrash(now time.Duration) int64 {
+func (l *Ledger) SingleBodyCrash(now time.Duration) int64 {
 	if now-l.singleBodyCrash.at > singleBodyCrashWindow {
 		return 0
 	}
@@ -239,7 +239,7 @@
 // recordAnswered records what a replica held when it answered, and raises the learned limit if this is close to it.
 func (l *Ledger) recordAnswered(now time.Duration, bytes int64) {
 	l.maxAnswered = max(l.maxAnswered, bytes)
-	limit := l.Learned(now)
+	limit := l.LearnedLimit(now)
 	if limit == 0 || now-l.limitChangedAt < raiseInterval || bytes < limit-limit/raiseDivisor {
 		return
 	}
@@ -296,7 +296,7 @@
 	if held.bodies < 2 || held.bytes <= max(safeBytes, l.maxAnswered) {
 		return crash
 	}
-	crash.BySum = l.Limit(now) == 0
+	crash.ByTotal = l.Limit(now) == 0
 	crash.Limit = l.lowerLimit(now, held.bytes/learnedDivisor, held.bytes)
 	return crash
 }
@@ -304,7 +304,7 @@
 // lowerLimit sets the learned limit after a crash with crashBytes, but never raises an existing one, and returns the
 // result.
 func (l *Ledger) lowerLimit(now time.Duration, limit, crashBytes int64) int64 {
-	if known := l.Learned(now); known > 0 {
+	if known := l.LearnedLimit(now); known > 0 {
 		limit, crashBytes = min(limit, known), min(crashBytes, l.crashBytes)
 	}
 	l.limit, l.crashBytes, l.limitChangedAt, l.limitLoweredAt = limit, crashBytes, now, now
@@ -312,8 +312,8 @@
 	return limit
 }
 
-// Took returns the smoothed time from the choice of a body's replica to its answer, or 0 if no body was answered yet.
-func (l *Ledger) Took() time.Duration { return l.bodyDuration }
+// BodyDuration returns the smoothed time from the choice of a body's replica to its answer, or 0 if no body was answered yet.
+func (l *Ledger) BodyDuration() time.Duration { return l.bodyDuration }
 
 // Wait estimates the time until enough bodies at a replica are answered for the limit to permit another one. It
 // returns 0 without a limit, and when only a body that the replica has not accepted yet prevents it, because how long
--- a/internal/replicabytes/ledger_test.go
+++ b/internal/replicabytes/ledger_test.go
@@ -74,7 +74,7 @@
 		}
 		for position, body := range bodies {
 			crash := l.Crashed(time.Second, "r")
-			if want := (Crash{Bytes: 80 * mega, Bodies: 3, Limit: 40 * mega, BySum: true, New: position == 0}); crash != want {
+			if want := (Crash{Bytes: 80 * mega, Bodies: 3, Limit: 40 * mega, ByTotal: true, New: position == 0}); crash != want {
 				t.Errorf("crash %+v, want %+v", crash, want)
 			}
 			l.End(time.Second, body, false)
@@ -111,11 +111,11 @@
 			l.End(0, addAccepted(l, 0, "before", one.answered)[0], true)
 		}
 		addAccepted(l, time.Second, "r", one.bodies...)
-		if crash := l.Crashed(time.Second, "r"); crash.BySum != one.sum || (crash.Limit > 0) != one.sum || l.Limit(time.Second) != crash.Limit {
+		if crash := l.Crashed(time.Second, "r"); crash.ByTotal != one.sum || (crash.Limit > 0) != one.sum || l.Limit(time.Second) != crash.Limit {
 			t.Errorf("%s: crash %+v, want BySum and a limit only for a total larger than any answered", one.name, crash)
 		}
 		addAccepted(l, time.Minute, "s", 40*mega, 40*mega)
-		if crash := l.Crashed(time.Minute, "s"); crash.BySum == one.sum || crash.Limit == 0 {
+		if crash := l.Crashed(time.Minute, "s"); crash.ByTotal == one.sum || crash.Limit == 0 {
 			t.Errorf("%s: second crash %+v, want a limit, and BySum only if the first crash set no limit", one.name, crash)
 		}
 	}
@@ -214,7 +214,7 @@
 	l.Add(0, "r", 33*mega)
 	l.End(time.Second, first, true)
 	addAccepted(l, time.Second, "s", 20*mega, 20*mega)
-	if crash := l.Crashed(time.Second, "s"); crash.MaxAnswered != 33*mega || !crash.BySum {
+	if crash := l.Crashed(time.Second, "s"); crash.MaxAnswered != 33*mega || !crash.ByTotal {
 		t.Errorf("crash %+v, want MaxAnswered 33 MiB and BySum", crash)
 	}
 }
@@ -249,11 +249,11 @@
 		body := addAccepted(l, time.Second, "r", 40*mega)[0]
 		l.Crashed(time.Second, "r")
 		l.End(time.Second, body, false)
-		if l.Limit(time.Second) != 0 || l.LoneCrash(time.Second) != 40*mega {
-			t.Errorf("a limit of %d and a single body of %d bytes after the crash, want 0 and 40 MiB", l.Limit(time.Second), l.LoneCrash(time.Second))
+		if l.Limit(time.Second) != 0 || l.SingleBodyCrash(time.Second) != 40*mega {
+			t.Errorf("a limit of %d and a single body of %d bytes after the crash, want 0 and 40 MiB", l.Limit(time.Second), l.SingleBodyCrash(time.Second))
 		}
 		l.SetFleetLimit(time.Second+one.after, 40*mega)
-		if learned := l.Learned(time.Second + one.after); learned != one.learned || l.LoneCrash(time.Second+one.after) != 0 {
+		if learned := l.LearnedLimit(time.Second + one.after); learned != one.learned || l.SingleBodyCrash(time.Second+one.after) != 0 {
 			t.Errorf("learned limit %d with a fleet limit %v after the crash, want it within singleBodyCrashWindow only, and LoneCrash 0", learned, one.after)
 		}
 	}
@@ -271,7 +271,7 @@
 		l.End(time.Second, body, false)
 	}
 	addAccepted(l, time.Minute, "r", 40*mega, 40*mega)
-	if crash := l.Crashed(time.Minute, "r"); l.Limit(time.Minute) != 40*mega || !crash.BySum {
+	if crash := l.Crashed(time.Minute, "r"); l.Limit(time.Minute) != 40*mega || !crash.ByTotal {
 		t.Errorf("crash %+v a minute later, want BySum and a limit of 40 MiB", crash)
 	}
 }
--- a/internal/replicabytes/replay_test.go
+++ b/internal/replicabytes/replay_test.go
@@ -119,7 +119,7 @@
 	fleetLimit, _ := gateway.holding.Share(now, share.Bytes("p"))
 	gateway.ledger.SetFleetLimit(now, int64(fleetLimit)*share.BytesUnit)
 	if gateway.ledger.Limit(now) > 0 {
-		gateway.turns.Step(now, &Situation{Replicas: gateway.order, Waiting: gateway.waiting, Granted: r.granted(now, gateway),
+		gateway.turns.Step(now, &StepInput{Replicas: gateway.order, Waiting: gateway.waiting, Granted: r.granted(now, gateway),
 			Held: func(instance string) bool { return gateway.ledger.Held(instance) > 0 }})
 	}
 }
@@ -129,8 +129,8 @@
 		return
 	}
 	gateway.next = now + replayRenewal
-	demands := []share.Told{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.Learned(now) / share.BytesUnit),
-		Waiting: 1 + uint32(gateway.ledger.LoneCrash(now)/share.BytesUnit)}}}
+	demands := []share.Told{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.LearnedLimit(now) / share.BytesUnit),
+		Waiting: 1 + uint32(gateway.ledger.SingleBodyCrash(now)/share.BytesUnit)}}}
 	for _, instance := range gateway.turns.Instances() {
 		inUse, waiting, _ := gateway.turns.Demand(instance)
 		demands = append(demands, share.Told{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
@@ -153,7 +153,7 @@
 	for gateway.waiting > 0 {
 		target := ""
 		for _, instance := range gateway.order {
-			if !gateway.ledger.Fits(now, instance, replayBody) || r.shared && gateway.ledger.Limit(now) > 0 && !gateway.turns.May(now, instance) {
+			if !gateway.ledger.Fits(now, instance, replayBody) || r.shared && gateway.ledger.Limit(now) > 0 && !gateway.turns.MaySend(now, instance) {
 				continue
 			}
 			if target == "" || gateway.ledger.Held(instance) < gateway.ledger.Held(target) {
--- a/internal/replicabytes/turns.go
+++ b/internal/replicabytes/turns.go
@@ -36,8 +36,8 @@
 // NewTurns returns a Turns without any turn.
 func NewTurns() *Turns { return &Turns{turns: map[string]*turn{}} }
 
-// Situation is the input of Turns.Step.
-type Situation struct {
+// StepInput is the input of Turns.Step.
+type StepInput struct {
 	Replicas []string                   // replicas that can take large bodies, in the order of this process's preference
 	Waiting  int                        // number of bodies that wait for free space at a replica
 	Granted  func(instance string) bool // whether the leader grants this process the turn at a replica
@@ -45,7 +45,7 @@
 }
 
 // Step advances all turns, and requests further ones until there are as many as bodies wait, or no replica is left.
-func (t *Turns) Step(now time.Duration, situation *Situation) {
+func (t *Turns) Step(now time.Duration, situation *StepInput) {
 	wanted := 0
 	for instance, one := range t.turns {
 		t.advance(now, instance, one, situation)
@@ -65,7 +65,7 @@
 }
 
 // advance performs the state transitions of one turn. A released turn is deleted once the leader no longer grants it.
-func (t *Turns) advance(now time.Duration, instance string, one *turn, situation *Situation) {
+func (t *Turns) advance(now time.Duration, instance string, one *turn, situation *StepInput) {
 	granted, held := situation.Granted(instance), situation.Held(instance)
 	switch one.state {
 	case turnRequested:
@@ -87,8 +87,8 @@
 	}
 }
 
-// May reports whether large bodies may be sent to a replica now.
-func (t *Turns) May(now time.Duration, instance string) bool {
+// MaySend reports whether large bodies may be sent to a replica now.
+func (t *Turns) MaySend(now time.Duration, instance string) bool {
 	one := t.turns[instance]
 	return one != nil && one.state == turnActive && now-one.since < maxTurnDuration
 }
--- a/internal/replicabytes/turns_test.go
+++ b/internal/replicabytes/turns_test.go
@@ -10,13 +10,13 @@
 // has withdrawn the grant. While others have the turn, the process must request another replica.
 func TestTurnIsReleasedAndRequestedAgain(t *testing.T) {
 	granted, held := map[string]bool{}, map[string]bool{}
-	situation := &Situation{Replicas: []string{"r", "s"}, Waiting: 1, Granted: func(i string) bool { return granted[i] }, Held: func(i string) bool { return held[i] }}
+	situation := &StepInput{Replicas: []string{"r", "s"}, Waiting: 1, Granted: func(i string) bool { return granted[i] }, Held: func(i string) bool { return held[i] }}
 	turns := NewTurns()
 	expect := func(now time.Duration, instance string, inUse, waiting uint32, known, may bool) {
 		t.Helper()
 		gotUse, gotWait, gotKnown := turns.Demand(instance)
-		if gotUse != inUse || gotWait != waiting || gotKnown != known || turns.May(now, instance) != may {
-			t.Errorf("at %v: in use %d, waiting %d, known %v, may send %v; want the arguments of the call at the reported line", now, gotUse, gotWait, gotKnown, turns.May(now, instance))
+		if gotUse != inUse || gotWait != waiting || gotKnown != known || turns.MaySend(now, instance) != may {
+			t.Errorf("at %v: in use %d, waiting %d, known %v, may send %v; want the arguments of the call at the reported line", now, gotUse, gotWait, gotKnown, turns.MaySend(now, instance))
 		}
 	}
 	turns.Step(0, situation)
