--- a/internal/forward/retries.go
+++ b/internal/forward/retries.go
@@ -46,13 +46,13 @@
 
 // permitFollowUp asks the retry budget for another send of the given kind, after a send to backEnd. Resumptions are
 // counted but always permitted.
-func (p *pool) permitFollowUp(now time.Duration, kind, backEnd string) (permitted bool, figures retrybudget.Figures) {
+func (p *pool) permitFollowUp(now time.Duration, kind, backEnd string) (permitted bool, figures retrybudget.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.budget == nil {
 		return true, figures
 	}
-	figures = p.budget.Figures(now)
+	figures = p.budget.State(now)
 	switch kind {
 	case kindHedge:
 		return p.budget.Hedge(now), figures
@@ -71,7 +71,7 @@
 	if !permitted {
 		outcome = retryOverBudget
 		logging.Emit(a.forwarder.config.Log, &events.RetryRefused{Request: a.call.AttemptID, Send: kind, Pool: a.pool.name,
-			Replica: a.target.Instance, InFlight: figures.InFlight, Permitted: figures.Permitted, Most: figures.Most})
+			Replica: a.target.Instance, InFlight: figures.InFlight, Permitted: figures.Tokens, Most: figures.Capacity})
 	}
 	a.forwarder.metrics.retries.WithLabelValues(kind, outcome).Inc()
 	return permitted
--- a/internal/forward/retries_test.go
+++ b/internal/forward/retries_test.go
@@ -61,7 +61,7 @@
 			if test.reason != 0 && (failure == nil || failure.Reason != test.reason || failure.Verdict != test.verdict) {
 				t.Errorf("got failure %+v, want the listed reason and verdict", failure)
 			}
-			if inFlight := f.pools["p"].budget.Figures(0).InFlight; inFlight != 0 {
+			if inFlight := f.pools["p"].budget.State(0).InFlight; inFlight != 0 {
 				t.Errorf("the budget counts %d requests in flight, want 0", inFlight)
 			}
 		})
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -34,11 +34,11 @@
 //
 // PerSecond and Burst, one a second and ten at once: a pool with few requests may send each of them again, and
 // several of a burst twice.
-var DefaultLimits = Limits{Part: 0.2, InFlight: 1.0 / 3, PerSecond: 1, Burst: 10}
+var DefaultLimits = Limits{Ratio: 0.2, InFlight: 1.0 / 3, PerSecond: 1, Burst: 10}
 
 // Limits are the parameters of a Budget.
 type Limits struct {
-	Part      float64 // tokens added per request that begins
+	Ratio     float64 // tokens added per request that begins
 	InFlight  float64 // tokens held at most, as a part of the most requests in flight within Span
 	PerSecond float64 // tokens added per second, in addition to Part
 	Burst     float64 // tokens held at most, in addition to InFlight
@@ -76,7 +76,7 @@
 	b.inFlight++
 	current := b.current()
 	current.maxInFlight = max(current.maxInFlight, b.inFlight)
-	b.addTokens(b.limits.Part)
+	b.addTokens(b.limits.Ratio)
 }
 
 // Ended counts the end of a request counted by Began. It is called once per request, however often the request was
@@ -111,17 +111,17 @@
 	return b.takeToken()
 }
 
-// Figures is the state of a Budget on which its decisions are based, for logs.
-type Figures struct {
-	InFlight  int     // requests in flight
-	Permitted float64 // tokens left
-	Most      float64 // capacity in tokens
+// State is the state of a Budget on which its decisions are based, for logs.
+type State struct {
+	InFlight int     // requests in flight
+	Tokens   float64 // tokens left
+	Capacity float64 // capacity in tokens
 }
 
-// Figures returns the state on which the next decision would be based.
-func (b *Budget) Figures(now time.Duration) Figures {
+// State returns the state on which the next decision would be based.
+func (b *Budget) State(now time.Duration) State {
 	b.advance(now)
-	return Figures{InFlight: b.inFlight, Permitted: b.tokens, Most: b.capacity()}
+	return State{InFlight: b.inFlight, Tokens: b.tokens, Capacity: b.capacity()}
 }
 
 // isExempt reports whether no other back end has lost more requests within Span. Resends for such a back end take no
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -37,7 +37,7 @@
 		now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 100 * time.Millisecond, 3 * time.Second}).Draw(t, "gap")
 		called := event{at: now, kind: rapid.IntRange(0, kindCount-1).Draw(t, "kind"), allowed: true,
 			backEnd: fmt.Sprint(rapid.IntRange(1, backEnds).Draw(t, "back end"))}
-		before := budget.Figures(now).Permitted
+		before := budget.State(now).Tokens
 		switch called.kind {
 		case beginEvent:
 			inFlight++
@@ -54,7 +54,7 @@
 		case resumeEvent:
 			budget.Resumed(now, called.backEnd)
 		}
-		called.charged, called.inFlight = budget.Figures(now).Permitted < before, inFlight
+		called.charged, called.inFlight = budget.State(now).Tokens < before, inFlight
 		events = append(events, called)
 	}
 	return events
@@ -96,7 +96,7 @@
 // requests that began, plus the constant rate. Resumed streams may exceed this.
 func TestResendsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Part: rapid.Float64Range(0.05, 1).Draw(t, "part"), InFlight: rapid.Float64Range(0, 1).Draw(t, "in flight"),
+		limits := Limits{Ratio: rapid.Float64Range(0.05, 1).Draw(t, "part"), InFlight: rapid.Float64Range(0, 1).Draw(t, "in flight"),
 			PerSecond: rapid.Float64Range(0, 1).Draw(t, "rate"), Burst: rapid.Float64Range(0, 3).Draw(t, "burst")}
 		events := generateCalls(t, limits, 4)
 		for last, each := range events {
@@ -109,7 +109,7 @@
 			}
 			for first := range last {
 				gained := summarize(events[first : last+1])
-				bound := limits.InFlight*float64(most) + limits.Burst + limits.Part*float64(gained.began) +
+				bound := limits.InFlight*float64(most) + limits.Burst + limits.Ratio*float64(gained.began) +
 					limits.PerSecond*(each.at-events[first].at).Seconds()
 				if float64(gained.charged) > bound+1e-9 {
 					t.Fatalf("%d resends took tokens from %s to %s, want at most %v", gained.charged, events[first].at, each.at, bound)
@@ -123,7 +123,7 @@
 // more requests within Span.
 func TestOnlyBackEndWithMostLossesIsExempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		events := generateCalls(t, Limits{Part: 0.1, PerSecond: 0.1}, 4)
+		events := generateCalls(t, Limits{Ratio: 0.1, PerSecond: 0.1}, 4)
 		for position, each := range events {
 			if each.kind != retryEvent || !each.allowed || each.charged {
 				continue
@@ -142,7 +142,7 @@
 // fails, however many there are and however many tokens hedges have taken.
 func TestRetriesForSingleFailedBackEndAreNeverRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, each := range generateCalls(t, Limits{Part: 0.2}, 1) {
+		for _, each := range generateCalls(t, Limits{Ratio: 0.2}, 1) {
 			if each.kind == retryEvent && !each.allowed {
 				t.Fatalf("a retry at %s was rejected, want all permitted", each.at)
 			}
@@ -185,7 +185,7 @@
 
 // TestBackwardClockKeepsCounts checks that a time before the previous one does not reset the budget.
 func TestBackwardClockKeepsCounts(t *testing.T) {
-	budget := New(0, Limits{Part: 1, InFlight: 1})
+	budget := New(0, Limits{Ratio: 1, InFlight: 1})
 	budget.Began(time.Minute)
 	if !budget.Hedge(time.Second) || budget.Hedge(time.Minute) {
 		t.Error("want exactly one hedge permitted for one request, also when the clock goes back")
