--- a/internal/forward/access.go
+++ b/internal/forward/access.go
@@ -52,7 +52,7 @@
 	if plan == nil {
 		return Access{}, false
 	}
-	found, refused := plan.tenants.Authenticate(key, plan.routes.Anonymous(host))
+	found, refused := plan.tenants.Authenticate(key, plan.routes.AllowsAnonymous(host))
 	return Access{Tenant: nameOf(found), Refused: refused}, true
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Anonymous reports whether any route of the host accepts requests without an API key.
-func (t *Table) Anonymous(host string) bool {
+// AllowsAnonymous reports whether any route of the host accepts requests without an API key.
+func (t *Table) AllowsAnonymous(host string) bool {
 	host = strings.ToLower(host)
 	if colon := strings.LastIndexByte(host, ':'); len(t.byHost[host]) == 0 && colon > 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
