--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -71,13 +71,13 @@
 		return nil
 	}
 	s.followTable(version)
-	renewal := &share.Renewal{Holder: holder.holder, Number: holder.answerNumber(request.Sequence), Ends: s.clock() + s.lease}
+	renewal := &share.Renewal{Holder: holder.holder, Number: holder.answerNumber(request.Sequence), LeaseEnds: s.clock() + s.lease}
 	if request.SharesFrom > 0 {
-		renewal.Acted = holder.answerNumber(request.SharesFrom)
+		renewal.AppliedAnswer = holder.answerNumber(request.SharesFrom)
 	}
 	for _, demand := range request.Demands {
 		s.ensureLimit(demand.Resource)
-		renewal.Demands = append(renewal.Demands, share.Told{Resource: demand.Resource, Demand: share.Demand{InUse: demand.InUse, Waiting: demand.Waiting}})
+		renewal.Demands = append(renewal.Demands, share.ResourceDemand{Resource: demand.Resource, Demand: share.Demand{InUse: demand.InUse, Waiting: demand.Waiting}})
 	}
 	grants := s.allocator.Renew(s.clock(), renewal)
 	answered := make([]*wire.ResourceShare, 0, len(grants))
--- a/internal/control/shares_test.go
+++ b/internal/control/shares_test.go
@@ -24,8 +24,8 @@
 func awaitShare(t *testing.T, session *controlclient.Session, what string, demand share.Demand, isExpected func(amount uint32) bool) {
 	t.Helper()
 	eventually(t, what, func() bool {
-		session.Want(share.Slots("p"), demand)
-		session.RenewSoon()
+		session.SetDemand(share.Slots("p"), demand)
+		session.RenewEarly()
 		amount, divided := session.Share(share.Slots("p"))
 		return divided && isExpected(amount)
 	})
@@ -52,8 +52,8 @@
 	// The demands add up to 80 for 40 slots: each session gets half, and unused slots are lent.
 	busy, half := share.Demand{InUse: 20, Waiting: 20}, func(amount uint32) bool { return amount >= 20 && amount < 40 }
 	awaitShare(t, second, "its half", share.Demand{Waiting: 40}, func(amount uint32) bool {
-		first.Want(share.Slots("p"), busy)
-		first.RenewSoon()
+		first.SetDemand(share.Slots("p"), busy)
+		first.RenewEarly()
 		return half(amount)
 	})
 	awaitShare(t, first, "the other half", busy, half)
@@ -62,8 +62,8 @@
 	awaitShare(t, first, "the dead holder's share", share.Demand{InUse: 20, Waiting: 20}, func(amount uint32) bool { return amount >= 40 })
 
 	unanswered := c.session("third", nil)
-	unanswered.Want(share.Slots("p"), share.Demand{Waiting: 40})
-	unanswered.RenewSoon()
+	unanswered.SetDemand(share.Slots("p"), share.Demand{Waiting: 40})
+	unanswered.RenewEarly()
 	unanswered.Close()
 	awaitShare(t, first, "the share of one that died unanswered", share.Demand{InUse: 20, Waiting: 20}, func(amount uint32) bool { return amount >= 40 })
 
@@ -111,8 +111,8 @@
 	first := c.session("first", nil)
 	awaitLevel(t, first)
 	mustAccept(t, c.client(controlclient.Config{}), poolChange("1", 0, "1"), true)
-	first.Want(share.Slots("copy"), share.Demand{InUse: 3})
-	first.RenewSoon()
+	first.SetDemand(share.Slots("copy"), share.Demand{InUse: 3})
+	first.RenewEarly()
 	for range 3 {
 		time.Sleep(c.servers[c.leader()].settings.RenewInterval)
 		if _, divided := first.Share(share.Slots("copy")); divided {
--- a/internal/control/turns_test.go
+++ b/internal/control/turns_test.go
@@ -21,8 +21,8 @@
 		eventually(t, what, func() bool {
 			holds := true
 			for session, demand := range demands {
-				session.Want(resource, demand)
-				session.RenewSoon()
+				session.SetDemand(resource, demand)
+				session.RenewEarly()
 				amount, divided := session.Share(resource)
 				holds = holds && divided && amount == wishes[session]
 			}
@@ -38,7 +38,7 @@
 	awaitAmounts("the turn that was given back", turn, shares{first: 0, second: 1}, demands{first: {}, second: waits})
 	awaitAmounts("the lowest limit", share.Bytes("p"), shares{first: 300, second: 300}, demands{first: {InUse: 300, Waiting: 1}, second: {InUse: 900, Waiting: 1}})
 	for _, resource := range []string{share.Turn("gone"), share.Bytes("gone")} {
-		first.Want(resource, waits)
+		first.SetDemand(resource, waits)
 	}
 	awaitAmounts("another answer", share.Bytes("p"), shares{first: 200}, demands{first: {InUse: 200, Waiting: 1}})
 	for _, resource := range []string{share.Turn("gone"), share.Bytes("gone")} {
--- a/internal/controlclient/session_run.go
+++ b/internal/controlclient/session_run.go
@@ -48,13 +48,13 @@
 	replies           chan *wire.SessionReply
 	failed            chan error // receives the error that ended the stream; capacity 1
 	sequence          uint64
-	sentAt            [sentHistory]time.Duration // by sequence modulo sentHistory
-	sentDemands       [sentHistory][]share.Told  // demands sent, by sequence modulo sentHistory
-	sharesSequence    uint64                     // sequence of the newest renewal whose shares were applied
-	lease             time.Duration              // duration of the last lease granted on this stream
-	lastHeard         time.Duration              // time of the last grant or update
-	leaveSequence     uint64                     // sequence of the first renewal that said leaving; 0 if none did
-	invitationPending bool                       // an invitation was answered by a renewal that has no reply yet
+	sentAt            [sentHistory]time.Duration          // by sequence modulo sentHistory
+	sentDemands       [sentHistory][]share.ResourceDemand // demands sent, by sequence modulo sentHistory
+	sharesSequence    uint64                              // sequence of the newest renewal whose shares were applied
+	lease             time.Duration                       // duration of the last lease granted on this stream
+	lastHeard         time.Duration                       // time of the last grant or update
+	leaveSequence     uint64                              // sequence of the first renewal that said leaving; 0 if none did
+	invitationPending bool                                // an invitation was answered by a renewal that has no reply yet
 }
 
 // run keeps the session attached to the leader until ctx ends or the leader has confirmed a leave.
@@ -263,7 +263,7 @@
 	}
 	a.sharesSequence = reply.Sequence
 	if s.sharing.applyGrant(a.sentDemands[at], reply, a.sentAt[at], a.lease) {
-		s.RenewSoon()
+		s.RenewEarly()
 	}
 	if changed := s.sharing.listener(); changed != nil && len(reply.Shares) > 0 {
 		changed()
--- a/internal/controlclient/shares.go
+++ b/internal/controlclient/shares.go
@@ -44,8 +44,8 @@
 	return s.sharing.holding.Share(s.client.config.Clock(), resource)
 }
 
-// Want implements share.Source.
-func (s *Session) Want(resource string, demand share.Demand) {
+// SetDemand implements share.Source.
+func (s *Session) SetDemand(resource string, demand share.Demand) {
 	s.sharing.mutex.Lock()
 	defer s.sharing.mutex.Unlock()
 	entry := s.sharing.demands[resource]
@@ -59,8 +59,8 @@
 	entry.updated = true
 }
 
-// RenewSoon implements share.Source.
-func (s *Session) RenewSoon() {
+// RenewEarly implements share.Source.
+func (s *Session) RenewEarly() {
 	if s.sharing.mayRenewEarly(s.client.config.Clock()) {
 		s.renewSoon()
 	}
@@ -105,23 +105,23 @@
 // takeDue returns the demands to report with the next renewal and marks them reported. These are all nonzero demands,
 // and zero demands set since their last report that the leader does not know yet. A process without demand reports
 // nothing.
-func (h *shareState) takeDue() []share.Told {
+func (h *shareState) takeDue() []share.ResourceDemand {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	var due []share.Told
+	var due []share.ResourceDemand
 	for resource, entry := range h.demands {
 		if entry.demand == (share.Demand{}) && (entry.reported || !entry.updated) {
 			continue
 		}
 		entry.reported, entry.updated = true, false
-		due = append(due, share.Told{Resource: resource, Demand: entry.demand})
+		due = append(due, share.ResourceDemand{Resource: resource, Demand: entry.demand})
 	}
 	return due
 }
 
 // applyGrant applies the shares of a reply to a renewal that reported due. lowered reports that a share was reduced,
 // which the leader waits to have confirmed.
-func (h *shareState) applyGrant(due []share.Told, reply *wire.SessionReply, sentAt, lease time.Duration) (lowered bool) {
+func (h *shareState) applyGrant(due []share.ResourceDemand, reply *wire.SessionReply, sentAt, lease time.Duration) (lowered bool) {
 	grants := make([]share.Grant, 0, len(reply.Shares))
 	answered := make(map[string]bool, len(reply.Shares))
 	for _, one := range reply.Shares {
@@ -136,11 +136,11 @@
 			entry.reported = false
 		}
 	}
-	return h.holding.Granted(due, grants, sentAt+lease)
+	return h.holding.Apply(due, grants, sentAt+lease)
 }
 
 // encodeDemands converts demands to the messages that a renewal carries.
-func encodeDemands(due []share.Told) []*wire.ResourceDemand {
+func encodeDemands(due []share.ResourceDemand) []*wire.ResourceDemand {
 	reported := make([]*wire.ResourceDemand, 0, len(due))
 	for _, one := range due {
 		reported = append(reported, &wire.ResourceDemand{Resource: one.Resource, InUse: one.Demand.InUse, Waiting: one.Demand.Waiting})
--- a/internal/controlclient/shares_test.go
+++ b/internal/controlclient/shares_test.go
@@ -11,7 +11,7 @@
 // newSessionWithDemand returns a session that does not run, with a demand set.
 func newSessionWithDemand(demand share.Demand) *Session {
 	session := &Session{client: &Client{}, sharing: newShareState(), renewSignal: make(chan struct{}, 1)}
-	session.Want(share.Slots("p"), demand)
+	session.SetDemand(share.Slots("p"), demand)
 	return session
 }
 
@@ -24,7 +24,7 @@
 // divide the resource, a zero demand is reported only after it was set again.
 func TestDemandsAreReportedWhenNeeded(t *testing.T) {
 	session := newSessionWithDemand(share.Demand{})
-	expectReported := func(what string, want int) []share.Told {
+	expectReported := func(what string, want int) []share.ResourceDemand {
 		t.Helper()
 		due := session.sharing.takeDue()
 		if len(due) != want {
@@ -35,19 +35,19 @@
 	first := expectReported("a new resource", 1)
 	session.sharing.applyGrant(first, sharesReply(4), 0, time.Second)
 	expectReported("nothing wanted, answered", 0)
-	session.Want(share.Slots("p"), share.Demand{InUse: 2})
+	session.SetDemand(share.Slots("p"), share.Demand{InUse: 2})
 	expectReported("wanted", 1)
-	session.Want(share.Slots("p"), share.Demand{InUse: 2})
+	session.SetDemand(share.Slots("p"), share.Demand{InUse: 2})
 	expectReported("still wanted", 1)
-	session.Want(share.Slots("p"), share.Demand{})
+	session.SetDemand(share.Slots("p"), share.Demand{})
 	last := expectReported("wanted no more", 1)
 	expectReported("and told so", 0)
-	session.Want(share.Slots("p"), share.Demand{})
+	session.SetDemand(share.Slots("p"), share.Demand{})
 	session.sharing.resetReported()
 	expectReported("another node", 1)
 	session.sharing.applyGrant(last, &wire.SessionReply{}, 0, time.Second)
 	expectReported("not divided, not noted since", 0)
-	session.Want(share.Slots("p"), share.Demand{})
+	session.SetDemand(share.Slots("p"), share.Demand{})
 	expectReported("not divided, noted", 1)
 }
 
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -186,7 +186,7 @@
 	crash := p.large.ledger.Crashed(now, instance)
 	if crash.New && p.large.sharing.active {
 		p.publishLimit(now)
-		p.large.sharing.source.RenewSoon()
+		p.large.sharing.source.RenewEarly()
 	}
 	p.notifyLarge(now)
 	return crash
--- a/internal/forward/largeshares.go
+++ b/internal/forward/largeshares.go
@@ -34,7 +34,7 @@
 	}
 	p.large.sharing.active = true
 	p.publishLimit(now)
-	p.large.sharing.source.RenewSoon()
+	p.large.sharing.source.RenewEarly()
 }
 
 // isInUse reports whether limits or turns must still be shared, because large bodies are present or a limit or a turn
@@ -51,9 +51,9 @@
 		return
 	}
 	for _, instance := range sharing.turns.Instances() {
-		sharing.source.Want(share.Turn(instance), share.Demand{})
+		sharing.source.SetDemand(share.Turn(instance), share.Demand{})
 	}
-	sharing.source.Want(share.Bytes(p.name), share.Demand{})
+	sharing.source.SetDemand(share.Bytes(p.name), share.Demand{})
 	sharing.active, sharing.turns = false, replicabytes.NewTurns()
 }
 
@@ -67,7 +67,7 @@
 func (p *pool) publishLimit(now time.Duration) {
 	limit := p.large.ledger.LearnedLimit(now)
 	lone := p.large.ledger.SingleBodyCrash(now)
-	p.large.sharing.source.Want(share.Bytes(p.name), share.Demand{InUse: byteUnits(limit), Waiting: 1 + byteUnits(lone)})
+	p.large.sharing.source.SetDemand(share.Bytes(p.name), share.Demand{InUse: byteUnits(limit), Waiting: 1 + byteUnits(lone)})
 }
 
 // byteUnits converts bytes to units of share.BytesUnit, rounded up.
@@ -113,14 +113,14 @@
 	sharing := &p.large.sharing
 	for _, instance := range before {
 		if _, _, known := sharing.turns.Demand(instance); !known {
-			sharing.source.Want(share.Turn(instance), share.Demand{})
+			sharing.source.SetDemand(share.Turn(instance), share.Demand{})
 		}
 	}
 	for _, instance := range sharing.turns.Instances() {
 		inUse, waiting, _ := sharing.turns.Demand(instance)
-		sharing.source.Want(share.Turn(instance), share.Demand{InUse: inUse, Waiting: waiting})
+		sharing.source.SetDemand(share.Turn(instance), share.Demand{InUse: inUse, Waiting: waiting})
 		if waiting > 0 {
-			sharing.source.RenewSoon()
+			sharing.source.RenewEarly()
 		}
 	}
 }
--- a/internal/forward/quota.go
+++ b/internal/forward/quota.go
@@ -80,8 +80,8 @@
 	}
 	for name := range q.tenants {
 		if next[name] == nil {
-			q.source.Want(share.Rate(name), share.Demand{})
-			q.source.Want(share.Calls(name), share.Demand{})
+			q.source.SetDemand(share.Rate(name), share.Demand{})
+			q.source.SetDemand(share.Calls(name), share.Demand{})
 		}
 	}
 	q.tenants = next
@@ -126,8 +126,8 @@
 	if entry.quota.Concurrency > 0 {
 		calls = share.Demand{InUse: uint32(entry.limiter.InFlight()), Waiting: uint32(entry.waiting)}
 	}
-	q.source.Want(share.Rate(entry.name), rate)
-	q.source.Want(share.Calls(entry.name), calls)
+	q.source.SetDemand(share.Rate(entry.name), rate)
+	q.source.SetDemand(share.Calls(entry.name), calls)
 	entry.hasDemand = rate != share.Demand{} || calls != share.Demand{}
 }
 
@@ -161,7 +161,7 @@
 	amount, divided := q.source.Share(share.Rate(name))
 	if !divided {
 		q.publishDemand(now, entry)
-		q.source.RenewSoon()
+		q.source.RenewEarly()
 		return nil
 	}
 	rate := float64(amount) / share.RateUnit
@@ -171,7 +171,7 @@
 		return nil
 	}
 	q.publishDemand(now, entry)
-	q.source.RenewSoon()
+	q.source.RenewEarly()
 	return notRun(QuotaExceeded, wait, &quotaError{tenant: name, rate: float64(entry.quota.Rate), share: rate})
 }
 
@@ -218,7 +218,7 @@
 		amount, divided := q.source.Share(share.Calls(name))
 		if divided && entry.limiter.InFlight() >= int(amount) {
 			q.publishDemand(now, entry)
-			q.source.RenewSoon()
+			q.source.RenewEarly()
 			return notRun(QuotaExceeded, concurrencyWait, &quotaError{tenant: name, inFlight: entry.limiter.InFlight(), most: int(amount)})
 		}
 	}
--- a/internal/forward/shares.go
+++ b/internal/forward/shares.go
@@ -109,7 +109,7 @@
 // setSharedLimits sets the limits of a table view. A nil source leaves the pool undivided. The caller holds the mutex.
 func (p *pool) setSharedLimits(now time.Duration, limits admission.Limits, source share.Source) {
 	if p.sharing.source != nil && source == nil {
-		p.sharing.source.Want(share.Slots(p.name), share.Demand{})
+		p.sharing.source.SetDemand(share.Slots(p.name), share.Demand{})
 	}
 	p.sharing.source, p.sharing.undivided = source, limits
 	p.deliverDecisions(p.queue.SetLimits(now, p.currentLimits(now)))
@@ -127,14 +127,14 @@
 // updateShareLocked does the work of updateShare. The caller holds the mutex.
 func (p *pool) updateShareLocked(now time.Duration) {
 	waiting := p.queue.Waiting()
-	p.sharing.source.Want(share.Slots(p.name), share.Demand{InUse: uint32(p.queue.InFlight()), Waiting: uint32(waiting)})
+	p.sharing.source.SetDemand(share.Slots(p.name), share.Demand{InUse: uint32(p.queue.InFlight()), Waiting: uint32(waiting)})
 	limits := p.currentLimits(now)
 	if limits.Slots != p.queue.Slots() || limits.Reach != p.queue.Reach() {
 		p.deliverDecisions(p.queue.SetLimits(now, limits))
 	}
 	p.metrics.share.WithLabelValues(p.name).Set(float64(limits.Slots))
 	if waiting > 0 && limits.Slots < p.sharing.undivided.Slots {
-		p.sharing.source.RenewSoon()
+		p.sharing.source.RenewEarly()
 		p.logShare(now, limits.Slots, waiting)
 	}
 }
--- a/internal/forward/shares_test.go
+++ b/internal/forward/shares_test.go
@@ -34,7 +34,7 @@
 	return amount, divided
 }
 
-func (f *fakeShares) Want(resource string, demand share.Demand) {
+func (f *fakeShares) SetDemand(resource string, demand share.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demands[resource] = demand
@@ -47,7 +47,7 @@
 	return f.demands[resource]
 }
 
-func (f *fakeShares) RenewSoon() {
+func (f *fakeShares) RenewEarly() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.renewals == 0 {
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -117,10 +117,10 @@
 func (f *testFleet) renew(position int, g *testGateway) {
 	f.number++
 	taken, refused := g.limiter.Asked(f.now)
-	told := []share.Told{{Resource: share.Rate("t"), Demand: Demand(taken, refused)}}
-	grants := f.allocator.Renew(f.now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: f.number, Acted: g.acted,
-		Ends: f.now + rateLease*21/20, Demands: told})
-	g.holding.Granted(told, grants, f.now+rateLease)
+	told := []share.ResourceDemand{{Resource: share.Rate("t"), Demand: Demand(taken, refused)}}
+	grants := f.allocator.Renew(f.now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: f.number, AppliedAnswer: g.acted,
+		LeaseEnds: f.now + rateLease*21/20, Demands: told})
+	g.holding.Apply(told, grants, f.now+rateLease)
 	g.acted = f.number
 }
 
--- a/internal/replicabytes/replay_test.go
+++ b/internal/replicabytes/replay_test.go
@@ -129,21 +129,21 @@
 		return
 	}
 	gateway.next = now + replayRenewal
-	demands := []share.Told{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.LearnedLimit(now) / share.BytesUnit),
+	demands := []share.ResourceDemand{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.LearnedLimit(now) / share.BytesUnit),
 		Waiting: 1 + uint32(gateway.ledger.SingleBodyCrash(now)/share.BytesUnit)}}}
 	for _, instance := range gateway.turns.Instances() {
 		inUse, waiting, _ := gateway.turns.Demand(instance)
-		demands = append(demands, share.Told{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
+		demands = append(demands, share.ResourceDemand{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
 	}
 	r.numbers++
-	grants := r.allocator.Renew(now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: r.numbers, Acted: gateway.number,
-		Ends: now + replayLease, Demands: demands})
+	grants := r.allocator.Renew(now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: r.numbers, AppliedAnswer: gateway.number,
+		LeaseEnds: now + replayLease, Demands: demands})
 	number := r.numbers
 	r.answers = append(r.answers, func(at time.Duration) bool {
 		if at < now+replayTrip {
 			return false
 		}
-		gateway.holding.Granted(demands, grants, now+replayLease)
+		gateway.holding.Apply(demands, grants, now+replayLease)
 		gateway.number = number
 		return true
 	})
--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -6,8 +6,8 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// Told is a demand that a process reports for a named resource.
-type Told struct {
+// ResourceDemand is a demand that a process reports for a named resource.
+type ResourceDemand struct {
 	Resource string
 	Demand   Demand
 }
@@ -23,11 +23,11 @@
 	Holder lease.HolderID
 	// Number identifies the answer to this renewal. It increases with each renewal, across all holders.
 	Number uint64
-	// Acted is the number of the newest answer that the holder has applied. 0 means that it has applied none of this
+	// AppliedAnswer is the number of the newest answer that the holder has applied. 0 means that it has applied none of this
 	// leader's answers.
-	Acted   uint64
-	Ends    time.Duration // end of the lease by the leader's clock
-	Demands []Told
+	AppliedAnswer uint64
+	LeaseEnds     time.Duration // end of the lease by the leader's clock
+	Demands       []ResourceDemand
 }
 
 // Allocator is the leader's side of the division. It divides each resource between the processes that want some of it,
--- a/internal/share/division.go
+++ b/internal/share/division.go
@@ -50,8 +50,8 @@
 		d.indexes[renewal.Holder] = index
 	}
 	own := &d.holders[index]
-	own.demand, own.leaseEnds = demand, max(own.leaseEnds, renewal.Ends)
-	own.confirm(renewal.Acted)
+	own.demand, own.leaseEnds = demand, max(own.leaseEnds, renewal.LeaseEnds)
+	own.confirm(renewal.AppliedAnswer)
 	totalDemand := d.totalDemand()
 	if d.kind.reportsLowest {
 		return d.lowestReported()
--- a/internal/share/holding.go
+++ b/internal/share/holding.go
@@ -17,11 +17,11 @@
 // NewHolding returns a Holding without shares.
 func NewHolding() *Holding { return &Holding{shares: map[string]heldShare{}} }
 
-// Granted applies the answer to a renewal that reported the told demands. The shares are valid until ends. A resource
+// Apply applies the answer to a renewal that reported the told demands. The shares are valid until ends. A resource
 // in told that has no grant is not divided by this leader. A granted resource that is not in told was reported shortly
 // before, and its share is applied as well. lowered reports whether a share is less than before; the leader waits for
 // a renewal that confirms it.
-func (h *Holding) Granted(told []Told, grants []Grant, ends time.Duration) (lowered bool) {
+func (h *Holding) Apply(told []ResourceDemand, grants []Grant, ends time.Duration) (lowered bool) {
 	divided := make(map[string]bool, len(grants))
 	for _, grant := range grants {
 		divided[grant.Resource] = true
--- a/internal/share/replay_test.go
+++ b/internal/share/replay_test.go
@@ -86,7 +86,7 @@
 	at, ends time.Duration
 	gateway  int
 	number   uint64
-	told     []Told
+	told     []ResourceDemand
 	grants   []Grant
 }
 
@@ -94,7 +94,7 @@
 	d := &byDemand{allocator: NewAllocator(0)}
 	for g := range d.holdings {
 		d.holdings[g], d.nextRenewal[g] = NewHolding(), replayRenewal*time.Duration(g)/replayGateways
-		d.holdings[g].Granted([]Told{{Resource: "slots/p"}}, []Grant{{Resource: "slots/p", Amount: lentSlots}}, 0)
+		d.holdings[g].Apply([]ResourceDemand{{Resource: "slots/p"}}, []Grant{{Resource: "slots/p", Amount: lentSlots}}, 0)
 	}
 	return d
 }
@@ -123,8 +123,8 @@
 			continue
 		}
 		d.told[g] = demand
-		told := []Told{{Resource: "slots/p", Demand: demand}}
-		renewal := &Renewal{Holder: lease.HolderID{Name: fmt.Sprint(g)}, Number: d.number, Acted: d.acted[g], Ends: now + replayLease, Demands: told}
+		told := []ResourceDemand{{Resource: "slots/p", Demand: demand}}
+		renewal := &Renewal{Holder: lease.HolderID{Name: fmt.Sprint(g)}, Number: d.number, AppliedAnswer: d.acted[g], LeaseEnds: now + replayLease, Demands: told}
 		d.answers = append(d.answers, replayAnswer{at: now + replayRoundTrip, ends: now + replayLease, gateway: g, number: d.number, told: told, grants: d.allocator.Renew(now, renewal)})
 	}
 }
@@ -134,7 +134,7 @@
 		return
 	}
 	d.acted[a.gateway] = a.number
-	if d.holdings[a.gateway].Granted(a.told, a.grants, a.ends) {
+	if d.holdings[a.gateway].Apply(a.told, a.grants, a.ends) {
 		d.nextRenewal[a.gateway] = min(d.nextRenewal[a.gateway], max(now, d.lastRenewal[a.gateway]+replayMinRenewalGap))
 	}
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -21,10 +21,10 @@
 	// Share returns the amount of a resource that the process may use now. divided is false if no leader divides the
 	// resource: the leader runs an older build, or has not answered a demand for it yet.
 	Share(resource string) (amount uint32, divided bool)
-	// Want sets the process's demand, which is reported with the next renewal of the lease.
-	Want(resource string, demand Demand)
-	// RenewSoon requests an early renewal of the lease, because work waits for a larger share.
-	RenewSoon()
+	// SetDemand sets the process's demand, which is reported with the next renewal of the lease.
+	SetDemand(resource string, demand Demand)
+	// RenewEarly requests an early renewal of the lease, because work waits for a larger share.
+	RenewEarly()
 }
 
 // Prefixes of resource names, one for each kind of resource.
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -41,7 +41,7 @@
 type testAnswer struct {
 	number uint64
 	grants []Grant
-	told   []Told
+	told   []ResourceDemand
 	ends   time.Duration // by the holder's clock
 }
 
@@ -88,8 +88,8 @@
 		return
 	}
 	f.number++
-	told := []Told{{Resource: f.resource, Demand: h.demand}}
-	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, Acted: h.acted, Ends: f.now + leaderLease, Demands: told})
+	told := []ResourceDemand{{Resource: f.resource, Demand: h.demand}}
+	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, AppliedAnswer: h.acted, LeaseEnds: f.now + leaderLease, Demands: told})
 	h.pending = append(h.pending, testAnswer{number: f.number, grants: grants, told: told, ends: f.clock(h) + testLease})
 }
 
@@ -99,7 +99,7 @@
 	}
 	answer := h.pending[0]
 	h.pending = h.pending[1:]
-	h.holding.Granted(answer.told, answer.grants, answer.ends)
+	h.holding.Apply(answer.told, answer.grants, answer.ends)
 	h.acted = answer.number
 }
 
@@ -297,19 +297,19 @@
 // answer without a grant, so that the process serves as if it were alone. After the end of a lease only lent slots are
 // left.
 func TestResourceWithoutGrantIsNotDivided(t *testing.T) {
-	told := []Told{{Resource: Slots("p")}}
+	told := []ResourceDemand{{Resource: Slots("p")}}
 	holding := NewHolding()
 	if _, divided := holding.Share(0, Slots("p")); divided {
 		t.Fatal("resource is divided before the first answer")
 	}
-	holding.Granted(told, []Grant{{Resource: Slots("p"), Amount: 7}}, time.Second)
+	holding.Apply(told, []Grant{{Resource: Slots("p"), Amount: 7}}, time.Second)
 	if amount, divided := holding.Share(0, Slots("p")); !divided || amount != 7 {
 		t.Fatalf("share %d, divided %v, want 7 and divided", amount, divided)
 	}
 	if amount, divided := holding.Share(time.Second, Slots("p")); !divided || amount != lentSlots {
 		t.Fatal("share after the end of the lease, want lentSlots and divided:", amount, divided)
 	}
-	holding.Granted(told, nil, 2*time.Second)
+	holding.Apply(told, nil, 2*time.Second)
 	if _, divided := holding.Share(0, Slots("p")); divided {
 		t.Fatal("resource is divided after an answer without a grant")
 	}
@@ -322,13 +322,13 @@
 	allocator.SetLimit(Slots("p"), 360)
 	renewals := make([]Renewal, gateways)
 	for i := range renewals {
-		renewals[i] = Renewal{Holder: lease.HolderID{Name: fmt.Sprint(i)}, Ends: time.Hour, Demands: []Told{{Resource: Slots("p"), Demand: Demand{InUse: 1, Waiting: 4}}}}
+		renewals[i] = Renewal{Holder: lease.HolderID{Name: fmt.Sprint(i)}, LeaseEnds: time.Hour, Demands: []ResourceDemand{{Resource: Slots("p"), Demand: Demand{InUse: 1, Waiting: 4}}}}
 	}
 	number := uint64(0)
 	for b.Loop() {
 		number++
 		renewal := &renewals[number%gateways]
-		renewal.Number, renewal.Acted = number, number-min(number, gateways)
+		renewal.Number, renewal.AppliedAnswer = number, number-min(number, gateways)
 		allocator.Renew(0, renewal)
 	}
 }
--- a/internal/share/turns_test.go
+++ b/internal/share/turns_test.go
@@ -9,8 +9,8 @@
 
 // renewOne renews the lease of a holder that has applied the preceding answer, and returns its share of the told
 // resource.
-func renewOne(a *Allocator, now time.Duration, holder lease.HolderID, number uint64, told Told) uint32 {
-	grants := a.Renew(now, &Renewal{Holder: holder, Number: number, Acted: number - 1, Ends: now + time.Second, Demands: []Told{told}})
+func renewOne(a *Allocator, now time.Duration, holder lease.HolderID, number uint64, told ResourceDemand) uint32 {
+	grants := a.Renew(now, &Renewal{Holder: holder, Number: number, AppliedAnswer: number - 1, LeaseEnds: now + time.Second, Demands: []ResourceDemand{told}})
 	if len(grants) != 1 {
 		return 0
 	}
@@ -23,12 +23,12 @@
 	resource := Turn("r")
 	a := NewAllocator(0)
 	a.SetLimit(resource, 1)
-	wants, uses := Told{resource, Demand{Waiting: 1}}, Told{resource, Demand{InUse: 1}}
+	wants, uses := ResourceDemand{resource, Demand{Waiting: 1}}, ResourceDemand{resource, Demand{InUse: 1}}
 	one, two, three := lease.HolderID{Name: "1"}, lease.HolderID{Name: "2"}, lease.HolderID{Name: "3"}
 	if renewOne(a, 0, one, 1, wants) != 1 || renewOne(a, 0, two, 2, wants) != 0 || renewOne(a, 0, three, 3, wants) != 0 || renewOne(a, 0, one, 4, uses) != 1 {
 		t.Fatal("the first holder does not have the turn, or another one has it too")
 	}
-	if renewOne(a, 0, one, 5, Told{Resource: resource}) != 0 || renewOne(a, 0, one, 6, Told{Resource: resource}) != 0 {
+	if renewOne(a, 0, one, 5, ResourceDemand{Resource: resource}) != 0 || renewOne(a, 0, one, 6, ResourceDemand{Resource: resource}) != 0 {
 		t.Error("a holder that gave the turn back was granted it without asking")
 	}
 	if renewOne(a, 0, three, 7, wants) != 1 || renewOne(a, 0, two, 8, wants) != 0 {
@@ -38,7 +38,7 @@
 		t.Error("the turn of an ended lease is not granted to another holder")
 	}
 	holding := NewHolding()
-	holding.Granted([]Told{wants}, []Grant{{resource, 1}}, time.Second)
+	holding.Apply([]ResourceDemand{wants}, []Grant{{resource, 1}}, time.Second)
 	if amount, divided := holding.Share(2*time.Second, resource); amount != 0 || !divided {
 		t.Errorf("after the end of its lease a holder has %d turns, want 0 and divided", amount)
 	}
@@ -50,7 +50,7 @@
 	resource := Bytes("p")
 	a := NewAllocator(0)
 	a.SetLimit(resource, 0)
-	tell := func(limit uint32) Told { return Told{resource, Demand{InUse: limit, Waiting: 1}} }
+	tell := func(limit uint32) ResourceDemand { return ResourceDemand{resource, Demand{InUse: limit, Waiting: 1}} }
 	one, two, three := lease.HolderID{Name: "1"}, lease.HolderID{Name: "2"}, lease.HolderID{Name: "3"}
 	if renewOne(a, 0, one, 1, tell(0)) != 0 || renewOne(a, 0, two, 2, tell(700)) != 700 || renewOne(a, 0, three, 3, tell(500)) != 500 {
 		t.Error("a share is not the lowest limit reported so far")
@@ -80,7 +80,7 @@
 		d := newDivision(kindOf(Bytes("p")))
 		var last uint32
 		for i, demand := range one.demands {
-			renewal := &Renewal{Holder: lease.HolderID{Name: string(rune('a' + i))}, Number: uint64(i + 1), Ends: time.Second}
+			renewal := &Renewal{Holder: lease.HolderID{Name: string(rune('a' + i))}, Number: uint64(i + 1), LeaseEnds: time.Second}
 			last = d.renew(0, false, renewal, demand)
 		}
 		if last != one.want {
