--- a/internal/forward/quota.go
+++ b/internal/forward/quota.go
@@ -121,7 +121,7 @@
 func (q *quotas) publishDemand(now time.Duration, entry *tenantQuota) {
 	var rate, calls share.Demand
 	if entry.quota.Rate > 0 {
-		rate = quota.Demand(entry.limiter.Asked(now))
+		rate = quota.Demand(entry.limiter.RequestRates(now))
 	}
 	if entry.quota.Concurrency > 0 {
 		calls = share.Demand{InUse: uint32(entry.limiter.InFlight()), Waiting: uint32(entry.waiting)}
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Asked returns the requests per second that were recently accepted and refused.
-func (l *Limiter) Asked(now time.Duration) (taken, refused float64) {
+// RequestRates returns the requests per second that were recently accepted and refused.
+func (l *Limiter) RequestRates(now time.Duration) (taken, refused float64) {
 	l.rollWindow(now)
 	span := (measurementWindow/2 + now - l.halfStart).Seconds()
 	return (l.previousHalf.taken + l.currentHalf.taken) / span, (l.previousHalf.refused + l.currentHalf.refused) / span
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -116,7 +116,7 @@
 
 func (f *testFleet) renew(position int, g *testGateway) {
 	f.number++
-	taken, refused := g.limiter.Asked(f.now)
+	taken, refused := g.limiter.RequestRates(f.now)
 	told := []share.ResourceDemand{{Resource: share.Rate("t"), Demand: Demand(taken, refused)}}
 	grants := f.allocator.Renew(f.now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: f.number, AppliedAnswer: g.acted,
 		LeaseEnds: f.now + rateLease*21/20, Demands: told})
