--- a/internal/batchrun/schedule/turns.go
+++ b/internal/batchrun/schedule/turns.go
@@ -124,7 +124,7 @@
 		owner := job.owner()
 		demand := demands[owner.Name]
 		if demand == nil {
-			demand = &ownerDemand{Owner: owner, received: s.usage.Of(owner.Name, now)}
+			demand = &ownerDemand{Owner: owner, received: s.usage.Work(owner.Name, now)}
 			demands[owner.Name] = demand
 		}
 		for _, entry := range job.items {
--- a/internal/fairqueue/usage.go
+++ b/internal/fairqueue/usage.go
@@ -35,11 +35,11 @@
 	if len(u.accounts) >= maxAccounts {
 		u.removeNegligible(now)
 	}
-	u.accounts[owner] = account{work: u.Of(owner, now) + work, updatedAt: now}
+	u.accounts[owner] = account{work: u.Work(owner, now) + work, updatedAt: now}
 }
 
-// Of returns the decayed work of an owner at now.
-func (u *Usage) Of(owner string, now time.Duration) float64 {
+// Work returns the decayed work of an owner at now.
+func (u *Usage) Work(owner string, now time.Duration) float64 {
 	existing := u.accounts[owner]
 	return existing.work * math.Exp2(-float64(now-existing.updatedAt)/float64(u.halfLife))
 }
@@ -47,7 +47,7 @@
 // removeNegligible removes the accounts with less than negligibleWork.
 func (u *Usage) removeNegligible(now time.Duration) {
 	for owner := range u.accounts {
-		if u.Of(owner, now) < negligibleWork {
+		if u.Work(owner, now) < negligibleWork {
 			delete(u.accounts, owner)
 		}
 	}
--- a/internal/fairqueue/usage_test.go
+++ b/internal/fairqueue/usage_test.go
@@ -16,7 +16,7 @@
 		after time.Duration
 		want  float64
 	}{{"a", time.Second, 8}, {"a", 3 * time.Second, 2}, {"b", time.Second, 0}} {
-		if got := usage.Of(test.owner, test.after); got != test.want {
+		if got := usage.Work(test.owner, test.after); got != test.want {
 			t.Errorf("usage of %s is %v after %v, want %v", test.owner, got, test.after, test.want)
 		}
 	}
