--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -56,9 +56,9 @@
 	// Resumed is set when the request was preempted before. It goes to the front of its class and may wait until its
 	// deadline, because refusing it would lose the work that it has already done.
 	Resumed bool
-	// Returned is set when the request was refused before and the caller retried it as told. It goes ahead of the
+	// Retried is set when the request was refused before and the caller retried it as told. It goes ahead of the
 	// tenant's new requests.
-	Returned bool
+	Retried bool
 	// Tenant is the owner of the request. Weight is its share relative to other tenants of the class that have waiting
 	// requests; 0 means fairqueue.DefaultWeight.
 	Tenant string
@@ -75,9 +75,9 @@
 // Effects lists the decisions of one call, which can concern any request of the queue. The slices are valid until the
 // next call.
 type Effects struct {
-	Granted []uint64 // may be sent; each must be ended with Done
-	Refused []Refusal
-	Yield   []uint64 // running rollouts that must give their slots back
+	Granted   []uint64 // may be sent; each must be ended with Done
+	Refused   []Refusal
+	Preempted []uint64 // running rollouts that must give their slots back
 }
 
 // running is a request in flight.
@@ -159,7 +159,7 @@
 func (q *Queue) resetEffects() {
 	q.effects.Granted = q.effects.Granted[:0]
 	q.effects.Refused = q.effects.Refused[:0]
-	q.effects.Yield = q.effects.Yield[:0]
+	q.effects.Preempted = q.effects.Preempted[:0]
 }
 
 // classRank returns the position of a class in ClassOrder. Unknown classes have the last rank.
@@ -213,7 +213,7 @@
 	switch {
 	case w.request.Resumed:
 		q.waiting[rank].PushFront(owner, work, w)
-	case w.request.Returned:
+	case w.request.Retried:
 		q.waiting[rank].PushAhead(owner, work, w)
 	default:
 		q.waiting[rank].Push(owner, work, w)
@@ -397,6 +397,6 @@
 		}
 		victim.preempted = true
 		q.preemptedCount++
-		q.effects.Yield = append(q.effects.Yield, victim.request.ID)
+		q.effects.Preempted = append(q.effects.Preempted, victim.request.ID)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -46,7 +46,7 @@
 				}
 				state[refusal.ID] = "ended"
 			}
-			for _, id := range effects.Yield {
+			for _, id := range effects.Preempted {
 				if state[id] != "running" || !isRollout[id] {
 					t.Fatalf("request %d preempted while %q, want a running rollout", id, state[id])
 				}
@@ -127,7 +127,7 @@
 	if queue.InFlight() != slots-2 {
 		t.Fatalf("%d of %d slots are in use, want the square root of %d free", queue.InFlight(), slots, live)
 	}
-	if effects, _ := queue.Arrive(0, liveRequest(1000)); len(effects.Granted) != 1 || len(effects.Yield) != 0 {
+	if effects, _ := queue.Arrive(0, liveRequest(1000)); len(effects.Granted) != 1 || len(effects.Preempted) != 0 {
 		t.Fatalf("live request: effects %+v, want one grant and no preemption", effects)
 	}
 	queue.Done(0, 1000)
@@ -146,8 +146,8 @@
 	queue.Arrive(0, rolloutRequest(1))
 	queue.Arrive(0, rolloutRequest(2))
 	effects, _ := queue.Arrive(0, liveRequest(3))
-	if len(effects.Yield) != 1 || effects.Yield[0] != 2 {
-		t.Fatalf("preempted %v, want the newest rollout 2", effects.Yield)
+	if len(effects.Preempted) != 1 || effects.Preempted[0] != 2 {
+		t.Fatalf("preempted %v, want the newest rollout 2", effects.Preempted)
 	}
 	if effects = queue.Done(0, 2); len(effects.Granted) != 1 || effects.Granted[0] != 3 {
 		t.Fatalf("granted %v, want the live request 3", effects.Granted)
--- a/internal/admission/expect.go
+++ b/internal/admission/expect.go
@@ -48,7 +48,7 @@
 // estimateAhead returns the expected number of waiting requests that are granted before a new request of the class
 // rank: all more urgent ones, and those of the same class that are granted before the tenant's turn.
 func (q *Queue) estimateAhead(rank int, request *Request) float64 {
-	ahead := q.waiting[rank].EstimateAhead(request.owner(), request.Work, request.Returned)
+	ahead := q.waiting[rank].EstimateAhead(request.owner(), request.Work, request.Retried)
 	if rank > 0 {
 		ahead += float64(q.countWaitingUpTo(rank - 1))
 	}
--- a/internal/admission/fair_test.go
+++ b/internal/admission/fair_test.go
@@ -50,7 +50,7 @@
 		{"returned", func(queue *Queue) {
 			for id := uint64(7); id < 9; id++ {
 				request := tenantRequest(id, "light")
-				request.Returned = true
+				request.Retried = true
 				queue.Arrive(0, request)
 			}
 		}, "[7 1 8 2 3 5 4 6]"},
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -173,7 +173,7 @@
 			s.after(0, func() { one.onRejected(retryAfter) })
 		}
 	}
-	for _, id := range effects.Yield {
+	for _, id := range effects.Preempted {
 		if one := g.callbacks[id]; one != nil && one.onPreempt != nil {
 			s.after(0, one.onPreempt)
 		}
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -45,7 +45,7 @@
 	figures := &refusal.Figures
 	logging.Emit(x.forwarder.config.Log, &events.AdmissionRefused{
 		Request: x.request.AttemptID, Tenant: x.tenantName, Weight: request.Weight, Class: request.Class, Pool: pool.name,
-		Reason: refusal.Reason.Name(), Returned: request.Returned, Slots: figures.Slots, Reach: figures.Reach, InFlight: figures.InFlight,
+		Reason: refusal.Reason.Name(), Returned: request.Retried, Slots: figures.Slots, Reach: figures.Reach, InFlight: figures.InFlight,
 		Waiting: figures.Waiting, Ahead: figures.Ahead, ServiceMs: events.Millis(figures.Service),
 		ExpectedWaitMs: events.Millis(figures.ExpectedWait), AllowedMs: events.Millis(figures.Allowed),
 		RetryAfterMs: events.Millis(failure.RetryAfter),
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -297,7 +297,7 @@
 	x.resetTriedFor(pool)
 	now := x.forwarder.now()
 	request := x.newAdmissionRequest(now)
-	request.Returned = pool.takeRejected(now, x.digest)
+	request.Retried = pool.takeRejected(now, x.digest)
 	refusal, err := pool.acquireSlot(ctx, x.forwarder.now, request, x.maxSlotWait())
 	x.forwarder.metrics.countAdmission(refusal.Reason, err, x.forwarder.now()-now)
 	if err != nil {
@@ -337,7 +337,7 @@
 	failure := x.newFailure(ctx, Overloaded, errors.New(refusal.Reason.String()))
 	if failure.Verdict == verdict.DidNotRun {
 		failure.RetryAfter = min(max(refusal.RetryAfter, minRetryAfter), maxRetryAfter)
-		if !request.Returned {
+		if !request.Retried {
 			pool.noteRejected(x.forwarder.now(), x.digest(), failure.RetryAfter)
 		}
 	}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -128,7 +128,7 @@
 			x.admissionDecisions <- admissionDecision{refusal: refusal}
 		}
 	}
-	for _, id := range effects.Yield {
+	for _, id := range effects.Preempted {
 		if x := p.exchanges[id]; x != nil {
 			x.preempt()
 		}
