--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -15,7 +15,7 @@
 	Admit    ActionKind = iota + 1 // request a slot from admission; the driver answers with Admitted or Refused
 	FreeSlot                       // return the slot to admission
 	Claim                          // execute the ledger command in Claim; answered with ClaimAnswered or ClaimUnknown
-	Choose                         // choose a back end outside Excluded; answered with BackendChosen or BackendNone
+	Choose                         // choose a back end outside Excluded; answered with BackendChosen or NoBackend
 	// Send, Resume and Replay dispatch the request to a back end. The driver checks the lease immediately before it
 	// writes the first byte. If the lease is not valid, it writes nothing and answers with LeaseLapsed.
 	Send    // send the request: Backend
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -18,9 +18,9 @@
 	ClaimUnknown                          // it is unknown whether the outstanding claim command is or will be applied
 	BackendChosen                         // a back end was chosen: Backend
 	Suspected                             // back ends crashed under the request, it must not run now: Reason, RetryAfter
-	BackendNone                           // no back end can take the request now: RetryAfter (may be 0)
+	NoBackend                             // no back end can take the request now: RetryAfter (may be 0)
 	LeaseLapsed                           // the last Send, Resume or Replay was not made: no valid lease
-	TableMoved                            // the last Send or Replay was not made: the back end was chosen on an older table
+	TableChanged                          // the last Send or Replay was not made: the back end was chosen on an older table
 	SendFailed                            // no byte of the last Send, Resume or Replay reached the back end
 	SendUnknown                           // the connection failed after the first byte, before the end of the answer: Status, Code, Reason if due to the request
 	RefusedByBackend                      // the back end states that it did not run the request: RetryAfter (may be 0), Status, Answer
@@ -30,7 +30,7 @@
 	TimerFired                            // the pause of the last Wait has passed
 	DeadlinePassed                        // the request's deadline has passed
 	CallerGone                            // the caller closed its connection
-	Yield                                 // admission preempts the request for more urgent work
+	Preempt                               // admission preempts the request for more urgent work
 )
 
 // Event is one occurrence in the processing of a request. Kind determines which other fields are used.
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -97,11 +97,11 @@
 		m.onBackendChosen(event)
 	case Suspected:
 		m.onSuspected(event)
-	case BackendNone:
+	case NoBackend:
 		m.onNoBackend(now, event)
 	case LeaseLapsed:
 		m.onLeaseLapsed()
-	case TableMoved:
+	case TableChanged:
 		m.onTableMoved()
 	case SendFailed, RefusedByBackend:
 		m.onNotExecuted(now, event)
@@ -115,7 +115,7 @@
 		m.onDeadline()
 	case CallerGone:
 		m.onCallerGone()
-	case Yield:
+	case Preempt:
 		m.onYield()
 	}
 	m.finishIfIdle()
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -105,7 +105,7 @@
 		put(Event{Kind: Admitted})
 	case Choose:
 		if w.draw("choice", 8) == 0 {
-			put(Event{Kind: BackendNone})
+			put(Event{Kind: NoBackend})
 			return
 		}
 		put(Event{Kind: BackendChosen, Backend: fmt.Sprintf("b%d", w.draw("backend", 3))})
--- a/internal/dispatch/settlements.go
+++ b/internal/dispatch/settlements.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// Settlements limits how many requests of one ledger group send the ledger their closing claim command (ClaimFinish,
+// SettlementLimiter limits how many requests of one ledger group send the ledger their closing claim command (ClaimFinish,
 // ClaimRelease) at the same time, after their callers were answered. Otherwise a ledger that returns after a long
 // outage would receive thousands of such commands along with the claims of callers that still wait. The limit shrinks
-// while the ledger does not answer. Commands that record an outcome go first. Settlements is not safe for concurrent
+// while the ledger does not answer. Commands that record an outcome go first. SettlementLimiter is not safe for concurrent
 // use.
-type Settlements struct {
+type SettlementLimiter struct {
 	limit   int
 	window  int // current limit of outstanding commands, 1 to limit
 	running int
@@ -13,13 +13,13 @@
 }
 
 // NewSettlements returns a limiter with at most limit outstanding commands. A limit below 1 counts as 1.
-func NewSettlements(limit int) *Settlements {
-	return &Settlements{limit: max(limit, 1), window: max(limit, 1)}
+func NewSettlements(limit int) *SettlementLimiter {
+	return &SettlementLimiter{limit: max(limit, 1), window: max(limit, 1)}
 }
 
-// Ask reports whether the request may send its command now. If not, the request is queued and a later call of Done
+// TryAcquire reports whether the request may send its command now. If not, the request is queued and a later call of Done
 // returns its id.
-func (s *Settlements) Ask(id uint64, kind ClaimKind) bool {
+func (s *SettlementLimiter) TryAcquire(id uint64, kind ClaimKind) bool {
 	if s.running < s.window && s.Waiting() == 0 {
 		s.running++
 		return true
@@ -37,10 +37,10 @@
 	return 1
 }
 
-// Done ends the permission of a command that has ended, and returns the ids of queued requests that may send theirs
+// Release ends the permission of a command that has ended, and returns the ids of queued requests that may send theirs
 // now. An answered command doubles the limit of outstanding commands, up to the configured one. A command of unknown
 // fate halves it, down to 1.
-func (s *Settlements) Done(answered bool) []uint64 {
+func (s *SettlementLimiter) Release(answered bool) []uint64 {
 	s.running--
 	if answered {
 		s.window = min(2*s.window, s.limit)
@@ -56,10 +56,10 @@
 }
 
 // Waiting returns the number of queued commands.
-func (s *Settlements) Waiting() int { return len(s.waiting[0]) + len(s.waiting[1]) }
+func (s *SettlementLimiter) Waiting() int { return len(s.waiting[0]) + len(s.waiting[1]) }
 
 // next removes and returns the oldest id of the highest priority. The caller checks that one is queued.
-func (s *Settlements) next() uint64 {
+func (s *SettlementLimiter) next() uint64 {
 	list := &s.waiting[0]
 	if len(*list) == 0 {
 		list = &s.waiting[1]
--- a/internal/dispatch/settlements_test.go
+++ b/internal/dispatch/settlements_test.go
@@ -16,7 +16,7 @@
 		if id%2 == 1 {
 			kind = ClaimFinish
 		}
-		if s.Ask(id, kind) {
+		if s.TryAcquire(id, kind) {
 			running = append(running, id)
 		}
 	}
@@ -24,7 +24,7 @@
 		t.Fatalf("%d commands outstanding and %d queued, want 8 and 992", len(running), s.Waiting())
 	}
 	settle := func(answered bool) {
-		granted := s.Done(answered)
+		granted := s.Release(answered)
 		order = append(order, running[0])
 		running = append(running[1:], granted...)
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -266,7 +266,7 @@
 	chosen, ok := x.pool.choose(x.server.now(), &x.routingRequest, excluded, x.call.preferred)
 	x.chosen = chosen
 	if !ok {
-		x.queueEvent(dispatch.Event{Kind: dispatch.BackendNone})
+		x.queueEvent(dispatch.Event{Kind: dispatch.NoBackend})
 		return
 	}
 	x.countedAtBackend = true
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -58,7 +58,7 @@
 	if version != x.chosen.version && action.Kind != dispatch.Resume && leased {
 		x.server.transport.release(up)
 		x.postponeRun()
-		x.queueEvent(dispatch.Event{Kind: dispatch.TableMoved})
+		x.queueEvent(dispatch.Event{Kind: dispatch.TableChanged})
 		return
 	}
 	x.sendCount++
@@ -111,7 +111,7 @@
 	_ = up.conn.SetDeadline(x.wallDeadline)
 	if !x.setUpstream(up) {
 		x.server.transport.release(x.takeUpstream())
-		x.queueEvent(dispatch.Event{Kind: dispatch.Yield})
+		x.queueEvent(dispatch.Event{Kind: dispatch.Preempt})
 		x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed}) // ignored if the machine acts on the yield
 		return
 	}
@@ -247,7 +247,7 @@
 		return true
 	}
 	if x.preempted.Load() && x.machine.Preemptible() {
-		x.queueEvent(dispatch.Event{Kind: dispatch.Yield})
+		x.queueEvent(dispatch.Event{Kind: dispatch.Preempt})
 		return true
 	}
 	return false
--- a/internal/gateway/settling.go
+++ b/internal/gateway/settling.go
@@ -11,12 +11,12 @@
 type settlementLimiter struct {
 	limit   int // concurrent commands per ledger group
 	mutex   sync.Mutex
-	groups  map[uint32]*dispatch.Settlements
+	groups  map[uint32]*dispatch.SettlementLimiter
 	waiters map[uint64]chan struct{} // by ID of the waiting exchange
 }
 
 func newSettlementLimiter(limit int) *settlementLimiter {
-	return &settlementLimiter{limit: limit, groups: map[uint32]*dispatch.Settlements{}, waiters: map[uint64]chan struct{}{}}
+	return &settlementLimiter{limit: limit, groups: map[uint32]*dispatch.SettlementLimiter{}, waiters: map[uint64]chan struct{}{}}
 }
 
 // acquire waits until the exchange may send its command. It returns false if ctx ends first. The waiting entry is
@@ -28,7 +28,7 @@
 		settlements = dispatch.NewSettlements(s.limit)
 		s.groups[group] = settlements
 	}
-	if settlements.Ask(id, kind) {
+	if settlements.TryAcquire(id, kind) {
 		s.mutex.Unlock()
 		return true
 	}
@@ -47,7 +47,7 @@
 func (s *settlementLimiter) release(group uint32, answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, id := range s.groups[group].Done(answered) {
+	for _, id := range s.groups[group].Release(answered) {
 		close(s.waiters[id])
 		delete(s.waiters, id)
 	}
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -30,8 +30,8 @@
 	pool        *pool
 	settings    dispatch.Settings
 	exchanges   map[uint64]*exchange
-	settlements map[uint32]*dispatch.Settlements // by ledger group
-	idle        map[string][]*upstream           // idle connections, by back end
+	settlements map[uint32]*dispatch.SettlementLimiter // by ledger group
+	idle        map[string][]*upstream                 // idle connections, by back end
 	nextID      uint64
 	draining    bool
 	tableSince  time.Duration // since when it has had a table
@@ -52,7 +52,7 @@
 	g.start()
 	g.client = g.fleet.newClient(g.process)
 	g.exchanges, g.idle = map[uint64]*exchange{}, map[string][]*upstream{}
-	g.settlements = map[uint32]*dispatch.Settlements{}
+	g.settlements = map[uint32]*dispatch.SettlementLimiter{}
 	for group := uint32(1); group <= ledgerGroups; group++ {
 		g.settlements[group] = dispatch.NewSettlements(settlementLimit)
 	}
@@ -185,7 +185,7 @@
 		return
 	}
 	x.deferredClaim = action
-	if settlements.Ask(x.id, action.Kind) {
+	if settlements.TryAcquire(x.id, action.Kind) {
 		x.settle()
 	}
 }
@@ -194,7 +194,7 @@
 func (x *exchange) settle() {
 	g := x.gateway
 	x.executeClaim(x.deferredClaim, func(answered bool) {
-		for _, id := range g.settlements[x.group].Done(answered) {
+		for _, id := range g.settlements[x.group].Release(answered) {
 			g.exchanges[id].settle()
 		}
 	})
@@ -238,7 +238,7 @@
 	chosen, ok := x.gateway.pool.choose(&x.routing, excluded)
 	x.chosenVersion = x.gateway.pool.version
 	if !ok {
-		x.handleEvent(dispatch.Event{Kind: dispatch.BackendNone})
+		x.handleEvent(dispatch.Event{Kind: dispatch.NoBackend})
 		return
 	}
 	x.chosen, x.countedAtBackend = chosen, true
--- a/internal/sim/send.go
+++ b/internal/sim/send.go
@@ -87,7 +87,7 @@
 	}
 	if version != x.chosenVersion {
 		g.release(up)
-		x.handleEvent(dispatch.Event{Kind: dispatch.TableMoved})
+		x.handleEvent(dispatch.Event{Kind: dispatch.TableChanged})
 		return
 	}
 	up.user, x.connection = x, up
