--- a/internal/batchrun/log.go
+++ b/internal/batchrun/log.go
@@ -160,7 +160,7 @@
 	switch {
 	case errors.Is(c.outcome.Err, errNotAdmitted):
 		event.Why = whyNotPermitted
-	case c.judgment.Permission == poison.Rest:
+	case c.judgment.Permission == poison.Blocked:
 		event.Why, event.Digest = whySuspected, c.digest().String()
 	}
 	logging.Emit(t.config.Log, event)
--- a/internal/batchrun/suspects.go
+++ b/internal/batchrun/suspects.go
@@ -44,9 +44,9 @@
 // reportToGuard reports the end of a run to the guard. It marks an item that is suspected of crashing replicas in the
 // scheduler, and delays one that the guard did not permit.
 func (t *termRunner) reportToGuard(ctx context.Context, c *call) {
-	if c.judgment.Permission == poison.Rest {
+	if c.judgment.Permission == poison.Blocked {
 		t.scheduler.Suspect(c.Key)
-		t.scheduler.Hold(c.Key, t.config.Clock()+min(c.judgment.Left, maximumHoldPause))
+		t.scheduler.Hold(c.Key, t.config.Clock()+min(c.judgment.Remaining, maximumHoldPause))
 		if c.judgment.Condemned() {
 			t.scheduler.Condemn(c.Key)
 		}
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -40,7 +40,7 @@
 	failure := x.newFailure(ctx, Suspected, errors.Join(fmt.Errorf("forward: %d back ends crashed under the request", judged.Crashes), x.lastErr))
 	failure.Condemned = judged.Condemned()
 	if !x.mayHaveRun {
-		failure.RetryAfter = judged.Left
+		failure.RetryAfter = judged.Remaining
 	}
 	return failure
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -30,7 +30,7 @@
 	if x.run = run; run != nil {
 		return true
 	}
-	x.queueEvent(dispatch.Event{Kind: dispatch.Suspected, RetryAfter: judged.Left,
+	x.queueEvent(dispatch.Event{Kind: dispatch.Suspected, RetryAfter: judged.Remaining,
 		Reason: fmt.Sprintf("%d back ends crashed under this request", judged.Crashes)})
 	return false
 }
--- a/internal/poison/book.go
+++ b/internal/poison/book.go
@@ -17,15 +17,15 @@
 
 // The permissions, from the weakest restriction to the strongest.
 const (
-	Free  Permission = iota // not suspected, no restriction
-	Apart                   // suspected: no hedged second send, and if possible not at a back end that runs other suspects
-	Trial                   // may run after its run was claimed, one run at a time in the whole deployment
-	Rest                    // must not run yet
+	Free     Permission = iota // not suspected, no restriction
+	Isolated                   // suspected: no hedged second send, and if possible not at a back end that runs other suspects
+	Trial                      // may run after its run was claimed, one run at a time in the whole deployment
+	Blocked                    // must not run yet
 )
 
 // String returns the name of a permission in logs.
 func (p Permission) String() string {
-	return [...]string{Free: "free", Apart: "apart", Trial: "trial", Rest: "rest"}[p]
+	return [...]string{Free: "free", Isolated: "apart", Trial: "trial", Blocked: "rest"}[p]
 }
 
 // Judgment is the permission of a request and the facts behind it.
@@ -34,11 +34,11 @@
 	Crashes    uint32        // number of crashes that this process knows of
 	Recorded   uint32        // number of these that are on record
 	Unrecorded bool          // this process recently saw a crash that the control group has not accepted yet
-	Left       time.Duration // remaining time of a rest
+	Remaining  time.Duration // remaining time of a rest
 }
 
 // Condemned reports whether the request is considered the cause of the crashes and must rest.
-func (j Judgment) Condemned() bool { return j.Permission == Rest && j.Crashes >= CondemnedCrashes }
+func (j Judgment) Condemned() bool { return j.Permission == Blocked && j.Crashes >= CondemnedCrashes }
 
 // Book holds what one process knows of suspects: the record as the process follows it, and crashes that the process
 // observed and that may not be on record yet. Rests are measured on the process's own clock from the time at which it
@@ -173,7 +173,7 @@
 	if entry == nil {
 		return Judgment{}
 	}
-	judged := Judgment{Permission: Apart, Crashes: entry.crashes(), Recorded: entry.Crashes, Unrecorded: entry.hasUnrecorded(now)}
+	judged := Judgment{Permission: Isolated, Crashes: entry.crashes(), Recorded: entry.Crashes, Unrecorded: entry.hasUnrecorded(now)}
 	if judged.Crashes < TrialCrashes {
 		return judged
 	}
@@ -183,7 +183,7 @@
 		left = max(left, UnrecordedRest) // a run cannot be claimed before the crashes are on record
 	}
 	if left > 0 {
-		judged.Permission, judged.Left = Rest, left
+		judged.Permission, judged.Remaining = Blocked, left
 	}
 	return judged
 }
--- a/internal/poison/book_test.go
+++ b/internal/poison/book_test.go
@@ -20,31 +20,31 @@
 	now := time.Hour
 	expect := func(want Permission, left time.Duration) {
 		t.Helper()
-		if got := book.Judge(now, digest); got.Permission != want || got.Left != left {
+		if got := book.Judge(now, digest); got.Permission != want || got.Remaining != left {
 			t.Fatalf("%+v, want %s for %s", got, want, left)
 		}
 	}
 	expect(Free, 0)
 	book.Follow(now, record(1))
-	expect(Apart, 0)
+	expect(Isolated, 0)
 	book.Follow(now, record(2))
-	expect(Rest, DefaultTrialRest)
+	expect(Blocked, DefaultTrialRest)
 	book.Follow(now+time.Second, record(2)) // unchanged, so the rest must not restart
 	now += DefaultTrialRest
 	expect(Trial, 0)
 	book.Follow(now, record(3))
-	if judged := book.Judge(now, digest); !judged.Condemned() || judged.Left != DefaultCondemnedRest {
+	if judged := book.Judge(now, digest); !judged.Condemned() || judged.Remaining != DefaultCondemnedRest {
 		t.Fatalf("after the third crash: got %+v, want condemned with the default rest", judged)
 	}
 	now += DefaultCondemnedRest
 	expect(Trial, 0)
 	book.Follow(now, record(4))
-	expect(Rest, restGrowth*DefaultCondemnedRest)
+	expect(Blocked, restGrowth*DefaultCondemnedRest)
 	if outdated := book.Outdated(now + retainedRests*restGrowth*DefaultCondemnedRest); len(outdated) != 1 || outdated[0].Crashes != 4 {
 		t.Errorf("got outdated entries %v, want the one with 4 crashes", outdated)
 	}
 	book.Follow(now, record(1000))
-	expect(Rest, maximumRest)
+	expect(Blocked, maximumRest)
 	book.Follow(now, nil)
 	expect(Free, 0)
 }
@@ -57,7 +57,7 @@
 	for _, instance := range []string{"a", "a", "b"} {
 		book.Crashed(0, digest, instance)
 	}
-	if judged := book.Judge(time.Hour, digest); judged.Crashes != 2 || judged.Permission != Rest {
+	if judged := book.Judge(time.Hour, digest); judged.Crashes != 2 || judged.Permission != Blocked {
 		t.Fatalf("got %+v, want 2 crashes and a rest until they are on record", judged)
 	}
 	if judged := book.Judge(recordTimeout-1, digest); !judged.Unrecorded {
@@ -125,32 +125,32 @@
 // succeeds, and that a cleared suspect is free.
 func TestStepsOnTheRecord(t *testing.T) {
 	record := &recordTable{held: table.New()}
-	step := func(want Want, done bool, crashes uint32) {
+	step := func(want StepRequest, done bool, crashes uint32) {
 		t.Helper()
 		want.Digest, want.Subject = 0xabc, "GET a.example/x"
-		planned := Plan(record.view(t), []Want{want}, Settings{})
+		planned := Plan(record.view(t), []StepRequest{want}, Settings{})
 		if got := planned.Outcomes[0]; got.Done != done || got.Crashes != crashes || !record.apply(planned) {
 			t.Fatalf("%s: got %+v, want done %t and %d crashes", want.Step, got, done, crashes)
 		}
 	}
-	step(Want{Step: Report, Instance: "a"}, true, 1)
-	step(Want{Step: Report, Instance: "a"}, true, 1)
-	step(Want{Step: Report, Instance: "b"}, true, 2)
-	step(Want{Step: Claim, Crashes: 2}, true, 3)
-	step(Want{Step: Claim, Crashes: 2}, false, 3)
-	step(Want{Step: Return, Crashes: 3}, true, 2)
-	step(Want{Step: Claim, Crashes: 2}, true, 3)
-	step(Want{Step: Report, Instance: "c", Counted: true}, true, 3)
-	step(Want{Step: Return, Crashes: 2}, false, 3)
-	step(Want{Step: Forget, Crashes: 2}, false, 3)
+	step(StepRequest{Step: Report, Instance: "a"}, true, 1)
+	step(StepRequest{Step: Report, Instance: "a"}, true, 1)
+	step(StepRequest{Step: Report, Instance: "b"}, true, 2)
+	step(StepRequest{Step: Claim, Crashes: 2}, true, 3)
+	step(StepRequest{Step: Claim, Crashes: 2}, false, 3)
+	step(StepRequest{Step: Return, Crashes: 3}, true, 2)
+	step(StepRequest{Step: Claim, Crashes: 2}, true, 3)
+	step(StepRequest{Step: Report, Instance: "c", Counted: true}, true, 3)
+	step(StepRequest{Step: Return, Crashes: 2}, false, 3)
+	step(StepRequest{Step: Forget, Crashes: 2}, false, 3)
 	records := Records(record.view(t))
 	if len(records) != 1 || records[0].Digest != 0xabc || records[0].Crashes != 3 || fmt.Sprint(records[0].Crashed) != "[a b c]" {
 		t.Fatalf("got records %+v, want one with 3 crashes of a, b and c", records)
 	}
-	step(Want{Step: Clear}, true, 0)
-	step(Want{Step: Clear}, true, 0)
-	step(Want{Step: Claim, Crashes: 3}, true, 0)
-	step(Want{Step: Report, Instance: "d"}, true, 1)
+	step(StepRequest{Step: Clear}, true, 0)
+	step(StepRequest{Step: Clear}, true, 0)
+	step(StepRequest{Step: Claim, Crashes: 3}, true, 0)
+	step(StepRequest{Step: Report, Instance: "d"}, true, 1)
 }
 
 // TestStaleClaimsConflict guards against two claimed runs at a time: two processes plan a claim on the same view, and
@@ -158,11 +158,11 @@
 func TestStaleClaimsConflict(t *testing.T) {
 	record := &recordTable{held: table.New()}
 	for _, instance := range []string{"a", "b"} {
-		record.apply(Plan(record.view(t), []Want{{Step: Report, Digest: 1, Instance: instance}}, Settings{}))
+		record.apply(Plan(record.view(t), []StepRequest{{Step: Report, Digest: 1, Instance: instance}}, Settings{}))
 	}
 	view := record.view(t)
-	first := Plan(view, []Want{{Step: Claim, Digest: 1, Crashes: 2}}, Settings{})
-	second := Plan(view, []Want{{Step: Claim, Digest: 1, Crashes: 2}}, Settings{})
+	first := Plan(view, []StepRequest{{Step: Claim, Digest: 1, Crashes: 2}}, Settings{})
+	second := Plan(view, []StepRequest{{Step: Claim, Digest: 1, Crashes: 2}}, Settings{})
 	if !record.apply(first) || record.apply(second) {
 		t.Error("the table did not accept exactly the first of two claims")
 	}
@@ -174,10 +174,10 @@
 	record := &recordTable{held: table.New()}
 	settings := Settings{Maximum: 8}
 	for _, instance := range []string{"a", "b"} {
-		record.apply(Plan(record.view(t), []Want{{Step: Report, Digest: 1, Instance: instance}}, settings))
+		record.apply(Plan(record.view(t), []StepRequest{{Step: Report, Digest: 1, Instance: instance}}, settings))
 	}
 	for number := range 1000 {
-		planned := Plan(record.view(t), []Want{{Step: Report, Digest: Digest(1000 + number), Instance: "x"}}, settings)
+		planned := Plan(record.view(t), []StepRequest{{Step: Report, Digest: Digest(1000 + number), Instance: "x"}}, settings)
 		if !planned.Outcomes[0].Done || !record.apply(planned) {
 			t.Fatalf("request %d: got outcomes %+v, want the report done and its change accepted", number, planned.Outcomes)
 		}
@@ -202,8 +202,8 @@
 		now, starts := time.Duration(0), 0
 		guilty := func(digest Digest) bool { return digest <= 2 }
 		crashes, crashesSinceAnswer := map[Digest]int{}, map[Digest]int{}
-		settle := func(book *Book, want Want) Outcome {
-			planned := Plan(record.view(t), []Want{want}, settings)
+		settle := func(book *Book, want StepRequest) Outcome {
+			planned := Plan(record.view(t), []StepRequest{want}, settings)
 			if !record.apply(planned) {
 				t.Fatal("the table rejected a step planned on its newest version")
 			}
@@ -246,15 +246,15 @@
 
 // runOnce simulates one run of a request and, at random, one of a bystander at the same back end if that crashes.
 func runOnce(t *rapid.T, book *Book, now time.Duration, starts *int, guilty func(Digest) bool, crashes, crashesSinceAnswer map[Digest]int,
-	settle func(*Book, Want) Outcome, trials, cleared *int) {
+	settle func(*Book, StepRequest) Outcome, trials, cleared *int) {
 	digest := Digest(rapid.IntRange(1, 4).Draw(t, "request"))
 	judged := book.Judge(now, digest)
 	claimed := uint32(0)
 	switch judged.Permission {
-	case Rest:
+	case Blocked:
 		return
 	case Trial:
-		outcome := settle(book, Want{Step: Claim, Digest: digest, Crashes: judged.Recorded})
+		outcome := settle(book, StepRequest{Step: Claim, Digest: digest, Crashes: judged.Recorded})
 		if !outcome.Done {
 			return
 		}
@@ -263,7 +263,7 @@
 	}
 	if !guilty(digest) {
 		if judged.Permission != Free { // a process that does not know of the crash does not clear the suspect
-			settle(book, Want{Step: Clear, Digest: digest})
+			settle(book, StepRequest{Step: Clear, Digest: digest})
 			*cleared++
 			crashesSinceAnswer[digest] = 0
 		}
@@ -272,12 +272,12 @@
 	*starts++
 	instance := fmt.Sprintf("i-%d", *starts)
 	crashes[digest]++
-	settle(book, Want{Step: Report, Digest: digest, Instance: instance, Counted: claimed > 0})
+	settle(book, StepRequest{Step: Report, Digest: digest, Instance: instance, Counted: claimed > 0})
 	if rapid.Bool().Draw(t, "beside") {
 		bystander := Digest(rapid.IntRange(3, 4).Draw(t, "bystander"))
-		if book.Judge(now, bystander).Permission <= Apart {
+		if book.Judge(now, bystander).Permission <= Isolated {
 			crashesSinceAnswer[bystander]++
-			settle(book, Want{Step: Report, Digest: bystander, Instance: instance})
+			settle(book, StepRequest{Step: Report, Digest: bystander, Instance: instance})
 		}
 	}
 }
--- a/internal/poison/plan.go
+++ b/internal/poison/plan.go
@@ -26,8 +26,8 @@
 	return [...]string{Report: "report", Claim: "claim", Return: "return", Clear: "clear", Forget: "forget"}[s]
 }
 
-// Want is one step that a process wants to take on the record of a suspect.
-type Want struct {
+// StepRequest is one step that a process wants to take on the record of a suspect.
+type StepRequest struct {
 	Step     Step
 	Digest   Digest
 	Instance string // for Report: the back end that crashed
@@ -103,7 +103,7 @@
 }
 
 // Plan returns the change that performs the steps on a view of the table. No two steps may be for the same suspect.
-func Plan(view *table.View, wants []Want, settings Settings) Planned {
+func Plan(view *table.View, wants []StepRequest, settings Settings) Planned {
 	p := &planner{view: view, freeRows: settings.WithDefaults().Maximum - len(view.Suspects()),
 		planned: Planned{Change: &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote}}}
 	touched := make(map[string]bool, len(wants))
@@ -142,7 +142,7 @@
 // size returns the number of cells and rows in the change so far.
 func (p *planner) size() int { return len(p.planned.Change.Cells) + len(p.planned.Change.RemoveRows) }
 
-func (p *planner) step(want Want) Outcome {
+func (p *planner) step(want StepRequest) Outcome {
 	name := RowName(want.Digest)
 	row := p.view.Row(name)
 	if want.Step == Report {
@@ -166,7 +166,7 @@
 }
 
 // report counts a crash, unless the record names the back end already.
-func (p *planner) report(name string, row *table.Row, want Want) Outcome {
+func (p *planner) report(name string, row *table.Row, want StepRequest) Outcome {
 	if row == nil {
 		return p.add(name, want)
 	}
@@ -185,7 +185,7 @@
 
 // add puts a new suspect on record. If the record is full, the new suspect replaces one with a single crash: during a
 // burst of many suspects, those with two or more crashes are the ones to keep.
-func (p *planner) add(name string, want Want) Outcome {
+func (p *planner) add(name string, want StepRequest) Outcome {
 	if p.freeRows <= 0 {
 		if len(p.evictable) == 0 {
 			return Outcome{}
--- a/internal/poisonguard/guard.go
+++ b/internal/poisonguard/guard.go
@@ -42,11 +42,11 @@
 
 	mutex       sync.Mutex // guards the fields below
 	book        *poison.Book
-	view        *table.View    // followed view; nil before the first
-	suspectRuns map[string]int // number of running suspects by the instance of their back end
-	brokenRuns  []brokenRun    // oldest first
-	postponed   []poison.Want  // steps to send again
-	changed     chan struct{}  // closed and replaced whenever the book changes
+	view        *table.View          // followed view; nil before the first
+	suspectRuns map[string]int       // number of running suspects by the instance of their back end
+	brokenRuns  []brokenRun          // oldest first
+	postponed   []poison.StepRequest // steps to send again
+	changed     chan struct{}        // closed and replaced whenever the book changes
 }
 
 // New returns a guard without suspects. Call Run to have it send postponed steps again.
@@ -131,13 +131,13 @@
 	outdated := g.book.Outdated(g.config.Clock())
 	g.mutex.Unlock()
 	for _, record := range outdated {
-		g.deliver(ctx, poison.Want{Step: poison.Forget, Digest: record.Digest, Crashes: record.Crashes})
+		g.deliver(ctx, poison.StepRequest{Step: poison.Forget, Digest: record.Digest, Crashes: record.Crashes})
 	}
 }
 
 // deliver sends a step to the record. A step that fails is postponed, and a report that the full record cannot hold is
 // dropped.
-func (g *Guard) deliver(ctx context.Context, want poison.Want) {
+func (g *Guard) deliver(ctx context.Context, want poison.StepRequest) {
 	outcome, err := g.send(ctx, want)
 	switch {
 	case err != nil && want.Step != poison.Forget: // outdated suspects are determined again at each interval
@@ -150,7 +150,7 @@
 }
 
 // noteRecorded notes that the control group has accepted the report of a crash.
-func (g *Guard) noteRecorded(want poison.Want) {
+func (g *Guard) noteRecorded(want poison.StepRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.book.Recorded(want.Digest, want.Instance)
@@ -158,7 +158,7 @@
 }
 
 // postpone queues a step to be sent again by Run, or drops it if too many are queued.
-func (g *Guard) postpone(want poison.Want) {
+func (g *Guard) postpone(want poison.StepRequest) {
 	g.mutex.Lock()
 	fits := len(g.postponed) < maximumPostponed
 	if fits {
@@ -172,7 +172,7 @@
 
 // drop abandons a step that neither the record nor the queue can hold. A crash that is never recorded must not count in
 // this process for ever.
-func (g *Guard) drop(want poison.Want) {
+func (g *Guard) drop(want poison.StepRequest) {
 	g.counts.dropped.WithLabelValues(want.Step.String()).Inc()
 	if want.Step != poison.Report {
 		return
--- a/internal/poisonguard/guard_test.go
+++ b/internal/poisonguard/guard_test.go
@@ -127,18 +127,18 @@
 	}
 	g.guards = append(g.guards, made)
 	g.follow()
-	want := poison.Want{Digest: 7, Step: poison.Report, Instance: "i-1@5", Subject: "x"}
-	if _, err := made.applySteps(t.Context(), []poison.Want{want}); err != errNotRecorded || g.changes != 0 {
+	want := poison.StepRequest{Digest: 7, Step: poison.Report, Instance: "i-1@5", Subject: "x"}
+	if _, err := made.applySteps(t.Context(), []poison.StepRequest{want}); err != errNotRecorded || g.changes != 0 {
 		t.Fatalf("got error %v and %d changes, want errNotRecorded and none", err, g.changes)
 	}
 	made.config.Recorded = nil
-	if _, err := made.applySteps(t.Context(), []poison.Want{want}); err != nil || len(g.records()) != 1 {
+	if _, err := made.applySteps(t.Context(), []poison.StepRequest{want}); err != nil || len(g.records()) != 1 {
 		t.Fatalf("got error %v and records %v, want one record", err, g.records())
 	}
 	g.follow()
 	made.config.Recorded = func() bool { return false }
 	want.Digest = 8
-	if _, err := made.applySteps(t.Context(), []poison.Want{want}); err != nil || len(g.records()) != 2 {
+	if _, err := made.applySteps(t.Context(), []poison.StepRequest{want}); err != nil || len(g.records()) != 2 {
 		t.Errorf("got error %v and records %v, want two records", err, g.records())
 	}
 }
@@ -187,18 +187,18 @@
 		one, other := g.newGuard(), g.newGuard()
 		run(t, one, "bad", "a", Crashed)
 		g.follow()
-		if judged := run(t, other, "bad", "b", Crashed); judged.Permission != poison.Apart {
+		if judged := run(t, other, "bad", "b", Crashed); judged.Permission != poison.Isolated {
 			t.Fatalf("after one crash: got %+v, want apart", judged)
 		}
 		g.follow()
 		for _, guard := range g.guards {
-			if judged := run(t, guard, "bad", "c", Crashed); judged.Permission != poison.Rest || judged.Left != poison.DefaultTrialRest || judged.Condemned() {
+			if judged := run(t, guard, "bad", "c", Crashed); judged.Permission != poison.Blocked || judged.Remaining != poison.DefaultTrialRest || judged.Condemned() {
 				t.Fatalf("after two crashes: got %+v, want the rest before a trial", judged)
 			}
 		}
 		time.Sleep(poison.DefaultTrialRest)
 		trial, _ := one.Begin(t.Context(), identify("bad"))
-		if second, judged := other.Begin(t.Context(), identify("bad")); trial == nil || second != nil || judged.Permission != poison.Rest {
+		if second, judged := other.Begin(t.Context(), identify("bad")); trial == nil || second != nil || judged.Permission != poison.Blocked {
 			t.Fatalf("two claims: got runs %v and %v, the second with %+v, want only the first permitted", trial, second, judged)
 		}
 		trial.At("c@1", "10.0.0.3:1")
@@ -206,7 +206,7 @@
 		late := g.newGuard()
 		g.follow()
 		for _, guard := range []*Guard{one, other, late} {
-			if judged := run(t, guard, "bad", "a", Crashed); !judged.Condemned() || judged.Left != poison.DefaultCondemnedRest {
+			if judged := run(t, guard, "bad", "a", Crashed); !judged.Condemned() || judged.Remaining != poison.DefaultCondemnedRest {
 				t.Errorf("after three crashes: got %+v, want condemned with the default rest", judged)
 			}
 			if judged := run(t, guard, "good", "a", Answered); judged.Permission != poison.Free {
@@ -272,7 +272,7 @@
 		if took := time.Since(began); took > sendTimeout {
 			t.Errorf("the report of a crash delayed its request by %s, want at most 150ms", took)
 		}
-		if judged := run(t, one, "bad", "b", Crashed); judged.Permission != poison.Rest || judged.Crashes != 1 || judged.Left <= 0 {
+		if judged := run(t, one, "bad", "b", Crashed); judged.Permission != poison.Blocked || judged.Crashes != 1 || judged.Remaining <= 0 {
 			t.Errorf("without a leader: got %+v, want a rest after one crash", judged)
 		}
 		if took := time.Since(began); took > sendTimeout+maximumRecordWait {
@@ -304,12 +304,12 @@
 		go func() { one.Run(ctx); close(ended) }()
 		g.setLeaderless(true)
 		run(t, one, "good", "a", Crashed)
-		if made, judged := one.TryBegin(t.Context(), identify("good")); made != nil || judged.Permission != poison.Rest {
+		if made, judged := one.TryBegin(t.Context(), identify("good")); made != nil || judged.Permission != poison.Blocked {
 			t.Errorf("a hedged run: got %+v, want refused with a rest", judged)
 		}
 		began := time.Now()
 		time.AfterFunc(400*time.Millisecond, func() { g.setLeaderless(false) })
-		if judged := run(t, one, "good", "b", Answered); judged.Permission != poison.Apart || time.Since(began) > maximumRecordWait {
+		if judged := run(t, one, "good", "b", Answered); judged.Permission != poison.Isolated || time.Since(began) > maximumRecordWait {
 			t.Errorf("got %+v after %s, want apart within 1s", judged, time.Since(began))
 		}
 		if len(g.records()) != 0 {
@@ -329,14 +329,14 @@
 		one.config.Recorded = func() bool { return false }
 		began := time.Now()
 		for number, instance := range []string{"a", "b"} {
-			if judged := run(t, one, "bad", instance, Crashed); judged.Permission == poison.Rest {
+			if judged := run(t, one, "bad", instance, Crashed); judged.Permission == poison.Blocked {
 				t.Errorf("run %d: got %+v, want no rest", number, judged)
 			}
 		}
 		if took := time.Since(began); took > 0 {
 			t.Errorf("two runs took %s, want no delay", took)
 		}
-		if judged := run(t, one, "bad", "c", Crashed); judged.Permission != poison.Rest || judged.Crashes != 2 {
+		if judged := run(t, one, "bad", "c", Crashed); judged.Permission != poison.Blocked || judged.Crashes != 2 {
 			t.Errorf("after two crashes: got %+v, want a rest", judged)
 		}
 	})
--- a/internal/poisonguard/judge.go
+++ b/internal/poisonguard/judge.go
@@ -23,8 +23,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	judged = g.book.Judge(g.config.Clock(), digest)
-	if judged.Permission == poison.Apart && judged.Unrecorded && g.canRecord(g.view) {
-		judged.Permission, judged.Left = poison.Rest, poison.UnrecordedRest
+	if judged.Permission == poison.Isolated && judged.Unrecorded && g.canRecord(g.view) {
+		judged.Permission, judged.Remaining = poison.Blocked, poison.UnrecordedRest
 	}
 	return judged, g.changed
 }
@@ -32,12 +32,12 @@
 // judgeRecorded is like judge, but waits until the crashes observed here are on record, for maximumRecordWait at most.
 func (g *Guard) judgeRecorded(ctx context.Context, digest poison.Digest) poison.Judgment {
 	judged, changed := g.judge(digest)
-	if judged.Permission != poison.Rest || !judged.Unrecorded {
+	if judged.Permission != poison.Blocked || !judged.Unrecorded {
 		return judged
 	}
 	limit := time.NewTimer(maximumRecordWait)
 	defer limit.Stop()
-	for judged.Permission == poison.Rest && judged.Unrecorded {
+	for judged.Permission == poison.Blocked && judged.Unrecorded {
 		select {
 		case <-changed:
 		case <-limit.C:
--- a/internal/poisonguard/record.go
+++ b/internal/poisonguard/record.go
@@ -27,16 +27,16 @@
 
 // pendingStep is a step that is queued for the record.
 type pendingStep struct {
-	poison.Want
+	poison.StepRequest
 	outcome poison.Outcome // set before the call finishes
 }
 
 // send queues a step for the record, where it is batched with others, and returns its outcome. After an error it is
 // unknown whether the step was or will be taken.
-func (g *Guard) send(ctx context.Context, want poison.Want) (poison.Outcome, error) {
+func (g *Guard) send(ctx context.Context, want poison.StepRequest) (poison.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	sent := &pendingStep{Want: want}
+	sent := &pendingStep{StepRequest: want}
 	if err := g.queue.Do(ctx, sent); err != nil {
 		g.counts.steps.WithLabelValues(want.Step.String(), "failed").Inc()
 		return poison.Outcome{}, err
@@ -67,9 +67,9 @@
 func (g *Guard) commit(batch []*batching.Call[*pendingStep]) (postponed []*batching.Call[*pendingStep]) {
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
-	wants := make([]poison.Want, 0, len(batch))
+	wants := make([]poison.StepRequest, 0, len(batch))
 	for _, call := range batch {
-		wants = append(wants, call.Value.Want)
+		wants = append(wants, call.Value.StepRequest)
 	}
 	outcomes, err := g.applySteps(ctx, wants)
 	for position, call := range batch {
@@ -84,7 +84,7 @@
 // applySteps changes the table as the steps want. The change is planned on the view that this process follows. If that
 // view is too old, because a cell has changed or a row to remove has gone, the change is planned again on the newest
 // view.
-func (g *Guard) applySteps(ctx context.Context, wants []poison.Want) ([]poison.Outcome, error) {
+func (g *Guard) applySteps(ctx context.Context, wants []poison.StepRequest) ([]poison.Outcome, error) {
 	view := g.followedView()
 	if !g.canRecord(view) {
 		return nil, errNotRecorded
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -78,7 +78,7 @@
 func (r *Run) begin(ctx context.Context, judged poison.Judgment) (*Run, poison.Judgment) {
 	r.judged = judged
 	switch judged.Permission {
-	case poison.Rest:
+	case poison.Blocked:
 		r.guard.counts.refused.WithLabelValues(judged.Permission.String()).Inc()
 		return nil, judged
 	case poison.Trial:
@@ -92,10 +92,10 @@
 
 // claim claims the only run of a suspect that is permitted at a time in the whole deployment.
 func (r *Run) claim(ctx context.Context) (*Run, poison.Judgment) {
-	outcome, err := r.guard.send(ctx, poison.Want{Step: poison.Claim, Digest: r.digest, Crashes: r.judged.Recorded})
+	outcome, err := r.guard.send(ctx, poison.StepRequest{Step: poison.Claim, Digest: r.digest, Crashes: r.judged.Recorded})
 	if err != nil || !outcome.Done {
 		r.guard.counts.refused.WithLabelValues(poison.Trial.String()).Inc()
-		return nil, poison.Judgment{Permission: poison.Rest, Crashes: r.judged.Crashes, Recorded: r.judged.Recorded, Left: failedClaimRest}
+		return nil, poison.Judgment{Permission: poison.Blocked, Crashes: r.judged.Crashes, Recorded: r.judged.Recorded, Remaining: failedClaimRest}
 	}
 	r.claimed = outcome.Crashes
 	return r, r.judged
@@ -203,10 +203,10 @@
 	switch ending {
 	case Crashed:
 		digest := r.ensureDigest() // also sets the subject
-		r.guard.deliver(ctx, poison.Want{Step: poison.Report, Digest: digest, Instance: r.crashName(), Subject: r.subject, Counted: r.claimed > 0})
+		r.guard.deliver(ctx, poison.StepRequest{Step: poison.Report, Digest: digest, Instance: r.crashName(), Subject: r.subject, Counted: r.claimed > 0})
 	case Answered:
-		r.guard.deliver(ctx, poison.Want{Step: poison.Clear, Digest: r.ensureDigest()})
+		r.guard.deliver(ctx, poison.StepRequest{Step: poison.Clear, Digest: r.ensureDigest()})
 	default:
-		r.guard.deliver(ctx, poison.Want{Step: poison.Return, Digest: r.ensureDigest(), Crashes: r.claimed})
+		r.guard.deliver(ctx, poison.StepRequest{Step: poison.Return, Digest: r.ensureDigest(), Crashes: r.claimed})
 	}
 }
