--- a/internal/batchrun/suspects.go
+++ b/internal/batchrun/suspects.go
@@ -33,7 +33,7 @@
 	if c.guardRun == nil {
 		return false
 	}
-	c.guardRun.At(c.Instance, c.Address)
+	c.guardRun.SetBackEnd(c.Instance, c.Address)
 	return true
 }
 
@@ -59,7 +59,7 @@
 	if ending == poisonguard.Crashed {
 		t.scheduler.Suspect(c.Key)
 	}
-	settle := c.guardRun.Note(ending)
+	settle := c.guardRun.NoteEnding(ending)
 	go settle(ctx) // the guard bounds its duration; the term's end doesn't wait for it
 }
 
@@ -72,7 +72,7 @@
 		return poisonguard.Stopped // the executor was lost, which does not mean that the replica crashed
 	case c.stopReason == stopRestarted:
 		return poisonguard.Crashed
-	case c.stopReason != "" && c.stopReason != stopStalled && ending == poisonguard.BrokeOff:
+	case c.stopReason != "" && c.stopReason != stopStalled && ending == poisonguard.Interrupted:
 		return poisonguard.Stopped
 	default:
 		return ending
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -54,7 +54,7 @@
 	created := &attempt{forwarder: x.forwarder, pool: x.pool, target: chosen.target, chosen: chosen, sendNumber: x.sends, routingRequest: x.routingRequest,
 		started: x.forwarder.config.Now(), call: x.newCall(chosen), answer: sink, requestMayFail: x.request.OnServerError != nil, permittedRun: x.permittedRun}
 	if x.permittedRun = nil; created.permittedRun != nil {
-		created.permittedRun.At(chosen.target.Instance, chosen.target.Address)
+		created.permittedRun.SetBackEnd(chosen.target.Instance, chosen.target.Address)
 	}
 	sink.mayReplace = func() bool { return created.mayFollowUp(kindRetry) }
 	created.watchStart()
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -243,7 +243,7 @@
 		return poisonguard.CrashedBySum
 	case errors.Is(a.outcome.Err, errRestarted):
 		return poisonguard.Crashed
-	case ending == poisonguard.BrokeOff && errors.Is(ctx.Err(), context.Canceled):
+	case ending == poisonguard.Interrupted && errors.Is(ctx.Err(), context.Canceled):
 		return poisonguard.Stopped
 	}
 	return ending
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -100,7 +100,7 @@
 	if a.permittedRun == nil {
 		return
 	}
-	a.permittedRun.Leave()
+	a.permittedRun.ClearBackEnd()
 	x.returnRun(context.Background())
 	x.permittedRun = a.permittedRun
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -271,7 +271,7 @@
 	}
 	x.countedAtBackend = true
 	if x.run != nil {
-		x.run.At(chosen.name, chosen.address)
+		x.run.SetBackEnd(chosen.name, chosen.address)
 	}
 	x.backendName.Store(&chosen.name)
 	x.queueEvent(dispatch.Event{Kind: dispatch.BackendChosen, Backend: chosen.name})
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -49,7 +49,7 @@
 	if x.run == nil {
 		return
 	}
-	x.run.Leave()
+	x.run.ClearBackEnd()
 	if !x.run.Claimed() {
 		x.endRun(poisonguard.NotRun)
 	}
@@ -65,7 +65,7 @@
 		x.endRun(poisonguard.Crashed)
 		return
 	}
-	x.endRun(poisonguard.BrokeOff)
+	x.endRun(poisonguard.Interrupted)
 }
 
 // dialTCP opens a TCP connection.
--- a/internal/poisonguard/guard_test.go
+++ b/internal/poisonguard/guard_test.go
@@ -172,7 +172,7 @@
 	if instance != "old" {
 		instance += "@1"
 	}
-	made.At(instance, address)
+	made.SetBackEnd(instance, address)
 	made.End(t.Context(), ending)
 	synctest.Wait() // an answer is recorded in the background
 	return judged
@@ -201,7 +201,7 @@
 		if second, judged := other.Begin(t.Context(), identify("bad")); trial == nil || second != nil || judged.Permission != poison.Blocked {
 			t.Fatalf("two claims: got runs %v and %v, the second with %+v, want only the first permitted", trial, second, judged)
 		}
-		trial.At("c@1", "10.0.0.3:1")
+		trial.SetBackEnd("c@1", "10.0.0.3:1")
 		trial.End(t.Context(), Crashed)
 		late := g.newGuard()
 		g.follow()
@@ -365,7 +365,7 @@
 				if test.before != nil {
 					g.put(test.before...)
 				}
-				run(t, one, "bad", "a", BrokeOff)
+				run(t, one, "bad", "a", Interrupted)
 				time.Sleep(test.wait)
 				g.put(test.after...)
 				synctest.Wait()
@@ -401,7 +401,7 @@
 		var ending sync.WaitGroup
 		for number := range 16 {
 			made, _ := one.Begin(t.Context(), identify(fmt.Sprint(number)))
-			made.At("a@1", "10.0.0.1:1")
+			made.SetBackEnd("a@1", "10.0.0.1:1")
 			ending.Go(func() { made.End(t.Context(), Crashed) })
 		}
 		ending.Wait()
@@ -483,10 +483,10 @@
 // TestEndingsOfCalls checks the ending that EndingOf derives from each kind of outcome of a call.
 func TestEndingsOfCalls(t *testing.T) {
 	for want, outcome := range map[Ending]replica.Outcome{
-		NotRun:   {Verdict: verdict.DidNotRun, Peer: replica.PeerGone},
-		Answered: {Verdict: verdict.Ran, Whole: true, Status: 500},
-		Crashed:  {Verdict: verdict.MayHaveRun, Peer: replica.PeerGone},
-		BrokeOff: {Verdict: verdict.Ran, Peer: replica.PeerListening},
+		NotRun:      {Verdict: verdict.DidNotRun, Peer: replica.PeerGone},
+		Answered:    {Verdict: verdict.Ran, Whole: true, Status: 500},
+		Crashed:     {Verdict: verdict.MayHaveRun, Peer: replica.PeerGone},
+		Interrupted: {Verdict: verdict.Ran, Peer: replica.PeerListening},
 	} {
 		if got := EndingOf(outcome); got != want {
 			t.Errorf("%+v: got ending %d, want %d", outcome, got, want)
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -19,7 +19,7 @@
 	NotRun       Ending = iota // the run never began
 	Answered                   // the answer was complete, with any status: the back end survived the run
 	Stopped                    // the caller or this process stopped the run
-	BrokeOff                   // the request may have run, and it is not known yet whether the back end crashed
+	Interrupted                // the request may have run, and it is not known yet whether the back end crashed
 	Crashed                    // the back end crashed
 	CrashedBySum               // the back end crashed because of its large requests together, not because of a single one
 )
@@ -34,7 +34,7 @@
 	case outcome.Peer == replica.PeerGone:
 		return Crashed
 	}
-	return BrokeOff
+	return Interrupted
 }
 
 // Run is one permitted run of a request at one back end.
@@ -117,8 +117,8 @@
 // other processes do. Any other run must be requested again before it is sent under a newer table.
 func (r *Run) Claimed() bool { return r.claimed > 0 }
 
-// At notes the back end to which the run is sent.
-func (r *Run) At(instance, address string) {
+// SetBackEnd notes the back end to which the run is sent.
+func (r *Run) SetBackEnd(instance, address string) {
 	r.instance, r.address = instance, address
 	if r.Suspected() {
 		r.guard.addSuspectRuns(instance, 1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// Leave notes that the run is not, or no longer, at the back end that was passed to At.
-func (r *Run) Leave() {
+// ClearBackEnd notes that the run is not, or no longer, at the back end that was passed to At.
+func (r *Run) ClearBackEnd() {
 	if r.placed {
 		r.guard.addSuspectRuns(r.instance, -1)
 		r.placed = false
@@ -137,7 +137,7 @@
 // End notes how the run ended and returns once that is on record, or after sendTimeout. For an answered run it returns
 // at once and records the ending in the background, so that the answer is not delayed.
 func (r *Run) End(ctx context.Context, ending Ending) {
-	settle := r.Note(ending)
+	settle := r.NoteEnding(ending)
 	if ending == Answered {
 		go settle(ctx)
 		return
@@ -145,16 +145,16 @@
 	settle(ctx)
 }
 
-// Note notes how the run ended in this process only, which takes it into account from then on. The returned function
+// NoteEnding notes how the run ended in this process only, which takes it into account from then on. The returned function
 // puts the ending on record and must be called.
-func (r *Run) Note(ending Ending) (settle func(ctx context.Context)) {
-	r.Leave()
+func (r *Run) NoteEnding(ending Ending) (settle func(ctx context.Context)) {
+	r.ClearBackEnd()
 	switch {
 	case ending == CrashedBySum && r.Suspected():
 		ending = Crashed // a suspect may itself have caused the crash
 	case ending == Crashed && r.guard.isLeaving(r.instance):
 		ending = Stopped // the planned end of a back end interrupts its remaining runs
-	case ending == BrokeOff:
+	case ending == Interrupted:
 		r.ensureDigest()
 		unclaimed := *r // the claim is returned now, so a crash that is detected later must be counted
 		unclaimed.claimed = 0
