--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -75,9 +75,9 @@
 	return taken
 }
 
-// Spread reports whether replicas should stay with the control node that they reached because there are many of them.
+// ShouldSpread reports whether replicas should stay with the control node that they reached because there are many of them.
 // Otherwise they should send their heartbeats to the leader.
-func (s *Service) Spread() bool {
+func (s *Service) ShouldSpread() bool {
 	view := s.config.View()
 	return view != nil && s.replicas.count(view) > spreadThreshold
 }
--- a/internal/registry/relay_test.go
+++ b/internal/registry/relay_test.go
@@ -102,14 +102,14 @@
 	if result, _, err := f.control.ChangeTable(t.Context(), change, false); err != nil || result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 		t.Fatal(err, result)
 	}
-	if f.service.Spread() {
+	if f.service.ShouldSpread() {
 		t.Fatalf("Spread is true with %d replicas, want false", spreadThreshold)
 	}
 	one := replica(1, 1)
 	if err := f.service.Heartbeat(t.Context(), &one); err != nil {
 		t.Fatal(trace.DebugReport(err))
 	}
-	if !f.service.Spread() {
+	if !f.service.ShouldSpread() {
 		t.Fatalf("Spread is false with more than %d replicas, want true", spreadThreshold)
 	}
 }
