--- a/internal/consensus/silences.go
+++ b/internal/consensus/silences.go
@@ -33,12 +33,12 @@
 // the process.
 type silenceTracker struct {
 	mutex   sync.Mutex
-	hearing *member.Hearing
+	hearing *member.SilenceTracker
 	members []uint64
 }
 
 func newSilenceTracker(self uint64, now time.Duration) *silenceTracker {
-	return &silenceTracker{hearing: member.NewHearing(self, now, maxSilenceGap)}
+	return &silenceTracker{hearing: member.NewSilenceTracker(self, now, maxSilenceGap)}
 }
 
 // updateSilences updates the silences of all members of the groups. It is called from the loop.
@@ -50,16 +50,16 @@
 	}
 	slices.Sort(members)
 	members = slices.DeleteFunc(slices.Compact(members), func(id uint64) bool { return id == h.config.NodeID })
-	sightings := make([]member.Sighting, 0, len(members))
+	sightings := make([]member.Observation, 0, len(members))
 	for _, id := range members {
 		heardAt := h.contacts.get(id).heardAt
 		heard := !heardAt.IsZero()
-		sightings = append(sightings, member.Sighting{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
+		sightings = append(sightings, member.Observation{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
 	}
 	h.silences.mutex.Lock()
 	defer h.silences.mutex.Unlock()
 	h.silences.members = members
-	h.silences.hearing.Look(now.Sub(h.contacts.startedAt), sightings)
+	h.silences.hearing.Observe(now.Sub(h.contacts.startedAt), sightings)
 }
 
 // listUnheard returns the members that this node does not hear, with the lengths of their silences.
--- a/internal/control/groupkeeper.go
+++ b/internal/control/groupkeeper.go
@@ -20,7 +20,7 @@
 	voters  *voters
 	server  *Server
 	group   uint32
-	hearing *member.Hearing // nil while this node does not lead the group
+	hearing *member.SilenceTracker // nil while this node does not lead the group
 	// checkedAt is when this node last checked the group's state as its leader.
 	checkedAt time.Duration
 	behind    map[uint64]bool // learners that lacked log entries in this pass
@@ -73,12 +73,12 @@
 	now := k.server.config.Clock()
 	switch {
 	case k.hearing == nil:
-		k.hearing = member.NewHearing(status.ID, now, maximumCountedGap)
+		k.hearing = member.NewSilenceTracker(status.ID, now, maximumCountedGap)
 	case now-k.checkedAt > maximumCountedGap:
 		k.voters.silent.countLateCheck(k.group)
 	}
 	k.checkedAt = now
-	k.hearing.Look(now, k.collectSightings(&status))
+	k.hearing.Observe(now, k.collectSightings(&status))
 	addresses := make(map[uint64]string)
 	for _, node := range k.server.replicas.Nodes() {
 		addresses[node.ID] = node.Address
@@ -88,8 +88,8 @@
 		nodes := make([]member.GroupNode, 0, len(ids))
 		for _, id := range ids {
 			nodes = append(nodes, member.GroupNode{
-				ID: id, Address: addresses[id], Silence: k.hearing.Silence(id), Unheard: !k.hearing.Answers(id), Behind: k.behind[id],
-				Leaving: k.voters.isLeaving(id, now) || retiring[addresses[id]], Standby: isStandby(id), Leads: id == status.ID,
+				ID: id, Address: addresses[id], Silence: k.hearing.Silence(id), Unheard: !k.hearing.IsResponsive(id), Behind: k.behind[id],
+				Leaving: k.voters.isLeaving(id, now) || retiring[addresses[id]], Standby: isStandby(id), IsLeader: id == status.ID,
 			})
 		}
 		return nodes
@@ -100,17 +100,17 @@
 
 // collectSightings returns what is known of the group's other nodes: which of them this leader hears, and what the
 // nodes that it hears report about the others.
-func (k *groupKeeper) collectSightings(status *raft.Status) []member.Sighting {
+func (k *groupKeeper) collectSightings(status *raft.Status) []member.Observation {
 	var heard []uint64
 	for _, other := range status.Match {
 		if other.Heard {
 			heard = append(heard, other.Node)
 		}
 	}
-	sightings := make([]member.Sighting, 0, len(status.Match))
+	sightings := make([]member.Observation, 0, len(status.Match))
 	for _, other := range status.Match {
-		sightings = append(sightings, member.Sighting{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
-			Told: k.server.replicas.Unheard(other.Node, heard)})
+		sightings = append(sightings, member.Observation{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
+			ReportedSilence: k.server.replicas.Unheard(other.Node, heard)})
 	}
 	return sightings
 }
--- a/internal/control/silentvoters.go
+++ b/internal/control/silentvoters.go
@@ -82,7 +82,7 @@
 	}
 	var silent []member.GroupNode
 	for _, voter := range voters {
-		if !voter.Leads && s.server.replicas.SilentFor(voter.ID) >= silentVoterLogDelay {
+		if !voter.IsLeader && s.server.replicas.SilentFor(voter.ID) >= silentVoterLogDelay {
 			silent = append(silent, voter)
 		}
 	}
--- a/internal/control/silentvoters_test.go
+++ b/internal/control/silentvoters_test.go
@@ -62,7 +62,7 @@
 func TestReasonsForNoGroupChange(t *testing.T) {
 	const size = 3
 	voters := func(silence time.Duration) []member.GroupNode {
-		return []member.GroupNode{{ID: 1, Leads: true}, {ID: 2}, {ID: 3, Silence: silence}}
+		return []member.GroupNode{{ID: 1, IsLeader: true}, {ID: 2}, {ID: 3, Silence: silence}}
 	}
 	candidates := []member.GroupNode{{ID: 9}}
 	for want, example := range map[string]struct {
--- a/internal/member/hearing.go
+++ b/internal/member/hearing.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Sighting is one observation of another node of a group, made periodically by the observing node.
-type Sighting struct {
+// Observation is one observation of another node of a group, made periodically by the observing node.
+type Observation struct {
 	Node uint64
 	// Active is true if the node was heard within an election timeout, or if the leadership is younger than that.
 	Active bool
 	// Heard is true if the node was heard under the present leadership.
 	Heard bool
-	// Told is the longest time for which other nodes have not heard this node, according to their latest reports. It
+	// ReportedSilence is the longest time for which other nodes have not heard this node, according to their latest reports. It
 	// is 0 if any of them hears it.
-	Told time.Duration
+	ReportedSilence time.Duration
 }
 
-// Hearing tracks for how long each node of a group has not been heard by the observing node, usually the group's
+// SilenceTracker tracks for how long each node of a group has not been heard by the observing node, usually the group's
 // leader. Silence accumulates between observations. A late observation, as on a machine whose processor is shared,
 // adds less than the time that passed but resets nothing: with counts that restarted at each late observation, lost
 // voters kept their places permanently in 232 of 2000 runs of the model.
 //
 // It is not safe for concurrent use.
-type Hearing struct {
+type SilenceTracker struct {
 	self         uint64
 	maximumGap   time.Duration
 	lastObserved time.Duration
@@ -33,14 +33,14 @@
 	responsive bool          // it was active and heard under this leadership at the last observation
 }
 
-// NewHearing returns a Hearing that starts to count at now. At most maximumGap counts between two observations: this
+// NewSilenceTracker returns a Hearing that starts to count at now. At most maximumGap counts between two observations: this
 // node may have been paused for longer, and the messages sent to it in the meantime are not read yet.
-func NewHearing(self uint64, now, maximumGap time.Duration) *Hearing {
-	return &Hearing{self: self, maximumGap: maximumGap, lastObserved: now, silences: map[uint64]silence{}}
+func NewSilenceTracker(self uint64, now, maximumGap time.Duration) *SilenceTracker {
+	return &SilenceTracker{self: self, maximumGap: maximumGap, lastObserved: now, silences: map[uint64]silence{}}
 }
 
-// Look records the observations made at now. Nodes that are not listed are forgotten.
-func (h *Hearing) Look(now time.Duration, sightings []Sighting) {
+// Observe records the observations made at now. Nodes that are not listed are forgotten.
+func (h *SilenceTracker) Observe(now time.Duration, sightings []Observation) {
 	gap := min(now-h.lastObserved, h.maximumGap)
 	h.lastObserved = now
 	silences := make(map[uint64]silence, len(sightings))
@@ -54,7 +54,7 @@
 			current.span += gap
 		}
 		if !other.Active {
-			current.span = max(current.span, other.Told)
+			current.span = max(current.span, other.ReportedSilence)
 		}
 		silences[other.Node] = current
 	}
@@ -62,8 +62,10 @@
 }
 
 // Silence returns for how long a node had not been heard at the last observation; 0 for unknown nodes.
-func (h *Hearing) Silence(node uint64) time.Duration { return h.silences[node].span }
+func (h *SilenceTracker) Silence(node uint64) time.Duration { return h.silences[node].span }
 
-// Answers reports whether a node had been heard shortly before the last observation and under the present leadership.
+// IsResponsive reports whether a node had been heard shortly before the last observation and under the present leadership.
 // It is always true of the observing node itself.
-func (h *Hearing) Answers(node uint64) bool { return node == h.self || h.silences[node].responsive }
+func (h *SilenceTracker) IsResponsive(node uint64) bool {
+	return node == h.self || h.silences[node].responsive
+}
--- a/internal/member/hearing_test.go
+++ b/internal/member/hearing_test.go
@@ -30,19 +30,19 @@
 		"left and came again":               {[]observation{answers, unanswered(900 * time.Millisecond), {after: gap, absent: true}, unanswered(gap)}, 0, false},
 	} {
 		now := time.Minute
-		tracker := NewHearing(1, now, gap)
+		tracker := NewSilenceTracker(1, now, gap)
 		for _, observation := range test.observations {
 			now += observation.after
-			var sightings []Sighting
+			var sightings []Observation
 			if !observation.absent {
-				sightings = []Sighting{{Node: 2, Active: observation.active, Heard: observation.heard}}
+				sightings = []Observation{{Node: 2, Active: observation.active, Heard: observation.heard}}
 			}
-			tracker.Look(now, sightings)
+			tracker.Observe(now, sightings)
 		}
-		if tracker.Silence(2) != test.silence || tracker.Answers(2) != test.answers {
-			t.Errorf("%s: silent for %s, answers %v; want %s, %v", name, tracker.Silence(2), tracker.Answers(2), test.silence, test.answers)
+		if tracker.Silence(2) != test.silence || tracker.IsResponsive(2) != test.answers {
+			t.Errorf("%s: silent for %s, answers %v; want %s, %v", name, tracker.Silence(2), tracker.IsResponsive(2), test.silence, test.answers)
 		}
-		if tracker.Silence(1) != 0 || !tracker.Answers(1) {
+		if tracker.Silence(1) != 0 || !tracker.IsResponsive(1) {
 			t.Errorf("%s: the leader counts itself as silent", name)
 		}
 	}
--- a/internal/member/voters.go
+++ b/internal/member/voters.go
@@ -8,14 +8,14 @@
 
 // GroupNode is a member of a consensus group or a candidate for membership, as the group's leader sees it.
 type GroupNode struct {
-	ID      uint64
-	Address string        // the address that it listens on; empty if unknown
-	Silence time.Duration // time since it was last heard; 0 for the leader itself
-	Unheard bool          // it was not heard recently, or not yet under this leader
-	Behind  bool          // it is a learner that was found to lack log entries
-	Leaving bool          // it announced that it stops, or an operator asked it to leave
-	Standby bool          // it may vote, but other nodes are preferred as leader and as voters
-	Leads   bool          // it is the group's present leader
+	ID       uint64
+	Address  string        // the address that it listens on; empty if unknown
+	Silence  time.Duration // time since it was last heard; 0 for the leader itself
+	Unheard  bool          // it was not heard recently, or not yet under this leader
+	Behind   bool          // it is a learner that was found to lack log entries
+	Leaving  bool          // it announced that it stops, or an operator asked it to leave
+	Standby  bool          // it may vote, but other nodes are preferred as leader and as voters
+	IsLeader bool          // it is the group's present leader
 }
 
 // Group is the state of a consensus group from which NextGroupChange chooses the next change.
@@ -199,7 +199,7 @@
 			return 0
 		case node.Leaving:
 			return 2
-		case node.Standby && !node.Leads:
+		case node.Standby && !node.IsLeader:
 			return 1
 		}
 		return 0
--- a/internal/member/voters_model_silence_test.go
+++ b/internal/member/voters_model_silence_test.go
@@ -12,7 +12,7 @@
 // process.
 type modelObserver struct {
 	heardAt      map[uint64]time.Duration
-	hearing      *Hearing
+	hearing      *SilenceTracker
 	nextLoopAt   time.Duration
 	nextReportAt time.Duration
 	reported     map[uint64]time.Duration // silences in the machine's latest report; 0: heard
@@ -26,7 +26,7 @@
 			continue
 		}
 		if machine.observer == nil {
-			machine.observer = &modelObserver{heardAt: map[uint64]time.Duration{}, hearing: NewHearing(machine.id, w.now, modelGap), nextLoopAt: w.now,
+			machine.observer = &modelObserver{heardAt: map[uint64]time.Duration{}, hearing: NewSilenceTracker(machine.id, w.now, modelGap), nextLoopAt: w.now,
 				nextReportAt: w.now + w.drawBetween(0, modelKeepAlive)}
 		}
 		w.observe(machine)
@@ -42,12 +42,12 @@
 	}
 	if w.now >= observer.nextLoopAt {
 		observer.nextLoopAt = w.now + modelLoopInterval + w.drawLateness()
-		var sightings []Sighting
+		var sightings []Observation
 		for _, voter := range w.voters {
 			heardAt, heard := observer.heardAt[voter]
-			sightings = append(sightings, Sighting{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelSilentAfter})
+			sightings = append(sightings, Observation{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelSilentAfter})
 		}
-		observer.hearing.Look(w.now, sightings)
+		observer.hearing.Observe(w.now, sightings)
 	}
 	if w.now >= observer.nextReportAt {
 		observer.nextReportAt = w.now + modelKeepAlive
--- a/internal/member/voters_model_test.go
+++ b/internal/member/voters_model_test.go
@@ -73,7 +73,7 @@
 	leaderSince time.Duration
 	electionAt  time.Duration
 	nextLoopAt  time.Duration
-	hearing     *Hearing
+	hearing     *SilenceTracker
 	violated    map[violation]string
 	repairedAt  time.Duration // when the group was repaired after the last fault; 0 if it was not
 	changes     int
@@ -313,9 +313,9 @@
 // buildGroup returns the group as the leader sees it. behind holds the learners that were found to lack entries.
 func (w *modelWorld) buildGroup(behind map[uint64]bool) Group {
 	if w.hearing == nil {
-		w.hearing = NewHearing(w.leader.id, w.now, modelGap)
+		w.hearing = NewSilenceTracker(w.leader.id, w.now, modelGap)
 	}
-	var sightings []Sighting
+	var sightings []Observation
 	members := slices.Clone(w.voters)
 	for learner := range w.learners {
 		members = append(members, learner)
@@ -324,14 +324,14 @@
 		if id != w.leader.id {
 			heardAt, heard := w.heardAt[id]
 			since := max(w.leaderSince, heardAt, w.learners[id])
-			sightings = append(sightings, Sighting{Node: id, Heard: heard, Active: w.now-since < modelElectionTimeout, Told: w.longestReportedSilence(id)})
+			sightings = append(sightings, Observation{Node: id, Heard: heard, Active: w.now-since < modelElectionTimeout, ReportedSilence: w.longestReportedSilence(id)})
 		}
 	}
-	w.hearing.Look(w.now, sightings)
+	w.hearing.Observe(w.now, sightings)
 	seen := Group{}
 	for _, id := range members {
-		node := GroupNode{ID: id, Address: w.address[id], Silence: w.hearing.Silence(id), Unheard: !w.hearing.Answers(id),
-			Behind: behind[id], Standby: id&modelStandbyBit != 0, Leads: id == w.leader.id}
+		node := GroupNode{ID: id, Address: w.address[id], Silence: w.hearing.Silence(id), Unheard: !w.hearing.IsResponsive(id),
+			Behind: behind[id], Standby: id&modelStandbyBit != 0, IsLeader: id == w.leader.id}
 		if slices.Contains(w.voters, id) {
 			seen.Voters = append(seen.Voters, node)
 		} else {
--- a/internal/member/voters_test.go
+++ b/internal/member/voters_test.go
@@ -49,7 +49,7 @@
 	modified := func(node GroupNode, change func(*GroupNode)) GroupNode { change(&node); return node }
 	leaving := func(node *GroupNode) { node.Leaving = true }
 	lost := func(node *GroupNode) { node.Silence = patience }
-	leads := func(node *GroupNode) { node.Leads = true }
+	leads := func(node *GroupNode) { node.IsLeader = true }
 	five := []GroupNode{regular(1), regular(2), regular(3), standby(4), standby(5)}
 	replaced := func(position int, change func(*GroupNode)) []GroupNode {
 		voters := append([]GroupNode(nil), five...)
