--- a/internal/control/detector.go
+++ b/internal/control/detector.go
@@ -32,8 +32,8 @@
 	server *Server
 
 	mutex     sync.Mutex
-	attention *monotonic.Attention // clock on which silences are measured
-	leadSince time.Duration        // silence counts from this time at the earliest
+	attention *monotonic.ObservedTime // clock on which silences are measured
+	leadSince time.Duration           // silence counts from this time at the earliest
 	heardAt   map[lease.HolderID]time.Duration
 	recording map[string]bool    // names of members with a command in progress
 	deferred  map[string]renewal // newest renewal that arrived during a command, by member name
@@ -58,7 +58,7 @@
 func (d *detector) beginLeading() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.leadSince = d.attention.Look(d.server.config.Clock())
+	d.leadSince = d.attention.Observe(d.server.config.Clock())
 	clear(d.heardAt)
 }
 
@@ -92,7 +92,7 @@
 // checkMembers updates the state of every member that holds leases.
 func (d *detector) checkMembers(ctx context.Context) {
 	d.mutex.Lock()
-	d.attention.Look(d.server.config.Clock())
+	d.attention.Observe(d.server.config.Clock())
 	d.mutex.Unlock()
 	for _, member := range d.server.publisher.currentMembers().Members {
 		if !wire.HoldsLease(member.Role) {
--- a/internal/monotonic/attention.go
+++ b/internal/monotonic/attention.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Attention measures the time that a watcher has spent observing. It advances with the clock, but by at most a bound
+// ObservedTime measures the time that a watcher has spent observing. It advances with the clock, but by at most a bound
 // between two looks. Measuring silences on it has two effects: a watcher that was paused does not consider peers
 // silent to which it did not listen, and a watcher that repeatedly looks late still reaches its time-outs, which it
 // would not if the count restarted at each late look.
 //
 // It is not safe for concurrent use.
-type Attention struct {
+type ObservedTime struct {
 	maximumGap  time.Duration
 	lastLook    time.Duration
 	accumulated time.Duration
 }
 
 // NewAttention returns an Attention at 0, with a first look at now. At most bound counts between two looks.
-func NewAttention(now, maximumGap time.Duration) *Attention {
-	return &Attention{maximumGap: maximumGap, lastLook: now}
+func NewAttention(now, maximumGap time.Duration) *ObservedTime {
+	return &ObservedTime{maximumGap: maximumGap, lastLook: now}
 }
 
-// Look records a look at now and returns the attention accumulated so far.
-func (a *Attention) Look(now time.Duration) time.Duration {
+// Observe records a look at now and returns the attention accumulated so far.
+func (a *ObservedTime) Observe(now time.Duration) time.Duration {
 	a.accumulated, a.lastLook = a.At(now), max(now, a.lastLook)
 	return a.accumulated
 }
 
 // At returns the attention accumulated at a time since the last look.
-func (a *Attention) At(now time.Duration) time.Duration {
+func (a *ObservedTime) At(now time.Duration) time.Duration {
 	return a.accumulated + min(max(now-a.lastLook, 0), a.maximumGap)
 }
--- a/internal/monotonic/attention_test.go
+++ b/internal/monotonic/attention_test.go
@@ -19,7 +19,7 @@
 		if got := attention.At(now); got != look.want {
 			t.Errorf("At %s after the last look: %s, want %s", look.after, got, look.want)
 		}
-		if got := attention.Look(now); got != look.want || attention.At(now) != look.want {
+		if got := attention.Observe(now); got != look.want || attention.At(now) != look.want {
 			t.Errorf("Look %s after the last look: %s, want %s", look.after, got, look.want)
 		}
 	}
--- a/internal/registry/tracker.go
+++ b/internal/registry/tracker.go
@@ -27,7 +27,7 @@
 // not safe for concurrent use.
 type Tracker struct {
 	config       TrackerConfig
-	attention    *monotonic.Attention     // clock on which silence is measured
+	attention    *monotonic.ObservedTime  // clock on which silence is measured
 	silenceFrom  time.Duration            // earliest start of silence on that clock: the end of the last suspension of this process
 	lastTick     time.Duration            // time of the last Tick
 	heartbeats   map[string]lastHeartbeat // by instance
@@ -77,7 +77,7 @@
 // ended. It returns nil if there is nothing to change. Call Tick at least once per half of Silence. After a longer
 // interval only half of Silence counts, because heartbeats that arrived meanwhile may not have been read yet.
 func (t *Tracker) Tick(now time.Duration, view *table.View) *wire.TableChange {
-	attention := t.attention.Look(now)
+	attention := t.attention.Observe(now)
 	if now-t.lastTick > suspendedSilences*t.config.Silence {
 		t.silenceFrom = attention // the process was suspended and has not read the heartbeats that arrived meanwhile
 	}
