--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -59,7 +59,7 @@
 	}
 	l.current = version
 	if l.granter != nil {
-		l.granter.Committed(l.clock(), version)
+		l.granter.RecordCommit(l.clock(), version)
 		l.signal()
 	}
 }
--- a/internal/controlclient/session_run.go
+++ b/internal/controlclient/session_run.go
@@ -361,7 +361,7 @@
 	now := s.client.config.Clock()
 	_, held := s.holder.Admit(now)
 	s.logLeaseChange(now, held) // logs a lease that expired without anyone asking
-	s.holder.Renewed(sentAt, duration)
+	s.holder.RecordRenewal(sentAt, duration)
 	_, held = s.holder.Admit(now)
 	s.logLeaseChange(now, held)
 	if !s.everHeld {
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Committed records that a table version was committed at now. Call it for every accepted change.
-func (g *Granter) Committed(now time.Duration, version uint64) {
+// RecordCommit records that a table version was committed at now. Call it for every accepted change.
+func (g *Granter) RecordCommit(now time.Duration, version uint64) {
 	if version <= g.newestVersion {
 		return
 	}
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -23,9 +23,9 @@
 // NewHolderUnsafe returns a Holder with the given safety steps disabled.
 func NewHolderUnsafe(unsafe Unsafe) *Holder { return &Holder{unsafe: unsafe} }
 
-// Renewed records a granted renewal. sentAt is when this process sent the request, not when the reply arrived. A
+// RecordRenewal records a granted renewal. sentAt is when this process sent the request, not when the reply arrived. A
 // reply that arrives late or out of order never shortens the lease.
-func (h *Holder) Renewed(sentAt, duration time.Duration) {
+func (h *Holder) RecordRenewal(sentAt, duration time.Duration) {
 	expires := sentAt + duration
 	if !h.granted || expires > h.expires {
 		h.granted, h.expires = true, expires
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -76,7 +76,7 @@
 		w.real += time.Duration(rapid.SampledFrom([]int{1, 20, 150, 400, 1100, 1300}).Draw(t, "millis")) * time.Millisecond
 	case 2:
 		w.version++
-		w.granter.Committed(now, w.version)
+		w.granter.RecordCommit(now, w.version)
 	case 3:
 		w.renewals = append(w.renewals, renewal{holder, w.clocks[holder].at(w.real), w.holders[holder].Version()})
 	case 4:
@@ -120,7 +120,7 @@
 		w.holders[answer.holder].ActOn(answer.version)
 	}
 	if answer.granted {
-		w.holders[answer.holder].Renewed(answer.sentAt, DefaultLease)
+		w.holders[answer.holder].RecordRenewal(answer.sentAt, DefaultLease)
 	}
 }
 
@@ -168,7 +168,7 @@
 	start := 10 * time.Second
 	granter.Renew(stuck, start, 1)
 	granter.Renew(quick, start, 1)
-	granter.Committed(start, 2)
+	granter.RecordCommit(start, 2)
 	acted := uint64(1)
 	for now := start; ; now += 100 * time.Millisecond {
 		granter.Renew(stuck, now, 1)
--- a/internal/sim/control.go
+++ b/internal/sim/control.go
@@ -69,7 +69,7 @@
 	}
 	c.tableVersion = version
 	if c.granter != nil {
-		c.granter.Committed(c.host.clock(), version)
+		c.granter.RecordCommit(c.host.clock(), version)
 	}
 	for _, open := range c.sessions {
 		open.push()
--- a/internal/sim/session.go
+++ b/internal/sim/session.go
@@ -226,7 +226,7 @@
 			sentAt = s.client.clock()
 		}
 		s.everLeased, s.lastGrantAt = true, s.client.clock()
-		s.holder.Renewed(sentAt, time.Duration(reply.LeaseMillis)*time.Millisecond)
+		s.holder.RecordRenewal(sentAt, time.Duration(reply.LeaseMillis)*time.Millisecond)
 	}
 	if reply.Update != nil {
 		a.applyUpdate(reply.Update)
