--- a/internal/metering/flusher.go
+++ b/internal/metering/flusher.go
@@ -59,7 +59,7 @@
 
 	mutex sync.Mutex // guards the fields below
 	meter *usage.Meter
-	clock usage.Steady
+	clock usage.SteadyClock
 }
 
 // NewFlusher returns a flusher. It hands counts over only while Run is running or when Flush is called. It returns an
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -65,7 +65,7 @@
 	metrics *reporterMetrics
 
 	// The fields below are used by Run only.
-	clock        usage.Steady
+	clock        usage.SteadyClock
 	firstWindow  uint64 // window of the first poll with the right to report; 0 before it
 	token        uint64 // fencing token under which view was read
 	refusedToken uint64 // highest token that the receiver rejected as superseded
--- a/internal/usage/meter_test.go
+++ b/internal/usage/meter_test.go
@@ -47,7 +47,7 @@
 // TestClockStepIsFollowedOnlyIfItLasts covers a wall clock that is stepped by seconds. A step that is corrected soon
 // must not move requests to another window, whereas slewing and a lasting step must be followed.
 func TestClockStepIsFollowedOnlyIfItLasts(t *testing.T) {
-	var clock Steady
+	var clock SteadyClock
 	base := time.Unix(1000, 0)
 	at := func(after, step time.Duration) time.Duration {
 		return clock.At(base.Add(after+step), after).Sub(base) - after
--- a/internal/usage/steady.go
+++ b/internal/usage/steady.go
@@ -11,9 +11,9 @@
 	stepConfirmTime = time.Minute
 )
 
-// Steady derives true time from a wall clock that may be stepped and a monotonic clock that is not. It is not safe
+// SteadyClock derives true time from a wall clock that may be stepped and a monotonic clock that is not. It is not safe
 // for concurrent use.
-type Steady struct {
+type SteadyClock struct {
 	started        bool
 	origin         time.Time // estimated true time at monotonic time 0
 	deviating      bool
@@ -21,7 +21,7 @@
 }
 
 // At returns the estimated true time of an instant, from the readings of both clocks at that instant.
-func (s *Steady) At(wall time.Time, monotonic time.Duration) time.Time {
+func (s *SteadyClock) At(wall time.Time, monotonic time.Duration) time.Time {
 	origin := wall.Round(0).Add(-monotonic)
 	deviation := origin.Sub(s.origin).Abs()
 	switch {
