--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -147,7 +147,7 @@
 // the table does not contain.
 func (t *termRunner) updateWeight(id string, openJob *job) {
 	weight := uint32(0)
-	if owner := t.tenants.Named(openJob.submit.GetTenant()); owner != nil {
+	if owner := t.tenants.Find(openJob.submit.GetTenant()); owner != nil {
 		weight = owner.Weight
 	}
 	t.scheduler.SetWeight(id, weight)
--- a/internal/configure/tenant_test.go
+++ b/internal/configure/tenant_test.go
@@ -48,7 +48,7 @@
 				t.Errorf("step %d, key %s: got tenant %+v, refused %v, want the tenant in the configuration", number, key, found, refused)
 			}
 		}
-		if one := index.Named("One"); one != nil && one.Ranked != (number == 0) {
+		if one := index.Find("One"); one != nil && one.HasPriority != (number == 0) {
 			t.Errorf("step %d: got tenant %+v, want a rank of its own in step 0 only", number, one)
 		}
 		for _, row := range view.Rows() {
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -147,12 +147,12 @@
 		return 0, s.view.Pool(pool) != nil
 	}
 	if name, is := share.RateTenant(resource); is {
-		if found := s.tenants.Named(name); found != nil && found.Quota.Rate > 0 {
+		if found := s.tenants.Find(name); found != nil && found.Quota.Rate > 0 {
 			return found.Quota.Rate * share.RateUnit, true
 		}
 	}
 	if name, is := share.CallsTenant(resource); is {
-		if found := s.tenants.Named(name); found != nil && found.Quota.Concurrency > 0 {
+		if found := s.tenants.Find(name); found != nil && found.Quota.Concurrency > 0 {
 			return found.Quota.Concurrency, true
 		}
 	}
--- a/internal/forward/access.go
+++ b/internal/forward/access.go
@@ -67,7 +67,7 @@
 // permitted.
 func (x *exchange) authenticate(plan *plan, matched *route.Route) error {
 	if name := x.request.Tenant; name != "" {
-		x.callerTenant, x.tenantName = plan.tenants.Named(name), name
+		x.callerTenant, x.tenantName = plan.tenants.Find(name), name
 		return nil
 	}
 	found, refused := plan.tenants.Authenticate(x.request.Key, matched.Anonymous)
@@ -83,7 +83,7 @@
 
 // priority returns the priority of the request's tenant if that has one, else the route's.
 func (x *exchange) priority() uint32 {
-	if x.callerTenant != nil && x.callerTenant.Ranked {
+	if x.callerTenant != nil && x.callerTenant.HasPriority {
 		return x.callerTenant.Priority
 	}
 	return x.route.Priority
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -43,8 +43,8 @@
 	Name string
 	// Priority is the priority of the tenant's requests. If Ranked is true, it takes precedence over the priority of
 	// their routes.
-	Priority uint32
-	Ranked   bool
+	Priority    uint32
+	HasPriority bool
 	// Weight determines the tenant's share when requests of several tenants wait. It is relative to the other
 	// tenants' weights and above 0.
 	Weight uint32
@@ -100,7 +100,7 @@
 func (i *Index) add(row *table.Row) {
 	tenant := &Tenant{Name: row.TenantName, Priority: row.Priority, Weight: row.TenantWeight,
 		Quota: Quota{Rate: row.Rate, Burst: row.Burst, Concurrency: row.Concurrency}}
-	_, tenant.Ranked = row.Explicit(table.ColumnPriority)
+	_, tenant.HasPriority = row.Explicit(table.ColumnPriority)
 	i.byName[tenant.Name] = tenant
 	if tenant.Quota.Limited() {
 		i.limited = append(i.limited, tenant)
@@ -139,8 +139,8 @@
 	return i.limited
 }
 
-// Named returns the tenant with a name, or nil if there is none.
-func (i *Index) Named(name string) *Tenant {
+// Find returns the tenant with a name, or nil if there is none.
+func (i *Index) Find(name string) *Tenant {
 	if i == nil {
 		return nil
 	}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("key %q, anonymous %v: %+v, refused %v", test.key, test.anonymous, found, refused)
 		}
 	}
-	if b := index.Named("B"); !b.Ranked || b.Priority != 2 || index.Named("A").Ranked || index.Named("C") == nil || index.Named("a") != nil {
+	if b := index.Find("B"); !b.HasPriority || b.Priority != 2 || index.Find("A").HasPriority || index.Find("C") == nil || index.Find("a") != nil {
 		t.Errorf("%+v", index.byName)
 	}
 }
@@ -71,7 +71,7 @@
 		t.Fatal(found, refused)
 	}
 	var none *Index
-	if found, refused := none.Authenticate("", false); found != nil || refused || none.Named("a") != nil {
+	if found, refused := none.Authenticate("", false); found != nil || refused || none.Find("a") != nil {
 		t.Fatal(found, refused)
 	}
 }
