--- a/internal/consensus/absence.go
+++ b/internal/consensus/absence.go
@@ -165,19 +165,21 @@
 	return fmt.Sprintf("%x", folder)
 }
 
-// SilentFor returns the time since any message of a node was received, or since the start if none was.
-func (h *Host) SilentFor(node uint64) time.Duration { return h.contacts.sinceHeard(node, time.Now()) }
+// SinceLastHeard returns the time since any message of a node was received, or since the start if none was.
+func (h *Host) SinceLastHeard(node uint64) time.Duration {
+	return h.contacts.sinceHeard(node, time.Now())
+}
 
-// Sight is a node's view of a group's elections, for operators.
-type Sight struct {
+// ElectionView is a node's view of a group's elections, for operators.
+type ElectionView struct {
 	WithoutLeader time.Duration // 0 while a leader is known or the node is not a member
 	Elections     raft.Elections
 }
 
-// Sight returns this node's view of a group's elections. Errors: those of Status.
-func (h *Host) Sight(ctx context.Context, group uint32) (Sight, error) {
-	return callWithResult(ctx, h, group, func(g *hostedGroup) (Sight, error) {
-		sight := Sight{Elections: g.node.Elections()}
+// ElectionView returns this node's view of a group's elections. Errors: those of Status.
+func (h *Host) ElectionView(ctx context.Context, group uint32) (ElectionView, error) {
+	return callWithResult(ctx, h, group, func(g *hostedGroup) (ElectionView, error) {
+		sight := ElectionView{Elections: g.node.Elections()}
 		if since := g.leaderless.since; !since.IsZero() && g.leadership.Leader == raft.None && isMember(g.node.Status()) {
 			sight.WithoutLeader = time.Since(since)
 		}
--- a/internal/consensus/absence_test.go
+++ b/internal/consensus/absence_test.go
@@ -188,7 +188,7 @@
 	if logged := eventsOf[*events.GroupWithoutLeader](log); len(logged) != 0 {
 		t.Errorf("got the event %+v, want none for a node that waits to be added", logged[0])
 	}
-	if sight, err := waiting.host.Sight(t.Context(), 0); err != nil || sight.WithoutLeader != 0 {
+	if sight, err := waiting.host.ElectionView(t.Context(), 0); err != nil || sight.WithoutLeader != 0 {
 		t.Errorf("got %+v and error %v, want no time without a leader", sight, err)
 	}
 }
@@ -306,7 +306,7 @@
 	c, logs := startWithEvents(t, nil)
 	c.commit(0, "kept")
 	const stranger = 77
-	c.nodes[1].host.Introduce([]Peer{{ID: stranger, Address: c.nodes[3].address}})
+	c.nodes[1].host.AddKnownNodes([]Peer{{ID: stranger, Address: c.nodes[3].address}})
 	awaitEvent(c, logs[3], "the refusal of a greeting for another node", func(event *events.GreetingRefused) bool {
 		return event.Peer == 1 && event.Ends == "" && event.Reason != ""
 	})
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -29,7 +29,7 @@
 // journal is a state machine that lists the request IDs of the commands that it has applied.
 type journal struct{ applied []string }
 
-func (j *journal) Readable(*wire.Command) error { return nil }
+func (j *journal) CheckReadable(*wire.Command) error { return nil }
 
 func (j *journal) Apply(index uint64, command *wire.Command) *wire.Result {
 	j.applied = append(j.applied, command.RequestId)
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -26,9 +26,9 @@
 // StateMachine is the replicated state of a group. Its methods are called from one goroutine at a time and must be
 // deterministic.
 type StateMachine interface {
-	// Readable returns an error for a command that this build cannot apply in the same way as other builds do. The
+	// CheckReadable returns an error for a command that this build cannot apply in the same way as other builds do. The
 	// host then stops.
-	Readable(command *wire.Command) error
+	CheckReadable(command *wire.Command) error
 	// Apply executes the command at a log index.
 	Apply(index uint64, command *wire.Command) *wire.Result
 	// Query answers a query from the applied state.
@@ -144,14 +144,14 @@
 	// Reserved reports whether a group accepts new commands even when free disk space is below the headroom. It is
 	// meant for small groups that the other groups depend on. Default: no group.
 	Reserved func(group uint32) bool
-	// Speaks is the highest level of package compat that this node reads and writes. It is announced in greetings.
+	// SupportedLevel is the highest level of package compat that this node reads and writes. It is announced in greetings.
 	// Default Base.
-	Speaks compat.Level
+	SupportedLevel compat.Level
 	// CapacityBytes is the state size in bytes that this node can hold. It is announced in greetings. Default 0: no
 	// capacity is announced.
 	CapacityBytes uint64
-	// Agreed returns the level in force. Greetings of nodes that do not support it are rejected. Default: Base.
-	Agreed compat.Agreed
+	// LevelInForce returns the level in force. Greetings of nodes that do not support it are rejected. Default: Base.
+	LevelInForce compat.Agreed
 	// Log receives log lines for operators. Default: nothing is logged.
 	Log *logrus.Entry
 }
@@ -191,8 +191,8 @@
 			defaults.Set(&c.Address, peer.Address)
 		}
 	}
-	if c.Agreed == nil {
-		c.Agreed = func() compat.Level { return compat.Base }
+	if c.LevelInForce == nil {
+		c.LevelInForce = func() compat.Level { return compat.Base }
 	}
 	if c.Dial == nil {
 		c.Dial = dialTCP
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -164,7 +164,7 @@
 	if err := proto.Unmarshal(entry.Data, command); err != nil {
 		return trace.Wrap(err, "malformed command")
 	}
-	if err := g.machine.Readable(command); err != nil {
+	if err := g.machine.CheckReadable(command); err != nil {
 		return err
 	}
 	result := g.machine.Apply(entry.Index, command)
--- a/internal/consensus/holdings.go
+++ b/internal/consensus/holdings.go
@@ -4,17 +4,17 @@
 
 // Holdings lists the sizes in bytes of the data that a node holds of a group beside its state machine.
 type Holdings struct {
-	Log        int // data of the log entries in memory
-	SinceState int // data of the entries applied since the last snapshot was captured
-	Snapshot   int // size of the last snapshot, on disk or in memory
-	Unstored   int // part of the snapshot that is held in memory because it is not on disk
+	Log           int // data of the log entries in memory
+	SinceSnapshot int // data of the entries applied since the last snapshot was captured
+	Snapshot      int // size of the last snapshot, on disk or in memory
+	Unstored      int // part of the snapshot that is held in memory because it is not on disk
 }
 
 // Holdings returns the sizes of the data that this node holds of a group. Errors: those of Status.
 func (h *Host) Holdings(ctx context.Context, group uint32) (Holdings, error) {
 	return callWithResult(ctx, h, group, func(g *hostedGroup) (Holdings, error) {
 		return Holdings{
-			Log: g.node.LogBytes(), SinceState: g.snapshots.appliedBytes,
+			Log: g.node.LogBytes(), SinceSnapshot: g.snapshots.appliedBytes,
 			Snapshot: g.snapshots.size, Unstored: g.node.SnapshotBytes(),
 		}, nil
 	})
--- a/internal/consensus/introduce.go
+++ b/internal/consensus/introduce.go
@@ -11,8 +11,8 @@
 	return nodes
 }
 
-// Introduce adds nodes with their addresses. Nodes that were unknown are dialed and greeted.
-func (h *Host) Introduce(nodes []Peer) {
+// AddKnownNodes adds nodes with their addresses. Nodes that were unknown are dialed and greeted.
+func (h *Host) AddKnownNodes(nodes []Peer) {
 	for _, node := range nodes {
 		if h.book.addIfUnknown(node) {
 			h.peers.sender(node.ID)
--- a/internal/consensus/levels.go
+++ b/internal/consensus/levels.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return false, err
 	}
-	level, agreed := compat.Level(greeting.Speaks), h.config.Agreed()
+	level, agreed := compat.Level(greeting.Speaks), h.config.LevelInForce()
 	if !level.Includes(agreed) {
 		return false, &refusal{reason: fmt.Sprintf("node %d speaks up to %s, and %s is in force: it needs a newer build",
 			greeting.FromNode, level, agreed)}
@@ -22,11 +22,11 @@
 	return isNew, nil
 }
 
-// Speaks returns the level that a node announced in its last greeting, or false if it has not greeted since this node
+// PeerLevel returns the level that a node announced in its last greeting, or false if it has not greeted since this node
 // started.
-func (h *Host) Speaks(node uint64) (compat.Level, bool) {
+func (h *Host) PeerLevel(node uint64) (compat.Level, bool) {
 	if node == h.config.NodeID {
-		return h.config.Speaks, true
+		return h.config.SupportedLevel, true
 	}
 	known := h.contacts.get(node)
 	return known.level, known.greeted
--- a/internal/consensus/levels_test.go
+++ b/internal/consensus/levels_test.go
@@ -15,15 +15,15 @@
 func TestNodeOfAnOlderBuildIsRefused(t *testing.T) {
 	var agreed atomic.Uint32
 	newer := func(config *Config) {
-		config.Speaks = compat.Shares
-		config.Agreed = func() compat.Level { return compat.Level(agreed.Load()) }
+		config.SupportedLevel = compat.Shares
+		config.LevelInForce = func() compat.Level { return compat.Level(agreed.Load()) }
 	}
 	c := newCluster(t, 3, newer)
 	c.commit(0, "first")
 	for _, node := range c.nodes {
 		for other := range c.nodes {
 			c.wait("the nodes know what they speak", func() bool {
-				level, known := node.host.Speaks(other)
+				level, known := node.host.PeerLevel(other)
 				return known && level == compat.Shares
 			})
 		}
@@ -48,7 +48,7 @@
 	unknown string
 }
 
-func (j *unreadableEntryJournal) Readable(command *wire.Command) error {
+func (j *unreadableEntryJournal) CheckReadable(command *wire.Command) error {
 	if command.RequestId == j.unknown {
 		return errors.New("written by a newer build")
 	}
--- a/internal/consensus/loop.go
+++ b/internal/consensus/loop.go
@@ -242,7 +242,7 @@
 // canStoreParts reports whether all builds that may read the data folder support snapshots in parts. A node with an
 // empty disk receives snapshots before it knows the level in force, so the sender of the snapshot announces it.
 func (h *Host) canStoreParts() bool {
-	return h.partsAgreed.Load() || h.config.Agreed().Includes(compat.SnapshotParts)
+	return h.partsAgreed.Load() || h.config.LevelInForce().Includes(compat.SnapshotParts)
 }
 
 func (h *Host) send(g *hostedGroup, messages []raft.Message) {
--- a/internal/consensus/partsagreed_test.go
+++ b/internal/consensus/partsagreed_test.go
@@ -40,8 +40,8 @@
 	c := newCluster(t, 3, func(config *Config) {
 		config.SnapshotEntries, config.SnapshotCost = 4, 1<<30
 		config.NewStateMachine = func(uint32) StateMachine { return newLargeStateJournal() }
-		config.Agreed = func() compat.Level { return compat.SnapshotParts }
-		config.Speaks = compat.SnapshotParts
+		config.LevelInForce = func() compat.Level { return compat.SnapshotParts }
+		config.SupportedLevel = compat.SnapshotParts
 	})
 	for range 2000 {
 		c.commit(0, "fills the log")
@@ -52,7 +52,7 @@
 	late := c.add(4, func(config *Config) {
 		config.SnapshotEntries = 1 << 20
 		config.NewStateMachine = func(uint32) StateMachine { return newLargeStateJournal() }
-		config.Speaks = compat.SnapshotParts // it does not know the level in force
+		config.SupportedLevel = compat.SnapshotParts // it does not know the level in force
 	})
 	late.join = true
 	late.start()
--- a/internal/consensus/sender.go
+++ b/internal/consensus/sender.go
@@ -229,7 +229,7 @@
 		Starts:        s.host.config.Store.Starts(),
 		StartNonce:    s.nonce,
 		KnownIdentity: s.host.book.knownFolder(s.node),
-		Speaks:        uint32(s.host.config.Speaks),
+		Speaks:        uint32(s.host.config.SupportedLevel),
 		CapacityBytes: s.host.config.CapacityBytes,
 	}
 }
--- a/internal/consensus/silences.go
+++ b/internal/consensus/silences.go
@@ -87,9 +87,9 @@
 	return &wire.RaftBatch{KeepAlive: true, Unheard: h.silences.listUnheard()}
 }
 
-// Unheard returns for how long a node has not been heard. It is the longest of the times that this node has measured
+// UnheardFor returns for how long a node has not been heard. It is the longest of the times that this node has measured
 // and that the other nodes have reported recently, or 0 if one of them hears the node.
-func (h *Host) Unheard(node uint64, others []uint64) time.Duration {
+func (h *Host) UnheardFor(node uint64, others []uint64) time.Duration {
 	longest := h.silences.get(node)
 	if longest == 0 {
 		return 0
--- a/internal/consensus/silences_test.go
+++ b/internal/consensus/silences_test.go
@@ -27,12 +27,12 @@
 	}
 	lost.kill()
 	for _, node := range c.running() {
-		c.wait("each node measures the silence of the lost node", func() bool { return node.host.Unheard(lost.id, others) >= minSilence })
+		c.wait("each node measures the silence of the lost node", func() bool { return node.host.UnheardFor(lost.id, others) >= minSilence })
 	}
 	next.kill()
 	next.start()
 	c.wait("a restarted node learns the silence from the others", func() bool {
-		return next.host.Unheard(lost.id, others) >= minSilence && next.host.Unheard(lost.id, nil) < next.host.Unheard(lost.id, others)
+		return next.host.UnheardFor(lost.id, others) >= minSilence && next.host.UnheardFor(lost.id, nil) < next.host.UnheardFor(lost.id, others)
 	})
 	c.wait("the node leads", func() bool {
 		leader := c.leader(0)
@@ -42,11 +42,11 @@
 		_ = leader.host.TransferLeadership(context.Background(), 0, next.id)
 		return false
 	})
-	if silence := next.host.Unheard(lost.id, others); silence < minSilence {
+	if silence := next.host.UnheardFor(lost.id, others); silence < minSilence {
 		t.Errorf("got a silence of %v at the next leader, want at least the time measured before", silence)
 	}
 	for _, node := range c.running() {
-		if silence := next.host.Unheard(node.id, others); silence != 0 {
+		if silence := next.host.UnheardFor(node.id, others); silence != 0 {
 			t.Errorf("running node %d has a silence of %v, want 0", node.id, silence)
 		}
 	}
@@ -59,6 +59,6 @@
 	c.commit(0, "first")
 	c.network.isolate(1, true, 2)
 	one := c.nodes[1].host
-	c.wait("node 1 measures a silence of node 2 behind the cut link", func() bool { return one.Unheard(2, nil) > 0 })
-	c.wait("node 3 has reported that it hears node 2", func() bool { return one.Unheard(2, []uint64{3}) == 0 })
+	c.wait("node 1 measures a silence of node 2 behind the cut link", func() bool { return one.UnheardFor(2, nil) > 0 })
+	c.wait("node 3 has reported that it hears node 2", func() bool { return one.UnheardFor(2, []uint64{3}) == 0 })
 }
--- a/internal/consensus/stuckwrite.go
+++ b/internal/consensus/stuckwrite.go
@@ -11,7 +11,7 @@
 // StuckWrite describes a write of this node that is still in progress while other nodes have already stored the same
 // entries. The disk hangs, or is full while theirs are not.
 type StuckWrite struct {
-	Lasts time.Duration // time since the write started; 0: there is no such write
+	Duration time.Duration // time since the write started; 0: there is no such write
 	// Ahead lists the IDs, in ascending order, of the voters that have stored entries of some group led by this node
 	// that are not on this node's disk yet.
 	Ahead []uint64
@@ -35,7 +35,7 @@
 		return StuckWrite{}
 	}
 	slices.Sort(ahead)
-	return StuckWrite{Lasts: now.Sub(h.writer.startedAt), Ahead: slices.Compact(ahead)}
+	return StuckWrite{Duration: now.Sub(h.writer.startedAt), Ahead: slices.Compact(ahead)}
 }
 
 // findVotersAhead returns the voters that were active recently and have stored more of a group than its leader.
--- a/internal/consensus/stuckwrite_test.go
+++ b/internal/consensus/stuckwrite_test.go
@@ -33,7 +33,7 @@
 		stuck, _ = leader.host.StuckWrite(t.Context())
 		return len(stuck.Ahead) > 0
 	})
-	if slices.Contains(stuck.Ahead, leader.id) || stuck.Lasts <= 0 {
+	if slices.Contains(stuck.Ahead, leader.id) || stuck.Duration <= 0 {
 		t.Fatalf("the leader returned %+v, want the time of the write and other voters ahead", stuck)
 	}
 	proposeWithoutAnswer(t, leader, "taken but not sent")
--- a/internal/control/groupkeeper.go
+++ b/internal/control/groupkeeper.go
@@ -110,7 +110,7 @@
 	sightings := make([]member.Observation, 0, len(status.Match))
 	for _, other := range status.Match {
 		sightings = append(sightings, member.Observation{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
-			ReportedSilence: k.server.replicas.Unheard(other.Node, heard)})
+			ReportedSilence: k.server.replicas.UnheardFor(other.Node, heard)})
 	}
 	return sightings
 }
--- a/internal/control/hosted.go
+++ b/internal/control/hosted.go
@@ -44,9 +44,9 @@
 		Credentials:        s.config.Credentials,
 		Dial:               s.config.dialPeer(),
 		IsStandby:          isStandby,
-		Speaks:             s.config.speaks(),
+		SupportedLevel:     s.config.speaks(),
 		CapacityBytes:      s.config.JobBytes,
-		Agreed:             s.levels.agreed,
+		LevelInForce:       s.levels.agreed,
 		Log:                s.log,
 	})
 	if err != nil {
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -116,7 +116,7 @@
 		for _, node := range (<-answers).GetNodes() {
 			nodes = append(nodes, consensus.Peer{ID: node.Node, Address: node.Address})
 		}
-		s.replicas.Introduce(nodes)
+		s.replicas.AddKnownNodes(nodes)
 	}
 }
 
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -205,7 +205,7 @@
 		nodes[candidate.ID] = true
 	}
 	for node := range nodes {
-		speaks, _ := l.server.replicas.Speaks(node)
+		speaks, _ := l.server.replicas.PeerLevel(node)
 		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: speaks})
 	}
 	return present, nil
--- a/internal/control/metrics_elections.go
+++ b/internal/control/metrics_elections.go
@@ -21,7 +21,7 @@
 
 // collectElections collects the metrics of a group's elections as observed by this node.
 func (c *collector) collectElections(ctx context.Context, out chan<- prometheus.Metric, group uint32) {
-	sight, err := c.server.replicas.Sight(ctx, group)
+	sight, err := c.server.replicas.ElectionView(ctx, group)
 	if err != nil {
 		return
 	}
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -35,18 +35,18 @@
 	Addresses(ctx context.Context, group uint32) ([]string, error)
 	// Nodes returns the nodes that this node knows. Introduce adds further nodes.
 	Nodes() []consensus.Peer
-	Introduce(nodes []consensus.Peer)
+	AddKnownNodes(nodes []consensus.Peer)
 	// Status returns this node's view of group.
 	Status(ctx context.Context, group uint32) (raft.Status, error)
-	// Speaks returns the level that a node announced last, or false if it has announced none since this node started.
-	Speaks(node uint64) (compat.Level, bool)
-	// Sight returns what this node has observed of a group's elections. SilentFor returns how long it has not heard a
+	// PeerLevel returns the level that a node announced last, or false if it has announced none since this node started.
+	PeerLevel(node uint64) (compat.Level, bool)
+	// ElectionView returns what this node has observed of a group's elections. SinceLastHeard returns how long it has not heard a
 	// node.
-	Sight(ctx context.Context, group uint32) (consensus.Sight, error)
-	SilentFor(node uint64) time.Duration
-	// Unheard returns how long this node and others have all not heard a node, according to their recent reports. It is
+	ElectionView(ctx context.Context, group uint32) (consensus.ElectionView, error)
+	SinceLastHeard(node uint64) time.Duration
+	// UnheardFor returns how long this node and others have all not heard a node, according to their recent reports. It is
 	// 0 if one of them hears the node.
-	Unheard(node uint64, others []uint64) time.Duration
+	UnheardFor(node uint64, others []uint64) time.Duration
 	// Holdings returns the sizes of what this node stores of group apart from its state.
 	Holdings(ctx context.Context, group uint32) (consensus.Holdings, error)
 	// Capacity returns the size of state that every voter of group can hold, in bytes, or 0 if it is unknown.
--- a/internal/control/silentvoters.go
+++ b/internal/control/silentvoters.go
@@ -82,7 +82,7 @@
 	}
 	var silent []member.GroupNode
 	for _, voter := range voters {
-		if !voter.IsLeader && s.server.replicas.SilentFor(voter.ID) >= silentVoterLogDelay {
+		if !voter.IsLeader && s.server.replicas.SinceLastHeard(voter.ID) >= silentVoterLogDelay {
 			silent = append(silent, voter)
 		}
 	}
@@ -93,7 +93,7 @@
 	var described []events.SilentVoter
 	for _, node := range nodes {
 		described = append(described, events.SilentVoter{ID: node.ID, Address: node.Address, Standby: node.Standby,
-			SilentMs: events.Millis(s.server.replicas.SilentFor(node.ID)), CountedMs: events.Millis(node.Silence), Leaving: node.Leaving})
+			SilentMs: events.Millis(s.server.replicas.SinceLastHeard(node.ID)), CountedMs: events.Millis(node.Silence), Leaving: node.Leaving})
 	}
 	return described
 }
--- a/internal/control/yield.go
+++ b/internal/control/yield.go
@@ -45,7 +45,7 @@
 	stuck := l.stuckWrite(ctx)
 	for _, group := range l.server.groups() {
 		if l.server.states[group].leader().Leading && !l.recentlyTransferred(group, now) {
-			l.transferGroup(ctx, &successionInput{group: group, controlLeader: controlLeader, leaderUnknownFor: l.leaderUnknownFor(now), votersAhead: stuck.Ahead}, stuck.Lasts)
+			l.transferGroup(ctx, &successionInput{group: group, controlLeader: controlLeader, leaderUnknownFor: l.leaderUnknownFor(now), votersAhead: stuck.Ahead}, stuck.Duration)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(ctx, localTimeout)
 	defer cancel()
 	stuck, err := l.server.replicas.StuckWrite(ctx)
-	if err != nil || stuck.Lasts < l.server.settings.Lease/2 {
+	if err != nil || stuck.Duration < l.server.settings.Lease/2 {
 		return consensus.StuckWrite{} // a loop that does not answer is stopping
 	}
 	return stuck
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -61,7 +61,7 @@
 				if err := proto.Unmarshal(entry.Data, command); err != nil {
 					t.Fatal(err)
 				}
-				if err := replayed.Readable(command); err != nil {
+				if err := replayed.CheckReadable(command); err != nil {
 					t.Fatal(err)
 				}
 				replayed.Apply(entry.Index, command)
--- a/internal/state/level_test.go
+++ b/internal/state/level_test.go
@@ -80,10 +80,10 @@
 // rejected, because this build would apply them differently.
 func TestHigherLevelIsRejected(t *testing.T) {
 	machine := New()
-	if err := machine.Readable(raiseTo(compat.Newest)); err != nil {
+	if err := machine.CheckReadable(raiseTo(compat.Newest)); err != nil {
 		t.Error(err)
 	}
-	if machine.Readable(raiseTo(compat.Newest+1)) == nil || machine.Readable(&wire.Command{}) == nil {
+	if machine.CheckReadable(raiseTo(compat.Newest+1)) == nil || machine.CheckReadable(&wire.Command{}) == nil {
 		t.Error("an entry of a newer build was accepted")
 	}
 	data, err := proto.Marshal(&wire.MachineSnapshot{Format: SnapshotFormat, Level: uint32(compat.Newest + 1)})
