--- a/internal/consensus/compaction.go
+++ b/internal/consensus/compaction.go
@@ -93,7 +93,7 @@
 	}
 	g.cycle.Compact(&snapshot)
 	g.snapshots.index, g.snapshots.size = encoded.index, encoded.parts.Size()
-	g.snapshots.newBytes = g.config.Store.SizeOfNew(g.id, encoded.parts)
+	g.snapshots.newBytes = g.config.Store.UnstoredBytes(g.id, encoded.parts)
 	return nil
 }
 
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -53,12 +53,12 @@
 	// Write makes a batch durable atomically. storage.ErrNoSpace means that nothing was written and the call may be
 	// repeated. Any other error stops the host.
 	Write(batch []storage.GroupWrite) error
-	// Room returns which kinds of writes the free disk space admits beside the headroom.
-	Room() storage.Room
-	// HasRoomFor reports whether a snapshot of a group fits while leaving the space that votes need.
-	HasRoomFor(group uint32, snapshot raft.Parts) bool
-	// SizeOfNew returns the number of bytes that storing a snapshot of a group would add to the disk.
-	SizeOfNew(group uint32, snapshot raft.Parts) int
+	// FreeSpace returns which kinds of writes the free disk space admits beside the headroom.
+	FreeSpace() storage.FreeSpace
+	// HasSpaceFor reports whether a snapshot of a group fits while leaving the space that votes need.
+	HasSpaceFor(group uint32, snapshot raft.Parts) bool
+	// UnstoredBytes returns the number of bytes that storing a snapshot of a group would add to the disk.
+	UnstoredBytes(group uint32, snapshot raft.Parts) int
 	// Peers and PutPeer read and durably write the records of other nodes.
 	Peers() ([]storage.PeerRecord, error)
 	PutPeer(record storage.PeerRecord) error
--- a/internal/consensus/host.go
+++ b/internal/consensus/host.go
@@ -33,7 +33,7 @@
 	nextWrite     []*hostedGroup // groups with data for the next write
 	inWrite       []*hostedGroup // groups of the write in progress
 	proposedCount int            // proposals taken since the last write started
-	freeSpace     storage.Room
+	freeSpace     storage.FreeSpace
 	encoded       chan *encodedState // buffered for one per group
 	encoders      sync.WaitGroup     // goroutines that encode a state or read a stored snapshot
 
--- a/internal/consensus/loop.go
+++ b/internal/consensus/loop.go
@@ -201,7 +201,7 @@
 	batch := make([]storage.GroupWrite, 0, len(h.nextWrite))
 	for _, g := range h.nextWrite {
 		write := g.cycle.Write()
-		write.InParts = h.canStoreParts()
+		write.AllowMultipleFiles = h.canStoreParts()
 		batch = append(batch, write)
 	}
 	h.inWrite, h.nextWrite = h.nextWrite, h.inWrite[:0]
--- a/internal/consensus/room.go
+++ b/internal/consensus/room.go
@@ -14,20 +14,20 @@
 
 // updateFreeSpace checks the disk's free space and logs a change of the kinds of writes that it admits.
 func (h *Host) updateFreeSpace() {
-	freeSpace := h.config.Store.Room()
+	freeSpace := h.config.Store.FreeSpace()
 	if freeSpace == h.freeSpace {
 		return
 	}
 	h.freeSpace = freeSpace
-	logging.Emit(h.config.Log, &events.DiskChanged{Full: freeSpace != storage.RoomForAll, Room: freeSpace.String()})
+	logging.Emit(h.config.Log, &events.DiskChanged{Full: freeSpace != storage.SpaceForAll, Room: freeSpace.String()})
 }
 
 // acceptsNewCommands reports whether there is enough free space for new commands of a group.
 func (h *Host) acceptsNewCommands(g *hostedGroup) bool {
 	switch h.freeSpace {
-	case storage.RoomForAll:
+	case storage.SpaceForAll:
 		return true
-	case storage.RoomForReserved:
+	case storage.SpaceForReserved:
 		return h.isReserved(g)
 	}
 	return false
@@ -41,12 +41,12 @@
 // accepted are stored until only the space for votes is left, and always in a reserved group: a leader with more free
 // space may accept a command that the next leader must replicate before its own first entry.
 func (h *Host) hasSpaceFor(g *hostedGroup, message *raft.Message) bool {
-	if message.Snapshot != nil && !h.config.Store.HasRoomFor(g.id, message.Snapshot.Data) {
+	if message.Snapshot != nil && !h.config.Store.HasSpaceFor(g.id, message.Snapshot.Data) {
 		// The write would be retried until there is enough space, and the votes of all groups would wait for it.
 		logging.Emit(h.config.Log, &events.SnapshotLeftOut{Group: g.id, Index: message.Snapshot.Index, Bytes: message.Snapshot.Data.Size(), Received: true})
 		return false
 	}
-	return h.freeSpace != storage.RoomForVotes || h.isReserved(g) || hasNoCommands(message.Entries)
+	return h.freeSpace != storage.SpaceForVotes || h.isReserved(g) || hasNoCommands(message.Entries)
 }
 
 // hasNoCommands reports whether none of the entries holds a command. Such entries are the first entry of a new leader
--- a/internal/storage/heldparts_test.go
+++ b/internal/storage/heldparts_test.go
@@ -15,7 +15,7 @@
 // compactionInParts returns the write of a snapshot whose state may be stored in several files.
 func compactionInParts(index uint64, parts ...[]byte) GroupWrite {
 	write := compaction(index, "")
-	write.Compaction.Data, write.InParts = parts, true
+	write.Compaction.Data, write.AllowMultipleFiles = parts, true
 	return write
 }
 
@@ -33,7 +33,7 @@
 	}
 	written := store.fileBytes.Load()
 	next := []([]byte){[]byte("head 2"), slices.Clone(second), third} // a received snapshot has equal content in other memory
-	if size := store.SizeOfNew(3, next); size != len("head 2")+len(third) {
+	if size := store.UnstoredBytes(3, next); size != len("head 2")+len(third) {
 		t.Fatalf("%d bytes are new, want those of the first and third part", size)
 	}
 	mustWrite(t, store, compactionInParts(9, next...))
@@ -81,21 +81,21 @@
 	}
 }
 
-// TestStateIsOneFileForOlderBuilds checks that a state is written as one file until InParts is set, because builds that
+// TestStateIsOneFileForOlderBuilds checks that a state is written as one file until AllowMultipleFiles is set, because builds that
 // do not support several files may have to read the folder. A group whose snapshot is already in several files keeps them.
 func TestStateIsOneFileForOlderBuilds(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
 	mustWrite(t, store, GroupWrite{Group: 3, Entries: entriesFrom(1, 20, 1)})
 	write := compactionInParts(5, []byte("head"), largePart('a'))
-	write.InParts = false
+	write.AllowMultipleFiles = false
 	mustWrite(t, store, write)
 	if names := listSnapshotFiles(t, options.Folder); len(names) != 1 {
 		t.Fatalf("got files %v, want 1", names)
 	}
 	wantState(t, store, 5, "head"+string(largePart('a')))
 	mustWrite(t, store, compactionInParts(6, []byte("head"), largePart('a')))
-	write.Compaction.Index = 7 // InParts is not set yet: a node does not know the level directly after its start
+	write.Compaction.Index = 7 // AllowMultipleFiles is not set yet: a node does not know the level directly after its start
 	mustWrite(t, store, write)
 	if names := listSnapshotFiles(t, options.Folder); len(names) != 2 {
 		t.Fatalf("got files %v, want 2", names)
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -145,7 +145,7 @@
 func (s *Store) writeStateFiles(write *GroupWrite, files *snapshotWrite) error {
 	snapshot := write.newestSnapshot()
 	files.byGroup[write.Group] = nil
-	inParts := write.InParts || s.parts.hasSeveralFiles(write.Group)
+	inParts := write.AllowMultipleFiles || s.parts.hasSeveralFiles(write.Group)
 	for _, parts := range assignPartsToFiles(snapshot.Data, inParts) {
 		file := s.parts.findFile(write.Group, parts)
 		if file == nil {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -26,7 +26,7 @@
 	ClusterID string
 	NodeID    uint64
 	NodeName  string
-	// HeadroomBytes is the free disk space below which Room returns less than RoomForAll, so that the node refuses
+	// HeadroomBytes is the free disk space below which Room returns less than SpaceForAll, so that the node refuses
 	// new work while it can still write its votes. Default 256 MiB.
 	HeadroomBytes uint64
 	// Hooks inject faults in tests. Optional.
@@ -264,28 +264,28 @@
 // Starts returns how many times the folder was opened, including this time.
 func (s *Store) Starts() uint64 { return s.starts }
 
-// Room returns which work the free space of the disk allows. If the free space cannot be measured, it is assumed to be
+// FreeSpace returns which work the free space of the disk allows. If the free space cannot be measured, it is assumed to be
 // sufficient: a write to a full disk returns ErrNoSpace.
-func (s *Store) Room() Room {
+func (s *Store) FreeSpace() FreeSpace {
 	free, err := s.measureFreeBytes()
 	switch {
 	case err != nil || free >= s.options.HeadroomBytes:
-		return RoomForAll
+		return SpaceForAll
 	case free >= s.options.HeadroomBytes/voteReserveDivisor:
-		return RoomForReserved
+		return SpaceForReserved
 	}
-	return RoomForVotes
+	return SpaceForVotes
 }
 
-// HasRoomFor reports whether the disk can hold a new snapshot of a group beside the present one and still has the free
+// HasSpaceFor reports whether the disk can hold a new snapshot of a group beside the present one and still has the free
 // space that is reserved for votes.
-func (s *Store) HasRoomFor(group uint32, snapshot raft.Parts) bool {
+func (s *Store) HasSpaceFor(group uint32, snapshot raft.Parts) bool {
 	free, err := s.measureFreeBytes()
-	return err != nil || free >= uint64(s.SizeOfNew(group, snapshot))+s.options.HeadroomBytes/voteReserveDivisor
+	return err != nil || free >= uint64(s.UnstoredBytes(group, snapshot))+s.options.HeadroomBytes/voteReserveDivisor
 }
 
-// SizeOfNew returns the size in bytes of those parts of a group's snapshot that no file of its stored snapshot holds.
-func (s *Store) SizeOfNew(group uint32, snapshot raft.Parts) int {
+// UnstoredBytes returns the size in bytes of those parts of a group's snapshot that no file of its stored snapshot holds.
+func (s *Store) UnstoredBytes(group uint32, snapshot raft.Parts) int {
 	return s.parts.unstoredBytes(group, snapshot)
 }
 
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -364,14 +364,14 @@
 	}
 	for _, want := range []struct {
 		free uint64
-		room Room
-	}{{defaultHeadroomBytes, RoomForAll}, {defaultHeadroomBytes - 1, RoomForReserved}, {defaultHeadroomBytes / 2, RoomForReserved},
-		{defaultHeadroomBytes/2 - 1, RoomForVotes}, {1 << 20, RoomForVotes}} {
-		if free = want.free; store.Room() != want.room {
-			t.Fatalf("%d free bytes are classified as %v, want %v", free, store.Room(), want.room)
+		room FreeSpace
+	}{{defaultHeadroomBytes, SpaceForAll}, {defaultHeadroomBytes - 1, SpaceForReserved}, {defaultHeadroomBytes / 2, SpaceForReserved},
+		{defaultHeadroomBytes/2 - 1, SpaceForVotes}, {1 << 20, SpaceForVotes}} {
+		if free = want.free; store.FreeSpace() != want.room {
+			t.Fatalf("%d free bytes are classified as %v, want %v", free, store.FreeSpace(), want.room)
 		}
 	}
-	if free = defaultHeadroomBytes/2 + 100; !store.HasRoomFor(0, raft.Parts{make([]byte, 100)}) || store.HasRoomFor(0, raft.Parts{make([]byte, 100), {1}}) {
+	if free = defaultHeadroomBytes/2 + 100; !store.HasSpaceFor(0, raft.Parts{make([]byte, 100)}) || store.HasSpaceFor(0, raft.Parts{make([]byte, 100), {1}}) {
 		t.Fatal("with 100 bytes more than half the headroom free, a snapshot of 100 bytes must fit and one of 101 must not")
 	}
 	if found := mustLoad(t, store, 0); len(found.Entries) != 2 || found.Entries[1].Term != 1 {
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -22,9 +22,9 @@
 	HardState *raft.HardState
 	// Compaction is a snapshot that the node made itself; log entries up to its index are deleted. Nil if there is none.
 	Compaction *raft.Snapshot
-	// InParts is set if all builds that may read the folder support states in several files. If it is not set, a state
+	// AllowMultipleFiles is set if all builds that may read the folder support states in several files. If it is not set, a state
 	// is written as one file.
-	InParts bool
+	AllowMultipleFiles bool
 }
 
 // maxCompactedPerWrite bounds how many compacted entries one write deletes, so that a compaction does not delay
