--- a/internal/consensus/compaction.go
+++ b/internal/consensus/compaction.go
@@ -50,7 +50,7 @@
 // compact captures a group's state when a snapshot is due, and compacts the log once a captured state is encoded. It
 // does neither while a Ready is in progress.
 func (h *Host) compact(g *hostedGroup) error {
-	if !g.cycle.Idle() {
+	if !g.cycle.IsIdle() {
 		return nil
 	}
 	if g.snapshots.isDue(g.config, g.applied) {
--- a/internal/consensus/host.go
+++ b/internal/consensus/host.go
@@ -140,7 +140,7 @@
 // requireVoterConfirmation makes a node that is new to all its groups wait until every voter knows its data folder.
 func (h *Host) requireVoterConfirmation() {
 	for _, group := range h.groups {
-		if !group.cycle.Blank() || group.applied > 0 {
+		if !group.cycle.IsHardStateEmpty() || group.applied > 0 {
 			return
 		}
 	}
--- a/internal/consensus/loop.go
+++ b/internal/consensus/loop.go
@@ -157,7 +157,7 @@
 	if err := h.compact(g); err != nil {
 		return err
 	}
-	if g.cycle.Compacts() {
+	if g.cycle.HasPendingSnapshot() {
 		h.queueWrite(g)
 	}
 	return nil
@@ -166,7 +166,7 @@
 // handleUrgent sends and applies everything that needs no sync. Reads that wait for the syncs in progress may wait
 // for up to three of them: with syncs of 450 ms and commands in flight, 17 of 19 reads were abandoned after 600 ms.
 func (h *Host) handleUrgent(g *hostedGroup) error {
-	urgent := g.cycle.Urgent()
+	urgent := g.cycle.UrgentOutput()
 	h.send(g, urgent.Messages)
 	if err := g.apply(urgent.Committed); err != nil {
 		return err
@@ -220,7 +220,7 @@
 		g.leaderless.recordSync(duration)
 	}
 	for _, g := range h.inWrite {
-		ready, compacted := g.cycle.Written()
+		ready, compacted := g.cycle.CompleteWrite()
 		switch {
 		case compacted == 0:
 		case result.compactionSkipped: // raft keeps the state in memory for followers that need it, since it is not on disk
--- a/internal/durable/cycle.go
+++ b/internal/durable/cycle.go
@@ -39,9 +39,9 @@
 	return &ready
 }
 
-// Urgent returns the output that may be sent without waiting for a write, also while a Ready is held. The entries that
+// UrgentOutput returns the output that may be sent without waiting for a write, also while a Ready is held. The entries that
 // Durable returns for the held Ready must be applied before.
-func (c *Cycle) Urgent() raft.Urgent { return c.node.Urgent() }
+func (c *Cycle) UrgentOutput() raft.Urgent { return c.node.Urgent() }
 
 // Hold records a Ready that must be durable before its messages are sent. Take returns no other until Finish.
 func (c *Cycle) Hold(ready *raft.Ready) { c.held = ready }
@@ -49,14 +49,14 @@
 // Compact adds a snapshot that this node made itself to the next write.
 func (c *Cycle) Compact(snapshot *raft.Snapshot) { c.pendingSnapshot = snapshot }
 
-// Compacts reports whether a snapshot passed to Compact waits to be written.
-func (c *Cycle) Compacts() bool { return c.pendingSnapshot != nil }
+// HasPendingSnapshot reports whether a snapshot passed to Compact waits to be written.
+func (c *Cycle) HasPendingSnapshot() bool { return c.pendingSnapshot != nil }
 
-// Idle reports whether neither a held Ready nor a snapshot passed to Compact waits to be written.
-func (c *Cycle) Idle() bool { return c.held == nil && c.pendingSnapshot == nil }
+// IsIdle reports whether neither a held Ready nor a snapshot passed to Compact waits to be written.
+func (c *Cycle) IsIdle() bool { return c.held == nil && c.pendingSnapshot == nil }
 
-// Blank reports whether the hard state is empty: nothing was stored and no Ready has set it yet.
-func (c *Cycle) Blank() bool { return c.hardState == raft.HardState{} }
+// IsHardStateEmpty reports whether the hard state is empty: nothing was stored and no Ready has set it yet.
+func (c *Cycle) IsHardStateEmpty() bool { return c.hardState == raft.HardState{} }
 
 // Queue marks the group as waiting for the next write. It returns false if the group was marked already.
 func (c *Cycle) Queue() bool {
@@ -88,10 +88,10 @@
 	return write
 }
 
-// Written must be called once the result of Write is durable. It returns the Ready whose messages may be sent now, nil if
+// CompleteWrite must be called once the result of Write is durable. It returns the Ready whose messages may be sent now, nil if
 // only a snapshot was written, and the index of the snapshot of Compact that was stored, 0 if there was none. Raft need
 // not keep the state of that snapshot in memory.
-func (c *Cycle) Written() (ready *raft.Ready, compacted uint64) {
+func (c *Cycle) CompleteWrite() (ready *raft.Ready, compacted uint64) {
 	ready, compacted = c.writing, c.writingIndex
 	c.writing, c.writingIndex = nil, 0
 	return ready, compacted
--- a/internal/durable/cycle_test.go
+++ b/internal/durable/cycle_test.go
@@ -19,14 +19,14 @@
 	if write.Group != 3 || write.Compaction != nil || write.Snapshot.Index != 9 {
 		t.Fatalf("got write %+v, want only the received snapshot of index 9", write)
 	}
-	if ready, compacted := cycle.Written(); ready == nil || compacted != 0 {
+	if ready, compacted := cycle.CompleteWrite(); ready == nil || compacted != 0 {
 		t.Fatalf("got Ready %v and compacted index %d, want a Ready and index 0", ready, compacted)
 	}
 	cycle.Compact(&raft.Snapshot{Index: 12})
 	if write = cycle.Write(); write.Compaction == nil || write.Compaction.Index != 12 {
 		t.Fatalf("got write %+v, want the newer snapshot of index 12", write)
 	}
-	if _, compacted := cycle.Written(); compacted != 12 {
+	if _, compacted := cycle.CompleteWrite(); compacted != 12 {
 		t.Fatalf("got compacted index %d, want 12", compacted)
 	}
 }
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	cycle := New(1, node, raft.HardState{})
-	if !cycle.Blank() {
+	if !cycle.IsHardStateEmpty() {
 		t.Fatal("Blank is false for a node that stored nothing")
 	}
 	for range 40 {
@@ -75,7 +75,7 @@
 		t.Fatalf("got Ready %+v, want one that must be synced", ready)
 	}
 	cycle.Hold(ready)
-	if cycle.Take() != nil || cycle.Idle() || cycle.Blank() {
+	if cycle.Take() != nil || cycle.IsIdle() || cycle.IsHardStateEmpty() {
 		t.Fatal("a second Ready was taken before the first was durable, or the cycle reports that it is idle or blank")
 	}
 	if !cycle.Queue() || cycle.Queue() {
@@ -84,7 +84,7 @@
 	if write := cycle.Write(); write.HardState == nil || *write.HardState != ready.HardState {
 		t.Fatalf("got write %+v, want the hard state of the Ready", write)
 	}
-	written, _ := cycle.Written()
+	written, _ := cycle.CompleteWrite()
 	if written != ready {
 		t.Fatal("Written returned another Ready than the one that was written")
 	}
--- a/internal/sim/group.go
+++ b/internal/sim/group.go
@@ -238,7 +238,7 @@
 }
 
 func (g *group) compactIfDue() {
-	if g.applied-g.snapshotIndex < snapshotEntries || !g.cycle.Idle() {
+	if g.applied-g.snapshotIndex < snapshotEntries || !g.cycle.IsIdle() {
 		return
 	}
 	data, err := g.machine.Snapshot()
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -80,7 +80,7 @@
 // requireVoterConfirmation makes a node without any stored state wait until every voter knows its data folder.
 func (h *host) requireVoterConfirmation() {
 	for _, g := range h.groups {
-		if !g.cycle.Blank() || g.applied > 0 {
+		if !g.cycle.IsHardStateEmpty() || g.applied > 0 {
 			return
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 func (h *host) advanceGroup(g *group) {
-	urgent := g.cycle.Urgent()
+	urgent := g.cycle.UrgentOutput()
 	h.send(g, urgent.Messages)
 	g.apply(urgent.Committed)
 	g.confirmReads(urgent.ReadStates)
@@ -231,7 +231,7 @@
 		}
 	}
 	g.compactIfDue()
-	if g.cycle.Compacts() {
+	if g.cycle.HasPendingSnapshot() {
 		h.queueWrite(g)
 	}
 }
@@ -266,7 +266,7 @@
 	written := h.writingGroups
 	h.writingGroups = nil
 	for _, g := range written {
-		if ready, _ := g.cycle.Written(); ready != nil {
+		if ready, _ := g.cycle.CompleteWrite(); ready != nil {
 			h.send(g, ready.Messages)
 			g.finishReady(ready)
 		}
