--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -56,7 +56,7 @@
 	// TransferLeadership asks a voter to lead group.
 	TransferLeadership(ctx context.Context, group uint32, node uint64) error
 	// StuckWrite returns a long-running disk write of this node whose content other voters have already stored.
-	// HandOver asks one of them to lead group without waiting for that write.
+	// ForceTransfer asks one of them to lead group without waiting for that write.
 	StuckWrite(ctx context.Context) (consensus.StuckWrite, error)
 	HandOver(ctx context.Context, group uint32, node uint64) error
 }
--- a/internal/raft/hungdisk_test.go
+++ b/internal/raft/hungdisk_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestLeaderWithAHungDiskHandsOver checks HandOver. A transfer waits until the successor holds the whole log, which
-// never happens if the leader's write hangs: the entries that it accepts meanwhile are not sent. HandOver makes the
+// TestLeaderWithAHungDiskHandsOver checks ForceTransfer. A transfer waits until the successor holds the whole log, which
+// never happens if the leader's write hangs: the entries that it accepts meanwhile are not sent. ForceTransfer makes the
 // most advanced voter campaign at once.
 func TestLeaderWithAHungDiskHandsOver(t *testing.T) {
 	c := newHungDiskCluster(t)
@@ -115,7 +115,7 @@
 	if next.node.log.lastIndex() >= old.node.log.lastIndex() {
 		t.Fatal("the leader sent all entries that it accepted, so the test shows nothing")
 	}
-	if err := old.node.HandOver(next.id); err != nil {
+	if err := old.node.ForceTransfer(next.id); err != nil {
 		t.Fatal(err)
 	}
 	const ticks = 5 // enough for a vote request and its reply
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -23,11 +23,11 @@
 	return nil
 }
 
-// HandOver asks a voter to campaign at once, although it may lack entries that this leader has accepted but not
+// ForceTransfer asks a voter to campaign at once, although it may lack entries that this leader has accepted but not
 // stored. It is for a leader whose disk takes no writes: such a leader can neither send those entries nor commit
 // them, so that TransferLeadership, which waits until the voter holds the whole log, would never complete. This node
 // leads until it hears of a later term. Errors: ErrNotLeader, ErrNotMember.
-func (n *Node) HandOver(to uint64) error {
+func (n *Node) ForceTransfer(to uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
 	}
