--- a/internal/batchrun/fixture_test.go
+++ b/internal/batchrun/fixture_test.go
@@ -207,7 +207,7 @@
 // sendEvents sends the events up to a count. A count below testEvents ends the answer early, in the middle of an event.
 func sendEvents(call *replica.Call, sink replica.Sink, count int, versions ...uint64) replica.Outcome {
 	outcome := replica.Outcome{Status: 200, Verdict: verdict.Ran}
-	if outcome.Err = sink.Head(replica.Head{Status: 200, Stream: true, Length: -1, Versions: versions[0]}); outcome.Err != nil {
+	if outcome.Err = sink.Head(replica.Head{Status: 200, Stream: true, Length: -1, Version: versions[0]}); outcome.Err != nil {
 		return outcome
 	}
 	for id := call.ResumeAfter + 1; id < int64(count); id++ {
@@ -223,7 +223,7 @@
 		outcome.Err = sink.Body([]byte("id: 99\ndata: ha"))
 		return outcome
 	}
-	outcome.Whole = true
+	outcome.Complete = true
 	return outcome
 }
 
--- a/internal/batchrun/rewards_test.go
+++ b/internal/batchrun/rewards_test.go
@@ -46,7 +46,7 @@
 		head.Header = []replica.Header{{Name: "x-score", Value: score}}
 	}
 	if outcome.Err = sink.Head(head); outcome.Err == nil {
-		outcome.Whole = true
+		outcome.Complete = true
 	}
 	return outcome
 }
@@ -101,7 +101,7 @@
 func TestRewardCallsAreRetried(t *testing.T) {
 	cut := func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		outcome := answerReward(call, sink, http.StatusOK, "cut short")
-		outcome.Whole, outcome.Err = false, errors.New("reset")
+		outcome.Complete, outcome.Err = false, errors.New("reset")
 		return outcome
 	}
 	unsigned := func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -112,7 +112,7 @@
 	if head.Status != http.StatusOK || !head.Stream {
 		return s.fail(errNoStream)
 	}
-	s.version = head.Versions
+	s.version = head.Version
 	return s.fail(s.checkVersion())
 }
 
@@ -209,7 +209,7 @@
 		return schedule.Failed
 	case s.status == http.StatusUnprocessableEntity:
 		return schedule.Impossible
-	case s.fault == nil && outcome.Whole && s.status == http.StatusOK && !s.parser.Pending() && s.text.events > 0:
+	case s.fault == nil && outcome.Complete && s.status == http.StatusOK && !s.parser.Pending() && s.text.events > 0:
 		return schedule.Completed
 	}
 	return schedule.Broken
--- a/internal/batchrun/stream_test.go
+++ b/internal/batchrun/stream_test.go
@@ -22,7 +22,7 @@
 	s := &stream{text: started, clock: func() time.Duration { return 0 }}
 	s.checkpointer.interval = time.Hour
 	s.parser.VersionField = "x-version"
-	if err := s.Head(replica.Head{Status: 200, Stream: true, Versions: 3}); err != nil {
+	if err := s.Head(replica.Head{Status: 200, Stream: true, Version: 3}); err != nil {
 		return s, err
 	}
 	return s, s.Body([]byte(body))
@@ -57,7 +57,7 @@
 
 // The HTTP answer ends properly, but in the middle of an event. It must not count as complete.
 func TestAnswerThatEndsWithinAnEventIsNotComplete(t *testing.T) {
-	whole := replica.Outcome{Verdict: verdict.Ran, Status: 200, Whole: true}
+	whole := replica.Outcome{Verdict: verdict.Ran, Status: 200, Complete: true}
 	for body, want := range map[string]schedule.Ending{
 		event(0) + event(1):                schedule.Completed,
 		event(0) + "id: 1\ndata: e1\n":     schedule.Broken,
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -30,9 +30,9 @@
 func (a *answer) Head(head replica.Head) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.head = &wire.RunHead{Status: uint32(head.Status), Stream: head.Stream, Version: head.Versions}
+	a.head = &wire.RunHead{Status: uint32(head.Status), Stream: head.Stream, Version: head.Version}
 	a.load, a.headAt = head.Load, a.clock()
-	if head.Versions > 0 && head.Versions < a.minVersion {
+	if head.Version > 0 && head.Version < a.minVersion {
 		return errOldVersion // reject now what the leader would stop only after the next report
 	}
 	return nil
--- a/internal/executor/drive_test.go
+++ b/internal/executor/drive_test.go
@@ -85,7 +85,7 @@
 	if reported := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Err: ErrNotAdmitted})); reported != NotPermitted {
 		t.Errorf("a run that is not permitted is reported as %s, want not_permitted", reported)
 	}
-	if reported := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Whole: true})); reported != Accepted {
+	if reported := RefusalOf(EndOf(someRun, someOrder, &replica.Outcome{Complete: true})); reported != Accepted {
 		t.Errorf("a run that ended is reported as %s, want accepted", reported)
 	}
 }
--- a/internal/executor/message.go
+++ b/internal/executor/message.go
@@ -101,7 +101,7 @@
 // EndOf encodes the end of the run that order started.
 func EndOf(key Key, order Order, outcome *replica.Outcome) *wire.RunEnded {
 	ended := &wire.RunEnded{
-		Key: wireKey(key), Order: WireOrder(order), Verdict: uint32(outcome.Verdict), Status: uint32(outcome.Status), Whole: outcome.Whole,
+		Key: wireKey(key), Order: WireOrder(order), Verdict: uint32(outcome.Verdict), Status: uint32(outcome.Status), Whole: outcome.Complete,
 		Refused: uint32(outcome.Refused), Peer: uint32(outcome.Peer), NotAdmitted: errors.Is(outcome.Err, ErrNotAdmitted),
 		Lost: isConnectionLoss(outcome.Err), Load: wireLoad(outcome.Load, 0),
 	}
@@ -136,7 +136,7 @@
 // those of this package keep only their text.
 func OutcomeOf(ended *wire.RunEnded) replica.Outcome {
 	outcome := replica.Outcome{
-		Verdict: verdict.Verdict(ended.GetVerdict()), Status: int(ended.GetStatus()), Whole: ended.GetWhole(),
+		Verdict: verdict.Verdict(ended.GetVerdict()), Status: int(ended.GetStatus()), Complete: ended.GetWhole(),
 		Refused: replica.Refusal(ended.GetRefused()), Peer: replica.Peer(ended.GetPeer()),
 	}
 	outcome.Load, _ = LoadOf(ended.GetLoad())
--- a/internal/executor/server.go
+++ b/internal/executor/server.go
@@ -234,7 +234,7 @@
 		found = append(found, &wire.HeldRun{
 			Key: one.start.GetKey(), Target: one.start.GetTarget(), ResumeAfter: one.start.GetResumeAfter(),
 			Term: one.order.Term, Number: one.order.Number, Received: received,
-			Ended: outcome != nil, Whole: outcome != nil && outcome.Whole,
+			Ended: outcome != nil, Whole: outcome != nil && outcome.Complete,
 		})
 	}
 	return found
@@ -248,7 +248,7 @@
 // endingLabel returns the metric label for how a run ended.
 func endingLabel(outcome *replica.Outcome) string {
 	switch {
-	case outcome.Whole:
+	case outcome.Complete:
 		return "whole"
 	case errors.Is(outcome.Err, ErrNotAdmitted):
 		return "not_admitted"
--- a/internal/executorclient/fixture_test.go
+++ b/internal/executorclient/fixture_test.go
@@ -39,14 +39,14 @@
 	s.mutex.Lock()
 	s.calls = append(s.calls, call)
 	s.mutex.Unlock()
-	if err := sink.Head(replica.Head{Status: 200, Stream: true, Versions: 7}); err != nil {
+	if err := sink.Head(replica.Head{Status: 200, Stream: true, Version: 7}); err != nil {
 		return replica.Outcome{Verdict: verdict.Ran, Err: err}
 	}
 	for {
 		select {
 		case part, more := <-s.parts:
 			if !more {
-				return replica.Outcome{Verdict: verdict.Ran, Status: 200, Whole: true}
+				return replica.Outcome{Verdict: verdict.Ran, Status: 200, Complete: true}
 			}
 			if err := sink.Body([]byte(part)); err != nil {
 				return replica.Outcome{Verdict: verdict.Ran, Status: 200, Err: err}
--- a/internal/executorclient/fleet_test.go
+++ b/internal/executorclient/fleet_test.go
@@ -25,13 +25,13 @@
 	}
 	close(p.replica.parts)
 	outcome := run.end(t)
-	if !outcome.Whole || outcome.Status != 200 || outcome.Err != nil || outcome.Verdict != verdict.Ran {
+	if !outcome.Complete || outcome.Status != 200 || outcome.Err != nil || outcome.Verdict != verdict.Ran {
 		t.Errorf("outcome %+v, want a complete answer with status 200", outcome)
 	}
 	if want := "one " + strings.Repeat("many ", 2000); run.sink.text() != want {
 		t.Errorf("body of %d bytes, want %d", len(run.sink.text()), len(want))
 	}
-	if head := run.sink.head; head.Status != 200 || !head.Stream || head.Versions != 7 {
+	if head := run.sink.head; head.Status != 200 || !head.Stream || head.Version != 7 {
 		t.Errorf("head %+v, want status 200, stream, version 7", head)
 	}
 	if run.sink.came < before || run.sink.came > monotonic.Now() {
@@ -62,7 +62,7 @@
 	taken := drive(held[0].Do)
 	p.replica.parts <- "three"
 	close(p.replica.parts)
-	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "one two three" {
+	if outcome := taken.end(t); !outcome.Complete || taken.sink.text() != "one two three" {
 		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 	if p.replica.begun() != 1 {
@@ -88,7 +88,7 @@
 		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
-	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "all" {
+	if outcome := taken.end(t); !outcome.Complete || taken.sink.text() != "all" {
 		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 }
@@ -117,7 +117,7 @@
 	run.end(t)
 	p.replica.parts <- "two"
 	close(p.replica.parts)
-	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "one two" {
+	if outcome := taken.end(t); !outcome.Complete || taken.sink.text() != "one two" {
 		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 	if p.replica.begun() != 1 {
@@ -153,7 +153,7 @@
 	p.replica.parts <- "two "
 	until(t, "the second part", func() bool { return run.sink.text() == "one two " })
 	close(p.replica.parts)
-	if outcome := run.end(t); !outcome.Whole || run.sink.text() != "one two " || p.replica.begun() != 1 {
+	if outcome := run.end(t); !outcome.Complete || run.sink.text() != "one two " || p.replica.begun() != 1 {
 		t.Errorf("outcome %+v, body %q, %d runs, want a complete answer of one run", outcome, run.sink.text(), p.replica.begun())
 	}
 }
@@ -218,7 +218,7 @@
 	p.server.Drain()
 	until(t, "the report that the executor is draining", func() bool { return lead.ChooseExecutor("a", "r1") == nil && lead.CountUsable() == 0 })
 	close(p.replica.parts)
-	if outcome := run.end(t); !outcome.Whole {
+	if outcome := run.end(t); !outcome.Complete {
 		t.Errorf("outcome %+v of a run at a draining executor, want a complete answer", outcome)
 	}
 }
--- a/internal/executorclient/link_test.go
+++ b/internal/executorclient/link_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("%d reports counted as ignored, want 6", l.ignored)
 	}
 	l.applyReport(reportOf(run.order, "own"))
-	if pieces, outcome := run.takeQueued(); len(pieces) != 1 || string(pieces[0].data) != "own" || outcome == nil || !outcome.Whole {
+	if pieces, outcome := run.takeQueued(); len(pieces) != 1 || string(pieces[0].data) != "own" || outcome == nil || !outcome.Complete {
 		t.Errorf("the run received %v, %v, want its own report", pieces, outcome)
 	}
 }
--- a/internal/executorclient/run.go
+++ b/internal/executorclient/run.go
@@ -217,7 +217,7 @@
 	load, age := executor.LoadOf(one.head.GetLoad())
 	sink.ReceivedAt(one.reportedAt - age)
 	return sink.Head(replica.Head{
-		Status: int(one.head.GetStatus()), Stream: one.head.GetStream(), Versions: one.head.GetVersion(), Length: -1, Load: load,
+		Status: int(one.head.GetStatus()), Stream: one.head.GetStream(), Version: one.head.GetVersion(), Length: -1, Load: load,
 	})
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -170,7 +170,7 @@
 	ctx, stop := a.pool.trackSend(ctx, a)
 	defer stop()
 	a.outcome = a.forwarder.config.Caller.Do(ctx, a.call, a.answer)
-	if !a.outcome.Whole {
+	if !a.outcome.Complete {
 		a.answer.buffer.release() // a partial answer is useless
 	}
 	if a.outcome.Err != nil && errors.Is(context.Cause(ctx), errRestarted) {
@@ -182,7 +182,7 @@
 	a.crashedBySum = a.recordCrash()
 	a.endRun(ctx)
 	a.reportedHealth = a.assessHealth(ctx)
-	a.pool.endBody(a.forwarder.now(), a.chosen.largeBody, a.outcome.Whole)
+	a.pool.endBody(a.forwarder.now(), a.chosen.largeBody, a.outcome.Complete)
 	changed := a.pool.endSend(a.forwarder.now(), a.target.Instance, &a.routingRequest, a.reportedHealth, a.loadObservation())
 	a.forwarder.metrics.countSend(a, a.forwarder.config.Now().Sub(a.started))
 	a.logHealthChange(changed)
@@ -204,7 +204,7 @@
 func (a *attempt) assessHealth(ctx context.Context) health {
 	outcome := &a.outcome
 	switch {
-	case outcome.Whole && outcome.Status < 500:
+	case outcome.Complete && outcome.Status < 500:
 		return healthGood
 	case a.requestMayFail && a.isServerFailure():
 		return healthDoubtful
@@ -243,7 +243,7 @@
 	if x.request.OnServerError != nil && a.isServerFailure() {
 		x.request.OnServerError(a.target.Instance)
 	}
-	if !a.outcome.Whole {
+	if !a.outcome.Complete {
 		x.logAttempt(a)
 		return x.decideNext(ctx, a)
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -85,7 +85,7 @@
 			}
 		}
 		if whole {
-			outcome.Whole, outcome.Err = true, nil
+			outcome.Complete, outcome.Err = true, nil
 		}
 		return outcome
 	}
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -198,7 +198,7 @@
 		return
 	}
 	accept := func() { a.pool.acceptBody(a.forwarder.now(), a.chosen.largeBody) }
-	a.call.Taken = accept
+	a.call.OnReceived = accept
 	before := a.answer.onHead
 	a.answer.onHead = func(stream bool) {
 		accept()
@@ -211,7 +211,7 @@
 // recordCrash lets the pool learn from a crash of the attempt's back end. It reports whether the total size of the
 // large bodies there caused the crash.
 func (a *attempt) recordCrash() (bySum bool) {
-	if a.outcome.Whole || a.outcome.Peer != replica.PeerGone && !errors.Is(a.outcome.Err, errRestarted) {
+	if a.outcome.Complete || a.outcome.Peer != replica.PeerGone && !errors.Is(a.outcome.Err, errRestarted) {
 		return false
 	}
 	if a.hasSuspectAtReplica() {
--- a/internal/forward/largebodies_test.go
+++ b/internal/forward/largebodies_test.go
@@ -92,8 +92,8 @@
 		}
 		if phase == m.readTime {
 			m.finishReading(call.Instance, bytes)
-			if call.Taken != nil {
-				call.Taken()
+			if call.OnReceived != nil {
+				call.OnReceived()
 			}
 		}
 	}
--- a/internal/forward/largeroom_test.go
+++ b/internal/forward/largeroom_test.go
@@ -220,8 +220,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			gone := make(chan struct{})
 			crash := func(_ context.Context, call *replica.Call, _ replica.Sink) replica.Outcome {
-				if call.Taken != nil {
-					call.Taken()
+				if call.OnReceived != nil {
+					call.OnReceived()
 				}
 				<-gone
 				return replica.Outcome{Verdict: verdict.MayHaveRun, Peer: replica.PeerGone, Err: errReset}
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -117,7 +117,7 @@
 func (c *forwarderMetrics) countSend(a *attempt, took time.Duration) {
 	outcome := refusalNames[a.outcome.Refused]
 	switch {
-	case a.outcome.Whole:
+	case a.outcome.Complete:
 		outcome = sendWhole
 	case outcome == "":
 		outcome = sendFailed
--- a/internal/poisonguard/guard_test.go
+++ b/internal/poisonguard/guard_test.go
@@ -484,7 +484,7 @@
 func TestEndingsOfCalls(t *testing.T) {
 	for want, outcome := range map[Ending]replica.Outcome{
 		NotRun:      {Verdict: verdict.DidNotRun, Peer: replica.PeerGone},
-		Answered:    {Verdict: verdict.Ran, Whole: true, Status: 500},
+		Answered:    {Verdict: verdict.Ran, Complete: true, Status: 500},
 		Crashed:     {Verdict: verdict.MayHaveRun, Peer: replica.PeerGone},
 		Interrupted: {Verdict: verdict.Ran, Peer: replica.PeerListening},
 	} {
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -29,7 +29,7 @@
 	switch {
 	case outcome.Verdict == verdict.DidNotRun:
 		return NotRun
-	case outcome.Whole:
+	case outcome.Complete:
 		return Answered
 	case outcome.Peer == replica.PeerGone:
 		return Crashed
--- a/internal/replica/client.go
+++ b/internal/replica/client.go
@@ -118,7 +118,7 @@
 
 // exchange sends a call and reads its answer. The second result reports whether the connection may be reused.
 func (c *Client) exchange(conn *connection, call *Call, sink Sink) (Outcome, bool) {
-	sent := conn.send(c.buildRequestHead(call), call.Body, call.Taken)
+	sent := conn.send(c.buildRequestHead(call), call.Body, call.OnReceived)
 	response, err := c.readHead(conn, call)
 	conn.markAnswered(sent)
 	if err != nil {
@@ -138,8 +138,8 @@
 		ended = discard(response.Body)
 	} else {
 		outcome.Err = c.deliver(response, outcome.Load, sink)
-		outcome.Whole = outcome.Err == nil
-		ended = outcome.Whole
+		outcome.Complete = outcome.Err == nil
+		ended = outcome.Complete
 	}
 	conn.setIdleTimeout(response.Header, c.options.IdleTimeout)
 	return outcome, ended && !response.Close && sent.isFinished() && conn.reader.Buffered() == 0
@@ -234,7 +234,7 @@
 			head.Header = append(head.Header, Header{Name: name, Value: value})
 		}
 	}
-	head.Versions, _ = strconv.ParseUint(c.headerValue(response, c.options.Names.Versions), 10, 64)
+	head.Version, _ = strconv.ParseUint(c.headerValue(response, c.options.Names.Version), 10, 64)
 	kind, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
 	head.Stream = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 	return head
--- a/internal/replica/client_test.go
+++ b/internal/replica/client_test.go
@@ -24,7 +24,7 @@
 	call.Header = []Header{{"X-Kept", "yes"}, {"attempt", "smuggled"}, {"Transfer-Encoding", "chunked"}, {"Last-Event-Id", "2"}}
 	call.Deadline, call.Urgency, call.ExpectedVersion, call.ResumeAfter = 1500*time.Millisecond, 0, 7, 9
 	outcome, sink := do(newTestClient(t, Options{}), call)
-	if !outcome.Whole || outcome.Verdict != verdict.Ran || outcome.Status != 200 || sink.body.String() != "hello" || sink.head.Versions != 7 {
+	if !outcome.Complete || outcome.Verdict != verdict.Ran || outcome.Status != 200 || sink.body.String() != "hello" || sink.head.Version != 7 {
 		t.Fatalf("got outcome %+v and head %+v, want the whole answer", outcome, sink.head)
 	}
 	if *outcome.Load != (loadreport.Report{Running: 3, Waiting: 1, Slots: 8}) {
@@ -55,7 +55,7 @@
 	})
 	client := newTestClient(t, Options{})
 	for _, id := range []string{"one", "two", "three"} {
-		if outcome, _ := do(client, s.call(id)); !outcome.Whole {
+		if outcome, _ := do(client, s.call(id)); !outcome.Complete {
 			t.Fatalf("%s: %+v", id, outcome)
 		}
 	}
@@ -76,7 +76,7 @@
 	target := s.call("").Target
 	for step, rest := range []time.Duration{0, time.Second, 1500 * time.Millisecond} {
 		now = now.Add(rest)
-		if outcome, _ := do(client, s.call("id")); !outcome.Whole {
+		if outcome, _ := do(client, s.call("id")); !outcome.Complete {
 			t.Fatal(outcome)
 		}
 		if want := []int{1, 1, 2}[step]; s.connections() != want {
@@ -125,7 +125,7 @@
 				}
 			}}
 			outcome := newTestClient(t, Options{}).Do(context.Background(), s.call("one"), sink)
-			if outcome.Whole || outcome.Err == nil || outcome.Verdict != test.verdict || outcome.Status != test.status || outcome.Refused != RefusedNone {
+			if outcome.Complete || outcome.Err == nil || outcome.Verdict != test.verdict || outcome.Status != test.status || outcome.Refused != RefusedNone {
 				t.Errorf("got outcome %+v, want an error, verdict and status of the test case", outcome)
 			}
 			if got := sink.body.String(); !test.reset && got != test.body {
@@ -143,7 +143,7 @@
 		return false
 	})
 	outcome, sink := do(newTestClient(t, Options{}), s.call("one"))
-	if !outcome.Whole || sink.body.String() != "all of it" || sink.head.Length != -1 || sink.heads != 1 {
+	if !outcome.Complete || sink.body.String() != "all of it" || sink.head.Length != -1 || sink.heads != 1 {
 		t.Fatalf("got outcome %+v and head %+v, want the whole answer", outcome, sink.head)
 	}
 }
@@ -182,7 +182,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, client := newStandinReplica(t, answer), newTestClient(t, Options{IdleTimeout: time.Hour})
-			if outcome, _ := do(client, s.call("one")); !outcome.Whole {
+			if outcome, _ := do(client, s.call("one")); !outcome.Complete {
 				t.Fatal(outcome)
 			}
 			if name == "while idle" {
@@ -195,7 +195,7 @@
 				t.Fatalf("got outcome %+v and body %q, want the answer to this request or none", second, sink.body.String())
 			}
 			third, sink := do(client, s.call("three"))
-			if !third.Whole || sink.body.String() != "ok" {
+			if !third.Complete || sink.body.String() != "ok" {
 				t.Errorf("got outcome %+v, want a whole answer on a new connection", third)
 			}
 		})
@@ -233,7 +233,7 @@
 			client := newTestClient(t, Options{IdleTimeout: time.Hour})
 			for range 2 {
 				outcome, sink := do(client, s.call("one"))
-				if outcome.Verdict != verdict.DidNotRun || outcome.Refused != test.refused || outcome.Whole || sink.heads != 0 {
+				if outcome.Verdict != verdict.DidNotRun || outcome.Refused != test.refused || outcome.Complete || sink.heads != 0 {
 					t.Fatalf("got outcome %+v, want a refusal of the test case's kind", outcome)
 				}
 			}
@@ -295,7 +295,7 @@
 		}
 	}}
 	outcome := client.Do(ctx, call, sink)
-	if !sink.head.Stream || outcome.Whole || !errors.Is(outcome.Err, context.Canceled) || outcome.Verdict != verdict.Ran {
+	if !sink.head.Stream || outcome.Complete || !errors.Is(outcome.Err, context.Canceled) || outcome.Verdict != verdict.Ran {
 		t.Errorf("got outcome %+v and head %+v, want a stream that was cancelled after it ran", outcome, sink.head)
 	}
 	<-gone
@@ -320,7 +320,7 @@
 	call := &Call{Target: Target{Instance: "i", Address: listener.Addr().String()}, AttemptID: "long", Method: "POST",
 		Path: "/", Body: make([]byte, 64<<20), Urgency: -1, ResumeAfter: -1}
 	outcome, _ := do(client, call)
-	if !outcome.Whole || client.Load(call.Target) != 0 {
+	if !outcome.Complete || client.Load(call.Target) != 0 {
 		t.Errorf("got outcome %+v and %d open connections, want a whole answer and none", outcome, client.Load(call.Target))
 	}
 }
@@ -336,7 +336,7 @@
 	for number, instance := range []string{"i-1@1000", "i-1@1000", "i-1@2000"} {
 		call := s.call(instance)
 		call.Instance = instance
-		if outcome, _ := do(client, call); !outcome.Whole {
+		if outcome, _ := do(client, call); !outcome.Complete {
 			t.Fatalf("got outcome %+v, want a whole answer", outcome)
 		}
 		if target := s.requests[number].Header.Get("Target"); target != "i-1" {
--- a/internal/replica/names.go
+++ b/internal/replica/names.go
@@ -10,7 +10,7 @@
 	Target          string // instance that the call is for
 	Urgency         string // 0 (most urgent) to 9
 	ExpectedVersion string // weight version without which the call is refused
-	Versions        string // weight version at the start of an answer
+	Version         string // weight version at the start of an answer
 	NotExecuted     string // marks an answer as a refusal: the request did not run
 	Load            string // the replica's load report, see package loadreport
 	Tenant          string // name of the tenant whose request it is
@@ -26,8 +26,8 @@
 	"Transfer-Encoding", "Upgrade",
 }
 
-// Reserved reports whether the client sets or omits the header field itself. A field of this name in a call is not sent.
-func (n *Names) Reserved(name string) bool {
+// IsReserved reports whether the client sets or omits the header field itself. A field of this name in a call is not sent.
+func (n *Names) IsReserved(name string) bool {
 	for _, field := range connectionFields {
 		if strings.EqualFold(field, name) {
 			return true
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -37,7 +37,7 @@
 				return false
 			})
 			outcome, _ := do(newTestClient(t, Options{}), s.call("one"))
-			if outcome.Peer != test.want || outcome.Whole || outcome.Verdict == verdict.DidNotRun {
+			if outcome.Peer != test.want || outcome.Complete || outcome.Verdict == verdict.DidNotRun {
 				t.Errorf("got outcome %+v, want peer %q", outcome, test.want)
 			}
 		})
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -47,19 +47,19 @@
 	// Admit is called directly before the first byte is sent. Its error ends the call as not run; a connection that was
 	// opened for the call is kept for another one. Nil admits every call.
 	Admit func() error
-	// Taken is called once for a long request, when the replica's machine has acknowledged all of its bytes or its answer
+	// OnReceived is called once for a long request, when the replica's machine has acknowledged all of its bytes or its answer
 	// has begun. Where acknowledgements can't be determined it is called when all bytes were handed to the system. Nil if
 	// the caller does not need it.
-	Taken func()
+	OnReceived func()
 }
 
 // Head is the status and header of an answer.
 type Head struct {
-	Status   int
-	Header   []Header
-	Length   int64  // bytes of the body; -1 if it is not known beforehand
-	Versions uint64 // weight version at the start of the answer; 0 if the replica does not send it
-	Stream   bool   // the body is a series of events (text/event-stream)
+	Status  int
+	Header  []Header
+	Length  int64  // bytes of the body; -1 if it is not known beforehand
+	Version uint64 // weight version at the start of the answer; 0 if the replica does not send it
+	Stream  bool   // the body is a series of events (text/event-stream)
 	// Load is the replica's load report at the start of the answer, or nil if there is none that can be read. For a
 	// stream it is available here long before the Outcome.
 	Load *loadreport.Report
@@ -80,8 +80,8 @@
 	Verdict verdict.Verdict
 	// Status is the HTTP status of the answer, or 0 if there was none.
 	Status int
-	// Whole is set if the complete answer was passed to the sink.
-	Whole bool
+	// Complete is set if the complete answer was passed to the sink.
+	Complete bool
 	// Refused is the reason why the call did not run. It is RefusedNone if the call may have run, or if Admit refused it.
 	Refused Refusal
 	// Load is the load report in the answer or refusal, or nil if there is none that can be read.
--- a/internal/replica/report_test.go
+++ b/internal/replica/report_test.go
@@ -52,7 +52,7 @@
 	log, lines := logrustest.NewNullLogger()
 	client := newTestClient(t, Options{Now: func() time.Time { return now }, Log: logrus.NewEntry(log)})
 	for range 3 {
-		if outcome, _ := do(client, s.call("one")); outcome.Load != nil || !outcome.Whole {
+		if outcome, _ := do(client, s.call("one")); outcome.Load != nil || !outcome.Complete {
 			t.Fatalf("got outcome %+v, want the whole answer without a load report", outcome)
 		}
 	}
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -23,7 +23,7 @@
 	}
 	head = appendField(head, "Host", host)
 	for _, field := range call.Header {
-		if names.Reserved(field.Name) || (call.ResumeAfter >= 0 && strings.EqualFold(field.Name, lastEventID)) {
+		if names.IsReserved(field.Name) || (call.ResumeAfter >= 0 && strings.EqualFold(field.Name, lastEventID)) {
 			continue
 		}
 		head = appendField(head, field.Name, field.Value)
@@ -76,7 +76,7 @@
 }
 
 // send writes a request. A long request is written by a goroutine of its own while its answer is read, because a replica
-// may answer before it has read all of the request. The goroutine calls taken, if it is not nil: see Call.Taken.
+// may answer before it has read all of the request. The goroutine calls taken, if it is not nil: see Call.OnReceived.
 func (c *connection) send(head, body []byte, taken func()) *upload {
 	state := &upload{headBytes: int64(len(head)), total: int64(len(head) + len(body))}
 	if state.total <= maxInlineBytes {
--- a/internal/replica/slow_test.go
+++ b/internal/replica/slow_test.go
@@ -52,7 +52,7 @@
 	for _, bytes := range []int{300 << 10, 4 << 20} {
 		client := newTestClient(t, Options{PeerTimeout: time.Second})
 		outcome, sink := do(client, callWithPause(t, bytes, 3*time.Second))
-		if !outcome.Whole || outcome.Verdict != verdict.Ran || sink.body.String() != "good" {
+		if !outcome.Complete || outcome.Verdict != verdict.Ran || sink.body.String() != "good" {
 			t.Errorf("body of %d bytes: got outcome %+v, want the whole answer", bytes, outcome)
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	client := newTestClient(t, Options{PeerTimeout: time.Second})
 	outcome, _ := do(client, callWithPause(t, 4<<20, time.Minute))
-	if outcome.Whole || outcome.Verdict != verdict.MayHaveRun || !errors.Is(outcome.Err, ErrStalled) {
+	if outcome.Complete || outcome.Verdict != verdict.MayHaveRun || !errors.Is(outcome.Err, ErrStalled) {
 		t.Errorf("got outcome %+v, want ErrStalled and MayHaveRun", outcome)
 	}
 }
@@ -97,8 +97,8 @@
 	began := time.Now()
 	taken := make(chan time.Duration, 2)
 	call := &Call{Target: Target{Instance: "i-1", Address: listener.Addr().String()}, AttemptID: "a", Method: "POST", Path: "/", Host: "h",
-		Body: make([]byte, 4<<20), Urgency: -1, ResumeAfter: -1, Taken: func() { taken <- time.Since(began) }}
-	if outcome, _ := do(newTestClient(t, Options{}), call); !outcome.Whole {
+		Body: make([]byte, 4<<20), Urgency: -1, ResumeAfter: -1, OnReceived: func() { taken <- time.Since(began) }}
+	if outcome, _ := do(newTestClient(t, Options{}), call); !outcome.Complete {
 		t.Fatalf("got outcome %+v, want the whole answer", outcome)
 	}
 	if len(taken) != 1 || <-taken >= work {
--- a/internal/replica/standin_test.go
+++ b/internal/replica/standin_test.go
@@ -12,7 +12,7 @@
 )
 
 var testNames = Names{AttemptID: "Attempt", Deadline: "Left-Ms", Target: "Target", Urgency: "Urgency",
-	ExpectedVersion: "Expected", Versions: "Versions", NotExecuted: "Not-Run", Load: "Load"}
+	ExpectedVersion: "Expected", Version: "Versions", NotExecuted: "Not-Run", Load: "Load"}
 
 // standinReplica is a replica whose answers a test determines.
 type standinReplica struct {
