--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -23,9 +23,9 @@
 	// minBytesPerWindow per window is slow enough for a caller on a poor link to send the largest body, and fast enough to
 	// disconnect a caller that sends a byte now and then.
 	minBytesPerWindow = 64 << 10
-	// RoomWait is how long a body waits for free space in the budget. Large bodies are read in less time, and a
+	// BudgetWait is how long a body waits for free space in the budget. Large bodies are read in less time, and a
 	// caller that is rejected soon can send its request to another gateway.
-	RoomWait = 250 * time.Millisecond
+	BudgetWait = 250 * time.Millisecond
 	// initialBytes is the initial capacity for a body of unknown length. It is doubled each time it is full.
 	initialBytes = 4 << 10
 )
@@ -49,7 +49,7 @@
 }
 
 // Read reads a body of the given length in bytes, which is negative if it is not known. The caller must release the
-// returned body even after an error. The error is bytebudget.ErrFull if the budget has no free space for RoomWait,
+// returned body even after an error. The error is bytebudget.ErrFull if the budget has no free space for BudgetWait,
 // ErrTooSlow if too few bytes arrived within a window, io.ErrUnexpectedEOF if the body is shorter than its length, or that
 // of source.
 func (r *Reader) Read(ctx context.Context, source io.Reader, length int64, deadline Deadline) (*Body, error) {
@@ -130,7 +130,7 @@
 func (b *Body) grow(ctx context.Context, capacity int64) error {
 	class := bytebudget.BodyClass(capacity)
 	b.releaseBudget() // first, so that the body does not wait for its own reservation
-	if err := b.budget.Acquire(ctx, class, capacity, RoomWait); err != nil {
+	if err := b.budget.Acquire(ctx, class, capacity, BudgetWait); err != nil {
 		return err
 	}
 	larger := make([]byte, len(b.Bytes), capacity)
