--- a/internal/sendbuffer/conn.go
+++ b/internal/sendbuffer/conn.go
@@ -42,8 +42,8 @@
 	return made
 }
 
-// Answering sets the request whose answer is written from now on. It is reported in Cut.Request.
-func (c *Conn) Answering(request string) {
+// SetRequest sets the request whose answer is written from now on. It is reported in Cut.Request.
+func (c *Conn) SetRequest(request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.request = request
@@ -214,7 +214,7 @@
 	c.set.counts.countCut(cause)
 	if c.set.config.OnCut != nil {
 		c.set.config.OnCut(Cut{Remote: c.RemoteAddr(), Request: c.queue.nextRequest(c.request), Unsent: c.queue.unsentBytes(),
-			Still: c.meter.Still(c.set.now()), Cause: cause})
+			StalledFor: c.meter.Still(c.set.now()), Cause: cause})
 	}
 	resetConnection(c.transport)
 	c.fail(cause)
--- a/internal/sendbuffer/sendbuffer.go
+++ b/internal/sendbuffer/sendbuffer.go
@@ -47,11 +47,11 @@
 
 // Cut describes a connection that was cut off because its peer did not read.
 type Cut struct {
-	Remote  net.Addr
-	Request string        // request of the first answer in the buffer
-	Unsent  int64         // bytes in the buffer
-	Still   time.Duration // time without sufficient progress
-	Cause   error         // ErrStill, ErrBlocked or ErrShed
+	Remote     net.Addr
+	Request    string        // request of the first answer in the buffer
+	Unsent     int64         // bytes in the buffer
+	StalledFor time.Duration // time without sufficient progress
+	Cause      error         // ErrStill, ErrBlocked or ErrShed
 }
 
 // Config configures a Set. Only Budget is required.
@@ -138,9 +138,9 @@
 	return worst != nil && worst.cutOff(ErrShed)
 }
 
-// Relieve cuts off all connections whose peers have made no progress for BlockedTimeout. It is called when something else
+// CutStalled cuts off all connections whose peers have made no progress for BlockedTimeout. It is called when something else
 // finds no free space in the budget.
-func (s *Set) Relieve() {
+func (s *Set) CutStalled() {
 	now := s.now()
 	for _, conn := range s.slowConnections() {
 		if conn.stillFor(now) >= BlockedTimeout {
--- a/internal/sendbuffer/sendbuffer_test.go
+++ b/internal/sendbuffer/sendbuffer_test.go
@@ -242,7 +242,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture()
 				reader, conn := f.connect(1 << 10)
-				conn.Answering("r-1")
+				conn.SetRequest("r-1")
 				began := time.Now()
 				go func() { _, _ = conn.Write(sample(test.bytes)) }()
 				for range test.after/time.Second + 1 {
@@ -327,7 +327,7 @@
 			live.read(1 << 10)
 			time.Sleep(BlockedTimeout / 20)
 		}
-		f.Relieve()
+		f.CutStalled()
 		synctest.Wait()
 		if !dead.isClosed() || live.isClosed() {
 			t.Errorf("closed: still peer %v, reading peer %v; want only the still one", dead.isClosed(), live.isClosed())
