--- a/internal/batchrun/tenure.go
+++ b/internal/batchrun/tenure.go
@@ -362,7 +362,7 @@
 	if t.readyAt == 0 {
 		t.readyAt = now
 	}
-	return !t.serving.Knows() && now < t.readyAt+t.config.ServingWait
+	return !t.serving.HasVersions() && now < t.readyAt+t.config.ServingWait
 }
 
 // terminate gives an item up and lists its terminated result.
--- a/internal/cli/metrics_page_test.go
+++ b/internal/cli/metrics_page_test.go
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	driver, err := weights.NewDriver(weights.Config{Control: noControl{}, Sender: noSender{}, View: func() *table.View { return nil },
-		Leading: func() bool { return false }, Owner: "o"})
+		IsLeader: func() bool { return false }, Owner: "o"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	reporter, err := metering.NewReporter(metering.ReporterConfig{Control: noControl{}, Sender: noReceiver{}, Right: driver.Right, Length: time.Second})
+	reporter, err := metering.NewReporter(metering.ReporterConfig{Control: noControl{}, Sender: noReceiver{}, Right: driver.OrderToken, Length: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/weights/driver.go
+++ b/internal/weights/driver.go
@@ -48,18 +48,18 @@
 	Sender  Sender
 	// View returns the current view of the table. It may lag behind the table, and may be nil.
 	View func() *table.View
-	// Leading reports whether this process leads the control group. Its answer may be out of date by up to
+	// IsLeader reports whether this process leads the control group. Its answer may be out of date by up to
 	// maxLeadershipAge.
-	Leading func() bool
+	IsLeader func() bool
 	// Owner is the name of this machine as the owner of the fenced resource.
 	Owner string
 	// Takeover is the time that a new leader waits before its first order if another machine sent the last ones. It
 	// covers the period within which two machines must not alternate, plus the time for which Leading may be out of
 	// date. See TakeoverAfter.
 	Takeover time.Duration
-	// FencesChecked states that replicas reject orders whose fencing token is lower than the highest they have seen. A
+	// ReplicasCheckFences states that replicas reject orders whose fencing token is lower than the highest they have seen. A
 	// new leader then need not wait out the Takeover of an owner that has become silent.
-	FencesChecked bool
+	ReplicasCheckFences bool
 	// ForceTransfer asks the machine that owns the orders to take the leadership from this process, since that machine need
 	// not wait. It returns ErrOwnerSilent if that machine can't be reached. Optional.
 	HandOver func(ctx context.Context, owner string) error
@@ -162,7 +162,7 @@
 // NewDriver returns a driver with defaults applied to the config. It does nothing until Run is called. It returns
 // trace.BadParameter if a required field is missing.
 func NewDriver(config Config) (*Driver, error) {
-	if config.Control == nil || config.Sender == nil || config.View == nil || config.Leading == nil || config.Owner == "" {
+	if config.Control == nil || config.Sender == nil || config.View == nil || config.IsLeader == nil || config.Owner == "" {
 		return nil, trace.BadParameter("weights driver config lacks a required field: Control, Sender, View, Leading or Owner")
 	}
 	if config.MaxConcurrentLoads <= 0 {
@@ -191,11 +191,11 @@
 		reportedVersions: map[string][]registry.ModelVersion{}, reported: map[string]bool{}, surveyedAt: map[string]time.Duration{}, loadingModels: map[string]string{}, slotHolders: map[string]*load{}, activeLoads: map[string]*load{}, loadedVersions: map[replicaModel]uint64{}}, nil
 }
 
-// Right reports whether this process may send orders at this instant, and under which fencing token. Other work that
+// OrderToken reports whether this process may send orders at this instant, and under which fencing token. Other work that
 // only one process of the deployment may do depends on the same right, so that a single takeover settles all of it.
-func (d *Driver) Right() (token uint64, held bool) {
+func (d *Driver) OrderToken() (token uint64, held bool) {
 	token = d.publishedToken.Load()
-	return token, token != 0 && d.config.Leading()
+	return token, token != 0 && d.config.IsLeader()
 }
 
 // dropToken gives up the right to send orders.
@@ -204,16 +204,16 @@
 	d.token, d.planners, d.queue, d.takeover = 0, nil, nil, takeover{}
 }
 
-// Heard records the versions that a heartbeat reports. It is registered as a listener of the replica registry.
-func (d *Driver) Heard(heartbeat *registry.Registration) {
+// ObserveHeartbeat records the versions that a heartbeat reports. It is registered as a listener of the replica registry.
+func (d *Driver) ObserveHeartbeat(heartbeat *registry.Registration) {
 	if len(heartbeat.Models) == 0 {
 		return
 	}
 	d.recordReport(heartbeat.Incarnation().String(), heartbeat.Models)
 }
 
-// Look requests an immediate read of the registered versions. It does not block.
-func (d *Driver) Look() {
+// RequestVersionRead requests an immediate read of the registered versions. It does not block.
+func (d *Driver) RequestVersionRead() {
 	select {
 	case d.pollNow <- struct{}{}:
 	default:
@@ -272,7 +272,7 @@
 
 // sendQueued starts planned orders in free load slots between two planning cycles.
 func (d *Driver) sendQueued(ctx context.Context) {
-	if d.token == 0 || len(d.slotHolders) >= d.loadSlots || len(d.queue) == 0 || !d.config.Leading() {
+	if d.token == 0 || len(d.slotHolders) >= d.loadSlots || len(d.queue) == 0 || !d.config.IsLeader() {
 		return
 	}
 	if view := d.config.View(); view != nil && d.sendAll(ctx, view) {
--- a/internal/weights/incarnation_test.go
+++ b/internal/weights/incarnation_test.go
@@ -63,7 +63,7 @@
 	r.sender.replicas[instance.String()] = &fakeReplica{serving: map[string]uint64{"m0": version}}
 	r.sender.mutex.Unlock()
 	r.change("i-0", table.ColumnStart, formatStart(start))
-	r.driver.Heard(&registry.Registration{Instance: "i-0", Start: start, Models: []registry.ModelVersion{{Model: "m0", Number: version}}})
+	r.driver.ObserveHeartbeat(&registry.Registration{Instance: "i-0", Start: start, Models: []registry.ModelVersion{{Model: "m0", Number: version}}})
 }
 
 func formatStart(start uint64) string {
@@ -73,7 +73,7 @@
 
 func (r *restartFixture) put(number uint64) {
 	r.t.Helper()
-	if err := Put(context.Background(), r.control, "m0", number, "trainer"); err != nil {
+	if err := RegisterVersion(context.Background(), r.control, "m0", number, "trainer"); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -87,7 +87,7 @@
 	r.run(t)
 	r.put(2)
 	eventually(t, "timed out waiting for the first incarnation to serve version 2", func() bool {
-		return r.driver.Serving().Knows() && r.driver.Serving().Versions["m0"][instanceOf(1000)] == 2
+		return r.driver.Serving().HasVersions() && r.driver.Serving().Versions["m0"][instanceOf(1000)] == 2
 	})
 	r.start(2000, 1)
 	eventually(t, "timed out waiting for the second incarnation to serve version 2", func() bool {
@@ -123,7 +123,7 @@
 func (s *silentSender) Order(ctx context.Context, order Order) (Acceptance, error) {
 	if order.Instance == instanceOf(1000) {
 		s.ordered.Add(1)
-		return Underway, nil
+		return OrderAccepted, nil
 	}
 	return s.fakeSender.Order(ctx, order)
 }
--- a/internal/weights/load.go
+++ b/internal/weights/load.go
@@ -95,18 +95,18 @@
 	}
 	accepted := false
 	if !report.Busy {
-		order.Expected = report.Taken
-		if !config.Leading() {
+		order.ExpectedOrders = report.OrdersAccepted
+		if !config.IsLeader() {
 			return 0, trace.ConnectionProblem(nil, "this process leads no more")
 		}
 		answer, err := config.Sender.Order(ctx, *order)
 		if err != nil {
 			return 0, err
 		}
-		if answer == Holds {
+		if answer == AlreadyServing {
 			return order.Number, nil
 		}
-		accepted = answer == Underway
+		accepted = answer == OrderAccepted
 	}
 	return l.await(ctx, accepted)
 }
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -17,7 +17,7 @@
 // runCycle plans orders, sends them and publishes the serving state once, if this process leads. It returns the time
 // spent on its own work, without the requests to the control group.
 func (d *Driver) runCycle(ctx context.Context, readVersions bool) (spent time.Duration) {
-	if !d.config.Leading() {
+	if !d.config.IsLeader() {
 		d.dropToken()
 		d.published.Store(nil)
 		d.resetSurvey()
--- a/internal/weights/serving.go
+++ b/internal/weights/serving.go
@@ -12,20 +12,20 @@
 	Loading map[string]string
 }
 
-// Knows reports whether the state of any replica is known. It may be called on nil.
-func (s *Serving) Knows() bool { return s != nil && len(s.Versions) > 0 }
+// HasVersions reports whether the state of any replica is known. It may be called on nil.
+func (s *Serving) HasVersions() bool { return s != nil && len(s.Versions) > 0 }
 
 // Serving returns the versions served by the replicas while this process leads, and nil otherwise. It is safe for
 // concurrent use.
 func (d *Driver) Serving() *Serving {
-	if !d.config.Leading() {
+	if !d.config.IsLeader() {
 		return nil
 	}
 	return d.published.Load()
 }
 
-// ServingOf builds a Serving from reported versions by instance. It contains no loads, since reports don't tell them.
-func ServingOf(reports map[string][]registry.ModelVersion) *Serving {
+// NewServing builds a Serving from reported versions by instance. It contains no loads, since reports don't tell them.
+func NewServing(reports map[string][]registry.ModelVersion) *Serving {
 	serving := &Serving{Versions: map[string]map[string]uint64{}, Loading: map[string]string{}}
 	for instance, models := range reports {
 		for _, one := range models {
--- a/internal/weights/serving_test.go
+++ b/internal/weights/serving_test.go
@@ -6,10 +6,10 @@
 // and nil after it has lost the leadership.
 func TestServingReflectsLoads(t *testing.T) {
 	f := startFixture(t, 5)
-	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
+	if err := RegisterVersion(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
-	f.driver.Look()
+	f.driver.RequestVersionRead()
 	eventually(t, "timed out waiting for Serving to contain a load", func() bool {
 		serving := f.driver.Serving()
 		return serving != nil && len(serving.Loading) > 0
@@ -37,7 +37,7 @@
 func TestNothingIsPublishedBeforeSurvey(t *testing.T) {
 	d := newFixture(t, 1).driver
 	d.publish()
-	if serving := d.Serving(); serving == nil || serving.Knows() {
+	if serving := d.Serving(); serving == nil || serving.HasVersions() {
 		t.Fatalf("Serving() before any report: got %v, want an empty Serving", serving)
 	}
 	d.serving = map[string]map[string]uint64{"m0": {"i-0": 1}}
@@ -47,7 +47,7 @@
 	}
 	d.markSurveyed(d.tenure)
 	d.publish()
-	if !d.Serving().Knows() {
+	if !d.Serving().HasVersions() {
 		t.Fatal("Serving() contains no versions after the survey")
 	}
 }
--- a/internal/weights/survey.go
+++ b/internal/weights/survey.go
@@ -82,7 +82,7 @@
 		}
 		d.markSurveyed(tenure)
 		logging.Emit(d.config.Log, &events.ReplicasSurveyed{Asked: len(targets), Answered: len(found), TookMs: events.Millis(d.config.Clock() - began)})
-		d.Look()
+		d.RequestVersionRead()
 	})
 }
 
--- a/internal/weights/survey_test.go
+++ b/internal/weights/survey_test.go
@@ -14,7 +14,7 @@
 	const replicas = 3 * maxSurveyed
 	f := newFixture(t, replicas)
 	f.driver.reportedVersions, f.driver.reported = map[string][]registry.ModelVersion{}, map[string]bool{}
-	f.driver.Heard(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 1}}})
+	f.driver.ObserveHeartbeat(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 1}}})
 	view := f.driver.config.View()
 	f.driver.surveyRunning.Store(true)
 	f.driver.survey(t.Context(), view)
--- a/internal/weights/takeover.go
+++ b/internal/weights/takeover.go
@@ -117,7 +117,7 @@
 // silent for a while, and replicas reject what it may still send because its token is lower. If replicas don't check
 // tokens, only the full wait is safe.
 func (t *takeover) isOwnerLost(now time.Duration, config *Config) bool {
-	return config.FencesChecked && t.silent && now >= t.silentSince+ownerSilenceTimeout
+	return config.ReplicasCheckFences && t.silent && now >= t.silentSince+ownerSilenceTimeout
 }
 
 // offerLeadership offers the leadership to the owner of the orders until one offer succeeds.
--- a/internal/weights/takeover_test.go
+++ b/internal/weights/takeover_test.go
@@ -68,21 +68,21 @@
 // at the next planning cycle, and when the token is superseded.
 func TestRightEndsWithLeadership(t *testing.T) {
 	f := newFixture(t, 1)
-	if _, held := f.driver.Right(); held {
+	if _, held := f.driver.OrderToken(); held {
 		t.Error("Right() reports true before the takeover")
 	}
 	f.driver.runCycle(t.Context(), false)
-	token, held := f.driver.Right()
+	token, held := f.driver.OrderToken()
 	if !held || token == 0 || token != f.driver.token {
 		t.Fatalf("Right() after the takeover: got token %d, held %v", token, held)
 	}
 	f.leading.Store(false)
-	if _, held = f.driver.Right(); held {
+	if _, held = f.driver.OrderToken(); held {
 		t.Error("Right() reports true after the leadership was lost")
 	}
 	f.leading.Store(true)
 	f.driver.dropToken()
-	if _, held = f.driver.Right(); held {
+	if _, held = f.driver.OrderToken(); held {
 		t.Error("Right() reports true without a token")
 	}
 }
@@ -94,10 +94,10 @@
 	f := newFixture(t, 3)
 	f.control.loseFenceReplies.Store(true)
 	f.run(t)
-	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
+	if err := RegisterVersion(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
-	f.driver.Look()
+	f.driver.RequestVersionRead()
 	eventually(t, "timed out waiting for all replicas to serve version 2", func() bool { return f.sender.serve("m0", 2) })
 	if token := f.control.machine.Query(&wire.Query{Kind: &wire.Query_Fence{Fence: &wire.FenceQuery{Resource: fenceResource}}}).GetFence().GetToken(); token != 1 {
 		t.Errorf("fence token is %d, want 1", token)
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -46,17 +46,17 @@
 	Model  string
 	Number uint64
 	Fence  uint64
-	// Expected is the number of orders that the replica must have accepted so far. The replica rejects the order at
+	// ExpectedOrders is the number of orders that the replica must have accepted so far. The replica rejects the order at
 	// any other number, which keeps a delayed order from taking effect after a later one.
-	Expected uint64
+	ExpectedOrders uint64
 }
 
 // Report is the status that a replica reports. It may be some hundred milliseconds old.
 type Report struct {
-	Taken   uint64 // number of orders accepted since the replica started
-	Busy    bool   // whether an order is being executed
-	Serving uint64 // version of the requested model; 0 if the replica does not serve it
-	Models  []registry.ModelVersion
+	OrdersAccepted uint64 // number of orders accepted since the replica started
+	Busy           bool   // whether an order is being executed
+	Serving        uint64 // version of the requested model; 0 if the replica does not serve it
+	Models         []registry.ModelVersion
 }
 
 // Acceptance is the answer of a replica to an order.
@@ -64,9 +64,9 @@
 
 // Values of Acceptance.
 const (
-	Underway Acceptance = iota + 1 // the order was accepted and the replica will serve the version
-	Holds                          // the replica already serves the version
-	Conflict                       // rejected: another order is being executed or was accepted in the meantime
+	OrderAccepted  Acceptance = iota + 1 // the order was accepted and the replica will serve the version
+	AlreadyServing                       // the replica already serves the version
+	OrderRejected                        // rejected: another order is being executed or was accepted in the meantime
 )
 
 // Sender calls replicas. Its methods return ErrSuperseded if the order was rejected for its fencing token, and
@@ -77,10 +77,10 @@
 	Order(ctx context.Context, order Order) (Acceptance, error)
 }
 
-// Put registers a version of a model. The registration is durable once Put returns nil. A version that is not newer
+// RegisterVersion registers a version of a model. The registration is durable once RegisterVersion returns nil. A version that is not newer
 // than the newest one counts as registered already. It returns trace.BadParameter if the version can't be registered.
 // After any other error the outcome is unknown.
-func Put(ctx context.Context, control Control, model string, number uint64, trainer string) error {
+func RegisterVersion(ctx context.Context, control Control, model string, number uint64, trainer string) error {
 	if model == "" || number == 0 {
 		return trace.BadParameter("a version needs a model and a number above 0")
 	}
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -93,7 +93,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	one := f.replicas[target.Instance]
-	report := Report{Taken: one.taken, Serving: one.serving[model]}
+	report := Report{OrdersAccepted: one.taken, Serving: one.serving[model]}
 	for name, number := range one.serving {
 		report.Models = append(report.Models, registry.ModelVersion{Model: name, Number: number})
 	}
@@ -114,8 +114,8 @@
 	case order.Fence < f.highestFence:
 		f.refusedByFence[order.Fence]++
 		return 0, ErrSuperseded
-	case order.Expected != one.taken:
-		return Conflict, nil
+	case order.ExpectedOrders != one.taken:
+		return OrderRejected, nil
 	}
 	f.highestFence = order.Fence
 	one.taken++
@@ -127,7 +127,7 @@
 		one.answersToLose--
 		return 0, errors.New("answer lost")
 	}
-	return Holds, nil
+	return AlreadyServing, nil
 }
 
 func (f *fakeSender) serve(model string, number uint64) bool {
@@ -194,13 +194,13 @@
 		t.Fatal(err, view.Rows())
 	}
 	driver, err := NewDriver(Config{Control: f.control, Sender: f.sender, View: func() *table.View { return view },
-		Leading: f.leading.Load, Owner: "node", PollInterval: 5 * time.Millisecond, Takeover: time.Hour})
+		IsLeader: f.leading.Load, Owner: "node", PollInterval: 5 * time.Millisecond, Takeover: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.driver = driver
 	for name := range f.sender.replicas {
-		driver.Heard(&registry.Registration{Instance: name, Models: []registry.ModelVersion{{Model: "m0", Number: 1}, {Model: "m1", Number: 1}}})
+		driver.ObserveHeartbeat(&registry.Registration{Instance: name, Models: []registry.ModelVersion{{Model: "m0", Number: 1}, {Model: "m1", Number: 1}}})
 	}
 	return f
 }
@@ -223,17 +223,17 @@
 		model  string
 		number uint64
 	}{{"m0", 2}, {"m1", 2}, {"m0", 3}, {"m0", 2}, {"m0", 3}} {
-		if err := Put(t.Context(), f.control, version.model, version.number, "trainer"); err != nil {
+		if err := RegisterVersion(t.Context(), f.control, version.model, version.number, "trainer"); err != nil {
 			t.Fatal(err)
 		}
-		f.driver.Look()
+		f.driver.RequestVersionRead()
 	}
 	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 3) })
 	eventually(t, "timed out waiting for all replicas to serve the newest version of m1", func() bool { return f.sender.serve("m1", 2) })
 	if f.sender.maxLoading > DefaultMaxConcurrentLoads {
 		t.Fatalf("%d concurrent loads, outside the allowed range", f.sender.maxLoading)
 	}
-	if err := Put(t.Context(), f.control, "", 1, "trainer"); !trace.IsBadParameter(err) {
+	if err := RegisterVersion(t.Context(), f.control, "", 1, "trainer"); !trace.IsBadParameter(err) {
 		t.Fatalf("Put without a model: got error %v, want BadParameter", err)
 	}
 }
@@ -248,10 +248,10 @@
 		}
 	}
 	f := startFixture(t, 30)
-	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
+	if err := RegisterVersion(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
-	f.driver.Look()
+	f.driver.RequestVersionRead()
 	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 2) })
 	if f.sender.maxLoading <= DefaultMaxConcurrentLoads || f.sender.maxLoading > 6 {
 		t.Fatalf("%d concurrent loads, outside the allowed range", f.sender.maxLoading)
@@ -263,12 +263,12 @@
 func TestFinishedLoadsDoNotQueryVersions(t *testing.T) {
 	f := newFixture(t, 60)
 	f.driver.config.PollInterval = time.Hour
-	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
+	if err := RegisterVersion(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	f.run(t)
 	before := f.control.queries.Load()
-	f.driver.Look()
+	f.driver.RequestVersionRead()
 	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 2) })
 	if asked := f.control.queries.Load() - before; asked > 8 {
 		t.Fatalf("60 loads caused %d queries to the control group, want at most 8", asked)
@@ -281,10 +281,10 @@
 	const replicas = 6
 	f := startFixture(t, replicas)
 	for number := uint64(2); number < 2+2*replicas; number++ {
-		if err := Put(t.Context(), f.control, "m0", number, "trainer"); err != nil {
+		if err := RegisterVersion(t.Context(), f.control, "m0", number, "trainer"); err != nil {
 			t.Fatal(err)
 		}
-		f.driver.Look()
+		f.driver.RequestVersionRead()
 		eventually(t, "timed out waiting for a replica to serve the version", func() bool { return f.sender.count("m0", number) > 0 })
 	}
 	if left := f.sender.count("m0", 1); left > 0 {
@@ -300,7 +300,7 @@
 	if _, err := f.control.Execute(t.Context(), 0, &wire.Command{Kind: &wire.Command_FenceAcquire{FenceAcquire: acquire}}); err != nil {
 		t.Fatal(err)
 	}
-	_ = Put(t.Context(), f.control, "m0", 2, "trainer")
+	_ = RegisterVersion(t.Context(), f.control, "m0", 2, "trainer")
 	var offered atomic.Int64
 	f.driver.config.HandOver = func(_ context.Context, owner string) error {
 		if owner != "other" {
@@ -327,7 +327,7 @@
 	const seen = 4
 	f := newFixture(t, 6)
 	f.sender.highestFence = seen
-	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
+	if err := RegisterVersion(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	f.run(t)
@@ -354,7 +354,7 @@
 			t.Fatal(err)
 		}
 	}
-	_ = Put(t.Context(), f.control, "m0", 2, "trainer")
+	_ = RegisterVersion(t.Context(), f.control, "m0", 2, "trainer")
 	f.run(t)
 	eventually(t, "timed out waiting for all replicas to serve the version", func() bool { return f.sender.serve("m0", 2) })
 }
@@ -410,7 +410,7 @@
 			f := newFixture(t, 1)
 			now := time.Duration(0)
 			f.driver.config.Clock, f.driver.config.Takeover = func() time.Duration { return now }, 4*time.Second
-			f.driver.config.FencesChecked = !one.unchecked
+			f.driver.config.ReplicasCheckFences = !one.unchecked
 			f.driver.config.HandOver = func(context.Context, string) error { return one.answers(now) }
 			acquire := &wire.FenceAcquire{Resource: fenceResource, Owner: "other", RequestId: "other"}
 			if _, err := f.control.Execute(t.Context(), 0, &wire.Command{Kind: &wire.Command_FenceAcquire{FenceAcquire: acquire}}); err != nil {
@@ -464,7 +464,7 @@
 // versions.
 func TestBlockedVersionReadsDoNotDelayLoads(t *testing.T) {
 	f := newFixture(t, 8)
-	if err := Put(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
+	if err := RegisterVersion(t.Context(), f.control, "m0", 2, "trainer"); err != nil {
 		t.Fatal(err)
 	}
 	blocked := make(chan struct{})
@@ -472,7 +472,7 @@
 	f.driver.config.Control = &silentControl{fakeControl: f.control, answers: 6, blocked: blocked, release: release}
 	f.run(t)
 	t.Cleanup(func() { close(release) }) // registered last, so that it runs before the driver is stopped
-	f.driver.Look()
+	f.driver.RequestVersionRead()
 	<-blocked
 	eventually(t, "timed out waiting for all replicas to serve the newest version of m0", func() bool { return f.sender.serve("m0", 2) })
 }
@@ -524,7 +524,7 @@
 		}
 		return true
 	}
-	f.driver.Heard(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 3}}})
+	f.driver.ObserveHeartbeat(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 3}}})
 	f.sender.waitForReports(5)
 	if serving := f.driver.Serving(); serving != nil && len(serving.Versions) > 0 {
 		t.Error("versions are published after a report of one replica of six")
@@ -532,7 +532,7 @@
 	eventually(t, "timed out waiting for Serving to be nil during the survey", func() bool { return f.driver.Serving() == nil })
 	close(f.sender.reportGate)
 	eventually(t, "timed out waiting for all replicas to be known", func() bool { return known(3) })
-	f.driver.Heard(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 1}}})
+	f.driver.ObserveHeartbeat(&registry.Registration{Instance: "i-0", Models: []registry.ModelVersion{{Model: "m0", Number: 1}}})
 	f.driver.mutex.Lock()
 	if held := f.driver.reportedVersions["i-0"]; len(held) != 1 || held[0].Number != 3 {
 		t.Errorf("versions after an older report: got %v, want version 3", held)
