--- a/internal/coordinator/replicas.go
+++ b/internal/coordinator/replicas.go
@@ -184,7 +184,7 @@
 	if p.wave != nil {
 		p.wave.planner.Report(now, name, wave.Report{
 			Version: wave.Version{Name: report.WeightVersion, Number: report.VersionNumber}, Staged: report.StagedNumber,
-			Refusing: report.Refusing})
+			RefusesWork: report.Refusing})
 	}
 	s.updateAvailable(p, now)
 }
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -253,7 +253,7 @@
 		}
 		status := p.wave.planner.Status()
 		stats.add(status.Counters)
-		stats.LastWaveMillis = max(stats.LastWaveMillis, status.Lasted.Milliseconds())
+		stats.LastWaveMillis = max(stats.LastWaveMillis, status.LastDuration.Milliseconds())
 	}
 	return stats
 }
--- a/internal/coordinator/weights.go
+++ b/internal/coordinator/weights.go
@@ -240,7 +240,7 @@
 	if status.Counters.Waves > state.loggedWaves {
 		state.loggedWaves = status.Counters.Waves
 		s.config.Log.Infof("all %d replicas of pool %s serve version %s after %s", status.Replicas, state.pool,
-			status.Target.Name, status.Lasted.Round(time.Millisecond))
+			status.Target.Name, status.LastDuration.Round(time.Millisecond))
 	}
 }
 
--- a/internal/experiment/weights.go
+++ b/internal/experiment/weights.go
@@ -194,7 +194,7 @@
 // reportLoad forwards a replica's load report to the planner.
 func (w *weightRollout) reportLoad(r *replica, load engine.Load) {
 	w.planner.Report(w.simulation.now, r.name, wave.Report{
-		Version: w.waveVersion(load.Version), Staged: load.Staged, Refusing: load.Refusing,
+		Version: w.waveVersion(load.Version), Staged: load.Staged, RefusesWork: load.Refusing,
 	})
 }
 
--- a/internal/wave/planner.go
+++ b/internal/wave/planner.go
@@ -123,13 +123,13 @@
 	}
 	one := p.replicas[position]
 	if one.order.ID != 0 {
-		one.refusing = one.refusing && report.Refusing // once it no longer refuses work, its swap costs capacity
+		one.refusing = one.refusing && report.RefusesWork // once it no longer refuses work, its swap costs capacity
 		return
 	}
 	if one.hasAnswer && now < one.answeredAt+p.config.ReportGrace && report.Version.Number != p.target.Number {
 		return
 	}
-	one.hasReported, one.serving, one.refusing = true, report.Version.Number, report.Refusing
+	one.hasReported, one.serving, one.refusing = true, report.Version.Number, report.RefusesWork
 	if report.Staged == 0 {
 		one.staged = 0
 	} else if report.Staged != one.staged {
@@ -310,7 +310,7 @@
 
 // Status returns the state of the wave.
 func (p *Planner) Status() Status {
-	status := Status{Target: p.target, Replicas: len(p.replicas), Lasted: p.lastDuration, Counters: p.counters}
+	status := Status{Target: p.target, Replicas: len(p.replicas), LastDuration: p.lastDuration, Counters: p.counters}
 	for _, one := range p.replicas {
 		if p.servesTarget(one) {
 			status.Serving++
--- a/internal/wave/planner_test.go
+++ b/internal/wave/planner_test.go
@@ -75,7 +75,7 @@
 }
 
 func (w *simulatedPool) report(name string) {
-	w.planner.Report(w.now, name, Report{Version: Version{Number: w.serving[name]}, Refusing: w.refuses[name]})
+	w.planner.Report(w.now, name, Report{Version: Version{Number: w.serving[name]}, RefusesWork: w.refuses[name]})
 }
 
 // TestWaveCompletesDespiteFailures drives random events and checks that capacity is kept, that no order is for an old
@@ -159,7 +159,7 @@
 			}
 		}
 		if status := w.planner.Status(); status.Serving == replicas {
-			return status.Lasted
+			return status.LastDuration
 		}
 		w.now += tick
 		budget = min(budget+storeReadsPerSecond*tick.Seconds(), 100)
--- a/internal/wave/types.go
+++ b/internal/wave/types.go
@@ -47,9 +47,9 @@
 
 // Report is the status that a replica reports. It may be out of date.
 type Report struct {
-	Version  Version // version being served
-	Staged   uint64  // number of the version staged for a swap; 0 if none
-	Refusing bool    // whether the replica refuses work until a swap succeeds
+	Version     Version // version being served
+	Staged      uint64  // number of the version staged for a swap; 0 if none
+	RefusesWork bool    // whether the replica refuses work until a swap succeeds
 }
 
 // Outcome is the result of an order.
@@ -133,9 +133,9 @@
 
 // Status is the state of the wave of a pool.
 type Status struct {
-	Target   Version
-	Replicas int
-	Serving  int           // replicas that serve the target
-	Lasted   time.Duration // duration of the last complete wave, from the release until the last replica served it
-	Counters Counters
+	Target       Version
+	Replicas     int
+	Serving      int           // replicas that serve the target
+	LastDuration time.Duration // duration of the last complete wave, from the release until the last replica served it
+	Counters     Counters
 }
