--- a/internal/coordinator/fetch.go
+++ b/internal/coordinator/fetch.go
@@ -110,7 +110,7 @@
 	if step.scheduled && step.delivered == len(step.ids) {
 		// The previous owner handed the last batch over.
 		step.scheduled = false
-		s.pool(step.open.GetPool()).scheduler.Closed(t.name, step.open.GetStep())
+		s.pool(step.open.GetPool()).scheduler.StepClosed(t.name, step.open.GetStep())
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 		return candidateBatch{step: step, samples: limitBatch(samples, body.MaxSamples, s.config.MaxBatchBytes)}, nil
 	}
 	if step != nil {
-		s.pool(step.open.GetPool()).scheduler.Wanted(s.now(), t.name, body.TrainerVersion)
+		s.pool(step.open.GetPool()).scheduler.FetchStarted(s.now(), t.name, body.TrainerVersion)
 		s.wake()
 	}
 	return candidateBatch{changed: t.changed}, nil
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -90,7 +90,7 @@
 		}
 		slots := p.effectiveSlots(now, grantedSlots(view, p.name))
 		slots += min(p.finishing, finishingPerSlot*slots)
-		for _, start := range p.scheduler.Next(now, rollout.Room{Slots: slots, StalenessBound: uint64(row.StalenessBound)}) {
+		for _, start := range p.scheduler.Next(now, rollout.Capacity{Slots: slots, StalenessBound: uint64(row.StalenessBound)}) {
 			s.startSample(p, start)
 		}
 	}
--- a/internal/experiment/coordinator.go
+++ b/internal/experiment/coordinator.go
@@ -54,9 +54,9 @@
 }
 
 // capacity returns the slots that the table grants to rollouts, and the staleness bound.
-func (c *coordinator) capacity() rollout.Room {
+func (c *coordinator) capacity() rollout.Capacity {
 	table := &c.simulation.scenario.Table
-	return rollout.Room{Slots: c.simulation.slots() * table.RolloutShare / 100, StalenessBound: table.StalenessBound}
+	return rollout.Capacity{Slots: c.simulation.slots() * table.RolloutShare / 100, StalenessBound: table.StalenessBound}
 }
 
 // dispatch starts the samples that the scheduler selects.
--- a/internal/experiment/trainer.go
+++ b/internal/experiment/trainer.go
@@ -90,7 +90,7 @@
 func (t *trainer) requestStep(number uint64) {
 	c := t.coordinator
 	t.wantedStep, t.waiting, t.waitingSince = number, true, c.simulation.now
-	c.scheduler.Wanted(c.simulation.now, t.spec.Name, t.version)
+	c.scheduler.FetchStarted(c.simulation.now, t.spec.Name, t.version)
 	c.discardExpired()
 	t.tryDeliver()
 	c.dispatch()
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -40,9 +40,9 @@
 	return time.Duration(r.perToken * float64(tokens) * float64(time.Second))
 }
 
-// Wanted records that a trainer fetches its next step and waits for it. The trainer now uses the given weight
+// FetchStarted records that a trainer fetches its next step and waits for it. The trainer now uses the given weight
 // version.
-func (s *Scheduler) Wanted(now time.Duration, name string, version uint64) {
+func (s *Scheduler) FetchStarted(now time.Duration, name string, version uint64) {
 	trainer := s.trainer(name)
 	if version > trainer.fetchedVersion {
 		trainer.fetchedVersion, trainer.fetchedAt = version, now
@@ -95,9 +95,9 @@
 	s.removeStep(trainer, position)
 }
 
-// Closed drops a step that its trainer already has because another coordinator handed it over. Estimates are not
+// StepClosed drops a step that its trainer already has because another coordinator handed it over. Estimates are not
 // updated. A step that is not open is ignored.
-func (s *Scheduler) Closed(name string, number uint64) {
+func (s *Scheduler) StepClosed(name string, number uint64) {
 	trainer := s.trainer(name)
 	if position, exists := slices.BinarySearchFunc(trainer.steps, number, compareStep); exists {
 		s.removeStep(trainer, position)
@@ -260,8 +260,8 @@
 	return expired
 }
 
-// Open reports whether any step is open.
-func (s *Scheduler) Open() bool {
+// HasOpenSteps reports whether any step is open.
+func (s *Scheduler) HasOpenSteps() bool {
 	for _, trainer := range s.trainers {
 		if len(trainer.steps) > 0 {
 			return true
--- a/internal/rollout/identity.go
+++ b/internal/rollout/identity.go
@@ -62,8 +62,8 @@
 	PredictedTokens int
 }
 
-// Room is the capacity that a pool currently grants to rollouts.
-type Room struct {
+// Capacity is the capacity that a pool currently grants to rollouts.
+type Capacity struct {
 	Slots          int    // samples that may be in generation at the same time
 	StalenessBound uint64 // in versions, from the table in force
 }
--- a/internal/rollout/scheduler.go
+++ b/internal/rollout/scheduler.go
@@ -129,7 +129,7 @@
 
 // Next returns the samples to start now and counts them as running. Steps that would exceed the staleness bound when
 // used are not started. Trainers share the capacity in proportion to their shares.
-func (s *Scheduler) Next(now time.Duration, capacity Room) []Start {
+func (s *Scheduler) Next(now time.Duration, capacity Capacity) []Start {
 	var starts []Start
 	blocked := make([]bool, len(s.trainers))
 	for s.running < capacity.Slots {
@@ -166,7 +166,7 @@
 func (t *trainerState) load() float64 { return float64(t.running) / t.share }
 
 // nextSample returns the next sample of the trainer to start, or nil if none may start now.
-func (s *Scheduler) nextSample(now time.Duration, trainer *trainerState, capacity Room) *sample {
+func (s *Scheduler) nextSample(now time.Duration, trainer *trainerState, capacity Capacity) *sample {
 	for rank, step := range trainer.steps {
 		staleness := trainer.expectedUseVersion(step) - trainer.availableVersion
 		if staleness > capacity.StalenessBound {
@@ -185,7 +185,7 @@
 }
 
 // stepView returns the information on a step for the policy.
-func (s *Scheduler) stepView(trainer *trainerState, step *openStep, rank int, staleness uint64, capacity Room) StepView {
+func (s *Scheduler) stepView(trainer *trainerState, step *openStep, rank int, staleness uint64, capacity Capacity) StepView {
 	view := StepView{Rank: rank, Staleness: staleness, TrainerWaiting: trainer.isWaiting, Running: trainer.running}
 	if !trainer.hasTrainTime || !s.tokenTime.isReliable() {
 		return view
--- a/internal/rollout/scheduler_test.go
+++ b/internal/rollout/scheduler_test.go
@@ -68,7 +68,7 @@
 	case 0:
 		m.open(t, s)
 	case 1:
-		m.startSome(t, s, Room{Slots: rapid.IntRange(0, 12).Draw(t, "slots"), StalenessBound: bound})
+		m.startSome(t, s, Capacity{Slots: rapid.IntRange(0, 12).Draw(t, "slots"), StalenessBound: bound})
 	case 2:
 		m.progress(t, s)
 	case 3:
@@ -80,7 +80,7 @@
 	case 5:
 		m.release(s, bound)
 	case 6:
-		s.Wanted(m.now, "a", m.released)
+		s.FetchStarted(m.now, "a", m.released)
 	}
 }
 
@@ -95,7 +95,7 @@
 	m.next++
 }
 
-func (m *model) startSome(t *rapid.T, s *Scheduler, capacity Room) {
+func (m *model) startSome(t *rapid.T, s *Scheduler, capacity Capacity) {
 	before := len(m.running)
 	for _, start := range s.Next(m.now, capacity) {
 		if _, twice := m.running[start.ID]; twice || !m.slots[start.ID] {
@@ -210,8 +210,8 @@
 			t.Fatalf("steps %v did not complete with staleness bound %d and policy %s", m.steps, bound, s.Policy().Name())
 		}
 		m.now += time.Minute
-		s.Wanted(m.now, "a", m.released)
-		m.startSome(t, s, Room{Slots: 12, StalenessBound: bound})
+		s.FetchStarted(m.now, "a", m.released)
+		m.startSome(t, s, Capacity{Slots: 12, StalenessBound: bound})
 		m.finishOne(t, s)
 		m.deliverIfWhole(s)
 	}
@@ -225,7 +225,7 @@
 		t.Fatal(err)
 	}
 	perTrainer := map[string]int{}
-	for _, start := range s.Next(0, Room{Slots: 40, StalenessBound: 1}) {
+	for _, start := range s.Next(0, Capacity{Slots: 40, StalenessBound: 1}) {
 		perTrainer[start.ID.Trainer]++
 	}
 	if perTrainer["large"] != 30 || perTrainer["small"] != 10 {
@@ -236,7 +236,7 @@
 func TestLongGroupsStartFirstOnceKnown(t *testing.T) {
 	s := New(Config{})
 	mustOpen(t, s, 0, "a", 1, 2, 4)
-	probes := s.Next(0, Room{Slots: 2, StalenessBound: 1})
+	probes := s.Next(0, Capacity{Slots: 2, StalenessBound: 1})
 	if len(probes) != 2 || probes[0].ID.Prompt == probes[1].ID.Prompt {
 		t.Fatalf("first starts: got %v, want one probe of each group", probes)
 	}
@@ -247,7 +247,7 @@
 		}
 		s.Finished(time.Second, probe.ID, tokens, 0)
 	}
-	for _, start := range s.Next(time.Second, Room{Slots: 3, StalenessBound: 1}) {
+	for _, start := range s.Next(time.Second, Capacity{Slots: 3, StalenessBound: 1}) {
 		if start.ID.Prompt != "p1" {
 			t.Fatalf("sample %v of the short group was started before those of the long group", start.ID)
 		}
@@ -260,11 +260,11 @@
 	s := New(Config{})
 	now := time.Duration(0)
 	for step := uint64(1); ; step++ {
-		s.Wanted(now, "a", step)
+		s.FetchStarted(now, "a", step)
 		s.Released(now, "a", step)
 		mustOpen(t, s, now, "a", step, 4, 4)
 		for len(s.samples) > 0 {
-			starts := s.Next(now, Room{Slots: 16, StalenessBound: 2})
+			starts := s.Next(now, Capacity{Slots: 16, StalenessBound: 2})
 			now += time.Second
 			for _, start := range starts {
 				s.Finished(now, start.ID, 100, step)
@@ -287,7 +287,7 @@
 	examined := 0
 	for range 90 {
 		now += time.Second
-		for _, start := range s.Next(now, Room{Slots: 16, StalenessBound: 2}) {
+		for _, start := range s.Next(now, Capacity{Slots: 16, StalenessBound: 2}) {
 			examined++
 			if start.ID.Step == 5 {
 				t.Fatalf("sample %v was started although newer weights are expected in time", start.ID)
@@ -303,7 +303,7 @@
 func TestPacedLimitsConcurrencyToStepNeeds(t *testing.T) {
 	s, now := trained(t)
 	mustOpen(t, s, now, "a", 4, 4, 4) // 16 samples of about one second each, expected in 100 s
-	capacity := Room{Slots: 16, StalenessBound: 2}
+	capacity := Capacity{Slots: 16, StalenessBound: 2}
 	if starts := s.Next(now, capacity); len(starts) != 1 {
 		t.Fatalf("got %d samples started at once, want 1", len(starts))
 	}
@@ -334,15 +334,15 @@
 func TestLateAvailabilityDoesNotHideTheNextVersion(t *testing.T) {
 	s := New(Config{Policy: Asynchronous{}})
 	mustOpen(t, s, 0, "a", 1, 1, 1)
-	s.Wanted(0, "a", 5)
+	s.FetchStarted(0, "a", 5)
 	s.Released(0, "a", 4)
 	s.Delivered(time.Second, "a", 1) // results in version 6
 	mustOpen(t, s, time.Second, "a", 2, 1, 1)
 	s.Released(2*time.Second, "a", 5)
-	if starts := s.Next(2*time.Second, Room{Slots: 1, StalenessBound: 0}); len(starts) > 0 {
+	if starts := s.Next(2*time.Second, Capacity{Slots: 1, StalenessBound: 0}); len(starts) > 0 {
 		t.Fatalf("samples %v were started on version 5 although version 6 will use them and the staleness bound is 0", starts)
 	}
-	if starts := s.Next(2*time.Second, Room{Slots: 1, StalenessBound: 1}); len(starts) != 1 {
+	if starts := s.Next(2*time.Second, Capacity{Slots: 1, StalenessBound: 1}); len(starts) != 1 {
 		t.Fatal("no single sample was started although the staleness bound 1 permits it")
 	}
 }
--- a/internal/sim/coordinator.go
+++ b/internal/sim/coordinator.go
@@ -221,7 +221,7 @@
 	}
 	for t.closedStep+1 < lowest {
 		t.closedStep++
-		c.scheduler.Closed(t.name, t.closedStep)
+		c.scheduler.StepClosed(t.name, t.closedStep)
 	}
 }
 
--- a/internal/sim/delivery.go
+++ b/internal/sim/delivery.go
@@ -101,7 +101,7 @@
 	sealed := view.GetSealedCursor() == d.request.cursor
 	step, samples := selectBatch(view, sealed)
 	if len(samples) == 0 {
-		c.scheduler.Wanted(c.clock(), d.owned.name, d.request.version)
+		c.scheduler.FetchStarted(c.clock(), d.owned.name, d.request.version)
 		if c.clock() >= d.deadline {
 			d.reply(fetchReply{ok: true})
 			return
--- a/internal/sim/generating.go
+++ b/internal/sim/generating.go
@@ -36,7 +36,7 @@
 				c.scheduler.Released(c.clock(), t.name, c.availableVersion())
 			}
 		}
-		for _, start := range c.scheduler.Next(c.clock(), rollout.Room{Slots: rolloutSlots, StalenessBound: bound}) {
+		for _, start := range c.scheduler.Next(c.clock(), rollout.Capacity{Slots: rolloutSlots, StalenessBound: bound}) {
 			c.startSample(start)
 		}
 		c.dropExpired(bound)
