--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -17,14 +17,14 @@
 // the current one.
 func NewMeter(minBytes int64, now time.Duration) Meter { return Meter{minBytes: minBytes, start: now} }
 
-// Moved records transferred bytes.
-func (m *Meter) Moved(now time.Duration, bytes int64) {
+// Add records transferred bytes.
+func (m *Meter) Add(now time.Duration, bytes int64) {
 	m.windowBytes += bytes
 	if m.windowBytes >= m.minBytes {
 		m.start, m.windowBytes = now, 0
 	}
 }
 
-// Still returns how long the current window has lasted, that is, the time in which the transfer has moved less than
+// StalledFor returns how long the current window has lasted, that is, the time in which the transfer has moved less than
 // minBytes. The caller compares it with the window that it allows.
-func (m *Meter) Still(now time.Duration) time.Duration { return now - m.start }
+func (m *Meter) StalledFor(now time.Duration) time.Duration { return now - m.start }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -23,13 +23,13 @@
 		meter := NewMeter(minBytes, now)
 		for range 4 * pieces {
 			now += pause
-			if meter.Still(now) >= window {
+			if meter.StalledFor(now) >= window {
 				if steady {
 					t.Fatalf("steady transfer was still for a whole window at %s", now)
 				}
 				return
 			}
-			meter.Moved(now, piece)
+			meter.Add(now, piece)
 		}
 		if !steady {
 			t.Fatal("slow transfer was never still for a whole window")
--- a/internal/replica/slow.go
+++ b/internal/replica/slow.go
@@ -78,7 +78,7 @@
 		if w.conn.recordWrite(w.state, n, err); err != nil {
 			return false
 		}
-		w.meter.Moved(time.Since(w.began), int64(n))
+		w.meter.Add(time.Since(w.began), int64(n))
 		if late && !w.checkProgress() {
 			return false
 		}
@@ -112,13 +112,13 @@
 	var cause error
 	if w.tcp != nil {
 		tcpState := readSendState(w.tcp)
-		w.meter.Moved(now, int64(tcpState.acknowledged-w.acknowledged))
+		w.meter.Add(now, int64(tcpState.acknowledged-w.acknowledged))
 		w.acknowledged = tcpState.acknowledged
 		if tcpState.inFlight && tcpState.silence >= w.conn.peerTimeout {
 			cause = ErrSilent
 		}
 	}
-	if w.meter.Still(now) >= stallTimeout && !w.state.isAnswered() {
+	if w.meter.StalledFor(now) >= stallTimeout && !w.state.isAnswered() {
 		cause = ErrStalled
 	}
 	if cause == nil {
--- a/internal/sendbuffer/conn.go
+++ b/internal/sendbuffer/conn.go
@@ -174,8 +174,8 @@
 	sent, err := c.transport.Write(data)
 	c.mu.Lock()
 	now := c.set.now()
-	c.meter.Moved(now, int64(sent))
-	still := c.meter.Still(now)
+	c.meter.Add(now, int64(sent))
+	still := c.meter.StalledFor(now)
 	switch {
 	case c.err != nil:
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
@@ -195,7 +195,7 @@
 	if !c.active || c.err != nil {
 		return 0
 	}
-	return c.meter.Still(now)
+	return c.meter.StalledFor(now)
 }
 
 // cutOff cuts the connection off. It returns false if everything was sent meanwhile or the connection has failed already.
@@ -214,7 +214,7 @@
 	c.set.counts.countCut(cause)
 	if c.set.config.OnCut != nil {
 		c.set.config.OnCut(Cut{Remote: c.RemoteAddr(), Request: c.queue.nextRequest(c.request), Unsent: c.queue.unsentBytes(),
-			StalledFor: c.meter.Still(c.set.now()), Cause: cause})
+			StalledFor: c.meter.StalledFor(c.set.now()), Cause: cause})
 	}
 	resetConnection(c.transport)
 	c.fail(cause)
