--- a/internal/batchrun/executors.go
+++ b/internal/batchrun/executors.go
@@ -174,7 +174,7 @@
 		return whyGap
 	case !entry.text.fits(openJob.submit.GetMinVersion(), openJob.submit.GetSingleVersion()):
 		return whyWeights
-	case t.view.Ended(held.GetTarget().GetInstance()):
+	case t.view.HasRestarted(held.GetTarget().GetInstance()):
 		return whyRestarted
 	}
 	key := schedule.Key{Job: held.GetKey().GetJob(), Item: held.GetKey().GetItem()}
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -157,7 +157,7 @@
 // partition no connection breaks to show it. The items resume at other replicas.
 func (t *termRunner) stopRunsOfEndedStarts(view *table.View) {
 	for _, running := range t.calls {
-		if view.Ended(running.Instance) {
+		if view.HasRestarted(running.Instance) {
 			running.stopReason = stopRestarted
 			running.cancel()
 		}
@@ -189,7 +189,7 @@
 // work, and by the slots that are reserved for live requests.
 func slotsOf(row *table.Row) int {
 	share := uint64(row.MaxInFlight) * uint64(row.RolloutShare) / 100
-	left := uint64(row.MaxInFlight) - min(uint64(row.MaxInFlight), uint64(row.LiveRoom))
+	left := uint64(row.MaxInFlight) - min(uint64(row.MaxInFlight), uint64(row.LiveReserve))
 	return int(min(share, left))
 }
 
--- a/internal/configure/configure_test.go
+++ b/internal/configure/configure_test.go
@@ -24,7 +24,7 @@
 }
 
 func (f *fakeControl) Query(_ context.Context, _ uint32, query *wire.Query) (*wire.View, error) {
-	update := f.table.Update(query.GetTable().GetKnownVersion())
+	update := f.table.UpdateSince(query.GetTable().GetKnownVersion())
 	f.fetched += len(update.GetRows())
 	return &wire.View{Kind: &wire.View_Table{Table: update}}, nil
 }
--- a/internal/configure/level_test.go
+++ b/internal/configure/level_test.go
@@ -39,7 +39,7 @@
 	if err := importer.Put(t.Context(), withShares(1, compat.Base)); err != nil {
 		t.Fatal(err)
 	}
-	for _, cell := range control.table.Update(0).GetRows() {
+	for _, cell := range control.table.UpdateSince(0).GetRows() {
 		if text := cell.String(); strings.Contains(text, table.ColumnSharedSlots) || strings.Contains(text, table.ColumnRate) {
 			t.Fatal("a column was written below its level:", text)
 		}
--- a/internal/control/tableupdates_test.go
+++ b/internal/control/tableupdates_test.go
@@ -38,7 +38,7 @@
 	c.reads.Add(1)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.table.Update(known), nil
+	return c.table.UpdateSince(known), nil
 }
 
 // drain changes the state of one back end to draining, which creates one new version.
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -121,7 +121,7 @@
 	for _, backend := range view.Backends(pool) {
 		if backend.Serving() {
 			limit := int(backend.MaxInFlight)
-			total += max(0, min(limit-int(backend.LiveRoom), limit*int(backend.RolloutShare)/100))
+			total += max(0, min(limit-int(backend.LiveReserve), limit*int(backend.RolloutShare)/100))
 		}
 	}
 	return total
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -92,7 +92,7 @@
 func (o *tableOperator) draw() (row, column, value string) {
 	switch o.random.Intn(4) {
 	case 0:
-		return poolModel, table.ColumnLiveRoom, strconv.Itoa(8 + o.random.Intn(16))
+		return poolModel, table.ColumnLiveReserve, strconv.Itoa(8 + o.random.Intn(16))
 	case 1:
 		return poolModel, table.ColumnStalenessBound, strconv.FormatUint(o.minimumBound+uint64(o.random.Intn(2)), 10)
 	default:
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -50,7 +50,7 @@
 	pool, backend := string(table.Pool), string(table.Backend)
 	var cells cellList
 	cells.row(poolModel, table.ColumnKind, pool, table.ColumnService, string(table.Engine), table.ColumnMaxInFlight, modelInFlight,
-		table.ColumnLiveRoom, modelLiveRoom, table.ColumnQueueLimit, modelQueue, table.ColumnQueueWait, modelQueueWait,
+		table.ColumnLiveReserve, modelLiveRoom, table.ColumnQueueLimit, modelQueue, table.ColumnQueueWait, modelQueueWait,
 		table.ColumnClassOrder, "live,rollout", table.ColumnStalenessBound, strconv.FormatUint(deployment.Trainer.StalenessBound, 10))
 	cells.row(deployment.ApplicationPool, table.ColumnKind, pool, table.ColumnService, string(table.Application),
 		table.ColumnMaxInFlight, callInFlight, table.ColumnQueueLimit, callQueue, table.ColumnQueueWait, callQueueWait)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -132,7 +132,7 @@
 		if result := made.Apply(change); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 			t.Fatal(result)
 		}
-		view, err := table.NewView().Apply(made.Update(0))
+		view, err := table.NewView().Apply(made.UpdateSince(0))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -124,7 +124,7 @@
 // cancelRestartedSends cancels the sends to back ends that have restarted since. The caller holds the mutex.
 func (p *pool) cancelRestartedSends() {
 	for sending, cancel := range p.sends {
-		if p.view.StartedAgain(sending.target.Instance) {
+		if p.view.IsKnownRestarted(sending.target.Instance) {
 			cancel(errRestarted)
 		}
 	}
@@ -136,7 +136,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sends[sending] = cancel
-	if p.view != nil && p.view.StartedAgain(sending.target.Instance) {
+	if p.view != nil && p.view.IsKnownRestarted(sending.target.Instance) {
 		cancel(errRestarted) // the table changed after the choice
 	}
 	return limited, func() {
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -112,7 +112,7 @@
 	if backend.MaxInFlight == 0 {
 		return 0
 	}
-	allowed := min(int(backend.MaxInFlight)-int(backend.LiveRoom), int(backend.MaxInFlight)*int(backend.RolloutShare)/100)
+	allowed := min(int(backend.MaxInFlight)-int(backend.LiveReserve), int(backend.MaxInFlight)*int(backend.RolloutShare)/100)
 	return max(allowed, 0) * slots / int(backend.MaxInFlight)
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -24,7 +24,7 @@
 		entries := c.table.History(history.Row, history.Column, int(history.Limit))
 		return &wire.View{Kind: &wire.View_History{History: &wire.HistoryView{Entries: entries}}}, nil
 	}
-	return &wire.View{Kind: &wire.View_Table{Table: c.table.Update(query.GetTable().GetKnownVersion())}}, nil
+	return &wire.View{Kind: &wire.View_Table{Table: c.table.UpdateSince(query.GetTable().GetKnownVersion())}}, nil
 }
 
 func (c *localControl) ChangeTable(_ context.Context, change *wire.TableChange, _ bool) (*wire.TableResult, uint64, error) {
--- a/internal/operator/sheet.go
+++ b/internal/operator/sheet.go
@@ -127,7 +127,7 @@
 func (s *Sheet) shortenValues(records [][]string) [][]string {
 	for _, record := range records[1:] {
 		for position, text := range record {
-			record[position] = table.Shown(records[0][position], text)
+			record[position] = table.DisplayValue(records[0][position], text)
 		}
 	}
 	return records
--- a/internal/operator/suspects.go
+++ b/internal/operator/suspects.go
@@ -15,7 +15,7 @@
 // suspectRowName returns the name of the table row for a suspect request, given the digest that logs show.
 func suspectRowName(digest string) (string, error) {
 	name := table.SuspectPrefix + strings.ToLower(digest)
-	if !table.NamesSuspect(name) {
+	if !table.IsSuspectName(name) {
 		return "", trace.BadParameter("%q is no digest of a request: want the 16 hexadecimal digits that logs show", digest)
 	}
 	return name, nil
--- a/internal/poison/book_test.go
+++ b/internal/poison/book_test.go
@@ -104,7 +104,7 @@
 }
 
 func (r *recordTable) view(t interface{ Fatal(...any) }) *table.View {
-	view, err := table.NewView().Apply(r.held.Update(0))
+	view, err := table.NewView().Apply(r.held.UpdateSince(0))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/poisonguard/guard_test.go
+++ b/internal/poisonguard/guard_test.go
@@ -66,7 +66,7 @@
 // follow passes the current table to all guards.
 func (g *group) follow() {
 	g.mutex.Lock()
-	view, err := table.NewView().Apply(g.held.Update(0))
+	view, err := table.NewView().Apply(g.held.UpdateSince(0))
 	guards := g.guards
 	g.mutex.Unlock()
 	if err != nil {
@@ -84,7 +84,7 @@
 	if g.leaderless {
 		return nil, errNoLeader
 	}
-	return &wire.View{Kind: &wire.View_Table{Table: g.held.Update(query.GetTable().GetKnownVersion())}}, nil
+	return &wire.View{Kind: &wire.View_Table{Table: g.held.UpdateSince(query.GetTable().GetKnownVersion())}}, nil
 }
 
 // ChangeTable implements configure.Control.
@@ -109,7 +109,7 @@
 func (g *group) records() []poison.Record {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	view, err := table.NewView().Apply(g.held.Update(0))
+	view, err := table.NewView().Apply(g.held.UpdateSince(0))
 	if err != nil {
 		g.t.Fatal(err)
 	}
--- a/internal/poisonguard/late.go
+++ b/internal/poisonguard/late.go
@@ -50,7 +50,7 @@
 	}
 	g.brokenRuns = slices.DeleteFunc(g.brokenRuns, func(one brokenRun) bool {
 		holder := holders[one.run.address]
-		ended := g.view.Ended(one.run.instance) || holder != "" && holder != one.run.instance
+		ended := g.view.HasRestarted(one.run.instance) || holder != "" && holder != one.run.instance
 		if ended {
 			g.book.Crashed(now, one.run.ensureDigest(), one.run.crashName())
 			g.counts.crashes.WithLabelValues().Inc()
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -31,7 +31,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return &wire.View{Kind: &wire.View_Table{Table: f.table.Update(0)}}, nil
+	return &wire.View{Kind: &wire.View_Table{Table: f.table.UpdateSince(0)}}, nil
 }
 
 func (f *fakeControl) ChangeTable(_ context.Context, change *wire.TableChange, _ bool) (*wire.TableResult, uint64, error) {
@@ -50,7 +50,7 @@
 func (f *fakeControl) view() *table.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	view, _ := table.NewView().Apply(f.table.Update(0))
+	view, _ := table.NewView().Apply(f.table.UpdateSince(0))
 	return view
 }
 
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -89,7 +89,7 @@
 
 // TableUpdate returns the update of the table from a version to the current one.
 func (m *Machine) TableUpdate(fromVersion uint64) *wire.TableUpdate {
-	return m.table.Update(fromVersion)
+	return m.table.UpdateSince(fromVersion)
 }
 
 // Members returns the list of members and its version.
@@ -246,7 +246,7 @@
 func (m *Machine) Query(query *wire.Query) *wire.View {
 	switch kind := query.GetKind().(type) {
 	case *wire.Query_Table:
-		return &wire.View{Kind: &wire.View_Table{Table: m.table.Update(kind.Table.GetKnownVersion())}}
+		return &wire.View{Kind: &wire.View_Table{Table: m.table.UpdateSince(kind.Table.GetKnownVersion())}}
 	case *wire.Query_History:
 		entries := m.table.History(kind.History.GetRow(), kind.History.GetColumn(), int(kind.History.GetLimit()))
 		return &wire.View{Kind: &wire.View_History{History: &wire.HistoryView{Entries: entries}}}
--- a/internal/table/check.go
+++ b/internal/table/check.go
@@ -111,8 +111,8 @@
 	case Suspect:
 		return checkSuspect(row)
 	}
-	if row.LiveRoom > row.MaxInFlight {
-		refuse(ColumnLiveRoom, "live_room is above max_in_flight")
+	if row.LiveReserve > row.MaxInFlight {
+		refuse(ColumnLiveReserve, "live_room is above max_in_flight")
 	}
 	return refusals
 }
--- a/internal/table/check_suspect.go
+++ b/internal/table/check_suspect.go
@@ -10,9 +10,9 @@
 // suspectDigits is the length of a request's digest in a suspect's name, in hexadecimal digits.
 const suspectDigits = 16
 
-// NamesSuspect reports whether a row's name has the form of a suspect's: SuspectPrefix and a digest of 16 hexadecimal
+// IsSuspectName reports whether a row's name has the form of a suspect's: SuspectPrefix and a digest of 16 hexadecimal
 // digits in lower case.
-func NamesSuspect(name string) bool {
+func IsSuspectName(name string) bool {
 	digest, named := strings.CutPrefix(name, SuspectPrefix)
 	_, err := strconv.ParseUint(digest, 16, 64)
 	return named && err == nil && len(digest) == suspectDigits && digest == strings.ToLower(digest)
@@ -29,7 +29,7 @@
 
 // checkSuspect checks that a suspect's name contains a digest, which requests are compared with.
 func checkSuspect(row *Row) []*wire.CellRefusal {
-	if NamesSuspect(row.Name) {
+	if IsSuspectName(row.Name) {
 		return nil
 	}
 	return []*wire.CellRefusal{{Row: row.Name, Column: ColumnKind,
--- a/internal/table/commit.go
+++ b/internal/table/commit.go
@@ -72,14 +72,14 @@
 func (t *Table) recordHistory(change *wire.TableChange, row, column, from, to string) {
 	t.history = append(t.history, &wire.HistoryEntry{
 		Version: t.version, Operator: change.GetOperator(), AtUnixMillis: change.GetAtUnixMillis(),
-		Row: row, Column: column, From: Shown(column, from), To: Shown(column, to),
+		Row: row, Column: column, From: DisplayValue(column, from), To: DisplayValue(column, to),
 		ChangeId: change.GetChangeId(), Note: change.GetNote(),
 	})
 }
 
-// Shown returns a cell's value for display in the history, refusals and lists. For a document it returns the length and
+// DisplayValue returns a cell's value for display in the history, refusals and lists. For a document it returns the length and
 // digest in place of the text.
-func Shown(column, value string) string {
+func DisplayValue(column, value string) string {
 	if known := columnIndex[column]; known == nil || known.Type != Text || value == "" {
 		return value
 	}
@@ -97,10 +97,10 @@
 	}
 }
 
-// Update returns the update from fromVersion to the current version. It is a delta if all removals since then are still
+// UpdateSince returns the update from fromVersion to the current version. It is a delta if all removals since then are still
 // listed, and the whole table otherwise. If fromVersion is the current version or newer, the update is empty and ends
 // at fromVersion.
-func (t *Table) Update(fromVersion uint64) *wire.TableUpdate {
+func (t *Table) UpdateSince(fromVersion uint64) *wire.TableUpdate {
 	if fromVersion >= t.version && fromVersion > 0 {
 		return &wire.TableUpdate{FromVersion: fromVersion, ToVersion: fromVersion}
 	}
--- a/internal/table/incremental_test.go
+++ b/internal/table/incremental_test.go
@@ -59,7 +59,7 @@
 				continue
 			}
 			accepted++
-			fresh, err := NewView().Apply(table.Update(0))
+			fresh, err := NewView().Apply(table.UpdateSince(0))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,12 +77,12 @@
 // pointer to find those that changed.
 func TestUnchangedRowsAreShared(t *testing.T) {
 	table := newFleet(t, 40)
-	before, err := NewView().Apply(table.Update(0))
+	before, err := NewView().Apply(table.UpdateSince(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	table.Apply(drainOf(table, 7, 2))
-	after, err := before.Apply(table.Update(before.Version()))
+	after, err := before.Apply(table.UpdateSince(before.Version()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/table/level_test.go
+++ b/internal/table/level_test.go
@@ -113,7 +113,7 @@
 	if err := again.Restore(proto.CloneOf(a.table.Snapshot())); err != nil {
 		t.Fatal(err)
 	}
-	update := again.Update(0)
+	update := again.UpdateSince(0)
 	if len(update.Rows) != 2 || !strings.Contains(update.Rows[0].String(), "made_up") {
 		t.Errorf("update %v, want both rows and the cell of the unknown column", update)
 	}
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -20,7 +20,7 @@
 	MaxInFlight    uint32        // concurrent requests at one back end, summed over all gateways
 	QueueLimit     uint32        // requests that may wait for a slot
 	QueueWait      time.Duration // longest wait for a slot
-	LiveRoom       uint32        // slots reserved for live traffic
+	LiveReserve    uint32        // slots reserved for live traffic
 	RolloutShare   uint32        // highest percentage of the slots that rollout work may hold
 	ClassOrder     []string      // caller classes, most urgent first
 	StalenessBound uint32        // weight versions that a sample may be behind the trainer's
--- a/internal/table/scale_test.go
+++ b/internal/table/scale_test.go
@@ -60,7 +60,7 @@
 			before := table.Version()
 			table.Apply(drainOf(table, 1, 2))
 			for b.Loop() {
-				table.Update(before)
+				table.UpdateSince(before)
 			}
 		})
 	}
@@ -71,12 +71,12 @@
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			table := newFleet(b, replicas)
-			view, err := NewView().Apply(table.Update(0))
+			view, err := NewView().Apply(table.UpdateSince(0))
 			if err != nil {
 				b.Fatal(err)
 			}
 			table.Apply(drainOf(table, 1, 2))
-			update := table.Update(view.Version())
+			update := table.UpdateSince(view.Version())
 			for b.Loop() {
 				if _, err := view.Apply(update); err != nil {
 					b.Fatal(err)
@@ -90,7 +90,7 @@
 func BenchmarkReadWhole(b *testing.B) {
 	table := newFleet(b, 3000)
 	for b.Loop() {
-		if _, err := NewView().Apply(table.Update(0)); err != nil {
+		if _, err := NewView().Apply(table.UpdateSince(0)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/table/schema.go
+++ b/internal/table/schema.go
@@ -146,7 +146,7 @@
 	ColumnMaxInFlight    = "max_in_flight"
 	ColumnQueueLimit     = "queue_limit"
 	ColumnQueueWait      = "queue_wait_millis"
-	ColumnLiveRoom       = "live_room"
+	ColumnLiveReserve    = "live_room"
 	ColumnRolloutShare   = "rollout_share"
 	ColumnClassOrder     = "class_order"
 	ColumnStalenessBound = "staleness_bound"
--- a/internal/table/suspect_test.go
+++ b/internal/table/suspect_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	suspects := func() (names []string) {
-		view, err := NewView().Apply(table.Update(0))
+		view, err := NewView().Apply(table.UpdateSince(0))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -164,7 +164,7 @@
 	}
 	return &wire.CellRefusal{
 		Row: row, Column: column, Reason: "cell was changed after the base version",
-		CurrentValue: Shown(column, cell.value), ChangedVersion: cell.version, ChangedBy: cell.operator,
+		CurrentValue: DisplayValue(column, cell.value), ChangedVersion: cell.version, ChangedBy: cell.operator,
 	}
 }
 
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -98,7 +98,7 @@
 	table, text := example(t), " {\"a\":\n\"\u017e\"}\n"+strings.Repeat("long ", 2000)
 	table.Apply(change("one", 1, "d kind document", "d revision 7", "d text "+text,
 		"r kind route", "r host h", "r path_prefix /a/", "r pools chat:1", "r sticky true"))
-	view, err := NewView().Apply(table.Update(0))
+	view, err := NewView().Apply(table.UpdateSince(0))
 	if err != nil || view.Row("d").Text != text || view.Row("d").Revision != 7 || !view.Row("r").Sticky || view.Row("r").MaxAttempts != 1 {
 		t.Fatal(err, view.Row("d"))
 	}
@@ -165,19 +165,19 @@
 
 func TestBackendInheritsFromPool(t *testing.T) {
 	table := example(t)
-	view, err := NewView().Apply(table.Update(0))
+	view, err := NewView().Apply(table.UpdateSince(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	backends := view.Backends("chat")
-	if len(backends) != 2 || backends[0].MaxInFlight != 8 || backends[0].LiveRoom != 2 || backends[0].Weight != 100 ||
+	if len(backends) != 2 || backends[0].MaxInFlight != 8 || backends[0].LiveReserve != 2 || backends[0].Weight != 100 ||
 		backends[1].Weight != 50 || backends[0].Service != Engine || strings.Join(backends[0].ClassOrder, " ") != "live rollout" {
 		t.Fatalf("back ends %+v and %+v do not have their own and their pool's values", backends[0], backends[1])
 	}
 	drain := change("drain", 1, "chat state draining", "chat-2 state removed")
 	drain.Note = ForceNote
 	table.Apply(drain)
-	next, err := view.Apply(table.Update(1))
+	next, err := view.Apply(table.UpdateSince(1))
 	if err != nil || len(next.Backends("chat")) != 1 || next.Backends("chat")[0].State != Draining || next.Row("chat-2").State != Removed {
 		t.Fatalf("got %v, %+v, want chat-1 listed as draining and chat-2 not listed", err, next)
 	}
@@ -188,15 +188,15 @@
 
 func TestViewRejectsGapsAndIgnoresOldUpdates(t *testing.T) {
 	table := example(t)
-	view, _ := NewView().Apply(table.Update(0))
+	view, _ := NewView().Apply(table.UpdateSince(0))
 	if _, err := NewView().Apply(&wire.TableUpdate{FromVersion: 1, ToVersion: 2}); err == nil {
 		t.Fatal("an update that starts above the view's version was accepted")
 	}
-	if same, err := view.Apply(table.Update(0)); err != nil || same != view {
+	if same, err := view.Apply(table.UpdateSince(0)); err != nil || same != view {
 		t.Fatal("a duplicate update changed the view")
 	}
 	ahead, _ := view.Apply(&wire.TableUpdate{FromVersion: 1, ToVersion: 9})
-	if same, err := ahead.Apply(table.Update(ahead.Version())); err != nil || same != ahead {
+	if same, err := ahead.Apply(table.UpdateSince(ahead.Version())); err != nil || same != ahead {
 		t.Fatal("an update from an older table changed the view")
 	}
 }
@@ -236,12 +236,12 @@
 
 // follow updates one of the views by a delta and compares it with a view of the whole table.
 func follow(t *rapid.T, table *Table, holders []*View) {
-	fresh, err := NewView().Apply(table.Update(0))
+	fresh, err := NewView().Apply(table.UpdateSince(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := rapid.IntRange(0, len(holders)-1).Draw(t, "holder")
-	if holders[at], err = holders[at].Apply(table.Update(holders[at].Version())); err != nil {
+	if holders[at], err = holders[at].Apply(table.UpdateSince(holders[at].Version())); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := describe(holders[at]), describe(fresh); got != want {
@@ -297,7 +297,7 @@
 	if len(table.removed) > MaximumRemoved || len(table.history) > MaximumHistory {
 		t.Fatalf("%d removals and %d history entries, want at most 10000 of each", len(table.removed), len(table.history))
 	}
-	if table.Update(2).GetFromVersion() != 0 {
+	if table.UpdateSince(2).GetFromVersion() != 0 {
 		t.Fatal("an update from a version below the removal floor is a delta, want the whole table")
 	}
 	late := table.Apply(change("late", 2, "r0-1 kind pool"))
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// Ended reports whether the back end is known to have restarted after the start that instance names. The named instance
+// HasRestarted reports whether the back end is known to have restarted after the start that instance names. The named instance
 // then no longer holds or runs any request.
-func (v *View) Ended(instance string) bool {
+func (v *View) HasRestarted(instance string) bool {
 	named := incarnation.Parse(instance)
 	row := v.findBackend(named.ID)
 	return row != nil && row.Incarnation().Compare(named) == incarnation.Newer
 }
 
-// StartedAgain is Ended for an instance that names its start, and false for one that does not. An instance without a
+// IsKnownRestarted is Ended for an instance that names its start, and false for one that does not. An instance without a
 // recorded start may be the same start as the one that is recorded now, so its requests continue until its connection
 // fails.
-func (v *View) StartedAgain(instance string) bool {
-	return incarnation.Parse(instance).Start > 0 && v.Ended(instance)
+func (v *View) IsKnownRestarted(instance string) bool {
+	return incarnation.Parse(instance).Start > 0 && v.HasRestarted(instance)
 }
 
 // findBackend returns the row with the name if it is a back end, nil otherwise.
@@ -241,9 +241,9 @@
 	return 1
 }
 
-// KnowsStarts reports whether some row holds the start of its back end. If so, all builds in the cluster know the
+// HasStarts reports whether some row holds the start of its back end. If so, all builds in the cluster know the
 // column.
-func (v *View) KnowsStarts() bool { return v.started > 0 }
+func (v *View) HasStarts() bool { return v.started > 0 }
 
 // listSuspects rebuilds the list of suspects, which is short.
 func (v *View) listSuspects() {
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -23,7 +23,7 @@
 		if result := made.Apply(change); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 			t.Fatal(result)
 		}
-		next, err := view.Apply(made.Update(view.Version()))
+		next, err := view.Apply(made.UpdateSince(view.Version()))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/weights/incarnation_test.go
+++ b/internal/weights/incarnation_test.go
@@ -48,7 +48,7 @@
 	if result := r.table.Apply(change); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 		r.t.Fatal(result)
 	}
-	view, err := table.NewView().Apply(r.table.Update(0))
+	view, err := table.NewView().Apply(r.table.UpdateSince(0))
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/weights/load.go
+++ b/internal/weights/load.go
@@ -68,7 +68,7 @@
 // the loads themselves can't notice the restart.
 func (d *Driver) cancelObsoleteLoads(view *table.View) {
 	for instance, active := range d.activeLoads {
-		if view.Ended(instance) {
+		if view.HasRestarted(instance) {
 			active.cancel()
 		}
 	}
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -156,7 +156,7 @@
 	defer d.mutex.Unlock()
 	for instance, models := range d.reportedVersions {
 		row := view.Backend(instance)
-		if view.Ended(instance) || row != nil && row.State == table.Removed {
+		if view.HasRestarted(instance) || row != nil && row.State == table.Removed {
 			d.forget(instance)
 			continue
 		}
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -189,7 +189,7 @@
 		}
 	}
 	made.Apply(change)
-	view, err := table.NewView().Apply(made.Update(0))
+	view, err := table.NewView().Apply(made.UpdateSince(0))
 	if err != nil || len(view.Backends("pool")) != replicas {
 		t.Fatal(err, view.Rows())
 	}
