--- a/internal/configure/importer.go
+++ b/internal/configure/importer.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	revision, text = Held(view)
+	revision, text = StoredConfiguration(view)
 	return revision, text, nil
 }
 
--- a/internal/configure/plan.go
+++ b/internal/configure/plan.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// Held returns the revision and text of the configuration in a view. The revision is 0 if there is none.
-func Held(view *table.View) (uint64, string) {
+// StoredConfiguration returns the revision and text of the configuration in a view. The revision is 0 if there is none.
+func StoredConfiguration(view *table.View) (uint64, string) {
 	row := view.Row(DocumentRow)
 	if row == nil || row.Kind != table.Document {
 		return 0, ""
@@ -23,7 +23,7 @@
 // returns nil if the view has the same or a higher revision. Routes and tenants that the configuration does not name
 // are removed. Pools are not, because registered back ends may still belong to them.
 func Plan(view *table.View, c *Configuration) (*wire.TableChange, error) {
-	if revision, _ := Held(view); revision >= c.Revision {
+	if revision, _ := StoredConfiguration(view); revision >= c.Revision {
 		return nil, nil
 	}
 	if err := Check(c); err != nil {
@@ -51,7 +51,7 @@
 // nil if there are none, or if the view does not have exactly this configuration. It sets columns of a level that came
 // into force after the configuration was written, and never changes a cell that is set.
 func Supplement(view *table.View, c *Configuration) (*wire.TableChange, error) {
-	if revision, text := Held(view); revision != c.Revision || text != c.Text {
+	if revision, text := StoredConfiguration(view); revision != c.Revision || text != c.Text {
 		return nil, nil
 	}
 	change := &wire.TableChange{BaseVersion: view.Version()}
