--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -65,7 +65,7 @@
 // startClaim makes owner the holder of a running claim.
 func startClaim(t *testing.T, client *controlclient.Client, key, owner string) {
 	t.Helper()
-	begin := &wire.ClaimBegin{Key: key, BodyHash: []byte("body"), Owner: owner, Attempt: owner + "/" + key, Ticket: client.Ticket(client.ClaimGroup(key))}
+	begin := &wire.ClaimBegin{Key: key, BodyHash: []byte("body"), Owner: owner, Attempt: owner + "/" + key, Ticket: client.LearnedIndex(client.ClaimGroup(key))}
 	result, err := client.Execute(testContext(t), client.ClaimGroup(key), &wire.Command{Kind: &wire.Command_ClaimBegin{ClaimBegin: begin}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -107,7 +107,7 @@
 // attempt claims a key and then finishes, releases or refuses the claim. It refuses if the claim was not granted.
 func (w *claimWorker) attempt(key string, number int) {
 	input := linear.ClaimInput{Key: key, Attempt: fmt.Sprintf("%s/%d/%d", key, w.number, number),
-		Owner: fmt.Sprint("owner-", w.number), Body: "body", Ticket: w.client.Ticket(w.client.ClaimGroup(key))}
+		Owner: fmt.Sprint("owner-", w.number), Body: "body", Ticket: w.client.LearnedIndex(w.client.ClaimGroup(key))}
 	input.Answer = "answer-" + input.Attempt
 	begin, finish, release, refuse := input, input, input, input
 	begin.Action, finish.Action, release.Action, refuse.Action = linear.BeginClaim, linear.FinishClaim, linear.ReleaseClaim, linear.RefuseClaim
--- a/internal/control/retention_test.go
+++ b/internal/control/retention_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	group, attempt := client.ClaimGroup(key), fmt.Sprintf("%s#%d", key, time.Now().UnixNano())
 	begin := &wire.Command{Kind: &wire.Command_ClaimBegin{ClaimBegin: &wire.ClaimBegin{Key: key, BodyHash: []byte("hash"), Owner: "gateway#1",
-		Attempt: attempt, Ticket: client.Ticket(group), NowUnixMillis: time.Now().UnixMilli()}}}
+		Attempt: attempt, Ticket: client.LearnedIndex(group), NowUnixMillis: time.Now().UnixMilli()}}}
 	result, err := client.Execute(ctx, group, begin)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -87,8 +87,8 @@
 // LedgerGroups returns the number of ledger groups of the cluster.
 func (c *Client) LedgerGroups() int { return c.config.LedgerGroups }
 
-// Ticket returns the highest ledger index of group that this process has learned, or 0 if it has learned none.
-func (c *Client) Ticket(group uint32) uint64 {
+// LearnedIndex returns the highest ledger index of group that this process has learned, or 0 if it has learned none.
+func (c *Client) LearnedIndex(group uint32) uint64 {
 	if int(group) >= len(c.tickets) {
 		return 0
 	}
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -60,7 +60,7 @@
 	if asked := len(follower.requests()); asked != 1 {
 		t.Errorf("the follower was asked %d times, want once: the leader was not remembered", asked)
 	}
-	if ticket := client.Ticket(1); ticket != 17 {
+	if ticket := client.LearnedIndex(1); ticket != 17 {
 		t.Errorf("ticket %d, want 17", ticket)
 	}
 }
--- a/internal/controlclient/session.go
+++ b/internal/controlclient/session.go
@@ -124,8 +124,8 @@
 	return ""
 }
 
-// Ticket returns the highest ledger index of group that this process has learned, or 0 if it has learned none.
-func (s *Session) Ticket(group uint32) uint64 { return s.client.Ticket(group) }
+// LearnedIndex returns the highest ledger index of group that this process has learned, or 0 if it has learned none.
+func (s *Session) LearnedIndex(group uint32) uint64 { return s.client.LearnedIndex(group) }
 
 // Admit reports whether the lease is held at this instant, and for which table version. Work may be dispatched only
 // if ok is true and only if it was decided on exactly this version. The answer is valid for this instant only, so
--- a/internal/controlclient/session_run.go
+++ b/internal/controlclient/session_run.go
@@ -25,8 +25,8 @@
 	// silenceDivisor sets the limit on silence: after lease/silenceDivisor without a grant or update the session
 	// tries another control node.
 	silenceDivisor = 3
-	// firstRenewal is the renewal interval until the first grant tells the lease's duration.
-	firstRenewal = 200 * time.Millisecond
+	// firstRenewalInterval is the renewal interval until the first grant tells the lease's duration.
+	firstRenewalInterval = 200 * time.Millisecond
 	// sentHistory is the number of renewals whose send times and demands are remembered. A grant for an older renewal
 	// is ignored.
 	sentHistory = 64
@@ -316,14 +316,14 @@
 func (a *attachment) interval() time.Duration {
 	interval := a.lease / renewalsPerLease
 	if interval <= 0 {
-		interval = firstRenewal
+		interval = firstRenewalInterval
 	}
 	return interval - interval/10 + rand.N(interval/10+1)
 }
 
 // isSilent reports whether the node has sent no grant or update for so long that another node must be tried.
 func (a *attachment) isSilent() bool {
-	limit := max(a.lease/silenceDivisor, 2*firstRenewal)
+	limit := max(a.lease/silenceDivisor, 2*firstRenewalInterval)
 	return a.session.client.config.Clock()-a.lastHeard > limit
 }
 
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -21,8 +21,8 @@
 	Owner() string
 	// ClaimGroup returns the ledger group of an idempotency key.
 	ClaimGroup(key string) uint32
-	// Ticket returns the highest ledger index of a group that this process knows.
-	Ticket(group uint32) uint64
+	// LearnedIndex returns the highest ledger index of a group that this process knows.
+	LearnedIndex(group uint32) uint64
 	// Execute applies a command in a group. It retries until ctx ends.
 	Execute(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, error)
 	// Query reads from a group linearizably.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -114,7 +114,7 @@
 		request.Key = c.pool + "/" + c.key
 		request.BodyHash = c.hashBody()
 		x.claimGroup = x.server.config.Control.ClaimGroup(request.Key)
-		request.Ticket = x.server.config.Control.Ticket(x.claimGroup)
+		request.Ticket = x.server.config.Control.LearnedIndex(x.claimGroup)
 	}
 	return request
 }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -124,7 +124,7 @@
 	f.set(func() { f.lostReplies = map[string]int{kind: n} })
 }
 
-func (f *fakeControl) Ticket(uint32) uint64 {
+func (f *fakeControl) LearnedIndex(uint32) uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.ticket
