--- a/internal/compat/readiness.go
+++ b/internal/compat/readiness.go
@@ -33,10 +33,10 @@
 	since time.Duration
 }
 
-// Look updates the decision with the level in force and the present processes, and returns the level to propose, or
+// Update updates the decision with the level in force and the present processes, and returns the level to propose, or
 // false if there is none. now is on a monotonic clock. fresh means that the group holds no state yet: there is no
 // earlier build to return to, so a level comes into force at once.
-func (s *Settling) Look(now time.Duration, agreed Level, present []Process, fresh bool) (Level, bool) {
+func (s *Settling) Update(now time.Duration, agreed Level, present []Process, fresh bool) (Level, bool) {
 	highest, _ := Highest(present)
 	if highest != s.level {
 		s.level, s.since = highest, now
--- a/internal/compat/readiness_test.go
+++ b/internal/compat/readiness_test.go
@@ -33,7 +33,7 @@
 					spokenSince[level] = now
 				}
 			}
-			raised, due := settling.Look(now, agreed, present, fresh)
+			raised, due := settling.Update(now, agreed, present, fresh)
 			if !due {
 				continue
 			}
@@ -63,14 +63,14 @@
 		{2 * SettlingTime, newer, false},
 		{2*SettlingTime + 1, newer, true},
 	} {
-		if _, due := settling.Look(step.at, Base, step.present, false); due != step.due {
+		if _, due := settling.Update(step.at, Base, step.present, false); due != step.due {
 			t.Errorf("at %v: due %v", step.at, due)
 		}
 	}
-	if _, due := new(Settling).Look(0, Base, newer, true); !due {
+	if _, due := new(Settling).Update(0, Base, newer, true); !due {
 		t.Error("a group without state does not raise its level at once")
 	}
-	if _, due := new(Settling).Look(0, Base, nil, true); due {
+	if _, due := new(Settling).Update(0, Base, nil, true); due {
 		t.Error("a level is proposed without any process")
 	}
 	if _, lowest := Highest(append(newer, Process{Name: "old"})); lowest.Name != "old" {
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -162,7 +162,7 @@
 		l.settling = &compat.Settling{}
 	}
 	now := l.server.config.Clock()
-	if level, due := l.settling.Look(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
+	if level, due := l.settling.Update(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
 		l.raise(ctx, level, len(present))
 	}
 }
