--- a/internal/consensus/sender.go
+++ b/internal/consensus/sender.go
@@ -125,7 +125,7 @@
 		ctx = credentials.Context(ctx)
 	}
 	conn := drpcconn.NewWithOptions(connection, drpcconn.Options{Manager: drpcmanager.Options{
-		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes}}})
+		Stream: drpcstream.Options{MaximumBufferSize: wire.MaximumRetainedBufferBytes}}})
 	defer conn.Close()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -170,7 +170,7 @@
 	server := drpcserver.NewWithOptions(s.config.Guard.Wrap(mux, rolesOf), drpcserver.Options{
 		Manager: drpcmanager.Options{
 			Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-			Stream: drpcstream.Options{ManualFlush: true, MaximumBufferSize: wire.KeptBufferBytes},
+			Stream: drpcstream.Options{ManualFlush: true, MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 		},
 		Log: func(err error) { s.log.WithError(err).Debug("a connection ended") },
 	})
--- a/internal/executor/server.go
+++ b/internal/executor/server.go
@@ -93,7 +93,7 @@
 	}
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes},
+		Stream: drpcstream.Options{MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 	}, Log: func(err error) { s.config.Log.WithError(err).Debug("leader connection ended") }})
 	swept, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -101,7 +101,7 @@
 	}
 	conn := drpcconn.NewWithOptions(transport, drpcconn.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes},
+		Stream: drpcstream.Options{MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 	}})
 	abort := context.AfterFunc(dialing, func() { _ = conn.Close() })
 	stream, err := wire.NewDRPCExecutorClient(conn).Drive(context.WithoutCancel(ctx))
