--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -15,8 +15,8 @@
 	"github.com/gravitational/trace"
 )
 
-// RefusedCode is the drpc error code of a stream that was rejected because of its token.
-const RefusedCode = 4010
+// RejectedTokenCode is the drpc error code of a stream that was rejected because of its token.
+const RejectedTokenCode = 4010
 
 // Role determines what the holder of a token may do.
 type Role string
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -107,7 +107,7 @@
 	if l.shouldLogRefusal(wire.OwnerName(member)) {
 		l.server.log.Warn(reason)
 	}
-	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RefusedCode)
+	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RejectedTokenCode)
 }
 
 // maximumLoggedRefusals bounds the set of process starts whose refusal was logged.
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -92,7 +92,7 @@
 	}
 	for {
 		if _, err := older.Recv(); err != nil {
-			if drpcerr.Code(err) != auth.RefusedCode {
+			if drpcerr.Code(err) != auth.RejectedTokenCode {
 				t.Errorf("its session ended with %v, want the code RefusedCode", err)
 			}
 			break
@@ -110,7 +110,7 @@
 	if err := older.Send(&wire.SessionRequest{Member: olderMember(), Sequence: 1}); err != nil {
 		t.Fatal(err)
 	}
-	if reply, err := older.Recv(); drpcerr.Code(err) != auth.RefusedCode {
+	if reply, err := older.Recv(); drpcerr.Code(err) != auth.RejectedTokenCode {
 		t.Errorf("an older member got %v (%v), want the code RefusedCode", reply, err)
 	}
 	raise := &wire.Command{Kind: &wire.Command_LevelRaise{LevelRaise: &wire.LevelRaise{Level: 9}}}
--- a/internal/controlclient/request.go
+++ b/internal/controlclient/request.go
@@ -58,7 +58,7 @@
 		if reply.GetStatus() == wire.ExecuteStatus_EXECUTE_STATUS_UNKNOWN && time.Since(began) >= duration {
 			template.slowAttempts++ // an attempt of the same length would end in the same way
 		}
-		if drpcerr.Code(err) == auth.RefusedCode {
+		if drpcerr.Code(err) == auth.RejectedTokenCode {
 			return nil, state.refusedError(address)
 		}
 		if err != nil {
--- a/internal/controlclient/session_run.go
+++ b/internal/controlclient/session_run.go
@@ -75,7 +75,7 @@
 		if errors.Is(err, errIncarnationChanged) {
 			continue
 		}
-		if drpcerr.Code(err) == auth.RefusedCode {
+		if drpcerr.Code(err) == auth.RejectedTokenCode {
 			s.reportRefusal(address, err)
 		}
 		s.client.forgetLeader(ControlGroup, address)
--- a/internal/credentials/guard.go
+++ b/internal/credentials/guard.go
@@ -65,7 +65,7 @@
 }
 
 // Wrap returns a drpc handler that rejects each call unless its token has one of the roles that permitted returns for
-// the name of the RPC. Rejected calls fail with code auth.RefusedCode. A nil Guard returns handler unchanged.
+// the name of the RPC. Rejected calls fail with code auth.RejectedTokenCode. A nil Guard returns handler unchanged.
 func (g *Guard) Wrap(handler drpc.Handler, permitted func(rpc string) []auth.Role) drpc.Handler {
 	if g == nil {
 		return handler
@@ -86,7 +86,7 @@
 	principal, err := h.guard.Check(metadata[tokenKey], h.permitted(rpc)...)
 	if err != nil {
 		h.guard.logRejection(rpc, err)
-		return drpcerr.WithCode(err, auth.RefusedCode)
+		return drpcerr.WithCode(err, auth.RejectedTokenCode)
 	}
 	return h.handler.HandleRPC(&authenticatedStream{Stream: stream, ctx: context.WithValue(stream.Context(), principalKey{}, principal)}, rpc)
 }
