--- a/internal/control/permissions_test.go
+++ b/internal/control/permissions_test.go
@@ -23,7 +23,7 @@
 func startGuardedCluster(t *testing.T) (*cluster, map[auth.Role]*credentials.Client) {
 	t.Helper()
 	folder := t.TempDir()
-	path, tokens := credentialtest.WriteTokens(t, folder, credentialtest.OneOfEach())
+	path, tokens := credentialtest.WriteTokens(t, folder, credentialtest.OneHolderPerRole())
 	shown := map[auth.Role]*credentials.Client{}
 	for name, token := range tokens {
 		own := filepath.Join(folder, name)
@@ -138,7 +138,7 @@
 func TestClusterOverMutualTLS(t *testing.T) {
 	authority := credentialtest.NewAuthority(t)
 	newTLS := func(from *credentialtest.Authority) *credentials.TLS {
-		certificate, key, ca := from.Write(t, t.TempDir(), net.ParseIP("127.0.0.1"))
+		certificate, key, ca := from.WriteCertificate(t, t.TempDir(), net.ParseIP("127.0.0.1"))
 		made, err := credentials.NewTLS(certificate, key, ca, logging.Discard())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/credentials/credentials_test.go
+++ b/internal/credentials/credentials_test.go
@@ -92,7 +92,7 @@
 // nodeOf returns the TLS of a node with the given IP address and a certificate of a.
 func nodeOf(t *testing.T, a *credentialtest.Authority, address string) *TLS {
 	t.Helper()
-	certificate, key, ca := a.Write(t, t.TempDir(), net.ParseIP(address))
+	certificate, key, ca := a.WriteCertificate(t, t.TempDir(), net.ParseIP(address))
 	nodeTLS, err := NewTLS(certificate, key, ca, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 func TestCertificatesAreReloaded(t *testing.T) {
 	old, next := credentialtest.NewAuthority(t), credentialtest.NewAuthority(t)
 	folder := t.TempDir()
-	certificate, key, ca := old.Write(t, folder, net.ParseIP("127.0.0.1"))
+	certificate, key, ca := old.WriteCertificate(t, folder, net.ParseIP("127.0.0.1"))
 	server, err := NewTLS(certificate, key, ca, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 	if err := greet(t, server, nodeOf(t, next, "127.0.0.1")); err == nil {
 		t.Fatal("a foreign certificate was accepted")
 	}
-	next.Write(t, folder, net.ParseIP("127.0.0.1"))
+	next.WriteCertificate(t, folder, net.ParseIP("127.0.0.1"))
 	forceCheck(server.material)
 	if err := greet(t, server, nodeOf(t, next, "127.0.0.1")); err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 // TestIncompleteCertificateSettingsAreRefused guards against starting without TLS, or failing later, when certificate
 // files are missing, swapped or unreadable.
 func TestIncompleteCertificateSettingsAreRefused(t *testing.T) {
-	certificate, key, ca := credentialtest.NewAuthority(t).Write(t, t.TempDir(), net.ParseIP("127.0.0.1"))
+	certificate, key, ca := credentialtest.NewAuthority(t).WriteCertificate(t, t.TempDir(), net.ParseIP("127.0.0.1"))
 	for _, paths := range [][3]string{{certificate, key, ""}, {certificate, "", ca}, {"", key, ca}, {key, certificate, ca},
 		{certificate, key, key}, {certificate + "x", key, ca}} {
 		if _, err := NewTLS(paths[0], paths[1], paths[2], logging.Discard()); err == nil {
--- a/internal/credentials/credentialtest/authority.go
+++ b/internal/credentials/credentialtest/authority.go
@@ -59,9 +59,9 @@
 	return issued, key
 }
 
-// Write issues a certificate for a node with the given IP address, writes it to folder, and returns the paths of the
+// WriteCertificate issues a certificate for a node with the given IP address, writes it to folder, and returns the paths of the
 // certificate, its key and the certificate authority.
-func (a *Authority) Write(t testing.TB, folder string, address net.IP) (certificate, key, ca string) {
+func (a *Authority) WriteCertificate(t testing.TB, folder string, address net.IP) (certificate, key, ca string) {
 	t.Helper()
 	issued, secret := a.sign(t, &x509.Certificate{IPAddresses: []net.IP{address},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
@@ -100,8 +100,8 @@
 	return path, tokens
 }
 
-// OneOfEach returns one holder of each role, named after its role.
-func OneOfEach() map[string]auth.Role {
+// OneHolderPerRole returns one holder of each role, named after its role.
+func OneHolderPerRole() map[string]auth.Role {
 	holders := map[string]auth.Role{}
 	for _, role := range []auth.Role{auth.Operator, auth.Trainer, auth.Caller, auth.Node} {
 		holders[string(role)] = role
--- a/internal/gateway/authorization_test.go
+++ b/internal/gateway/authorization_test.go
@@ -16,7 +16,7 @@
 // newGuardWithAllRoles returns a guard and a token for each role.
 func newGuardWithAllRoles(t *testing.T) (*credentials.Guard, map[auth.Role]string) {
 	t.Helper()
-	path, byName := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneOfEach())
+	path, byName := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneHolderPerRole())
 	tokens := map[auth.Role]string{}
 	for name, token := range byName {
 		tokens[auth.Role(name)] = token
--- a/internal/metrics/admin_test.go
+++ b/internal/metrics/admin_test.go
@@ -96,7 +96,7 @@
 // TestAdminRequiresTokensExceptForHealth guards against metrics and profiles that are readable without a token of an
 // operator or a node, and against health and readiness that need a token.
 func TestAdminRequiresTokensExceptForHealth(t *testing.T) {
-	path, tokens := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneOfEach())
+	path, tokens := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneHolderPerRole())
 	guard, err := credentials.NewGuard(path, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/page/authorization_test.go
+++ b/internal/page/authorization_test.go
@@ -28,7 +28,7 @@
 // Only a token of an operator may read the page and change the table, and a change is recorded under the token's
 // name, whatever operator the request names.
 func TestOnlyOperatorsUseThePageAndSignWithTheirOwnName(t *testing.T) {
-	path, tokens := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneOfEach())
+	path, tokens := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneHolderPerRole())
 	guard, err := credentials.NewGuard(path, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
