--- a/internal/sim/session.go
+++ b/internal/sim/session.go
@@ -70,7 +70,7 @@
 const (
 	firstRenewalInterval = 200 * time.Millisecond // renewal interval before the duration of the lease is known
 	renewalsPerLease     = 6
-	silenceFraction      = 3 // a stream is closed after lease/silenceFraction without a reply
+	silenceDivisor       = 3 // a stream is closed after lease/silenceDivisor without a reply
 	maxReattachDelay     = 20 * time.Millisecond
 )
 
@@ -168,7 +168,7 @@
 		if a.closed {
 			return
 		}
-		if a.session.client.clock()-a.lastReplyAt > max(lease.DefaultLease/silenceFraction, 2*firstRenewalInterval) {
+		if a.session.client.clock()-a.lastReplyAt > max(lease.DefaultLease/silenceDivisor, 2*firstRenewalInterval) {
 			a.close("")
 			return
 		}
