--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -43,7 +43,7 @@
 }
 
 func (r *platformRole) run(environment Environment, arguments []string, role string,
-	serve func(context.Context, *platform.Settings, platform.Show, *logrus.Entry) error) error {
+	serve func(context.Context, *platform.Settings, platform.ExposeMetrics, *logrus.Entry) error) error {
 	if len(arguments) > 0 {
 		return &ExitError{Code: ExitUsage, Message: fmt.Sprintf("platform %s takes no arguments, got %q", role, arguments[0])}
 	}
