--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -30,7 +30,7 @@
 	if admin == nil {
 		return nil
 	}
-	return admin.Show(process)
+	return admin.SetProcess(process)
 }
 
 // closeAdmin closes the admin listener, if there is one.
--- a/internal/metrics/admin_test.go
+++ b/internal/metrics/admin_test.go
@@ -58,7 +58,7 @@
 	expect("/healthz", 200, "ok")
 	expect("/metrics", 200, "tamarindring_ready 0")
 	process := &fakeProcess{counter: prometheus.NewCounter(prometheus.CounterOpts{Name: "tamarindring_gateway_things_total"})}
-	if err := admin.Show(process); err != nil {
+	if err := admin.SetProcess(process); err != nil {
 		t.Fatal(err)
 	}
 	expect("/readyz", 200, "ready")
@@ -71,7 +71,7 @@
 	expect("/debug/pprof/goroutine?debug=1", 200, "goroutine profile")
 	expect("/debug/pprof/profile?seconds=1", 200, "")
 	expect("/elsewhere", 404, "/metrics")
-	if admin.Show(process) == nil {
+	if admin.SetProcess(process) == nil {
 		t.Fatal("Show accepted a second process")
 	}
 	response, err := http.Post("http://"+admin.Address()+"/metrics", "", nil)
