--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -19,10 +19,10 @@
 	return 0
 }
 
-// MayRetire reports whether the groups keep all their voters if the standby at an address leaves: the remaining
+// CanRetire reports whether the groups keep all their voters if the standby at an address leaves: the remaining
 // standbys that vote or recently asked to join must be enough to fill all places that other voters do not. It relies on
 // this node's view, which may be out of date. It returns an error if the status of a group cannot be read.
-func (s *Server) MayRetire(ctx context.Context, address string) (bool, error) {
+func (s *Server) CanRetire(ctx context.Context, address string) (bool, error) {
 	standbys, needed := map[uint64]bool{}, 0
 	gone := s.retiring()
 	gone[address] = true
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -133,7 +133,7 @@
 	server := c.servers[0]
 	address := c.servers[voting].Address()
 	eventually(t, "enough standbys to have asked to join", func() bool {
-		may, err := server.MayRetire(testContext(t), address)
+		may, err := server.CanRetire(testContext(t), address)
 		return err == nil && may
 	})
 	retire(t, client, "storage-1", address)
@@ -147,7 +147,7 @@
 			continue
 		}
 		for _, server := range c.servers[:3] {
-			if may, err := server.MayRetire(testContext(t), c.servers[position].Address()); err != nil || may {
+			if may, err := server.CanRetire(testContext(t), c.servers[position].Address()); err != nil || may {
 				t.Errorf("node %d allows standby %d to retire (error %v), want a rejection", server.config.NodeID, position, err)
 			}
 		}
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -18,11 +18,11 @@
 	RetirementCompleted Retirement = "completed" // the member holds no part of the replicated state; its machine may be removed
 )
 
-// Standbys knows which storage machines hold a part of the replicated state. *control.Server is the usual
+// StorageMachines knows which storage machines hold a part of the replicated state. *control.Server is the usual
 // implementation.
-type Standbys interface {
-	// MayRetire reports whether enough other storage members remain without the one at an address.
-	MayRetire(ctx context.Context, address string) (bool, error)
+type StorageMachines interface {
+	// CanRetire reports whether enough other storage members remain without the one at an address.
+	CanRetire(ctx context.Context, address string) (bool, error)
 	// AddressOf returns the address that a control node listens on; empty if it is not known.
 	AddressOf(node uint64) string
 }
@@ -30,7 +30,7 @@
 // RetireMember drains a storage member so that its machine can be removed together with its disk. It is idempotent
 // and may be called at any control node: once a drain was accepted, no later call is refused. Errors: trace.NotFound
 // if no storage member has that name, trace.CompareFailed if too few would remain; all others carry a verdict.
-func RetireMember(ctx context.Context, control MemberControl, standbys Standbys, name string) error {
+func RetireMember(ctx context.Context, control MemberControl, standbys StorageMachines, name string) error {
 	member, err := findStorageMember(ctx, control, name)
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 	if isLeaving(member) {
 		return nil
 	}
-	sufficient, err := standbys.MayRetire(ctx, member.Address)
+	sufficient, err := standbys.CanRetire(ctx, member.Address)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 // ReadRetirement returns how far the retirement of a storage member has come. Errors: trace.NotFound if no storage
 // member has that name; all others carry a verdict. A node whose address is not known counts as being on the member's
 // machine, so that the retirement isn't completed too early.
-func ReadRetirement(ctx context.Context, control MemberControl, standbys Standbys, name string) (Retirement, error) {
+func ReadRetirement(ctx context.Context, control MemberControl, standbys StorageMachines, name string) (Retirement, error) {
 	member, err := findStorageMember(ctx, control, name)
 	if err != nil {
 		return "", err
--- a/internal/operator/retire_test.go
+++ b/internal/operator/retire_test.go
@@ -29,7 +29,7 @@
 // knownStandbys holds the addresses of control nodes by id. A missing id has no known address.
 type knownStandbys map[uint64]string
 
-func (knownStandbys) MayRetire(context.Context, string) (bool, error) { return true, nil }
+func (knownStandbys) CanRetire(context.Context, string) (bool, error) { return true, nil }
 
 func (s knownStandbys) AddressOf(node uint64) string { return s[node] }
 
