--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -27,7 +27,7 @@
 	if err := c.read(logs, arguments[1:]); err != nil {
 		return err
 	}
-	story := logs.Tell(arguments[0])
+	story := logs.Explain(arguments[0])
 	if len(story.Lines) == 0 && len(story.Items) == 0 {
 		return &ExitError{Code: ExitFailure, Message: fmt.Sprintf("explain: no line names %q", arguments[0])}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	return logs.Tell(id)
+	return logs.Explain(id)
 }
 
 func eventNames(story *Story) string {
@@ -163,11 +163,11 @@
 	if err := logs.Add("edge-7", strings.NewReader(text)); err != nil {
 		t.Fatal(err)
 	}
-	story := logs.Tell("r")
+	story := logs.Explain("r")
 	if logs.Skipped() != 2 || len(story.Lines) != 1 || story.Lines[0].Node != "edge-7" {
 		t.Fatalf("got %d skipped lines and %d lines in the story, want 2 and 1 of node edge-7", logs.Skipped(), len(story.Lines))
 	}
-	if unknown := logs.Tell("nobody"); len(unknown.Lines) != 0 {
+	if unknown := logs.Explain("nobody"); len(unknown.Lines) != 0 {
 		t.Fatal("got lines for an id that no line contains")
 	}
 }
