--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -98,7 +98,7 @@
 
 // logTable logs a new table version. The caller holds the mutex.
 func (f *Forwarder) logTable(view *table.View, next *plan) {
-	if !logging.Wanted(f.config.Log, (&events.TableAdopted{}).Kind()) {
+	if !logging.IsEnabled(f.config.Log, (&events.TableAdopted{}).Kind()) {
 		return
 	}
 	event := &events.TableAdopted{TableVersion: next.version, Routes: len(next.routes.Routes())}
