--- a/internal/standin/application/handle.go
+++ b/internal/standin/application/handle.go
@@ -78,12 +78,12 @@
 	arrived := time.Now()
 	key := string(ctx.Request.Header.Peek("Idempotency-Key"))
 	if (operation != "push" && operation != "join") || key == "" {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_call", "the operation is push or join and needs an Idempotency-Key", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_call", "the operation is push or join and needs an Idempotency-Key", 0)
 		return
 	}
 	hash, err := hashBody(ctx)
 	if err != nil {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body ended early: "+err.Error(), 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body ended early: "+err.Error(), 0)
 		return
 	}
 	entry := Execution{
@@ -92,7 +92,7 @@
 	drawn, execution := s.beginCall(&entry)
 	switch {
 	case drawn.rejection != "":
-		endpoint.Refuse(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, "refused", drawn.rejection, refusalRetry)
+		endpoint.WriteError(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, "refused", drawn.rejection, refusalRetry)
 		return
 	case drawn.cutBeforeRun:
 		endpoint.Cut(ctx.Conn())
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -257,9 +257,9 @@
 	Verdict string `json:"verdict"`
 }
 
-// Refuse answers with an error body and the verdict header. A positive retryAfter sets Retry-After, rounded up to whole
+// WriteError answers with an error body and the verdict header. A positive retryAfter sets Retry-After, rounded up to whole
 // seconds.
-func Refuse(ctx *fasthttp.RequestCtx, status int, known verdict.Verdict, code, message string, retryAfter time.Duration) {
+func WriteError(ctx *fasthttp.RequestCtx, status int, known verdict.Verdict, code, message string, retryAfter time.Duration) {
 	ctx.Response.Header.Set(verdict.Header, known.String())
 	if retryAfter > 0 {
 		seconds := int((retryAfter + time.Second - 1) / time.Second)
@@ -275,7 +275,7 @@
 // DecodeJSON decodes the request's body into target. If that fails, it answers with status 400 and returns false.
 func DecodeJSON(ctx *fasthttp.RequestCtx, target any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), target); err != nil {
-		Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body is no valid JSON of this form: "+err.Error(), 0)
+		WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body is no valid JSON of this form: "+err.Error(), 0)
 		return false
 	}
 	return true
--- a/internal/standin/engine/admin.go
+++ b/internal/standin/engine/admin.go
@@ -120,7 +120,7 @@
 		return
 	}
 	if order.Version == "" || order.Fence == 0 {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_order", "version, version_number and fence are required", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_order", "version, version_number and fence are required", 0)
 		return
 	}
 	s.mutex.Lock()
@@ -139,14 +139,14 @@
 
 // rejectStale answers an order with a stale fencing token.
 func rejectStale(ctx *fasthttp.RequestCtx) {
-	endpoint.Refuse(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "stale_fence", emulator.ErrStaleFence.Error(), 0)
+	endpoint.WriteError(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "stale_fence", emulator.ErrStaleFence.Error(), 0)
 }
 
 // fetch loads a version's data from the weight store. If that fails, it answers with the error and returns false.
 func (s *Server) fetch(ctx *fasthttp.RequestCtx, order weightsOrder) bool {
 	response, err := s.client.Get("http://" + s.config.WeightStore + "/v1/versions/" + url.PathEscape(order.Version))
 	if err != nil {
-		endpoint.Refuse(ctx, fasthttp.StatusBadGateway, verdict.DidNotRun, "weight_store", "weight store: "+err.Error(), 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadGateway, verdict.DidNotRun, "weight_store", "weight store: "+err.Error(), 0)
 		return false
 	}
 	defer response.Body.Close()
@@ -159,11 +159,11 @@
 	case http.StatusTooManyRequests:
 		seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
 		wait := max(time.Duration(seconds)*time.Second, time.Second)
-		endpoint.Refuse(ctx, fasthttp.StatusTooManyRequests, verdict.DidNotRun, "throttled", "the weight store throttles", wait)
+		endpoint.WriteError(ctx, fasthttp.StatusTooManyRequests, verdict.DidNotRun, "throttled", "the weight store throttles", wait)
 	case http.StatusNotFound:
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "unknown_version", "the weight store has no such version", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "unknown_version", "the weight store has no such version", 0)
 	default:
-		endpoint.Refuse(ctx, fasthttp.StatusBadGateway, verdict.DidNotRun, "weight_store", "the weight store answered "+response.Status, 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadGateway, verdict.DidNotRun, "weight_store", "the weight store answered "+response.Status, 0)
 	}
 	return false
 }
@@ -186,7 +186,7 @@
 	case outcome := <-waiting.done:
 		s.answerOrder(ctx, outcome)
 	case <-timeout.C:
-		endpoint.Refuse(ctx, fasthttp.StatusGatewayTimeout, verdict.MayHaveRun, "swap_slow", "the swap is not done yet", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusGatewayTimeout, verdict.MayHaveRun, "swap_slow", "the swap is not done yet", 0)
 	}
 }
 
@@ -215,9 +215,9 @@
 	case orderSwapped:
 		s.answerWeights(ctx, fasthttp.StatusOK)
 	case orderSuperseded:
-		endpoint.Refuse(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "superseded", "another version was ordered meanwhile", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "superseded", "another version was ordered meanwhile", 0)
 	default:
-		endpoint.Refuse(ctx, fasthttp.StatusInternalServerError, verdict.MayHaveRun, "swap_failed", "the weight swap failed; see /v1/load for what is served", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusInternalServerError, verdict.MayHaveRun, "swap_failed", "the weight swap failed; see /v1/load for what is served", 0)
 	}
 }
 
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -42,7 +42,7 @@
 	}
 	prepared, problem := parseCompletion(&body, chat)
 	if problem != "" {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_request", problem, 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_request", problem, 0)
 		return
 	}
 	prepared.idempotencyKey = string(ctx.Request.Header.Peek("Idempotency-Key"))
@@ -129,7 +129,7 @@
 		return false
 	}
 	if live := s.streams[prepared.requestID]; live != nil && s.runningByHandle[live.handle] == live {
-		endpoint.Refuse(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "duplicate_request", "a request of this identity is running", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusConflict, verdict.DidNotRun, "duplicate_request", "a request of this identity is running", 0)
 		return false
 	}
 	imported := s.imports.take(body.KVImport)
@@ -155,7 +155,7 @@
 // rejectSubmit answers a request that the emulator rejected.
 func (s *Server) rejectSubmit(ctx *fasthttp.RequestCtx, prepared *stream, err error) {
 	if errors.Is(err, emulator.ErrTooLarge) {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "too_large", err.Error(), 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "too_large", err.Error(), 0)
 		return
 	}
 	s.reject(ctx, prepared, "unavailable", err.Error(), overloadRetry)
@@ -166,7 +166,7 @@
 	entry := prepared.execution()
 	entry.Outcome, entry.Ended = OutcomeRefused, prepared.arrived
 	s.log.record(entry)
-	endpoint.Refuse(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, code, message, retryAfter)
+	endpoint.WriteError(ctx, fasthttp.StatusServiceUnavailable, verdict.DidNotRun, code, message, retryAfter)
 }
 
 // serveUnstreamed waits for the end of a stream and answers with the whole text.
@@ -181,7 +181,7 @@
 	case OutcomeCrashed:
 		endpoint.Cut(ctx.Conn())
 	default:
-		endpoint.Refuse(ctx, fasthttp.StatusInternalServerError, verdict.MayHaveRun, string(last.outcome), "the request was "+string(last.outcome), 0)
+		endpoint.WriteError(ctx, fasthttp.StatusInternalServerError, verdict.MayHaveRun, string(last.outcome), "the request was "+string(last.outcome), 0)
 	}
 }
 
--- a/internal/standin/engine/handle.go
+++ b/internal/standin/engine/handle.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if !ctx.IsPost() {
-		endpoint.Refuse(ctx, fasthttp.StatusMethodNotAllowed, verdict.DidNotRun, "bad_method", "use GET or POST", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusMethodNotAllowed, verdict.DidNotRun, "bad_method", "use GET or POST", 0)
 		return
 	}
 	switch path {
@@ -93,7 +93,7 @@
 }
 
 func notFound(ctx *fasthttp.RequestCtx) {
-	endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "no such path", 0)
+	endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "no such path", 0)
 }
 
 // handleStream serves /v1/streams/{request_id}/resume and /cancel.
@@ -109,7 +109,7 @@
 	found := s.streams[requestID]
 	s.mutex.Unlock()
 	if found == nil {
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.MayHaveRun, "unknown_stream", "no stream of this request is kept", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.MayHaveRun, "unknown_stream", "no stream of this request is kept", 0)
 		return
 	}
 	switch action {
@@ -151,7 +151,7 @@
 func (s *Server) resume(ctx *fasthttp.RequestCtx, found *stream) {
 	from, err := strconv.Atoi(string(ctx.QueryArgs().Peek("from")))
 	if err != nil || from < found.prefixTokens || from > found.totalTokens {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.MayHaveRun, "bad_from",
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.MayHaveRun, "bad_from",
 			"from must be a token between "+strconv.Itoa(found.prefixTokens)+" and "+strconv.Itoa(found.totalTokens), 0)
 		return
 	}
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -63,7 +63,7 @@
 	}
 	exported, running := s.export(order.RequestID)
 	if !running {
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "unknown_stream", "no such request is running", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "unknown_stream", "no such request is running", 0)
 		return
 	}
 	s.pause(s.config.Parameters.TransferTime(exported.Tokens))
@@ -112,7 +112,7 @@
 		return
 	}
 	if cache.ID == "" || cache.Tokens < 0 {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_cache", "id and tokens are required", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_cache", "id and tokens are required", 0)
 		return
 	}
 	s.pause(s.config.Parameters.TransferTime(cache.Tokens))
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -148,7 +148,7 @@
 		s.Remove(name)
 		endpoint.WriteJSON(ctx, fasthttp.StatusOK, Machine{Name: name})
 	default:
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "use GET /v1/machines, or PUT and DELETE /v1/machines/{name}", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "use GET /v1/machines, or PUT and DELETE /v1/machines/{name}", 0)
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	machine.Name = name
 	if machine.State != StateLive && machine.State != StateLeaving {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_state", "state is live or leaving", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_state", "state is live or leaving", 0)
 		return
 	}
 	s.Set(machine)
--- a/internal/standin/scorer/scorer.go
+++ b/internal/standin/scorer/scorer.go
@@ -94,7 +94,7 @@
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() || string(ctx.Path()) != "/v1/score" {
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "use POST /v1/score", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "use POST /v1/score", 0)
 		return
 	}
 	var request Request
--- a/internal/standin/weightstore/weightstore.go
+++ b/internal/standin/weightstore/weightstore.go
@@ -115,7 +115,7 @@
 	escaped, ok := strings.CutPrefix(string(ctx.Path()), versionsPath)
 	name, err := url.PathUnescape(escaped)
 	if !ok || err != nil || name == "" {
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "use /v1/versions/{version}", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "not_found", "use /v1/versions/{version}", 0)
 		return
 	}
 	switch {
@@ -124,14 +124,14 @@
 	case ctx.IsPut():
 		s.write(ctx, name)
 	default:
-		endpoint.Refuse(ctx, fasthttp.StatusMethodNotAllowed, verdict.DidNotRun, "bad_method", "use GET or PUT", 0)
+		endpoint.WriteError(ctx, fasthttp.StatusMethodNotAllowed, verdict.DidNotRun, "bad_method", "use GET or PUT", 0)
 	}
 }
 
 func (s *Server) read(ctx *fasthttp.RequestCtx, name string) {
 	wait, throttled := s.reserveRead()
 	if throttled {
-		endpoint.Refuse(ctx, fasthttp.StatusTooManyRequests, verdict.DidNotRun, "throttled", "too many reads", wait)
+		endpoint.WriteError(ctx, fasthttp.StatusTooManyRequests, verdict.DidNotRun, "throttled", "too many reads", wait)
 		return
 	}
 	s.mutex.Lock()
@@ -139,7 +139,7 @@
 	readTime := s.readTime
 	s.mutex.Unlock()
 	if !known {
-		endpoint.Refuse(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "unknown_version", "no version "+name, 0)
+		endpoint.WriteError(ctx, fasthttp.StatusNotFound, verdict.DidNotRun, "unknown_version", "no version "+name, 0)
 		return
 	}
 	timer := time.NewTimer(readTime)
@@ -170,7 +170,7 @@
 func (s *Server) write(ctx *fasthttp.RequestCtx, name string) {
 	version := Version{Version: name}
 	if err := json.Unmarshal(ctx.PostBody(), &version); err != nil || version.Version != name {
-		endpoint.Refuse(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body must describe version "+name, 0)
+		endpoint.WriteError(ctx, fasthttp.StatusBadRequest, verdict.DidNotRun, "bad_body", "the body must describe version "+name, 0)
 		return
 	}
 	s.Put(version)
