--- a/internal/coordinator/fixture_test.go
+++ b/internal/coordinator/fixture_test.go
@@ -208,7 +208,7 @@
 }
 
 // truth returns the record of what the engines generated, against which trainers check their samples.
-func (f *fixture) truth() trainer.Truth { return trainer.NewEngines(f.engines...) }
+func (f *fixture) truth() trainer.SampleChecker { return trainer.NewEngineLogs(f.engines...) }
 
 // runTrainer runs a trainer to its end and checks its statistics.
 func (f *fixture) runTrainer(t *testing.T, config trainer.Config) trainer.Stats {
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -46,7 +46,7 @@
 	if err := startAll(ctx, r.coordinators); err != nil {
 		return err
 	}
-	return r.startTrainer(trainer.NewEngines(servers(r.fleet.engines)...))
+	return r.startTrainer(trainer.NewEngineLogs(servers(r.fleet.engines)...))
 }
 
 func servers[S server](parts []*process[S]) []S {
@@ -58,7 +58,7 @@
 }
 
 // startTrainer runs a trainer that compares its samples with what the engines generated.
-func (r *rollouts) startTrainer(truth trainer.Truth) error {
+func (r *rollouts) startTrainer(truth trainer.SampleChecker) error {
 	made, err := r.newTrainer(truth)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (r *rollouts) newTrainer(truth trainer.Truth) (*trainer.Trainer, error) {
+func (r *rollouts) newTrainer(truth trainer.SampleChecker) (*trainer.Trainer, error) {
 	f := r.fleet
 	shape := f.config.Deployment.Trainer
 	var addresses []string
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -62,15 +62,15 @@
 	// each reply is used.
 	StalenessBound func() (uint64, bool)
 	// Truth compares samples with what the engines generated. If nil, they are not compared.
-	Truth Truth
+	Truth SampleChecker
 	// Seed seeds the random choice of lost replies.
 	Seed uint64
 	// Log is required.
 	Log *logrus.Entry
 }
 
-// Truth checks samples against what the engines really generated.
-type Truth interface {
+// SampleChecker checks samples against what the engines really generated.
+type SampleChecker interface {
 	// Check returns an error if the sample's text or segments differ from what was generated for the prompt.
 	Check(prompt string, sample Sample) error
 }
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -249,7 +249,7 @@
 			t.Errorf("segment %+v: got generated %v", test.segment, got)
 		}
 	}
-	if err := NewEngines().Check("p", Sample{Segments: []Segment{{Replica: "e"}}}); err == nil {
+	if err := NewEngineLogs().Check("p", Sample{Segments: []Segment{{Replica: "e"}}}); err == nil {
 		t.Error("a segment of an unknown replica was accepted")
 	}
 }
--- a/internal/standin/trainer/truth.go
+++ b/internal/standin/trainer/truth.go
@@ -8,14 +8,14 @@
 	"github.com/tamarindring/tamarindring/internal/standin/engine"
 )
 
-// Engines implements Truth with the logs of engine stand-ins that run in the same process.
-type Engines struct {
+// EngineLogs implements Truth with the logs of engine stand-ins that run in the same process.
+type EngineLogs struct {
 	byName map[string]*engine.Server
 }
 
-// NewEngines returns the Truth of the given engines. Each engine must have the name of its replica in the table.
-func NewEngines(engines ...*engine.Server) *Engines {
-	truth := &Engines{byName: make(map[string]*engine.Server)}
+// NewEngineLogs returns the Truth of the given engines. Each engine must have the name of its replica in the table.
+func NewEngineLogs(engines ...*engine.Server) *EngineLogs {
+	truth := &EngineLogs{byName: make(map[string]*engine.Server)}
 	for _, server := range engines {
 		truth.byName[server.Name()] = server
 	}
@@ -24,7 +24,7 @@
 
 // Check implements Truth. Each token of a segment must come from an execution of the same answer on the replica and
 // under the weight version that the segment names.
-func (e *Engines) Check(prompt string, sample Sample) error {
+func (e *EngineLogs) Check(prompt string, sample Sample) error {
 	for _, segment := range sample.Segments {
 		server, known := e.byName[segment.Replica]
 		if !known {
