--- a/internal/coordinator/chaos_test.go
+++ b/internal/coordinator/chaos_test.go
@@ -74,7 +74,7 @@
 	case 2:
 		f.change(t, [3]string{"copy", "staleness_bound", fmt.Sprint(1 + random.Intn(4))})
 	case 3:
-		one.FailNextSwap([]engine.SwapFailure{engine.SwapKeepsOld, engine.SwapRefuses, engine.SwapIsSilent}[random.Intn(3)])
+		one.FailNextSwap([]engine.SwapFailure{engine.SwapKeepsOld, engine.SwapLosesWeights, engine.SwapReportsFalseSuccess}[random.Intn(3)])
 	case 4:
 		one.Crash()
 		time.AfterFunc(200*time.Millisecond, func() { one.Restart("base", 0) })
--- a/internal/coordinator/faults_test.go
+++ b/internal/coordinator/faults_test.go
@@ -60,7 +60,7 @@
 func TestReplicaKeepsOldWeightsAfterAFailedSwap(t *testing.T) {
 	t.Parallel()
 	for name, failure := range map[string]engine.SwapFailure{
-		"keeps old": engine.SwapKeepsOld, "refuses": engine.SwapRefuses, "silent": engine.SwapIsSilent,
+		"keeps old": engine.SwapKeepsOld, "refuses": engine.SwapLosesWeights, "silent": engine.SwapReportsFalseSuccess,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -131,20 +131,20 @@
 	return nil
 }
 
-// KV describes the KV cache of an exported request.
-type KV struct {
+// ExportedKV describes the ExportedKV cache of an exported request.
+type ExportedKV struct {
 	Tokens    int // context tokens that the KV cache covers
 	Generated int // tokens that this engine generated before the export
 }
 
 // Export ends a request without an event and returns its KV cache, whose transfer takes Parameters.TransferTime. A
 // waiting request has no KV cache and returns KV.Tokens 0. An unknown or ended request gets ErrUnknown.
-func (e *Engine) Export(now time.Duration, id uint64) (KV, error) {
+func (e *Engine) Export(now time.Duration, id uint64) (ExportedKV, error) {
 	seq, ok := e.sequences[id]
 	if !ok {
-		return KV{}, ErrUnknown
+		return ExportedKV{}, ErrUnknown
 	}
-	exported := KV{Generated: seq.generated}
+	exported := ExportedKV{Generated: seq.generated}
 	if seq.running {
 		exported.Tokens = seq.computedTokens
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -230,7 +230,7 @@
 
 // TestFailedSwaps checks the effects of each injected swap failure, and that the next swap repairs the engine.
 func TestFailedSwaps(t *testing.T) {
-	for _, failure := range []SwapFailure{SwapKeepsOld, SwapRefuses, SwapIsSilent} {
+	for _, failure := range []SwapFailure{SwapKeepsOld, SwapLosesWeights, SwapReportsFalseSuccess} {
 		e := newEngine(t, smallParameters())
 		if err := e.Submit(0, Request{ID: 1, PromptTokens: 4, OutputTokens: 20}); err != nil {
 			t.Fatal(err)
@@ -246,11 +246,11 @@
 				t.Errorf("failure %d: token under version %d", failure, event.Version)
 			}
 		}
-		if lost != (failure == SwapRefuses) {
+		if lost != (failure == SwapLosesWeights) {
 			t.Errorf("failure %d: running request lost is %v, want true for SwapRefuses only", failure, lost)
 		}
 		refused := errors.Is(e.Submit(time.Minute, Request{ID: 2, PromptTokens: 1, OutputTokens: 1}), ErrRefusing)
-		if refused != (failure == SwapRefuses) {
+		if refused != (failure == SwapLosesWeights) {
 			t.Errorf("failure %d: new request rejected is %v, want true for SwapRefuses only", failure, refused)
 		}
 		if e.Load(time.Minute).Version != 1 {
@@ -481,7 +481,7 @@
 	if err := from.Submit(0, Request{ID: 1, PromptTokens: 40, OutputTokens: 30}); err != nil {
 		t.Fatal(err)
 	}
-	if waiting, err := from.Export(0, 1); err != nil || waiting != (KV{}) {
+	if waiting, err := from.Export(0, 1); err != nil || waiting != (ExportedKV{}) {
 		t.Errorf("a waiting request exported %+v, %v, want an empty KV cache", waiting, err)
 	}
 	if err := from.Submit(0, Request{ID: 2, PromptTokens: 40, OutputTokens: 30}); err != nil {
--- a/internal/engine/swap.go
+++ b/internal/engine/swap.go
@@ -88,12 +88,12 @@
 	case SwapKeepsOld:
 		e.events = append(e.events, Event{At: at, Kind: EventSwapFailed, Version: version})
 		return
-	case SwapRefuses:
+	case SwapLosesWeights:
 		e.refusing = true
 		e.failAll(at)
 		e.events = append(e.events, Event{At: at, Kind: EventSwapFailed, Version: version})
 		return
-	case SwapIsSilent:
+	case SwapReportsFalseSuccess:
 		e.events = append(e.events, Event{At: at, Kind: EventSwapped, Version: version})
 		return
 	}
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -92,8 +92,8 @@
 
 // The ways a swap can fail.
 const (
-	SwapSucceeds SwapFailure = iota
-	SwapKeepsOld             // reported as failed; the old version is still served
-	SwapRefuses              // reported as failed; all requests are lost and new ones are rejected until a swap succeeds
-	SwapIsSilent             // reported as done although the old version is still served
+	SwapSucceeds            SwapFailure = iota
+	SwapKeepsOld                        // reported as failed; the old version is still served
+	SwapLosesWeights                    // reported as failed; all requests are lost and new ones are rejected until a swap succeeds
+	SwapReportsFalseSuccess             // reported as done although the old version is still served
 )
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -158,7 +158,7 @@
 }
 
 var swapFailures = map[string]engine.SwapFailure{
-	"keeps-old": engine.SwapKeepsOld, "refuses": engine.SwapRefuses, "silent": engine.SwapIsSilent,
+	"keeps-old": engine.SwapKeepsOld, "refuses": engine.SwapLosesWeights, "silent": engine.SwapReportsFalseSuccess,
 }
 
 func (f *Fault) setDefaults() {
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -230,7 +230,7 @@
 	if !ok {
 		return "", "", nil
 	}
-	failures := []emulator.SwapFailure{emulator.SwapKeepsOld, emulator.SwapRefuses, emulator.SwapIsSilent}
+	failures := []emulator.SwapFailure{emulator.SwapKeepsOld, emulator.SwapLosesWeights, emulator.SwapReportsFalseSuccess}
 	part.current.FailNextSwap(failures[p.random.Intn(len(failures))])
 	return part.name, "will fail its next swap", func(context.Context) error { return nil }
 }
