--- a/internal/engine/text/text.go
+++ b/internal/engine/text/text.go
@@ -154,8 +154,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Count returns the number of tokens in content.
-func Count(content string) int { return len(strings.Fields(content)) }
+// CountTokens returns the number of tokens in content.
+func CountTokens(content string) int { return len(strings.Fields(content)) }
 
 // SplitContinuation splits prompt into the original prompt and its last count words, which were generated before. The
 // capital of an answer's first word marks where the answer begins, even if the original prompt ends in letters. A
--- a/internal/engine/text/text_test.go
+++ b/internal/engine/text/text_test.go
@@ -16,7 +16,7 @@
 			Seed:   rapid.Uint64().Draw(t, "seed"),
 		}
 		whole := request.Text()
-		total := Count(whole)
+		total := CountTokens(whole)
 		kept := rapid.IntRange(0, total).Draw(t, "kept")
 		generator := request.Start()
 		prefix := string(generator.Append(nil, kept))
@@ -57,7 +57,7 @@
 		if tokens != test.tokens || truncated != test.truncated {
 			t.Errorf("%+v: got %d tokens, truncated %v", test.request, tokens, truncated)
 		}
-		if got := Count(test.request.Text()); got != test.tokens {
+		if got := CountTokens(test.request.Text()); got != test.tokens {
 			t.Errorf("%+v: text of %d tokens differs from the expected length", test.request, got)
 		}
 	}
--- a/internal/standin/engine/write.go
+++ b/internal/standin/engine/write.go
@@ -260,7 +260,7 @@
 	} else {
 		choice.Text = &content
 	}
-	prompt := text.Count(running.request.Prompt)
+	prompt := text.CountTokens(running.request.Prompt)
 	encoded, err := json.Marshal(completionAnswer{
 		ID: running.requestID, Object: object, Created: running.arrived.Unix(), Model: running.model,
 		Choices: []answerChoice{choice},
--- a/internal/standin/trainer/ledger.go
+++ b/internal/standin/trainer/ledger.go
@@ -265,7 +265,7 @@
 	l.receivedIndexes[key][sample.Index] = true
 	l.receivedPerStep[step]++
 	l.stats.Samples++
-	l.stats.Tokens += text.Count(sample.Text)
+	l.stats.Tokens += text.CountTokens(sample.Text)
 	l.stats.SegmentsExamined += len(sample.Segments)
 	l.recordStaleness(sample, t.version, bound, boundKnown)
 	return prompt, true
@@ -302,7 +302,7 @@
 		}
 		next += segment.TokenCount
 	}
-	if tokens := text.Count(sample.Text); tokens != next {
+	if tokens := text.CountTokens(sample.Text); tokens != next {
 		return fmt.Errorf("segments cover %d of %d tokens", next, tokens)
 	}
 	return nil
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -66,7 +66,7 @@
 			answer := text.Request{Prompt: prompt.Text, Seed: uint64(index)}.Text()
 			c.step[id] = step
 			c.pending = append(c.pending, Sample{ID: id, PromptID: prompt.ID, Index: index, Text: answer, Segments: []Segment{
-				{WeightVersion: fmt.Sprintf("v%d", c.version), VersionNumber: c.version, TokenCount: text.Count(answer), Replica: "e"},
+				{WeightVersion: fmt.Sprintf("v%d", c.version), VersionNumber: c.version, TokenCount: text.CountTokens(answer), Replica: "e"},
 			}})
 		}
 	}
--- a/internal/workload/caller/attempt.go
+++ b/internal/workload/caller/attempt.go
@@ -226,7 +226,7 @@
 	if checksum != text.Checksum(prepared.prompt, content) {
 		return result{kind: resultWrong, verdict: verdict.Ran, detail: "the checksum is wrong"}
 	}
-	return result{kind: resultAnswered, verdict: verdict.Ran, tokens: text.Count(content)}
+	return result{kind: resultAnswered, verdict: verdict.Ran, tokens: text.CountTokens(content)}
 }
 
 var errNoEnd = errors.New("the stream ended without its end mark")
