--- a/internal/bench/controlbench/run.go
+++ b/internal/bench/controlbench/run.go
@@ -26,7 +26,7 @@
 // run is the state of one call of Run.
 type run struct {
 	config       Config
-	control      *rig.Control
+	control      *rig.ControlGroup
 	fleet        *fleet
 	tableClient  *controlclient.Client
 	tableVersion uint64 // newest version of the table that this run made
@@ -37,7 +37,7 @@
 // Run measures at every size and fits a line to each quantity. It needs at least three sizes.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	config.setDefaults()
-	control, err := rig.StartControl(rig.Options{Nodes: config.ControlNodes, Folder: filepath.Join(config.Folder, "control"), Lease: config.Lease})
+	control, err := rig.StartControlGroup(rig.Options{Nodes: config.ControlNodes, Folder: filepath.Join(config.Folder, "control"), Lease: config.Lease})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/gatewaybench/fleet.go
+++ b/internal/bench/gatewaybench/fleet.go
@@ -45,7 +45,7 @@
 
 // fleet is the measured deployment: a control group, one gateway, and the replicas of all pools.
 type fleet struct {
-	control   *rig.Control
+	control   *rig.ControlGroup
 	client    *controlclient.Client
 	gateway   *gateway.Server
 	backends  []backend
@@ -64,7 +64,7 @@
 // startFleet starts a deployment whose control nodes keep their data under config.Folder, and waits until the gateway
 // is open. The caller closes it.
 func startFleet(ctx context.Context, config Config) (*fleet, error) {
-	control, err := rig.StartControl(rig.Options{Folder: filepath.Join(config.Folder, "control")})
+	control, err := rig.StartControlGroup(rig.Options{Folder: filepath.Join(config.Folder, "control")})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/rig/rig.go
+++ b/internal/bench/rig/rig.go
@@ -34,8 +34,8 @@
 	Lease time.Duration
 }
 
-// Control is a running control group. Addresses are those of its nodes, in the form IP:port.
-type Control struct {
+// ControlGroup is a running control group. Addresses are those of its nodes, in the form IP:port.
+type ControlGroup struct {
 	Addresses []string
 	servers   []*control.Server
 	listeners []*CountingListener
@@ -43,14 +43,14 @@
 	running   sync.WaitGroup
 }
 
-// StartControl starts a control group. It does not wait for the first election, before which the group serves no
+// StartControlGroup starts a control group. It does not wait for the first election, before which the group serves no
 // requests.
-func StartControl(options Options) (*Control, error) {
+func StartControlGroup(options Options) (*ControlGroup, error) {
 	if options.Nodes == 0 {
 		options.Nodes = 3
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	group := &Control{stop: stop}
+	group := &ControlGroup{stop: stop}
 	var peers []control.Peer
 	for index := range options.Nodes {
 		tcpListener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 	return group, nil
 }
 
-func (c *Control) startNode(ctx context.Context, options Options, peers []control.Peer, peer control.Peer, listener net.Listener) error {
+func (c *ControlGroup) startNode(ctx context.Context, options Options, peers []control.Peer, peer control.Peer, listener net.Listener) error {
 	var server *control.Server
 	var err error
 	rolecost.Do(ctx, RoleControl, func(context.Context) {
@@ -90,7 +90,7 @@
 
 // Bytes returns how many bytes connections accepted by the nodes have transferred, in both directions. Traffic between
 // two nodes is counted once, at the node that accepted the connection.
-func (c *Control) Bytes() uint64 {
+func (c *ControlGroup) Bytes() uint64 {
 	var total uint64
 	for _, listener := range c.listeners {
 		total += listener.Bytes()
@@ -99,7 +99,7 @@
 }
 
 // NodeBytes returns how many bytes connections accepted by each node have transferred, in the order of Addresses.
-func (c *Control) NodeBytes() []uint64 {
+func (c *ControlGroup) NodeBytes() []uint64 {
 	bytesByNode := make([]uint64, 0, len(c.listeners))
 	for _, listener := range c.listeners {
 		bytesByNode = append(bytesByNode, listener.Bytes())
@@ -108,7 +108,7 @@
 }
 
 // Close closes all nodes without any handover and waits until they have stopped.
-func (c *Control) Close() {
+func (c *ControlGroup) Close() {
 	for _, server := range c.servers {
 		_ = server.Close()
 	}
@@ -121,7 +121,7 @@
 
 // WrittenBytes returns how many bytes the nodes have written to their data files. The operating system's own counter is
 // not usable for this, because it counts whole groups of cached pages for each page that changes in them.
-func (c *Control) WrittenBytes() uint64 {
+func (c *ControlGroup) WrittenBytes() uint64 {
 	var total uint64
 	for _, server := range c.servers {
 		total += server.WrittenBytes()
--- a/internal/coordinator/fixture_test.go
+++ b/internal/coordinator/fixture_test.go
@@ -40,7 +40,7 @@
 
 // fixture is a small deployment of real servers: control node, gateway, engines, scorer, weight store and coordinators.
 type fixture struct {
-	control      *rig.Control
+	control      *rig.ControlGroup
 	client       *controlclient.Client
 	engines      []*enginestandin.Server
 	scorer       *scorer.Server
@@ -92,7 +92,7 @@
 	f := &fixture{context: ctx}
 	t.Cleanup(func() { f.stop(stop) })
 	var err error
-	f.control, err = rig.StartControl(rig.Options{Nodes: 1, Folder: t.TempDir(), LedgerGroups: 1, Lease: lease})
+	f.control, err = rig.StartControlGroup(rig.Options{Nodes: 1, Folder: t.TempDir(), LedgerGroups: 1, Lease: lease})
 	must(t, err)
 	f.client, err = controlclient.New(controlclient.Config{Addresses: f.control.Addresses, LedgerGroups: 1})
 	must(t, err)
