--- a/internal/batchclient/full_test.go
+++ b/internal/batchclient/full_test.go
@@ -40,7 +40,7 @@
 				t.Fatalf("unexpected verdict or error type: %v", err)
 			}
 			if refused != nil && refused.SpaceIn != example.roomIn {
-				t.Errorf("FullError.RoomIn is %v", refused.SpaceIn)
+				t.Errorf("FullError.SpaceIn is %v", refused.SpaceIn)
 			}
 		})
 	}
--- a/internal/batchrun/listing/listing.go
+++ b/internal/batchrun/listing/listing.go
@@ -8,7 +8,7 @@
 // For this, results are listed in batches. They are listed at once only with the group that completes the job, and some
 // are held back to end a read at the right moment before the job's expected end.
 //
-// The package has no clock: times are durations since an arbitrary start. A Pace is not safe for concurrent use.
+// The package has no clock: times are durations since an arbitrary start. A Planner is not safe for concurrent use.
 package listing
 
 import (
@@ -45,7 +45,7 @@
 // Job describes the state of a job when its listing begins.
 type Job struct {
 	Opened, Due    time.Duration
-	MissingResults map[string]int // number of items without a result, by group; owned by the Pace after New
+	MissingResults map[string]int // number of items without a result, by group; owned by the Planner after New
 	CompleteGroups int            // complete groups
 	Desired        int            // complete groups that the owner waits for; 0: all
 	// Carried are the open groups, carried from an earlier job, that the owner waits for in any case.
@@ -66,7 +66,7 @@
 	completeJob   bool            // the waiting results complete all groups that the owner waits for
 }
 
-// New returns the Pace of a job. interval is the time between two listings while the job's end is not near.
+// New returns the Planner of a job. interval is the time between two listings while the job's end is not near.
 func New(interval time.Duration, job *Job) *Planner {
 	desired := job.Desired
 	if desired <= 0 {
--- a/internal/batchrun/listing/listing_test.go
+++ b/internal/batchrun/listing/listing_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-// newPace returns the Pace of a replayed step.
+// newPace returns the Planner of a replayed step.
 func (s *replayedStep) newPace(interval time.Duration, due time.Duration, carried []string) *Planner {
 	open := map[string]int{}
 	for _, item := range s.items {
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -18,7 +18,7 @@
 	running        int                // number of runs
 	criticalRuns   int                // critical ones among the runs
 	suspectRuns    int                // suspects among the runs
-	incomingMoves  int                // runs that the last call of Slow moved here, in pools without reported paces
+	incomingMoves  int                // runs that the last call of PlanMoves moved here, in pools without reported paces
 	items          map[*item]struct{} // items that run here or have a slot reserved here
 	reservedSlots  int                // runs that are to continue here and have not started yet
 	failuresInRow  int                // consecutive failures
--- a/internal/batchrun/schedule/schedule_test.go
+++ b/internal/batchrun/schedule/schedule_test.go
@@ -116,7 +116,7 @@
 	wantOrder(t, startOrder(s, 0), "next/i1 6", "next/i0 8")
 }
 
-// TestCarriedReturnsIncompleteGroups: Carried returns the groups of an earlier job while they are incomplete, and names
+// TestCarriedReturnsIncompleteGroups: CarriedGroups returns the groups of an earlier job while they are incomplete, and names
 // items without a group by their ids.
 func TestCarriedReturnsIncompleteGroups(t *testing.T) {
 	s := newScheduler(1, 1)
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -330,7 +330,7 @@
 		t.scheduler.Reported(c.Instance, *report)
 	}
 	if driving := c.executor.Load(); driving != nil {
-		// Heard is read before the progress, so that it does not cover a report whose events the progress lacks.
+		// LastReportAt is read before the progress, so that it does not cover a report whose events the progress lacks.
 		t.scheduler.SetHeardUntil(c.Key, driving.LastReportAt())
 	} else if t.fleet != nil {
 		// This node drives the run itself, possibly after an executor rejected it.
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -33,7 +33,7 @@
 	LocalQuery(ctx context.Context, group uint32, query *wire.Query) (*wire.View, error)
 	// Addresses returns the addresses of the nodes of group that this node knows.
 	Addresses(ctx context.Context, group uint32) ([]string, error)
-	// Nodes returns the nodes that this node knows. Introduce adds further nodes.
+	// Nodes returns the nodes that this node knows. AddKnownNodes adds further nodes.
 	Nodes() []consensus.Peer
 	AddKnownNodes(nodes []consensus.Peer)
 	// Status returns this node's view of group.
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -71,7 +71,7 @@
 // Replied reports whether the caller has its final answer or is gone.
 func (m *Machine) Replied() bool { return m.replied }
 
-// Preemptible reports whether a Yield event would preempt the request now: it must be repeatable, replayable,
+// Preemptible reports whether a Preempt event would preempt the request now: it must be repeatable, replayable,
 // unanswered and dispatched to a back end.
 func (m *Machine) Preemptible() bool {
 	return m.request.Repeatable && m.request.Replayable && !m.replied &&
--- a/internal/dispatch/settlements.go
+++ b/internal/dispatch/settlements.go
@@ -17,7 +17,7 @@
 	return &SettlementLimiter{limit: max(limit, 1), window: max(limit, 1)}
 }
 
-// TryAcquire reports whether the request may send its command now. If not, the request is queued and a later call of Done
+// TryAcquire reports whether the request may send its command now. If not, the request is queued and a later call of Release
 // returns its id.
 func (s *SettlementLimiter) TryAcquire(id uint64, kind ClaimKind) bool {
 	if s.running < s.window && s.Waiting() == 0 {
--- a/internal/durable/cycle.go
+++ b/internal/durable/cycle.go
@@ -67,7 +67,7 @@
 	return true
 }
 
-// Write returns the write that makes the group's pending output durable, and marks it as in progress until Written.
+// Write returns the write that makes the group's pending output durable, and marks it as in progress until CompleteWrite.
 func (c *Cycle) Write() storage.GroupWrite {
 	write := storage.GroupWrite{Group: c.group}
 	if c.held != nil {
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -269,7 +269,7 @@
 // applyReport passes the contents of a report to the followed runs.
 func (l *link) applyReport(report *wire.RunReport) {
 	now := l.fleet.config.Clock()
-	defer l.markReported(now) // last: otherwise Heard would make a run look silent up to now
+	defer l.markReported(now) // last: otherwise LastReportAt would make a run look silent up to now
 	l.mutex.Lock()
 	l.leaving = report.GetLeaving()
 	l.mutex.Unlock()
--- a/internal/executorclient/link_test.go
+++ b/internal/executorclient/link_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestHeardIsTheLastReport: what a leader knows of a run ends with the executor's last report, however much time has
-// passed since. Heard must not advance without a report.
+// passed since. LastReportAt must not advance without a report.
 func TestHeardIsTheLastReport(t *testing.T) {
 	l := newTestLink(t)
 	now := 10 * time.Second
--- a/internal/member/hearing.go
+++ b/internal/member/hearing.go
@@ -33,7 +33,7 @@
 	responsive bool          // it was active and heard under this leadership at the last observation
 }
 
-// NewSilenceTracker returns a Hearing that starts to count at now. At most maximumGap counts between two observations: this
+// NewSilenceTracker returns a SilenceTracker that starts to count at now. At most maximumGap counts between two observations: this
 // node may have been paused for longer, and the messages sent to it in the meantime are not read yet.
 func NewSilenceTracker(self uint64, now, maximumGap time.Duration) *SilenceTracker {
 	return &SilenceTracker{self: self, maximumGap: maximumGap, lastObserved: now, silences: map[uint64]silence{}}
--- a/internal/metrics/admin.go
+++ b/internal/metrics/admin.go
@@ -52,11 +52,11 @@
 	server      *fasthttp.Server
 	registry    *prometheus.Registry
 	scrape      fasthttp.RequestHandler
-	process     atomic.Pointer[Process] // nil until Show
+	process     atomic.Pointer[Process] // nil until SetProcess
 	serveResult chan error
 }
 
-// errStarting is reported as the reason for not being ready until Show is called.
+// errStarting is reported as the reason for not being ready until SetProcess is called.
 var errStarting = errors.New("starting")
 
 // Open binds the listener and serves until Close. It returns an error if the address can't be bound.
--- a/internal/monotonic/attention.go
+++ b/internal/monotonic/attention.go
@@ -14,12 +14,12 @@
 	accumulated time.Duration
 }
 
-// NewAttention returns an Attention at 0, with a first look at now. At most bound counts between two looks.
+// NewObservedTime returns an ObservedTime at 0, with a first observation at now. At most bound counts between two looks.
 func NewAttention(now, maximumGap time.Duration) *ObservedTime {
 	return &ObservedTime{maximumGap: maximumGap, lastLook: now}
 }
 
-// Observe records a look at now and returns the attention accumulated so far.
+// Observe records a look at now and returns the observed time so far.
 func (a *ObservedTime) Observe(now time.Duration) time.Duration {
 	a.accumulated, a.lastLook = a.At(now), max(now, a.lastLook)
 	return a.accumulated
--- a/internal/pace/rest.go
+++ b/internal/pace/rest.go
@@ -22,7 +22,7 @@
 	endCount float64       // number of observed ends of slowdowns
 }
 
-// slowdownState is what Rest keeps of one replica between its reports.
+// slowdownState is the SlowdownEstimator's state of one replica between its reports.
 type slowdownState struct {
 	lastSeen time.Duration
 	wasSlow  bool
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -52,7 +52,7 @@
 }
 
 // Begin asks for one run of a request. The run is nil if the request must not run now. Otherwise the caller ends the
-// run with End, or with Note and the function that Note returns. identify is called only if there are suspects or a
+// run with End, or with NoteEnding and the function that NoteEnding returns. identify is called only if there are suspects or a
 // back end crashes. If this process observed a crash of the request that is not on record yet, Begin waits until it is,
 // for maximumRecordWait at most and no longer than ctx. A run before that could crash another back end of which only
 // this process would know.
@@ -126,7 +126,7 @@
 	}
 }
 
-// ClearBackEnd notes that the run is not, or no longer, at the back end that was passed to At.
+// ClearBackEnd notes that the run is not, or no longer, at the back end that was passed to SetBackEnd.
 func (r *Run) ClearBackEnd() {
 	if r.placed {
 		r.guard.addSuspectRuns(r.instance, -1)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -91,7 +91,7 @@
 	Answered time.Time
 	// Peer is the state of the replica after its connection broke off while the call may have run.
 	Peer Peer
-	Err  error // nil if Whole is set
+	Err  error // nil if Complete is set
 }
 
 // Peer is the state of a replica after one of its connections broke off, as far as it is known.
--- a/internal/replica/slow_test.go
+++ b/internal/replica/slow_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestLongRequestIsTakenBeforeItIsAnswered checks that Taken is called when the replica has the whole request, so that the
+// TestLongRequestIsTakenBeforeItIsAnswered checks that OnReceived is called when the replica has the whole request, so that the
 // next large request need not wait for the answer.
 func TestLongRequestIsTakenBeforeItIsAnswered(t *testing.T) {
 	const work = 2 * time.Second
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -27,7 +27,7 @@
 
 // DefaultLimits suit most pools.
 //
-// Part: a pool at four fifths of its capacity can take a fifth more requests, and fewer back ends than that may be
+// Ratio: a pool at four fifths of its capacity can take a fifth more requests, and fewer back ends than that may be
 // slow or fail for long without an effect on callers.
 //
 // InFlight: a third of what is in flight is lost when one of three zones fails.
@@ -40,7 +40,7 @@
 type Limits struct {
 	Ratio     float64 // tokens added per request that begins
 	InFlight  float64 // tokens held at most, as a part of the most requests in flight within Span
-	PerSecond float64 // tokens added per second, in addition to Part
+	PerSecond float64 // tokens added per second, in addition to Ratio
 	Burst     float64 // tokens held at most, in addition to InFlight
 }
 
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -3,6 +3,6 @@
 // all open steps of one pool. A Policy decides when the samples of a step may start and in which order. The same code
 // runs in the coordinator and in experiments in virtual time.
 //
-// The caller must call Wanted, Released, Delivered, Progress, Finished, Interrupted and Discarded as these events
+// The caller must call FetchStarted, Released, Delivered, Progress, Finished, Interrupted and Discarded as these events
 // happen, start the samples that Next returns, and stop those that PreemptionCandidates and Expired return.
 package rollout
--- a/internal/sendbuffer/sendbuffer_test.go
+++ b/internal/sendbuffer/sendbuffer_test.go
@@ -312,7 +312,7 @@
 	})
 }
 
-// TestRelieve checks that Relieve cuts off the peers that have read nothing for BlockedTimeout, and no others.
+// TestRelieve checks that CutStalled cuts off the peers that have read nothing for BlockedTimeout, and no others.
 func TestRelieve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
--- a/internal/standin/trainer/truth.go
+++ b/internal/standin/trainer/truth.go
@@ -8,12 +8,12 @@
 	"github.com/tamarindring/tamarindring/internal/standin/engine"
 )
 
-// EngineLogs implements Truth with the logs of engine stand-ins that run in the same process.
+// EngineLogs implements SampleChecker with the logs of engine stand-ins that run in the same process.
 type EngineLogs struct {
 	byName map[string]*engine.Server
 }
 
-// NewEngineLogs returns the Truth of the given engines. Each engine must have the name of its replica in the table.
+// NewEngineLogs returns the SampleChecker of the given engines. Each engine must have the name of its replica in the table.
 func NewEngineLogs(engines ...*engine.Server) *EngineLogs {
 	truth := &EngineLogs{byName: make(map[string]*engine.Server)}
 	for _, server := range engines {
@@ -22,7 +22,7 @@
 	return truth
 }
 
-// Check implements Truth. Each token of a segment must come from an execution of the same answer on the replica and
+// Check implements SampleChecker. Each token of a segment must come from an execution of the same answer on the replica and
 // under the weight version that the segment names.
 func (e *EngineLogs) Check(prompt string, sample Sample) error {
 	for _, segment := range sample.Segments {
--- a/internal/storage/room.go
+++ b/internal/storage/room.go
@@ -3,7 +3,7 @@
 // FreeSpace classifies the free space of a disk by the work that it allows. The values are ordered from most to least space.
 type FreeSpace uint8
 
-// The values of Room.
+// The values of FreeSpace.
 const (
 	// SpaceForAll means that at least the headroom is free.
 	SpaceForAll FreeSpace = iota
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -26,7 +26,7 @@
 	ClusterID string
 	NodeID    uint64
 	NodeName  string
-	// HeadroomBytes is the free disk space below which Room returns less than SpaceForAll, so that the node refuses
+	// HeadroomBytes is the free disk space below which FreeSpace returns less than SpaceForAll, so that the node refuses
 	// new work while it can still write its votes. Default 256 MiB.
 	HeadroomBytes uint64
 	// Hooks inject faults in tests. Optional.
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -78,7 +78,7 @@
 	return row != nil && row.Incarnation().Compare(named) == incarnation.Newer
 }
 
-// IsKnownRestarted is Ended for an instance that names its start, and false for one that does not. An instance without a
+// IsKnownRestarted is HasRestarted for an instance that names its start, and false for one that does not. An instance without a
 // recorded start may be the same start as the one that is recorded now, so its requests continue until its connection
 // fails.
 func (v *View) IsKnownRestarted(instance string) bool {
--- a/internal/weights/driver.go
+++ b/internal/weights/driver.go
@@ -54,7 +54,7 @@
 	// Owner is the name of this machine as the owner of the fenced resource.
 	Owner string
 	// Takeover is the time that a new leader waits before its first order if another machine sent the last ones. It
-	// covers the period within which two machines must not alternate, plus the time for which Leading may be out of
+	// covers the period within which two machines must not alternate, plus the time for which IsLeader may be out of
 	// date. See TakeoverAfter.
 	Takeover time.Duration
 	// ReplicasCheckFences states that replicas reject orders whose fencing token is lower than the highest they have seen. A
