--- a/internal/batchrun/listed.go
+++ b/internal/batchrun/listed.go
@@ -8,7 +8,7 @@
 
 // jobListing holds the results of a job that wait to be listed, and decides when they are listed.
 type jobListing struct {
-	pace    *listing.Planner
+	planner *listing.Planner
 	waiting []pendingEntry
 	// waitingSince is when the first waiting result arrived, or the time of the last listing if that held some back.
 	waitingSince time.Duration
@@ -26,7 +26,7 @@
 		}
 	}
 	carried := t.scheduler.CarriedGroups(opened.submit.GetId())
-	opened.listing = jobListing{carried: len(carried), pace: listing.New(t.config.ListInterval, &listing.Job{
+	opened.listing = jobListing{carried: len(carried), planner: listing.New(t.config.ListInterval, &listing.Job{
 		Opened: opened.openedAt, Due: opened.deadline, MissingResults: open, CompleteGroups: len(groups) - len(open),
 		Desired: int(opened.submit.GetDesired()), Carried: carried,
 	})}
@@ -37,7 +37,7 @@
 	if len(openJob.listing.waiting) == 0 {
 		openJob.listing.waitingSince = t.config.Clock()
 	}
-	openJob.listing.pace.Finished(openJob.items[entry.itemID()].groupName(), t.config.Clock())
+	openJob.listing.planner.Finished(openJob.items[entry.itemID()].groupName(), t.config.Clock())
 	openJob.listing.waiting = append(openJob.listing.waiting, entry)
 	t.releaseResults(openJob)
 }
@@ -47,16 +47,16 @@
 func (t *termRunner) updateExpectedEnd(openJob *job) {
 	end, known := t.scheduler.ExpectedEnd(openJob.submit.GetId())
 	if !known {
-		openJob.listing.pace.Expect(0)
+		openJob.listing.planner.Expect(0)
 		return
 	}
-	openJob.listing.pace.Expect(max(end, t.config.Clock()))
+	openJob.listing.planner.Expect(max(end, t.config.Clock()))
 }
 
 // releaseResults commits the results of a job that are due to be listed.
 func (t *termRunner) releaseResults(openJob *job) {
 	now := t.config.Clock()
-	count := openJob.listing.pace.Release(now)
+	count := openJob.listing.planner.Release(now)
 	if count == 0 {
 		return
 	}
--- a/internal/batchrun/schedule/fleet.go
+++ b/internal/batchrun/schedule/fleet.go
@@ -18,7 +18,7 @@
 	var found Fleet
 	for _, pool := range s.pools {
 		if pool.reportsPace {
-			found.SlowdownRemaining = max(found.SlowdownRemaining, pool.slowdownRest.Expected())
+			found.SlowdownRemaining = max(found.SlowdownRemaining, pool.slowdownDuration.Expected())
 		}
 		for _, replica := range pool.replicas {
 			if pause := fromSeconds(replica.pace); pause > 0 {
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -84,7 +84,7 @@
 	paces               []float64 // buffer for sorting paces
 
 	reportsPace         bool                   // replicas report their current pace
-	slowdownRest        pace.SlowdownEstimator // how long temporary slowdowns last
+	slowdownDuration    pace.SlowdownEstimator // how long temporary slowdowns last
 	overrun             float64                // quantile of the ratio of actual to estimated length of complete answers; 0: none was seen
 	meanFirstEventDelay float64                // seconds from the start of a run to its first event; 0: none was seen
 }
--- a/internal/batchrun/schedule/scale_test.go
+++ b/internal/batchrun/schedule/scale_test.go
@@ -78,7 +78,7 @@
 	for number, replica := range pool.replicas {
 		replica.Memory = 60_000
 		replica.pace = 0.025 * float64(1+number%2)
-		replica.reportedPace.Note(1, time.Millisecond, &pool.slowdownRest)
+		replica.reportedPace.Note(1, time.Millisecond, &pool.slowdownDuration)
 	}
 	pool.paceStatisticsValid = false
 	for _, entry := range s.jobs["job"].items {
--- a/internal/batchrun/schedule/uneven.go
+++ b/internal/batchrun/schedule/uneven.go
@@ -18,7 +18,7 @@
 		return
 	}
 	pool := s.poolNamed(replica.Pool)
-	replica.reportedPace.Note(seen.Pace, seen.Seen, &pool.slowdownRest)
+	replica.reportedPace.Note(seen.Pace, seen.Seen, &pool.slowdownDuration)
 	if !pool.reportsPace {
 		pool.reportsPace, pool.paceStatisticsValid = true, false
 		for _, member := range pool.replicas {
@@ -184,7 +184,7 @@
 		return unboundedTime
 	}
 	stay := float64(left)
-	if reported, rest := current.reportedPace.Pace(), pool.slowdownRest.Expected(); reported.Slowed(now, rest) {
+	if reported, rest := current.reportedPace.Pace(), pool.slowdownDuration.Expected(); reported.Slowed(now, rest) {
 		stay += float64(rest) * (1 - 1/reported.Passing)
 	}
 	leave := float64(left)*other.pace/current.pace + pool.meanFirstEventDelay*float64(time.Second)
--- a/internal/consensus/silences.go
+++ b/internal/consensus/silences.go
@@ -33,12 +33,12 @@
 // the process.
 type silenceTracker struct {
 	mutex   sync.Mutex
-	hearing *member.SilenceTracker
+	tracker *member.SilenceTracker
 	members []uint64
 }
 
 func newSilenceTracker(self uint64, now time.Duration) *silenceTracker {
-	return &silenceTracker{hearing: member.NewSilenceTracker(self, now, maxSilenceGap)}
+	return &silenceTracker{tracker: member.NewSilenceTracker(self, now, maxSilenceGap)}
 }
 
 // updateSilences updates the silences of all members of the groups. It is called from the loop.
@@ -59,7 +59,7 @@
 	h.silences.mutex.Lock()
 	defer h.silences.mutex.Unlock()
 	h.silences.members = members
-	h.silences.hearing.Observe(now.Sub(h.contacts.startedAt), sightings)
+	h.silences.tracker.Observe(now.Sub(h.contacts.startedAt), sightings)
 }
 
 // listUnheard returns the members that this node does not hear, with the lengths of their silences.
@@ -68,7 +68,7 @@
 	defer s.mutex.Unlock()
 	var unheard []*wire.NodeSilence
 	for _, id := range s.members {
-		if silence := s.hearing.Silence(id); silence > 0 {
+		if silence := s.tracker.Silence(id); silence > 0 {
 			unheard = append(unheard, &wire.NodeSilence{Node: id, Millis: uint32(silence.Milliseconds())})
 		}
 	}
@@ -79,7 +79,7 @@
 func (s *silenceTracker) get(node uint64) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.hearing.Silence(node)
+	return s.tracker.Silence(node)
 }
 
 // newKeepAlive returns a keep-alive with the silences that this node has measured.
--- a/internal/control/detector.go
+++ b/internal/control/detector.go
@@ -31,22 +31,22 @@
 type detector struct {
 	server *Server
 
-	mutex     sync.Mutex
-	attention *monotonic.ObservedTime // clock on which silences are measured
-	leadSince time.Duration           // silence counts from this time at the earliest
-	heardAt   map[lease.HolderID]time.Duration
-	recording map[string]bool    // names of members with a command in progress
-	deferred  map[string]renewal // newest renewal that arrived during a command, by member name
-	routines  sync.WaitGroup
+	mutex        sync.Mutex
+	observedTime *monotonic.ObservedTime // clock on which silences are measured
+	leadSince    time.Duration           // silence counts from this time at the earliest
+	heardAt      map[lease.HolderID]time.Duration
+	recording    map[string]bool    // names of members with a command in progress
+	deferred     map[string]renewal // newest renewal that arrived during a command, by member name
+	routines     sync.WaitGroup
 }
 
 func newDetector(server *Server) *detector {
 	return &detector{
-		server:    server,
-		attention: monotonic.NewAttention(server.config.Clock(), server.settings.Lease*maximumGapDetections/detectionsPerLease),
-		heardAt:   make(map[lease.HolderID]time.Duration),
-		recording: make(map[string]bool),
-		deferred:  make(map[string]renewal),
+		server:       server,
+		observedTime: monotonic.NewObservedTime(server.config.Clock(), server.settings.Lease*maximumGapDetections/detectionsPerLease),
+		heardAt:      make(map[lease.HolderID]time.Duration),
+		recording:    make(map[string]bool),
+		deferred:     make(map[string]renewal),
 	}
 }
 
@@ -58,7 +58,7 @@
 func (d *detector) beginLeading() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.leadSince = d.attention.Observe(d.server.config.Clock())
+	d.leadSince = d.observedTime.Observe(d.server.config.Clock())
 	clear(d.heardAt)
 }
 
@@ -66,7 +66,7 @@
 func (d *detector) markHeard(holder lease.HolderID) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.heardAt[holder] = d.attention.At(d.server.config.Clock())
+	d.heardAt[holder] = d.observedTime.At(d.server.config.Clock())
 }
 
 // suspectAfter and goneAfter return how long a member must be silent to become suspect or, once its lease has lapsed,
@@ -92,7 +92,7 @@
 // checkMembers updates the state of every member that holds leases.
 func (d *detector) checkMembers(ctx context.Context) {
 	d.mutex.Lock()
-	d.attention.Observe(d.server.config.Clock())
+	d.observedTime.Observe(d.server.config.Clock())
 	d.mutex.Unlock()
 	for _, member := range d.server.publisher.currentMembers().Members {
 		if !wire.HoldsLease(member.Role) {
@@ -105,7 +105,7 @@
 func (d *detector) silenceOf(holder lease.HolderID) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.attention.At(d.server.config.Clock()) - max(d.heardAt[holder], d.leadSince)
+	return d.observedTime.At(d.server.config.Clock()) - max(d.heardAt[holder], d.leadSince)
 }
 
 func (d *detector) updateState(ctx context.Context, member *wire.Member, silence time.Duration) {
--- a/internal/control/groupkeeper.go
+++ b/internal/control/groupkeeper.go
@@ -17,10 +17,10 @@
 // groupKeeper replaces lost nodes of a group by nodes that ask to join, while this node leads the group. Only its own
 // loop uses it.
 type groupKeeper struct {
-	voters  *voters
-	server  *Server
-	group   uint32
-	hearing *member.SilenceTracker // nil while this node does not lead the group
+	voters   *voters
+	server   *Server
+	group    uint32
+	silences *member.SilenceTracker // nil while this node does not lead the group
 	// checkedAt is when this node last checked the group's state as its leader.
 	checkedAt time.Duration
 	behind    map[uint64]bool // learners that lacked log entries in this pass
@@ -32,7 +32,7 @@
 	k.behind = map[uint64]bool{}
 	for range maximumChanges {
 		if !k.server.states[k.group].leader().Leading || k.server.draining.Load() {
-			k.hearing = nil
+			k.silences = nil
 			k.voters.silent.stopLeading(k.group)
 			return
 		}
@@ -72,13 +72,13 @@
 	}
 	now := k.server.config.Clock()
 	switch {
-	case k.hearing == nil:
-		k.hearing = member.NewSilenceTracker(status.ID, now, maximumCountedGap)
+	case k.silences == nil:
+		k.silences = member.NewSilenceTracker(status.ID, now, maximumCountedGap)
 	case now-k.checkedAt > maximumCountedGap:
 		k.voters.silent.countLateCheck(k.group)
 	}
 	k.checkedAt = now
-	k.hearing.Observe(now, k.collectSightings(&status))
+	k.silences.Observe(now, k.collectSightings(&status))
 	addresses := make(map[uint64]string)
 	for _, node := range k.server.replicas.Nodes() {
 		addresses[node.ID] = node.Address
@@ -88,7 +88,7 @@
 		nodes := make([]member.GroupNode, 0, len(ids))
 		for _, id := range ids {
 			nodes = append(nodes, member.GroupNode{
-				ID: id, Address: addresses[id], Silence: k.hearing.Silence(id), Unheard: !k.hearing.IsResponsive(id), Behind: k.behind[id],
+				ID: id, Address: addresses[id], Silence: k.silences.Silence(id), Unheard: !k.silences.IsResponsive(id), Behind: k.behind[id],
 				Leaving: k.voters.isLeaving(id, now) || retiring[addresses[id]], Standby: isStandby(id), IsLeader: id == status.ID,
 			})
 		}
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -24,11 +24,11 @@
 
 // Client sends commands and queries to the leader of each consensus group. It is safe for concurrent use.
 type Client struct {
-	config  Config
-	context context.Context
-	cancel  context.CancelFunc
-	dials   singleflight.Group
-	tickets []atomic.Uint64 // highest known ledger index, by group
+	config         Config
+	context        context.Context
+	cancel         context.CancelFunc
+	dials          singleflight.Group
+	learnedIndexes []atomic.Uint64 // highest known ledger index, by group
 
 	mutex            sync.Mutex
 	addresses        []string          // known control nodes, never empty
@@ -55,10 +55,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
 		config: config, context: ctx, cancel: cancel,
-		tickets:     make([]atomic.Uint64, config.LedgerGroups+1),
-		addresses:   append([]string(nil), config.Addresses...),
-		leaders:     make(map[uint32]string),
-		connections: make(map[connectionKey]*connection),
+		learnedIndexes: make([]atomic.Uint64, config.LedgerGroups+1),
+		addresses:      append([]string(nil), config.Addresses...),
+		leaders:        make(map[uint32]string),
+		connections:    make(map[connectionKey]*connection),
 	}, nil
 }
 
@@ -89,18 +89,18 @@
 
 // LearnedIndex returns the highest ledger index of group that this process has learned, or 0 if it has learned none.
 func (c *Client) LearnedIndex(group uint32) uint64 {
-	if int(group) >= len(c.tickets) {
+	if int(group) >= len(c.learnedIndexes) {
 		return 0
 	}
-	return c.tickets[group].Load()
+	return c.learnedIndexes[group].Load()
 }
 
 // learnTicket raises the known ledger index of group to index. It never lowers it.
 func (c *Client) learnTicket(group uint32, index uint64) {
-	if int(group) >= len(c.tickets) {
+	if int(group) >= len(c.learnedIndexes) {
 		return
 	}
-	ticket := &c.tickets[group]
+	ticket := &c.learnedIndexes[group]
 	for known := ticket.Load(); index > known; known = ticket.Load() {
 		if ticket.CompareAndSwap(known, index) {
 			return
--- a/internal/coordinator/fixture_test.go
+++ b/internal/coordinator/fixture_test.go
@@ -225,8 +225,8 @@
 	if config.Coordinators == nil {
 		config.Coordinators = f.addresses()
 	}
-	if config.Truth == nil {
-		config.Truth = f.truth()
+	if config.Checker == nil {
+		config.Checker = f.truth()
 	}
 	config.Pool, config.WeightStore, config.Log = "copy", f.store.Address(), logging.Discard()
 	if config.FetchWait == 0 {
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -88,7 +88,7 @@
 	return trainer.New(trainer.Config{Name: "trainer-1", Coordinators: addresses, Pool: poolModel, PromptsPerStep: shape.Prompts,
 		SamplesPerPrompt: shape.SamplesPerPrompt, MaxTokens: shape.MaxTokens, TrainTime: shape.TrainTime, StepsAhead: shape.StepsAhead,
 		MaxSamples: trainerMaxBatch, FetchWait: trainerFetch, InitialVersionNumber: initialVersion, WeightStore: f.store.address,
-		LoseReplyProbability: loseReplyShare, StalenessBound: f.evidence.table.largestBound, Truth: truth,
+		LoseReplyProbability: loseReplyShare, StalenessBound: f.evidence.table.largestBound, Checker: truth,
 		Seed: uint64(f.config.Seed), Log: f.log("trainer")})
 }
 
--- a/internal/member/voters_model_silence_test.go
+++ b/internal/member/voters_model_silence_test.go
@@ -12,7 +12,7 @@
 // process.
 type modelObserver struct {
 	heardAt      map[uint64]time.Duration
-	hearing      *SilenceTracker
+	tracker      *SilenceTracker
 	nextLoopAt   time.Duration
 	nextReportAt time.Duration
 	reported     map[uint64]time.Duration // silences in the machine's latest report; 0: heard
@@ -26,7 +26,7 @@
 			continue
 		}
 		if machine.observer == nil {
-			machine.observer = &modelObserver{heardAt: map[uint64]time.Duration{}, hearing: NewSilenceTracker(machine.id, w.now, modelGap), nextLoopAt: w.now,
+			machine.observer = &modelObserver{heardAt: map[uint64]time.Duration{}, tracker: NewSilenceTracker(machine.id, w.now, modelGap), nextLoopAt: w.now,
 				nextReportAt: w.now + w.drawBetween(0, modelKeepAlive)}
 		}
 		w.observe(machine)
@@ -47,13 +47,13 @@
 			heardAt, heard := observer.heardAt[voter]
 			sightings = append(sightings, Observation{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelSilentAfter})
 		}
-		observer.hearing.Observe(w.now, sightings)
+		observer.tracker.Observe(w.now, sightings)
 	}
 	if w.now >= observer.nextReportAt {
 		observer.nextReportAt = w.now + modelKeepAlive
 		observer.reported = map[uint64]time.Duration{}
 		for _, voter := range w.voters {
-			observer.reported[voter] = observer.hearing.Silence(voter)
+			observer.reported[voter] = observer.tracker.Silence(voter)
 		}
 	}
 }
--- a/internal/member/voters_model_test.go
+++ b/internal/member/voters_model_test.go
@@ -73,7 +73,7 @@
 	leaderSince time.Duration
 	electionAt  time.Duration
 	nextLoopAt  time.Duration
-	hearing     *SilenceTracker
+	tracker     *SilenceTracker
 	violated    map[violation]string
 	repairedAt  time.Duration // when the group was repaired after the last fault; 0 if it was not
 	changes     int
@@ -257,7 +257,7 @@
 		if cores <= 0 {
 			cores = len(electable)
 		}
-		w.leader, w.leaderSince, w.hearing = electable[w.random.Intn(cores)], w.now, nil
+		w.leader, w.leaderSince, w.tracker = electable[w.random.Intn(cores)], w.now, nil
 		w.nextLoopAt = w.now + w.drawBetween(0, modelLoopInterval) + w.drawLateness()
 		clear(w.heardAt)
 	}
@@ -312,8 +312,8 @@
 
 // buildGroup returns the group as the leader sees it. behind holds the learners that were found to lack entries.
 func (w *modelWorld) buildGroup(behind map[uint64]bool) Group {
-	if w.hearing == nil {
-		w.hearing = NewSilenceTracker(w.leader.id, w.now, modelGap)
+	if w.tracker == nil {
+		w.tracker = NewSilenceTracker(w.leader.id, w.now, modelGap)
 	}
 	var sightings []Observation
 	members := slices.Clone(w.voters)
@@ -327,10 +327,10 @@
 			sightings = append(sightings, Observation{Node: id, Heard: heard, Active: w.now-since < modelElectionTimeout, ReportedSilence: w.longestReportedSilence(id)})
 		}
 	}
-	w.hearing.Observe(w.now, sightings)
+	w.tracker.Observe(w.now, sightings)
 	seen := Group{}
 	for _, id := range members {
-		node := GroupNode{ID: id, Address: w.address[id], Silence: w.hearing.Silence(id), Unheard: !w.hearing.IsResponsive(id),
+		node := GroupNode{ID: id, Address: w.address[id], Silence: w.tracker.Silence(id), Unheard: !w.tracker.IsResponsive(id),
 			Behind: behind[id], Standby: id&modelStandbyBit != 0, IsLeader: id == w.leader.id}
 		if slices.Contains(w.voters, id) {
 			seen.Voters = append(seen.Voters, node)
--- a/internal/monotonic/attention.go
+++ b/internal/monotonic/attention.go
@@ -9,23 +9,23 @@
 //
 // It is not safe for concurrent use.
 type ObservedTime struct {
-	maximumGap  time.Duration
-	lastLook    time.Duration
-	accumulated time.Duration
+	maximumGap   time.Duration
+	lastObserved time.Duration
+	accumulated  time.Duration
 }
 
 // NewObservedTime returns an ObservedTime at 0, with a first observation at now. At most bound counts between two looks.
-func NewAttention(now, maximumGap time.Duration) *ObservedTime {
-	return &ObservedTime{maximumGap: maximumGap, lastLook: now}
+func NewObservedTime(now, maximumGap time.Duration) *ObservedTime {
+	return &ObservedTime{maximumGap: maximumGap, lastObserved: now}
 }
 
 // Observe records a look at now and returns the observed time so far.
 func (a *ObservedTime) Observe(now time.Duration) time.Duration {
-	a.accumulated, a.lastLook = a.At(now), max(now, a.lastLook)
+	a.accumulated, a.lastObserved = a.At(now), max(now, a.lastObserved)
 	return a.accumulated
 }
 
 // At returns the attention accumulated at a time since the last look.
 func (a *ObservedTime) At(now time.Duration) time.Duration {
-	return a.accumulated + min(max(now-a.lastLook, 0), a.maximumGap)
+	return a.accumulated + min(max(now-a.lastObserved, 0), a.maximumGap)
 }
--- a/internal/monotonic/attention_test.go
+++ b/internal/monotonic/attention_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestAttention(t *testing.T) {
-	attention := NewAttention(time.Hour, time.Second)
+	attention := NewObservedTime(time.Hour, time.Second)
 	now := time.Hour
 	for _, look := range []struct{ after, want time.Duration }{
 		{0, 0},
--- a/internal/registry/tracker.go
+++ b/internal/registry/tracker.go
@@ -27,7 +27,7 @@
 // not safe for concurrent use.
 type Tracker struct {
 	config       TrackerConfig
-	attention    *monotonic.ObservedTime  // clock on which silence is measured
+	observedTime *monotonic.ObservedTime  // clock on which silence is measured
 	silenceFrom  time.Duration            // earliest start of silence on that clock: the end of the last suspension of this process
 	lastTick     time.Duration            // time of the last Tick
 	heartbeats   map[string]lastHeartbeat // by instance
@@ -37,7 +37,7 @@
 // lastHeartbeat is the newest heartbeat of a replica.
 type lastHeartbeat struct {
 	at        time.Duration
-	attention time.Duration // the same time on Tracker.attention
+	attention time.Duration // the same time on Tracker.observedTime
 	replica   incarnation.Incarnation
 	sequence  uint64
 }
@@ -55,7 +55,7 @@
 
 // NewTracker returns a tracker for a process that becomes the leader now.
 func NewTracker(now time.Duration, config TrackerConfig) *Tracker {
-	return &Tracker{config: config, lastTick: now, attention: monotonic.NewAttention(now, config.Silence/2),
+	return &Tracker{config: config, lastTick: now, observedTime: monotonic.NewObservedTime(now, config.Silence/2),
 		heartbeats: map[string]lastHeartbeat{}, removedSince: map[string]time.Duration{}}
 }
 
@@ -64,7 +64,7 @@
 	if known, ok := t.heartbeats[heartbeat.Instance]; ok && known.outdates(heartbeat) {
 		return
 	}
-	t.heartbeats[heartbeat.Instance] = lastHeartbeat{at: now, attention: t.attention.At(now), replica: heartbeat.Incarnation(), sequence: heartbeat.Sequence}
+	t.heartbeats[heartbeat.Instance] = lastHeartbeat{at: now, attention: t.observedTime.At(now), replica: heartbeat.Incarnation(), sequence: heartbeat.Sequence}
 }
 
 // SinceHeard returns the time since the last heartbeat of a replica, and false if there was none.
@@ -77,7 +77,7 @@
 // ended. It returns nil if there is nothing to change. Call Tick at least once per half of Silence. After a longer
 // interval only half of Silence counts, because heartbeats that arrived meanwhile may not have been read yet.
 func (t *Tracker) Tick(now time.Duration, view *table.View) *wire.TableChange {
-	attention := t.attention.Observe(now)
+	attention := t.observedTime.Observe(now)
 	if now-t.lastTick > suspendedSilences*t.config.Silence {
 		t.silenceFrom = attention // the process was suspended and has not read the heartbeats that arrived meanwhile
 	}
--- a/internal/share/replay_test.go
+++ b/internal/share/replay_test.go
@@ -86,7 +86,7 @@
 	at, ends time.Duration
 	gateway  int
 	number   uint64
-	told     []ResourceDemand
+	demands  []ResourceDemand
 	grants   []Grant
 }
 
@@ -125,7 +125,7 @@
 		d.told[g] = demand
 		told := []ResourceDemand{{Resource: "slots/p", Demand: demand}}
 		renewal := &Renewal{Holder: lease.HolderID{Name: fmt.Sprint(g)}, Number: d.number, AppliedAnswer: d.acted[g], LeaseEnds: now + replayLease, Demands: told}
-		d.answers = append(d.answers, replayAnswer{at: now + replayRoundTrip, ends: now + replayLease, gateway: g, number: d.number, told: told, grants: d.allocator.Renew(now, renewal)})
+		d.answers = append(d.answers, replayAnswer{at: now + replayRoundTrip, ends: now + replayLease, gateway: g, number: d.number, demands: told, grants: d.allocator.Renew(now, renewal)})
 	}
 }
 
@@ -134,7 +134,7 @@
 		return
 	}
 	d.acted[a.gateway] = a.number
-	if d.holdings[a.gateway].Apply(a.told, a.grants, a.ends) {
+	if d.holdings[a.gateway].Apply(a.demands, a.grants, a.ends) {
 		d.nextRenewal[a.gateway] = min(d.nextRenewal[a.gateway], max(now, d.lastRenewal[a.gateway]+replayMinRenewalGap))
 	}
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -39,10 +39,10 @@
 }
 
 type testAnswer struct {
-	number uint64
-	grants []Grant
-	told   []ResourceDemand
-	ends   time.Duration // by the holder's clock
+	number  uint64
+	grants  []Grant
+	demands []ResourceDemand
+	ends    time.Duration // by the holder's clock
 }
 
 const (
@@ -90,7 +90,7 @@
 	f.number++
 	told := []ResourceDemand{{Resource: f.resource, Demand: h.demand}}
 	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, AppliedAnswer: h.acted, LeaseEnds: f.now + leaderLease, Demands: told})
-	h.pending = append(h.pending, testAnswer{number: f.number, grants: grants, told: told, ends: f.clock(h) + testLease})
+	h.pending = append(h.pending, testAnswer{number: f.number, grants: grants, demands: told, ends: f.clock(h) + testLease})
 }
 
 func (f *fleet) deliver(h *testHolder) {
@@ -99,7 +99,7 @@
 	}
 	answer := h.pending[0]
 	h.pending = h.pending[1:]
-	h.holding.Apply(answer.told, answer.grants, answer.ends)
+	h.holding.Apply(answer.demands, answer.grants, answer.ends)
 	h.acted = answer.number
 }
 
--- a/internal/standin/trainer/config.go
+++ b/internal/standin/trainer/config.go
@@ -61,8 +61,8 @@
 	// StalenessBound returns the staleness bound in force, in versions, or false if it is unknown. If nil, the bound in
 	// each reply is used.
 	StalenessBound func() (uint64, bool)
-	// Truth compares samples with what the engines generated. If nil, they are not compared.
-	Truth SampleChecker
+	// Checker compares samples with what the engines generated. If nil, they are not compared.
+	Checker SampleChecker
 	// Seed seeds the random choice of lost replies.
 	Seed uint64
 	// Log is required.
--- a/internal/standin/trainer/ledger.go
+++ b/internal/standin/trainer/ledger.go
@@ -224,10 +224,10 @@
 			t.recordViolation(ViolationSegments, sample.ID, err.Error())
 			continue
 		}
-		if t.config.Truth == nil {
+		if t.config.Checker == nil {
 			continue
 		}
-		if err := t.config.Truth.Check(prompt, *sample); err != nil {
+		if err := t.config.Checker.Check(prompt, *sample); err != nil {
 			t.recordViolation(ViolationSegments, sample.ID, err.Error())
 		}
 	}
