--- a/internal/batchrun/listing/listing.go
+++ b/internal/batchrun/listing/listing.go
@@ -72,14 +72,14 @@
 	if desired <= 0 {
 		desired = job.CompleteGroups + len(job.MissingResults)
 	}
-	pace := &Planner{
+	planner := &Planner{
 		interval: interval, lastCall: job.Due + lastCallDelay, lastListing: job.Opened, open: job.MissingResults, carried: map[string]bool{},
 		wanted: desired - job.CompleteGroups,
 	}
 	for _, group := range job.Carried {
-		pace.carried[group] = true
+		planner.carried[group] = true
 	}
-	return pace
+	return planner
 }
 
 // Finished adds the result of an item in a group, which waits to be listed from now on.
--- a/internal/batchrun/listing/listing_test.go
+++ b/internal/batchrun/listing/listing_test.go
@@ -12,7 +12,7 @@
 // Results must be listed together after the interval, and at once with the third complete group, which completes the
 // job.
 func TestResultsAreListedTogether(t *testing.T) {
-	pace := New(second, &Job{Due: 10*second - lastCallDelay, MissingResults: map[string]int{"a": 2, "b": 1, "c": 1, "d": 4}, CompleteGroups: 1, Desired: 3})
+	planner := New(second, &Job{Due: 10*second - lastCallDelay, MissingResults: map[string]int{"a": 2, "b": 1, "c": 1, "d": 4}, CompleteGroups: 1, Desired: 3})
 	for _, step := range []struct {
 		at    time.Duration
 		group string
@@ -26,9 +26,9 @@
 		{19 * second / 8, "b", true},
 	} {
 		if step.group != "" {
-			pace.Finished(step.group, step.at)
+			planner.Finished(step.group, step.at)
 		}
-		if got := pace.Release(step.at); (got > 0) != step.want {
+		if got := planner.Release(step.at); (got > 0) != step.want {
 			t.Errorf("at %v: %v results listed, want the opposite of %[2]v > 0", step.at, got)
 		}
 	}
@@ -39,11 +39,11 @@
 func TestResultsAreListedAtTheLastCall(t *testing.T) {
 	for _, interval := range []time.Duration{second / 4, 900 * time.Millisecond, 7 * second, time.Hour} {
 		for _, opened := range []time.Duration{0, 313 * time.Millisecond, 2 * second, 8 * second} {
-			pace := New(interval, &Job{Opened: opened, Due: 8 * second, MissingResults: map[string]int{"a": 2, "b": 1}})
-			pace.Finished("a", opened)
-			pace.Release(max(opened, 8*second+lastCallDelay-1))
-			pace.Finished("a", 8*second+lastCallDelay-1)
-			if got := pace.Release(8*second + lastCallDelay); got == 0 {
+			planner := New(interval, &Job{Opened: opened, Due: 8 * second, MissingResults: map[string]int{"a": 2, "b": 1}})
+			planner.Finished("a", opened)
+			planner.Release(max(opened, 8*second+lastCallDelay-1))
+			planner.Finished("a", 8*second+lastCallDelay-1)
+			if got := planner.Release(8*second + lastCallDelay); got == 0 {
 				t.Errorf("interval %v, opened at %v: no result listed at the last call, want 1", interval, opened)
 			}
 		}
@@ -60,13 +60,13 @@
 		"put off":    func(now time.Duration) time.Duration { return now + second },
 		"any moment": func(now time.Duration) time.Duration { return now },
 	} {
-		pace := New(DefaultInterval, &Job{Due: 20 * second, MissingResults: map[string]int{"a": 1000}})
+		planner := New(DefaultInterval, &Job{Due: 20 * second, MissingResults: map[string]int{"a": 1000}})
 		var waiting []time.Duration
 		for now := tick; now < 40*second; now += tick {
-			pace.Expect(expected(now))
-			pace.Finished("a", now)
+			planner.Expect(expected(now))
+			planner.Finished("a", now)
 			waiting = append(waiting, now)
-			waiting = waiting[pace.Release(now):]
+			waiting = waiting[planner.Release(now):]
 			if len(waiting) > 0 && now-waiting[0] > maximumHold {
 				t.Errorf("end expected %q: at %v a result has waited for %v, longer than maximumHold", name, now, now-waiting[0])
 				break
@@ -77,13 +77,13 @@
 
 // A job must count as complete only when its groups carried from an earlier job are complete too.
 func TestCarriedGroupsAreWaitedFor(t *testing.T) {
-	pace := New(time.Hour, &Job{Due: 2 * time.Hour, MissingResults: map[string]int{"a": 1, "b": 1, "c": 2}, Desired: 2, Carried: []string{"c"}})
+	planner := New(time.Hour, &Job{Due: 2 * time.Hour, MissingResults: map[string]int{"a": 1, "b": 1, "c": 2}, Desired: 2, Carried: []string{"c"}})
 	for _, step := range []struct {
 		group string
 		want  bool
 	}{{"a", false}, {"b", false}, {"c", false}, {"c", true}} {
-		pace.Finished(step.group, 0)
-		if got := pace.Release(0) > 0; got != step.want {
+		planner.Finished(step.group, 0)
+		if got := planner.Release(0) > 0; got != step.want {
 			t.Errorf("after a result of group %s: listed %v, want the opposite", step.group, got)
 		}
 	}
@@ -211,7 +211,7 @@
 
 // replay returns the time from the completion of a step until its reader ends it. expected may be nil, for a step whose
 // end is not known in advance. elsewhere is the fraction of turns in which the reader makes another request.
-func (s *replayedStep) replay(random *rand.Rand, pace *Planner, expected *forecast, elsewhere float64) time.Duration {
+func (s *replayedStep) replay(random *rand.Rand, planner *Planner, expected *forecast, elsewhere float64) time.Duration {
 	whole := s.completeAt()
 	waiting, listed, seen, seenWhole := 0, 0, 0, false
 	type listing struct {
@@ -227,13 +227,13 @@
 		for _, item := range s.items {
 			if item.at > now-step && item.at <= now {
 				waiting++
-				pace.Finished(item.group, now)
+				planner.Finished(item.group, now)
 			}
 		}
 		if expected != nil && now >= expected.from {
-			pace.Expect(expected.expectedEnd(whole, now))
+			planner.Expect(expected.expectedEnd(whole, now))
 		}
-		if count := pace.Release(now); count > 0 {
+		if count := planner.Release(now); count > 0 {
 			waiting -= count
 			coming = append(coming, listing{now + listingLatency, count, now >= whole && waiting == 0})
 		}
@@ -332,35 +332,35 @@
 func TestNothingIsListedShortlyBeforeTheExpectedEnd(t *testing.T) {
 	const end = 5 * second
 	begun := func(due time.Duration) *Planner {
-		pace := New(DefaultInterval, &Job{Due: due, MissingResults: map[string]int{"a": 1, "b": 2}})
-		pace.Expect(end)
+		planner := New(DefaultInterval, &Job{Due: due, MissingResults: map[string]int{"a": 1, "b": 2}})
+		planner.Expect(end)
 		for now := time.Duration(0); now < end-300*time.Millisecond; now += step {
-			pace.Release(now)
+			planner.Release(now)
 		}
-		pace.Finished("b", end-300*time.Millisecond)
-		return pace
+		planner.Finished("b", end-300*time.Millisecond)
+		return planner
 	}
-	pace := begun(20 * second)
+	planner := begun(20 * second)
 	for now := end - 300*time.Millisecond; now < end; now += step {
-		if pace.Release(now) != 0 {
+		if planner.Release(now) != 0 {
 			t.Fatalf("a result was listed %v before the expected end, want none", end-now)
 		}
 	}
-	pace.Finished("a", end)
-	pace.Finished("b", end)
-	if got := pace.Release(end); got != 3 {
+	planner.Finished("a", end)
+	planner.Finished("b", end)
+	if got := planner.Release(end); got != 3 {
 		t.Errorf("%d results listed at the end, want 3", got)
 	}
-	pace = begun(20 * second)
+	planner = begun(20 * second)
 	listed := 0
 	for now := end - 300*time.Millisecond; now < end+readerTurn+DefaultInterval+2*step; now += step {
-		listed += pace.Release(now)
+		listed += planner.Release(now)
 	}
 	if listed != 1 {
 		t.Errorf("%d results listed after an end that did not come, want 1", listed)
 	}
-	pace = begun(end - 200*time.Millisecond - lastCallDelay)
-	if got := pace.Release(end - 200*time.Millisecond); got != 1 {
+	planner = begun(end - 200*time.Millisecond - lastCallDelay)
+	if got := planner.Release(end - 200*time.Millisecond); got != 1 {
 		t.Errorf("%d results listed at the last call, want 1", got)
 	}
 }
--- a/internal/batchrun/schedule/outcome.go
+++ b/internal/batchrun/schedule/outcome.go
@@ -45,8 +45,8 @@
 	*mean += lengthWeight * (value - *mean)
 }
 
-// SetHeardUntil records that another process drives a run and up to when it has reported on the run. The time after that does
-// not count as silence of the run, because the process itself may have fallen silent.
+// SetHeardUntil records that another process drives a run and up to when it has reported on the run. The time after
+// that does not count as silence of the run, because the process itself may have fallen silent.
 func (s *Scheduler) SetHeardUntil(key Key, until time.Duration) {
 	if entry := s.find(key); entry != nil && entry.state == running {
 		entry.run.remote, entry.run.heardUntil = true, until
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -50,8 +50,9 @@
 // weights are tried again.
 const reportTTL = 2 * time.Second
 
-// SetServedVersion records what the component that orders weight loads knows about a replica: the version of a model that it
-// serves, and whether it is loading another one. While a replica loads a version it starts no item of that model.
+// SetServedVersion records what the component that orders weight loads knows about a replica: the version of a model
+// that it serves, and whether it is loading another one. While a replica loads a version it starts no item of that
+// model.
 func (s *Scheduler) SetServedVersion(instance, model string, number uint64, loading bool, now time.Duration) {
 	replica := s.replicas[instance]
 	if replica == nil || number == 0 {
--- a/internal/batchrun/schedule/queue.go
+++ b/internal/batchrun/schedule/queue.go
@@ -160,9 +160,9 @@
 	return stop
 }
 
-// CarriedGroups returns the incomplete groups of a job that also belonged to an earlier job whose end the scheduler has seen.
-// The owner did not receive them complete from that job, even if all their items finished, because it may not have read
-// the last results. An item without a group is named by its own id.
+// CarriedGroups returns the incomplete groups of a job that also belonged to an earlier job whose end the scheduler has
+// seen. The owner did not receive them complete from that job, even if all their items finished, because it may not
+// have read the last results. An item without a group is named by its own id.
 func (s *Scheduler) CarriedGroups(id string) []string {
 	job := s.jobs[id]
 	if job == nil {
@@ -246,8 +246,8 @@
 	return true
 }
 
-// TerminateExpired terminates the items that wait for a replica or for a score although their job's GiveUp time has passed, and
-// returns them.
+// TerminateExpired terminates the items that wait for a replica or for a score although their job's GiveUp time has
+// passed, and returns them.
 func (s *Scheduler) TerminateExpired(now time.Duration) []Key {
 	var expired []Key
 	for _, id := range s.Jobs() {
--- a/internal/batchrun/schedule/schedule_test.go
+++ b/internal/batchrun/schedule/schedule_test.go
@@ -116,8 +116,8 @@
 	wantOrder(t, startOrder(s, 0), "next/i1 6", "next/i0 8")
 }
 
-// TestCarriedReturnsIncompleteGroups: CarriedGroups returns the groups of an earlier job while they are incomplete, and names
-// items without a group by their ids.
+// TestCarriedReturnsIncompleteGroups: CarriedGroups returns the groups of an earlier job while they are incomplete, and
+// names items without a group by their ids.
 func TestCarriedReturnsIncompleteGroups(t *testing.T) {
 	s := newScheduler(1, 1)
 	alone := []Item{{ID: "alone"}, {ID: "i9", Group: "z"}}
--- a/internal/batchrun/schedule/types.go
+++ b/internal/batchrun/schedule/types.go
@@ -88,8 +88,8 @@
 	Pace, Fastest time.Duration // time between two events on its replica and on the fastest one of its pool; 0: unknown
 	Remaining     time.Duration // expected time until the run ends; 0: unknown
 	Leaving       bool          // its replica accepts no new work
-	// RelativePace is the replica's last reported pace as a multiple of its long-term pace. Saved is the time that the move
-	// is expected to save after subtracting its cost. Both are 0 if unknown or if the pool reports no pace.
+	// RelativePace is the replica's last reported pace as a multiple of its long-term pace. Saved is the time that the
+	// move is expected to save after subtracting its cost. Both are 0 if unknown or if the pool reports no pace.
 	RelativePace float64
 	Saved        time.Duration
 }
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -296,8 +296,8 @@
 	return ok && PermitsRun(view, t.config.Route, c.item, &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool})
 }
 
-// PermitsRun reports whether a table permits an item to run at a replica. The back end must be serving under the target's
-// instance, address and pool, and the item's route must include that pool.
+// PermitsRun reports whether a table permits an item to run at a replica. The back end must be serving under the
+// target's instance, address and pool, and the item's route must include that pool.
 func PermitsRun(view *table.View, routeOf RouteFunc, item *wire.JobItem, target *wire.RunTarget) bool {
 	row := view.Backend(target.GetInstance())
 	if row == nil || !row.Serving() || row.Address != target.GetAddress() || row.Pool != target.GetPool() {
--- a/internal/consensus/absence.go
+++ b/internal/consensus/absence.go
@@ -179,10 +179,10 @@
 // ElectionView returns this node's view of a group's elections. Errors: those of Status.
 func (h *Host) ElectionView(ctx context.Context, group uint32) (ElectionView, error) {
 	return callWithResult(ctx, h, group, func(g *hostedGroup) (ElectionView, error) {
-		sight := ElectionView{Elections: g.node.Elections()}
+		view := ElectionView{Elections: g.node.Elections()}
 		if since := g.leaderless.since; !since.IsZero() && g.leadership.Leader == raft.None && isMember(g.node.Status()) {
-			sight.WithoutLeader = time.Since(since)
+			view.WithoutLeader = time.Since(since)
 		}
-		return sight, nil
+		return view, nil
 	})
 }
--- a/internal/consensus/absence_test.go
+++ b/internal/consensus/absence_test.go
@@ -188,8 +188,8 @@
 	if logged := eventsOf[*events.GroupWithoutLeader](log); len(logged) != 0 {
 		t.Errorf("got the event %+v, want none for a node that waits to be added", logged[0])
 	}
-	if sight, err := waiting.host.ElectionView(t.Context(), 0); err != nil || sight.WithoutLeader != 0 {
-		t.Errorf("got %+v and error %v, want no time without a leader", sight, err)
+	if view, err := waiting.host.ElectionView(t.Context(), 0); err != nil || view.WithoutLeader != 0 {
+		t.Errorf("got %+v and error %v, want no time without a leader", view, err)
 	}
 }
 
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -144,8 +144,8 @@
 	// Reserved reports whether a group accepts new commands even when free disk space is below the headroom. It is
 	// meant for small groups that the other groups depend on. Default: no group.
 	Reserved func(group uint32) bool
-	// SupportedLevel is the highest level of package compat that this node reads and writes. It is announced in greetings.
-	// Default Base.
+	// SupportedLevel is the highest level of package compat that this node reads and writes. It is announced in
+	// greetings. Default Base.
 	SupportedLevel compat.Level
 	// CapacityBytes is the state size in bytes that this node can hold. It is announced in greetings. Default 0: no
 	// capacity is announced.
--- a/internal/consensus/levels.go
+++ b/internal/consensus/levels.go
@@ -22,8 +22,8 @@
 	return isNew, nil
 }
 
-// PeerLevel returns the level that a node announced in its last greeting, or false if it has not greeted since this node
-// started.
+// PeerLevel returns the level that a node announced in its last greeting, or false if it has not greeted since this
+// node started.
 func (h *Host) PeerLevel(node uint64) (compat.Level, bool) {
 	if node == h.config.NodeID {
 		return h.config.SupportedLevel, true
--- a/internal/consensus/silences.go
+++ b/internal/consensus/silences.go
@@ -50,16 +50,16 @@
 	}
 	slices.Sort(members)
 	members = slices.DeleteFunc(slices.Compact(members), func(id uint64) bool { return id == h.config.NodeID })
-	sightings := make([]member.Observation, 0, len(members))
+	observations := make([]member.Observation, 0, len(members))
 	for _, id := range members {
 		heardAt := h.contacts.get(id).heardAt
 		heard := !heardAt.IsZero()
-		sightings = append(sightings, member.Observation{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
+		observations = append(observations, member.Observation{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
 	}
 	h.silences.mutex.Lock()
 	defer h.silences.mutex.Unlock()
 	h.silences.members = members
-	h.silences.tracker.Observe(now.Sub(h.contacts.startedAt), sightings)
+	h.silences.tracker.Observe(now.Sub(h.contacts.startedAt), observations)
 }
 
 // listUnheard returns the members that this node does not hear, with the lengths of their silences.
--- a/internal/control/groupkeeper.go
+++ b/internal/control/groupkeeper.go
@@ -78,7 +78,7 @@
 		k.voters.silent.countLateCheck(k.group)
 	}
 	k.checkedAt = now
-	k.silences.Observe(now, k.collectSightings(&status))
+	k.silences.Observe(now, k.collectObservations(&status))
 	addresses := make(map[uint64]string)
 	for _, node := range k.server.replicas.Nodes() {
 		addresses[node.ID] = node.Address
@@ -98,21 +98,21 @@
 		Candidates: k.voters.recentCandidates(now)}, true
 }
 
-// collectSightings returns what is known of the group's other nodes: which of them this leader hears, and what the
+// collectObservations returns what is known of the group's other nodes: which of them this leader hears, and what the
 // nodes that it hears report about the others.
-func (k *groupKeeper) collectSightings(status *raft.Status) []member.Observation {
+func (k *groupKeeper) collectObservations(status *raft.Status) []member.Observation {
 	var heard []uint64
 	for _, other := range status.Match {
 		if other.Heard {
 			heard = append(heard, other.Node)
 		}
 	}
-	sightings := make([]member.Observation, 0, len(status.Match))
+	observations := make([]member.Observation, 0, len(status.Match))
 	for _, other := range status.Match {
-		sightings = append(sightings, member.Observation{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
+		observations = append(observations, member.Observation{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
 			ReportedSilence: k.server.replicas.UnheardFor(other.Node, heard)})
 	}
-	return sightings
+	return observations
 }
 
 // applyChange makes a membership change and waits for its result.
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -205,8 +205,8 @@
 		nodes[candidate.ID] = true
 	}
 	for node := range nodes {
-		speaks, _ := l.server.replicas.PeerLevel(node)
-		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: speaks})
+		level, _ := l.server.replicas.PeerLevel(node)
+		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: level})
 	}
 	return present, nil
 }
--- a/internal/control/metrics_elections.go
+++ b/internal/control/metrics_elections.go
@@ -21,18 +21,18 @@
 
 // collectElections collects the metrics of a group's elections as observed by this node.
 func (c *collector) collectElections(ctx context.Context, out chan<- prometheus.Metric, group uint32) {
-	sight, err := c.server.replicas.ElectionView(ctx, group)
+	view, err := c.server.replicas.ElectionView(ctx, group)
 	if err != nil {
 		return
 	}
 	label := strconv.FormatUint(uint64(group), 10)
-	out <- prometheus.MustNewConstMetric(withoutLeaderDesc, prometheus.GaugeValue, sight.WithoutLeader.Seconds(), label)
-	counter(out, campaignsDesc, sight.Elections.PreCampaigns, label, "pre_vote")
-	counter(out, campaignsDesc, sight.Elections.Campaigns, label, "vote")
-	counter(out, undecidedDesc, sight.Elections.Overtaken, label, "overtaken")
-	counter(out, undecidedDesc, sight.Elections.Expired, label, "expired")
+	out <- prometheus.MustNewConstMetric(withoutLeaderDesc, prometheus.GaugeValue, view.WithoutLeader.Seconds(), label)
+	counter(out, campaignsDesc, view.Elections.PreCampaigns, label, "pre_vote")
+	counter(out, campaignsDesc, view.Elections.Campaigns, label, "vote")
+	counter(out, undecidedDesc, view.Elections.Overtaken, label, "overtaken")
+	counter(out, undecidedDesc, view.Elections.Expired, label, "expired")
 	var preVotes, votes raft.VoteCounts
-	for _, peer := range sight.Elections.Peers {
+	for _, peer := range view.Elections.Peers {
 		preVotes = preVotes.Plus(peer.PreVotesWanted)
 		votes = votes.Plus(peer.VotesWanted)
 	}
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -38,14 +38,15 @@
 	AddKnownNodes(nodes []consensus.Peer)
 	// Status returns this node's view of group.
 	Status(ctx context.Context, group uint32) (raft.Status, error)
-	// PeerLevel returns the level that a node announced last, or false if it has announced none since this node started.
+	// PeerLevel returns the level that a node announced last, or false if it has announced none since this node
+	// started.
 	PeerLevel(node uint64) (compat.Level, bool)
-	// ElectionView returns what this node has observed of a group's elections. SinceLastHeard returns how long it has not heard a
-	// node.
+	// ElectionView returns what this node has observed of a group's elections. SinceLastHeard returns how long it has
+	// not heard a node.
 	ElectionView(ctx context.Context, group uint32) (consensus.ElectionView, error)
 	SinceLastHeard(node uint64) time.Duration
-	// UnheardFor returns how long this node and others have all not heard a node, according to their recent reports. It is
-	// 0 if one of them hears the node.
+	// UnheardFor returns how long this node and others have all not heard a node, according to their recent reports. It
+	// is 0 if one of them hears the node.
 	UnheardFor(node uint64, others []uint64) time.Duration
 	// Holdings returns the sizes of what this node stores of group apart from its state.
 	Holdings(ctx context.Context, group uint32) (consensus.Holdings, error)
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -95,14 +95,14 @@
 	return c.learnedIndexes[group].Load()
 }
 
-// learnTicket raises the known ledger index of group to index. It never lowers it.
-func (c *Client) learnTicket(group uint32, index uint64) {
+// learnIndex raises the known ledger index of group to index. It never lowers it.
+func (c *Client) learnIndex(group uint32, index uint64) {
 	if int(group) >= len(c.learnedIndexes) {
 		return
 	}
-	ticket := &c.learnedIndexes[group]
-	for known := ticket.Load(); index > known; known = ticket.Load() {
-		if ticket.CompareAndSwap(known, index) {
+	learned := &c.learnedIndexes[group]
+	for known := learned.Load(); index > known; known = learned.Load() {
+		if learned.CompareAndSwap(known, index) {
 			return
 		}
 	}
--- a/internal/controlclient/request.go
+++ b/internal/controlclient/request.go
@@ -129,7 +129,7 @@
 		job.Unproposed = false // an earlier attempt may still be committed
 	}
 	if template.group != ControlGroup {
-		c.learnTicket(template.group, reply.Result.GetClaim().GetIndex())
+		c.learnIndex(template.group, reply.Result.GetClaim().GetIndex())
 	}
 	return reply, nil
 }
--- a/internal/controlclient/session_run.go
+++ b/internal/controlclient/session_run.go
@@ -215,7 +215,7 @@
 		a.lastHeard = s.client.config.Clock()
 	}
 	for _, known := range reply.LedgerIndexes {
-		s.client.learnTicket(known.Group, known.Index)
+		s.client.learnIndex(known.Group, known.Index)
 	}
 	s.client.learnAddresses(reply.ControlAddresses)
 	if reply.Members != nil {
--- a/internal/credentials/credentialtest/authority.go
+++ b/internal/credentials/credentialtest/authority.go
@@ -59,8 +59,8 @@
 	return issued, key
 }
 
-// WriteCertificate issues a certificate for a node with the given IP address, writes it to folder, and returns the paths of the
-// certificate, its key and the certificate authority.
+// WriteCertificate issues a certificate for a node with the given IP address, writes it to folder, and returns the
+// paths of the certificate, its key and the certificate authority.
 func (a *Authority) WriteCertificate(t testing.TB, folder string, address net.IP) (certificate, key, ca string) {
 	t.Helper()
 	issued, secret := a.sign(t, &x509.Certificate{IPAddresses: []net.IP{address},
--- a/internal/dispatch/settlements.go
+++ b/internal/dispatch/settlements.go
@@ -1,10 +1,10 @@
 package dispatch
 
-// SettlementLimiter limits how many requests of one ledger group send the ledger their closing claim command (ClaimFinish,
-// ClaimRelease) at the same time, after their callers were answered. Otherwise a ledger that returns after a long
-// outage would receive thousands of such commands along with the claims of callers that still wait. The limit shrinks
-// while the ledger does not answer. Commands that record an outcome go first. SettlementLimiter is not safe for concurrent
-// use.
+// SettlementLimiter limits how many requests of one ledger group send the ledger their closing claim command
+// (ClaimFinish, ClaimRelease) at the same time, after their callers were answered. Otherwise a ledger that returns
+// after a long outage would receive thousands of such commands along with the claims of callers that still wait. The
+// limit shrinks while the ledger does not answer. Commands that record an outcome go first. SettlementLimiter is not
+// safe for concurrent use.
 type SettlementLimiter struct {
 	limit   int
 	window  int // current limit of outstanding commands, 1 to limit
@@ -17,8 +17,8 @@
 	return &SettlementLimiter{limit: max(limit, 1), window: max(limit, 1)}
 }
 
-// TryAcquire reports whether the request may send its command now. If not, the request is queued and a later call of Release
-// returns its id.
+// TryAcquire reports whether the request may send its command now. If not, the request is queued and a later call of
+// Release returns its id.
 func (s *SettlementLimiter) TryAcquire(id uint64, kind ClaimKind) bool {
 	if s.running < s.window && s.Waiting() == 0 {
 		s.running++
--- a/internal/durable/cycle.go
+++ b/internal/durable/cycle.go
@@ -39,8 +39,8 @@
 	return &ready
 }
 
-// UrgentOutput returns the output that may be sent without waiting for a write, also while a Ready is held. The entries that
-// Durable returns for the held Ready must be applied before.
+// UrgentOutput returns the output that may be sent without waiting for a write, also while a Ready is held. The entries
+// that Durable returns for the held Ready must be applied before.
 func (c *Cycle) UrgentOutput() raft.Urgent { return c.node.Urgent() }
 
 // Hold records a Ready that must be durable before its messages are sent. Take returns no other until Finish.
@@ -67,7 +67,8 @@
 	return true
 }
 
-// Write returns the write that makes the group's pending output durable, and marks it as in progress until CompleteWrite.
+// Write returns the write that makes the group's pending output durable, and marks it as in progress until
+// CompleteWrite.
 func (c *Cycle) Write() storage.GroupWrite {
 	write := storage.GroupWrite{Group: c.group}
 	if c.held != nil {
@@ -88,9 +89,9 @@
 	return write
 }
 
-// CompleteWrite must be called once the result of Write is durable. It returns the Ready whose messages may be sent now, nil if
-// only a snapshot was written, and the index of the snapshot of Compact that was stored, 0 if there was none. Raft need
-// not keep the state of that snapshot in memory.
+// CompleteWrite must be called once the result of Write is durable. It returns the Ready whose messages may be sent
+// now, nil if only a snapshot was written, and the index of the snapshot of Compact that was stored, 0 if there was
+// none. Raft need not keep the state of that snapshot in memory.
 func (c *Cycle) CompleteWrite() (ready *raft.Ready, compacted uint64) {
 	ready, compacted = c.writing, c.writingIndex
 	c.writing, c.writingIndex = nil, 0
--- a/internal/executorclient/fleet.go
+++ b/internal/executorclient/fleet.go
@@ -221,16 +221,16 @@
 // Name returns the name of the executor in the membership.
 func (e *Executor) Name() string { return e.link.peer.Name }
 
-// LastReportAt returns the time of the executor's last report, by the fleet's clock; 0 if there was none. The state of a run
-// is known only up to that time: a run without progress by then had made none, and what it did since is unknown.
+// LastReportAt returns the time of the executor's last report, by the fleet's clock; 0 if there was none. The state of
+// a run is known only up to that time: a run without progress by then had made none, and what it did since is unknown.
 func (e *Executor) LastReportAt() time.Duration {
 	e.link.mutex.Lock()
 	defer e.link.mutex.Unlock()
 	return e.link.lastReportAt
 }
 
-// ChooseExecutor returns the executor that is to drive a run at the given replica; see choose. It returns nil if there is none,
-// and the caller then drives the run itself.
+// ChooseExecutor returns the executor that is to drive a run at the given replica; see choose. It returns nil if there
+// is none, and the caller then drives the run itself.
 func (f *Fleet) ChooseExecutor(zone, instance string) *Executor {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/executorclient/run.go
+++ b/internal/executorclient/run.go
@@ -19,8 +19,8 @@
 // Sink receives an answer as it arrives.
 type Sink interface {
 	replica.Sink
-	// ReceivedAt is called directly before Head and Body with the time, by the fleet's clock, at which the executor received
-	// the load report of that Head or the newest byte of that Body.
+	// ReceivedAt is called directly before Head and Body with the time, by the fleet's clock, at which the executor
+	// received the load report of that Head or the newest byte of that Body.
 	ReceivedAt(at time.Duration)
 }
 
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -42,8 +42,8 @@
 	Endings  map[string]int // number of ended runs by how they ended
 }
 
-// Explain returns the story of an id, which is a caller's attempt id or the id of a batch job or an item. Its Lines are empty
-// if no line contains the id.
+// Explain returns the story of an id, which is a caller's attempt id or the id of a batch job or an item. Its Lines are
+// empty if no line contains the id.
 func (l *Logs) Explain(id string) *Story {
 	story := &Story{ID: id}
 	own := l.findLines(id)
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -58,8 +58,8 @@
 }
 
 // startTrainer runs a trainer that compares its samples with what the engines generated.
-func (r *rollouts) startTrainer(truth trainer.SampleChecker) error {
-	made, err := r.newTrainer(truth)
+func (r *rollouts) startTrainer(checker trainer.SampleChecker) error {
+	made, err := r.newTrainer(checker)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (r *rollouts) newTrainer(truth trainer.SampleChecker) (*trainer.Trainer, error) {
+func (r *rollouts) newTrainer(checker trainer.SampleChecker) (*trainer.Trainer, error) {
 	f := r.fleet
 	shape := f.config.Deployment.Trainer
 	var addresses []string
@@ -88,7 +88,7 @@
 	return trainer.New(trainer.Config{Name: "trainer-1", Coordinators: addresses, Pool: poolModel, PromptsPerStep: shape.Prompts,
 		SamplesPerPrompt: shape.SamplesPerPrompt, MaxTokens: shape.MaxTokens, TrainTime: shape.TrainTime, StepsAhead: shape.StepsAhead,
 		MaxSamples: trainerMaxBatch, FetchWait: trainerFetch, InitialVersionNumber: initialVersion, WeightStore: f.store.address,
-		LoseReplyProbability: loseReplyShare, StalenessBound: f.evidence.table.largestBound, Checker: truth,
+		LoseReplyProbability: loseReplyShare, StalenessBound: f.evidence.table.largestBound, Checker: checker,
 		Seed: uint64(f.config.Seed), Log: f.log("trainer")})
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -136,8 +136,8 @@
 	return x.newAttempt(chosen, first.answer.owner, false)
 }
 
-// watchStart calls Config.OnRunStarted as soon as the answer's head shows that the request runs. A long stream ends much
-// later.
+// watchStart calls Config.OnRunStarted as soon as the answer's head shows that the request runs. A long stream ends
+// much later.
 func (a *attempt) watchStart() {
 	if a.forwarder.config.OnRunStarted == nil {
 		return
--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -12,9 +12,9 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestBeganIsReportedOncePerRun checks that Config.OnRunStarted is called once for each back end that ran or may have run a
-// request, with the time at which the run began: the first event of a stream and otherwise the send, even if the answer
-// comes much later or never.
+// TestBeganIsReportedOncePerRun checks that Config.OnRunStarted is called once for each back end that ran or may have
+// run a request, with the time at which the run began: the first event of a stream and otherwise the send, even if the
+// answer comes much later or never.
 func TestBeganIsReportedOncePerRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		script []step
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -60,11 +60,11 @@
 	// to the pool's other callers.
 	SlotShare float64
 	Routing   routing.Settings
-	// FirstLeaseWait is how long after the process start requests may wait for the first lease, see AwaitStart. 0: requests
-	// are rejected at once.
+	// FirstLeaseWait is how long after the process start requests may wait for the first lease, see AwaitStart. 0:
+	// requests are rejected at once.
 	FirstLeaseWait time.Duration
-	// OnRunStarted is called for each send that ran or may have run at a back end, with the name of the tenant and the time at
-	// which the run began: the first event of a stream, or the send for all other answers. May be nil.
+	// OnRunStarted is called for each send that ran or may have run at a back end, with the name of the tenant and the
+	// time at which the run began: the first event of a stream, or the send for all other answers. May be nil.
 	OnRunStarted func(tenant string, at time.Time)
 	// Guard permits the runs of requests and receives their results. nil: all runs are permitted.
 	Guard *poisonguard.Guard
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -13,10 +13,10 @@
 )
 
 // AwaitStart makes a request that arrives right after the process start wait for the first lease. It waits at most
-// until Config.FirstLeaseWait after the start, and at most patience/startWaitDivisor, where patience is the time that the
-// caller allows (0: unknown). A caller that reaches a process that is not ready has usually found no other one, because
-// all processes start together after a power loss. AwaitStart never waits once a lease was held: while the lease of
-// this process has lapsed, other processes may hold theirs.
+// until Config.FirstLeaseWait after the start, and at most patience/startWaitDivisor, where patience is the time that
+// the caller allows (0: unknown). A caller that reaches a process that is not ready has usually found no other one,
+// because all processes start together after a power loss. AwaitStart never waits once a lease was held: while the
+// lease of this process has lapsed, other processes may hold theirs.
 func (f *Forwarder) AwaitStart(ctx context.Context, patience time.Duration) {
 	if f.hadLease.Load() {
 		return
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -36,6 +36,6 @@
 	log.WithField(eventField, event).Log(kind.Level, kind.Name)
 }
 
-// IsEnabled reports whether the log level includes events of a kind. Callers can use it to skip work for events that are
-// expensive to build.
+// IsEnabled reports whether the log level includes events of a kind. Callers can use it to skip work for events that
+// are expensive to build.
 func IsEnabled(log *logrus.Entry, kind *Kind) bool { return log.Logger.IsLevelEnabled(kind.Level) }
--- a/internal/member/hearing.go
+++ b/internal/member/hearing.go
@@ -9,8 +9,8 @@
 	Active bool
 	// Heard is true if the node was heard under the present leadership.
 	Heard bool
-	// ReportedSilence is the longest time for which other nodes have not heard this node, according to their latest reports. It
-	// is 0 if any of them hears it.
+	// ReportedSilence is the longest time for which other nodes have not heard this node, according to their latest
+	// reports. It is 0 if any of them hears it.
 	ReportedSilence time.Duration
 }
 
@@ -33,18 +33,19 @@
 	responsive bool          // it was active and heard under this leadership at the last observation
 }
 
-// NewSilenceTracker returns a SilenceTracker that starts to count at now. At most maximumGap counts between two observations: this
-// node may have been paused for longer, and the messages sent to it in the meantime are not read yet.
+// NewSilenceTracker returns a SilenceTracker that starts to count at now. At most maximumGap counts between two
+// observations: this node may have been paused for longer, and the messages sent to it in the meantime are not read
+// yet.
 func NewSilenceTracker(self uint64, now, maximumGap time.Duration) *SilenceTracker {
 	return &SilenceTracker{self: self, maximumGap: maximumGap, lastObserved: now, silences: map[uint64]silence{}}
 }
 
 // Observe records the observations made at now. Nodes that are not listed are forgotten.
-func (h *SilenceTracker) Observe(now time.Duration, sightings []Observation) {
+func (h *SilenceTracker) Observe(now time.Duration, observations []Observation) {
 	gap := min(now-h.lastObserved, h.maximumGap)
 	h.lastObserved = now
-	silences := make(map[uint64]silence, len(sightings))
-	for _, other := range sightings {
+	silences := make(map[uint64]silence, len(observations))
+	for _, other := range observations {
 		current, wasListed := h.silences[other.Node]
 		current.responsive = other.Active && other.Heard
 		switch {
@@ -64,8 +65,8 @@
 // Silence returns for how long a node had not been heard at the last observation; 0 for unknown nodes.
 func (h *SilenceTracker) Silence(node uint64) time.Duration { return h.silences[node].span }
 
-// IsResponsive reports whether a node had been heard shortly before the last observation and under the present leadership.
-// It is always true of the observing node itself.
+// IsResponsive reports whether a node had been heard shortly before the last observation and under the present
+// leadership. It is always true of the observing node itself.
 func (h *SilenceTracker) IsResponsive(node uint64) bool {
 	return node == h.self || h.silences[node].responsive
 }
--- a/internal/member/hearing_test.go
+++ b/internal/member/hearing_test.go
@@ -33,11 +33,11 @@
 		tracker := NewSilenceTracker(1, now, gap)
 		for _, observation := range test.observations {
 			now += observation.after
-			var sightings []Observation
+			var observations []Observation
 			if !observation.absent {
-				sightings = []Observation{{Node: 2, Active: observation.active, Heard: observation.heard}}
+				observations = []Observation{{Node: 2, Active: observation.active, Heard: observation.heard}}
 			}
-			tracker.Observe(now, sightings)
+			tracker.Observe(now, observations)
 		}
 		if tracker.Silence(2) != test.silence || tracker.IsResponsive(2) != test.answers {
 			t.Errorf("%s: silent for %s, answers %v; want %s, %v", name, tracker.Silence(2), tracker.IsResponsive(2), test.silence, test.answers)
--- a/internal/member/voters_model_silence_test.go
+++ b/internal/member/voters_model_silence_test.go
@@ -42,12 +42,12 @@
 	}
 	if w.now >= observer.nextLoopAt {
 		observer.nextLoopAt = w.now + modelLoopInterval + w.drawLateness()
-		var sightings []Observation
+		var observations []Observation
 		for _, voter := range w.voters {
 			heardAt, heard := observer.heardAt[voter]
-			sightings = append(sightings, Observation{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelSilentAfter})
+			observations = append(observations, Observation{Node: voter, Heard: heard, Active: heard && w.now-heardAt < modelSilentAfter})
 		}
-		observer.tracker.Observe(w.now, sightings)
+		observer.tracker.Observe(w.now, observations)
 	}
 	if w.now >= observer.nextReportAt {
 		observer.nextReportAt = w.now + modelKeepAlive
--- a/internal/member/voters_model_test.go
+++ b/internal/member/voters_model_test.go
@@ -315,7 +315,7 @@
 	if w.tracker == nil {
 		w.tracker = NewSilenceTracker(w.leader.id, w.now, modelGap)
 	}
-	var sightings []Observation
+	var observations []Observation
 	members := slices.Clone(w.voters)
 	for learner := range w.learners {
 		members = append(members, learner)
@@ -324,10 +324,10 @@
 		if id != w.leader.id {
 			heardAt, heard := w.heardAt[id]
 			since := max(w.leaderSince, heardAt, w.learners[id])
-			sightings = append(sightings, Observation{Node: id, Heard: heard, Active: w.now-since < modelElectionTimeout, ReportedSilence: w.longestReportedSilence(id)})
+			observations = append(observations, Observation{Node: id, Heard: heard, Active: w.now-since < modelElectionTimeout, ReportedSilence: w.longestReportedSilence(id)})
 		}
 	}
-	w.tracker.Observe(w.now, sightings)
+	w.tracker.Observe(w.now, observations)
 	seen := Group{}
 	for _, id := range members {
 		node := GroupNode{ID: id, Address: w.address[id], Silence: w.tracker.Silence(id), Unheard: !w.tracker.IsResponsive(id),
--- a/internal/metrics/admin.go
+++ b/internal/metrics/admin.go
@@ -89,8 +89,8 @@
 // Address returns the bound IP:port.
 func (a *Admin) Address() string { return a.listener.Addr().String() }
 
-// SetProcess adds the metrics and the readiness of the process, whose server is open now. It may be called once and returns an
-// error on later calls.
+// SetProcess adds the metrics and the readiness of the process, whose server is open now. It may be called once and
+// returns an error on later calls.
 func (a *Admin) SetProcess(process Process) error {
 	if !a.process.CompareAndSwap(nil, &process) {
 		return trace.AlreadyExists("the admin listener already shows a process")
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -30,7 +30,7 @@
 // RetireMember drains a storage member so that its machine can be removed together with its disk. It is idempotent
 // and may be called at any control node: once a drain was accepted, no later call is refused. Errors: trace.NotFound
 // if no storage member has that name, trace.CompareFailed if too few would remain; all others carry a verdict.
-func RetireMember(ctx context.Context, control MemberControl, standbys StorageMachines, name string) error {
+func RetireMember(ctx context.Context, control MemberControl, machines StorageMachines, name string) error {
 	member, err := findStorageMember(ctx, control, name)
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 	if isLeaving(member) {
 		return nil
 	}
-	sufficient, err := standbys.CanRetire(ctx, member.Address)
+	sufficient, err := machines.CanRetire(ctx, member.Address)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 // ReadRetirement returns how far the retirement of a storage member has come. Errors: trace.NotFound if no storage
 // member has that name; all others carry a verdict. A node whose address is not known counts as being on the member's
 // machine, so that the retirement isn't completed too early.
-func ReadRetirement(ctx context.Context, control MemberControl, standbys StorageMachines, name string) (Retirement, error) {
+func ReadRetirement(ctx context.Context, control MemberControl, machines StorageMachines, name string) (Retirement, error) {
 	member, err := findStorageMember(ctx, control, name)
 	if err != nil {
 		return "", err
@@ -66,7 +66,7 @@
 			return err
 		}
 		for _, node := range slices.Concat(view.GetVoters(), view.GetLearners()) { // a leader may be about to promote a learner to voter
-			if address := standbys.AddressOf(node); address == member.Address || address == "" {
+			if address := machines.AddressOf(node); address == member.Address || address == "" {
 				state = RetirementRunning
 			}
 		}
--- a/internal/pace/lasting.go
+++ b/internal/pace/lasting.go
@@ -15,8 +15,8 @@
 	maxIntervals = 13
 )
 
-// LastingEstimator estimates a replica's lasting time per event of a stream: the median over the latest intervals in which
-// events arrived. The estimate is kept while nothing runs at the replica. The zero value has no events. It is not
+// LastingEstimator estimates a replica's lasting time per event of a stream: the median over the latest intervals in
+// which events arrived. The estimate is kept while nothing runs at the replica. The zero value has no events. It is not
 // safe for concurrent use.
 type LastingEstimator struct {
 	intervals []interval // oldest first
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -17,8 +17,8 @@
 type Pace struct {
 	Lasting float64 // learned slowly, from runs alone or with known other runs beside them; 0: unknown
 	Passing float64 // additional factor, from the replica's latest report; 0: unknown
-	// ReportedAt is when Passing was reported. Its influence decays with its age, at the rate at which slowdowns usually
-	// end.
+	// ReportedAt is when Passing was reported. Its influence decays with its age, at the rate at which slowdowns
+	// usually end.
 	ReportedAt time.Duration
 }
 
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -136,22 +136,22 @@
 // whose lasting part must not change, and one that becomes slow permanently, whose lasting part must follow within
 // two seconds.
 func TestReportedPaceIsSplitIntoLastingAndPassing(t *testing.T) {
-	var rest SlowdownEstimator
+	var slowdowns SlowdownEstimator
 	var flickering, turningSlow ReportEstimator
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * time.Millisecond {
 		figure := 0.55
 		if now%(3600*time.Millisecond) >= 3*time.Second {
 			figure *= 2.5
 		}
-		flickering.Note(figure, now, &rest)
-		turningSlow.Note(1.2, now, &rest)
+		flickering.Note(figure, now, &slowdowns)
+		turningSlow.Note(1.2, now, &slowdowns)
 		if got := flickering.Pace(); got.Lasting != 0 && math.Abs(got.Lasting-0.55) > 1e-9 {
 			t.Fatalf("pace %+v after %v, want a lasting part of 0.55", got, now)
 		}
 	}
 	for now := 10 * time.Second; now < 12*time.Second; now += 50 * time.Millisecond {
-		turningSlow.Note(3, now, &rest)
-		if now == 10*time.Second && !turningSlow.Pace().Slowed(now, rest.Expected()) {
+		turningSlow.Note(3, now, &slowdowns)
+		if now == 10*time.Second && !turningSlow.Pace().Slowed(now, slowdowns.Expected()) {
 			t.Error("Slowed is false at the begin of a slowdown, want true")
 		}
 	}
@@ -164,14 +164,14 @@
 // in random order.
 func TestImplausibleReportsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var rest SlowdownEstimator
+		var slowdowns SlowdownEstimator
 		var estimator ReportEstimator
 		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			seen := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "seen"))
-			estimator.Note(rapid.Float64Range(-1, 1e12).Draw(t, "figure"), seen, &rest)
+			estimator.Note(rapid.Float64Range(-1, 1e12).Draw(t, "figure"), seen, &slowdowns)
 		}
 		least, most := minReported*minPassing, float64(maxReported*maxPassing)
-		if got := estimator.Pace().Expected(5*time.Second, rest.Expected()); got < least || got > most {
+		if got := estimator.Pace().Expected(5*time.Second, slowdowns.Expected()); got < least || got > most {
 			t.Fatalf("expected factor %v, want a value within the bounds of both parts", got)
 		}
 	})
@@ -179,10 +179,10 @@
 
 // TestOutdatedReportsAreDropped checks that a report that arrived before the latest one is ignored.
 func TestOutdatedReportsAreDropped(t *testing.T) {
-	var rest SlowdownEstimator
+	var slowdowns SlowdownEstimator
 	var estimator ReportEstimator
-	estimator.Note(1, 2*time.Second, &rest)
-	estimator.Note(2.5, time.Second, &rest)
+	estimator.Note(1, 2*time.Second, &slowdowns)
+	estimator.Note(2.5, time.Second, &slowdowns)
 	if got := estimator.Pace(); got.Passing != 1 || got.ReportedAt != 2*time.Second {
 		t.Errorf("pace %+v after an outdated report, want a passing part of 1 seen at 2 s", got)
 	}
--- a/internal/pace/rest.go
+++ b/internal/pace/rest.go
@@ -15,8 +15,8 @@
 	maxRememberedTime = 30 * time.Second
 )
 
-// SlowdownEstimator estimates how long a passing slowdown lasts, from the reports of many replicas. The zero value has no
-// observations. It is not safe for concurrent use.
+// SlowdownEstimator estimates how long a passing slowdown lasts, from the reports of many replicas. The zero value has
+// no observations. It is not safe for concurrent use.
 type SlowdownEstimator struct {
 	slowTime time.Duration // total time during which slow replicas were observed
 	endCount float64       // number of observed ends of slowdowns
--- a/internal/pace/said.go
+++ b/internal/pace/said.go
@@ -20,8 +20,8 @@
 	maxReported = 10
 )
 
-// ReportEstimator estimates a replica's pace from its own reports, which contain the lasting and the passing part in one number.
-// The zero value has no reports. It is not safe for concurrent use.
+// ReportEstimator estimates a replica's pace from its own reports, which contain the lasting and the passing part in
+// one number. The zero value has no reports. It is not safe for concurrent use.
 type ReportEstimator struct {
 	samples    []float64 // oldest first
 	sampledAt  time.Duration
@@ -32,8 +32,8 @@
 }
 
 // Note adds a report: how long work takes, as a multiple of the usual time. seen is when it arrived. It also updates
-// rest. Reports of 0 or less, and those that arrived before the latest one, are ignored.
-func (s *ReportEstimator) Note(reported float64, seen time.Duration, rest *SlowdownEstimator) {
+// slowdowns. Reports of 0 or less, and those that arrived before the latest one, are ignored.
+func (s *ReportEstimator) Note(reported float64, seen time.Duration, slowdowns *SlowdownEstimator) {
 	if reported <= 0 || s.latest > 0 && seen < s.latestSeen {
 		return
 	}
@@ -43,7 +43,7 @@
 	}
 	s.latest, s.latestSeen = reported, seen
 	if s.lasting > 0 {
-		rest.observe(&s.state, reported/s.lasting, seen)
+		slowdowns.observe(&s.state, reported/s.lasting, seen)
 	}
 }
 
--- a/internal/poison/plan.go
+++ b/internal/poison/plan.go
@@ -103,17 +103,17 @@
 }
 
 // Plan returns the change that performs the steps on a view of the table. No two steps may be for the same suspect.
-func Plan(view *table.View, wants []StepRequest, settings Settings) Planned {
+func Plan(view *table.View, requests []StepRequest, settings Settings) Planned {
 	p := &planner{view: view, freeRows: settings.WithDefaults().Maximum - len(view.Suspects()),
 		planned: Planned{Change: &wire.TableChange{BaseVersion: view.Version(), Note: table.ForceNote}}}
-	touched := make(map[string]bool, len(wants))
-	for _, want := range wants {
-		touched[RowName(want.Digest)] = true
+	touched := make(map[string]bool, len(requests))
+	for _, request := range requests {
+		touched[RowName(request.Digest)] = true
 	}
 	p.evictable = listEvictable(view, touched)
-	for _, want := range wants {
+	for _, request := range requests {
 		before := p.size()
-		outcome := p.step(want)
+		outcome := p.step(request)
 		outcome.Changed = p.size() > before
 		p.planned.Outcomes = append(p.planned.Outcomes, outcome)
 	}
@@ -142,23 +142,23 @@
 // size returns the number of cells and rows in the change so far.
 func (p *planner) size() int { return len(p.planned.Change.Cells) + len(p.planned.Change.RemoveRows) }
 
-func (p *planner) step(want StepRequest) Outcome {
-	name := RowName(want.Digest)
+func (p *planner) step(request StepRequest) Outcome {
+	name := RowName(request.Digest)
 	row := p.view.Row(name)
-	if want.Step == Report {
-		return p.report(name, row, want)
+	if request.Step == Report {
+		return p.report(name, row, request)
 	}
 	if row == nil { // the suspect was cleared or forgotten: the request is free
 		return Outcome{Done: true}
 	}
 	switch {
-	case want.Step == Clear || want.Step == Forget && row.Crashes == want.Crashes:
+	case request.Step == Clear || request.Step == Forget && row.Crashes == request.Crashes:
 		p.planned.Change.RemoveRows = append(p.planned.Change.RemoveRows, name)
 		return Outcome{Done: true}
-	case want.Step == Claim && row.Crashes == want.Crashes:
+	case request.Step == Claim && row.Crashes == request.Crashes:
 		p.set(name, table.ColumnCrashes, formatCount(row.Crashes+1))
 		return Outcome{Done: true, Crashes: row.Crashes + 1}
-	case want.Step == Return && row.Crashes == want.Crashes && row.Crashes > 1:
+	case request.Step == Return && row.Crashes == request.Crashes && row.Crashes > 1:
 		p.set(name, table.ColumnCrashes, formatCount(row.Crashes-1))
 		return Outcome{Done: true, Crashes: row.Crashes - 1}
 	}
@@ -166,17 +166,17 @@
 }
 
 // report counts a crash, unless the record names the back end already.
-func (p *planner) report(name string, row *table.Row, want StepRequest) Outcome {
+func (p *planner) report(name string, row *table.Row, request StepRequest) Outcome {
 	if row == nil {
-		return p.add(name, want)
+		return p.add(name, request)
 	}
 	crashed := parseCrashed(row)
-	if slices.Contains(crashed, want.Instance) {
+	if slices.Contains(crashed, request.Instance) {
 		return Outcome{Done: true, Crashes: row.Crashes}
 	}
-	crashed = append(crashed, want.Instance)
+	crashed = append(crashed, request.Instance)
 	p.set(name, table.ColumnCrashed, formatCrashed(crashed))
-	if want.Counted {
+	if request.Counted {
 		return Outcome{Done: true, Crashes: row.Crashes}
 	}
 	p.set(name, table.ColumnCrashes, formatCount(row.Crashes+1))
@@ -185,7 +185,7 @@
 
 // add puts a new suspect on record. If the record is full, the new suspect replaces one with a single crash: during a
 // burst of many suspects, those with two or more crashes are the ones to keep.
-func (p *planner) add(name string, want StepRequest) Outcome {
+func (p *planner) add(name string, request StepRequest) Outcome {
 	if p.freeRows <= 0 {
 		if len(p.evictable) == 0 {
 			return Outcome{}
@@ -197,8 +197,8 @@
 	p.freeRows--
 	p.set(name, table.ColumnKind, string(table.Suspect))
 	p.set(name, table.ColumnCrashes, formatCount(1))
-	p.set(name, table.ColumnCrashed, formatCrashed([]string{want.Instance}))
-	p.set(name, table.ColumnSubject, want.Subject)
+	p.set(name, table.ColumnCrashed, formatCrashed([]string{request.Instance}))
+	p.set(name, table.ColumnSubject, request.Subject)
 	return Outcome{Done: true, Crashes: 1}
 }
 
--- a/internal/poisonguard/guard.go
+++ b/internal/poisonguard/guard.go
@@ -118,8 +118,8 @@
 	postponed := g.postponed
 	g.postponed = nil
 	g.mutex.Unlock()
-	for _, want := range postponed {
-		g.deliver(ctx, want)
+	for _, request := range postponed {
+		g.deliver(ctx, request)
 	}
 }
 
@@ -137,48 +137,48 @@
 
 // deliver sends a step to the record. A step that fails is postponed, and a report that the full record cannot hold is
 // dropped.
-func (g *Guard) deliver(ctx context.Context, want poison.StepRequest) {
-	outcome, err := g.send(ctx, want)
+func (g *Guard) deliver(ctx context.Context, request poison.StepRequest) {
+	outcome, err := g.send(ctx, request)
 	switch {
-	case err != nil && want.Step != poison.Forget: // outdated suspects are determined again at each interval
-		g.postpone(want)
-	case err == nil && want.Step == poison.Report && !outcome.Done:
-		g.drop(want)
-	case err == nil && want.Step == poison.Report:
-		g.noteRecorded(want)
+	case err != nil && request.Step != poison.Forget: // outdated suspects are determined again at each interval
+		g.postpone(request)
+	case err == nil && request.Step == poison.Report && !outcome.Done:
+		g.drop(request)
+	case err == nil && request.Step == poison.Report:
+		g.noteRecorded(request)
 	}
 }
 
 // noteRecorded notes that the control group has accepted the report of a crash.
-func (g *Guard) noteRecorded(want poison.StepRequest) {
+func (g *Guard) noteRecorded(request poison.StepRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.book.Recorded(want.Digest, want.Instance)
+	g.book.Recorded(request.Digest, request.Instance)
 	g.notifyChanged()
 }
 
 // postpone queues a step to be sent again by Run, or drops it if too many are queued.
-func (g *Guard) postpone(want poison.StepRequest) {
+func (g *Guard) postpone(request poison.StepRequest) {
 	g.mutex.Lock()
 	fits := len(g.postponed) < maximumPostponed
 	if fits {
-		g.postponed = append(g.postponed, want)
+		g.postponed = append(g.postponed, request)
 	}
 	g.mutex.Unlock()
 	if !fits {
-		g.drop(want)
+		g.drop(request)
 	}
 }
 
 // drop abandons a step that neither the record nor the queue can hold. A crash that is never recorded must not count in
 // this process for ever.
-func (g *Guard) drop(want poison.StepRequest) {
-	g.counts.dropped.WithLabelValues(want.Step.String()).Inc()
-	if want.Step != poison.Report {
+func (g *Guard) drop(request poison.StepRequest) {
+	g.counts.dropped.WithLabelValues(request.Step.String()).Inc()
+	if request.Step != poison.Report {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.book.Lost(want.Digest, want.Instance)
+	g.book.Lost(request.Digest, request.Instance)
 	g.notifyChanged()
 }
--- a/internal/poisonguard/log.go
+++ b/internal/poisonguard/log.go
@@ -7,7 +7,7 @@
 )
 
 // logStep emits the event of a step on the record of a suspect.
-func (g *Guard) logStep(want poison.StepRequest, outcome poison.Outcome) {
-	logging.Emit(g.config.Log, &events.SuspectChanged{Digest: want.Digest.String(), Step: want.Step.String(), Taken: outcome.Done,
-		Crashes: int(outcome.Crashes), Replica: want.Instance, Subject: want.Subject})
+func (g *Guard) logStep(request poison.StepRequest, outcome poison.Outcome) {
+	logging.Emit(g.config.Log, &events.SuspectChanged{Digest: request.Digest.String(), Step: request.Step.String(), Taken: outcome.Done,
+		Crashes: int(outcome.Crashes), Replica: request.Instance, Subject: request.Subject})
 }
--- a/internal/poisonguard/record.go
+++ b/internal/poisonguard/record.go
@@ -33,20 +33,20 @@
 
 // send queues a step for the record, where it is batched with others, and returns its outcome. After an error it is
 // unknown whether the step was or will be taken.
-func (g *Guard) send(ctx context.Context, want poison.StepRequest) (poison.Outcome, error) {
+func (g *Guard) send(ctx context.Context, request poison.StepRequest) (poison.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	sent := &pendingStep{StepRequest: want}
+	sent := &pendingStep{StepRequest: request}
 	if err := g.queue.Do(ctx, sent); err != nil {
-		g.counts.steps.WithLabelValues(want.Step.String(), "failed").Inc()
+		g.counts.steps.WithLabelValues(request.Step.String(), "failed").Inc()
 		return poison.Outcome{}, err
 	}
 	outcome := "taken"
 	if !sent.outcome.Done {
 		outcome = "overtaken"
 	}
-	g.counts.steps.WithLabelValues(want.Step.String(), outcome).Inc()
-	g.logStep(want, sent.outcome)
+	g.counts.steps.WithLabelValues(request.Step.String(), outcome).Inc()
+	g.logStep(request, sent.outcome)
 	return sent.outcome, nil
 }
 
@@ -67,11 +67,11 @@
 func (g *Guard) commit(batch []*batching.Call[*pendingStep]) (postponed []*batching.Call[*pendingStep]) {
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
-	wants := make([]poison.StepRequest, 0, len(batch))
+	requests := make([]poison.StepRequest, 0, len(batch))
 	for _, call := range batch {
-		wants = append(wants, call.Value.StepRequest)
+		requests = append(requests, call.Value.StepRequest)
 	}
-	outcomes, err := g.applySteps(ctx, wants)
+	outcomes, err := g.applySteps(ctx, requests)
 	for position, call := range batch {
 		if err == nil {
 			call.Value.outcome = outcomes[position]
@@ -84,7 +84,7 @@
 // applySteps changes the table as the steps want. The change is planned on the view that this process follows. If that
 // view is too old, because a cell has changed or a row to remove has gone, the change is planned again on the newest
 // view.
-func (g *Guard) applySteps(ctx context.Context, wants []poison.StepRequest) ([]poison.Outcome, error) {
+func (g *Guard) applySteps(ctx context.Context, requests []poison.StepRequest) ([]poison.Outcome, error) {
 	view := g.followedView()
 	if !g.canRecord(view) {
 		return nil, errNotRecorded
@@ -98,7 +98,7 @@
 			}
 			fresh = true
 		}
-		planned := poison.Plan(view, wants, g.config.Settings)
+		planned := poison.Plan(view, requests, g.config.Settings)
 		if !fresh && slices.ContainsFunc(planned.Outcomes, func(outcome poison.Outcome) bool { return !outcome.Changed }) {
 			view = nil // only the newest view can show that a step needs no change
 			continue
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -52,10 +52,10 @@
 }
 
 // Begin asks for one run of a request. The run is nil if the request must not run now. Otherwise the caller ends the
-// run with End, or with NoteEnding and the function that NoteEnding returns. identify is called only if there are suspects or a
-// back end crashes. If this process observed a crash of the request that is not on record yet, Begin waits until it is,
-// for maximumRecordWait at most and no longer than ctx. A run before that could crash another back end of which only
-// this process would know.
+// run with End, or with NoteEnding and the function that NoteEnding returns. identify is called only if there are
+// suspects or a back end crashes. If this process observed a crash of the request that is not on record yet, Begin
+// waits until it is, for maximumRecordWait at most and no longer than ctx. A run before that could crash another back
+// end of which only this process would know.
 func (g *Guard) Begin(ctx context.Context, identify func() poison.Identity) (*Run, poison.Judgment) {
 	run := &Run{guard: g, identify: identify}
 	if g.hasNoSuspects() {
@@ -145,8 +145,8 @@
 	settle(ctx)
 }
 
-// NoteEnding notes how the run ended in this process only, which takes it into account from then on. The returned function
-// puts the ending on record and must be called.
+// NoteEnding notes how the run ended in this process only, which takes it into account from then on. The returned
+// function puts the ending on record and must be called.
 func (r *Run) NoteEnding(ending Ending) (settle func(ctx context.Context)) {
 	r.ClearBackEnd()
 	switch {
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -25,6 +25,6 @@
 	}
 }
 
-// StalledFor returns how long the current window has lasted, that is, the time in which the transfer has moved less than
-// minBytes. The caller compares it with the window that it allows.
+// StalledFor returns how long the current window has lasted, that is, the time in which the transfer has moved less
+// than minBytes. The caller compares it with the window that it allows.
 func (m *Meter) StalledFor(now time.Duration) time.Duration { return now - m.start }
--- a/internal/raft/hungdisk_test.go
+++ b/internal/raft/hungdisk_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestLeaderWithAHungDiskHandsOver checks ForceTransfer. A transfer waits until the successor holds the whole log, which
-// never happens if the leader's write hangs: the entries that it accepts meanwhile are not sent. ForceTransfer makes the
-// most advanced voter campaign at once.
+// TestLeaderWithAHungDiskHandsOver checks ForceTransfer. A transfer waits until the successor holds the whole log,
+// which never happens if the leader's write hangs: the entries that it accepts meanwhile are not sent. ForceTransfer
+// makes the most advanced voter campaign at once.
 func TestLeaderWithAHungDiskHandsOver(t *testing.T) {
 	c := newHungDiskCluster(t)
 	old := c.leader()
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -75,8 +75,8 @@
 	return taken
 }
 
-// ShouldSpread reports whether replicas should stay with the control node that they reached because there are many of them.
-// Otherwise they should send their heartbeats to the leader.
+// ShouldSpread reports whether replicas should stay with the control node that they reached because there are many of
+// them. Otherwise they should send their heartbeats to the leader.
 func (s *Service) ShouldSpread() bool {
 	view := s.config.View()
 	return view != nil && s.replicas.count(view) > spreadThreshold
--- a/internal/replica/names.go
+++ b/internal/replica/names.go
@@ -26,7 +26,8 @@
 	"Transfer-Encoding", "Upgrade",
 }
 
-// IsReserved reports whether the client sets or omits the header field itself. A field of this name in a call is not sent.
+// IsReserved reports whether the client sets or omits the header field itself. A field of this name in a call is not
+// sent.
 func (n *Names) IsReserved(name string) bool {
 	for _, field := range connectionFields {
 		if strings.EqualFold(field, name) {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -47,9 +47,9 @@
 	// Admit is called directly before the first byte is sent. Its error ends the call as not run; a connection that was
 	// opened for the call is kept for another one. Nil admits every call.
 	Admit func() error
-	// OnReceived is called once for a long request, when the replica's machine has acknowledged all of its bytes or its answer
-	// has begun. Where acknowledgements can't be determined it is called when all bytes were handed to the system. Nil if
-	// the caller does not need it.
+	// OnReceived is called once for a long request, when the replica's machine has acknowledged all of its bytes or its
+	// answer has begun. Where acknowledgements can't be determined it is called when all bytes were handed to the
+	// system. Nil if the caller does not need it.
 	OnReceived func()
 }
 
--- a/internal/replica/slow_test.go
+++ b/internal/replica/slow_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestLongRequestIsTakenBeforeItIsAnswered checks that OnReceived is called when the replica has the whole request, so that the
-// next large request need not wait for the answer.
+// TestLongRequestIsTakenBeforeItIsAnswered checks that OnReceived is called when the replica has the whole request, so
+// that the next large request need not wait for the answer.
 func TestLongRequestIsTakenBeforeItIsAnswered(t *testing.T) {
 	const work = 2 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/replicabytes/ledger.go
+++ b/internal/replicabytes/ledger.go
@@ -312,7 +312,8 @@
 	return limit
 }
 
-// BodyDuration returns the smoothed time from the choice of a body's replica to its answer, or 0 if no body was answered yet.
+// BodyDuration returns the smoothed time from the choice of a body's replica to its answer, or 0 if no body was
+// answered yet.
 func (l *Ledger) BodyDuration() time.Duration { return l.bodyDuration }
 
 // Wait estimates the time until enough bodies at a replica are answered for the limit to permit another one. It
--- a/internal/replicabytes/turns.go
+++ b/internal/replicabytes/turns.go
@@ -45,16 +45,16 @@
 }
 
 // Step advances all turns, and requests further ones until there are as many as bodies wait, or no replica is left.
-func (t *Turns) Step(now time.Duration, situation *StepInput) {
+func (t *Turns) Step(now time.Duration, input *StepInput) {
 	wanted := 0
 	for instance, one := range t.turns {
-		t.advance(now, instance, one, situation)
+		t.advance(now, instance, one, input)
 		if one.state == turnRequested || one.state == turnActive {
 			wanted++
 		}
 	}
-	for _, instance := range situation.Replicas {
-		if wanted >= situation.Waiting {
+	for _, instance := range input.Replicas {
+		if wanted >= input.Waiting {
 			return
 		}
 		if t.turns[instance] == nil {
@@ -65,17 +65,17 @@
 }
 
 // advance performs the state transitions of one turn. A released turn is deleted once the leader no longer grants it.
-func (t *Turns) advance(now time.Duration, instance string, one *turn, situation *StepInput) {
-	granted, held := situation.Granted(instance), situation.Held(instance)
+func (t *Turns) advance(now time.Duration, instance string, one *turn, input *StepInput) {
+	granted, held := input.Granted(instance), input.Held(instance)
 	switch one.state {
 	case turnRequested:
 		if granted {
 			one.state, one.since = turnActive, now
-		} else if situation.Waiting == 0 || now-one.since >= maxRequestDuration {
+		} else if input.Waiting == 0 || now-one.since >= maxRequestDuration {
 			one.state, one.since = turnReleasing, now
 		}
 	case turnActive:
-		if !granted || now-one.since >= maxTurnDuration || situation.Waiting == 0 && !held {
+		if !granted || now-one.since >= maxTurnDuration || input.Waiting == 0 && !held {
 			one.state, one.since = turnDraining, now
 		}
 	}
--- a/internal/routing/pace.go
+++ b/internal/routing/pace.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RecordPace records a replica's own report of how long work takes there at the moment, as a multiple of the usual time.
-// seen is when the report arrived. A slowdown of 0 or less means that the replica reported none and is ignored.
+// RecordPace records a replica's own report of how long work takes there at the moment, as a multiple of the usual
+// time. seen is when the report arrived. A slowdown of 0 or less means that the replica reported none and is ignored.
 func (p *Pool) RecordPace(name string, slowdown float64, seen time.Duration) {
 	i := p.Index(name)
 	if i < 0 || slowdown <= 0 {
--- a/internal/routing/silence.go
+++ b/internal/routing/silence.go
@@ -6,8 +6,8 @@
 // silent. One may be lost, and two may coincide with a pause of the replica.
 const missedReportLimit = 3
 
-// RecordMissedPoll records that a replica did not answer a poll for its load. A silent replica gets requests only when no
-// other replica can take them. Its next load report ends this state.
+// RecordMissedPoll records that a replica did not answer a poll for its load. A silent replica gets requests only when
+// no other replica can take them. Its next load report ends this state.
 func (p *Pool) RecordMissedPoll(name string) {
 	if i := p.Index(name); i >= 0 {
 		p.replicas[i].wasPolled = true
@@ -49,8 +49,9 @@
 	return r.health.isQuarantined(now) || r.isSilent()
 }
 
-// UnavailableSlots returns the total slots, and the slots for rollout work, of the replicas that are in service according to the
-// table but take no work now. The other replicas have no free capacity for the requests that would have run there.
+// UnavailableSlots returns the total slots, and the slots for rollout work, of the replicas that are in service
+// according to the table but take no work now. The other replicas have no free capacity for the requests that would
+// have run there.
 func (p *Pool) UnavailableSlots(now time.Duration) (slots, background int) {
 	for i := range p.replicas {
 		r := &p.replicas[i]
@@ -65,8 +66,8 @@
 	return slots, background
 }
 
-// HasAlternative reports whether any replica other than the named one is healthy, was polled if it has to be, and can take an
-// urgent request.
+// HasAlternative reports whether any replica other than the named one is healthy, was polled if it has to be, and can
+// take an urgent request.
 func (p *Pool) HasAlternative(name string, now time.Duration) bool {
 	for i := range p.replicas {
 		if r := &p.replicas[i]; r.config.Name != name && p.canAccept(i, &anyRequest) && !r.isAvoided(now) {
--- a/internal/sendbuffer/sendbuffer.go
+++ b/internal/sendbuffer/sendbuffer.go
@@ -138,8 +138,8 @@
 	return worst != nil && worst.cutOff(ErrShed)
 }
 
-// CutStalled cuts off all connections whose peers have made no progress for BlockedTimeout. It is called when something else
-// finds no free space in the budget.
+// CutStalled cuts off all connections whose peers have made no progress for BlockedTimeout. It is called when something
+// else finds no free space in the budget.
 func (s *Set) CutStalled() {
 	now := s.now()
 	for _, conn := range s.slowConnections() {
--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -23,8 +23,8 @@
 	Holder lease.HolderID
 	// Number identifies the answer to this renewal. It increases with each renewal, across all holders.
 	Number uint64
-	// AppliedAnswer is the number of the newest answer that the holder has applied. 0 means that it has applied none of this
-	// leader's answers.
+	// AppliedAnswer is the number of the newest answer that the holder has applied. 0 means that it has applied none of
+	// this leader's answers.
 	AppliedAnswer uint64
 	LeaseEnds     time.Duration // end of the lease by the leader's clock
 	Demands       []ResourceDemand
@@ -63,10 +63,10 @@
 // Renew records a holder's demands and returns its shares of the resources that have a limit.
 func (a *Allocator) Renew(now time.Duration, renewal *Renewal) []Grant {
 	var grants []Grant
-	for _, told := range renewal.Demands {
-		if existing := a.divisions[told.Resource]; existing != nil {
-			amount := existing.renew(now, now < a.settledAt, renewal, told.Demand)
-			grants = append(grants, Grant{Resource: told.Resource, Amount: amount})
+	for _, demand := range renewal.Demands {
+		if existing := a.divisions[demand.Resource]; existing != nil {
+			amount := existing.renew(now, now < a.settledAt, renewal, demand.Demand)
+			grants = append(grants, Grant{Resource: demand.Resource, Amount: amount})
 		}
 	}
 	return grants
--- a/internal/share/holding.go
+++ b/internal/share/holding.go
@@ -17,11 +17,11 @@
 // NewHolding returns a Holding without shares.
 func NewHolding() *Holding { return &Holding{shares: map[string]heldShare{}} }
 
-// Apply applies the answer to a renewal that reported the told demands. The shares are valid until ends. A resource
-// in told that has no grant is not divided by this leader. A granted resource that is not in told was reported shortly
-// before, and its share is applied as well. lowered reports whether a share is less than before; the leader waits for
-// a renewal that confirms it.
-func (h *Holding) Apply(told []ResourceDemand, grants []Grant, ends time.Duration) (lowered bool) {
+// Apply applies the answer to a renewal that reported demands. The shares are valid until ends. A resource
+// in demands that has no grant is not divided by this leader. A granted resource that is not in demands was reported
+// shortly before, and its share is applied as well. lowered reports whether a share is less than before; the leader
+// waits for a renewal that confirms it.
+func (h *Holding) Apply(demands []ResourceDemand, grants []Grant, ends time.Duration) (lowered bool) {
 	divided := make(map[string]bool, len(grants))
 	for _, grant := range grants {
 		divided[grant.Resource] = true
@@ -30,7 +30,7 @@
 		}
 		h.shares[grant.Resource] = heldShare{amount: grant.Amount, ends: ends}
 	}
-	for _, one := range told {
+	for _, one := range demands {
 		if !divided[one.Resource] {
 			delete(h.shares, one.Resource)
 		}
--- a/internal/share/replay_test.go
+++ b/internal/share/replay_test.go
@@ -123,9 +123,9 @@
 			continue
 		}
 		d.told[g] = demand
-		told := []ResourceDemand{{Resource: "slots/p", Demand: demand}}
-		renewal := &Renewal{Holder: lease.HolderID{Name: fmt.Sprint(g)}, Number: d.number, AppliedAnswer: d.acted[g], LeaseEnds: now + replayLease, Demands: told}
-		d.answers = append(d.answers, replayAnswer{at: now + replayRoundTrip, ends: now + replayLease, gateway: g, number: d.number, demands: told, grants: d.allocator.Renew(now, renewal)})
+		demands := []ResourceDemand{{Resource: "slots/p", Demand: demand}}
+		renewal := &Renewal{Holder: lease.HolderID{Name: fmt.Sprint(g)}, Number: d.number, AppliedAnswer: d.acted[g], LeaseEnds: now + replayLease, Demands: demands}
+		d.answers = append(d.answers, replayAnswer{at: now + replayRoundTrip, ends: now + replayLease, gateway: g, number: d.number, demands: demands, grants: d.allocator.Renew(now, renewal)})
 	}
 }
 
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -88,9 +88,9 @@
 		return
 	}
 	f.number++
-	told := []ResourceDemand{{Resource: f.resource, Demand: h.demand}}
-	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, AppliedAnswer: h.acted, LeaseEnds: f.now + leaderLease, Demands: told})
-	h.pending = append(h.pending, testAnswer{number: f.number, grants: grants, demands: told, ends: f.clock(h) + testLease})
+	demands := []ResourceDemand{{Resource: f.resource, Demand: h.demand}}
+	grants := f.allocator.Renew(f.now, &Renewal{Holder: h.id, Number: f.number, AppliedAnswer: h.acted, LeaseEnds: f.now + leaderLease, Demands: demands})
+	h.pending = append(h.pending, testAnswer{number: f.number, grants: grants, demands: demands, ends: f.clock(h) + testLease})
 }
 
 func (f *fleet) deliver(h *testHolder) {
@@ -297,19 +297,19 @@
 // answer without a grant, so that the process serves as if it were alone. After the end of a lease only lent slots are
 // left.
 func TestResourceWithoutGrantIsNotDivided(t *testing.T) {
-	told := []ResourceDemand{{Resource: Slots("p")}}
+	demands := []ResourceDemand{{Resource: Slots("p")}}
 	holding := NewHolding()
 	if _, divided := holding.Share(0, Slots("p")); divided {
 		t.Fatal("resource is divided before the first answer")
 	}
-	holding.Apply(told, []Grant{{Resource: Slots("p"), Amount: 7}}, time.Second)
+	holding.Apply(demands, []Grant{{Resource: Slots("p"), Amount: 7}}, time.Second)
 	if amount, divided := holding.Share(0, Slots("p")); !divided || amount != 7 {
 		t.Fatalf("share %d, divided %v, want 7 and divided", amount, divided)
 	}
 	if amount, divided := holding.Share(time.Second, Slots("p")); !divided || amount != lentSlots {
 		t.Fatal("share after the end of the lease, want lentSlots and divided:", amount, divided)
 	}
-	holding.Apply(told, nil, 2*time.Second)
+	holding.Apply(demands, nil, 2*time.Second)
 	if _, divided := holding.Share(0, Slots("p")); divided {
 		t.Fatal("resource is divided after an answer without a grant")
 	}
--- a/internal/share/turns_test.go
+++ b/internal/share/turns_test.go
@@ -7,10 +7,10 @@
 	"github.com/tamarindring/tamarindring/internal/lease"
 )
 
-// renewOne renews the lease of a holder that has applied the preceding answer, and returns its share of the told
-// resource.
-func renewOne(a *Allocator, now time.Duration, holder lease.HolderID, number uint64, told ResourceDemand) uint32 {
-	grants := a.Renew(now, &Renewal{Holder: holder, Number: number, AppliedAnswer: number - 1, LeaseEnds: now + time.Second, Demands: []ResourceDemand{told}})
+// renewOne renews the lease of a holder that has applied the preceding answer, and returns its share of the
+// demanded resource.
+func renewOne(a *Allocator, now time.Duration, holder lease.HolderID, number uint64, demand ResourceDemand) uint32 {
+	grants := a.Renew(now, &Renewal{Holder: holder, Number: number, AppliedAnswer: number - 1, LeaseEnds: now + time.Second, Demands: []ResourceDemand{demand}})
 	if len(grants) != 1 {
 		return 0
 	}
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -257,8 +257,8 @@
 	Verdict string `json:"verdict"`
 }
 
-// WriteError answers with an error body and the verdict header. A positive retryAfter sets Retry-After, rounded up to whole
-// seconds.
+// WriteError answers with an error body and the verdict header. A positive retryAfter sets Retry-After, rounded up to
+// whole seconds.
 func WriteError(ctx *fasthttp.RequestCtx, status int, known verdict.Verdict, code, message string, retryAfter time.Duration) {
 	ctx.Response.Header.Set(verdict.Header, known.String())
 	if retryAfter > 0 {
--- a/internal/standin/trainer/truth.go
+++ b/internal/standin/trainer/truth.go
@@ -13,17 +13,18 @@
 	byName map[string]*engine.Server
 }
 
-// NewEngineLogs returns the SampleChecker of the given engines. Each engine must have the name of its replica in the table.
+// NewEngineLogs returns the SampleChecker of the given engines. Each engine must have the name of its replica in the
+// table.
 func NewEngineLogs(engines ...*engine.Server) *EngineLogs {
-	truth := &EngineLogs{byName: make(map[string]*engine.Server)}
+	logs := &EngineLogs{byName: make(map[string]*engine.Server)}
 	for _, server := range engines {
-		truth.byName[server.Name()] = server
+		logs.byName[server.Name()] = server
 	}
-	return truth
+	return logs
 }
 
-// Check implements SampleChecker. Each token of a segment must come from an execution of the same answer on the replica and
-// under the weight version that the segment names.
+// Check implements SampleChecker. Each token of a segment must come from an execution of the same answer on the replica
+// and under the weight version that the segment names.
 func (e *EngineLogs) Check(prompt string, sample Sample) error {
 	for _, segment := range sample.Segments {
 		server, known := e.byName[segment.Replica]
--- a/internal/state/level.go
+++ b/internal/state/level.go
@@ -28,8 +28,8 @@
 	return &wire.LevelResult{Accepted: true, Level: uint32(wanted)}
 }
 
-// CheckReadable returns an error for a command that this build cannot apply as other builds do. The node must then stop,
-// because its state would diverge from the other replicas'.
+// CheckReadable returns an error for a command that this build cannot apply as other builds do. The node must then
+// stop, because its state would diverge from the other replicas'.
 func (m *Machine) CheckReadable(command *wire.Command) error {
 	if command.GetKind() == nil {
 		return trace.BadParameter("the log holds a command of a kind that this build (%s) does not know: use a newer build", compat.Newest)
--- a/internal/storage/heldparts_test.go
+++ b/internal/storage/heldparts_test.go
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestStateIsOneFileForOlderBuilds checks that a state is written as one file until AllowMultipleFiles is set, because builds that
-// do not support several files may have to read the folder. A group whose snapshot is already in several files keeps them.
+// TestStateIsOneFileForOlderBuilds checks that a state is written as one file until AllowMultipleFiles is set, because
+// builds that do not support several files may have to read the folder. A group whose snapshot is already in several
+// files keeps them.
 func TestStateIsOneFileForOlderBuilds(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
--- a/internal/storage/room.go
+++ b/internal/storage/room.go
@@ -1,6 +1,7 @@
 package storage
 
-// FreeSpace classifies the free space of a disk by the work that it allows. The values are ordered from most to least space.
+// FreeSpace classifies the free space of a disk by the work that it allows. The values are ordered from most to least
+// space.
 type FreeSpace uint8
 
 // The values of FreeSpace.
@@ -10,8 +11,8 @@
 	// SpaceForReserved means that less than the headroom is free. Reserved groups accept commands; in other groups only
 	// work that has begun is finished.
 	SpaceForReserved
-	// SpaceForVotes means that less than half of the headroom is free. No commands are accepted; votes, the first entries
-	// of leaders and new voters are still written.
+	// SpaceForVotes means that less than half of the headroom is free. No commands are accepted; votes, the first
+	// entries of leaders and new voters are still written.
 	SpaceForVotes
 )
 
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -26,8 +26,8 @@
 	ClusterID string
 	NodeID    uint64
 	NodeName  string
-	// HeadroomBytes is the free disk space below which FreeSpace returns less than SpaceForAll, so that the node refuses
-	// new work while it can still write its votes. Default 256 MiB.
+	// HeadroomBytes is the free disk space below which FreeSpace returns less than SpaceForAll, so that the node
+	// refuses new work while it can still write its votes. Default 256 MiB.
 	HeadroomBytes uint64
 	// Hooks inject faults in tests. Optional.
 	Hooks Hooks
@@ -264,8 +264,8 @@
 // Starts returns how many times the folder was opened, including this time.
 func (s *Store) Starts() uint64 { return s.starts }
 
-// FreeSpace returns which work the free space of the disk allows. If the free space cannot be measured, it is assumed to be
-// sufficient: a write to a full disk returns ErrNoSpace.
+// FreeSpace returns which work the free space of the disk allows. If the free space cannot be measured, it is assumed
+// to be sufficient: a write to a full disk returns ErrNoSpace.
 func (s *Store) FreeSpace() FreeSpace {
 	free, err := s.measureFreeBytes()
 	switch {
@@ -284,7 +284,8 @@
 	return err != nil || free >= uint64(s.UnstoredBytes(group, snapshot))+s.options.HeadroomBytes/voteReserveDivisor
 }
 
-// UnstoredBytes returns the size in bytes of those parts of a group's snapshot that no file of its stored snapshot holds.
+// UnstoredBytes returns the size in bytes of those parts of a group's snapshot that no file of its stored snapshot
+// holds.
 func (s *Store) UnstoredBytes(group uint32, snapshot raft.Parts) int {
 	return s.parts.unstoredBytes(group, snapshot)
 }
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -22,8 +22,8 @@
 	HardState *raft.HardState
 	// Compaction is a snapshot that the node made itself; log entries up to its index are deleted. Nil if there is none.
 	Compaction *raft.Snapshot
-	// AllowMultipleFiles is set if all builds that may read the folder support states in several files. If it is not set, a state
-	// is written as one file.
+	// AllowMultipleFiles is set if all builds that may read the folder support states in several files. If it is not
+	// set, a state is written as one file.
 	AllowMultipleFiles bool
 }
 
--- a/internal/table/commit.go
+++ b/internal/table/commit.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// DisplayValue returns a cell's value for display in the history, refusals and lists. For a document it returns the length and
-// digest in place of the text.
+// DisplayValue returns a cell's value for display in the history, refusals and lists. For a document it returns the
+// length and digest in place of the text.
 func DisplayValue(column, value string) string {
 	if known := columnIndex[column]; known == nil || known.Type != Text || value == "" {
 		return value
@@ -97,9 +97,9 @@
 	}
 }
 
-// UpdateSince returns the update from fromVersion to the current version. It is a delta if all removals since then are still
-// listed, and the whole table otherwise. If fromVersion is the current version or newer, the update is empty and ends
-// at fromVersion.
+// UpdateSince returns the update from fromVersion to the current version. It is a delta if all removals since then are
+// still listed, and the whole table otherwise. If fromVersion is the current version or newer, the update is empty and
+// ends at fromVersion.
 func (t *Table) UpdateSince(fromVersion uint64) *wire.TableUpdate {
 	if fromVersion >= t.version && fromVersion > 0 {
 		return &wire.TableUpdate{FromVersion: fromVersion, ToVersion: fromVersion}
--- a/internal/table/incarnation_test.go
+++ b/internal/table/incarnation_test.go
@@ -18,8 +18,8 @@
 
 // TestViewDistinguishesStarts guards against requests being sent to, or kept at, a former start of a back end. After a
 // back end restarts, Backend must return it under its new instance only, and HasRestarted must be true for the former
-// instance, even if the row is removed. HasRestarted must be false for a later start or a back end that the table does not
-// know.
+// instance, even if the row is removed. HasRestarted must be false for a later start or a back end that the table does
+// not know.
 func TestViewDistinguishesStarts(t *testing.T) {
 	table := New()
 	apply := func(cells ...*wire.CellChange) *View {
--- a/internal/table/view.go
+++ b/internal/table/view.go
@@ -70,17 +70,17 @@
 	return nil
 }
 
-// HasRestarted reports whether the back end is known to have restarted after the start that instance names. The named instance
-// then no longer holds or runs any request.
+// HasRestarted reports whether the back end is known to have restarted after the start that instance names. The named
+// instance then no longer holds or runs any request.
 func (v *View) HasRestarted(instance string) bool {
 	named := incarnation.Parse(instance)
 	row := v.findBackend(named.ID)
 	return row != nil && row.Incarnation().Compare(named) == incarnation.Newer
 }
 
-// IsKnownRestarted is HasRestarted for an instance that names its start, and false for one that does not. An instance without a
-// recorded start may be the same start as the one that is recorded now, so its requests continue until its connection
-// fails.
+// IsKnownRestarted is HasRestarted for an instance that names its start, and false for one that does not. An instance
+// without a recorded start may be the same start as the one that is recorded now, so its requests continue until its
+// connection fails.
 func (v *View) IsKnownRestarted(instance string) bool {
 	return incarnation.Parse(instance).Start > 0 && v.HasRestarted(instance)
 }
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -41,8 +41,8 @@
 // Tenant is a caller that is defined in the table.
 type Tenant struct {
 	Name string
-	// Priority is the priority of the tenant's requests. If HasPriority is true, it takes precedence over the priority of
-	// their routes.
+	// Priority is the priority of the tenant's requests. If HasPriority is true, it takes precedence over the priority
+	// of their routes.
 	Priority    uint32
 	HasPriority bool
 	// Weight determines the tenant's share when requests of several tenants wait. It is relative to the other
--- a/internal/weights/driver.go
+++ b/internal/weights/driver.go
@@ -57,11 +57,11 @@
 	// covers the period within which two machines must not alternate, plus the time for which IsLeader may be out of
 	// date. See TakeoverAfter.
 	Takeover time.Duration
-	// ReplicasCheckFences states that replicas reject orders whose fencing token is lower than the highest they have seen. A
-	// new leader then need not wait out the Takeover of an owner that has become silent.
+	// ReplicasCheckFences states that replicas reject orders whose fencing token is lower than the highest they have
+	// seen. A new leader then need not wait out the Takeover of an owner that has become silent.
 	ReplicasCheckFences bool
-	// ForceTransfer asks the machine that owns the orders to take the leadership from this process, since that machine need
-	// not wait. It returns ErrOwnerSilent if that machine can't be reached. Optional.
+	// ForceTransfer asks the machine that owns the orders to take the leadership from this process, since that machine
+	// need not wait. It returns ErrOwnerSilent if that machine can't be reached. Optional.
 	HandOver func(ctx context.Context, owner string) error
 	// MaxConcurrentLoads and ConcurrentLoadShare bound the replicas that load at the same time over all models: as a
 	// count and as a share of the replicas that hold a model. The greater of the two applies. Too many concurrent
@@ -191,8 +191,9 @@
 		reportedVersions: map[string][]registry.ModelVersion{}, reported: map[string]bool{}, surveyedAt: map[string]time.Duration{}, loadingModels: map[string]string{}, slotHolders: map[string]*load{}, activeLoads: map[string]*load{}, loadedVersions: map[replicaModel]uint64{}}, nil
 }
 
-// OrderToken reports whether this process may send orders at this instant, and under which fencing token. Other work that
-// only one process of the deployment may do depends on the same right, so that a single takeover settles all of it.
+// OrderToken reports whether this process may send orders at this instant, and under which fencing token. Other work
+// that only one process of the deployment may do depends on the same right, so that a single takeover settles all of
+// it.
 func (d *Driver) OrderToken() (token uint64, held bool) {
 	token = d.publishedToken.Load()
 	return token, token != 0 && d.config.IsLeader()
@@ -204,7 +205,8 @@
 	d.token, d.planners, d.queue, d.takeover = 0, nil, nil, takeover{}
 }
 
-// ObserveHeartbeat records the versions that a heartbeat reports. It is registered as a listener of the replica registry.
+// ObserveHeartbeat records the versions that a heartbeat reports. It is registered as a listener of the replica
+// registry.
 func (d *Driver) ObserveHeartbeat(heartbeat *registry.Registration) {
 	if len(heartbeat.Models) == 0 {
 		return
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -46,8 +46,8 @@
 	Model  string
 	Number uint64
 	Fence  uint64
-	// ExpectedOrders is the number of orders that the replica must have accepted so far. The replica rejects the order at
-	// any other number, which keeps a delayed order from taking effect after a later one.
+	// ExpectedOrders is the number of orders that the replica must have accepted so far. The replica rejects the order
+	// at any other number, which keeps a delayed order from taking effect after a later one.
 	ExpectedOrders uint64
 }
 
@@ -77,9 +77,9 @@
 	Order(ctx context.Context, order Order) (Acceptance, error)
 }
 
-// RegisterVersion registers a version of a model. The registration is durable once RegisterVersion returns nil. A version that is not newer
-// than the newest one counts as registered already. It returns trace.BadParameter if the version can't be registered.
-// After any other error the outcome is unknown.
+// RegisterVersion registers a version of a model. The registration is durable once RegisterVersion returns nil. A
+// version that is not newer than the newest one counts as registered already. It returns trace.BadParameter if the
+// version can't be registered. After any other error the outcome is unknown.
 func RegisterVersion(ctx context.Context, control Control, model string, number uint64, trainer string) error {
 	if model == "" || number == 0 {
 		return trace.BadParameter("a version needs a model and a number above 0")
