--- a/internal/consensus/requests.go
+++ b/internal/consensus/requests.go
@@ -189,7 +189,7 @@
 
 // ForceTransfer asks a voter to take over from this node, whose disk accepts no writes; see raft.Node.ForceTransfer. It
 // returns without waiting; OnLeaderChange reports the outcome.
-func (h *Host) HandOver(ctx context.Context, group uint32, node uint64) error {
+func (h *Host) ForceTransfer(ctx context.Context, group uint32, node uint64) error {
 	return h.call(ctx, group, func(g *hostedGroup) error { return g.translateError(g.node.ForceTransfer(node)) })
 }
 
--- a/internal/consensus/stuckwrite_test.go
+++ b/internal/consensus/stuckwrite_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("the leader returned %+v, want the time of the write and other voters ahead", stuck)
 	}
 	proposeWithoutAnswer(t, leader, "taken but not sent")
-	if err := leader.host.HandOver(t.Context(), 0, stuck.Ahead[0]); err != nil {
+	if err := leader.host.ForceTransfer(t.Context(), 0, stuck.Ahead[0]); err != nil {
 		t.Fatal(err)
 	}
 	c.wait("the other leads", func() bool {
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -59,7 +59,7 @@
 	// StuckWrite returns a long-running disk write of this node whose content other voters have already stored.
 	// ForceTransfer asks one of them to lead group without waiting for that write.
 	StuckWrite(ctx context.Context) (consensus.StuckWrite, error)
-	HandOver(ctx context.Context, group uint32, node uint64) error
+	ForceTransfer(ctx context.Context, group uint32, node uint64) error
 }
 
 // groupState caches what the consensus host's loop last reported of a group, so that it can be read without a query.
--- a/internal/control/yield.go
+++ b/internal/control/yield.go
@@ -101,7 +101,7 @@
 	}
 	l.transferredAt[input.group] = max(l.server.config.Clock(), 1)
 	if len(input.votersAhead) > 0 {
-		err = l.server.replicas.HandOver(ctx, input.group, successor)
+		err = l.server.replicas.ForceTransfer(ctx, input.group, successor)
 	} else {
 		err = l.server.replicas.TransferLeadership(ctx, input.group, successor)
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// ExportedKV describes the ExportedKV cache of an exported request.
+// ExportedKV describes the KV cache of an exported request.
 type ExportedKV struct {
 	Tokens    int // context tokens that the KV cache covers
 	Generated int // tokens that this engine generated before the export
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -247,11 +247,11 @@
 			}
 		}
 		if lost != (failure == SwapLosesWeights) {
-			t.Errorf("failure %d: running request lost is %v, want true for SwapRefuses only", failure, lost)
+			t.Errorf("failure %d: running request lost is %v, want true for SwapLosesWeights only", failure, lost)
 		}
 		refused := errors.Is(e.Submit(time.Minute, Request{ID: 2, PromptTokens: 1, OutputTokens: 1}), ErrRefusing)
 		if refused != (failure == SwapLosesWeights) {
-			t.Errorf("failure %d: new request rejected is %v, want true for SwapRefuses only", failure, refused)
+			t.Errorf("failure %d: new request rejected is %v, want true for SwapLosesWeights only", failure, refused)
 		}
 		if e.Load(time.Minute).Version != 1 {
 			t.Errorf("failure %d: version %d, want 1", failure, e.Version())
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -295,7 +295,7 @@
 	pool.RecordMissedPoll("new")
 	pool.RecordPoll("back")
 	if pool.HasUnpolled() {
-		t.Fatal("Unasked is true although all replicas were polled")
+		t.Fatal("HasUnpolled is true although all replicas were polled")
 	}
 	if chosen := (Balanced{}).Choose(pool, &Request{Work: 1, Urgent: true}, 0, random); pool.Name(chosen) == "known" {
 		t.Fatal("chose the replica of weight 1 although those of weight 100 were polled by now")
--- a/internal/weights/driver.go
+++ b/internal/weights/driver.go
@@ -60,7 +60,7 @@
 	// ReplicasCheckFences states that replicas reject orders whose fencing token is lower than the highest they have
 	// seen. A new leader then need not wait out the Takeover of an owner that has become silent.
 	ReplicasCheckFences bool
-	// ForceTransfer asks the machine that owns the orders to take the leadership from this process, since that machine
+	// HandOver asks the machine that owns the orders to take the leadership from this process, since that machine
 	// need not wait. It returns ErrOwnerSilent if that machine can't be reached. Optional.
 	HandOver func(ctx context.Context, owner string) error
 	// MaxConcurrentLoads and ConcurrentLoadShare bound the replicas that load at the same time over all models: as a
--- a/internal/weights/takeover.go
+++ b/internal/weights/takeover.go
@@ -24,7 +24,7 @@
 	ownerSilenceTimeout = 500 * time.Millisecond
 )
 
-// ErrOwnerSilent is returned by Config.ForceTransfer if the owner of the orders can't be reached although it has not
+// ErrOwnerSilent is returned by Config.HandOver if the owner of the orders can't be reached although it has not
 // announced that it stops: it is down, frozen or partitioned.
 var ErrOwnerSilent = errors.New("the owner of the orders is silent")
 
