--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -93,7 +93,7 @@
 	for {
 		if _, err := older.Recv(); err != nil {
 			if drpcerr.Code(err) != auth.RejectedTokenCode {
-				t.Errorf("its session ended with %v, want the code RefusedCode", err)
+				t.Errorf("its session ended with %v, want the code RejectedTokenCode", err)
 			}
 			break
 		}
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if reply, err := older.Recv(); drpcerr.Code(err) != auth.RejectedTokenCode {
-		t.Errorf("an older member got %v (%v), want the code RefusedCode", reply, err)
+		t.Errorf("an older member got %v (%v), want the code RejectedTokenCode", reply, err)
 	}
 	raise := &wire.Command{Kind: &wire.Command_LevelRaise{LevelRaise: &wire.LevelRaise{Level: 9}}}
 	for group := range uint32(2) {
--- a/internal/durable/cycle_test.go
+++ b/internal/durable/cycle_test.go
@@ -65,7 +65,7 @@
 	}
 	cycle := New(1, node, raft.HardState{})
 	if !cycle.IsHardStateEmpty() {
-		t.Fatal("Blank is false for a node that stored nothing")
+		t.Fatal("IsHardStateEmpty is false for a node that stored nothing")
 	}
 	for range 40 {
 		node.Tick()
@@ -86,7 +86,7 @@
 	}
 	written, _ := cycle.CompleteWrite()
 	if written != ready {
-		t.Fatal("Written returned another Ready than the one that was written")
+		t.Fatal("CompleteWrite returned another Ready than the one that was written")
 	}
 	cycle.Finish(written)
 	if write := cycle.Write(); write.HardState != nil {
--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -35,13 +35,13 @@
 				mutex.Lock()
 				defer mutex.Unlock()
 				if tenant != "One" {
-					t.Errorf("%s: Began was called for tenant %q, want \"One\"", name, tenant)
+					t.Errorf("%s: OnRunStarted was called for tenant %q, want \"One\"", name, tenant)
 				}
 				reported = append(reported, at.Sub(start))
 			}
 			f.serveWithKey("k1", "")
 			if !slices.Equal(reported, test.want) {
-				t.Errorf("%s: Began was called at %v, want %v", name, reported, test.want)
+				t.Errorf("%s: OnRunStarted was called at %v, want %v", name, reported, test.want)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	f := newFixture(t, tenantRows, func(_ context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease}
 	})
-	f.config.OnRunStarted = func(string, time.Time) { t.Error("Began was called for a request that was not sent") }
+	f.config.OnRunStarted = func(string, time.Time) { t.Error("OnRunStarted was called for a request that was not sent") }
 	if failure := f.serveWithKey("k1", ""); failure == nil {
 		t.Error("the request was answered, want a failure")
 	}
--- a/internal/metrics/admin_test.go
+++ b/internal/metrics/admin_test.go
@@ -72,7 +72,7 @@
 	expect("/debug/pprof/profile?seconds=1", 200, "")
 	expect("/elsewhere", 404, "/metrics")
 	if admin.SetProcess(process) == nil {
-		t.Fatal("Show accepted a second process")
+		t.Fatal("SetProcess accepted a second process")
 	}
 	response, err := http.Post("http://"+admin.Address()+"/metrics", "", nil)
 	if err != nil || response.StatusCode != http.StatusMethodNotAllowed {
--- a/internal/registry/relay_test.go
+++ b/internal/registry/relay_test.go
@@ -103,13 +103,13 @@
 		t.Fatal(err, result)
 	}
 	if f.service.ShouldSpread() {
-		t.Fatalf("Spread is true with %d replicas, want false", spreadThreshold)
+		t.Fatalf("ShouldSpread is true with %d replicas, want false", spreadThreshold)
 	}
 	one := replica(1, 1)
 	if err := f.service.Heartbeat(t.Context(), &one); err != nil {
 		t.Fatal(trace.DebugReport(err))
 	}
 	if !f.service.ShouldSpread() {
-		t.Fatalf("Spread is false with more than %d replicas, want true", spreadThreshold)
+		t.Fatalf("ShouldSpread is false with more than %d replicas, want true", spreadThreshold)
 	}
 }
--- a/internal/replica/slow_test.go
+++ b/internal/replica/slow_test.go
@@ -102,6 +102,6 @@
 		t.Fatalf("got outcome %+v, want the whole answer", outcome)
 	}
 	if len(taken) != 1 || <-taken >= work {
-		t.Error("Taken was not called exactly once before the answer")
+		t.Error("OnReceived was not called exactly once before the answer")
 	}
 }
--- a/internal/replicabytes/ledger_test.go
+++ b/internal/replicabytes/ledger_test.go
@@ -112,11 +112,11 @@
 		}
 		addAccepted(l, time.Second, "r", one.bodies...)
 		if crash := l.Crashed(time.Second, "r"); crash.ByTotal != one.sum || (crash.Limit > 0) != one.sum || l.Limit(time.Second) != crash.Limit {
-			t.Errorf("%s: crash %+v, want BySum and a limit only for a total larger than any answered", one.name, crash)
+			t.Errorf("%s: crash %+v, want ByTotal and a limit only for a total larger than any answered", one.name, crash)
 		}
 		addAccepted(l, time.Minute, "s", 40*mega, 40*mega)
 		if crash := l.Crashed(time.Minute, "s"); crash.ByTotal == one.sum || crash.Limit == 0 {
-			t.Errorf("%s: second crash %+v, want a limit, and BySum only if the first crash set no limit", one.name, crash)
+			t.Errorf("%s: second crash %+v, want a limit, and ByTotal only if the first crash set no limit", one.name, crash)
 		}
 	}
 	if crash := New().Crashed(0, "r"); crash != (Crash{}) {
@@ -215,7 +215,7 @@
 	l.End(time.Second, first, true)
 	addAccepted(l, time.Second, "s", 20*mega, 20*mega)
 	if crash := l.Crashed(time.Second, "s"); crash.MaxAnswered != 33*mega || !crash.ByTotal {
-		t.Errorf("crash %+v, want MaxAnswered 33 MiB and BySum", crash)
+		t.Errorf("crash %+v, want MaxAnswered 33 MiB and ByTotal", crash)
 	}
 }
 
@@ -254,7 +254,7 @@
 		}
 		l.SetFleetLimit(time.Second+one.after, 40*mega)
 		if learned := l.LearnedLimit(time.Second + one.after); learned != one.learned || l.SingleBodyCrash(time.Second+one.after) != 0 {
-			t.Errorf("learned limit %d with a fleet limit %v after the crash, want it within singleBodyCrashWindow only, and LoneCrash 0", learned, one.after)
+			t.Errorf("learned limit %d with a fleet limit %v after the crash, want it within singleBodyCrashWindow only, and SingleBodyCrash 0", learned, one.after)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	}
 	addAccepted(l, time.Minute, "r", 40*mega, 40*mega)
 	if crash := l.Crashed(time.Minute, "r"); l.Limit(time.Minute) != 40*mega || !crash.ByTotal {
-		t.Errorf("crash %+v a minute later, want BySum and a limit of 40 MiB", crash)
+		t.Errorf("crash %+v a minute later, want ByTotal and a limit of 40 MiB", crash)
 	}
 }
 
--- a/internal/weights/takeover_test.go
+++ b/internal/weights/takeover_test.go
@@ -69,21 +69,21 @@
 func TestRightEndsWithLeadership(t *testing.T) {
 	f := newFixture(t, 1)
 	if _, held := f.driver.OrderToken(); held {
-		t.Error("Right() reports true before the takeover")
+		t.Error("OrderToken() reports true before the takeover")
 	}
 	f.driver.runCycle(t.Context(), false)
 	token, held := f.driver.OrderToken()
 	if !held || token == 0 || token != f.driver.token {
-		t.Fatalf("Right() after the takeover: got token %d, held %v", token, held)
+		t.Fatalf("OrderToken() after the takeover: got token %d, held %v", token, held)
 	}
 	f.leading.Store(false)
 	if _, held = f.driver.OrderToken(); held {
-		t.Error("Right() reports true after the leadership was lost")
+		t.Error("OrderToken() reports true after the leadership was lost")
 	}
 	f.leading.Store(true)
 	f.driver.dropToken()
 	if _, held = f.driver.OrderToken(); held {
-		t.Error("Right() reports true without a token")
+		t.Error("OrderToken() reports true without a token")
 	}
 }
 
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -234,7 +234,7 @@
 		t.Fatalf("%d concurrent loads, outside the allowed range", f.sender.maxLoading)
 	}
 	if err := RegisterVersion(t.Context(), f.control, "", 1, "trainer"); !trace.IsBadParameter(err) {
-		t.Fatalf("Put without a model: got error %v, want BadParameter", err)
+		t.Fatalf("RegisterVersion without a model: got error %v, want BadParameter", err)
 	}
 }
 
