--- a/internal/batchrun/schedule/turns.go
+++ b/internal/batchrun/schedule/turns.go
@@ -29,8 +29,8 @@
 	return fairqueue.Owner{Name: "job/" + j.ID}
 }
 
-// Weigh sets the weight of a job's tenant.
-func (s *Scheduler) Weigh(id string, weight uint32) {
+// SetWeight sets the weight of a job's tenant.
+func (s *Scheduler) SetWeight(id string, weight uint32) {
 	if job := s.jobs[id]; job != nil && job.Weight != weight {
 		job.Weight, s.waitingOrder = weight, nil
 	}
@@ -124,7 +124,7 @@
 		owner := job.owner()
 		demand := demands[owner.Name]
 		if demand == nil {
-			demand = &ownerDemand{Owner: owner, received: s.usage.Of(owner.Name, now)}
+			demand = &ownerDemand{Owner: owner, received: s.usage.Work(owner.Name, now)}
 			demands[owner.Name] = demand
 		}
 		for _, entry := range job.items {
--- a/internal/batchrun/start.go
+++ b/internal/batchrun/start.go
@@ -147,17 +147,17 @@
 // the table does not contain.
 func (t *termRunner) updateWeight(id string, openJob *job) {
 	weight := uint32(0)
-	if owner := t.tenants.Named(openJob.submit.GetTenant()); owner != nil {
+	if owner := t.tenants.Find(openJob.submit.GetTenant()); owner != nil {
 		weight = owner.Weight
 	}
-	t.scheduler.Weigh(id, weight)
+	t.scheduler.SetWeight(id, weight)
 }
 
 // stopRunsOfEndedStarts stops the runs at replicas that have restarted according to the table. Behind a network
 // partition no connection breaks to show it. The items resume at other replicas.
 func (t *termRunner) stopRunsOfEndedStarts(view *table.View) {
 	for _, running := range t.calls {
-		if view.Ended(running.Instance) {
+		if view.HasRestarted(running.Instance) {
 			running.stopReason = stopRestarted
 			running.cancel()
 		}
@@ -189,7 +189,7 @@
 // work, and by the slots that are reserved for live requests.
 func slotsOf(row *table.Row) int {
 	share := uint64(row.MaxInFlight) * uint64(row.RolloutShare) / 100
-	left := uint64(row.MaxInFlight) - min(uint64(row.MaxInFlight), uint64(row.LiveRoom))
+	left := uint64(row.MaxInFlight) - min(uint64(row.MaxInFlight), uint64(row.LiveReserve))
 	return int(min(share, left))
 }
 
@@ -293,12 +293,12 @@
 // isAdmitted checks the lease and the table again, immediately before a call is sent.
 func (t *termRunner) isAdmitted(c *call) bool {
 	view, ok := t.config.Session.AdmitView()
-	return ok && Permits(view, t.config.Route, c.item, &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool})
+	return ok && PermitsRun(view, t.config.Route, c.item, &wire.RunTarget{Instance: c.Instance, Address: c.Address, Pool: c.Pool})
 }
 
-// Permits reports whether a table permits an item to run at a replica. The back end must be serving under the target's
-// instance, address and pool, and the item's route must include that pool.
-func Permits(view *table.View, routeOf RouteFunc, item *wire.JobItem, target *wire.RunTarget) bool {
+// PermitsRun reports whether a table permits an item to run at a replica. The back end must be serving under the
+// target's instance, address and pool, and the item's route must include that pool.
+func PermitsRun(view *table.View, routeOf RouteFunc, item *wire.JobItem, target *wire.RunTarget) bool {
 	row := view.Backend(target.GetInstance())
 	if row == nil || !row.Serving() || row.Address != target.GetAddress() || row.Pool != target.GetPool() {
 		return false
@@ -330,11 +330,11 @@
 		t.scheduler.Reported(c.Instance, *report)
 	}
 	if driving := c.executor.Load(); driving != nil {
-		// Heard is read before the progress, so that it does not cover a report whose events the progress lacks.
-		t.scheduler.Known(c.Key, driving.Heard())
+		// LastReportAt is read before the progress, so that it does not cover a report whose events the progress lacks.
+		t.scheduler.SetHeardUntil(c.Key, driving.LastReportAt())
 	} else if t.fleet != nil {
 		// This node drives the run itself, possibly after an executor rejected it.
-		t.scheduler.Known(c.Key, t.config.Clock())
+		t.scheduler.SetHeardUntil(c.Key, t.config.Clock())
 	}
 	events, last, version := c.stream.progress()
 	t.scheduler.Progress(c.Key, events, last, version)
--- a/internal/batchrun/suspects.go
+++ b/internal/batchrun/suspects.go
@@ -33,7 +33,7 @@
 	if c.guardRun == nil {
 		return false
 	}
-	c.guardRun.At(c.Instance, c.Address)
+	c.guardRun.SetBackEnd(c.Instance, c.Address)
 	return true
 }
 
@@ -44,9 +44,9 @@
 // reportToGuard reports the end of a run to the guard. It marks an item that is suspected of crashing replicas in the
 // scheduler, and delays one that the guard did not permit.
 func (t *termRunner) reportToGuard(ctx context.Context, c *call) {
-	if c.judgment.Permission == poison.Rest {
+	if c.judgment.Permission == poison.Blocked {
 		t.scheduler.Suspect(c.Key)
-		t.scheduler.Hold(c.Key, t.config.Clock()+min(c.judgment.Left, maximumHoldPause))
+		t.scheduler.Hold(c.Key, t.config.Clock()+min(c.judgment.Remaining, maximumHoldPause))
 		if c.judgment.Condemned() {
 			t.scheduler.Condemn(c.Key)
 		}
@@ -59,7 +59,7 @@
 	if ending == poisonguard.Crashed {
 		t.scheduler.Suspect(c.Key)
 	}
-	settle := c.guardRun.Note(ending)
+	settle := c.guardRun.NoteEnding(ending)
 	go settle(ctx) // the guard bounds its duration; the term's end doesn't wait for it
 }
 
@@ -72,7 +72,7 @@
 		return poisonguard.Stopped // the executor was lost, which does not mean that the replica crashed
 	case c.stopReason == stopRestarted:
 		return poisonguard.Crashed
-	case c.stopReason != "" && c.stopReason != stopStalled && ending == poisonguard.BrokeOff:
+	case c.stopReason != "" && c.stopReason != stopStalled && ending == poisonguard.Interrupted:
 		return poisonguard.Stopped
 	default:
 		return ending
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -26,9 +26,9 @@
 // StateMachine is the replicated state of a group. Its methods are called from one goroutine at a time and must be
 // deterministic.
 type StateMachine interface {
-	// Readable returns an error for a command that this build cannot apply in the same way as other builds do. The
+	// CheckReadable returns an error for a command that this build cannot apply in the same way as other builds do. The
 	// host then stops.
-	Readable(command *wire.Command) error
+	CheckReadable(command *wire.Command) error
 	// Apply executes the command at a log index.
 	Apply(index uint64, command *wire.Command) *wire.Result
 	// Query answers a query from the applied state.
@@ -53,12 +53,12 @@
 	// Write makes a batch durable atomically. storage.ErrNoSpace means that nothing was written and the call may be
 	// repeated. Any other error stops the host.
 	Write(batch []storage.GroupWrite) error
-	// Room returns which kinds of writes the free disk space admits beside the headroom.
-	Room() storage.Room
-	// HasRoomFor reports whether a snapshot of a group fits while leaving the space that votes need.
-	HasRoomFor(group uint32, snapshot raft.Parts) bool
-	// SizeOfNew returns the number of bytes that storing a snapshot of a group would add to the disk.
-	SizeOfNew(group uint32, snapshot raft.Parts) int
+	// FreeSpace returns which kinds of writes the free disk space admits beside the headroom.
+	FreeSpace() storage.FreeSpace
+	// HasSpaceFor reports whether a snapshot of a group fits while leaving the space that votes need.
+	HasSpaceFor(group uint32, snapshot raft.Parts) bool
+	// UnstoredBytes returns the number of bytes that storing a snapshot of a group would add to the disk.
+	UnstoredBytes(group uint32, snapshot raft.Parts) int
 	// Peers and PutPeer read and durably write the records of other nodes.
 	Peers() ([]storage.PeerRecord, error)
 	PutPeer(record storage.PeerRecord) error
@@ -144,14 +144,14 @@
 	// Reserved reports whether a group accepts new commands even when free disk space is below the headroom. It is
 	// meant for small groups that the other groups depend on. Default: no group.
 	Reserved func(group uint32) bool
-	// Speaks is the highest level of package compat that this node reads and writes. It is announced in greetings.
-	// Default Base.
-	Speaks compat.Level
+	// SupportedLevel is the highest level of package compat that this node reads and writes. It is announced in
+	// greetings. Default Base.
+	SupportedLevel compat.Level
 	// CapacityBytes is the state size in bytes that this node can hold. It is announced in greetings. Default 0: no
 	// capacity is announced.
 	CapacityBytes uint64
-	// Agreed returns the level in force. Greetings of nodes that do not support it are rejected. Default: Base.
-	Agreed compat.Agreed
+	// LevelInForce returns the level in force. Greetings of nodes that do not support it are rejected. Default: Base.
+	LevelInForce compat.Agreed
 	// Log receives log lines for operators. Default: nothing is logged.
 	Log *logrus.Entry
 }
@@ -191,8 +191,8 @@
 			defaults.Set(&c.Address, peer.Address)
 		}
 	}
-	if c.Agreed == nil {
-		c.Agreed = func() compat.Level { return compat.Base }
+	if c.LevelInForce == nil {
+		c.LevelInForce = func() compat.Level { return compat.Base }
 	}
 	if c.Dial == nil {
 		c.Dial = dialTCP
--- a/internal/consensus/host.go
+++ b/internal/consensus/host.go
@@ -33,7 +33,7 @@
 	nextWrite     []*hostedGroup // groups with data for the next write
 	inWrite       []*hostedGroup // groups of the write in progress
 	proposedCount int            // proposals taken since the last write started
-	freeSpace     storage.Room
+	freeSpace     storage.FreeSpace
 	encoded       chan *encodedState // buffered for one per group
 	encoders      sync.WaitGroup     // goroutines that encode a state or read a stored snapshot
 
@@ -140,7 +140,7 @@
 // requireVoterConfirmation makes a node that is new to all its groups wait until every voter knows its data folder.
 func (h *Host) requireVoterConfirmation() {
 	for _, group := range h.groups {
-		if !group.cycle.Blank() || group.applied > 0 {
+		if !group.cycle.IsHardStateEmpty() || group.applied > 0 {
 			return
 		}
 	}
--- a/internal/control/groupkeeper.go
+++ b/internal/control/groupkeeper.go
@@ -17,10 +17,10 @@
 // groupKeeper replaces lost nodes of a group by nodes that ask to join, while this node leads the group. Only its own
 // loop uses it.
 type groupKeeper struct {
-	voters  *voters
-	server  *Server
-	group   uint32
-	hearing *member.Hearing // nil while this node does not lead the group
+	voters   *voters
+	server   *Server
+	group    uint32
+	silences *member.SilenceTracker // nil while this node does not lead the group
 	// checkedAt is when this node last checked the group's state as its leader.
 	checkedAt time.Duration
 	behind    map[uint64]bool // learners that lacked log entries in this pass
@@ -32,7 +32,7 @@
 	k.behind = map[uint64]bool{}
 	for range maximumChanges {
 		if !k.server.states[k.group].leader().Leading || k.server.draining.Load() {
-			k.hearing = nil
+			k.silences = nil
 			k.voters.silent.stopLeading(k.group)
 			return
 		}
@@ -72,13 +72,13 @@
 	}
 	now := k.server.config.Clock()
 	switch {
-	case k.hearing == nil:
-		k.hearing = member.NewHearing(status.ID, now, maximumCountedGap)
+	case k.silences == nil:
+		k.silences = member.NewSilenceTracker(status.ID, now, maximumCountedGap)
 	case now-k.checkedAt > maximumCountedGap:
 		k.voters.silent.countLateCheck(k.group)
 	}
 	k.checkedAt = now
-	k.hearing.Look(now, k.collectSightings(&status))
+	k.silences.Observe(now, k.collectObservations(&status))
 	addresses := make(map[uint64]string)
 	for _, node := range k.server.replicas.Nodes() {
 		addresses[node.ID] = node.Address
@@ -88,8 +88,8 @@
 		nodes := make([]member.GroupNode, 0, len(ids))
 		for _, id := range ids {
 			nodes = append(nodes, member.GroupNode{
-				ID: id, Address: addresses[id], Silence: k.hearing.Silence(id), Unheard: !k.hearing.Answers(id), Behind: k.behind[id],
-				Leaving: k.voters.isLeaving(id, now) || retiring[addresses[id]], Standby: isStandby(id), Leads: id == status.ID,
+				ID: id, Address: addresses[id], Silence: k.silences.Silence(id), Unheard: !k.silences.IsResponsive(id), Behind: k.behind[id],
+				Leaving: k.voters.isLeaving(id, now) || retiring[addresses[id]], Standby: isStandby(id), IsLeader: id == status.ID,
 			})
 		}
 		return nodes
@@ -98,21 +98,21 @@
 		Candidates: k.voters.recentCandidates(now)}, true
 }
 
-// collectSightings returns what is known of the group's other nodes: which of them this leader hears, and what the
+// collectObservations returns what is known of the group's other nodes: which of them this leader hears, and what the
 // nodes that it hears report about the others.
-func (k *groupKeeper) collectSightings(status *raft.Status) []member.Sighting {
+func (k *groupKeeper) collectObservations(status *raft.Status) []member.Observation {
 	var heard []uint64
 	for _, other := range status.Match {
 		if other.Heard {
 			heard = append(heard, other.Node)
 		}
 	}
-	sightings := make([]member.Sighting, 0, len(status.Match))
+	observations := make([]member.Observation, 0, len(status.Match))
 	for _, other := range status.Match {
-		sightings = append(sightings, member.Sighting{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
-			Told: k.server.replicas.Unheard(other.Node, heard)})
+		observations = append(observations, member.Observation{Node: other.Node, Active: other.RecentActive, Heard: other.Heard,
+			ReportedSilence: k.server.replicas.UnheardFor(other.Node, heard)})
 	}
-	return sightings
+	return observations
 }
 
 // applyChange makes a membership change and waits for its result.
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -107,7 +107,7 @@
 	if l.shouldLogRefusal(wire.OwnerName(member)) {
 		l.server.log.Warn(reason)
 	}
-	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RefusedCode)
+	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RejectedTokenCode)
 }
 
 // maximumLoggedRefusals bounds the set of process starts whose refusal was logged.
@@ -162,7 +162,7 @@
 		l.settling = &compat.Settling{}
 	}
 	now := l.server.config.Clock()
-	if level, due := l.settling.Look(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
+	if level, due := l.settling.Update(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
 		l.raise(ctx, level, len(present))
 	}
 }
@@ -205,8 +205,8 @@
 		nodes[candidate.ID] = true
 	}
 	for node := range nodes {
-		speaks, _ := l.server.replicas.Speaks(node)
-		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: speaks})
+		level, _ := l.server.replicas.PeerLevel(node)
+		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: level})
 	}
 	return present, nil
 }
--- a/internal/controlclient/request.go
+++ b/internal/controlclient/request.go
@@ -58,7 +58,7 @@
 		if reply.GetStatus() == wire.ExecuteStatus_EXECUTE_STATUS_UNKNOWN && time.Since(began) >= duration {
 			template.slowAttempts++ // an attempt of the same length would end in the same way
 		}
-		if drpcerr.Code(err) == auth.RefusedCode {
+		if drpcerr.Code(err) == auth.RejectedTokenCode {
 			return nil, state.refusedError(address)
 		}
 		if err != nil {
@@ -129,7 +129,7 @@
 		job.Unproposed = false // an earlier attempt may still be committed
 	}
 	if template.group != ControlGroup {
-		c.learnTicket(template.group, reply.Result.GetClaim().GetIndex())
+		c.learnIndex(template.group, reply.Result.GetClaim().GetIndex())
 	}
 	return reply, nil
 }
--- a/internal/controlclient/session_run.go
+++ b/internal/controlclient/session_run.go
@@ -25,8 +25,8 @@
 	// silenceDivisor sets the limit on silence: after lease/silenceDivisor without a grant or update the session
 	// tries another control node.
 	silenceDivisor = 3
-	// firstRenewal is the renewal interval until the first grant tells the lease's duration.
-	firstRenewal = 200 * time.Millisecond
+	// firstRenewalInterval is the renewal interval until the first grant tells the lease's duration.
+	firstRenewalInterval = 200 * time.Millisecond
 	// sentHistory is the number of renewals whose send times and demands are remembered. A grant for an older renewal
 	// is ignored.
 	sentHistory = 64
@@ -48,13 +48,13 @@
 	replies           chan *wire.SessionReply
 	failed            chan error // receives the error that ended the stream; capacity 1
 	sequence          uint64
-	sentAt            [sentHistory]time.Duration // by sequence modulo sentHistory
-	sentDemands       [sentHistory][]share.Told  // demands sent, by sequence modulo sentHistory
-	sharesSequence    uint64                     // sequence of the newest renewal whose shares were applied
-	lease             time.Duration              // duration of the last lease granted on this stream
-	lastHeard         time.Duration              // time of the last grant or update
-	leaveSequence     uint64                     // sequence of the first renewal that said leaving; 0 if none did
-	invitationPending bool                       // an invitation was answered by a renewal that has no reply yet
+	sentAt            [sentHistory]time.Duration          // by sequence modulo sentHistory
+	sentDemands       [sentHistory][]share.ResourceDemand // demands sent, by sequence modulo sentHistory
+	sharesSequence    uint64                              // sequence of the newest renewal whose shares were applied
+	lease             time.Duration                       // duration of the last lease granted on this stream
+	lastHeard         time.Duration                       // time of the last grant or update
+	leaveSequence     uint64                              // sequence of the first renewal that said leaving; 0 if none did
+	invitationPending bool                                // an invitation was answered by a renewal that has no reply yet
 }
 
 // run keeps the session attached to the leader until ctx ends or the leader has confirmed a leave.
@@ -75,7 +75,7 @@
 		if errors.Is(err, errIncarnationChanged) {
 			continue
 		}
-		if drpcerr.Code(err) == auth.RefusedCode {
+		if drpcerr.Code(err) == auth.RejectedTokenCode {
 			s.reportRefusal(address, err)
 		}
 		s.client.forgetLeader(ControlGroup, address)
@@ -215,7 +215,7 @@
 		a.lastHeard = s.client.config.Clock()
 	}
 	for _, known := range reply.LedgerIndexes {
-		s.client.learnTicket(known.Group, known.Index)
+		s.client.learnIndex(known.Group, known.Index)
 	}
 	s.client.learnAddresses(reply.ControlAddresses)
 	if reply.Members != nil {
@@ -263,7 +263,7 @@
 	}
 	a.sharesSequence = reply.Sequence
 	if s.sharing.applyGrant(a.sentDemands[at], reply, a.sentAt[at], a.lease) {
-		s.RenewSoon()
+		s.RenewEarly()
 	}
 	if changed := s.sharing.listener(); changed != nil && len(reply.Shares) > 0 {
 		changed()
@@ -316,14 +316,14 @@
 func (a *attachment) interval() time.Duration {
 	interval := a.lease / renewalsPerLease
 	if interval <= 0 {
-		interval = firstRenewal
+		interval = firstRenewalInterval
 	}
 	return interval - interval/10 + rand.N(interval/10+1)
 }
 
 // isSilent reports whether the node has sent no grant or update for so long that another node must be tried.
 func (a *attachment) isSilent() bool {
-	limit := max(a.lease/silenceDivisor, 2*firstRenewal)
+	limit := max(a.lease/silenceDivisor, 2*firstRenewalInterval)
 	return a.session.client.config.Clock()-a.lastHeard > limit
 }
 
@@ -361,7 +361,7 @@
 	now := s.client.config.Clock()
 	_, held := s.holder.Admit(now)
 	s.logLeaseChange(now, held) // logs a lease that expired without anyone asking
-	s.holder.Renewed(sentAt, duration)
+	s.holder.RecordRenewal(sentAt, duration)
 	_, held = s.holder.Admit(now)
 	s.logLeaseChange(now, held)
 	if !s.everHeld {
--- a/internal/coordinator/fixture_test.go
+++ b/internal/coordinator/fixture_test.go
@@ -40,7 +40,7 @@
 
 // fixture is a small deployment of real servers: control node, gateway, engines, scorer, weight store and coordinators.
 type fixture struct {
-	control      *rig.Control
+	control      *rig.ControlGroup
 	client       *controlclient.Client
 	engines      []*enginestandin.Server
 	scorer       *scorer.Server
@@ -92,7 +92,7 @@
 	f := &fixture{context: ctx}
 	t.Cleanup(func() { f.stop(stop) })
 	var err error
-	f.control, err = rig.StartControl(rig.Options{Nodes: 1, Folder: t.TempDir(), LedgerGroups: 1, Lease: lease})
+	f.control, err = rig.StartControlGroup(rig.Options{Nodes: 1, Folder: t.TempDir(), LedgerGroups: 1, Lease: lease})
 	must(t, err)
 	f.client, err = controlclient.New(controlclient.Config{Addresses: f.control.Addresses, LedgerGroups: 1})
 	must(t, err)
@@ -208,7 +208,7 @@
 }
 
 // truth returns the record of what the engines generated, against which trainers check their samples.
-func (f *fixture) truth() trainer.Truth { return trainer.NewEngines(f.engines...) }
+func (f *fixture) truth() trainer.SampleChecker { return trainer.NewEngineLogs(f.engines...) }
 
 // runTrainer runs a trainer to its end and checks its statistics.
 func (f *fixture) runTrainer(t *testing.T, config trainer.Config) trainer.Stats {
@@ -225,8 +225,8 @@
 	if config.Coordinators == nil {
 		config.Coordinators = f.addresses()
 	}
-	if config.Truth == nil {
-		config.Truth = f.truth()
+	if config.Checker == nil {
+		config.Checker = f.truth()
 	}
 	config.Pool, config.WeightStore, config.Log = "copy", f.store.Address(), logging.Discard()
 	if config.FetchWait == 0 {
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -71,7 +71,7 @@
 // Replied reports whether the caller has its final answer or is gone.
 func (m *Machine) Replied() bool { return m.replied }
 
-// Preemptible reports whether a Yield event would preempt the request now: it must be repeatable, replayable,
+// Preemptible reports whether a Preempt event would preempt the request now: it must be repeatable, replayable,
 // unanswered and dispatched to a back end.
 func (m *Machine) Preemptible() bool {
 	return m.request.Repeatable && m.request.Replayable && !m.replied &&
@@ -97,11 +97,11 @@
 		m.onBackendChosen(event)
 	case Suspected:
 		m.onSuspected(event)
-	case BackendNone:
+	case NoBackend:
 		m.onNoBackend(now, event)
 	case LeaseLapsed:
 		m.onLeaseLapsed()
-	case TableMoved:
+	case TableChanged:
 		m.onTableMoved()
 	case SendFailed, RefusedByBackend:
 		m.onNotExecuted(now, event)
@@ -115,7 +115,7 @@
 		m.onDeadline()
 	case CallerGone:
 		m.onCallerGone()
-	case Yield:
+	case Preempt:
 		m.onYield()
 	}
 	m.finishIfIdle()
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -101,7 +101,7 @@
 	}
 	conn := drpcconn.NewWithOptions(transport, drpcconn.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes},
+		Stream: drpcstream.Options{MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 	}})
 	abort := context.AfterFunc(dialing, func() { _ = conn.Close() })
 	stream, err := wire.NewDRPCExecutorClient(conn).Drive(context.WithoutCancel(ctx))
@@ -269,7 +269,7 @@
 // applyReport passes the contents of a report to the followed runs.
 func (l *link) applyReport(report *wire.RunReport) {
 	now := l.fleet.config.Clock()
-	defer l.markReported(now) // last: otherwise Heard would make a run look silent up to now
+	defer l.markReported(now) // last: otherwise LastReportAt would make a run look silent up to now
 	l.mutex.Lock()
 	l.leaving = report.GetLeaving()
 	l.mutex.Unlock()
@@ -310,7 +310,7 @@
 	defer l.mutex.Unlock()
 	followed := l.runs[keyOf(key)]
 	if followed == nil || followed.order != executor.OrderOf(order) {
-		l.fleet.config.Ignored()
+		l.fleet.config.OnIgnoredReport()
 		return nil
 	}
 	return followed
--- a/internal/executorclient/link_test.go
+++ b/internal/executorclient/link_test.go
@@ -18,7 +18,7 @@
 func newTestLink(t *testing.T) *testLink {
 	t.Helper()
 	made := &testLink{}
-	fleet, err := New(Config{Term: 3, Peers: func() []Peer { return nil }, Ignored: func() { made.ignored++ }})
+	fleet, err := New(Config{Term: 3, Peers: func() []Peer { return nil }, OnIgnoredReport: func() { made.ignored++ }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 		t.Errorf("%d reports counted as ignored, want 6", l.ignored)
 	}
 	l.applyReport(reportOf(run.order, "own"))
-	if pieces, outcome := run.takeQueued(); len(pieces) != 1 || string(pieces[0].data) != "own" || outcome == nil || !outcome.Whole {
+	if pieces, outcome := run.takeQueued(); len(pieces) != 1 || string(pieces[0].data) != "own" || outcome == nil || !outcome.Complete {
 		t.Errorf("the run received %v, %v, want its own report", pieces, outcome)
 	}
 }
@@ -109,19 +109,19 @@
 }
 
 // TestHeardIsTheLastReport: what a leader knows of a run ends with the executor's last report, however much time has
-// passed since. Heard must not advance without a report.
+// passed since. LastReportAt must not advance without a report.
 func TestHeardIsTheLastReport(t *testing.T) {
 	l := newTestLink(t)
 	now := 10 * time.Second
 	l.fleet.config.Clock = func() time.Duration { return now }
 	run := l.begin(t, 1)
 	at := &Executor{link: l.link}
-	if heard := at.Heard(); heard != 0 {
+	if heard := at.LastReportAt(); heard != 0 {
 		t.Errorf("heard at %v before the first report, want 0", heard)
 	}
 	l.applyReport(&wire.RunReport{})
 	now += time.Second
-	if heard := at.Heard(); heard != 10*time.Second {
+	if heard := at.LastReportAt(); heard != 10*time.Second {
 		t.Errorf("heard at %v, want 10s", heard)
 	}
 	l.loseAll(ErrLost)
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -127,7 +127,7 @@
 		return
 	}
 	g.limitsUpdatedAt = s.now
-	slots, background := g.pool.Away(s.now)
+	slots, background := g.pool.UnavailableSlots(s.now)
 	if slots >= g.limits.Slots {
 		slots, background = 0, 0
 	}
@@ -173,7 +173,7 @@
 			s.after(0, func() { one.onRejected(retryAfter) })
 		}
 	}
-	for _, id := range effects.Yield {
+	for _, id := range effects.Preempted {
 		if one := g.callbacks[id]; one != nil && one.onPreempt != nil {
 			s.after(0, one.onPreempt)
 		}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -85,7 +85,7 @@
 			}
 		}
 		if whole {
-			outcome.Whole, outcome.Err = true, nil
+			outcome.Complete, outcome.Err = true, nil
 		}
 		return outcome
 	}
@@ -132,7 +132,7 @@
 		if result := made.Apply(change); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 			t.Fatal(result)
 		}
-		view, err := table.NewView().Apply(made.Update(0))
+		view, err := table.NewView().Apply(made.UpdateSince(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -426,7 +426,7 @@
 	for number, quarantined := range []int{0, 2} { // the second request fails at the same back ends
 		var failed []string
 		request := &Request{AttemptID: "id", Method: "POST", Path: "/x", Host: "h", Received: time.Now(),
-			Failed: func(replica string) { failed = append(failed, replica) }}
+			OnServerError: func(replica string) { failed = append(failed, replica) }}
 		if failure := f.Serve(t.Context(), request, &recordedReply{}); failure != nil {
 			t.Fatal(failure)
 		}
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -106,7 +106,7 @@
 	p.version, p.view, p.targets, p.slots = view.Version(), view, targets, slots
 	p.maxConnections = 0
 	if row.MaxConnections > 0 {
-		p.maxConnections = max(1, int(row.MaxConnections)/config.ConnectionShare)
+		p.maxConnections = max(1, int(row.MaxConnections)/config.ConnectionDivisor)
 	}
 	p.replicas.SetReplicas(configs)
 	p.cancelRestartedSends()
@@ -124,7 +124,7 @@
 // cancelRestartedSends cancels the sends to back ends that have restarted since. The caller holds the mutex.
 func (p *pool) cancelRestartedSends() {
 	for sending, cancel := range p.sends {
-		if p.view.StartedAgain(sending.target.Instance) {
+		if p.view.IsKnownRestarted(sending.target.Instance) {
 			cancel(errRestarted)
 		}
 	}
@@ -136,7 +136,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sends[sending] = cancel
-	if p.view != nil && p.view.StartedAgain(sending.target.Instance) {
+	if p.view != nil && p.view.IsKnownRestarted(sending.target.Instance) {
 		cancel(errRestarted) // the table changed after the choice
 	}
 	return limited, func() {
@@ -258,7 +258,7 @@
 	}
 	name := p.replicas.Name(i)
 	p.replicas.Sent(i, request, now)
-	hasSpare := p.replicas.Len()-tried > 1 && p.replicas.Spare(name, now)
+	hasSpare := p.replicas.Len()-tried > 1 && p.replicas.HasAlternative(name, now)
 	return choice{target: p.targets[name], version: p.version, maxConnections: p.maxConnections, hasSpare: hasSpare,
 		inFlight: p.replicas.InFlight(i)}, true
 }
@@ -318,10 +318,10 @@
 			p.replicas.Failed(name, now)
 		}
 	case healthLeaving:
-		p.replicas.RefusedLeaving(name, now)
+		p.replicas.RecordLeavingRefusal(name, now)
 	}
 	if load != nil {
 		p.replicas.Report(name, routing.LoadReport{Requests: float64(load.Running + load.Waiting)}, now)
-		p.replicas.Paced(name, load.Pace, load.Seen)
+		p.replicas.RecordPace(name, load.Pace, load.Seen)
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -30,7 +30,7 @@
 	if x.run = run; run != nil {
 		return true
 	}
-	x.queueEvent(dispatch.Event{Kind: dispatch.Suspected, RetryAfter: judged.Left,
+	x.queueEvent(dispatch.Event{Kind: dispatch.Suspected, RetryAfter: judged.Remaining,
 		Reason: fmt.Sprintf("%d back ends crashed under this request", judged.Crashes)})
 	return false
 }
@@ -49,7 +49,7 @@
 	if x.run == nil {
 		return
 	}
-	x.run.Leave()
+	x.run.ClearBackEnd()
 	if !x.run.Claimed() {
 		x.endRun(poisonguard.NotRun)
 	}
@@ -65,7 +65,7 @@
 		x.endRun(poisonguard.Crashed)
 		return
 	}
-	x.endRun(poisonguard.BrokeOff)
+	x.endRun(poisonguard.Interrupted)
 }
 
 // dialTCP opens a TCP connection.
--- a/internal/metrics/admin.go
+++ b/internal/metrics/admin.go
@@ -52,11 +52,11 @@
 	server      *fasthttp.Server
 	registry    *prometheus.Registry
 	scrape      fasthttp.RequestHandler
-	process     atomic.Pointer[Process] // nil until Show
+	process     atomic.Pointer[Process] // nil until SetProcess
 	serveResult chan error
 }
 
-// errStarting is reported as the reason for not being ready until Show is called.
+// errStarting is reported as the reason for not being ready until SetProcess is called.
 var errStarting = errors.New("starting")
 
 // Open binds the listener and serves until Close. It returns an error if the address can't be bound.
@@ -89,9 +89,9 @@
 // Address returns the bound IP:port.
 func (a *Admin) Address() string { return a.listener.Addr().String() }
 
-// Show adds the metrics and the readiness of the process, whose server is open now. It may be called once and returns an
-// error on later calls.
-func (a *Admin) Show(process Process) error {
+// SetProcess adds the metrics and the readiness of the process, whose server is open now. It may be called once and
+// returns an error on later calls.
+func (a *Admin) SetProcess(process Process) error {
 	if !a.process.CompareAndSwap(nil, &process) {
 		return trace.AlreadyExists("the admin listener already shows a process")
 	}
--- a/internal/metrics/admin_test.go
+++ b/internal/metrics/admin_test.go
@@ -58,7 +58,7 @@
 	expect("/healthz", 200, "ok")
 	expect("/metrics", 200, "tamarindring_ready 0")
 	process := &fakeProcess{counter: prometheus.NewCounter(prometheus.CounterOpts{Name: "tamarindring_gateway_things_total"})}
-	if err := admin.Show(process); err != nil {
+	if err := admin.SetProcess(process); err != nil {
 		t.Fatal(err)
 	}
 	expect("/readyz", 200, "ready")
@@ -71,8 +71,8 @@
 	expect("/debug/pprof/goroutine?debug=1", 200, "goroutine profile")
 	expect("/debug/pprof/profile?seconds=1", 200, "")
 	expect("/elsewhere", 404, "/metrics")
-	if admin.Show(process) == nil {
-		t.Fatal("Show accepted a second process")
+	if admin.SetProcess(process) == nil {
+		t.Fatal("SetProcess accepted a second process")
 	}
 	response, err := http.Post("http://"+admin.Address()+"/metrics", "", nil)
 	if err != nil || response.StatusCode != http.StatusMethodNotAllowed {
@@ -96,7 +96,7 @@
 // TestAdminRequiresTokensExceptForHealth guards against metrics and profiles that are readable without a token of an
 // operator or a node, and against health and readiness that need a token.
 func TestAdminRequiresTokensExceptForHealth(t *testing.T) {
-	path, tokens := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneOfEach())
+	path, tokens := credentialtest.WriteTokens(t, t.TempDir(), credentialtest.OneHolderPerRole())
 	guard, err := credentials.NewGuard(path, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/replicabytes/replay_test.go
+++ b/internal/replicabytes/replay_test.go
@@ -119,7 +119,7 @@
 	fleetLimit, _ := gateway.holding.Share(now, share.Bytes("p"))
 	gateway.ledger.SetFleetLimit(now, int64(fleetLimit)*share.BytesUnit)
 	if gateway.ledger.Limit(now) > 0 {
-		gateway.turns.Step(now, &Situation{Replicas: gateway.order, Waiting: gateway.waiting, Granted: r.granted(now, gateway),
+		gateway.turns.Step(now, &StepInput{Replicas: gateway.order, Waiting: gateway.waiting, Granted: r.granted(now, gateway),
 			Held: func(instance string) bool { return gateway.ledger.Held(instance) > 0 }})
 	}
 }
@@ -129,21 +129,21 @@
 		return
 	}
 	gateway.next = now + replayRenewal
-	demands := []share.Told{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.Learned(now) / share.BytesUnit),
-		Waiting: 1 + uint32(gateway.ledger.LoneCrash(now)/share.BytesUnit)}}}
+	demands := []share.ResourceDemand{{Resource: share.Bytes("p"), Demand: share.Demand{InUse: uint32(gateway.ledger.LearnedLimit(now) / share.BytesUnit),
+		Waiting: 1 + uint32(gateway.ledger.SingleBodyCrash(now)/share.BytesUnit)}}}
 	for _, instance := range gateway.turns.Instances() {
 		inUse, waiting, _ := gateway.turns.Demand(instance)
-		demands = append(demands, share.Told{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
+		demands = append(demands, share.ResourceDemand{Resource: share.Turn(instance), Demand: share.Demand{InUse: inUse, Waiting: waiting}})
 	}
 	r.numbers++
-	grants := r.allocator.Renew(now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: r.numbers, Acted: gateway.number,
-		Ends: now + replayLease, Demands: demands})
+	grants := r.allocator.Renew(now, &share.Renewal{Holder: lease.HolderID{Name: fmt.Sprint(position)}, Number: r.numbers, AppliedAnswer: gateway.number,
+		LeaseEnds: now + replayLease, Demands: demands})
 	number := r.numbers
 	r.answers = append(r.answers, func(at time.Duration) bool {
 		if at < now+replayTrip {
 			return false
 		}
-		gateway.holding.Granted(demands, grants, now+replayLease)
+		gateway.holding.Apply(demands, grants, now+replayLease)
 		gateway.number = number
 		return true
 	})
@@ -153,7 +153,7 @@
 	for gateway.waiting > 0 {
 		target := ""
 		for _, instance := range gateway.order {
-			if !gateway.ledger.Fits(now, instance, replayBody) || r.shared && gateway.ledger.Limit(now) > 0 && !gateway.turns.May(now, instance) {
+			if !gateway.ledger.Fits(now, instance, replayBody) || r.shared && gateway.ledger.Limit(now) > 0 && !gateway.turns.MaySend(now, instance) {
 				continue
 			}
 			if target == "" || gateway.ledger.Held(instance) < gateway.ledger.Held(target) {
