--- a/internal/batchrun/commits.go
+++ b/internal/batchrun/commits.go
@@ -22,8 +22,9 @@
 	maximumAttemptTimeout = 16 * time.Second
 	// maximumCommandBytes bounds the size of the entries in one command. A single larger entry is committed alone.
 	maximumCommandBytes = 256 << 10
-	// maximumResubmits bounds how often an unmatched entry is committed again. One is enough for a text, and a score
-	// directly follows its text.
+	// maximumResubmits bounds how often an unmatched entry is committed again. Once is enough for a result or an
+	// unscored text, because it is then committed with its complete text. A score is queued directly behind its text
+	// and needs no more.
 	maximumResubmits = 3
 )
 
--- a/internal/batchrun/config.go
+++ b/internal/batchrun/config.go
@@ -32,8 +32,8 @@
 // Defaults of Config.
 const (
 	DefaultRetention = 10 * time.Minute
-	// DefaultCheckpoint bounds the text that is lost with a leader. A run loses half of it on average, and the long
-	// answers that steps wait for are in progress at any time.
+	// DefaultCheckpoint bounds how much generation time a run loses when its leader is lost. The loss is half of the
+	// interval on average. It matters because the long answers that steps wait for are in progress at any time.
 	DefaultCheckpoint = 500 * time.Millisecond
 )
 
--- a/internal/batchrun/critical.go
+++ b/internal/batchrun/critical.go
@@ -15,7 +15,7 @@
 	runningTime time.Duration // total duration of the runs
 	runs        int
 	events      int           // received by the runs
-	finishedAt  time.Duration // when its result was available; 0: not under this leader
+	finishedAt  time.Duration // when finish recorded its result; 0: not under this leader, or the result got a score
 }
 
 // startRun records the start of a run.
@@ -34,7 +34,7 @@
 
 // criticalItem returns the item whose result completed as many groups as the job's owner waits for. The way that this
 // item spent its time explains the duration of the job. It returns nil if that many groups were never complete, or if
-// an earlier leader finished the item.
+// the item has no finishedAt, because an earlier leader finished it or because its result got a score.
 func (j *job) criticalItem() *item {
 	last := map[string]*item{} // the last item to finish, by group; nil for an incomplete group
 	for _, entry := range j.items {
--- a/internal/batchrun/executors.go
+++ b/internal/batchrun/executors.go
@@ -16,9 +16,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// executorSurveyTimeout is how long a new leader delays starts until all executors have reported the runs that they
-// hold. Starting an item that is still running at an executor would run it twice. A healthy executor reports within
-// this time.
+// executorSurveyTimeout is the longest time for which a new leader delays starts while it waits for all executors to
+// report the runs that they hold. Starting an item that is still running at an executor would run it twice. A healthy
+// executor reports within this time.
 const executorSurveyTimeout = 250 * time.Millisecond
 
 // Reasons why a run that an earlier leader started is stopped instead of taken over, as logs name them.
--- a/internal/batchrun/fixture_test.go
+++ b/internal/batchrun/fixture_test.go
@@ -196,8 +196,8 @@
 	return calls
 }
 
-// answerWith sends complete answers. The head has the first of the weight versions, and event i switches to version i if
-// there is one.
+// answerWith sends complete answers. The head has the first of the weight versions, and event i switches to version i
+// if there is one.
 func answerWith(versions ...uint64) behaviour {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		return sendEvents(call, sink, testEvents, versions...)
--- a/internal/batchrun/listing/listing.go
+++ b/internal/batchrun/listing/listing.go
@@ -21,7 +21,8 @@
 	// turn of 0.5 s, so that a new read is open, and shorter than the 1 s for which reads are held open.
 	DefaultInterval = 900 * time.Millisecond
 	// lastCallDelay is the time from a job's due time to the last listing that the owner can still use. Owners accept
-	// results that they read until shortly after that, and committing and reading take part of the difference.
+	// results that they read until shortly after that listing. Committing the results and reading them takes part of
+	// this remaining time.
 	lastCallDelay = 450 * time.Millisecond
 	// lastCallExtension is how much the last call is postponed if the job is expected to be complete within this time
 	// after it, so that one listing has all results.
--- a/internal/batchrun/reward/reward.go
+++ b/internal/batchrun/reward/reward.go
@@ -1,5 +1,5 @@
 // Package reward decides whether and when the reward call of a text is retried, and when its item is given up. A reward
-// call is a request that scores a complete text, sent by a route of its own. Package batchrun makes the calls.
+// call is a request that scores a complete text. It has a route of its own. Package batchrun makes the calls.
 //
 // The package has no clock, goroutines or I/O. Random numbers are passed in as arguments.
 package reward
@@ -9,6 +9,7 @@
 // Ending is how one attempt to get a score ended.
 type Ending uint8
 
+// The ways in which an attempt can end.
 const (
 	Scored  Ending = iota // a complete answer with a score
 	Failed                // at least one back end answered that the call failed
@@ -67,12 +68,13 @@
 // Tries returns the number of attempts that have ended.
 func (c *Call) Tries() int { return c.tries }
 
-// Failures returns the number of back ends that answered that the call failed.
+// Failures returns the number of answers that reported that the call failed, over all attempts.
 func (c *Call) Failures() int { return c.failures }
 
 // Next is the decision after an attempt.
 type Next struct {
-	// GiveUp is set if the item must be terminated, because too many back ends answered that the call failed.
+	// GiveUp is set if the item must be terminated. So many back ends answered that the call failed that it is expected
+	// to fail on all of them.
 	GiveUp bool
 	// Pause is the time until the next attempt. It is 0 if the item is given up.
 	Pause time.Duration
--- a/internal/batchrun/schedule/move.go
+++ b/internal/batchrun/schedule/move.go
@@ -8,8 +8,9 @@
 )
 
 // PlanMoves returns runs of required groups that would continue much faster on another replica, or whose replica leaves
-// before they end. The number of runs is limited by the free capacity that no waiting item could use. The caller must
-// stop the runs and report them to Ended with the ending Moved. Until then they count as running.
+// before they end. The number of runs is limited by the free capacity, which after a call of Starts is the capacity
+// that no waiting item could use. The caller must stop the runs and report them to Ended with the ending Moved. Until
+// then they count as running.
 func (s *Scheduler) PlanMoves(now time.Duration) []Move {
 	for _, replica := range s.replicas {
 		replica.incomingMoves = 0
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -24,7 +24,7 @@
 	failuresInRow  int                // consecutive failures
 	refusalsInRow  int                // consecutive rejections as full
 	pausedUntil    time.Duration      // receives no items before this time
-	onProbation    bool               // one item at a time until a run that started meanwhile delivers an event
+	onProbation    bool               // one item at a time until a run that started after probationStart delivers an event
 	probationStart time.Duration      // start of the probation
 	probe          *item              // item that is tried on a replica on probation or with old weights
 	versions       map[string]version // by model
@@ -38,8 +38,8 @@
 // version is the last known state of a model's weights on a replica.
 type version struct {
 	number  uint64
-	tries   int           // attempts since then for items that require a newer version
-	heardAt time.Duration // when the version was last heard
+	tries   int           // runs started while the number was this one, for items that require a newer version
+	heardAt time.Duration // when the version was last heard, or when the last of these runs started
 	// reported is when the component that orders weight loads last reported the version; 0: never. loading is true if
 	// that report said that the replica is loading another version.
 	reported time.Duration
@@ -86,7 +86,7 @@
 
 	reportsPace         bool                   // replicas report their current pace
 	slowdownDuration    pace.SlowdownEstimator // how long temporary slowdowns last
-	overrun             float64                // quantile of the ratio of actual to estimated length of complete answers; 0: none was seen
+	overrun             float64                // quantile of actual / estimated length of complete answers; 0: none was seen
 	meanFirstEventDelay float64                // seconds from the start of a run to its first event; 0: none was seen
 }
 
--- a/internal/batchrun/schedule/reserve.go
+++ b/internal/batchrun/schedule/reserve.go
@@ -4,7 +4,8 @@
 
 // reserve holds capacity on a replica for a run that is to move, until the item starts somewhere or ends permanently.
 // Otherwise the first item to be placed would take the slot, and the run that paid for the move would start on the next
-// slow replica.
+// slow replica. In pools whose replicas report no pace, reserve only counts the run in incomingMoves, so that one call
+// of PlanMoves does not use the slot twice.
 func (s *Scheduler) reserve(entry *item, replica *replica) {
 	if !s.poolNamed(replica.Pool).reportsPace {
 		replica.incomingMoves++
