--- a/internal/rollout/predictor.go
+++ b/internal/rollout/predictor.go
@@ -89,7 +89,8 @@
 // history.
 func (g *groupHistory) hasFinished() bool { return g.finished > 0 }
 
-// groupLengthFactor is the factor by which a sample may exceed the mean length of its group's finished samples.
+// groupLengthFactor times the mean length of its group's finished samples is a length that a sample is unlikely to
+// exceed.
 const groupLengthFactor = 1.5
 
 // maxLikelyLength returns a total length that a sample of the group is unlikely to exceed. The length of the longest
--- a/internal/wave/types.go
+++ b/internal/wave/types.go
@@ -1,8 +1,8 @@
 // Package wave plans the rollout of a released weight version to all replicas of a pool. The version is staged first,
 // next to the running steps, and then swapped in on a few replicas at a time, so that most of the capacity for live
 // traffic is kept. The package is pure: it has no clock, goroutines or I/O. Times are arguments, measured from an
-// arbitrary start on a monotonic clock. Its inputs are releases, reports of replicas and answers to orders, its
-// output are orders. Every order may be sent repeatedly.
+// arbitrary start on a monotonic clock. The inputs are releases, reports of replicas and answers to orders. The outputs
+// are orders. Every order may be sent repeatedly.
 //
 // The caller must send the orders that Next returns under a fencing token of the pool, call Answered exactly once for
 // each order, and call Next again after each event and at least every few hundred milliseconds.
--- a/internal/weights/arrange.go
+++ b/internal/weights/arrange.go
@@ -73,9 +73,9 @@
 	return s
 }
 
-// sortQueue sorts the queue by urgency, since load slots are limited. Scarce models come first. Among the others
-// those come first whose newest version is served or being loaded by the fewest replicas relative to the demand.
-// Orders of the same model keep the order of their wave.
+// sortQueue sorts the queue by urgency, since load slots are limited. Scarce models come first. Among the scarce models
+// and among the others, those come first whose newest version is served or being loaded by the fewest replicas relative
+// to the demand. Orders of the same model keep the order of their wave.
 func (d *Driver) sortQueue(supplies map[string]supply) {
 	slices.SortStableFunc(d.queue, func(a, b queuedOrder) int {
 		return supplies[a.model].compare(supplies[b.model])
--- a/internal/weights/driver.go
+++ b/internal/weights/driver.go
@@ -163,7 +163,7 @@
 // trace.BadParameter if a required field is missing.
 func NewDriver(config Config) (*Driver, error) {
 	if config.Control == nil || config.Sender == nil || config.View == nil || config.IsLeader == nil || config.Owner == "" {
-		return nil, trace.BadParameter("weights driver config lacks a required field: Control, Sender, View, Leading or Owner")
+		return nil, trace.BadParameter("weights driver config lacks a required field: Control, Sender, View, IsLeader or Owner")
 	}
 	if config.MaxConcurrentLoads <= 0 {
 		config.MaxConcurrentLoads = DefaultMaxConcurrentLoads
--- a/internal/weights/load.go
+++ b/internal/weights/load.go
@@ -46,8 +46,8 @@
 	return pending
 }
 
-// startLoad executes an order in the background. The order occupies its replica until it ends, and a load slot until the
-// load is expected to be over or it ends, whichever is first.
+// startLoad executes an order in the background. The order occupies its replica until it ends, and a load slot until
+// the load is expected to be over or the order ends, whichever is first.
 func (d *Driver) startLoad(ctx context.Context, next queuedOrder, row *table.Row) {
 	order := Order{Model: next.model, Number: next.order.Version.Number, Fence: d.token}
 	order.Instance, order.Address = row.Instance, row.Address
--- a/internal/weights/serving.go
+++ b/internal/weights/serving.go
@@ -2,8 +2,8 @@
 
 import "github.com/tamarindring/tamarindring/internal/registry"
 
-// Serving is the versions served by the replicas as known to the driver from their reports and from completed orders.
-// It is immutable.
+// Serving holds the versions that the replicas serve, as known to the driver from their reports and from completed
+// orders. It is immutable.
 type Serving struct {
 	// Versions maps each model to the versions served, by replica instance.
 	Versions map[string]map[string]uint64
--- a/internal/weights/takeover.go
+++ b/internal/weights/takeover.go
@@ -44,8 +44,8 @@
 
 // takeOver acquires the right to send orders and reports whether this process holds it. The machine that already owns
 // the orders continues at once. Any other machine waits for Config.Takeover, counted from the time at which it first
-// saw the current owner, and so a deposed leader that does not know its state yet can't take the orders from the new
-// one.
+// saw the current owner. This keeps a leader that has lost the leadership but does not know it yet from taking the
+// orders from the new leader.
 func (d *Driver) takeOver(ctx context.Context) bool {
 	held, err := d.readFence(ctx)
 	if err != nil {
