--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -62,7 +62,8 @@
 	return created
 }
 
-// send sends the request to the chosen back end, hedges it if the route permits that, and evaluates the outcome.
+// send sends the request to the chosen back end and evaluates the outcome. A repeatable request of a route with a target
+// latency is hedged if the back end is slow to answer.
 func (x *exchange) send(ctx context.Context, chosen choice) (*Failure, bool) {
 	first := x.newAttempt(chosen, new(atomic.Pointer[answer]), x.canRepeat() && chosen.hasSpare && x.attemptsUsed+1 < int(x.route.MaxAttempts))
 	if !first.answer.replaceable || x.partForwarded || x.route.TargetLatency <= 0 {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -71,8 +71,8 @@
 	// Now is the wall clock. nil: time.Now.
 	Now func() time.Time
 	// Clock is a monotonic clock that includes the time during which the machine is suspended, because a request's
-	// caller waits during that time too. A clock that stops made replicas receive deadlines 5 s later than their
-	// callers' after a suspension of 5 s. nil: monotonic.Now.
+	// caller waits during that time too. With a clock that stops meanwhile, a suspension of 5 s makes replicas receive
+	// deadlines that are 5 s later than their callers'. nil: monotonic.Now.
 	Clock monotonic.Clock
 	// Shares tells this process its share of the resources that the fleet divides: the slots of pools with shared_slots
 	// set, the quotas of tenants, and the limits and turns of large bodies. nil: this process uses pools as if it were
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -103,8 +103,9 @@
 	return p.enqueueLocked(now, bytes), true
 }
 
-// leastHeld returns the fewest bytes held by a usable back end with free space for the body. full reports that no such
-// back end exists, but that there are back ends that can take the body later. The caller holds the mutex.
+// leastHeld returns the fewest bytes held by a usable back end with free space for the body. full reports that the body
+// must wait: other bodies are queued before it, or only back ends without free space could take it. The caller holds the
+// mutex.
 func (p *pool) leastHeld(now time.Duration, request *routing.Request, bytes int64, waiting *largeBodyWait, usable func(i int) bool) (least int64, full bool) {
 	if len(p.large.queue) > 0 && p.large.queue[0] != waiting {
 		return 0, true
@@ -192,7 +193,8 @@
 	return crash
 }
 
-// watchBodyAccept records as soon as the back end has received the attempt's large body.
+// watchBodyAccept makes the attempt call acceptBody as soon as the back end has received its large body or has begun to
+// answer it.
 func (a *attempt) watchBodyAccept() {
 	if a.chosen.largeBody == nil {
 		return
--- a/internal/forward/quota.go
+++ b/internal/forward/quota.go
@@ -17,8 +17,8 @@
 	// window over which demand is measured.
 	quotaIdleTimeout = 2 * time.Second
 	// concurrencyWait is how long a request waits for a share of its tenant's concurrency: long enough for some early
-	// renewals. A number this small is not lent in advance, so a gateway has no share when a tenant's first request
-	// reaches it.
+	// renewals. Concurrency limits are small and guaranteed, so nothing of them is lent in advance, and a gateway has
+	// no share when a tenant's first request reaches it.
 	concurrencyWait = 100 * time.Millisecond
 	concurrencyPoll = 5 * time.Millisecond
 )
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -95,7 +95,8 @@
 // Bounds of RetryAfter for requests that did not run.
 const (
 	minRetryAfter = 50 * time.Millisecond
-	// maxRetryAfter limits how far ahead free capacity is predicted, because replicas come and go within seconds.
+	// maxRetryAfter applies even if capacity is expected to become free later. Such an estimate is of little use,
+	// because replicas come and go within seconds.
 	maxRetryAfter = 2 * time.Second
 	// noLeaseRetryAfter is used while this process holds no lease. A lease returns after an election.
 	noLeaseRetryAfter = time.Second
--- a/internal/forward/retries.go
+++ b/internal/forward/retries.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// countRequest counts a request that has acquired a slot in the retry budget. releaseSlot counts its end.
+// countRequest records in the retry budget that a request has acquired a slot. releaseSlot records its end.
 func (p *pool) countRequest(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -30,8 +30,8 @@
 	// defaultWorkTokens is the assumed work, in tokens, of a request of unknown size. It exceeds the routing cost of
 	// another zone, so that the less busy of two back ends is chosen across zones.
 	defaultWorkTokens = 64
-	// slotWaitDivisor bounds the wait for a slot to this fraction of the route's target latency, or of its timeout if
-	// it has no target. A request that is not running by then does better to be rejected and sent again.
+	// slotWaitDivisor bounds the wait for a slot: it lasts at most the route's target latency, or its timeout if it
+	// has no target, divided by this. A request that is not running by then does better to be rejected and sent again.
 	slotWaitDivisor = 4
 )
 
--- a/internal/forward/shares.go
+++ b/internal/forward/shares.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// pollShares polls the shares until ctx ends or no shared resource is in use, and once more to publish that.
+// pollShares polls the shares until ctx ends or no shared resource is in use. In the latter case it polls once more, to
+// publish that the demands have ended.
 func (f *Forwarder) pollShares(ctx context.Context) {
 	ticker := time.NewTicker(sharePollInterval)
 	defer ticker.Stop()
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -8,7 +8,8 @@
 const (
 	// startPollInterval is how often a request that waits for the first lease checks for it.
 	startPollInterval = 10 * time.Millisecond
-	// startWaitDivisor bounds the wait for the first lease to this fraction of the time that the caller allows.
+	// startWaitDivisor bounds the wait for the first lease: it lasts at most the time that the caller allows, divided
+	// by this.
 	startWaitDivisor = 2
 )
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -112,7 +112,7 @@
 	if !x.setUpstream(up) {
 		x.server.transport.release(x.takeUpstream())
 		x.queueEvent(dispatch.Event{Kind: dispatch.Preempt})
-		x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed}) // ignored if the machine acts on the yield
+		x.queueEvent(dispatch.Event{Kind: dispatch.SendFailed}) // ignored if the machine acts on the preemption
 		return
 	}
 	if x.abandoned.Load() {
