--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -36,7 +36,7 @@
 	conn, err := dial(ctx, address)
 	switch {
 	case err == nil:
-		_ = conn.Close()
+		_ = conn.Close() // an error does not matter, because nothing was sent on the connection
 		return PeerListening
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return PeerGone
--- a/internal/replica/slow.go
+++ b/internal/replica/slow.go
@@ -11,7 +11,7 @@
 
 // Errors that end a long request while it is sent.
 var (
-	// ErrStalled ends a request that the replica does not read on.
+	// ErrStalled ends a request that the replica has stopped reading.
 	ErrStalled = errors.New("replica: the replica stopped reading the request")
 	// ErrSilent ends a request of which the replica's machine acknowledges nothing.
 	ErrSilent = errors.New("replica: the replica's machine is silent")
--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -20,8 +20,8 @@
 const (
 	// DefaultWindow is the time within which the next minBytesPerWindow of a body, or its rest, must arrive.
 	DefaultWindow = 30 * time.Second
-	// minBytesPerWindow per window is slow enough for a caller on a poor link to send the largest body, and fast enough to
-	// disconnect a caller that sends a byte now and then.
+	// minBytesPerWindow is how much of a body must arrive within each window. A caller on a poor link reaches this rate
+	// and can send the largest body. The body of a caller that sends a byte now and then ends with ErrTooSlow.
 	minBytesPerWindow = 64 << 10
 	// BudgetWait is how long a body waits for free space in the budget. Large bodies are read in less time, and a
 	// caller that is rejected soon can send its request to another gateway.
@@ -40,7 +40,7 @@
 	Window time.Duration // 0 selects DefaultWindow
 }
 
-// Body is a request body, of which Bytes holds all, or after an error the bytes that arrived before.
+// Body is a request body. Bytes holds all of it, or after an error the bytes that arrived before the error.
 type Body struct {
 	Bytes    []byte
 	budget   *bytebudget.Budget
--- a/internal/sendbuffer/sendbuffer.go
+++ b/internal/sendbuffer/sendbuffer.go
@@ -5,7 +5,7 @@
 // Bytes that the system accepts immediately are written directly. The rest is buffered, within the process's byte budget,
 // and sent by a goroutine of the connection. If the budget has no free space, the writer waits. A peer that reads nothing
 // for StillTimeout, or for BlockedTimeout while a writer waits, is cut off. If the budget is exhausted, the peer that has
-// read nothing for the longest time is cut off.
+// read nothing for the longest time is cut off, provided that this time is at least ShedTimeout.
 package sendbuffer
 
 import (
