--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -49,7 +49,7 @@
 type Request struct {
 	ID       uint64 // unique among the requests of the queue
 	Class    string
-	Rollout  bool // uses RolloutSlots only, and is preempted by other requests
+	Rollout  bool // uses RolloutSlots only; other requests can preempt it while it runs if Preemptible is set
 	Deadline time.Duration
 	// Preemptible is set when a rollout request can be preempted while it runs.
 	Preemptible bool
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestLiveRequestPreemptsYoungestRollout checks that a live request preempts the newest rollout, gets its slot, and that
-// the preempted rollout is resumed before a new rollout starts.
+// TestLiveRequestPreemptsYoungestRollout checks that a live request preempts the newest rollout and gets its slot, and
+// that the preempted rollout is resumed before a new rollout starts.
 func TestLiveRequestPreemptsYoungestRollout(t *testing.T) {
 	queue := New(limits(2, 2, 4))
 	queue.Arrive(0, rolloutRequest(1))
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestUrgentArrivalEvictsWaitingRollout checks that a full queue evicts a waiting rollout for a live request, and refuses
-// a live request when only live requests wait.
+// TestUrgentArrivalEvictsWaitingRollout checks that a full queue evicts a waiting rollout for a live request, and
+// refuses a live request when only live requests wait.
 func TestUrgentArrivalEvictsWaitingRollout(t *testing.T) {
 	queue := New(limits(1, 1, 1))
 	queue.Arrive(0, liveRequest(1))
--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -277,8 +277,8 @@
 }
 
 // EvictionCandidate returns the piece of work that may be removed to make space for a new one of the given owner: the
-// last one of the owner with the largest backlog relative to its weight. ok is false if no other owner's backlog
-// exceeds the one that the given owner would have with the new work.
+// last one of the owner with the largest backlog relative to its weight. ok is false if no other owner's backlog,
+// relative to its weight, exceeds the one that the given owner would have with the new work.
 func (q *Queue[T]) EvictionCandidate(owner Owner, work float64) (value T, ok bool) {
 	most := max(work, minimumWork)
 	if own := q.findFlow(owner.Name); own != nil {
--- a/internal/fairqueue/loads_test.go
+++ b/internal/fairqueue/loads_test.go
@@ -116,7 +116,7 @@
 
 // loadResult holds the results of one policy on one load.
 type loadResult struct {
-	worstTenth       float64       // mean part of its share, or of its demand if less, that a tenant of the worst-served tenth got
+	worstTenth       float64       // mean part of their share (or demand, if less) that the worst-served tenth got
 	served           float64       // part of the light tenants' calls that were served; 1 without heavy tenants
 	latency          time.Duration // 99th percentile of light tenants' latency
 	lightOnlyLatency time.Duration // the same percentile without heavy tenants
@@ -258,7 +258,7 @@
 	return tenant
 }
 
-// quantum is what a tenant's deficit grows by in each round. It is as much as the longest call.
+// quantum is the amount by which a tenant's deficit grows in each round. It equals the longest call.
 const quantum = 375 * time.Millisecond
 
 func chooseByDeficit(b *perTenantQueues) int {
--- a/internal/fairqueue/usage_test.go
+++ b/internal/fairqueue/usage_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestUsageDecays checks that work counts half after each half-life, and that accounts with negligible work are removed.
+// TestUsageDecays checks that work counts half after each half-life, and that accounts with negligible work are
+// removed.
 func TestUsageDecays(t *testing.T) {
 	usage := NewUsage(time.Second)
 	usage.Add("a", 8, 0)
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -13,7 +13,7 @@
 	return share.Demand{InUse: toRateUnits(taken), Waiting: toRateUnits(taken + refused)}
 }
 
-// toRateUnits converts a rate in requests per second to share.RateUnit, rounded up.
+// toRateUnits converts a rate in requests per second to units of 1/share.RateUnit requests per second, rounded up.
 func toRateUnits(rate float64) uint32 {
 	return uint32(min(math.Ceil(rate*share.RateUnit), math.MaxUint32))
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -74,7 +74,8 @@
 	return false, l.scheduleRetry(now)
 }
 
-// scheduleRetry returns the wait until the next token that no refused caller was told of, at most MaxWait.
+// scheduleRetry returns the wait until the next token that was not promised to an earlier refused caller, at most
+// MaxWait.
 func (l *Limiter) scheduleRetry(now time.Duration) time.Duration {
 	if l.rate <= 0 {
 		return measurementWindow // by then the demand has been reported and the share granted
--- a/internal/replicabytes/ledger.go
+++ b/internal/replicabytes/ledger.go
@@ -35,8 +35,8 @@
 	// raised.
 	maxRaiseNumerator   = 3
 	maxRaiseDenominator = 4
-	// retention is how long a limit is kept after the last crash. Replicas are replaced by larger ones, and crashes
-	// have other causes.
+	// retention is how long a learned limit is kept after the last crash that confirmed it. The limit is not kept
+	// for ever because replicas may be replaced by larger ones, and because the crash may have had another cause.
 	retention = 10 * time.Minute
 	// crashWindow is the time within which failures at one replica count as one crash. After each failure, the
 	// replica is checked for a crash for 100 ms.
@@ -61,7 +61,7 @@
 	limit           int64   // in bytes at one replica, learned by this process; 0: none
 	crashBytes      int64   // the smallest total that a replica crashed with, while limit is set
 	limitChangedAt  time.Duration
-	limitLoweredAt  time.Duration // the last crash that set or lowered limit
+	limitLoweredAt  time.Duration // time of the last crash that set, lowered or confirmed limit
 	maxAnswered     int64         // the largest total that a replica held when it answered, in bytes
 	bodyDuration    time.Duration // smoothed time from the choice of a replica to the answer
 }
@@ -78,7 +78,7 @@
 	hasCrashed       bool
 }
 
-// holding is what a replica held at one moment.
+// holding holds the total size and the number of the bodies at a replica at one moment.
 type holding struct {
 	bytes  int64
 	bodies int
@@ -285,9 +285,9 @@
 	}
 }
 
-// learnFromCrash lowers the limit according to what a replica held when it crashed. A crash with a single body, with
-// a total within safeBytes, or with one that replicas have answered with, has another cause and does not change the
-// limit: a limit would slow down the whole pool.
+// learnFromCrash lowers the limit according to what a replica held when it crashed. The crash has another cause if the
+// replica held a single body, if the total was within safeBytes, or if a replica has answered while it held at least
+// as much. It does not change the limit then, because a limit slows down the whole pool.
 func (l *Ledger) learnFromCrash(now time.Duration, held holding) Crash {
 	crash := Crash{Bytes: held.bytes, Bodies: held.bodies, MaxAnswered: l.maxAnswered, New: true}
 	if held.bodies == 1 {
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -15,9 +15,10 @@
 import "time"
 
 const (
-	// Span is the time window over which the budget counts requests in flight and losses. The most requests that were
-	// in flight matter because lost requests may have ended by the time that others are sent again. Span is longer
-	// than the first quarantine of a back end, so that its losses count as one failure.
+	// Span is the time window over which the budget counts the losses of each back end and takes the maximum of the
+	// requests in flight. The present number in flight would be too low, because some lost requests may have ended by
+	// the time that others are sent again. Span is longer than the first quarantine of a back end, so that its losses
+	// count as one failure.
 	Span = 10 * time.Second
 	// intervalCount is the number of intervals into which Span is divided. Counts expire one interval, a tenth of
 	// Span, at a time.
@@ -27,7 +28,7 @@
 
 // DefaultLimits suit most pools.
 //
-// Ratio: a pool at four fifths of its capacity can take a fifth more requests, and fewer back ends than that may be
+// Ratio: a pool at four fifths of its capacity can take a fifth more requests. Up to a fifth of the back ends can be
 // slow or fail for long without an effect on callers.
 //
 // InFlight: a third of what is in flight is lost when one of three zones fails.
@@ -94,8 +95,8 @@
 }
 
 // Resumed counts a stream that failed at backEnd and continues at another back end. It is never rejected, because the
-// rest of the stream is less work than the whole request, which its caller would send again. It takes a token that
-// retries and hedges could use.
+// rest of the stream is less work than the whole request, which its caller would send again. Unless backEnd is the one
+// that lost the most requests, it takes a token that retries and hedges could use.
 func (b *Budget) Resumed(now time.Duration, backEnd string) {
 	b.advance(now)
 	if !b.isExempt(backEnd) {
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -6,8 +6,8 @@
 // gets no requests for a while. Afterwards its share of requests ramps up gradually, so that it is not flooded. Each
 // further quarantine in a row lasts twice as long.
 type health struct {
-	consecutiveFailures    int           // in a row
-	consecutiveQuarantines int           // in a row
+	consecutiveFailures    int
+	consecutiveQuarantines int
 	quarantineEnd          time.Duration // end of the last quarantine
 	rampEnd                time.Duration // end of the ramp that follows the quarantine
 	wasQuarantined         bool
--- a/internal/share/growth_test.go
+++ b/internal/share/growth_test.go
@@ -22,7 +22,7 @@
 		{1510, 2, false, false}, {1520, 2, true, false}, // still the same overload, with requests being refused now and then
 		{2700, 2, true, true}, {2899, 2, true, true}, {2900, 2, true, false},
 		{2950, 1, true, false},                                                                       // the share has shrunk
-		{4200, 1, false, true}, {4300, 1, true, true}, {4400, 9, true, true}, {4410, 9, false, true}, // a burst that gets a larger share
+		{4200, 1, false, true}, {4300, 1, true, true}, {4400, 9, true, true}, {4410, 9, false, true}, // burst, share grows
 		{4700, 9, true, true}, {4899, 9, true, true}, {4900, 9, true, false}, // the next burst
 	} {
 		now := step.at * time.Millisecond
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -93,7 +93,9 @@
 // kind holds the rules for one kind of resource. Lent amounts are granted beyond the limit, so the amount in force is
 // at most the limit plus lent for each process.
 type kind struct {
-	lent    int64 // amount lent to each process while little work waits, and without a demand after its last share has ended
+	// lent is the amount lent to each process while little work waits. After its last share has ended, a process may
+	// use this amount without a new share.
+	lent    int64
 	minimum int64 // amount that each process may use, however much work waits
 	// staysInUse is set if the amount in use does not fall at once when a share falls.
 	staysInUse bool
