--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -64,7 +64,8 @@
 	next         *record
 }
 
-// The states of a record with names of their own. A key in state idle was refused or released and may be granted again.
+// Names for two states of a record; the other states are used under their names in package wire. In state idle the key
+// was refused or released and may be granted again. In state running an attempt holds the key.
 const (
 	idle    = wire.ClaimState_CLAIM_STATE_UNSPECIFIED
 	running = wire.ClaimState_CLAIM_STATE_GRANTED
--- a/internal/dispatch/claims.go
+++ b/internal/dispatch/claims.go
@@ -9,7 +9,7 @@
 )
 
 // claimProgress tracks what was recorded in the ledger for this request and which commands are still due. At most one
-// sendCommand is outstanding at a time.
+// command is outstanding at a time.
 type claimProgress struct {
 	outstanding  ClaimKind // 0 for none
 	attempts     int       // ClaimBegin commands so far, each with an attempt name of its own
@@ -216,8 +216,8 @@
 	m.onClaimNotGranted(now, result)
 }
 
-// onClaimNotGranted handles a key that the ledger did not grant: it polls a running attempt, refuses a stale one and
-// answers with the recorded outcome otherwise.
+// onClaimNotGranted handles a key that the ledger did not grant. It polls the key while another attempt is running. If
+// this request's own attempt is stale, it refuses the key. Otherwise it answers with the recorded outcome.
 func (m *Machine) onClaimNotGranted(now time.Duration, result *wire.ClaimResult) {
 	if result.GetState() == wire.ClaimState_CLAIM_STATE_RUNNING {
 		m.state = statePolling
--- a/internal/metering/flusher.go
+++ b/internal/metering/flusher.go
@@ -27,8 +27,8 @@
 	flushTimeout = 900 * time.Millisecond
 )
 
-// controlGroup is the consensus group whose ledger keeps the usage. Package state defines it too, but imports this
-// package.
+// controlGroup is the consensus group whose ledger keeps the usage. It repeats the value in package state, which cannot
+// be imported here because it imports this package.
 const controlGroup uint32 = 0
 
 // Control is the part of a control nodes' client that this package uses.
--- a/internal/poison/book.go
+++ b/internal/poison/book.go
@@ -18,7 +18,7 @@
 // The permissions, from the weakest restriction to the strongest.
 const (
 	Free     Permission = iota // not suspected, no restriction
-	Isolated                   // suspected: no hedged second send, and if possible not at a back end that runs other suspects
+	Isolated                   // suspected: not hedged, and if possible not at a back end with other suspects
 	Trial                      // may run after its run was claimed, one run at a time in the whole deployment
 	Blocked                    // must not run yet
 )
@@ -64,8 +64,9 @@
 	accepted bool // the control group has accepted the report
 }
 
-// recordTimeout is how long an observed crash is expected to reach the record. If the control group has no leader for
-// longer, the leases have ended. A crash whose report is refused repeatedly must not block its request for ever.
+// recordTimeout is how long an observed crash counts as one that will be on record soon. If the control group has no
+// leader for longer, the leases have ended. A crash whose report is refused repeatedly must not block its request for
+// ever.
 const recordTimeout = 3 * time.Second
 
 // hasUnrecorded reports whether a recent crash would be lost if this process ended now.
--- a/internal/poison/identity.go
+++ b/internal/poison/identity.go
@@ -67,7 +67,8 @@
 	return max(Digest(hash.Sum64()), 1)
 }
 
-// headerValues returns the values of a header field, sorted because an intermediary may forward them in a different order.
+// headerValues returns the values of a header field, sorted because an intermediary may forward them in a different
+// order.
 func (i *Identity) headerValues(lowerName string) []string {
 	var found []string
 	for _, field := range i.Header {
--- a/internal/poison/settings.go
+++ b/internal/poison/settings.go
@@ -15,9 +15,9 @@
 
 // Defaults of Settings.
 const (
-	// DefaultTrialRest gives the back ends of the first two crashes time to restart, which takes a process 3.2 s to 3.4
-	// s. A third crash then leaves a service of three replicas with two. It is also the longest needless wait of a
-	// batch item that merely ran beside two crashes.
+	// DefaultTrialRest gives the back ends of the first two crashes time to restart, which takes 3.2 s to 3.4 s. A
+	// third crash then leaves a service of three replicas with two. It is also the longest needless wait of a batch
+	// item that merely ran beside two crashes.
 	DefaultTrialRest = 4 * time.Second
 	// DefaultCondemnedRest is the rest after the third crash. A caller that retries without end crashes one more back
 	// end after this rest, and the next one after a rest that is ten times as long.
--- a/internal/registry/tracker.go
+++ b/internal/registry/tracker.go
@@ -28,7 +28,7 @@
 type Tracker struct {
 	config       TrackerConfig
 	observedTime *monotonic.ObservedTime  // clock on which silence is measured
-	silenceFrom  time.Duration            // earliest start of silence on that clock: the end of the last suspension of this process
+	silenceFrom  time.Duration            // silence counts from here at the earliest: the end of the last suspension
 	lastTick     time.Duration            // time of the last Tick
 	heartbeats   map[string]lastHeartbeat // by instance
 	removedSince map[string]time.Duration // time at which a row was first seen as removed, by instance
@@ -137,8 +137,8 @@
 	}
 }
 
-// forget drops the state of instances without a row, of their heartbeats once they are older than Retention. known
-// holds the instances with a row.
+// forget drops the state of instances without a row. Their last heartbeats are kept until they are older than
+// Retention. known holds the instances with a row.
 func (t *Tracker) forget(known map[string]bool, now time.Duration) {
 	for instance, last := range t.heartbeats {
 		if !known[instance] && now-last.at > t.config.Retention {
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -116,8 +116,8 @@
 // Required reports whether requests need a key.
 func (i *Index) Required() bool { return i != nil && i.required }
 
-// Authenticate returns the tenant to which a key belongs. refused is true if the key is unknown, or if it is missing
-// and anonymous, which tells whether the request's route admits requests without a key, is false. If neither a tenant
+// Authenticate returns the tenant to which a key belongs. anonymous says whether the request's route admits requests
+// without a key. refused is true if the key is unknown, or if it is missing and anonymous is false. If neither a tenant
 // nor a refusal is returned, the caller is anonymous. The look-up compares digests, so that its duration reveals
 // nothing about other keys.
 func (i *Index) Authenticate(key string, anonymous bool) (found *Tenant, refused bool) {
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -21,8 +21,8 @@
 	maximumOpenWindows = 1024
 	// maximumSealedAtOnce is the maximum number of windows that one command seals.
 	maximumSealedAtOnce = 64
-	// maximumPendingWindows is the maximum number of sealed windows that are not reported yet: almost six hours of 5
-	// s windows. Nothing is sealed beyond it, so that nothing is lost while the receiver is unavailable.
+	// maximumPendingWindows is the maximum number of sealed windows that are not reported yet: almost six hours with
+	// windows of 5 s. Nothing is sealed beyond it, so that nothing is lost while the receiver is unavailable.
 	maximumPendingWindows = 4096
 	// MaximumTenants is the maximum number of tenants of one reporter in one window.
 	MaximumTenants = 20_000
