--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -28,8 +28,8 @@
 
 // DefaultLimits suit most pools.
 //
-// Ratio: a pool at four fifths of its capacity can take a fifth more requests. Up to a fifth of the back ends can be
-// slow or fail for long without an effect on callers.
+// Ratio: a pool at four fifths of its capacity can take a fifth more requests. Fewer than a fifth of the back ends can
+// be slow or fail for long without an effect on callers.
 //
 // InFlight: a third of what is in flight is lost when one of three zones fails.
 //
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// outlierFactor bounds the foreign requests that one replica reports. The bound is a multiple of the mean that the other
-// replicas report plus this gateway's requests at the replica and outlierFloor. A wrong report can thus make a replica
-// look at most about this much busier than the others.
+// outlierFactor bounds the foreign requests that one replica reports. The bound is this multiple of the sum of the mean
+// of the other replicas' reports, this gateway's requests at the replica, and outlierFloor. A wrong report can thus
+// make a replica look at most about this much busier than the others.
 const outlierFactor = 8
 
 // Report applies a replica's load report. An invalid number of requests (negative, NaN or infinite) is ignored. The
