--- a/internal/coordinator/gateways.go
+++ b/internal/coordinator/gateways.go
@@ -14,7 +14,7 @@
 	failing  bool
 }
 
-// gatewayPause is how long a failed gateway is avoided while others are available.
+// gatewayBackoff is how long a failed gateway is avoided while others are available.
 const gatewayBackoff = 500 * time.Millisecond
 
 // chooseGateway returns the live gateway with the fewest requests of this coordinator, and counts one more there.
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// isFromCoordinator reports whether a request comes from the address of a coordinator that the control group lists.
+// isFromCoordinator reports whether a request comes from the IP address of a coordinator that the control group lists.
 func (s *Server) isFromCoordinator(request *http.Request) bool {
 	from, _, err := net.SplitHostPort(request.RemoteAddr)
 	if err != nil {
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -75,7 +75,7 @@
 }
 
 // ownedTrainer returns the state of a trainer that this coordinator should own and adopts the trainer first if
-// necessary. Otherwise it returns a redirect to the owner.
+// necessary. If another coordinator should own the trainer, it returns a redirect to that one.
 func (s *Server) ownedTrainer(request *http.Request, name string) (*trainerState, *refusal) {
 	if redirect := s.redirectToOwner(trainerResource(name), request); redirect != nil {
 		return nil, redirect
--- a/internal/coordinator/owner.go
+++ b/internal/coordinator/owner.go
@@ -226,8 +226,8 @@
 	return readPage()
 }
 
-// execute applies a sample command through the trainer's ledger group. An error means that the outcome is unknown or
-// that the command was invalid. A rejection by the ledger is reported in the result.
+// execute applies a sample command through the trainer's ledger group. An error means that the command was invalid, was
+// never proposed, or may have been applied. A rejection by the ledger is reported in the result.
 func (s *Server) execute(ctx context.Context, t *trainerState, command *wire.Command) (*wire.SampleResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.StoreTimeout)
 	defer cancel()
--- a/internal/coordinator/replicas.go
+++ b/internal/coordinator/replicas.go
@@ -129,7 +129,7 @@
 )
 
 // PollInterval returns the time between two polls of the same replica, given count settled replicas whose reports have
-// size bytes on average. It is at least least.
+// size bytes on average. The result is never below least, the minimum time between two polls.
 func PollInterval(least time.Duration, size float64, count int) time.Duration {
 	each := max(1.0/pollsPerSecond, (size+reportHeaderBytes)/pollBytesPerSecond)
 	return max(least, time.Duration(float64(count)*each*float64(time.Second)))
@@ -204,8 +204,8 @@
 	r.report.WeightVersion, r.report.VersionNumber, r.report.Refusing = version.Name, version.Number, false
 }
 
-// applyOrderAnswer treats the answer to a weight order like a load report of its replica. A failed order makes the next
-// poll due at once. The caller holds the mutex.
+// applyOrderAnswer treats the answer to a swap like a load report of its replica. After a failed order, or a swap that
+// left the replica on another version, the next poll is due at once. The caller holds the mutex.
 func (s *Server) applyOrderAnswer(p *pool, order wave.Order, answer wave.Answer) {
 	replica, now := p.replicas[order.Replica], s.now()
 	if replica == nil {
--- a/internal/coordinator/trainer.go
+++ b/internal/coordinator/trainer.go
@@ -26,7 +26,7 @@
 	account  trainerAccount
 	// confirmedFetch is the fetch for which the ledger has recorded that the sealed batch may be handed over.
 	confirmedFetch fetchID
-	sealing        bool // a seal command is in progress, so that nothing may be discarded
+	sealing        bool // a seal command is in progress; nothing may be discarded meanwhile
 	// lastOpened is the highest step known to have been opened, or 0 if unknown. A step up to this number that is not
 	// open may already have been delivered.
 	lastOpened uint64
--- a/internal/coordinator/transfer.go
+++ b/internal/coordinator/transfer.go
@@ -97,7 +97,8 @@
 	return load < otherLoad || (load == otherLoad && name < otherName)
 }
 
-// awaitTransfer waits for a KV cache transfer of the run in progress. The transfer's calls have timeouts.
+// awaitTransfer waits until a transfer of the run's KV cache has ended, if there is one. The wait is bounded because
+// the transfer's calls have timeouts.
 func (s *Server) awaitTransfer(r *run) {
 	s.mutex.Lock()
 	done := r.transferDone
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -95,9 +95,10 @@
 // Members returns the list of members and its version.
 func (m *Machine) Members() *wire.MembersView { return m.members.View() }
 
-// Apply applies the command at a log index and returns its result, which is never nil. A malformed or unknown command,
-// or a command at an index that was applied before, changes nothing else and gets Result.invalid. The Machine may
-// retain parts of the command, so the caller must not modify it afterwards.
+// Apply applies the command at a log index and returns its result, which is never nil. A malformed or unknown command
+// only advances the applied index, and a command at an index that was applied before changes nothing. Both get
+// Result.invalid, except that a malformed table change gets a table result with outcome INVALID. The Machine may retain
+// parts of the command, so the caller must not modify it afterwards.
 func (m *Machine) Apply(index uint64, command *wire.Command) *wire.Result {
 	if index <= m.applied {
 		return invalidResult(trace.BadParameter("index %d was applied before, up to %d", index, m.applied))
--- a/internal/table/check.go
+++ b/internal/table/check.go
@@ -9,9 +9,9 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// check returns why the table as the draft would leave it is invalid. Every row was valid before, so every problem
-// comes from this change. For a change of back ends and suspects only, which a large fleet sends often, it checks just
-// the changed rows, because no other row depends on them.
+// check returns the reasons why the table would be invalid after the draft. Every row was valid before, so every
+// problem comes from this change. For a change of back ends and suspects only, which a large fleet sends often, it
+// checks just the changed rows, because no other row depends on them.
 func (t *Table) check(d *draft, after *View, change *wire.TableChange) []*wire.CellRefusal {
 	if len(after.rows) > MaximumRows {
 		return refuseWholeChange("table would have too many rows")
--- a/internal/table/check_route.go
+++ b/internal/table/check_route.go
@@ -2,7 +2,7 @@
 
 import "github.com/tamarindring/tamarindring/internal/wire"
 
-// checkRoute checks that a route has a host, a path prefix and key least one pool, and that its pools exist.
+// checkRoute checks that a route has a host, a path prefix and at least one pool, and that its pools exist.
 func checkRoute(row *Row, rows map[string]*Row) []*wire.CellRefusal {
 	var refusals []*wire.CellRefusal
 	refuse := func(column, reason string) {
