--- a/internal/batch/sealed.go
+++ b/internal/batch/sealed.go
@@ -9,8 +9,8 @@
 )
 
 // A job is sealed once it has ended and its retention is being counted, because it can't change any more. From then on
-// it is kept encoded, in the form in which it is part of every snapshot. Texts are most of the state, so that they are
-// in memory and on disk only once.
+// it is kept encoded, in the form in which it is part of every snapshot. Texts are most of the state, and in this form
+// they are in memory and on disk only once.
 
 // JobsField and RecordsField are the numbers of the fields that contain the record of a job in an encoded state:
 // MachineSnapshot.jobs and, within it, JobSnapshot.jobs.
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -32,7 +32,7 @@
 	ReplaceText  bool // let the text of another run replace one that waits for its score
 	ExpireOpen   bool // expire jobs that have not ended
 	AnyTenant    bool // let a tenant read and end the jobs of other tenants
-	CountEarly   bool // count time towards the retention of a job that passed before the job was stored
+	CountEarly   bool // count time that passed before a job was stored towards its retention
 }
 
 // Store holds the batch jobs of one ledger group.
@@ -54,7 +54,7 @@
 	revision uint64
 	ended    bool
 	// countedFrom is the clock of the store at the first Expire after the job was stored, and the start of its
-	// retention. The time counted by that Expire began to pass before the job was stored, so that it is not included.
+	// retention. The time counted by that Expire is not included, because it began before the job was stored.
 	// 0: there was no Expire yet.
 	countedFrom uint64
 	results     []*wire.JobResult           // in the order of their positions
--- a/internal/batch/text.go
+++ b/internal/batch/text.go
@@ -112,7 +112,7 @@
 	return text, nil
 }
 
-// inflate decompresses a piece. It returns trace.BadParameter if the length differs from the stated one.
+// inflate decompresses a piece. It returns an error if the data is damaged or its length differs from the stated one.
 func inflate(piece *wire.JobText) ([]byte, error) {
 	if piece.GetDeflatedFrom() == 0 {
 		return piece.GetData(), nil
--- a/internal/batchclient/client.go
+++ b/internal/batchclient/client.go
@@ -90,7 +90,7 @@
 		full := &FullError{SpaceIn: time.Duration(reply.GetRoomInMillis()) * time.Millisecond}
 		return verdict.Wrap(verdict.DidNotRun, full, "batch job %q was not taken", job.ID)
 	}
-	// An earlier, delayed copy of the command may still be applied, so that the job may yet run.
+	// An earlier, delayed copy of the command may still be applied, so the job may yet run.
 	return verdict.New(verdict.MayHaveRun, "batch job %q was not taken: %s", job.ID, reply.GetOutcome())
 }
 
--- a/internal/batchclient/near.go
+++ b/internal/batchclient/near.go
@@ -29,8 +29,8 @@
 }
 
 // Near selects control nodes from which results are read in place of the leader. Traffic between zones costs money, and
-// results are most of it. A result at a position never changes, so that any node that has applied it may return it once
-// the leader has confirmed that it exists.
+// results are most of it. A result at a position never changes, so any node that has applied it may return it once the
+// leader has confirmed that it exists.
 type Near struct {
 	Ledger NearLedger
 	// Zone is the zone of this process. If empty, all results are read from the leader.
@@ -86,8 +86,8 @@
 	return found[rand.IntN(len(found))]
 }
 
-// results queries a near node for results from a position on. It returns nil if the node fails or has none, and pauses
-// it for nearPause.
+// results queries a near node for results from a position on. If the node fails or has none, it pauses the node for
+// nearPause and returns nil.
 func (n *Near) results(ctx context.Context, address string, job Reference, from uint64) *wire.JobResultsView {
 	ctx, cancel := context.WithTimeout(ctx, nearTimeout)
 	defer cancel()
--- a/internal/executor/drive.go
+++ b/internal/executor/drive.go
@@ -81,7 +81,7 @@
 }
 
 // closeWhenSuperseded closes the transport when a newer stream takes over, and returns when ctx ends. A frozen leader
-// does not read, so that sending a report to it blocks on the full send buffer; only closing the transport unblocks the
+// does not read, so sending a report to it blocks on the full send buffer. Only closing the transport unblocks the
 // writer.
 func (f *leaderStream) closeWhenSuperseded(ctx context.Context) {
 	select {
--- a/internal/executor/message.go
+++ b/internal/executor/message.go
@@ -21,8 +21,8 @@
 
 // Protocol is the version of the protocol between executors and leaders of this build. Orders and reports of any other
 // version are rejected, and a leader drives its runs itself if an executor speaks another version. In version 1,
-// reports did not name the order that started their run, so that a late report could be taken for that of a newer run
-// of the same item.
+// reports did not name the order that started their run, and a late report could be mistaken for one of a newer run of
+// the same item.
 const Protocol = 2
 
 // Errors of a run as the leader sees them.
--- a/internal/executor/run_table.go
+++ b/internal/executor/run_table.go
@@ -24,7 +24,7 @@
 // Refusal is the reason for which an order is not carried out.
 type Refusal uint8
 
-// The values are those of RunEnded.refusal on the wire, so that new ones are appended at the end.
+// The values are those of RunEnded.refusal on the wire, so new ones must be appended at the end.
 const (
 	Accepted     Refusal = iota
 	Superseded           // a newer leader, or a newer stream of the same leader, has taken over
--- a/internal/executor/server.go
+++ b/internal/executor/server.go
@@ -105,7 +105,7 @@
 	return trace.Wrap(err)
 }
 
-// Drain starts draining: no further runs are accepted, and those that are held continue.
+// Drain makes the server refuse all further runs. The runs that it holds continue.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/executorclient/choose.go
+++ b/internal/executorclient/choose.go
@@ -4,9 +4,9 @@
 
 // choose selects the executor for a run at a replica among the usable ones. It prefers executors in the zone of the
 // replica, and always selects the same one for the same replica while that one stays, so that its connections to the
-// replica are reused. An executor in the leader's own process would be lost together with the leader, so that it is
-// avoided: if it is the only one in the zone, an executor of another zone is selected, and the leader's own only if
-// there is none. It returns false if the zone has no executor, and the caller then drives the run itself.
+// replica are reused. An executor in the leader's own process would be lost together with the leader, so it is
+// avoided. If it is the only one in the zone, an executor of another zone is selected, and the leader's own only if
+// there is none. choose returns false if the zone has no executor, and the caller then drives the run itself.
 func choose(usable []Peer, leader, zone, instance string) (Peer, bool) {
 	var near, elsewhere, own []Peer
 	for _, peer := range usable {
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -29,7 +29,7 @@
 	// 0.6 s, and one that is 0.2 s late may be frozen.
 	lateAfter = 800 * time.Millisecond
 	// notPermittedPause is the time for which an executor gets no runs after its routing table or lease did not permit
-	// one. Its copy is behind, so that it would refuse the next run too.
+	// one. Its table or lease is out of date, and it would refuse the next run too.
 	notPermittedPause = 300 * time.Millisecond
 	// maxQueuedOrders limits the orders that wait to be sent to one executor.
 	maxQueuedOrders = 1024
--- a/internal/executorclient/reconnect.go
+++ b/internal/executorclient/reconnect.go
@@ -69,8 +69,8 @@
 
 // reconnectOnce reopens the stream and follows it, until a stream has delivered a report, the executor rejects the
 // leader, or reconnectTimeout has passed. The first attempt is immediate if the last stream delivered a report.
-// Otherwise attempts are separated by retryPause: an executor that accepts the leader and fails right afterwards would
-// be contacted in a busy loop.
+// All other attempts follow a pause of retryPause. Without it, an executor that accepts the leader and fails right
+// afterwards would be contacted in a busy loop.
 func (l *link) reconnectOnce(ctx context.Context, last streamEnd) streamEnd {
 	limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
 	defer cancel()
