--- a/internal/auth/file.go
+++ b/internal/auth/file.go
@@ -51,7 +51,7 @@
 	return keyring, nil
 }
 
-// parseEntry validates an entry. Errors are strictyaml.FieldErrors with paths relative to the entry.
+// parseEntry validates an entry. Errors are of type *strictyaml.FieldError, with paths relative to the entry.
 func parseEntry(entry *tokenEntry) (credential, error) {
 	if err := checkName(entry.Name); err != nil {
 		return credential{}, strictyaml.Fieldf("name", "%v", err)
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -6,7 +6,7 @@
 // force. It rises by one committed step once all present members speak the higher level, and it never falls.
 // Processes learn the level in force with their lease.
 //
-// The package does no I/O.
+// The package uses no clock and does no I/O.
 package compat
 
 import "strconv"
--- a/internal/configure/configuration.go
+++ b/internal/configure/configuration.go
@@ -40,8 +40,8 @@
 	// KeysRequired is set if requests need the key of a tenant.
 	KeysRequired bool
 	Tenants      []Tenant
-	// Level is the level in force. Columns of higher levels are neither written nor cleared, because older builds do not
-	// know them.
+	// Level is the level in force. Columns of higher levels are neither written nor cleared, because older builds do
+	// not know them.
 	Level compat.Level
 }
 
--- a/internal/configure/importer.go
+++ b/internal/configure/importer.go
@@ -23,8 +23,8 @@
 type Importer struct {
 	Control  Control
 	Operator string // recorded in the table's history
-	// View returns the process's own view of the table, which may lag. Reads then fetch only newer rows. If View is nil or
-	// returns nil, reads fetch the whole table.
+	// View returns the process's own view of the table, which may lag. Reads then fetch only newer rows. If View is nil
+	// or returns nil, reads fetch the whole table.
 	View func() *table.View
 }
 
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -111,7 +111,8 @@
 // Execute has group apply command and returns the result. It retries on other nodes until ctx ends. A command with an
 // unknown outcome is sent again, which is safe because each command carries its own identity.
 //
-// Errors carry a verdict about the command: DidNotRun if it was never proposed, MayHaveRun otherwise.
+// Errors carry a verdict about the command: DidNotRun if it was never proposed or the group rejected it as invalid,
+// MayHaveRun otherwise.
 func (c *Client) Execute(ctx context.Context, group uint32, command *wire.Command) (*wire.Result, error) {
 	reply, err := c.request(ctx, requestTemplate{group: group, command: command})
 	if err != nil {
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maximumUnpackedBytes bounds an unpacked table update. A table of MaximumRows rows is smaller.
+// maximumUnpackedBytes bounds an unpacked table update, in bytes. A table of MaximumRows rows is smaller.
 const maximumUnpackedBytes = 64 << 20
 
 // PackUpdate encodes a table update and compresses it with DEFLATE. A whole table of many replicas becomes much
