--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -223,7 +223,8 @@
 	return (&net.Dialer{}).DialContext
 }
 
-// jobBytes returns the default of Config.JobBytes for the sizes of disk and memory in bytes, 0 if unknown.
+// jobBytes returns the default of Config.JobBytes. disk and memory are sizes in bytes; a size of 0 is unknown. If both
+// are unknown, the default is the limit of package batch.
 func jobBytes(disk, memory uint64) uint64 {
 	byDisk, byMemory := disk/16*jobDiskShare, memory/jobMemoryShare
 	switch {
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// check returns an error for a process that may not open a session because it does not understand the level in force.
-// An older build would not enforce what the level guarantees, such as tenant quotas. The error code makes the process
-// stop, so that its callers use another gateway.
+// check returns an error for a process that may not have a session because it does not understand the level in force.
+// An older build would not enforce what the level guarantees, such as tenant quotas. With this error code the start of
+// the process's session fails, and a running process loses its session, so that its callers use another gateway.
 func (l *levels) check(member *wire.Member) error {
 	speaks, agreed := compat.Level(member.GetSpeaks()), l.agreed()
 	if speaks.Includes(agreed) {
@@ -181,7 +181,7 @@
 
 // listProcesses lists the processes whose levels determine the agreed one. A member that holds leases counts until it
 // is gone, even while it is silent. A node with replicated state counts as long as it belongs to a group, even while it
-// is down, since it may come back with the same build.
+// is down, since it may come back with the same build. A node that recently asked to join counts as well.
 func (l *levels) listProcesses(ctx context.Context) ([]compat.Process, error) {
 	var present []compat.Process
 	for _, member := range l.server.publisher.currentMembers().GetMembers() {
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -126,7 +126,7 @@
 // processes to settle.
 func TestFoundingSurvivesLossOfFirstLeader(t *testing.T) {
 	c := startConfiguredCluster(t, func(config *Config) {
-		// The slow clock prevents that anything settles before eventually gives up.
+		// The slow clock keeps the processes from settling before eventually gives up.
 		config.Clock = func() time.Duration { return monotonic.Now() / 2 }
 	})
 	for _, server := range c.servers {
--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -32,7 +32,7 @@
 
 	mutex       sync.Mutex
 	members     *wire.MembersView
-	failedReads map[string]uint64 // number of failed reads of the applied state, by readOf… constant
+	failedReads map[string]uint64 // number of failed reads of the applied state, by kind: readOfTable and so on
 	// changedAt is the members version at which a change of a member was last seen, by member name.
 	changedAt    map[string]uint64
 	memberDeltas map[uint64]*wire.MembersView // by start version
@@ -50,7 +50,8 @@
 	return p
 }
 
-// applied triggers a push. It is called after commands of the control group.
+// applied triggers a push. It is called after each applied table change and member update, and after a snapshot has
+// replaced the state of the control group.
 func (p *publisher) applied() {
 	select {
 	case p.wake <- struct{}{}:
--- a/internal/control/replace_test.go
+++ b/internal/control/replace_test.go
@@ -64,7 +64,7 @@
 	if version, _ := mustAccept(t, client, weightChange("after", base, "2"), false); version != base+1 {
 		t.Fatalf("got version %d after the losses, want %d", version, base+1)
 	}
-	eventually(t, "the status to show the change after the losses", func() bool { // a node's own view may be out of date
+	eventually(t, "the status to show the change after the losses", func() bool { // a node's own view may be outdated
 		status := operator.ReadStatus(testContext(t), client)
 		return status.MembersError == "" && status.TableVersion == base+1
 	})
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -45,8 +45,8 @@
 	// not heard a node.
 	ElectionView(ctx context.Context, group uint32) (consensus.ElectionView, error)
 	SinceLastHeard(node uint64) time.Duration
-	// UnheardFor returns how long this node and others have all not heard a node, according to their recent reports. It
-	// is 0 if one of them hears the node.
+	// UnheardFor returns the longest time for which this node and, by their recent reports, others have not heard a
+	// node. It is 0 if one of them hears the node.
 	UnheardFor(node uint64, others []uint64) time.Duration
 	// Holdings returns the sizes of what this node stores of group apart from its state.
 	Holdings(ctx context.Context, group uint32) (consensus.Holdings, error)
--- a/internal/control/seeds.go
+++ b/internal/control/seeds.go
@@ -47,8 +47,8 @@
 
 // OpenSeeded opens a control node that determines its own identity. A folder that contains an identity is used with it,
 // regardless of the current seeds. With an empty folder, a founder takes the identity that follows from its position in
-// the list, and any other node takes a random one and waits to be added. A list without seeds, an unreadable data
-// folder and all errors of New are errors.
+// the sorted list of seeds, and any other node takes a random one and waits to be added. A list without seeds, an
+// unreadable data folder and all errors of New are errors.
 func OpenSeeded(seeded SeedConfig) (*Server, error) {
 	config := seeded.Config
 	if len(seeded.Seeds) == 0 {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -148,7 +148,8 @@
 	return s.listener.Addr().String()
 }
 
-// WrittenBytes returns the number of bytes that this node has written to its data file since it opened the file.
+// WrittenBytes returns the number of bytes that this node has written to its data file and its snapshot files since it
+// opened its data folder.
 func (s *Server) WrittenBytes() uint64 { return s.store.WrittenBytes() }
 
 // Run serves until ctx ends, Close is called or a disk failure forces the node to stop. It can be called only once and
--- a/internal/control/session.go
+++ b/internal/control/session.go
@@ -32,7 +32,7 @@
 	holder           lease.HolderID
 	ordinal          uint64                         // number of this session among all sessions of this node
 	answerSequence   uint64                         // sequence of the newest renewal to answer; 0 if there is none
-	supersededBy     uint64                         // higher incarnation registered under the same name; 0 if there is none
+	supersededBy     uint64                         // higher incarnation registered under the same name; 0 if none
 	granted          bool                           // whether the answer grants the lease
 	shares           map[string]*wire.ResourceShare // sent with the next grant, by resource
 	redirect         string                         // address of the leader, sent once; "" if there is none to send
--- a/internal/control/tableupdates.go
+++ b/internal/control/tableupdates.go
@@ -54,7 +54,7 @@
 	mutex     sync.Mutex
 	current   uint64                      // newest version seen
 	deltas    map[uint64]*publishedUpdate // updates to current, by start version
-	fullTable *publishedUpdate            // for holders without a table; out of date by at most maximumFullTableLag versions
+	fullTable *publishedUpdate            // for holders without a table; at most maximumFullTableLag versions old
 }
 
 func newTableUpdates(read func(known uint64) (*wire.TableUpdate, error)) *tableUpdates {
--- a/internal/control/turnaway_test.go
+++ b/internal/control/turnaway_test.go
@@ -64,7 +64,7 @@
 	}
 	stream := openSession(t, c.addresses()[leader])
 	member := gatewayMember("g")
-	member.Incarnation, member.Speaks = 1, uint32(compat.Newest) // a lower level is rejected once the newest is in force
+	member.Incarnation, member.Speaks = 1, uint32(compat.Newest) // a lower level is rejected once this is in force
 	if err := stream.Send(&wire.SessionRequest{Member: member, Sequence: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/yield.go
+++ b/internal/control/yield.go
@@ -23,7 +23,7 @@
 // leadershipTransfer transfers leaderships to better suited nodes while this node runs. Only its own loop uses it.
 type leadershipTransfer struct {
 	server             *Server
-	leaderUnknownSince time.Duration            // since when no leader of the control group is known; 0 while one is known
+	leaderUnknownSince time.Duration            // since when no leader of the control group is known; 0 if one is
 	transferredAt      map[uint32]time.Duration // time of the last transfer, by group
 }
 
--- a/internal/member/voters.go
+++ b/internal/member/voters.go
@@ -10,7 +10,7 @@
 type GroupNode struct {
 	ID       uint64
 	Address  string        // the address that it listens on; empty if unknown
-	Silence  time.Duration // time since it was last heard; 0 for the leader itself
+	Silence  time.Duration // how long it has not been heard, as SilenceTracker counts it; 0 for the leader itself
 	Unheard  bool          // it was not heard recently, or not yet under this leader
 	Behind   bool          // it is a learner that was found to lack log entries
 	Leaving  bool          // it announced that it stops, or an operator asked it to leave
@@ -47,9 +47,9 @@
 //
 // A candidate takes the place of the voter whose address it has, because that voter cannot be listening there any
 // more. Otherwise it takes the place of the voter that has been unheard for longest, provided that it has been unheard
-// for at least patience. A leaving voter counts as unheard for patience, but only towards candidates of its own kind: a standby
-// that replaced a regular voter would have to give the place back. A candidate that is not a standby also takes a
-// standby's place.
+// for at least patience. A leaving voter counts as unheard for patience, but only towards candidates of its own kind:
+// a standby that replaced a regular voter would have to give the place back. A candidate that is not a standby also
+// takes a standby's place.
 //
 // The candidate becomes a learner first and then a voter. Only then is the replaced voter removed, so that at each
 // step a majority of the voters hold all entries. A silent voter without a candidate for its place stays. A learner
--- a/internal/member/voters_model_run_test.go
+++ b/internal/member/voters_model_run_test.go
@@ -85,8 +85,9 @@
 		changes, durations[len(durations)/2], durations[len(durations)*99/100], durations[len(durations)-1])
 }
 
-// A leader gives up or pauses three times within 3 s while the successor of a lost voter catches up as a learner, and
-// each leader waits for this anew. Then the next two disks are lost, and the group must keep its majority.
+// TestASeedThatLosesItsMajority repeats a run in which a leader gives up or pauses three times within 3 s while the
+// successor of a lost voter catches up as a learner, and each leader waits for this again. Then the next two disks are
+// lost, and the group must keep its majority.
 func TestASeedThatLosesItsMajority(t *testing.T) {
 	w := newModelWorld(40987)
 	w.run()
--- a/internal/monotonic/attention.go
+++ b/internal/monotonic/attention.go
@@ -3,9 +3,9 @@
 import "time"
 
 // ObservedTime measures the time that a watcher has spent observing. It advances with the clock, but by at most a bound
-// between two observations. Measuring silences on it has two effects: a watcher that was paused does not consider peers
-// silent to which it did not listen, and a watcher that repeatedly observes late still reaches its time-outs, which it
-// would not if the count restarted at each late observation.
+// between two observations. Measuring silences on it has two effects. A watcher that was paused does not count the time
+// in which it did not listen as silence of its peers. A watcher that repeatedly observes late still reaches its
+// timeouts, which it would not if the count restarted at each late observation.
 //
 // It is not safe for concurrent use.
 type ObservedTime struct {
@@ -14,8 +14,8 @@
 	accumulated  time.Duration
 }
 
-// NewObservedTime returns an ObservedTime at 0, with a first observation at now. At most
-// maximumGap counts between two observations.
+// NewObservedTime returns an ObservedTime at 0, with a first observation at now. At most maximumGap counts between two
+// observations.
 func NewObservedTime(now, maximumGap time.Duration) *ObservedTime {
 	return &ObservedTime{maximumGap: maximumGap, lastObserved: now}
 }
