--- a/internal/consensus/absence_test.go
+++ b/internal/consensus/absence_test.go
@@ -142,7 +142,7 @@
 	const behind, ahead = 1, 2
 	c, logs := startWithEvents(t, func(node *testNode) {
 		if node.id == ahead {
-			node.change = func(config *Config) { config.CampaignDelayTicks = 1_000_000 } // never starts an election itself
+			node.change = func(config *Config) { config.CampaignDelayTicks = 1_000_000 } // starts no election
 		}
 	})
 	c.commit(0, "before")
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -53,7 +53,7 @@
 	// Write makes a batch durable atomically. storage.ErrNoSpace means that nothing was written and the call may be
 	// repeated. Any other error stops the host.
 	Write(batch []storage.GroupWrite) error
-	// FreeSpace returns which kinds of writes the free disk space admits beside the headroom.
+	// FreeSpace returns which kinds of work the free disk space allows. All are allowed while the headroom is free.
 	FreeSpace() storage.FreeSpace
 	// HasSpaceFor reports whether a snapshot of a group fits while leaving the space that votes need.
 	HasSpaceFor(group uint32, snapshot raft.Parts) bool
@@ -98,8 +98,8 @@
 	Store Store
 	// NewStateMachine returns an empty state machine for a group. Required.
 	NewStateMachine func(group uint32) StateMachine
-	// Tick is the unit of the timeouts. Default 50 ms: with 10 election ticks a failed leader is replaced within 0.5
-	// s to 1 s, and a pause of a few hundred milliseconds does not cause an election.
+	// Tick is the unit of the timeouts. Default 50 ms: with 10 election ticks a failed leader is replaced within
+	// 0.5 s to 1 s, and a pause of a few hundred milliseconds does not cause an election.
 	Tick time.Duration
 	// ElectionTicks is the minimum number of ticks without a leader before a node starts an election. The number
 	// grows up to eightfold while elections fail, as they do on slow disks. Default 10.
--- a/internal/consensus/contacts.go
+++ b/internal/consensus/contacts.go
@@ -24,7 +24,7 @@
 	connectedAt        time.Time                // when the stream to the node was established; zero: no stream
 	greeted            bool                     // whether the node has greeted since the start
 	level              compat.Level             // supported level according to its last greeting
-	capacityBytes      uint64                   // state size it can hold according to its last greeting; 0: not announced
+	capacityBytes      uint64                   // state size that it can hold, from its last greeting; 0: not told
 	silencesReportedAt time.Time                // when it last reported the nodes that it does not hear; zero: never
 	reportedSilences   map[uint64]time.Duration // for how long it had not heard other nodes, by node
 	greetingRefusal    string                   // why its last greeting was refused; empty: it was not
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -98,7 +98,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		_, _, err := leader.host.Propose(ctx, 0, newCommand("new"))
-		if other := new(ErrNotLeader); errors.As(err, &other) && other.Leader != 0 { // another node was elected meanwhile
+		if other := new(ErrNotLeader); errors.As(err, &other) && other.Leader != 0 { // another node was elected
 			_ = c.nodes[other.Leader].host.TransferLeadership(ctx, 0, leader.id)
 		}
 		return err
--- a/internal/consensus/exchange.go
+++ b/internal/consensus/exchange.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// handleGreeting records the sender of an accepted greeting. Otherwise it records the refusal and returns the error that
-// ends the stream. It stops this host if the greeting shows that this node must not participate.
+// handleGreeting records the sender of an accepted greeting. Otherwise it records the refusal and returns the error
+// that ends the stream. It stops this host if the greeting shows that this node must not participate.
 func (r *receiver) handleGreeting(greeting *wire.RaftBatch) error {
 	isNew, err := r.host.acceptGreeting(greeting)
 	var refused *refusal
--- a/internal/consensus/loop.go
+++ b/internal/consensus/loop.go
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// handleUrgent sends and applies everything that needs no sync. Reads that wait for the syncs in progress may wait
-// for up to three of them: with syncs of 450 ms and commands in flight, 17 of 19 reads were abandoned after 600 ms.
+// handleUrgent sends and applies everything that needs no sync. When reads waited for the syncs in progress, a read
+// took up to three syncs: with syncs of 450 ms and commands in flight, 17 of 19 reads were abandoned after 600 ms.
 func (h *Host) handleUrgent(g *hostedGroup) error {
 	urgent := g.cycle.UrgentOutput()
 	h.send(g, urgent.Messages)
@@ -223,7 +223,7 @@
 		ready, compacted := g.cycle.CompleteWrite()
 		switch {
 		case compacted == 0:
-		case result.compactionSkipped: // raft keeps the state in memory for followers that need it, since it is not on disk
+		case result.compactionSkipped: // raft keeps the state in memory for followers, since it is not on disk
 			logging.Emit(h.config.Log, &events.SnapshotLeftOut{Group: g.id, Index: compacted, Bytes: g.snapshots.size})
 		default:
 			g.node.ReleaseSnapshot(compacted)
--- a/internal/consensus/lowroom_test.go
+++ b/internal/consensus/lowroom_test.go
@@ -35,7 +35,7 @@
 	c.commit(ledger, "before")
 	isRejected := func(group uint32) func() bool {
 		return func() bool {
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second) // the node may have lost the leadership
+			ctx, cancel := context.WithTimeout(context.Background(), time.Second) // the node may no longer lead
 			defer cancel()
 			_, _, err := c.leader(group).host.Propose(ctx, group, newCommand("refused"))
 			return errors.Is(err, ErrDiskFull)
--- a/internal/durable/cycle.go
+++ b/internal/durable/cycle.go
@@ -1,6 +1,6 @@
 // Package durable enforces the order in which the output of a raft node becomes durable. Each Ready of the node is
-// written before its messages are sent, each group has at most one write in progress, and a snapshot is never replaced by
-// an older one. The package does no input or output; package consensus and the simulator run the same code.
+// written before its messages are sent, each group has at most one write in progress, and a snapshot is never replaced
+// by an older one. The package does no input or output; package consensus and the simulator run the same code.
 package durable
 
 import (
@@ -90,8 +90,9 @@
 }
 
 // CompleteWrite must be called once the result of Write is durable. It returns the Ready whose messages may be sent
-// now, nil if only a snapshot was written, and the index of the snapshot of Compact that was stored, 0 if there was
-// none. Raft need not keep the state of that snapshot in memory.
+// now, nil if only a snapshot was written, and the index of the snapshot of Compact that was part of the write, 0 if
+// there was none. Raft need not keep the state of that snapshot in memory, unless the writer left the snapshot out for
+// lack of disk space.
 func (c *Cycle) CompleteWrite() (ready *raft.Ready, compacted uint64) {
 	ready, compacted = c.writing, c.writingIndex
 	c.writing, c.writingIndex = nil, 0
--- a/internal/durable/cycle_test.go
+++ b/internal/durable/cycle_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestDurableEntriesPrecedeTheNewOnes checks that Durable returns exactly those committed entries, in order, that precede
-// the entries that are not written yet. Only these may be applied before the sync.
+// TestDurableEntriesPrecedeTheNewOnes checks that Durable returns exactly those committed entries, in order, that
+// precede the entries that are not written yet. Only these may be applied before the sync.
 func TestDurableEntriesPrecedeTheNewOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ready := &raft.Ready{}
--- a/internal/raft/checker_test.go
+++ b/internal/raft/checker_test.go
@@ -16,7 +16,7 @@
 	c.snapshots += other.snapshots
 }
 
-// committed is an applied entry.
+// appliedEntry is an entry as it was applied.
 type appliedEntry struct {
 	term   uint64
 	digest string // of the state after the entry
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -16,7 +16,7 @@
 
 	log            entryLog
 	configurations configurationHistory
-	snapshot       Snapshot // the last one taken or received, sent to members behind the log; no data after ReleaseSnapshot
+	snapshot       Snapshot // last one taken or received, sent to members behind the log; no data after ReleaseSnapshot
 
 	electionElapsed  int
 	leaderSeen       bool   // a leader was seen since the start; it may have been this node
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -109,7 +109,7 @@
 	From       uint64
 	Term       uint64
 	LogTerm    uint64 // term of the entry at Index, for appends and votes
-	Index      uint64 // the entry before Entries; in votes the last index; in replies the match index or the rejected one
+	Index      uint64 // entry before Entries; in votes the last index; in replies the match index or the rejected one
 	Entries    []Entry
 	Commit     uint64
 	Snapshot   *Snapshot
@@ -227,7 +227,7 @@
 	ReadStates []ReadState
 }
 
-// Status is a node's view of its group.
+// Status is a node's view of its group. Operators read it, and drivers use it to decide which node serves requests.
 type Status struct {
 	ID            uint64
 	Role          Role
@@ -246,9 +246,11 @@
 
 // Progress is a leader's view of one member, itself included.
 type Progress struct {
-	Node         uint64
-	Match        uint64 // highest index known to be on the node's disk
-	Learner      bool
-	RecentActive bool // sent a reply that waits for its disk within the last ElectionTicks, or the leadership is younger than that
+	Node    uint64
+	Match   uint64 // highest index known to be on the node's disk
+	Learner bool
+	// RecentActive is set if the node sent a reply that waits for its disk within the last ElectionTicks, or the
+	// leadership is younger than that.
+	RecentActive bool
 	Heard        bool // sent such a reply under this leadership; true for the leader itself
 }
--- a/internal/storage/heldparts.go
+++ b/internal/storage/heldparts.go
@@ -13,8 +13,8 @@
 )
 
 // partCache holds the list of files of each group's durable snapshot, and weak references to the large parts in them
-// that the state machine still has in memory. It has a lock of its own because a query for free disk space must not wait
-// for a write.
+// that the state machine still has in memory. It has a lock of its own because a query for free disk space must not
+// wait for a write.
 type partCache struct {
 	mutex sync.Mutex
 	files map[uint32]snapshotFiles
@@ -58,8 +58,8 @@
 	c.parts[file.name] = newWeakPart(part)
 }
 
-// findFile returns the file of the group's stored snapshot whose content equals parts, which must be a single part that
-// is still in memory. It returns nil if there is none.
+// findFile returns the file of the group's stored snapshot whose content equals parts. It finds only files that hold a
+// single large part which is still in memory, and returns nil if there is none.
 func (c *partCache) findFile(group uint32, parts raft.Parts) *snapshotFile {
 	if len(parts) != 1 || len(parts[0]) == 0 {
 		return nil
--- a/internal/storage/heldparts_test.go
+++ b/internal/storage/heldparts_test.go
@@ -20,7 +20,8 @@
 }
 
 // TestSnapshotWritesWhatHasChanged checks that a snapshot keeps the files of unchanged parts. Without that, a 52 MB
-// snapshot that was almost equal to the previous one needed another 52 MB of free space, which a 128 MB disk did not have.
+// snapshot that was almost equal to the previous one needed another 52 MB of free space, which a 128 MB disk did not
+// have.
 func TestSnapshotWritesWhatHasChanged(t *testing.T) {
 	options := testOptions(t.TempDir())
 	store := mustOpen(t, options)
@@ -32,7 +33,7 @@
 		t.Fatalf("got files %v, want 4", before)
 	}
 	written := store.fileBytes.Load()
-	next := []([]byte){[]byte("head 2"), slices.Clone(second), third} // a received snapshot has equal content in other memory
+	next := []([]byte){[]byte("head 2"), slices.Clone(second), third} // received: equal content in other memory
 	if size := store.UnstoredBytes(3, next); size != len("head 2")+len(third) {
 		t.Fatalf("%d bytes are new, want those of the first and third part", size)
 	}
@@ -96,7 +97,7 @@
 	}
 	wantState(t, store, 5, "head"+string(largePart('a')))
 	mustWrite(t, store, compactionInParts(6, []byte("head"), largePart('a')))
-	write.Compaction.Index = 7 // AllowMultipleFiles is not set yet: a node does not know the level directly after its start
+	write.Compaction.Index = 7 // without AllowMultipleFiles: a node does not know the level directly after its start
 	mustWrite(t, store, write)
 	if names := listSnapshotFiles(t, options.Folder); len(names) != 2 {
 		t.Fatalf("got files %v, want 2", names)
--- a/internal/storage/pages.go
+++ b/internal/storage/pages.go
@@ -22,8 +22,8 @@
 )
 
 // pageChecker validates the format of every reachable page. It reads the file instead of the memory that bbolt maps.
-// When bbolt opens a file for writing, it rebuilds its free list in a goroutine of its own, where a malformed page would
-// end the process. pageChecker validates everything that bbolt follows or compares there.
+// When bbolt opens a file for writing, it rebuilds its free list in a goroutine of its own, where a malformed page
+// would end the process. pageChecker validates everything that bbolt follows or compares there.
 type pageChecker struct {
 	file      io.ReaderAt
 	pageSize  int
--- a/internal/storage/peers.go
+++ b/internal/storage/peers.go
@@ -16,11 +16,12 @@
 	// has lost its disk and is refused.
 	Folder uint64 `json:"folder_identity,string"`
 	// Starts is the highest number of starts that the peer has reported, and StartNonce the random number that it
-	// generated at that start. A lower number of starts, or the same number with another nonce, means that the peer runs
-	// on an older copy of its folder.
+	// generated at that start. A lower number of starts, or the same number with another nonce, means that the peer
+	// runs on an older copy of its folder.
 	Starts     uint64 `json:"starts"`
 	StartNonce uint64 `json:"start_nonce,string"`
-	// KnowsThisFolder is set once the peer has confirmed that it has durably recorded the identity of this node's folder.
+	// KnowsThisFolder is set once the peer has confirmed that it has durably recorded the identity of this node's
+	// folder.
 	KnowsThisFolder bool `json:"knows_this_folder"`
 }
 
@@ -36,7 +37,8 @@
 	})
 }
 
-// Peers returns the records of all peers in the order of their node IDs. It returns a *DamageError for a damaged record.
+// Peers returns the records of all peers in the order of their node IDs. It returns a *DamageError for a damaged
+// record.
 func (s *Store) Peers() ([]PeerRecord, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -17,11 +17,11 @@
 	"github.com/tamarindring/tamarindring/internal/raft"
 )
 
-// The state of a snapshot is stored in files beside the data file. In the data file it would be copied into a record and
-// again into the pages of the transaction, each copy as large as the state, and the data file would keep that size.
+// The state of a snapshot is stored in files beside the data file. In the data file it would be copied into a record
+// and again into the pages of the transaction, each copy as large as the state, and the data file would keep that size.
 //
-// Each large part of a state has a file of its own. A part that is unchanged since the previous snapshot keeps its file,
-// so that a snapshot writes, and needs free space for, only what has changed.
+// Each large part of a state has a file of its own. A part that is unchanged since the previous snapshot keeps its
+// file, so that a snapshot writes, and needs free space for, only what has changed.
 //
 // The durable steps have this order: the new files and their directory entries are synced, then the transaction that
 // refers to them commits, then the files that no record refers to any more are removed. An unreferenced file is left by
@@ -30,8 +30,8 @@
 // snapshotPrefix is the prefix of the names of snapshot files.
 const snapshotPrefix = "snapshot-"
 
-// minOwnFileBytes is the size from which a part has a file of its own. Each file costs a sync, so adjacent smaller parts
-// share a file, which every snapshot writes anew.
+// minOwnFileBytes is the size from which a part has a file of its own. Each file costs a sync, so adjacent smaller
+// parts share a file, which every snapshot writes anew.
 const minOwnFileBytes = 256 << 10
 
 // snapshotFile is the reference in a snapshot's record to a file that holds one or more parts of its state.
@@ -140,8 +140,8 @@
 	return files, nil
 }
 
-// writeStateFiles writes the files of one group's new snapshot, except those that it shares with the stored snapshot. An
-// empty state needs no file.
+// writeStateFiles writes the files of one group's new snapshot, except those that it shares with the stored snapshot.
+// An empty state needs no file. A group whose stored snapshot is in several files keeps that form.
 func (s *Store) writeStateFiles(write *GroupWrite, files *snapshotWrite) error {
 	snapshot := write.newestSnapshot()
 	files.byGroup[write.Group] = nil
@@ -225,7 +225,8 @@
 	return files, nil
 }
 
-// removeUnreferencedSnapshots removes the snapshot files that no record refers to, provided that all records are intact.
+// removeUnreferencedSnapshots removes the snapshot files that no record refers to, provided that all records are
+// intact.
 func (s *Store) removeUnreferencedSnapshots() error {
 	var named map[uint32]snapshotFiles
 	err := s.database.View(func(tx *bbolt.Tx) (err error) {
--- a/internal/storage/snapshotfile_test.go
+++ b/internal/storage/snapshotfile_test.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestDamagedSnapshotFileIsFound checks that Load and Check detect a snapshot file that is garbled, truncated or missing.
+// TestDamagedSnapshotFileIsFound checks that Load and Check detect a snapshot file that is garbled, truncated or
+// missing.
 func TestDamagedSnapshotFileIsFound(t *testing.T) {
 	for name, damage := range map[string]func(path string) error{
 		"garbled": func(path string) error { return os.WriteFile(path, []byte("fivf"), fileMode) },
@@ -106,8 +107,8 @@
 	}
 }
 
-// TestFullDiskKeepsTheOldSnapshot checks that the old snapshot stays, and the new file is removed, when the disk is full
-// at the transaction that follows the writing of the file.
+// TestFullDiskKeepsTheOldSnapshot checks that the old snapshot stays, and the new file is removed, when the disk is
+// full at the transaction that follows the writing of the file.
 func TestFullDiskKeepsTheOldSnapshot(t *testing.T) {
 	options := testOptions(t.TempDir())
 	full := false
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -47,7 +47,7 @@
 	defaultHeadroomBytes = 256 << 20
 	openTimeout          = time.Second
 	initialMapBytes      = 64 << 20 // avoids remapping the file while it is small
-	fileGrowthBytes      = 1 << 20  // by which the file grows; bbolt's own 16 MiB are an eighth of a small disk
+	fileGrowthBytes      = 1 << 20  // growth step of the file; bbolt's default of 16 MiB is an eighth of a small disk
 	entryFillPercent     = 0.95     // of a page; entries are appended in order, so pages need little space for inserts
 )
 
@@ -68,8 +68,8 @@
 }
 
 // Open locks the folder, creates it if necessary, checks that it belongs to the node of the options, upgrades an older
-// format and increments the number of starts. It returns a *FolderError for a folder of another node or cluster and a
-// *DamageError for a damaged data file.
+// format and increments the number of starts. It returns a *FolderError for a folder that is in use, lacks a file, has
+// a newer format or belongs to another node or cluster, and a *DamageError for a damaged data file.
 func Open(options Options) (*Store, error) {
 	if options.Folder == "" || options.ClusterID == "" || options.NodeID == raft.None || options.NodeName == "" {
 		return nil, trace.BadParameter("storage: folder, cluster ID, node ID and node name are required")
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// openError converts an error of bbolt.Open: a timeout means that another process has the file open, and any other error
-// that the file is damaged.
+// openError converts an error of bbolt.Open: a timeout means that another process has the file open, and any other
+// error that the file is damaged.
 func openError(path string, err error) error {
 	if errors.Is(err, berrors.ErrTimeout) {
 		return &FolderError{File: path, Field: "lock", Found: "held by another process", Wanted: "free",
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// damageRecord damages the record under a key: "flip" changes a bit, "cut" removes the last byte, and "swap" replaces it
-// by the record of another key.
+// damageRecord damages the record under a key: "flip" changes a bit, "cut" removes the last byte, and "swap" replaces
+// it by the record of another key.
 func damageRecord(t *testing.T, store *Store, name, key []byte, damage string) {
 	t.Helper()
 	err := store.database.Update(func(tx *bbolt.Tx) error {
--- a/internal/storage/torn_test.go
+++ b/internal/storage/torn_test.go
@@ -17,8 +17,8 @@
 	metaPageCount = 2 // the first pages of a bbolt file; a commit takes effect when one of them is written
 )
 
-// TestTornLastWriteKeepsWhatWasAcknowledged simulates power failures during the last write: any of its data pages, and at
-// most a part of its meta page, have reached the disk. All writes that were acknowledged before must be found, and
+// TestTornLastWriteKeepsWhatWasAcknowledged simulates power failures during the last write: any of its data pages, and
+// at most a part of its meta page, have reached the disk. All writes that were acknowledged before must be found, and
 // either all or nothing of the last one.
 func TestTornLastWriteKeepsWhatWasAcknowledged(t *testing.T) {
 	options := testOptions(t.TempDir())
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -20,10 +20,11 @@
 	Entries []raft.Entry
 	// HardState replaces the stored hard state unless it is nil.
 	HardState *raft.HardState
-	// Compaction is a snapshot that the node made itself; log entries up to its index are deleted. Nil if there is none.
+	// Compaction is a snapshot that the node made itself; log entries up to its index are deleted. Nil if there is
+	// none.
 	Compaction *raft.Snapshot
 	// AllowMultipleFiles is set if all builds that may read the folder support states in several files. If it is not
-	// set, a state is written as one file.
+	// set, a state is written as one file, unless the group's stored snapshot is in several files already.
 	AllowMultipleFiles bool
 }
 
@@ -55,7 +56,8 @@
 	case err == nil:
 		s.parts.commit(s.options.Folder, files)
 	case errors.Is(err, ErrNoSpace):
-		files.created.remove(s.options.Folder) // after any other error the transaction may have become durable and refer to them
+		// After any other error the transaction may have become durable and refer to the files.
+		files.created.remove(s.options.Folder)
 	}
 	return err
 }
@@ -112,8 +114,8 @@
 }
 
 // isFullBeforeCommit reports whether the disk was full when the data pages were written. They are written before the
-// meta page that makes them valid, so the old state is intact. It returns false for a sync that fails for lack of space:
-// the error of a sync is not a fs.PathError.
+// meta page that makes them valid, so the old state is intact. It returns false for a sync that fails for lack of
+// space: the error of a sync is not a fs.PathError.
 func isFullBeforeCommit(err error) bool {
 	var pathError *fs.PathError
 	return errors.Is(err, unix.ENOSPC) && errors.As(err, &pathError) && pathError.Op == "write"
