--- a/internal/batchrun/listing/listing_test.go
+++ b/internal/batchrun/listing/listing_test.go
@@ -254,8 +254,8 @@
 	}
 }
 
-// newPace returns the Planner of a replayed step.
-func (s *replayedStep) newPace(interval time.Duration, due time.Duration, carried []string) *Planner {
+// newPlanner returns the Planner of a replayed step.
+func (s *replayedStep) newPlanner(interval time.Duration, due time.Duration, carried []string) *Planner {
 	open := map[string]int{}
 	for _, item := range s.items {
 		open[item.group]++
@@ -273,7 +273,7 @@
 		if !carriedKnown {
 			carried = nil
 		}
-		mean += drawn.replay(random, drawn.newPace(interval, drawn.due, carried), nil, 0) / steps
+		mean += drawn.replay(random, drawn.newPlanner(interval, drawn.due, carried), nil, 0) / steps
 	}
 	return mean
 }
@@ -311,7 +311,7 @@
 				expected = drawForecast(random, whole)
 				expected.early = early
 			}
-			mean += drawn.replay(random, drawn.newPace(DefaultInterval, drawn.due, drawn.carried), expected, elsewhere)
+			mean += drawn.replay(random, drawn.newPlanner(DefaultInterval, drawn.due, drawn.carried), expected, elsewhere)
 			played++
 		}
 		return mean / played
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -102,7 +102,7 @@
 	case LeaseLapsed:
 		m.onLeaseLapsed()
 	case TableChanged:
-		m.onTableMoved()
+		m.onTableChanged()
 	case SendFailed, RefusedByBackend:
 		m.onNotExecuted(now, event)
 	case SendUnknown, StreamCut:
@@ -116,7 +116,7 @@
 	case CallerGone:
 		m.onCallerGone()
 	case Preempt:
-		m.onYield()
+		m.onPreempt()
 	}
 	m.finishIfIdle()
 	return m.actions
@@ -250,8 +250,8 @@
 		RetryAfter: m.settings.RetryAfter})
 }
 
-// onTableMoved repeats the choice of a back end on the current table. Nothing was sent, so the try does not count.
-func (m *Machine) onTableMoved() {
+// onTableChanged repeats the choice of a back end on the current table. Nothing was sent, so the try does not count.
+func (m *Machine) onTableChanged() {
 	if m.state == stateSending {
 		m.tries--
 		m.chooseBackend()
@@ -349,9 +349,9 @@
 	m.settleClaim()
 }
 
-// onYield preempts the request: it cancels the execution and returns the slot. The request queues for admission again
+// onPreempt preempts the request: it cancels the execution and returns the slot. The request queues for admission again
 // and continues after the tokens that the caller already has.
-func (m *Machine) onYield() {
+func (m *Machine) onPreempt() {
 	if !m.Preemptible() {
 		return
 	}
--- a/internal/dispatch/settlements.go
+++ b/internal/dispatch/settlements.go
@@ -12,8 +12,8 @@
 	waiting [2][]uint64 // request ids by priority, oldest first
 }
 
-// NewSettlements returns a limiter with at most limit outstanding commands. A limit below 1 counts as 1.
-func NewSettlements(limit int) *SettlementLimiter {
+// NewSettlementLimiter returns a limiter with at most limit outstanding commands. A limit below 1 counts as 1.
+func NewSettlementLimiter(limit int) *SettlementLimiter {
 	return &SettlementLimiter{limit: max(limit, 1), window: max(limit, 1)}
 }
 
--- a/internal/dispatch/settlements_test.go
+++ b/internal/dispatch/settlements_test.go
@@ -9,7 +9,7 @@
 // outage. Few commands may be outstanding, one while the ledger is unavailable, and outcomes go before releases.
 func TestSettlementsLimitOutstandingCommands(t *testing.T) {
 	const limit, count = 8, 1000
-	s := NewSettlements(limit)
+	s := NewSettlementLimiter(limit)
 	var running, order []uint64
 	for id := range uint64(count) {
 		kind := ClaimRelease
--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -12,10 +12,10 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestBeganIsReportedOncePerRun checks that Config.OnRunStarted is called once for each back end that ran or may have
-// run a request, with the time at which the run began: the first event of a stream and otherwise the send, even if the
-// answer comes much later or never.
-func TestBeganIsReportedOncePerRun(t *testing.T) {
+// TestRunStartIsReportedOncePerRun checks that Config.OnRunStarted is called once for each back end that ran or may
+// have run a request, with the time at which the run began: the first event of a stream and otherwise the send, even if
+// the answer comes much later or never.
+func TestRunStartIsReportedOncePerRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		script []step
 		want   []time.Duration
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestBeganIsNotReportedWithoutLease checks that a request whose lease lapses immediately before the send does not
+// TestRunStartIsNotReportedWithoutLease checks that a request whose lease lapses immediately before the send does not
 // count as usage of its tenant.
-func TestBeganIsNotReportedWithoutLease(t *testing.T) {
+func TestRunStartIsNotReportedWithoutLease(t *testing.T) {
 	f := newFixture(t, tenantRows, func(_ context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease}
 	})
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -37,7 +37,7 @@
 // Defaults of Config.
 const (
 	DefaultMaxBufferedAnswer = 256 << 10
-	DefaultConnectionShare   = 16
+	DefaultConnectionDivisor = 16
 	DefaultSlotShare         = 1
 )
 
@@ -131,7 +131,7 @@
 		config.Budget = bytebudget.New(bytebudget.LimitFor(0))
 	}
 	if config.ConnectionDivisor <= 0 {
-		config.ConnectionDivisor = DefaultConnectionShare
+		config.ConnectionDivisor = DefaultConnectionDivisor
 	}
 	if config.SlotShare <= 0 || config.SlotShare > 1 {
 		config.SlotShare = DefaultSlotShare
--- a/internal/gateway/settling.go
+++ b/internal/gateway/settling.go
@@ -25,7 +25,7 @@
 	s.mutex.Lock()
 	settlements := s.groups[group]
 	if settlements == nil {
-		settlements = dispatch.NewSettlements(s.limit)
+		settlements = dispatch.NewSettlementLimiter(s.limit)
 		s.groups[group] = settlements
 	}
 	if settlements.TryAcquire(id, kind) {
--- a/internal/member/hearing_test.go
+++ b/internal/member/hearing_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestHearing guards the silence count of node 2 against late observations, pauses and changes of the leadership.
-// Each look observes the node once; after is the time since the observation before.
-func TestHearing(t *testing.T) {
+// TestSilenceTracker guards the silence count of node 2 against late observations, pauses and changes of the
+// leadership. Each look observes the node once; after is the time since the observation before.
+func TestSilenceTracker(t *testing.T) {
 	type observation struct {
 		after                 time.Duration
 		active, heard, absent bool
--- a/internal/monotonic/attention_test.go
+++ b/internal/monotonic/attention_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAttention(t *testing.T) {
+func TestObservedTime(t *testing.T) {
 	observed := NewObservedTime(time.Hour, time.Second)
 	now := time.Hour
 	for _, observation := range []struct{ after, want time.Duration }{
--- a/internal/sendbuffer/sendbuffer_test.go
+++ b/internal/sendbuffer/sendbuffer_test.go
@@ -312,8 +312,8 @@
 	})
 }
 
-// TestRelieve checks that CutStalled cuts off the peers that have read nothing for BlockedTimeout, and no others.
-func TestRelieve(t *testing.T) {
+// TestCutStalled checks that CutStalled cuts off the peers that have read nothing for BlockedTimeout, and no others.
+func TestCutStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 		dead, deadConn := f.connect(0)
--- a/internal/sim/gateway.go
+++ b/internal/sim/gateway.go
@@ -54,7 +54,7 @@
 	g.exchanges, g.idle = map[uint64]*exchange{}, map[string][]*upstream{}
 	g.settlements = map[uint32]*dispatch.SettlementLimiter{}
 	for group := uint32(1); group <= ledgerGroups; group++ {
-		g.settlements[group] = dispatch.NewSettlements(settlementLimit)
+		g.settlements[group] = dispatch.NewSettlementLimiter(settlementLimit)
 	}
 	g.pool = g.newPool(applicationPool)
 	g.settings = dispatch.Settings{Random: g.world.random.Float64, Budget: dispatch.NewRetryBudget(50, 50),
