--- a/internal/batchrun/fixture_test.go
+++ b/internal/batchrun/fixture_test.go
@@ -196,8 +196,8 @@
 	return calls
 }
 
-// answerWith sends complete answers. The head has the first of the weight versions, and event i switches to version i if
-// there is one.
+// answerWith sends complete answers. The head has the first of the weight versions, and event i switches to version i
+// if there is one.
 func answerWith(versions ...uint64) behaviour {
 	return func(_ context.Context, call *replica.Call, sink replica.Sink) replica.Outcome {
 		return sendEvents(call, sink, testEvents, versions...)
@@ -207,7 +207,7 @@
 // sendEvents sends the events up to a count. A count below testEvents ends the answer early, in the middle of an event.
 func sendEvents(call *replica.Call, sink replica.Sink, count int, versions ...uint64) replica.Outcome {
 	outcome := replica.Outcome{Status: 200, Verdict: verdict.Ran}
-	if outcome.Err = sink.Head(replica.Head{Status: 200, Stream: true, Length: -1, Versions: versions[0]}); outcome.Err != nil {
+	if outcome.Err = sink.Head(replica.Head{Status: 200, Stream: true, Length: -1, Version: versions[0]}); outcome.Err != nil {
 		return outcome
 	}
 	for id := call.ResumeAfter + 1; id < int64(count); id++ {
@@ -223,7 +223,7 @@
 		outcome.Err = sink.Body([]byte("id: 99\ndata: ha"))
 		return outcome
 	}
-	outcome.Whole = true
+	outcome.Complete = true
 	return outcome
 }
 
--- a/internal/batchrun/schedule/place.go
+++ b/internal/batchrun/schedule/place.go
@@ -18,28 +18,28 @@
 	running        int                // number of runs
 	criticalRuns   int                // critical ones among the runs
 	suspectRuns    int                // suspects among the runs
-	incomingMoves  int                // runs that the last call of Slow moved here, in pools without reported paces
+	incomingMoves  int                // runs that the last call of PlanMoves moved here, in pools without reported paces
 	items          map[*item]struct{} // items that run here or have a slot reserved here
 	reservedSlots  int                // runs that are to continue here and have not started yet
 	failuresInRow  int                // consecutive failures
 	refusalsInRow  int                // consecutive rejections as full
 	pausedUntil    time.Duration      // receives no items before this time
-	onProbation    bool               // one item at a time until a run that started meanwhile delivers an event
+	onProbation    bool               // one item at a time until a run that started after probationStart delivers an event
 	probationStart time.Duration      // start of the probation
 	probe          *item              // item that is tried on a replica on probation or with old weights
 	versions       map[string]version // by model
 	measuredPace   paceAverage
-	lastingPace    pace.Lasting // long-term pace
-	pace           float64      // seconds between two events as measured; 0: unknown
-	reportedPace   pace.Said    // pace that the replica itself reports
-	memoryUsage    *memoryUsage // memory used by its items; nil: not computed yet
+	lastingPace    pace.LastingEstimator // long-term pace
+	pace           float64               // seconds between two events as measured; 0: unknown
+	reportedPace   pace.ReportEstimator  // pace that the replica itself reports
+	memoryUsage    *memoryUsage          // memory used by its items; nil: not computed yet
 }
 
 // version is the last known state of a model's weights on a replica.
 type version struct {
 	number  uint64
-	tries   int           // attempts since then for items that require a newer version
-	heardAt time.Duration // when the version was last heard
+	tries   int           // runs started while the number was this one, for items that require a newer version
+	heardAt time.Duration // when the version was last heard, or when the last of these runs started
 	// reported is when the component that orders weight loads last reported the version; 0: never. loading is true if
 	// that report said that the replica is loading another version.
 	reported time.Duration
@@ -50,9 +50,10 @@
 // weights are tried again.
 const reportTTL = 2 * time.Second
 
-// Told records what the component that orders weight loads knows about a replica: the version of a model that it
-// serves, and whether it is loading another one. While a replica loads a version it starts no item of that model.
-func (s *Scheduler) Told(instance, model string, number uint64, loading bool, now time.Duration) {
+// SetServedVersion records what the component that orders weight loads knows about a replica: the version of a model
+// that it serves, and whether it is loading another one. While a replica loads a version it starts no item of that
+// model.
+func (s *Scheduler) SetServedVersion(instance, model string, number uint64, loading bool, now time.Duration) {
 	replica := s.replicas[instance]
 	if replica == nil || number == 0 {
 		return
@@ -83,10 +84,10 @@
 	paceStatisticsValid bool      // the cached paces are up to date
 	paces               []float64 // buffer for sorting paces
 
-	reportsPace         bool      // replicas report their current pace
-	slowdownRest        pace.Rest // how long temporary slowdowns last
-	overrun             float64   // quantile of the ratio of actual to estimated length of complete answers; 0: none was seen
-	meanFirstEventDelay float64   // seconds from the start of a run to its first event; 0: none was seen
+	reportsPace         bool                   // replicas report their current pace
+	slowdownDuration    pace.SlowdownEstimator // how long temporary slowdowns last
+	overrun             float64                // quantile of actual / estimated length of complete answers; 0: none was seen
+	meanFirstEventDelay float64                // seconds from the start of a run to its first event; 0: none was seen
 }
 
 // noteVersion records the weight version under which a replica answered; 0 is ignored.
--- a/internal/batchrun/schedule/uneven.go
+++ b/internal/batchrun/schedule/uneven.go
@@ -18,7 +18,7 @@
 		return
 	}
 	pool := s.poolNamed(replica.Pool)
-	replica.reportedPace.Note(seen.Pace, seen.Seen, &pool.slowdownRest)
+	replica.reportedPace.Note(seen.Pace, seen.Seen, &pool.slowdownDuration)
 	if !pool.reportsPace {
 		pool.reportsPace, pool.paceStatisticsValid = true, false
 		for _, member := range pool.replicas {
@@ -31,7 +31,7 @@
 // slowdowns, and otherwise the average of the last events.
 func (p *pool) paceOf(replica *replica) float64 {
 	if p.reportsPace {
-		return replica.lastingPace.Value(minimumPaceEvents)
+		return replica.lastingPace.SecondsPerEvent(minimumPaceEvents)
 	}
 	return replica.measuredPace.value(minimumPaceEvents)
 }
@@ -103,8 +103,8 @@
 		return max(expected-delivered, leastRemainingShare*delivered)
 	}
 	left := max(expected-delivered, likelyRemainingShare*delivered)
-	if entry.Most > 0 {
-		left = min(left, max(float64(entry.Most)/pool.tokensPerEvent()-delivered, 1))
+	if entry.MaxTokens > 0 {
+		left = min(left, max(float64(entry.MaxTokens)/pool.tokensPerEvent()-delivered, 1))
 	}
 	return left
 }
@@ -184,7 +184,7 @@
 		return unboundedTime
 	}
 	stay := float64(left)
-	if reported, rest := current.reportedPace.Pace(), pool.slowdownRest.Expected(); reported.Slowed(now, rest) {
+	if reported, rest := current.reportedPace.Pace(), pool.slowdownDuration.Expected(); reported.Slowed(now, rest) {
 		stay += float64(rest) * (1 - 1/reported.Passing)
 	}
 	leave := float64(left)*other.pace/current.pace + pool.meanFirstEventDelay*float64(time.Second)
--- a/internal/consensus/compaction.go
+++ b/internal/consensus/compaction.go
@@ -50,7 +50,7 @@
 // compact captures a group's state when a snapshot is due, and compacts the log once a captured state is encoded. It
 // does neither while a Ready is in progress.
 func (h *Host) compact(g *hostedGroup) error {
-	if !g.cycle.Idle() {
+	if !g.cycle.IsIdle() {
 		return nil
 	}
 	if g.snapshots.isDue(g.config, g.applied) {
@@ -93,7 +93,7 @@
 	}
 	g.cycle.Compact(&snapshot)
 	g.snapshots.index, g.snapshots.size = encoded.index, encoded.parts.Size()
-	g.snapshots.newBytes = g.config.Store.SizeOfNew(g.id, encoded.parts)
+	g.snapshots.newBytes = g.config.Store.UnstoredBytes(g.id, encoded.parts)
 	return nil
 }
 
--- a/internal/consensus/loop.go
+++ b/internal/consensus/loop.go
@@ -157,16 +157,16 @@
 	if err := h.compact(g); err != nil {
 		return err
 	}
-	if g.cycle.Compacts() {
+	if g.cycle.HasPendingSnapshot() {
 		h.queueWrite(g)
 	}
 	return nil
 }
 
-// handleUrgent sends and applies everything that needs no sync. Reads that wait for the syncs in progress may wait
-// for up to three of them: with syncs of 450 ms and commands in flight, 17 of 19 reads were abandoned after 600 ms.
+// handleUrgent sends and applies everything that needs no sync. When reads waited for the syncs in progress, a read
+// took up to three syncs: with syncs of 450 ms and commands in flight, 17 of 19 reads were abandoned after 600 ms.
 func (h *Host) handleUrgent(g *hostedGroup) error {
-	urgent := g.cycle.Urgent()
+	urgent := g.cycle.UrgentOutput()
 	h.send(g, urgent.Messages)
 	if err := g.apply(urgent.Committed); err != nil {
 		return err
@@ -201,7 +201,7 @@
 	batch := make([]storage.GroupWrite, 0, len(h.nextWrite))
 	for _, g := range h.nextWrite {
 		write := g.cycle.Write()
-		write.InParts = h.canStoreParts()
+		write.AllowMultipleFiles = h.canStoreParts()
 		batch = append(batch, write)
 	}
 	h.inWrite, h.nextWrite = h.nextWrite, h.inWrite[:0]
@@ -220,10 +220,10 @@
 		g.leaderless.recordSync(duration)
 	}
 	for _, g := range h.inWrite {
-		ready, compacted := g.cycle.Written()
+		ready, compacted := g.cycle.CompleteWrite()
 		switch {
 		case compacted == 0:
-		case result.compactionSkipped: // raft keeps the state in memory for followers that need it, since it is not on disk
+		case result.compactionSkipped: // raft keeps the state in memory for followers, since it is not on disk
 			logging.Emit(h.config.Log, &events.SnapshotLeftOut{Group: g.id, Index: compacted, Bytes: g.snapshots.size})
 		default:
 			g.node.ReleaseSnapshot(compacted)
@@ -242,7 +242,7 @@
 // canStoreParts reports whether all builds that may read the data folder support snapshots in parts. A node with an
 // empty disk receives snapshots before it knows the level in force, so the sender of the snapshot announces it.
 func (h *Host) canStoreParts() bool {
-	return h.partsAgreed.Load() || h.config.Agreed().Includes(compat.SnapshotParts)
+	return h.partsAgreed.Load() || h.config.LevelInForce().Includes(compat.SnapshotParts)
 }
 
 func (h *Host) send(g *hostedGroup, messages []raft.Message) {
--- a/internal/consensus/silences.go
+++ b/internal/consensus/silences.go
@@ -33,12 +33,12 @@
 // the process.
 type silenceTracker struct {
 	mutex   sync.Mutex
-	hearing *member.Hearing
+	tracker *member.SilenceTracker
 	members []uint64
 }
 
 func newSilenceTracker(self uint64, now time.Duration) *silenceTracker {
-	return &silenceTracker{hearing: member.NewHearing(self, now, maxSilenceGap)}
+	return &silenceTracker{tracker: member.NewSilenceTracker(self, now, maxSilenceGap)}
 }
 
 // updateSilences updates the silences of all members of the groups. It is called from the loop.
@@ -50,16 +50,16 @@
 	}
 	slices.Sort(members)
 	members = slices.DeleteFunc(slices.Compact(members), func(id uint64) bool { return id == h.config.NodeID })
-	sightings := make([]member.Sighting, 0, len(members))
+	observations := make([]member.Observation, 0, len(members))
 	for _, id := range members {
 		heardAt := h.contacts.get(id).heardAt
 		heard := !heardAt.IsZero()
-		sightings = append(sightings, member.Sighting{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
+		observations = append(observations, member.Observation{Node: id, Heard: heard, Active: heard && now.Sub(heardAt) < heardTimeout})
 	}
 	h.silences.mutex.Lock()
 	defer h.silences.mutex.Unlock()
 	h.silences.members = members
-	h.silences.hearing.Look(now.Sub(h.contacts.startedAt), sightings)
+	h.silences.tracker.Observe(now.Sub(h.contacts.startedAt), observations)
 }
 
 // listUnheard returns the members that this node does not hear, with the lengths of their silences.
@@ -68,7 +68,7 @@
 	defer s.mutex.Unlock()
 	var unheard []*wire.NodeSilence
 	for _, id := range s.members {
-		if silence := s.hearing.Silence(id); silence > 0 {
+		if silence := s.tracker.Silence(id); silence > 0 {
 			unheard = append(unheard, &wire.NodeSilence{Node: id, Millis: uint32(silence.Milliseconds())})
 		}
 	}
@@ -79,7 +79,7 @@
 func (s *silenceTracker) get(node uint64) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.hearing.Silence(node)
+	return s.tracker.Silence(node)
 }
 
 // newKeepAlive returns a keep-alive with the silences that this node has measured.
@@ -87,9 +87,9 @@
 	return &wire.RaftBatch{KeepAlive: true, Unheard: h.silences.listUnheard()}
 }
 
-// Unheard returns for how long a node has not been heard. It is the longest of the times that this node has measured
+// UnheardFor returns for how long a node has not been heard. It is the longest of the times that this node has measured
 // and that the other nodes have reported recently, or 0 if one of them hears the node.
-func (h *Host) Unheard(node uint64, others []uint64) time.Duration {
+func (h *Host) UnheardFor(node uint64, others []uint64) time.Duration {
 	longest := h.silences.get(node)
 	if longest == 0 {
 		return 0
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// check returns an error for a process that may not open a session because it does not understand the level in force.
-// An older build would not enforce what the level guarantees, such as tenant quotas. The error code makes the process
-// stop, so that its callers use another gateway.
+// check returns an error for a process that may not have a session because it does not understand the level in force.
+// An older build would not enforce what the level guarantees, such as tenant quotas. With this error code the start of
+// the process's session fails, and a running process loses its session, so that its callers use another gateway.
 func (l *levels) check(member *wire.Member) error {
 	speaks, agreed := compat.Level(member.GetSpeaks()), l.agreed()
 	if speaks.Includes(agreed) {
@@ -107,7 +107,7 @@
 	if l.shouldLogRefusal(wire.OwnerName(member)) {
 		l.server.log.Warn(reason)
 	}
-	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RefusedCode)
+	return drpcerr.WithCode(trace.AccessDenied("%s", reason), auth.RejectedTokenCode)
 }
 
 // maximumLoggedRefusals bounds the set of process starts whose refusal was logged.
@@ -162,7 +162,7 @@
 		l.settling = &compat.Settling{}
 	}
 	now := l.server.config.Clock()
-	if level, due := l.settling.Look(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
+	if level, due := l.settling.Update(now, l.agreed(), present, l.emptyAtStart.Load() || l.founded.isRecent(now)); due {
 		l.raise(ctx, level, len(present))
 	}
 }
@@ -181,7 +181,7 @@
 
 // listProcesses lists the processes whose levels determine the agreed one. A member that holds leases counts until it
 // is gone, even while it is silent. A node with replicated state counts as long as it belongs to a group, even while it
-// is down, since it may come back with the same build.
+// is down, since it may come back with the same build. A node that recently asked to join counts as well.
 func (l *levels) listProcesses(ctx context.Context) ([]compat.Process, error) {
 	var present []compat.Process
 	for _, member := range l.server.publisher.currentMembers().GetMembers() {
@@ -205,8 +205,8 @@
 		nodes[candidate.ID] = true
 	}
 	for node := range nodes {
-		speaks, _ := l.server.replicas.Speaks(node)
-		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: speaks})
+		level, _ := l.server.replicas.PeerLevel(node)
+		present = append(present, compat.Process{Name: fmt.Sprintf("node %d", node), Speaks: level})
 	}
 	return present, nil
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -148,7 +148,8 @@
 	return s.listener.Addr().String()
 }
 
-// WrittenBytes returns the number of bytes that this node has written to its data file since it opened the file.
+// WrittenBytes returns the number of bytes that this node has written to its data file and its snapshot files since it
+// opened its data folder.
 func (s *Server) WrittenBytes() uint64 { return s.store.WrittenBytes() }
 
 // Run serves until ctx ends, Close is called or a disk failure forces the node to stop. It can be called only once and
@@ -170,7 +171,7 @@
 	server := drpcserver.NewWithOptions(s.config.Guard.Wrap(mux, rolesOf), drpcserver.Options{
 		Manager: drpcmanager.Options{
 			Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-			Stream: drpcstream.Options{ManualFlush: true, MaximumBufferSize: wire.KeptBufferBytes},
+			Stream: drpcstream.Options{ManualFlush: true, MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 		},
 		Log: func(err error) { s.log.WithError(err).Debug("a connection ended") },
 	})
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -71,13 +71,13 @@
 		return nil
 	}
 	s.followTable(version)
-	renewal := &share.Renewal{Holder: holder.holder, Number: holder.answerNumber(request.Sequence), Ends: s.clock() + s.lease}
+	renewal := &share.Renewal{Holder: holder.holder, Number: holder.answerNumber(request.Sequence), LeaseEnds: s.clock() + s.lease}
 	if request.SharesFrom > 0 {
-		renewal.Acted = holder.answerNumber(request.SharesFrom)
+		renewal.AppliedAnswer = holder.answerNumber(request.SharesFrom)
 	}
 	for _, demand := range request.Demands {
 		s.ensureLimit(demand.Resource)
-		renewal.Demands = append(renewal.Demands, share.Told{Resource: demand.Resource, Demand: share.Demand{InUse: demand.InUse, Waiting: demand.Waiting}})
+		renewal.Demands = append(renewal.Demands, share.ResourceDemand{Resource: demand.Resource, Demand: share.Demand{InUse: demand.InUse, Waiting: demand.Waiting}})
 	}
 	grants := s.allocator.Renew(s.clock(), renewal)
 	answered := make([]*wire.ResourceShare, 0, len(grants))
@@ -147,12 +147,12 @@
 		return 0, s.view.Pool(pool) != nil
 	}
 	if name, is := share.RateTenant(resource); is {
-		if found := s.tenants.Named(name); found != nil && found.Quota.Rate > 0 {
+		if found := s.tenants.Find(name); found != nil && found.Quota.Rate > 0 {
 			return found.Quota.Rate * share.RateUnit, true
 		}
 	}
 	if name, is := share.CallsTenant(resource); is {
-		if found := s.tenants.Named(name); found != nil && found.Quota.Concurrency > 0 {
+		if found := s.tenants.Find(name); found != nil && found.Quota.Concurrency > 0 {
 			return found.Quota.Concurrency, true
 		}
 	}
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -90,7 +90,7 @@
 		}
 		slots := p.effectiveSlots(now, grantedSlots(view, p.name))
 		slots += min(p.finishing, finishingPerSlot*slots)
-		for _, start := range p.scheduler.Next(now, rollout.Room{Slots: slots, StalenessBound: uint64(row.StalenessBound)}) {
+		for _, start := range p.scheduler.Next(now, rollout.Capacity{Slots: slots, StalenessBound: uint64(row.StalenessBound)}) {
 			s.startSample(p, start)
 		}
 	}
@@ -121,7 +121,7 @@
 	for _, backend := range view.Backends(pool) {
 		if backend.Serving() {
 			limit := int(backend.MaxInFlight)
-			total += max(0, min(limit-int(backend.LiveRoom), limit*int(backend.RolloutShare)/100))
+			total += max(0, min(limit-int(backend.LiveReserve), limit*int(backend.RolloutShare)/100))
 		}
 	}
 	return total
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -71,7 +71,7 @@
 // Replied reports whether the caller has its final answer or is gone.
 func (m *Machine) Replied() bool { return m.replied }
 
-// Preemptible reports whether a Yield event would preempt the request now: it must be repeatable, replayable,
+// Preemptible reports whether a Preempt event would preempt the request now: it must be repeatable, replayable,
 // unanswered and dispatched to a back end.
 func (m *Machine) Preemptible() bool {
 	return m.request.Repeatable && m.request.Replayable && !m.replied &&
@@ -97,12 +97,12 @@
 		m.onBackendChosen(event)
 	case Suspected:
 		m.onSuspected(event)
-	case BackendNone:
+	case NoBackend:
 		m.onNoBackend(now, event)
 	case LeaseLapsed:
 		m.onLeaseLapsed()
-	case TableMoved:
-		m.onTableMoved()
+	case TableChanged:
+		m.onTableChanged()
 	case SendFailed, RefusedByBackend:
 		m.onNotExecuted(now, event)
 	case SendUnknown, StreamCut:
@@ -115,8 +115,8 @@
 		m.onDeadline()
 	case CallerGone:
 		m.onCallerGone()
-	case Yield:
-		m.onYield()
+	case Preempt:
+		m.onPreempt()
 	}
 	m.finishIfIdle()
 	return m.actions
@@ -250,8 +250,8 @@
 		RetryAfter: m.settings.RetryAfter})
 }
 
-// onTableMoved repeats the choice of a back end on the current table. Nothing was sent, so the try does not count.
-func (m *Machine) onTableMoved() {
+// onTableChanged repeats the choice of a back end on the current table. Nothing was sent, so the try does not count.
+func (m *Machine) onTableChanged() {
 	if m.state == stateSending {
 		m.tries--
 		m.chooseBackend()
@@ -349,9 +349,9 @@
 	m.settleClaim()
 }
 
-// onYield preempts the request: it cancels the execution and returns the slot. The request queues for admission again
+// onPreempt preempts the request: it cancels the execution and returns the slot. The request queues for admission again
 // and continues after the tokens that the caller already has.
-func (m *Machine) onYield() {
+func (m *Machine) onPreempt() {
 	if !m.Preemptible() {
 		return
 	}
--- a/internal/dispatch/settlements_test.go
+++ b/internal/dispatch/settlements_test.go
@@ -9,14 +9,14 @@
 // outage. Few commands may be outstanding, one while the ledger is unavailable, and outcomes go before releases.
 func TestSettlementsLimitOutstandingCommands(t *testing.T) {
 	const limit, count = 8, 1000
-	s := NewSettlements(limit)
+	s := NewSettlementLimiter(limit)
 	var running, order []uint64
 	for id := range uint64(count) {
 		kind := ClaimRelease
 		if id%2 == 1 {
 			kind = ClaimFinish
 		}
-		if s.Ask(id, kind) {
+		if s.TryAcquire(id, kind) {
 			running = append(running, id)
 		}
 	}
@@ -24,7 +24,7 @@
 		t.Fatalf("%d commands outstanding and %d queued, want 8 and 992", len(running), s.Waiting())
 	}
 	settle := func(answered bool) {
-		granted := s.Done(answered)
+		granted := s.Release(answered)
 		order = append(order, running[0])
 		running = append(running[1:], granted...)
 	}
--- a/internal/executor/message.go
+++ b/internal/executor/message.go
@@ -21,8 +21,8 @@
 
 // Protocol is the version of the protocol between executors and leaders of this build. Orders and reports of any other
 // version are rejected, and a leader drives its runs itself if an executor speaks another version. In version 1,
-// reports did not name the order that started their run, so that a late report could be taken for that of a newer run
-// of the same item.
+// reports did not name the order that started their run, and a late report could be mistaken for one of a newer run of
+// the same item.
 const Protocol = 2
 
 // Errors of a run as the leader sees them.
@@ -101,7 +101,7 @@
 // EndOf encodes the end of the run that order started.
 func EndOf(key Key, order Order, outcome *replica.Outcome) *wire.RunEnded {
 	ended := &wire.RunEnded{
-		Key: wireKey(key), Order: WireOrder(order), Verdict: uint32(outcome.Verdict), Status: uint32(outcome.Status), Whole: outcome.Whole,
+		Key: wireKey(key), Order: WireOrder(order), Verdict: uint32(outcome.Verdict), Status: uint32(outcome.Status), Whole: outcome.Complete,
 		Refused: uint32(outcome.Refused), Peer: uint32(outcome.Peer), NotAdmitted: errors.Is(outcome.Err, ErrNotAdmitted),
 		Lost: isConnectionLoss(outcome.Err), Load: wireLoad(outcome.Load, 0),
 	}
@@ -136,7 +136,7 @@
 // those of this package keep only their text.
 func OutcomeOf(ended *wire.RunEnded) replica.Outcome {
 	outcome := replica.Outcome{
-		Verdict: verdict.Verdict(ended.GetVerdict()), Status: int(ended.GetStatus()), Whole: ended.GetWhole(),
+		Verdict: verdict.Verdict(ended.GetVerdict()), Status: int(ended.GetStatus()), Complete: ended.GetWhole(),
 		Refused: replica.Refusal(ended.GetRefused()), Peer: replica.Peer(ended.GetPeer()),
 	}
 	outcome.Load, _ = LoadOf(ended.GetLoad())
--- a/internal/executor/server.go
+++ b/internal/executor/server.go
@@ -93,7 +93,7 @@
 	}
 	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes},
+		Stream: drpcstream.Options{MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 	}, Log: func(err error) { s.config.Log.WithError(err).Debug("leader connection ended") }})
 	swept, stop := context.WithCancel(ctx)
 	defer stop()
@@ -105,8 +105,8 @@
 	return trace.Wrap(err)
 }
 
-// Leave starts draining: no further runs are accepted, and those that are held continue.
-func (s *Server) Leave() {
+// Drain makes the server refuse all further runs. The runs that it holds continue.
+func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.table.Leave()
@@ -234,7 +234,7 @@
 		found = append(found, &wire.HeldRun{
 			Key: one.start.GetKey(), Target: one.start.GetTarget(), ResumeAfter: one.start.GetResumeAfter(),
 			Term: one.order.Term, Number: one.order.Number, Received: received,
-			Ended: outcome != nil, Whole: outcome != nil && outcome.Whole,
+			Ended: outcome != nil, Whole: outcome != nil && outcome.Complete,
 		})
 	}
 	return found
@@ -248,7 +248,7 @@
 // endingLabel returns the metric label for how a run ended.
 func endingLabel(outcome *replica.Outcome) string {
 	switch {
-	case outcome.Whole:
+	case outcome.Complete:
 		return "whole"
 	case errors.Is(outcome.Err, ErrNotAdmitted):
 		return "not_admitted"
--- a/internal/executorclient/fixture_test.go
+++ b/internal/executorclient/fixture_test.go
@@ -39,14 +39,14 @@
 	s.mutex.Lock()
 	s.calls = append(s.calls, call)
 	s.mutex.Unlock()
-	if err := sink.Head(replica.Head{Status: 200, Stream: true, Versions: 7}); err != nil {
+	if err := sink.Head(replica.Head{Status: 200, Stream: true, Version: 7}); err != nil {
 		return replica.Outcome{Verdict: verdict.Ran, Err: err}
 	}
 	for {
 		select {
 		case part, more := <-s.parts:
 			if !more {
-				return replica.Outcome{Verdict: verdict.Ran, Status: 200, Whole: true}
+				return replica.Outcome{Verdict: verdict.Ran, Status: 200, Complete: true}
 			}
 			if err := sink.Body([]byte(part)); err != nil {
 				return replica.Outcome{Verdict: verdict.Ran, Status: 200, Err: err}
@@ -147,7 +147,7 @@
 	}()
 	stop := sync.OnceFunc(func() { cancel(); <-done })
 	t.Cleanup(stop)
-	until(t, "the survey of the executor", fleet.Surveyed)
+	until(t, "the survey of the executor", fleet.IsSurveyed)
 	return &leader{Fleet: fleet, stop: stop}
 }
 
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (c *collectingSink) Came(at time.Duration) {
+func (c *collectingSink) ReceivedAt(at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.came = at
@@ -219,7 +219,7 @@
 
 func (l *leader) start(t *testing.T) *backgroundRun {
 	t.Helper()
-	chosen := l.For("a", "r1")
+	chosen := l.ChooseExecutor("a", "r1")
 	if chosen == nil {
 		t.Fatal("no executor accepts the run")
 	}
--- a/internal/executorclient/fleet_test.go
+++ b/internal/executorclient/fleet_test.go
@@ -25,13 +25,13 @@
 	}
 	close(p.replica.parts)
 	outcome := run.end(t)
-	if !outcome.Whole || outcome.Status != 200 || outcome.Err != nil || outcome.Verdict != verdict.Ran {
+	if !outcome.Complete || outcome.Status != 200 || outcome.Err != nil || outcome.Verdict != verdict.Ran {
 		t.Errorf("outcome %+v, want a complete answer with status 200", outcome)
 	}
 	if want := "one " + strings.Repeat("many ", 2000); run.sink.text() != want {
 		t.Errorf("body of %d bytes, want %d", len(run.sink.text()), len(want))
 	}
-	if head := run.sink.head; head.Status != 200 || !head.Stream || head.Versions != 7 {
+	if head := run.sink.head; head.Status != 200 || !head.Stream || head.Version != 7 {
 		t.Errorf("head %+v, want status 200, stream, version 7", head)
 	}
 	if run.sink.came < before || run.sink.came > monotonic.Now() {
@@ -62,7 +62,7 @@
 	taken := drive(held[0].Do)
 	p.replica.parts <- "three"
 	close(p.replica.parts)
-	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "one two three" {
+	if outcome := taken.end(t); !outcome.Complete || taken.sink.text() != "one two three" {
 		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 	if p.replica.begun() != 1 {
@@ -88,7 +88,7 @@
 		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
-	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "all" {
+	if outcome := taken.end(t); !outcome.Complete || taken.sink.text() != "all" {
 		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 }
@@ -106,7 +106,7 @@
 		t.Fatalf("held runs: %+v", held)
 	}
 	taken := drive(held[0].Do)
-	if chosen := former.For("a", "r1"); chosen != nil {
+	if chosen := former.ChooseExecutor("a", "r1"); chosen != nil {
 		other := startOrder()
 		other.Key.Item = "other"
 		if outcome := chosen.Do(context.Background(), other, &collectingSink{}); outcome.Verdict != verdict.DidNotRun || outcome.Err == nil {
@@ -117,7 +117,7 @@
 	run.end(t)
 	p.replica.parts <- "two"
 	close(p.replica.parts)
-	if outcome := taken.end(t); !outcome.Whole || taken.sink.text() != "one two" {
+	if outcome := taken.end(t); !outcome.Complete || taken.sink.text() != "one two" {
 		t.Errorf("outcome %+v, body %q, want the complete answer", outcome, taken.sink.text())
 	}
 	if p.replica.begun() != 1 {
@@ -153,7 +153,7 @@
 	p.replica.parts <- "two "
 	until(t, "the second part", func() bool { return run.sink.text() == "one two " })
 	close(p.replica.parts)
-	if outcome := run.end(t); !outcome.Whole || run.sink.text() != "one two " || p.replica.begun() != 1 {
+	if outcome := run.end(t); !outcome.Complete || run.sink.text() != "one two " || p.replica.begun() != 1 {
 		t.Errorf("outcome %+v, body %q, %d runs, want a complete answer of one run", outcome, run.sink.text(), p.replica.begun())
 	}
 }
@@ -170,7 +170,7 @@
 	if outcome := run.end(t); !errors.Is(outcome.Err, ErrLost) || outcome.Verdict == verdict.DidNotRun {
 		t.Errorf("outcome %+v, want ErrLost and not did-not-run", outcome)
 	}
-	if lead.For("a", "r1") != nil {
+	if lead.ChooseExecutor("a", "r1") != nil {
 		t.Error("a lost executor was chosen for a run")
 	}
 	p.reset(false)
@@ -194,7 +194,7 @@
 	if outcome := run.end(t); !errors.Is(outcome.Err, executor.ErrNotAdmitted) || outcome.Verdict != verdict.DidNotRun {
 		t.Errorf("outcome %+v, want ErrNotAdmitted and did-not-run", outcome)
 	}
-	if lead.For("a", "r1") != nil {
+	if lead.ChooseExecutor("a", "r1") != nil {
 		t.Error("an executor that did not permit a run was chosen again at once")
 	}
 	if p.replica.begun() != 0 {
@@ -207,18 +207,18 @@
 func TestRunsAreDrivenInTheZoneOfTheReplica(t *testing.T) {
 	p := startProcess(t, "e1")
 	lead := startLeader(t, 1, p)
-	if lead.For("b", "r1") != nil {
+	if lead.ChooseExecutor("b", "r1") != nil {
 		t.Error("an executor of another zone was chosen")
 	}
-	if count := lead.Usable(); count != 1 {
+	if count := lead.CountUsable(); count != 1 {
 		t.Errorf("%d usable executors, want 1", count)
 	}
 	run := lead.start(t)
 	until(t, "the run", func() bool { return p.replica.begun() == 1 })
-	p.server.Leave()
-	until(t, "the report that the executor is draining", func() bool { return lead.For("a", "r1") == nil && lead.Usable() == 0 })
+	p.server.Drain()
+	until(t, "the report that the executor is draining", func() bool { return lead.ChooseExecutor("a", "r1") == nil && lead.CountUsable() == 0 })
 	close(p.replica.parts)
-	if outcome := run.end(t); !outcome.Whole {
+	if outcome := run.end(t); !outcome.Complete {
 		t.Errorf("outcome %+v of a run at a draining executor, want a complete answer", outcome)
 	}
 }
--- a/internal/executorclient/link.go
+++ b/internal/executorclient/link.go
@@ -29,7 +29,7 @@
 	// 0.6 s, and one that is 0.2 s late may be frozen.
 	lateAfter = 800 * time.Millisecond
 	// notPermittedPause is the time for which an executor gets no runs after its routing table or lease did not permit
-	// one. Its copy is behind, so that it would refuse the next run too.
+	// one. Its table or lease is out of date, and it would refuse the next run too.
 	notPermittedPause = 300 * time.Millisecond
 	// maxQueuedOrders limits the orders that wait to be sent to one executor.
 	maxQueuedOrders = 1024
@@ -101,7 +101,7 @@
 	}
 	conn := drpcconn.NewWithOptions(transport, drpcconn.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maximumMessageBytes},
-		Stream: drpcstream.Options{MaximumBufferSize: wire.KeptBufferBytes},
+		Stream: drpcstream.Options{MaximumBufferSize: wire.MaximumRetainedBufferBytes},
 	}})
 	abort := context.AfterFunc(dialing, func() { _ = conn.Close() })
 	stream, err := wire.NewDRPCExecutorClient(conn).Drive(context.WithoutCancel(ctx))
@@ -269,7 +269,7 @@
 // applyReport passes the contents of a report to the followed runs.
 func (l *link) applyReport(report *wire.RunReport) {
 	now := l.fleet.config.Clock()
-	defer l.markReported(now) // last: otherwise Heard would make a run look silent up to now
+	defer l.markReported(now) // last: otherwise LastReportAt would make a run look silent up to now
 	l.mutex.Lock()
 	l.leaving = report.GetLeaving()
 	l.mutex.Unlock()
@@ -310,7 +310,7 @@
 	defer l.mutex.Unlock()
 	followed := l.runs[keyOf(key)]
 	if followed == nil || followed.order != executor.OrderOf(order) {
-		l.fleet.config.Ignored()
+		l.fleet.config.OnIgnoredReport()
 		return nil
 	}
 	return followed
--- a/internal/fairqueue/usage_test.go
+++ b/internal/fairqueue/usage_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestUsageDecays checks that work counts half after each half-life, and that accounts with negligible work are removed.
+// TestUsageDecays checks that work counts half after each half-life, and that accounts with negligible work are
+// removed.
 func TestUsageDecays(t *testing.T) {
 	usage := NewUsage(time.Second)
 	usage.Add("a", 8, 0)
@@ -16,7 +17,7 @@
 		after time.Duration
 		want  float64
 	}{{"a", time.Second, 8}, {"a", 3 * time.Second, 2}, {"b", time.Second, 0}} {
-		if got := usage.Of(test.owner, test.after); got != test.want {
+		if got := usage.Work(test.owner, test.after); got != test.want {
 			t.Errorf("usage of %s is %v after %v, want %v", test.owner, got, test.after, test.want)
 		}
 	}
--- a/internal/fleet/blackbox_test.go
+++ b/internal/fleet/blackbox_test.go
@@ -21,8 +21,8 @@
 	"github.com/tamarindring/tamarindring/internal/workload/caller"
 )
 
-// Back ends that are real processes, so that they can be killed; the others run in the test, whose logs are
-// the truth.
+// Names of the back ends that run as real processes, so that they can be killed. The other back ends run in the test
+// process, and their logs are the reference for the checks.
 const (
 	realEngine      = "engine-real"
 	realApplication = "application-real"
@@ -31,26 +31,26 @@
 const (
 	downTime   = 500 * time.Millisecond
 	stopSettle = 300 * time.Millisecond
-	// pauseTime is beyond the lease of 1.2s and the bound of 2s.
+	// pauseTime is longer than the lease of 1.2 s and the bound of 2 s.
 	pauseTime = 2500 * time.Millisecond
 )
 
 // blackBox is a deployment of real processes under load from the test.
 type blackBox struct {
 	*fleet
-	t        *testing.T
-	binary   string
-	nodes    []*daemon
-	gates    []*daemon
-	makers   []*daemon // coordinators
-	backends []*daemon
-	calls    *caller.Caller
+	t                  *testing.T
+	binary             string
+	controlDaemons     []*daemon
+	gatewayDaemons     []*daemon
+	coordinatorDaemons []*daemon // coordinators
+	backendDaemons     []*daemon
+	calls              *caller.Caller
 
-	mutex   sync.Mutex
-	read    map[string]uint64 // last dispatch read, by the gateway's process
-	since   map[string]int    // dispatches read, by gateway
-	keyRuns map[string]int    // of the application replica that is a real process
-	lastRun uint64
+	mutex          sync.Mutex
+	lastDispatch   map[string]uint64 // sequence of the last dispatch read, by gateway process
+	dispatchCounts map[string]int    // number of dispatches read, by gateway
+	keyRuns        map[string]int    // runs at the application replica that is a real process, by key
+	lastRun        uint64
 }
 
 func newBlackBox(t *testing.T) *blackBox {
@@ -62,13 +62,13 @@
 	if err := config.setDefaults(); err != nil {
 		t.Fatal(err)
 	}
-	b := &blackBox{fleet: newFleet(config), t: t, binary: buildBinary(t), read: map[string]uint64{}, since: map[string]int{}, keyRuns: map[string]int{}}
+	b := &blackBox{fleet: newFleet(config), t: t, binary: buildBinary(t), lastDispatch: map[string]uint64{}, dispatchCounts: map[string]int{}, keyRuns: map[string]int{}}
 	t.Cleanup(b.stopAll)
 	return b
 }
 
 func (b *blackBox) stopAll() {
-	for _, group := range [][]*daemon{b.gates, b.makers, b.nodes, b.backends} {
+	for _, group := range [][]*daemon{b.gatewayDaemons, b.coordinatorDaemons, b.controlDaemons, b.backendDaemons} {
 		for _, one := range group {
 			one.kill()
 		}
@@ -96,7 +96,7 @@
 		made := b.daemon(node.name, b.nodeReady, "control", "--name", node.name, "--id", fmt.Sprint(index+1), "--cluster", clusterID,
 			"--data", filepath.Join(b.config.Folder, node.name))
 		node.address = made.address
-		b.nodes = append(b.nodes, made)
+		b.controlDaemons = append(b.controlDaemons, made)
 		peers = append(peers, fmt.Sprintf("%d=%s@%s", index+1, made.name, made.address))
 	}
 	client, err := controlclient.New(b.controlConfig("test", newCable()))
@@ -105,7 +105,7 @@
 	}
 	b.client = client
 	var starting sync.WaitGroup
-	for _, node := range b.nodes {
+	for _, node := range b.controlDaemons {
 		node.arguments = append(node.arguments, "--peers", strings.Join(peers, ","))
 		starting.Go(node.start) // none is ready without a quorum
 	}
@@ -114,7 +114,7 @@
 
 var errNoLeader = errors.New("a group has no leader")
 
-// nodeReady tells whether a control node knows a leader of each group.
+// nodeReady returns nil if a control node knows a leader of each group.
 func (b *blackBox) nodeReady(ctx context.Context, node *daemon) error {
 	ctx, cancel := context.WithTimeout(ctx, requestLimit)
 	defer cancel()
@@ -130,16 +130,16 @@
 	return nil
 }
 
-// startBackends starts the stand-ins, one of each kind as a process, and makes the table.
+// startBackends starts the simulated back ends, one of each kind as a process, and creates the table.
 func (b *blackBox) startBackends(ctx context.Context) {
 	if err := b.fleet.startBackends(ctx); err != nil {
 		b.t.Fatal(err)
 	}
-	b.backends = []*daemon{
-		b.daemon(realEngine, answers("/v1/load"), "standin", "engine", "--name", realEngine, "--weight-store", b.store.address),
-		b.daemon(realApplication, answers("/v1/load"), "standin", "application", "--name", realApplication),
+	b.backendDaemons = []*daemon{
+		b.daemon(realEngine, readyAt("/v1/load"), "standin", "engine", "--name", realEngine, "--weight-store", b.store.address),
+		b.daemon(realApplication, readyAt("/v1/load"), "standin", "application", "--name", realApplication),
 	}
-	for _, one := range b.backends {
+	for _, one := range b.backendDaemons {
 		one.start()
 	}
 	if err := b.createTable(ctx); err != nil {
@@ -147,43 +147,44 @@
 	}
 	edits := []operator.Edit{}
 	for row, pool := range map[string]string{realEngine: poolModel, realApplication: b.config.Deployment.ApplicationPool} {
-		address := b.backends[0].address
+		address := b.backendDaemons[0].address
 		if row == realApplication {
-			address = b.backends[1].address
+			address = b.backendDaemons[1].address
 		}
 		edits = append(edits, operator.Edit{Row: row, Column: table.ColumnKind, To: string(table.Backend)},
 			operator.Edit{Row: row, Column: table.ColumnPool, To: pool}, operator.Edit{Row: row, Column: table.ColumnAddress, To: address})
 	}
 	made := newTableOperator(b.fleet)
-	if !made.change(ctx, 0, "test", b.evidence.table.latest(), edits...) {
+	if !made.change(ctx, 0, "test", b.evidence.table.latestVersion(), edits...) {
 		b.t.Fatal("the real back ends were not added to the table")
 	}
 }
 
-// startServers starts gateways and coordinators.
+// startServers starts the gateways and coordinators.
 func (b *blackBox) startServers() {
 	control := strings.Join(b.controlAddresses(), ",")
 	for _, part := range b.gateways {
-		b.gates = append(b.gates, b.daemon(part.name, answers("/readyz"), "gateway", "--name", part.name, "--zone", part.zone, "--control", control))
+		b.gatewayDaemons = append(b.gatewayDaemons, b.daemon(part.name, readyAt("/readyz"), "gateway", "--name", part.name, "--zone", part.zone, "--control", control))
 	}
 	for _, part := range b.rollouts.coordinators {
-		made := b.daemon(part.name, answers("/v1/stats"), "coordinator", "--name", part.name, "--zone", part.zone, "--control", control,
+		made := b.daemon(part.name, readyAt("/v1/stats"), "coordinator", "--name", part.name, "--zone", part.zone, "--control", control,
 			"--scorer", b.scorer.address, "--weight-store", b.store.address)
 		part.address = made.address
-		b.makers = append(b.makers, made)
+		b.coordinatorDaemons = append(b.coordinatorDaemons, made)
 	}
-	for _, one := range append(append([]*daemon{}, b.gates...), b.makers...) {
+	for _, one := range append(append([]*daemon{}, b.gatewayDaemons...), b.coordinatorDaemons...) {
 		one.start()
 	}
-	for _, one := range b.gates {
+	for _, one := range b.gatewayDaemons {
 		b.directory.add(one.address)
 	}
 }
 
-// knownEngines checks the segments that engines in the test generated; what a killed process knew is lost.
-type knownEngines struct{ trainer.Truth }
+// knownEngines checks only the segments generated by engines in the test process. The records of the engine that runs
+// as a process are lost when it is killed.
+type knownEngines struct{ trainer.SampleChecker }
 
-// Check implements trainer.Truth.
+// Check implements trainer.SampleChecker.
 func (k knownEngines) Check(prompt string, sample trainer.Sample) error {
 	known := sample
 	known.Segments = nil
@@ -192,17 +193,17 @@
 			known.Segments = append(known.Segments, segment)
 		}
 	}
-	return k.Truth.Check(prompt, known)
+	return k.SampleChecker.Check(prompt, known)
 }
 
-// load starts callers, operator, trainer and the collection of evidence; the returned function ends them.
+// load starts callers, operator, trainer and the collection of evidence. The returned function ends them.
 func (b *blackBox) load(ctx context.Context) func() {
 	calls, err := b.newCaller()
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.calls = calls
-	if err := b.rollouts.startTrainer(knownEngines{trainer.NewEngines(servers(b.engines)...)}); err != nil {
+	if err := b.rollouts.startTrainer(knownEngines{trainer.NewEngineLogs(servers(b.engines)...)}); err != nil {
 		b.t.Fatal(err)
 	}
 	loading, stopLoad := context.WithCancel(ctx)
@@ -225,19 +226,19 @@
 	}
 }
 
-// collect reads the logs of the gateways and of the application replica that is a process.
+// collect reads the logs of the gateways and of the application replica that runs as a process.
 func (b *blackBox) collect() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for _, gate := range b.gates {
-		content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", gate.address, b.read[gate.name]))
+	for _, gate := range b.gatewayDaemons {
+		content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", gate.address, b.lastDispatch[gate.name]))
 		var log struct{ Dispatches []gateway.Dispatch }
 		if err != nil || json.Unmarshal(content, &log) != nil {
 			continue // it is down or paused
 		}
 		for _, dispatch := range log.Dispatches {
-			b.read[gate.name] = dispatch.Sequence
-			b.since[gate.name]++
+			b.lastDispatch[gate.name] = dispatch.Sequence
+			b.dispatchCounts[gate.name]++
 			b.examineDispatch(dispatch)
 		}
 	}
@@ -245,7 +246,7 @@
 }
 
 func (b *blackBox) collectRuns() {
-	content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", b.backends[1].address, b.lastRun))
+	content, err := get(context.Background(), fmt.Sprintf("http://%s/v1/log?after=%d", b.backendDaemons[1].address, b.lastRun))
 	var log struct{ Executions []application.Execution }
 	if err != nil || json.Unmarshal(content, &log) != nil {
 		return
@@ -258,22 +259,22 @@
 	}
 }
 
-// runsAnywhere counts a key's runs at all replicas, as far as they are known.
+// runsAnywhere counts the known runs of a key at all replicas.
 func (b *blackBox) runsAnywhere(key string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.runs(key) + b.keyRuns[key]
 }
 
-// killEach kills one process of each role under load and starts it again.
+// killEach kills and restarts one process of each role under load.
 func (b *blackBox) killEach() {
 	leader := b.leader()
-	for _, victim := range []*daemon{b.gates[0], b.makers[0], leader, b.backends[0], b.backends[1]} {
-		b.collect() // what a killed process logged is lost
+	for _, victim := range []*daemon{b.gatewayDaemons[0], b.coordinatorDaemons[0], leader, b.backendDaemons[0], b.backendDaemons[1]} {
+		b.collect() // a killed process loses its log
 		victim.kill()
 		time.Sleep(downTime)
 		b.mutex.Lock()
-		b.read[victim.name] = 0
+		b.lastDispatch[victim.name] = 0
 		if victim.name == realApplication {
 			b.lastRun = 0
 		}
@@ -282,34 +283,34 @@
 	}
 }
 
-// electionLimit bounds the wait for a leader; an election takes a second, on a busy machine several.
+// electionLimit bounds the wait for a leader. An election takes a second, and several on a busy machine.
 const electionLimit = 30 * time.Second
 
-// leader returns the control node that leads the control group, after an election if one is under way.
+// leader returns the control node that leads the control group. It waits for an election in progress.
 func (b *blackBox) leader() *daemon {
 	b.t.Helper()
 	for end := time.Now().Add(electionLimit); time.Now().Before(end); time.Sleep(stopSettle) {
 		for _, node := range operator.ReadStatus(context.Background(), b.client).Nodes {
 			for _, group := range node.Groups {
 				if group.Group == 0 && group.Role == "leader" {
-					return b.nodes[node.ID-1]
+					return b.controlDaemons[node.ID-1]
 				}
 			}
 		}
 	}
-	b.t.Fatal("no control node leads")
+	b.t.Fatal("no control node became leader within the limit")
 	return nil
 }
 
-// restartAll stops and starts every process by plan, one after another. No call may fail meanwhile.
+// restartAll stops and restarts every process by plan, one after another. No call may fail meanwhile.
 func (b *blackBox) restartAll() {
-	for _, one := range append(append(append([]*daemon{}, b.gates...), b.makers...), b.nodes...) {
+	for _, one := range append(append(append([]*daemon{}, b.gatewayDaemons...), b.coordinatorDaemons...), b.controlDaemons...) {
 		before := b.calls.Stats()
 		b.collect()
 		forget := time.AfterFunc(directoryLag, func() { b.directory.remove(one.address) })
 		one.drain()
 		b.mutex.Lock()
-		b.read[one.name] = 0
+		b.lastDispatch[one.name] = 0
 		b.mutex.Unlock()
 		one.start()
 		forget.Stop()
@@ -321,43 +322,44 @@
 	}
 }
 
-// await waits until a condition holds; it is false when it does not within the time of an election.
-func (b *blackBox) await(holds func() bool) bool {
+// waitFor waits up to electionLimit for a condition and reports whether it holds.
+func (b *blackBox) waitFor(holds func() bool) bool {
 	for end := time.Now().Add(electionLimit); !holds() && time.Now().Before(end); time.Sleep(stopSettle) {
 	}
 	return holds()
 }
 
-// pauseBeyondTheLease stops a gateway and the leading control node in mid-air and lets them go on: they may
-// not act on what they knew. The pause lasts until a change was accepted without them.
+// pauseBeyondTheLease pauses a gateway and the leading control node and resumes them. They must not act on outdated
+// state after that. The pause lasts until a change was accepted without them.
 func (b *blackBox) pauseBeyondTheLease() {
-	gate, leader := b.gates[1], b.leader()
-	version := b.evidence.table.latest()
+	gate, leader := b.gatewayDaemons[1], b.leader()
+	version := b.evidence.table.latestVersion()
 	for _, victim := range []*daemon{gate, leader} {
 		victim.signal(syscall.SIGSTOP)
 	}
 	time.Sleep(pauseTime)
-	if !b.await(func() bool { return b.evidence.table.latest() != version }) {
+	if !b.waitFor(func() bool { return b.evidence.table.latestVersion() != version }) {
 		b.t.Errorf("no change was accepted while %s was paused", leader.name)
 	}
 	before := b.dispatched(gate)
 	for _, victim := range []*daemon{gate, leader} {
 		victim.signal(syscall.SIGCONT)
 	}
-	if !b.await(func() bool { return b.dispatched(gate) != before }) {
-		b.t.Errorf("%s sent nothing after it went on", gate.name)
+	if !b.waitFor(func() bool { return b.dispatched(gate) != before }) {
+		b.t.Errorf("%s dispatched nothing after it was resumed", gate.name)
 	}
 }
 
-// dispatched reads the logs and returns how many dispatches of a gateway were read so far.
+// dispatched reads the logs and returns how many dispatches of a gateway have been read so far.
 func (b *blackBox) dispatched(gate *daemon) int {
 	b.collect()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.since[gate.name]
+	return b.dispatchCounts[gate.name]
 }
 
-// TestRealProcessesBreakAPromiseUnderKillsRestartsAndPauses drives processes of the built binary.
+// TestRealProcessesBreakAPromiseUnderKillsRestartsAndPauses checks the promised invariants on processes of the built
+// binary that are restarted, killed, and paused beyond their lease.
 func TestRealProcessesBreakAPromiseUnderKillsRestartsAndPauses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes and runs for half a minute")
@@ -370,7 +372,7 @@
 	finish := b.load(ctx)
 	time.Sleep(time.Second)
 	b.leaveBackends()
-	b.restartAll() // first: a call that a kill met may fail much later
+	b.restartAll() // before the kills, because a call affected by a kill may fail much later
 	b.killEach()
 	b.pauseBeyondTheLease()
 	finish()
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -33,7 +33,7 @@
 	sendNumber      int // among the sends of its request, from 1
 	started         time.Time
 	sentAt          time.Time // immediately before the first byte; zero: nothing was sent
-	startReported   bool      // Config.Began was called
+	startReported   bool      // Config.OnRunStarted was called
 	reportedHealth  health    // what the finished attempt indicates about its back end
 	routingRequest  routing.Request
 	call            *replica.Call
@@ -52,9 +52,9 @@
 		resuming: x.partForwarded, resumable: x.route.Resumable && x.route.Kind == table.Stream, lastEventID: x.lastEventID}
 	x.sends++
 	created := &attempt{forwarder: x.forwarder, pool: x.pool, target: chosen.target, chosen: chosen, sendNumber: x.sends, routingRequest: x.routingRequest,
-		started: x.forwarder.config.Now(), call: x.newCall(chosen), answer: sink, requestMayFail: x.request.Failed != nil, permittedRun: x.permittedRun}
+		started: x.forwarder.config.Now(), call: x.newCall(chosen), answer: sink, requestMayFail: x.request.OnServerError != nil, permittedRun: x.permittedRun}
 	if x.permittedRun = nil; created.permittedRun != nil {
-		created.permittedRun.At(chosen.target.Instance, chosen.target.Address)
+		created.permittedRun.SetBackEnd(chosen.target.Instance, chosen.target.Address)
 	}
 	sink.mayReplace = func() bool { return created.mayFollowUp(kindRetry) }
 	created.watchStart()
@@ -62,7 +62,8 @@
 	return created
 }
 
-// send sends the request to the chosen back end, hedges it if the route permits that, and evaluates the outcome.
+// send sends the request to the chosen back end and evaluates the outcome. A repeatable request of a route with a target
+// latency is hedged if the back end is slow to answer.
 func (x *exchange) send(ctx context.Context, chosen choice) (*Failure, bool) {
 	first := x.newAttempt(chosen, new(atomic.Pointer[answer]), x.canRepeat() && chosen.hasSpare && x.attemptsUsed+1 < int(x.route.MaxAttempts))
 	if !first.answer.replaceable || x.partForwarded || x.route.TargetLatency <= 0 {
@@ -136,10 +137,10 @@
 	return x.newAttempt(chosen, first.answer.owner, false)
 }
 
-// watchStart calls Config.Began as soon as the answer's head shows that the request runs. A long stream ends much
-// later.
+// watchStart calls Config.OnRunStarted as soon as the answer's head shows that the request runs. A long stream ends
+// much later.
 func (a *attempt) watchStart() {
-	if a.forwarder.config.Began == nil {
+	if a.forwarder.config.OnRunStarted == nil {
 		return
 	}
 	admit := a.call.Admit
@@ -156,13 +157,13 @@
 	}
 }
 
-// reportStart calls Config.Began unless that was done already.
+// reportStart calls Config.OnRunStarted unless that was done already.
 func (a *attempt) reportStart(at time.Time) {
-	if a.startReported || a.forwarder.config.Began == nil {
+	if a.startReported || a.forwarder.config.OnRunStarted == nil {
 		return
 	}
 	a.startReported = true
-	a.forwarder.config.Began(a.call.Tenant, at)
+	a.forwarder.config.OnRunStarted(a.call.Tenant, at)
 }
 
 // run sends the request and receives the answer.
@@ -170,7 +171,7 @@
 	ctx, stop := a.pool.trackSend(ctx, a)
 	defer stop()
 	a.outcome = a.forwarder.config.Caller.Do(ctx, a.call, a.answer)
-	if !a.outcome.Whole {
+	if !a.outcome.Complete {
 		a.answer.buffer.release() // a partial answer is useless
 	}
 	if a.outcome.Err != nil && errors.Is(context.Cause(ctx), errRestarted) {
@@ -182,7 +183,7 @@
 	a.crashedBySum = a.recordCrash()
 	a.endRun(ctx)
 	a.reportedHealth = a.assessHealth(ctx)
-	a.pool.endBody(a.forwarder.now(), a.chosen.largeBody, a.outcome.Whole)
+	a.pool.endBody(a.forwarder.now(), a.chosen.largeBody, a.outcome.Complete)
 	changed := a.pool.endSend(a.forwarder.now(), a.target.Instance, &a.routingRequest, a.reportedHealth, a.loadObservation())
 	a.forwarder.metrics.countSend(a, a.forwarder.config.Now().Sub(a.started))
 	a.logHealthChange(changed)
@@ -204,7 +205,7 @@
 func (a *attempt) assessHealth(ctx context.Context) health {
 	outcome := &a.outcome
 	switch {
-	case outcome.Whole && outcome.Status < 500:
+	case outcome.Complete && outcome.Status < 500:
 		return healthGood
 	case a.requestMayFail && a.isServerFailure():
 		return healthDoubtful
@@ -240,10 +241,10 @@
 
 // conclude forwards a whole answer, or decides how to continue without one.
 func (x *exchange) conclude(ctx context.Context, a *attempt) (*Failure, bool) {
-	if x.request.Failed != nil && a.isServerFailure() {
-		x.request.Failed(a.target.Instance)
+	if x.request.OnServerError != nil && a.isServerFailure() {
+		x.request.OnServerError(a.target.Instance)
 	}
-	if !a.outcome.Whole {
+	if !a.outcome.Complete {
 		x.logAttempt(a)
 		return x.decideNext(ctx, a)
 	}
--- a/internal/forward/began_test.go
+++ b/internal/forward/began_test.go
@@ -12,10 +12,10 @@
 	"github.com/tamarindring/tamarindring/internal/verdict"
 )
 
-// TestBeganIsReportedOncePerRun checks that Config.Began is called once for each back end that ran or may have run a
-// request, with the time at which the run began: the first event of a stream and otherwise the send, even if the answer
-// comes much later or never.
-func TestBeganIsReportedOncePerRun(t *testing.T) {
+// TestRunStartIsReportedOncePerRun checks that Config.OnRunStarted is called once for each back end that ran or may
+// have run a request, with the time at which the run began: the first event of a stream and otherwise the send, even if
+// the answer comes much later or never.
+func TestRunStartIsReportedOncePerRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		script []step
 		want   []time.Duration
@@ -31,29 +31,29 @@
 			start := time.Now()
 			var mutex sync.Mutex
 			var reported []time.Duration
-			f.config.Began = func(tenant string, at time.Time) {
+			f.config.OnRunStarted = func(tenant string, at time.Time) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				if tenant != "One" {
-					t.Errorf("%s: Began was called for tenant %q, want \"One\"", name, tenant)
+					t.Errorf("%s: OnRunStarted was called for tenant %q, want \"One\"", name, tenant)
 				}
 				reported = append(reported, at.Sub(start))
 			}
 			f.serveWithKey("k1", "")
 			if !slices.Equal(reported, test.want) {
-				t.Errorf("%s: Began was called at %v, want %v", name, reported, test.want)
+				t.Errorf("%s: OnRunStarted was called at %v, want %v", name, reported, test.want)
 			}
 		})
 	}
 }
 
-// TestBeganIsNotReportedWithoutLease checks that a request whose lease lapses immediately before the send does not
+// TestRunStartIsNotReportedWithoutLease checks that a request whose lease lapses immediately before the send does not
 // count as usage of its tenant.
-func TestBeganIsNotReportedWithoutLease(t *testing.T) {
+func TestRunStartIsNotReportedWithoutLease(t *testing.T) {
 	f := newFixture(t, tenantRows, func(_ context.Context, _ *replica.Call, _ replica.Sink) replica.Outcome {
 		return replica.Outcome{Verdict: verdict.DidNotRun, Err: errNoLease}
 	})
-	f.config.Began = func(string, time.Time) { t.Error("Began was called for a request that was not sent") }
+	f.config.OnRunStarted = func(string, time.Time) { t.Error("OnRunStarted was called for a request that was not sent") }
 	if failure := f.serveWithKey("k1", ""); failure == nil {
 		t.Error("the request was answered, want a failure")
 	}
--- a/internal/forward/largebodies.go
+++ b/internal/forward/largebodies.go
@@ -103,8 +103,9 @@
 	return p.enqueueLocked(now, bytes), true
 }
 
-// leastHeld returns the fewest bytes held by a usable back end with free space for the body. full reports that no such
-// back end exists, but that there are back ends that can take the body later. The caller holds the mutex.
+// leastHeld returns the fewest bytes held by a usable back end with free space for the body. full reports that the body
+// must wait: other bodies are queued before it, or only back ends without free space could take it. The caller holds the
+// mutex.
 func (p *pool) leastHeld(now time.Duration, request *routing.Request, bytes int64, waiting *largeBodyWait, usable func(i int) bool) (least int64, full bool) {
 	if len(p.large.queue) > 0 && p.large.queue[0] != waiting {
 		return 0, true
@@ -186,19 +187,20 @@
 	crash := p.large.ledger.Crashed(now, instance)
 	if crash.New && p.large.sharing.active {
 		p.publishLimit(now)
-		p.large.sharing.source.RenewSoon()
+		p.large.sharing.source.RenewEarly()
 	}
 	p.notifyLarge(now)
 	return crash
 }
 
-// watchBodyAccept records as soon as the back end has received the attempt's large body.
+// watchBodyAccept makes the attempt call acceptBody as soon as the back end has received its large body or has begun to
+// answer it.
 func (a *attempt) watchBodyAccept() {
 	if a.chosen.largeBody == nil {
 		return
 	}
 	accept := func() { a.pool.acceptBody(a.forwarder.now(), a.chosen.largeBody) }
-	a.call.Taken = accept
+	a.call.OnReceived = accept
 	before := a.answer.onHead
 	a.answer.onHead = func(stream bool) {
 		accept()
@@ -211,7 +213,7 @@
 // recordCrash lets the pool learn from a crash of the attempt's back end. It reports whether the total size of the
 // large bodies there caused the crash.
 func (a *attempt) recordCrash() (bySum bool) {
-	if a.outcome.Whole || a.outcome.Peer != replica.PeerGone && !errors.Is(a.outcome.Err, errRestarted) {
+	if a.outcome.Complete || a.outcome.Peer != replica.PeerGone && !errors.Is(a.outcome.Err, errRestarted) {
 		return false
 	}
 	if a.hasSuspectAtReplica() {
@@ -224,9 +226,9 @@
 	if crash.New {
 		a.forwarder.metrics.countCrash(crash)
 		logging.Emit(a.forwarder.config.Log, &events.LargeBodyCrash{Pool: a.pool.name, Replica: a.target.Instance, Request: a.call.AttemptID,
-			HeldBytes: crash.Bytes, Bodies: crash.Bodies, AnsweredBytes: crash.MaxAnswered, LimitBytes: crash.Limit, BySum: crash.BySum})
+			HeldBytes: crash.Bytes, Bodies: crash.Bodies, AnsweredBytes: crash.MaxAnswered, LimitBytes: crash.Limit, BySum: crash.ByTotal})
 	}
-	return crash.BySum
+	return crash.ByTotal
 }
 
 // hasSuspectAtReplica reports whether a suspect of this process runs at the attempt's back end.
@@ -243,7 +245,7 @@
 		return poisonguard.CrashedBySum
 	case errors.Is(a.outcome.Err, errRestarted):
 		return poisonguard.Crashed
-	case ending == poisonguard.BrokeOff && errors.Is(ctx.Err(), context.Canceled):
+	case ending == poisonguard.Interrupted && errors.Is(ctx.Err(), context.Canceled):
 		return poisonguard.Stopped
 	}
 	return ending
--- a/internal/forward/largeroom_test.go
+++ b/internal/forward/largeroom_test.go
@@ -220,8 +220,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			gone := make(chan struct{})
 			crash := func(_ context.Context, call *replica.Call, _ replica.Sink) replica.Outcome {
-				if call.Taken != nil {
-					call.Taken()
+				if call.OnReceived != nil {
+					call.OnReceived()
 				}
 				<-gone
 				return replica.Outcome{Verdict: verdict.MayHaveRun, Peer: replica.PeerGone, Err: errReset}
@@ -243,7 +243,7 @@
 			close(gone)
 			calls.Wait()
 			ledger := pool.large.ledger
-			if ledger.Limit(f.now()) != 0 || ledger.LoneCrash(f.now()) != 0 {
+			if ledger.Limit(f.now()) != 0 || ledger.SingleBodyCrash(f.now()) != 0 {
 				t.Errorf("the crash under a suspect of %d bytes led to a limit of %d, want none", size, ledger.Limit(f.now()))
 			}
 		})
--- a/internal/forward/log.go
+++ b/internal/forward/log.go
@@ -45,7 +45,7 @@
 	figures := &refusal.Figures
 	logging.Emit(x.forwarder.config.Log, &events.AdmissionRefused{
 		Request: x.request.AttemptID, Tenant: x.tenantName, Weight: request.Weight, Class: request.Class, Pool: pool.name,
-		Reason: refusal.Reason.Name(), Returned: request.Returned, Slots: figures.Slots, Reach: figures.Reach, InFlight: figures.InFlight,
+		Reason: refusal.Reason.Name(), Returned: request.Retried, Slots: figures.Slots, Reach: figures.Reach, InFlight: figures.InFlight,
 		Waiting: figures.Waiting, Ahead: figures.Ahead, ServiceMs: events.Millis(figures.Service),
 		ExpectedWaitMs: events.Millis(figures.ExpectedWait), AllowedMs: events.Millis(figures.Allowed),
 		RetryAfterMs: events.Millis(failure.RetryAfter),
@@ -98,7 +98,7 @@
 
 // logTable logs a new table version. The caller holds the mutex.
 func (f *Forwarder) logTable(view *table.View, next *plan) {
-	if !logging.Wanted(f.config.Log, (&events.TableAdopted{}).Kind()) {
+	if !logging.IsEnabled(f.config.Log, (&events.TableAdopted{}).Kind()) {
 		return
 	}
 	event := &events.TableAdopted{TableVersion: next.version, Routes: len(next.routes.Routes())}
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -107,7 +107,7 @@
 // countCrash records a back end that crashed while it held large bodies.
 func (c *forwarderMetrics) countCrash(crash replicabytes.Crash) {
 	cause := "request"
-	if crash.BySum {
+	if crash.ByTotal {
 		cause = "sum"
 	}
 	c.crashes.WithLabelValues(cause).Inc()
@@ -117,7 +117,7 @@
 func (c *forwarderMetrics) countSend(a *attempt, took time.Duration) {
 	outcome := refusalNames[a.outcome.Refused]
 	switch {
-	case a.outcome.Whole:
+	case a.outcome.Complete:
 		outcome = sendWhole
 	case outcome == "":
 		outcome = sendFailed
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -24,10 +24,10 @@
 	Deadline time.Duration
 	// Work is the expected work in tokens. 0: unknown.
 	Work float64
-	// Failed is called before Serve returns with each back end that answered status 500. May be nil. Set it for
+	// OnServerError is called before Serve returns with each back end that answered status 500. May be nil. Set it for
 	// requests that may fail through their own fault: such an answer then counts as half a failure of the back end
 	// instead of a whole one.
-	Failed func(replica string)
+	OnServerError func(replica string)
 }
 
 // Reply receives the answer for the caller. Its methods return an error if the caller is gone.
@@ -95,7 +95,8 @@
 // Bounds of RetryAfter for requests that did not run.
 const (
 	minRetryAfter = 50 * time.Millisecond
-	// maxRetryAfter limits how far ahead free capacity is predicted, because replicas come and go within seconds.
+	// maxRetryAfter applies even if capacity is expected to become free later. Such an estimate is of little use,
+	// because replicas come and go within seconds.
 	maxRetryAfter = 2 * time.Second
 	// noLeaseRetryAfter is used while this process holds no lease. A lease returns after an election.
 	noLeaseRetryAfter = time.Second
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -30,8 +30,8 @@
 	// defaultWorkTokens is the assumed work, in tokens, of a request of unknown size. It exceeds the routing cost of
 	// another zone, so that the less busy of two back ends is chosen across zones.
 	defaultWorkTokens = 64
-	// slotWaitDivisor bounds the wait for a slot to this fraction of the route's target latency, or of its timeout if
-	// it has no target. A request that is not running by then does better to be rejected and sent again.
+	// slotWaitDivisor bounds the wait for a slot: it lasts at most the route's target latency, or its timeout if it
+	// has no target, divided by this. A request that is not running by then does better to be rejected and sent again.
 	slotWaitDivisor = 4
 )
 
@@ -297,7 +297,7 @@
 	x.resetTriedFor(pool)
 	now := x.forwarder.now()
 	request := x.newAdmissionRequest(now)
-	request.Returned = pool.takeRejected(now, x.digest)
+	request.Retried = pool.takeRejected(now, x.digest)
 	refusal, err := pool.acquireSlot(ctx, x.forwarder.now, request, x.maxSlotWait())
 	x.forwarder.metrics.countAdmission(refusal.Reason, err, x.forwarder.now()-now)
 	if err != nil {
@@ -337,7 +337,7 @@
 	failure := x.newFailure(ctx, Overloaded, errors.New(refusal.Reason.String()))
 	if failure.Verdict == verdict.DidNotRun {
 		failure.RetryAfter = min(max(refusal.RetryAfter, minRetryAfter), maxRetryAfter)
-		if !request.Returned {
+		if !request.Retried {
 			pool.noteRejected(x.forwarder.now(), x.digest(), failure.RetryAfter)
 		}
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -114,7 +114,7 @@
 		request.Key = c.pool + "/" + c.key
 		request.BodyHash = c.hashBody()
 		x.claimGroup = x.server.config.Control.ClaimGroup(request.Key)
-		request.Ticket = x.server.config.Control.Ticket(x.claimGroup)
+		request.Ticket = x.server.config.Control.LearnedIndex(x.claimGroup)
 	}
 	return request
 }
@@ -266,12 +266,12 @@
 	chosen, ok := x.pool.choose(x.server.now(), &x.routingRequest, excluded, x.call.preferred)
 	x.chosen = chosen
 	if !ok {
-		x.queueEvent(dispatch.Event{Kind: dispatch.BackendNone})
+		x.queueEvent(dispatch.Event{Kind: dispatch.NoBackend})
 		return
 	}
 	x.countedAtBackend = true
 	if x.run != nil {
-		x.run.At(chosen.name, chosen.address)
+		x.run.SetBackEnd(chosen.name, chosen.address)
 	}
 	x.backendName.Store(&chosen.name)
 	x.queueEvent(dispatch.Event{Kind: dispatch.BackendChosen, Backend: chosen.name})
--- a/internal/metering/flusher.go
+++ b/internal/metering/flusher.go
@@ -27,8 +27,8 @@
 	flushTimeout = 900 * time.Millisecond
 )
 
-// controlGroup is the consensus group whose ledger keeps the usage. Package state defines it too, but imports this
-// package.
+// controlGroup is the consensus group whose ledger keeps the usage. It repeats the value in package state, which cannot
+// be imported here because it imports this package.
 const controlGroup uint32 = 0
 
 // Control is the part of a control nodes' client that this package uses.
@@ -59,7 +59,7 @@
 
 	mutex sync.Mutex // guards the fields below
 	meter *usage.Meter
-	clock usage.Steady
+	clock usage.SteadyClock
 }
 
 // NewFlusher returns a flusher. It hands counts over only while Run is running or when Flush is called. It returns an
--- a/internal/poisonguard/run.go
+++ b/internal/poisonguard/run.go
@@ -19,7 +19,7 @@
 	NotRun       Ending = iota // the run never began
 	Answered                   // the answer was complete, with any status: the back end survived the run
 	Stopped                    // the caller or this process stopped the run
-	BrokeOff                   // the request may have run, and it is not known yet whether the back end crashed
+	Interrupted                // the request may have run, and it is not known yet whether the back end crashed
 	Crashed                    // the back end crashed
 	CrashedBySum               // the back end crashed because of its large requests together, not because of a single one
 )
@@ -29,12 +29,12 @@
 	switch {
 	case outcome.Verdict == verdict.DidNotRun:
 		return NotRun
-	case outcome.Whole:
+	case outcome.Complete:
 		return Answered
 	case outcome.Peer == replica.PeerGone:
 		return Crashed
 	}
-	return BrokeOff
+	return Interrupted
 }
 
 // Run is one permitted run of a request at one back end.
@@ -52,10 +52,10 @@
 }
 
 // Begin asks for one run of a request. The run is nil if the request must not run now. Otherwise the caller ends the
-// run with End, or with Note and the function that Note returns. identify is called only if there are suspects or a
-// back end crashes. If this process observed a crash of the request that is not on record yet, Begin waits until it is,
-// for maximumRecordWait at most and no longer than ctx. A run before that could crash another back end of which only
-// this process would know.
+// run with End, or with NoteEnding and the function that NoteEnding returns. identify is called only if there are
+// suspects or a back end crashes. If this process observed a crash of the request that is not on record yet, Begin
+// waits until it is, for maximumRecordWait at most and no longer than ctx. A run before that could crash another back
+// end of which only this process would know.
 func (g *Guard) Begin(ctx context.Context, identify func() poison.Identity) (*Run, poison.Judgment) {
 	run := &Run{guard: g, identify: identify}
 	if g.hasNoSuspects() {
@@ -78,7 +78,7 @@
 func (r *Run) begin(ctx context.Context, judged poison.Judgment) (*Run, poison.Judgment) {
 	r.judged = judged
 	switch judged.Permission {
-	case poison.Rest:
+	case poison.Blocked:
 		r.guard.counts.refused.WithLabelValues(judged.Permission.String()).Inc()
 		return nil, judged
 	case poison.Trial:
@@ -92,10 +92,10 @@
 
 // claim claims the only run of a suspect that is permitted at a time in the whole deployment.
 func (r *Run) claim(ctx context.Context) (*Run, poison.Judgment) {
-	outcome, err := r.guard.send(ctx, poison.Want{Step: poison.Claim, Digest: r.digest, Crashes: r.judged.Recorded})
+	outcome, err := r.guard.send(ctx, poison.StepRequest{Step: poison.Claim, Digest: r.digest, Crashes: r.judged.Recorded})
 	if err != nil || !outcome.Done {
 		r.guard.counts.refused.WithLabelValues(poison.Trial.String()).Inc()
-		return nil, poison.Judgment{Permission: poison.Rest, Crashes: r.judged.Crashes, Recorded: r.judged.Recorded, Left: failedClaimRest}
+		return nil, poison.Judgment{Permission: poison.Blocked, Crashes: r.judged.Crashes, Recorded: r.judged.Recorded, Remaining: failedClaimRest}
 	}
 	r.claimed = outcome.Crashes
 	return r, r.judged
@@ -117,8 +117,8 @@
 // other processes do. Any other run must be requested again before it is sent under a newer table.
 func (r *Run) Claimed() bool { return r.claimed > 0 }
 
-// At notes the back end to which the run is sent.
-func (r *Run) At(instance, address string) {
+// SetBackEnd notes the back end to which the run is sent.
+func (r *Run) SetBackEnd(instance, address string) {
 	r.instance, r.address = instance, address
 	if r.Suspected() {
 		r.guard.addSuspectRuns(instance, 1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// Leave notes that the run is not, or no longer, at the back end that was passed to At.
-func (r *Run) Leave() {
+// ClearBackEnd notes that the run is not, or no longer, at the back end that was passed to SetBackEnd.
+func (r *Run) ClearBackEnd() {
 	if r.placed {
 		r.guard.addSuspectRuns(r.instance, -1)
 		r.placed = false
@@ -137,7 +137,7 @@
 // End notes how the run ended and returns once that is on record, or after sendTimeout. For an answered run it returns
 // at once and records the ending in the background, so that the answer is not delayed.
 func (r *Run) End(ctx context.Context, ending Ending) {
-	settle := r.Note(ending)
+	settle := r.NoteEnding(ending)
 	if ending == Answered {
 		go settle(ctx)
 		return
@@ -145,16 +145,16 @@
 	settle(ctx)
 }
 
-// Note notes how the run ended in this process only, which takes it into account from then on. The returned function
-// puts the ending on record and must be called.
-func (r *Run) Note(ending Ending) (settle func(ctx context.Context)) {
-	r.Leave()
+// NoteEnding notes how the run ended in this process only, which takes it into account from then on. The returned
+// function puts the ending on record and must be called.
+func (r *Run) NoteEnding(ending Ending) (settle func(ctx context.Context)) {
+	r.ClearBackEnd()
 	switch {
 	case ending == CrashedBySum && r.Suspected():
 		ending = Crashed // a suspect may itself have caused the crash
 	case ending == Crashed && r.guard.isLeaving(r.instance):
 		ending = Stopped // the planned end of a back end interrupts its remaining runs
-	case ending == BrokeOff:
+	case ending == Interrupted:
 		r.ensureDigest()
 		unclaimed := *r // the claim is returned now, so a crash that is detected later must be counted
 		unclaimed.claimed = 0
@@ -203,10 +203,10 @@
 	switch ending {
 	case Crashed:
 		digest := r.ensureDigest() // also sets the subject
-		r.guard.deliver(ctx, poison.Want{Step: poison.Report, Digest: digest, Instance: r.crashName(), Subject: r.subject, Counted: r.claimed > 0})
+		r.guard.deliver(ctx, poison.StepRequest{Step: poison.Report, Digest: digest, Instance: r.crashName(), Subject: r.subject, Counted: r.claimed > 0})
 	case Answered:
-		r.guard.deliver(ctx, poison.Want{Step: poison.Clear, Digest: r.ensureDigest()})
+		r.guard.deliver(ctx, poison.StepRequest{Step: poison.Clear, Digest: r.ensureDigest()})
 	default:
-		r.guard.deliver(ctx, poison.Want{Step: poison.Return, Digest: r.ensureDigest(), Crashes: r.claimed})
+		r.guard.deliver(ctx, poison.StepRequest{Step: poison.Return, Digest: r.ensureDigest(), Crashes: r.claimed})
 	}
 }
--- a/internal/replicabytes/ledger.go
+++ b/internal/replicabytes/ledger.go
@@ -35,8 +35,8 @@
 	// raised.
 	maxRaiseNumerator   = 3
 	maxRaiseDenominator = 4
-	// retention is how long a limit is kept after the last crash. Replicas are replaced by larger ones, and crashes
-	// have other causes.
+	// retention is how long a learned limit is kept after the last crash that confirmed it. The limit is not kept
+	// for ever because replicas may be replaced by larger ones, and because the crash may have had another cause.
 	retention = 10 * time.Minute
 	// crashWindow is the time within which failures at one replica count as one crash. After each failure, the
 	// replica is checked for a crash for 100 ms.
@@ -61,7 +61,7 @@
 	limit           int64   // in bytes at one replica, learned by this process; 0: none
 	crashBytes      int64   // the smallest total that a replica crashed with, while limit is set
 	limitChangedAt  time.Duration
-	limitLoweredAt  time.Duration // the last crash that set or lowered limit
+	limitLoweredAt  time.Duration // time of the last crash that set, lowered or confirmed limit
 	maxAnswered     int64         // the largest total that a replica held when it answered, in bytes
 	bodyDuration    time.Duration // smoothed time from the choice of a replica to the answer
 }
@@ -78,7 +78,7 @@
 	hasCrashed       bool
 }
 
-// holding is what a replica held at one moment.
+// holding holds the total size and the number of the bodies at a replica at one moment.
 type holding struct {
 	bytes  int64
 	bodies int
@@ -99,11 +99,11 @@
 	Bodies      int
 	MaxAnswered int64 // the largest total that a replica of the pool held when it answered
 	Limit       int64 // limit in bytes learned from the crash; 0: none
-	// BySum reports that the total is a likelier cause than a single request, since no replica has answered with as
+	// ByTotal reports that the total is a likelier cause than a single request, since no replica has answered with as
 	// much. It is false while a limit is in force: totals beyond it are not sent, so the request that crashes
 	// replicas has to be found.
-	BySum bool
-	New   bool // this is the first call for this crash
+	ByTotal bool
+	New     bool // this is the first call for this crash
 }
 
 // New returns a Ledger without bodies and without a limit.
@@ -123,15 +123,15 @@
 // Limit returns the bytes that one replica may hold of this process: the lower of the learned and the fleet limit, or
 // 0 if there is neither.
 func (l *Ledger) Limit(now time.Duration) int64 {
-	learned := l.Learned(now)
+	learned := l.LearnedLimit(now)
 	if learned == 0 || l.fleetLimit == 0 {
 		return max(learned, l.fleetLimit)
 	}
 	return min(learned, l.fleetLimit)
 }
 
-// Learned returns the limit in bytes that this process has learned itself, or 0 if there is none.
-func (l *Ledger) Learned(now time.Duration) int64 {
+// LearnedLimit returns the limit in bytes that this process has learned itself, or 0 if there is none.
+func (l *Ledger) LearnedLimit(now time.Duration) int64 {
 	if l.limit > 0 && now-l.limitLoweredAt >= retention {
 		l.limit, l.crashBytes = 0, 0
 	}
@@ -147,15 +147,15 @@
 		return
 	}
 	l.fleetLimit, l.fleetLimitAt = limit, now
-	if limit > 0 && l.LoneCrash(now) > 0 {
+	if limit > 0 && l.SingleBodyCrash(now) > 0 {
 		l.lowerLimit(now, limit, limit*learnedDivisor)
 		l.singleBodyCrash = holding{}
 	}
 }
 
-// LoneCrash returns the size in bytes of the only body that this process had at a replica that crashed within
+// SingleBodyCrash returns the size in bytes of the only body that this process had at a replica that crashed within
 // singleBodyCrashWindow, or 0 if there was no such crash.
-func (l *Ledger) LoneCrash(now time.Duration) int64 {
+func (l *Ledger) SingleBodyCrash(now time.Duration) int64 {
 	if now-l.singleBodyCrash.at > singleBodyCrashWindow {
 		return 0
 	}
@@ -239,7 +239,7 @@
 // recordAnswered records what a replica held when it answered, and raises the learned limit if this is close to it.
 func (l *Ledger) recordAnswered(now time.Duration, bytes int64) {
 	l.maxAnswered = max(l.maxAnswered, bytes)
-	limit := l.Learned(now)
+	limit := l.LearnedLimit(now)
 	if limit == 0 || now-l.limitChangedAt < raiseInterval || bytes < limit-limit/raiseDivisor {
 		return
 	}
@@ -285,9 +285,9 @@
 	}
 }
 
-// learnFromCrash lowers the limit according to what a replica held when it crashed. A crash with a single body, with
-// a total within safeBytes, or with one that replicas have answered with, has another cause and does not change the
-// limit: a limit would slow down the whole pool.
+// learnFromCrash lowers the limit according to what a replica held when it crashed. The crash has another cause if the
+// replica held a single body, if the total was within safeBytes, or if a replica has answered while it held at least
+// as much. It does not change the limit then, because a limit slows down the whole pool.
 func (l *Ledger) learnFromCrash(now time.Duration, held holding) Crash {
 	crash := Crash{Bytes: held.bytes, Bodies: held.bodies, MaxAnswered: l.maxAnswered, New: true}
 	if held.bodies == 1 {
@@ -296,7 +296,7 @@
 	if held.bodies < 2 || held.bytes <= max(safeBytes, l.maxAnswered) {
 		return crash
 	}
-	crash.BySum = l.Limit(now) == 0
+	crash.ByTotal = l.Limit(now) == 0
 	crash.Limit = l.lowerLimit(now, held.bytes/learnedDivisor, held.bytes)
 	return crash
 }
@@ -304,7 +304,7 @@
 // lowerLimit sets the learned limit after a crash with crashBytes, but never raises an existing one, and returns the
 // result.
 func (l *Ledger) lowerLimit(now time.Duration, limit, crashBytes int64) int64 {
-	if known := l.Learned(now); known > 0 {
+	if known := l.LearnedLimit(now); known > 0 {
 		limit, crashBytes = min(limit, known), min(crashBytes, l.crashBytes)
 	}
 	l.limit, l.crashBytes, l.limitChangedAt, l.limitLoweredAt = limit, crashBytes, now, now
@@ -312,8 +312,9 @@
 	return limit
 }
 
-// Took returns the smoothed time from the choice of a body's replica to its answer, or 0 if no body was answered yet.
-func (l *Ledger) Took() time.Duration { return l.bodyDuration }
+// BodyDuration returns the smoothed time from the choice of a body's replica to its answer, or 0 if no body was
+// answered yet.
+func (l *Ledger) BodyDuration() time.Duration { return l.bodyDuration }
 
 // Wait estimates the time until enough bodies at a replica are answered for the limit to permit another one. It
 // returns 0 without a limit, and when only a body that the replica has not accepted yet prevents it, because how long
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -15,9 +15,10 @@
 import "time"
 
 const (
-	// Span is the time window over which the budget counts requests in flight and losses. The most requests that were
-	// in flight matter because lost requests may have ended by the time that others are sent again. Span is longer
-	// than the first quarantine of a back end, so that its losses count as one failure.
+	// Span is the time window over which the budget counts the losses of each back end and takes the maximum of the
+	// requests in flight. The present number in flight would be too low, because some lost requests may have ended by
+	// the time that others are sent again. Span is longer than the first quarantine of a back end, so that its losses
+	// count as one failure.
 	Span = 10 * time.Second
 	// intervalCount is the number of intervals into which Span is divided. Counts expire one interval, a tenth of
 	// Span, at a time.
@@ -27,20 +28,20 @@
 
 // DefaultLimits suit most pools.
 //
-// Part: a pool at four fifths of its capacity can take a fifth more requests, and fewer back ends than that may be
-// slow or fail for long without an effect on callers.
+// Ratio: a pool at four fifths of its capacity can take a fifth more requests. Fewer than a fifth of the back ends can
+// be slow or fail for long without an effect on callers.
 //
 // InFlight: a third of what is in flight is lost when one of three zones fails.
 //
 // PerSecond and Burst, one a second and ten at once: a pool with few requests may send each of them again, and
 // several of a burst twice.
-var DefaultLimits = Limits{Part: 0.2, InFlight: 1.0 / 3, PerSecond: 1, Burst: 10}
+var DefaultLimits = Limits{Ratio: 0.2, InFlight: 1.0 / 3, PerSecond: 1, Burst: 10}
 
 // Limits are the parameters of a Budget.
 type Limits struct {
-	Part      float64 // tokens added per request that begins
+	Ratio     float64 // tokens added per request that begins
 	InFlight  float64 // tokens held at most, as a part of the most requests in flight within Span
-	PerSecond float64 // tokens added per second, in addition to Part
+	PerSecond float64 // tokens added per second, in addition to Ratio
 	Burst     float64 // tokens held at most, in addition to InFlight
 }
 
@@ -76,7 +77,7 @@
 	b.inFlight++
 	current := b.current()
 	current.maxInFlight = max(current.maxInFlight, b.inFlight)
-	b.addTokens(b.limits.Part)
+	b.addTokens(b.limits.Ratio)
 }
 
 // Ended counts the end of a request counted by Began. It is called once per request, however often the request was
@@ -94,8 +95,8 @@
 }
 
 // Resumed counts a stream that failed at backEnd and continues at another back end. It is never rejected, because the
-// rest of the stream is less work than the whole request, which its caller would send again. It takes a token that
-// retries and hedges could use.
+// rest of the stream is less work than the whole request, which its caller would send again. Unless backEnd is the one
+// that lost the most requests, it takes a token that retries and hedges could use.
 func (b *Budget) Resumed(now time.Duration, backEnd string) {
 	b.advance(now)
 	if !b.isExempt(backEnd) {
@@ -111,17 +112,17 @@
 	return b.takeToken()
 }
 
-// Figures is the state of a Budget on which its decisions are based, for logs.
-type Figures struct {
-	InFlight  int     // requests in flight
-	Permitted float64 // tokens left
-	Most      float64 // capacity in tokens
+// State is the state of a Budget on which its decisions are based, for logs.
+type State struct {
+	InFlight int     // requests in flight
+	Tokens   float64 // tokens left
+	Capacity float64 // capacity in tokens
 }
 
-// Figures returns the state on which the next decision would be based.
-func (b *Budget) Figures(now time.Duration) Figures {
+// State returns the state on which the next decision would be based.
+func (b *Budget) State(now time.Duration) State {
 	b.advance(now)
-	return Figures{InFlight: b.inFlight, Permitted: b.tokens, Most: b.capacity()}
+	return State{InFlight: b.inFlight, Tokens: b.tokens, Capacity: b.capacity()}
 }
 
 // isExempt reports whether no other back end has lost more requests within Span. Resends for such a back end take no
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -21,10 +21,10 @@
 	// Share returns the amount of a resource that the process may use now. divided is false if no leader divides the
 	// resource: the leader runs an older build, or has not answered a demand for it yet.
 	Share(resource string) (amount uint32, divided bool)
-	// Want sets the process's demand, which is reported with the next renewal of the lease.
-	Want(resource string, demand Demand)
-	// RenewSoon requests an early renewal of the lease, because work waits for a larger share.
-	RenewSoon()
+	// SetDemand sets the process's demand, which is reported with the next renewal of the lease.
+	SetDemand(resource string, demand Demand)
+	// RenewEarly requests an early renewal of the lease, because work waits for a larger share.
+	RenewEarly()
 }
 
 // Prefixes of resource names, one for each kind of resource.
@@ -93,7 +93,9 @@
 // kind holds the rules for one kind of resource. Lent amounts are granted beyond the limit, so the amount in force is
 // at most the limit plus lent for each process.
 type kind struct {
-	lent    int64 // amount lent to each process while little work waits, and without a demand after its last share has ended
+	// lent is the amount lent to each process while little work waits. After its last share has ended, a process may
+	// use this amount without a new share.
+	lent    int64
 	minimum int64 // amount that each process may use, however much work waits
 	// staysInUse is set if the amount in use does not fall at once when a share falls.
 	staysInUse bool
--- a/internal/table/scale_test.go
+++ b/internal/table/scale_test.go
@@ -7,20 +7,21 @@
 	"github.com/tamarindring/tamarindring/internal/wire"
 )
 
-// fleetOf makes a table of a pool with replicas as registrations make them.
-func fleetOf(t testing.TB, replicas int) *Table {
+// newFleet returns a table with a pool and the rows of so many registered replicas.
+func newFleet(t testing.TB, replicas int) *Table {
 	t.Helper()
-	made := New()
+	table := New()
 	first := &wire.TableChange{ChangeId: "pool", Cells: []*wire.CellChange{{Row: "p", Column: ColumnKind, Value: string(Pool)}}}
 	for number := range replicas {
 		first.Cells = append(first.Cells, registrationOf(number, 1)...)
 	}
-	if result := made.Apply(first); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
+	if result := table.Apply(first); result.GetOutcome() != wire.TableOutcome_TABLE_OUTCOME_ACCEPTED {
 		t.Fatal(result)
 	}
-	return made
+	return table
 }
 
+// registrationOf returns the cells that a replica's registration sets.
 func registrationOf(number, sequence int) []*wire.CellChange {
 	name := fmt.Sprintf("r%05d", number)
 	cells := [][2]string{{ColumnKind, string(Backend)}, {ColumnPool, "p"}, {ColumnAddress, fmt.Sprintf("10.0.%d.%d:80", number/250, number%250+1)},
@@ -32,49 +33,50 @@
 	return changes
 }
 
-func drainOf(made *Table, number, sequence int) *wire.TableChange {
+// drainOf returns the change that drains one replica.
+func drainOf(table *Table, number, sequence int) *wire.TableChange {
 	name := fmt.Sprintf("r%05d", number)
-	return &wire.TableChange{ChangeId: fmt.Sprintf("drain-%d-%d", number, sequence), BaseVersion: made.Version(), Note: ForceNote, Cells: []*wire.CellChange{
+	return &wire.TableChange{ChangeId: fmt.Sprintf("drain-%d-%d", number, sequence), BaseVersion: table.Version(), Note: ForceNote, Cells: []*wire.CellChange{
 		{Row: name, Column: ColumnState, Value: string(Draining)}, {Row: name, Column: ColumnSequence, Value: fmt.Sprint(sequence)}}}
 }
 
-// BenchmarkChange is one replica's change of a large table at the control nodes.
+// BenchmarkChange applies one replica's change to a large table, as a control node does.
 func BenchmarkChange(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := fleetOf(b, replicas)
+			table := newFleet(b, replicas)
 			for number := 0; b.Loop(); number++ {
-				made.Apply(drainOf(made, number%replicas, 2+number/replicas))
+				table.Apply(drainOf(table, number%replicas, 2+number/replicas))
 			}
 		})
 	}
 }
 
-// BenchmarkDelta is the update that one change makes for the holders of the version before.
+// BenchmarkDelta builds the update for one change since the previous version.
 func BenchmarkDelta(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := fleetOf(b, replicas)
-			before := made.Version()
-			made.Apply(drainOf(made, 1, 2))
+			table := newFleet(b, replicas)
+			before := table.Version()
+			table.Apply(drainOf(table, 1, 2))
 			for b.Loop() {
-				made.Update(before)
+				table.UpdateSince(before)
 			}
 		})
 	}
 }
 
-// BenchmarkFollow is one change of one replica at a process that follows the table.
+// BenchmarkFollow applies the update for one replica's change to a view, as a process that follows the table does.
 func BenchmarkFollow(b *testing.B) {
 	for _, replicas := range []int{300, 3000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			made := fleetOf(b, replicas)
-			view, err := NewView().Apply(made.Update(0))
+			table := newFleet(b, replicas)
+			view, err := NewView().Apply(table.UpdateSince(0))
 			if err != nil {
 				b.Fatal(err)
 			}
-			made.Apply(drainOf(made, 1, 2))
-			update := made.Update(view.Version())
+			table.Apply(drainOf(table, 1, 2))
+			update := table.UpdateSince(view.Version())
 			for b.Loop() {
 				if _, err := view.Apply(update); err != nil {
 					b.Fatal(err)
@@ -84,11 +86,11 @@
 	}
 }
 
-// BenchmarkReadWhole is a read of the whole table, as a process without a view makes it.
+// BenchmarkReadWhole builds a view from the whole table, as a process without a view does.
 func BenchmarkReadWhole(b *testing.B) {
-	made := fleetOf(b, 3000)
+	table := newFleet(b, 3000)
 	for b.Loop() {
-		if _, err := NewView().Apply(made.Update(0)); err != nil {
+		if _, err := NewView().Apply(table.UpdateSince(0)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/weights/load.go
+++ b/internal/weights/load.go
@@ -46,8 +46,8 @@
 	return pending
 }
 
-// startLoad executes an order in the background. The order occupies its replica until it ends, and a load slot until the
-// load is expected to be over or it ends, whichever is first.
+// startLoad executes an order in the background. The order occupies its replica until it ends, and a load slot until
+// the load is expected to be over or the order ends, whichever is first.
 func (d *Driver) startLoad(ctx context.Context, next queuedOrder, row *table.Row) {
 	order := Order{Model: next.model, Number: next.order.Version.Number, Fence: d.token}
 	order.Instance, order.Address = row.Instance, row.Address
@@ -68,7 +68,7 @@
 // the loads themselves can't notice the restart.
 func (d *Driver) cancelObsoleteLoads(view *table.View) {
 	for instance, active := range d.activeLoads {
-		if view.Ended(instance) {
+		if view.HasRestarted(instance) {
 			active.cancel()
 		}
 	}
@@ -95,18 +95,18 @@
 	}
 	accepted := false
 	if !report.Busy {
-		order.Expected = report.Taken
-		if !config.Leading() {
+		order.ExpectedOrders = report.OrdersAccepted
+		if !config.IsLeader() {
 			return 0, trace.ConnectionProblem(nil, "this process leads no more")
 		}
 		answer, err := config.Sender.Order(ctx, *order)
 		if err != nil {
 			return 0, err
 		}
-		if answer == Holds {
+		if answer == AlreadyServing {
 			return order.Number, nil
 		}
-		accepted = answer == Underway
+		accepted = answer == OrderAccepted
 	}
 	return l.await(ctx, accepted)
 }
